--- /dev/null
+++ b/tests/frozen/record.py
@@ -0,0 +1,111 @@
+"""Writes the frozen data files from the running code: `python -m tests.frozen.record`.
+
+The files in `data/` were written by commit 48a87b5. They stand for what is on the wire, on disks and in operators'
+scripts already, so they are never written again; a new kind of message gets a file of its own.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import sys
+import tempfile
+from pathlib import Path
+
+import msgspec
+
+from . import subjects
+from .answers import answered
+from .samples import sample_of
+from .subjects import Append, Ballot, Ending, Entry, RealFiles, Snapshot, Store
+
+DATA = Path(__file__).parent / "data"
+
+
+def messages() -> dict[str, str]:
+    """By tag, the frame of one sample of each message."""
+    wire = subjects.wire()
+    return {subjects.tag_of(kind): wire.encode("sender", sample_of(kind)).hex() for kind in subjects.MESSAGES}
+
+
+def records() -> dict[str, str]:
+    """By name, one sample of each entry of the log and each state in a snapshot."""
+    return {name: msgspec.msgpack.encode(sample_of(kind)).hex() for name, kind in subjects.RECORDS.items()}
+
+
+def store(folder: Path) -> None:
+    """A store of several segments with a snapshot, whose last segment has a torn end."""
+    files = RealFiles(folder)
+    opened = Store(files, segment_bytes=300)
+    opened.open()
+    opened.write([Ballot(3, "b"), Append(tuple(Entry(index, 2, "cmd", b"old") for index in range(1, 6)))])
+    opened.write([Snapshot(4, 2, b"state of four", ("a", "b", "c"))])
+    for index in range(6, 14):
+        opened.write([Append((Entry(index, 3, "cmd" if index % 3 else "none", b"%d" % index * 40),))])
+    opened.write([Ballot(4, "c")])
+    files.release()  # without the mark of an orderly end
+    (folder / "lock").unlink(missing_ok=True)
+    last = max(folder.glob("log-*"))
+    last.write_bytes(last.read_bytes()[:-5])
+
+
+def handover() -> dict[str, object]:
+    """What a process that has served some calls hands to the next one."""
+    clock = subjects.Clock()
+    facade = subjects.facade(clock)
+    facade.start()
+    facade.heard(subjects.listed(), True)
+    for call in range(40):
+        clock.ms += 25.0
+        for order in facade.pick(call, "look" if call % 3 else "book", "t1", 800.0):
+            if isinstance(order, subjects.Invoke):
+                clock.ms += 7.0 + call % 5
+                facade.report(call, 0, order.provider, 7.0 + call % 5, Ending.SERVED, True, 0.25, 80.0)
+    return {"version": 1, "list": subjects.LIST, "knowledge": facade.knowledge()}
+
+
+def settings() -> str:
+    """The program's settings keys at their defaults, and those of a fleet."""
+    fleet = subjects.parse(subjects.FLEET.format(key_file=subjects.key_file()), "frozen")
+    defaults = subjects.effective(subjects.Settings())
+    return defaults + "\n" + subjects.effective(fleet).replace(subjects.key_file(), "KEY_FILE")
+
+
+def sources() -> list[str]:
+    """The texts of the program."""
+    return [path.read_text() for path in sorted((DATA.parents[2] / "limenotch").rglob("*.py"))]
+
+
+def usage() -> str:
+    """The command lines of the program and of two commands."""
+    return "\n====\n".join([subjects.USAGE, subjects.serve_command.__doc__ or "", subjects.check_config.__doc__ or ""])
+
+
+def simulator(lines: str) -> str:
+    """What the simulator's adapter answers to these lines."""
+    return subjects.played(subjects.Link, lines)
+
+
+def main() -> int:
+    if DATA.exists() and any(DATA.iterdir()):
+        print(f"{DATA} holds the frozen files already", file=sys.stderr)
+        return 1
+    DATA.mkdir(exist_ok=True)
+    for name, value in (("messages", messages()), ("records", records()), ("handover", handover())):
+        (DATA / f"{name}.json").write_text(json.dumps(value, indent=1) + "\n")
+    store(DATA / "store")
+    (DATA / "bans.json").write_bytes(subjects.written_bans({"b", "a"}, {"c": 1796256000000.0}))
+    (DATA / "settings.toml").write_text(settings())
+    (DATA / "metrics.txt").write_bytes(subjects.figures())
+    (DATA / "paths.json").write_text(json.dumps(subjects.paths(), indent=1) + "\n")
+    (DATA / "environment.json").write_text(json.dumps(subjects.environment(sources()), indent=1) + "\n")
+    (DATA / "usage.txt").write_text(usage())
+    with tempfile.TemporaryDirectory() as folder:
+        answers = asyncio.run(answered(Path(folder)))
+    (DATA / "answers.json").write_text(json.dumps(answers, indent=1) + "\n")
+    (DATA / "simulator.out").write_text(simulator(subjects.SIMULATOR_INPUT))
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/tests/frozen/subjects.py
@@ -0,0 +1,246 @@
+"""What is frozen, under the names that it has in the code today: the one file here that follows a rename."""
+
+from __future__ import annotations
+
+import io
+import re
+import tempfile
+from pathlib import Path
+from typing import Any, get_args
+
+from limenotch.bans import read as read_bans
+from limenotch.bans import written as written_bans
+from limenotch.cli import USAGE, check_config
+from limenotch.cli import serve as serve_command
+from limenotch.facade import Ending, Facade, Invoke, Provider
+from limenotch.figures import Figures
+from limenotch.fleet.agreement import log as agreement_log
+from limenotch.fleet.agreement import messages as agreement_messages
+from limenotch.fleet.bindings import messages as bindings_messages
+from limenotch.fleet.contract import Message
+from limenotch.fleet.membership import messages as membership_messages
+from limenotch.fleet.rules import book as rules_book
+from limenotch.fleet.rules import entries as rules_entries
+from limenotch.fleet.rules import listing as rules_listing
+from limenotch.fleet.rules import messages as rules_messages
+from limenotch.fleet.settings import parse_with
+from limenotch.fleet.wallet import book as wallet_book
+from limenotch.fleet.wallet import entries as wallet_entries
+from limenotch.fleet.wallet import messages as wallet_messages
+from limenotch.fleet.wire import Wire, tag_of
+from limenotch.layers.base import messages_of
+from limenotch.net import operators, paid, promised, ruled
+from limenotch.net.listing import list_of
+from limenotch.settings import Settings, effective
+from limenotch.store import records
+from limenotch.store.files import RealFiles
+from limenotch.store.log import Store
+from limenotch.store.records import Append, Ballot, Entry, Snapshot
+from limenotch.together import PATH
+from switchthread.benchlink import Link
+from switchthread.settings import read_settings
+
+__all__ = [
+    "USAGE", "Append", "Ballot", "Ending", "Entry", "Facade", "Invoke", "Link", "RealFiles", "Settings", "Snapshot",
+    "Store", "check_config", "effective", "read_bans", "records", "serve_command", "tag_of", "written_bans",
+]  # fmt: skip
+
+MESSAGES: tuple[type[Message], ...] = (
+    *get_args(membership_messages.Spoken),
+    *messages_of(agreement_messages),
+    *messages_of(wallet_messages),
+    *messages_of(rules_messages),
+    *messages_of(rules_listing),
+    *messages_of(bindings_messages),
+)
+RECORDS: dict[str, Any] = {
+    "store entry": records.Entry,
+    "store ballot": records.Ballot,
+    "store append": records.Append,
+    "store snapshot": records.Snapshot,
+    "log voters": agreement_log.Voters,
+    "log state": agreement_log.State,
+    "wallet credit": wallet_entries.Credit,
+    "wallet grant": wallet_entries.Grant,
+    "wallet settle": wallet_entries.Settle,
+    "wallet expire": wallet_entries.Expire,
+    "wallet advance": wallet_entries.Advance,
+    "wallet state": wallet_book._State,
+    "rules put": rules_entries.Put,
+    "rules ban": rules_entries.Out,
+    "rules activate": rules_entries.Activate,
+    "rules try": rules_entries.Try,
+    "rules end of a try": rules_entries.EndTry,
+    "rules state": rules_book._State,
+    "lists agree": rules_listing.Agree,
+    "lists state": rules_listing.Held,
+    "promises state": dict[str, tuple[int, bytes]],
+    "promises entry": tuple[str, bytes],
+    "states of all parts": dict[str, bytes],
+}
+KEY = b"sixteen bytes ok"
+FLEET = """
+[fleet]
+group = "g"
+listen = "127.0.0.1:7400"
+key_file = "{key_file}"
+name = "a"
+seeds = ["127.0.0.1:7401"]
+voters = ["a", "b", "c"]
+folder = "/var/lib/limenotch"
+[fleet.addresses]
+b = "127.0.0.1:7401"
+[fleet.membership]
+[fleet.agreement]
+[fleet.rules]
+[fleet.rules.canary]
+[fleet.wallet]
+tenants = ["*"]
+[fleet.bindings]
+session = "x-session"
+"""
+SETTINGS: dict[str, Any] = {
+    "classes": [
+        {"name": "look", "effect": "idempotent", "target_ms": 400, "hard_limit_ms": 900, "worth": 3},
+        {"name": "book", "effect": "at_most_once", "target_ms": 600, "hard_limit_ms": 900},
+    ],
+    "tenants": [{"name": "t1", "quota_per_s": 50}],
+    "balancers": 2,
+    "rank": 1,
+    "zones": ["za", "zb"],
+    "weights": "on",
+    "rules": {"start_capacity": 0.2, "cold_ms": 5000},
+}
+LIST: dict[str, Any] = {
+    "from": "127.0.0.1:8500",
+    "index": 41,
+    "snapshot": True,
+    "endpoints": [
+        {"name": f"e{number}", "address": f"127.0.0.1:{9000 + number}", "zone": "za" if number % 2 else "zb",
+         "type": "large" if number % 3 else "small", "group": number, "status": status, "weight": 1.0 + number / 4,
+         "since_ms": since}
+        for number, status, since in [(0, "in_service", 0.0), (1, "in_service", 1796255990000.0),
+                                      (2, "in_service", 0.0), (3, "terminating", 0.0)]
+    ],
+}  # fmt: skip
+SIMULATOR_INPUT = """\
+BATCH at_time_ms=0.0
+LAUNCH balancer_id=0 seed=7 env={"classes":[{"name":"look","effect":"idempotent","target_ms":100,"hard_limit_ms":400},\
+{"name":"book","effect":"at_most_once","target_ms":100,"hard_limit_ms":400}],"registry_mode":"ask","balancers":2,\
+"tenants":[{"name":"t","quota_per_s":20}],"permissions":{"retry_after":true,"max_retry_after_ms":500},\
+"rules":{"start_capacity":0.2,"cold_ms":3000}}
+REGISTER sheet=0 hosts=3
+ROW nominal=1 hw=0 locality=0 unit_group=0 upstream=10.0.0.1:80 stage_state=ready
+ROW nominal=1.5 hw=1 locality=1 unit_group=1 started_at_ms=-100.0 upstream=10.0.0.2:80 stage_state=ready
+ROW nominal=1 hw=0 locality=0 unit_group=2 upstream=10.0.0.3:80 stage_state=draining
+MEMBERSHIP balancer_id=0 how=stale_copy serial=1 sheet=0
+EOF_BATCH
+BATCH at_time_ms=10.0
+KNOCK balancer_id=0 handle=r1 kind=0 budget_ms=350 party=0
+KNOCK balancer_id=0 handle=r2 kind=1 budget_ms=350 party=0 resent=1
+KNOCK balancer_id=0 handle=r3 kind=0 budget_ms=0 party=0
+EOF_BATCH
+BATCH at_time_ms=30.0
+RESULT balancer_id=0 handle=r1 upstream=10.0.0.1:80 copy=0 spent_ms=20 how=100 closed=1 report=util:0.3,qps:50
+RESULT balancer_id=0 handle=r2 upstream=10.0.0.1:80 copy=0 spent_ms=20 how=302
+KNOCK balancer_id=0 handle=r4 kind=1 budget_ms=350 party=0
+CHECKED balancer_id=0 upstream=10.0.0.1:80
+EOF_BATCH
+BATCH at_time_ms=60.0
+RESULT balancer_id=0 handle=r4 upstream=10.0.0.1:80 copy=0 spent_ms=20 how=305
+MEMBERSHIP balancer_id=0 how=broken serial=1 sheet=0
+KNOCK balancer_id=0 handle=r5 kind=0 budget_ms=350 party=0
+EOF_BATCH
+BATCH at_time_ms=400.0
+LEFT balancer_id=0 handle=r5
+TIMER balancer_id=0 ctx=1
+TIMER balancer_id=0 ctx=2
+TEARDOWN balancer_id=0
+EOF_BATCH
+"""
+
+
+class Clock:
+    """Unix time in ms that stands still until it is moved."""
+
+    def __init__(self) -> None:
+        self.ms = 1796256000000.0
+
+    def __call__(self) -> float:
+        return self.ms
+
+
+def wire() -> Wire:
+    """Of a key and a group that are in the frozen frames."""
+    return Wire(KEY, "group", MESSAGES)
+
+
+def facade(clock: Clock) -> Facade:
+    """A balancer on a clock that stands still."""
+    return Facade(read_settings(SETTINGS), 7, SETTINGS["zones"], ["small", "large"], clock=clock)
+
+
+def listed() -> list[Provider]:
+    """The entries of LIST."""
+    listing = list_of(LIST)
+    assert listing is not None
+    return listing.entries
+
+
+def opened(folder: Path) -> tuple[records.Held, str | None]:
+    """What a store in this folder holds, and what was cut off its end."""
+    files = RealFiles(folder)
+    store = Store(files)
+    held = store.open()
+    torn = store.torn
+    store.close()
+    files.release()
+    return held, torn
+
+
+def parse(text: str, name: str) -> Any:
+    """A settings file with a `[fleet]` table. Raises toml.FaultError."""
+    return parse_with(text, name)
+
+
+def figures() -> bytes:
+    """The metrics of a process that has done each thing once."""
+    metrics = Figures()
+    metrics.know(["look"])
+    metrics.took()
+    for end in ("answered", "deferred", "errored", "departed"):
+        metrics.ended("look", end)
+    metrics.sent("look")
+    metrics.reloaded(True)
+    metrics.reloaded(False)
+    return metrics.lines({"current": 1, "cluster_size": 2, "cluster_unhealthy": 0.5})
+
+
+def paths() -> list[str]:
+    """What operators may ask for."""
+    return sorted([operators.HEALTH, operators.STATS, operators.ENDPOINTS, PATH, paid.WALLETS, promised.PROMISES,
+                   promised.VOTERS, ruled.RULES])  # fmt: skip
+
+
+_key_file: Path | None = None
+
+
+def key_file() -> str:
+    """A file that holds KEY."""
+    global _key_file
+    if _key_file is None:
+        _key_file = Path(tempfile.mkdtemp()) / "key"
+        _key_file.write_bytes(KEY)
+    return str(_key_file)
+
+
+def played(link: type, lines: str) -> str:
+    """What the simulator's adapter writes when it reads these lines."""
+    sink = io.StringIO()
+    link(io.StringIO(lines), sink).run()
+    return sink.getvalue()
+
+
+def environment(sources: list[str]) -> list[str]:
+    """The environment variables that these source texts read."""
+    return sorted({name for text in sources for name in re.findall(r"\b(?:LB|LIMENOTCH)_[A-Z_]+\b", text)})
