--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -86,7 +86,7 @@
     for voters in (3, 5, 9):
         spans = [span for seed in range(max(1, seeds // 5)) for span in promises(voters, seed)]
         gaps = [new_leader(voters, seed) for seed in range(seeds)]
-        print(f"| {voters} | {of(spans, .5):.1f} | {of(spans, .99):.1f} | {of(gaps, .5):.0f} | {max(gaps):.0f} |")
+        print(f"| {voters} | {of(spans, 0.5):.1f} | {of(spans, 0.99):.1f} | {of(gaps, 0.5):.0f} | {max(gaps):.0f} |")
     print("\n| asked at once of the leader of 3 | promises a second | ms to the last, p50 | its writes |")
     print("| --- | --- | --- | --- |")
     for many in (1, 8, 64, 512):
--- a/benchmarks/bindings.py
+++ b/benchmarks/bindings.py
@@ -72,8 +72,11 @@
             frm, event = event[:1].decode(), self._decoder.decode(event[1:])
             event = Heard((frm, 1), frm, event)
         actions = self.parts[name].handle(self.now, event)
-        out = [(action.to, name.encode() + self._encoder.encode(action.message)) for action in actions
-               if isinstance(action, Tell)]
+        out = [
+            (action.to, name.encode() + self._encoder.encode(action.message))
+            for action in actions
+            if isinstance(action, Tell)
+        ]
         spent = process_time() - began
         self.cpu[name] += spent
         self.longest[name] = max(self.longest[name], spent)
@@ -174,9 +177,12 @@
         pair.run(pair.now + 60_000)
         told, heard = (1e6 * (pair.cpu[name] - cpu[name]) / count for name in "ab")
         seen *= 1e6 / count
-        print(f"sights, {what:5}: seen {seen:.2f} us, told {told:.2f} us, heard {heard:.2f} us, "
-              f"{(pair.bytes['a'] - size) / count:.0f} bytes each; a core's second: {1e6 / (seen + told):,.0f} "
-              f"own, or {1e6 / heard:,.0f} of others", flush=True)
+        print(
+            f"sights, {what:5}: seen {seen:.2f} us, told {told:.2f} us, heard {heard:.2f} us, "
+            f"{(pair.bytes['a'] - size) / count:.0f} bytes each; a core's second: {1e6 / (seen + told):,.0f} "
+            f"own, or {1e6 / heard:,.0f} of others",
+            flush=True,
+        )
     assert pair.parts["b"].table.figures()["held"] == count
 
 
@@ -195,8 +201,11 @@
         pair.meet("a", "b")
         took = pair.until_whole("b", 120_000)
         assert pair.parts["b"].table.figures()["held"] == count
-        print(f"{count:8} {took:16.0f} {(pair.bytes['a'] - size) / 1e6:6.1f} {pair.cpu['a'] - cpu['a']:15.2f} "
-              f"{pair.cpu['b'] - cpu['b']:15.2f} {1e3 * max(pair.longest.values()):15.1f}", flush=True)
+        print(
+            f"{count:8} {took:16.0f} {(pair.bytes['a'] - size) / 1e6:6.1f} {pair.cpu['a'] - cpu['a']:15.2f} "
+            f"{pair.cpu['b'] - cpu['b']:15.2f} {1e3 * max(pair.longest.values()):15.1f}",
+            flush=True,
+        )
 
 
 def together(count: int, seed: int, span_ms: float = 8000.0) -> Run:
@@ -228,8 +237,11 @@
         runs = [together(count, seed) for seed in range(seeds if count < 20 else 1)]
         stated = runs[0].checker.stated
         beyond = f"{2 * stated.drift:.2f} x idle + {stated.spare_ms:.0f}"
-        print(f"{count:7} {max(run.checker.longest_disagreement for run in runs):13.0f} ({stated.agree_ms:.0f})"
-              f"{max(run.checker.latest_found for run in runs):18.0f} ({beyond})", flush=True)
+        print(
+            f"{count:7} {max(run.checker.longest_disagreement for run in runs):13.0f} ({stated.agree_ms:.0f})"
+            f"{max(run.checker.latest_found for run in runs):18.0f} ({beyond})",
+            flush=True,
+        )
 
 
 def traffic(members: list[int], each: float = 5.0, span_ms: float = 5000.0) -> None:
@@ -255,8 +267,9 @@
 
 def said(run: Run) -> tuple[int, int]:
     """How many messages and bytes of bindings, of all."""
-    both = [each for node in run.world.nodes.values() for tag, each in node.traffic.by_tag.items()
-            if tag.startswith(PREFIX)]
+    both = [
+        each for node in run.world.nodes.values() for tag, each in node.traffic.by_tag.items() if tag.startswith(PREFIX)
+    ]
     return sum(one for one, _ in both), sum(two for _, two in both)
 
 
@@ -269,8 +282,12 @@
     given = parser.parse_args()
     members = [int(one) for one in given.members.split(",")]
     benches: dict[str, Callable[[], None]] = {
-        "entries": lambda: entries(given.most), "sights": sights, "takeover": lambda: takeover(given.most),
-        "together": lambda: all_together(members, given.seeds), "traffic": lambda: traffic(members)}
+        "entries": lambda: entries(given.most),
+        "sights": sights,
+        "takeover": lambda: takeover(given.most),
+        "together": lambda: all_together(members, given.seeds),
+        "traffic": lambda: traffic(members),
+    }
     for what in given.what:
         benches[what]()
 
--- a/benchmarks/bindings_cost.py
+++ b/benchmarks/bindings_cost.py
@@ -34,8 +34,15 @@
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "look", "effect": "idempotent", "target_ms": 9000.0, "hard_limit_ms": 20000.0},
-        {"name": "deliver", "effect": "deduplicated", "dedup_scope": "zone", "window_ms": 600_000.0,
-         "target_ms": 9000.0, "hard_limit_ms": 20000.0}],
+        {
+            "name": "deliver",
+            "effect": "deduplicated",
+            "dedup_scope": "zone",
+            "window_ms": 600_000.0,
+            "target_ms": 9000.0,
+            "hard_limit_ms": 20000.0,
+        },
+    ],
     "tenants": [{"name": "acme", "quota_per_s": 100000.0}],
     "permissions": {"cancel": True, "parallel_tries": False, "max_attempts": 1, "connect_timeout_ms": 9000.0},
     "registry_mode": "ask",
@@ -51,8 +58,13 @@
 
 
 def wire(key: int | None, session: int | None) -> bytes:
-    headers = [(b"Host", b"s"), (b"X-Call-Id", b"1"), (b"X-Caller", b"acme"), (b"X-Budget", b"20000m"),
-               (b"X-Call-Class", b"look" if key is None else b"deliver")]
+    headers = [
+        (b"Host", b"s"),
+        (b"X-Call-Id", b"1"),
+        (b"X-Caller", b"acme"),
+        (b"X-Budget", b"20000m"),
+        (b"X-Call-Class", b"look" if key is None else b"deliver"),
+    ]
     if key is not None:
         headers.append((b"Idempotency-Key", b"%032x" % (key % (1 << 64))))
     if session is not None:
@@ -74,14 +86,22 @@
     return (cpu_ms(node) - before) / TURN * 1000.0
 
 
-async def fleet(processes: Processes, folder: Path, names: list[str], known: dict[str, Any],
-                more: dict[str, Any]) -> None:
+async def fleet(
+    processes: Processes, folder: Path, names: list[str], known: dict[str, Any], more: dict[str, Any]
+) -> None:
     at = {name: f"127.0.0.1:{free_port()}" for name in names}
 
     def toml(node: NodeProcess) -> str:
-        return fleet_table(at[node.name], {}, {
-            "group": names[0], "key_file": str(folder / "key"),
-            "seeds": [other for other in at.values() if other != at[node.name]], **more})
+        return fleet_table(
+            at[node.name],
+            {},
+            {
+                "group": names[0],
+                "key_file": str(folder / "key"),
+                "seeds": [other for other in at.values() if other != at[node.name]],
+                **more,
+            },
+        )
 
     for name in names:
         processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, known, toml))
--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -1,6 +1,6 @@
 """How near cold endpoints come to falling under the sum of many balancers, by circumstance, over many seeds.
 
-    python -m benchmarks.cold_fleet [--seeds K] [--processes N] [NAME...]
+python -m benchmarks.cold_fleet [--seeds K] [--processes N] [NAME...]
 """
 
 from __future__ import annotations
@@ -28,8 +28,11 @@
                 continue
             results = pool.map(partial(play, case), range(given.seeds))
             worst = [result.worst for result in results]
-            print(f"| {case.name} | {given.seeds} | {max(worst):.2f} | {median(worst):.2f} | "
-                  f"{sum(one > 1 for one in worst)} | {mean(result.served for result in results):.3f} |", flush=True)
+            print(
+                f"| {case.name} | {given.seeds} | {max(worst):.2f} | {median(worst):.2f} | "
+                f"{sum(one > 1 for one in worst)} | {mean(result.served for result in results):.3f} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/constants.py
+++ b/benchmarks/constants.py
@@ -48,8 +48,11 @@
     file, bare = name.split(".")
     own = importlib.import_module(f"switchthread.{file}")
     was = getattr(own, bare)
-    modules = [importlib.import_module(f"switchthread.{m.name}") for m in pkgutil.iter_modules(switchthread.__path__)
-               if m.name != "benchlink"]
+    modules = [
+        importlib.import_module(f"switchthread.{m.name}")
+        for m in pkgutil.iter_modules(switchthread.__path__)
+        if m.name != "benchlink"
+    ]
     touched = [m for m in modules if getattr(m, bare, None) is was]
     for module in touched:
         setattr(module, bare, value)
@@ -79,14 +82,19 @@
     for name, value in some.items():
         whole = name.split(".")[1] in KEPT_WHOLE
         for other in (value / 2, value * 2):
-            jobs += [(name, round(other) if whole else other, scenario, seed)
-                     for scenario in asked.scenarios for seed in range(1, asked.seeds + 1)]
+            jobs += [
+                (name, round(other) if whole else other, scenario, seed)
+                for scenario in asked.scenarios
+                for seed in range(1, asked.seeds + 1)
+            ]
     with ProcessPoolExecutor(asked.processes, mp_context=get_context("spawn")) as pool:
         scores = dict(zip(jobs, pool.map(score, *zip(*jobs, strict=True), chunksize=4), strict=True))
 
     def differences(name: str, value: float, scenario: str) -> list[float]:
-        return [scores[name, value, scenario, seed] - scores[first, known[first], scenario, seed]
-                for seed in range(1, asked.seeds + 1)]
+        return [
+            scores[name, value, scenario, seed] - scores[first, known[first], scenario, seed]
+            for seed in range(1, asked.seeds + 1)
+        ]
 
     heads = [Path(s).stem for s in asked.scenarios]
     print("| constant | value | " + " | ".join(heads) + " |\n| --- | --- |" + " --- |" * len(heads))
--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -22,10 +22,13 @@
         parser.add_argument(f"--{name}", type=int, default=usual)
     given = parser.parse_args()
     began = perf_counter()
-    found = Explorer(NAMES, maker(NAMES), digest, Check(NAMES), Bounds(**vars(given)), clocks="one",
-                     disks=begun(NAMES)).run()
-    print(f"{found.states} states, {'all there are' if found.whole else 'not all'}, {perf_counter() - began:.0f} s: "
-          f"{found.why or 'no rule broken'}")
+    found = Explorer(
+        NAMES, maker(NAMES), digest, Check(NAMES), Bounds(**vars(given)), clocks="one", disks=begun(NAMES)
+    ).run()
+    print(
+        f"{found.states} states, {'all there are' if found.whole else 'not all'}, {perf_counter() - began:.0f} s: "
+        f"{found.why or 'no rule broken'}"
+    )
     print(found.drawing)
 
 
--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -32,8 +32,15 @@
     voters = tuple(names[:3])
     members = Membership(name, address(name), life, [address(one) for one in names[:2]], Tuning(), seed)
     log = agreement.Agreement(name, voters, held, agreement.Tuning(), seed)
-    hub = Hub([("mb.", members), (LOG, log), ("ru.", Rules(name, life, voters, FIRST, settings_check)),
-               ("li.", Lists(name, life, "d1", voters))], members)
+    hub = Hub(
+        [
+            ("mb.", members),
+            (LOG, log),
+            ("ru.", Rules(name, life, voters, FIRST, settings_check)),
+            ("li.", Lists(name, life, "d1", voters)),
+        ],
+        members,
+    )
     for kind in (InForce, Narrow, PeerDrain, Arrived):
         hub.hears(kind, lambda said: None)
     return hub
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -44,8 +44,11 @@
         at = SETTLED_MS + tuning.period_ms * number / kills
         world.kernel.at(at, world.fault, parse(f"kill {names[-1]}"))
         world.run(at + 10 * tuning.period_ms)
-        deaths = {change.node: change.at_ms for change in world.changes if isinstance(change.what, MemberChanged)
-                  and (change.what.name, change.what.state) == (names[-1], "dead")}
+        deaths = {
+            change.node: change.at_ms
+            for change in world.changes
+            if isinstance(change.what, MemberChanged) and (change.what.name, change.what.state) == (names[-1], "dead")
+        }
         assert len(deaths) == members - 1, f"seed {number}: {sorted(deaths)}"
         found.append((max(deaths.values()) - at) / tuning.period_ms)
     return found
@@ -76,8 +79,10 @@
     model = simulated(SIMULATED, members)
     real, out = on_processes(kills, members)
     for name, times in (("simulated", model), ("processes", real)):
-        print(f"{name}: {len(times)} kills of {members}, periods until all hold it dead: least {min(times):.2f}, "
-              f"p50 {statistics.median(times):.2f}, most {max(times):.2f}")
+        print(
+            f"{name}: {len(times)} kills of {members}, periods until all hold it dead: least {min(times):.2f}, "
+            f"p50 {statistics.median(times):.2f}, most {max(times):.2f}"
+        )
     print(f"left out: {out} runs in which the host's own timers were late by more than {LATE_MS:g} ms")
     apart = statistics.median(real) - statistics.median(model)
     within = abs(apart) <= MEDIAN and min(real) >= min(model) - EDGE and max(real) <= max(model) + LATE
--- a/benchmarks/fleet_wire.py
+++ b/benchmarks/fleet_wire.py
@@ -37,7 +37,9 @@
     rounds = int(sys.argv[1]) if len(sys.argv) > 1 else 20_000
     wire = Wire(KEY, "tier-front", get_args(Spoken))
     probes: list[tuple[str, Message]] = [
-        ("bare", Ping(12345, "sidecar-2", ME)), ("with 10 news", Ping(12345, "sidecar-2", ME, NEWS))]
+        ("bare", Ping(12345, "sidecar-2", ME)),
+        ("with 10 news", Ping(12345, "sidecar-2", ME, NEWS)),
+    ]
     for name, probe in probes:
         frame = wire.encode("sidecar-1", probe)
         assert wire.decode(frame) == ("sidecar-1", probe)
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -26,7 +26,8 @@
     async def run() -> None:
         sock = listener()
         await asyncio.get_running_loop().create_server(
-            lambda: Served(request, lambda _: None, lambda _: True), sock=sock)
+            lambda: Served(request, lambda _: None, lambda _: True), sock=sock
+        )
         pipe.send(sock.getsockname()[1])
         await asyncio.sleep(len(RATES) * (SECONDS + 15))
 
@@ -45,10 +46,12 @@
             chosen = scenario.load_for_load("demo", over)
             figures = asyncio.run(send(planning.plan(chosen, 1), [("127.0.0.1", port)], 500, Console(quiet=True)))
             machine, late, tries = figures["machine"], figures["machine"]["sent_late_ms"], figures["requests"]["tries"]
-            print(f"asked {rate:5} a second: {tries / machine['seconds']:6.0f} made, "
-                  f"{machine['cpu_s'] / tries * 1e6:4.0f} us of CPU a call; "
-                  f"sent late {late['p50']:.2f} ms p50, {late['p99']:.2f} ms p99; answered after "
-                  f"{figures['metrics']['p50_ms']:.2f} ms p50, {figures['metrics']['p99_ms']:.2f} ms p99")
+            print(
+                f"asked {rate:5} a second: {tries / machine['seconds']:6.0f} made, "
+                f"{machine['cpu_s'] / tries * 1e6:4.0f} us of CPU a call; "
+                f"sent late {late['p50']:.2f} ms p50, {late['p99']:.2f} ms p99; answered after "
+                f"{figures['metrics']['p50_ms']:.2f} ms p50, {figures['metrics']['p99_ms']:.2f} ms p99"
+            )
     finally:
         server.terminate()
         server.join()
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -33,17 +33,22 @@
             size = int(head.split(b" ")[1].rpartition(b"/")[2])
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
             for at in range(0, size, 262_144):
-                writer.write(BODY[at:min(at + 262_144, size)])
+                writer.write(BODY[at : min(at + 262_144, size)])
                 await writer.drain()
 
 
 async def call(port: int, name: int, up: int, down: int) -> None:
-    headers = [(b"Host", b"s"), (b"X-Call-Id", b"%d" % name), (b"X-Call-Class", b"send"), (b"X-Budget", b"60000m"),
-               (b"Connection", b"close")]
+    headers = [
+        (b"Host", b"s"),
+        (b"X-Call-Id", b"%d" % name),
+        (b"X-Call-Class", b"send"),
+        (b"X-Budget", b"60000m"),
+        (b"Connection", b"close"),
+    ]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(http1.request_head(b"POST", b"/%d" % down, headers, up))
     for at in range(0, up, 262_144):
-        writer.write(BODY[at:min(at + 262_144, up)])
+        writer.write(BODY[at : min(at + 262_144, up)])
         await writer.drain()
     assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
     got = 0
@@ -69,13 +74,25 @@
         path = Path(name) / "config.json"
         at = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         known = {"index": 1, "endpoints": [{"name": "a", "address": at, "status": "in_service"}]}
-        path.write_text(json.dumps({
-            "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}", "known": known,
-            "limits": {"memory_mb": 32, "sockets": 256}, "settings": SETTINGS,
-        }))
+        path.write_text(
+            json.dumps(
+                {
+                    "listen": f"127.0.0.1:{port}",
+                    "discovery": f"127.0.0.1:{free_port()}",
+                    "known": known,
+                    "limits": {"memory_mb": 32, "sockets": 256},
+                    "settings": SETTINGS,
+                }
+            )
+        )
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "limenotch", "serve", env={**os.environ, "LB_CONFIG": str(path)},
-            stderr=asyncio.subprocess.DEVNULL)
+            sys.executable,
+            "-m",
+            "limenotch",
+            "serve",
+            env={**os.environ, "LB_CONFIG": str(path)},
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         while True:
             with contextlib.suppress(OSError, AssertionError, asyncio.IncompleteReadError):
                 await call(port, 0, 0, 1)
@@ -92,8 +109,10 @@
             await asyncio.gather(*(call(port, number, up, down) for number in range(AT_ONCE)))
             whole = AT_ONCE * (up + down) / 1e6
             after, memory = used(process.pid)
-            print(f"{AT_ONCE} long {words} at once: {whole / (monotonic() - began):.0f} MB a second, "
-                  f"{whole / (after - cpu):.0f} MB a second of CPU, at most {memory:.0f} MB of memory so far")
+            print(
+                f"{AT_ONCE} long {words} at once: {whole / (monotonic() - began):.0f} MB a second, "
+                f"{whole / (after - cpu):.0f} MB a second of CPU, at most {memory:.0f} MB of memory so far"
+            )
         process.kill()
         await process.wait()
 
--- a/benchmarks/matrix.py
+++ b/benchmarks/matrix.py
@@ -28,8 +28,10 @@
     with ProcessPoolExecutor(os.cpu_count(), mp_context=multiprocessing.get_context("spawn")) as pool:
         results = list(pool.map(one, [(cell, n, spec) for n, cell in enumerate(chosen)], chunksize=16))
     broken = [found for found, _ in results if found is not None]
-    print(f"{len(chosen)} cells, {sum(calls for _, calls in results)} attempts, {perf_counter() - began:.0f} s, "
-          f"{len(broken)} cells with a broken rule")
+    print(
+        f"{len(chosen)} cells, {sum(calls for _, calls in results)} attempts, {perf_counter() - began:.0f} s, "
+        f"{len(broken)} cells with a broken rule"
+    )
     rules = Counter(rule for found in broken for rule in found.counts)
     for rule, cells in rules.most_common():
         print(f"  {rule}: {cells} cells")
@@ -39,5 +41,5 @@
 
 
 if __name__ == "__main__":
-    count, number, policy = [*sys.argv[1:], *("3000", "1", "installed")[len(sys.argv) - 1:]][:3]
+    count, number, policy = [*sys.argv[1:], *("3000", "1", "installed")[len(sys.argv) - 1 :]][:3]
     sys.exit(main(int(count), int(number), policy))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -69,15 +69,22 @@
         self.messages += sum(now[1] - then[1] for now, then in zip(spent, before, strict=True)) / scale
 
     def _judge(self, world: World, victim: str, sleeper: str, kill: float, tuning: Tuning) -> None:
-        deaths: list[Any] = [change for change in world.changes
-                             if isinstance(change.what, MemberChanged) and change.what.state == "dead"]
-        known = {change.node: change.at_ms for change in reversed(deaths)
-                 if change.what.name == victim and change.at_ms >= kill}
+        deaths: list[Any] = [
+            change for change in world.changes if isinstance(change.what, MemberChanged) and change.what.state == "dead"
+        ]
+        known = {
+            change.node: change.at_ms
+            for change in reversed(deaths)
+            if change.what.name == victim and change.at_ms >= kill
+        }
         self.unknown += len(world.nodes) - 1 - len(known)
         self.first.append((min(known.values(), default=float("inf")) - kill) / tuning.period_ms)
         self.everybody.append((max(known.values(), default=float("inf")) - kill) / tuning.period_ms)
-        suspected = {(change.what.name, change.what.incarnation) for change in world.changes
-                     if isinstance(change.what, MemberChanged) and change.what.state == "suspect"}
+        suspected = {
+            (change.what.name, change.what.incarnation)
+            for change in world.changes
+            if isinstance(change.what, MemberChanged) and change.what.state == "suspect"
+        }
         self.suspected += sum(name not in (victim, sleeper) for name, _ in suspected)
         others = {change.what.name for change in deaths if change.what.name != victim or change.at_ms < kill}
         self.paused += sleeper in others
@@ -96,18 +103,23 @@
     parser.add_argument("--set", action="append", default=[], metavar="KEY=NUMBER", help="of the tuning")
     given = parser.parse_args()
     tuning = convert({key: json.decode(value) for key, value in (one.split("=") for one in given.set)}, Tuning)
-    print("members  loss   first p50  p99    all p50  p99   worst   not told  suspected  false  paused"
-          "   bytes/s  messages/s  CPU us/s")
+    print(
+        "members  loss   first p50  p99    all p50  p99   worst   not told  suspected  false  paused"
+        "   bytes/s  messages/s  CPU us/s"
+    )
     for count in map(int, given.members.split(",")):
         for loss in map(float, given.loss.split(",")):
             found = Found()
             for seed in range(given.seeds):
                 found.one(count, loss, seed, tuning)
             runs = given.seeds
-            print(f"{count:7}  {loss:3.0f}%  {part(found.first, 50):10.2f} {part(found.first, 99):4.2f} "
-                  f"{part(found.everybody, 50):10.2f} {part(found.everybody, 99):4.2f} {max(found.everybody):7.2f} "
-                  f"{found.unknown:10} {found.suspected:10} {found.false:6} {found.paused:3} of {runs:<3}"
-                  f"{found.bytes / runs:8.0f} {found.messages / runs:11.1f} {found.cpu / runs * 1e6:9.0f}", flush=True)
+            print(
+                f"{count:7}  {loss:3.0f}%  {part(found.first, 50):10.2f} {part(found.first, 99):4.2f} "
+                f"{part(found.everybody, 50):10.2f} {part(found.everybody, 99):4.2f} {max(found.everybody):7.2f} "
+                f"{found.unknown:10} {found.suspected:10} {found.false:6} {found.paused:3} of {runs:<3}"
+                f"{found.bytes / runs:8.0f} {found.messages / runs:11.1f} {found.cpu / runs * 1e6:9.0f}",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -33,8 +33,18 @@
     "permissions": {"cancel": True, "parallel_tries": False, "max_attempts": 1, "connect_timeout_ms": 9000.0},
     "registry_mode": "ask",
 }
-CALL = http1.write_request(b"GET", b"/api", [(b"Host", b"s"), (b"X-Call-Id", b"1"), (b"X-Caller", b"acme"),
-                                             (b"X-Call-Class", b"look"), (b"X-Budget", b"20000m")], b"")
+CALL = http1.write_request(
+    b"GET",
+    b"/api",
+    [
+        (b"Host", b"s"),
+        (b"X-Call-Id", b"1"),
+        (b"X-Caller", b"acme"),
+        (b"X-Call-Class", b"look"),
+        (b"X-Budget", b"20000m"),
+    ],
+    b"",
+)
 ANSWER = http1.write_response(200, [(b"X-Load", b"0")], b"body")
 
 
@@ -52,8 +62,11 @@
 
 
 def listed(address: str) -> dict[str, Any]:
-    return {"index": 1, "snapshot": True,
-            "endpoints": [{"name": "p", "address": address, "zone": "z", "status": "in_service"}]}
+    return {
+        "index": 1,
+        "snapshot": True,
+        "endpoints": [{"name": "p", "address": address, "zone": "z", "status": "in_service"}],
+    }
 
 
 async def fleet(folder: Path, names: str, known: dict[str, Any]) -> Processes:
@@ -62,15 +75,25 @@
     at = {name: f"127.0.0.1:{free_port()}" for name in names}
     processes = Processes()
     for name in names:
+
         def toml(node: NodeProcess) -> str:
-            return fleet_table(at[node.name], {}, {
-                "group": "bench", "key_file": str(folder / "key"), "voters": list(names), "folder": str(node.data),
-                "seeds": [other for other in at.values() if other != at[node.name]]})
+            return fleet_table(
+                at[node.name],
+                {},
+                {
+                    "group": "bench",
+                    "key_file": str(folder / "key"),
+                    "voters": list(names),
+                    "folder": str(node.data),
+                    "seeds": [other for other in at.values() if other != at[node.name]],
+                },
+            )
 
         processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, known, toml))
     await processes.start()
     await processes.until_all(
-        lambda name, state: state["parts"]["agreement"].get("leader") == names[0], 30, "one leads")
+        lambda name, state: state["parts"]["agreement"].get("leader") == names[0], 30, "one leads"
+    )
     return processes
 
 
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -48,11 +48,15 @@
     stated = QUICK.contradiction_ms
     spans = [each.longest for each in found]
     worst = max(found, key=lambda each: each.longest)
-    print(f"storms {len(found)}, of {given.span:g} ms; versions agreed {sum(each.versions - 1 for each in found)}, "
-          f"changes asked for {sum(each.asked for each in found)}, answered {sum(each.answered for each in found)}")
+    print(
+        f"storms {len(found)}, of {given.span:g} ms; versions agreed {sum(each.versions - 1 for each in found)}, "
+        f"changes asked for {sum(each.asked for each in found)}, answered {sum(each.answered for each in found)}"
+    )
     print(f"stated {stated:.0f} ms: lease {QUICK.lease_ms:g}, drift {QUICK.drift:g}, grace {QUICK.grace_ms:g}")
-    print(f"contradiction: p50 {at(spans, 0.5):.0f} ms, p90 {at(spans, 0.9):.0f}, p99 {at(spans, 0.99):.0f}, "
-          f"longest {worst.longest:.1f} ({worst.longest / stated:.3f} of the stated; seed {worst.seed}: {worst.what})")
+    print(
+        f"contradiction: p50 {at(spans, 0.5):.0f} ms, p90 {at(spans, 0.9):.0f}, p99 {at(spans, 0.99):.0f}, "
+        f"longest {worst.longest:.1f} ({worst.longest / stated:.3f} of the stated; seed {worst.seed}: {worst.what})"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -14,9 +14,11 @@
     cost = result.cost
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     cpu = cost["cpu_s"]
-    print(f"{name:12} {cost['calls']:9,.0f} calls  {cpu:7.2f} s CPU  {cost['calls'] / cpu:7,.0f} calls/s  "
-          f"{cost['events'] / cpu:8,.0f} events/s  decisions {cost['deciding_s'] / cpu:4.0%}  "
-          f"peak {peak:5.0f} MB  in time {result.figures['metrics']['in_time']:.1%}")
+    print(
+        f"{name:12} {cost['calls']:9,.0f} calls  {cpu:7.2f} s CPU  {cost['calls'] / cpu:7,.0f} calls/s  "
+        f"{cost['events'] / cpu:8,.0f} events/s  decisions {cost['deciding_s'] / cpu:4.0%}  "
+        f"peak {peak:5.0f} MB  in time {result.figures['metrics']['in_time']:.1%}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -56,8 +56,16 @@
             for providers, length in LENGTH.items():
                 for sidecars in (1, 4, 50):
                     path = Path(folder) / f"{providers}-{sidecars}-{load}.toml"
-                    path.write_text(SCENARIO.format(length=length, load=load, sidecars=sidecars, providers=providers,
-                                                    at=length / 3, long=length / 3))
+                    path.write_text(
+                        SCENARIO.format(
+                            length=length,
+                            load=load,
+                            sidecars=sidecars,
+                            providers=providers,
+                            at=length / 3,
+                            long=length / 3,
+                        )
+                    )
                     for seed in (1, 2, 3):
                         jobs.append(Job(str(path), seed, timed=True))
                         names.append((load, providers, sidecars))
@@ -65,9 +73,13 @@
     print("load  providers  sidecars  in time  rejected  again  wasted  p50 ms  p99 ms  us of decisions a call")
     for group in dict.fromkeys(names):
         found = [result for name, result in zip(names, results, strict=True) if name == group]
-        means = {key: sum(r.figures["metrics"][key] for r in found) / len(found)
-                 for key in ("in_time", "rejected", "again", "wasted_work", "p50_ms", "p99_ms")}
+        means = {
+            key: sum(r.figures["metrics"][key] for r in found) / len(found)
+            for key in ("in_time", "rejected", "again", "wasted_work", "p50_ms", "p99_ms")
+        }
         spent = sum(r.cost["deciding_s"] for r in found) / sum(r.cost["calls"] for r in found) * 1e6
-        print(f"{group[0]:4.1f}  {group[1]:9}  {group[2]:8}  {means['in_time']:7.1%}  {means['rejected']:8.1%}  "
-              f"{means['again']:5.1%}  {means['wasted_work']:6.1%}  {means['p50_ms']:6.0f}  {means['p99_ms']:6.0f}  "
-              f"{spent:6.0f}")
+        print(
+            f"{group[0]:4.1f}  {group[1]:9}  {group[2]:8}  {means['in_time']:7.1%}  {means['rejected']:8.1%}  "
+            f"{means['again']:5.1%}  {means['wasted_work']:6.1%}  {means['p50_ms']:6.0f}  {means['p99_ms']:6.0f}  "
+            f"{spent:6.0f}"
+        )
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -42,8 +42,10 @@
 
 
 def row(name: str, batch: int, spent: list[float], size: float) -> None:
-    print(f"{name:>6} {batch:6} {batch * len(spent) / sum(spent):10.0f} {at(spent, 0.5):8.3f} {at(spent, 0.99):8.3f} "
-          f"{size:8.1f}")
+    print(
+        f"{name:>6} {batch:6} {batch * len(spent) / sum(spent):10.0f} {at(spent, 0.5):8.3f} {at(spent, 0.99):8.3f} "
+        f"{size:8.1f}"
+    )
 
 
 def measure_batch(folder: Path, batch: int) -> None:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -43,8 +43,13 @@
 
     async def _one(self) -> None:
         self._count += 1
-        headers = [(b"Host", b"s"), (b"X-Call-Id", b"%d" % self._count), (b"X-Call-Class", b"look"),
-                   (b"X-Budget", b"5000m"), (b"Connection", b"close")]
+        headers = [
+            (b"Host", b"s"),
+            (b"X-Call-Id", b"%d" % self._count),
+            (b"X-Call-Class", b"look"),
+            (b"X-Budget", b"5000m"),
+            (b"Connection", b"close"),
+        ]
         end = "refused"
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
@@ -71,15 +76,23 @@
     admin = free_port()
     known = [{"name": "a", "address": f"127.0.0.1:{provider_port}", "status": "in_service"}]
     path = folder / f"{admin}.json"
-    path.write_text(json.dumps({
-        "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}", "admin_addr": f"127.0.0.1:{admin}",
-        "known": {"index": 1, "endpoints": known}, "settings": SETTINGS,
-    }))
+    path.write_text(
+        json.dumps(
+            {
+                "listen": f"127.0.0.1:{port}",
+                "discovery": f"127.0.0.1:{free_port()}",
+                "admin_addr": f"127.0.0.1:{admin}",
+                "known": {"index": 1, "endpoints": known},
+                "settings": SETTINGS,
+            }
+        )
+    )
     environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(folder)}
     if not kept:
         del environ["TMPDIR"]
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "limenotch", "serve", env=environ, stderr=asyncio.subprocess.DEVNULL)
+        sys.executable, "-m", "limenotch", "serve", env=environ, stderr=asyncio.subprocess.DEVNULL
+    )
     while True:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", admin)
@@ -116,5 +129,7 @@
     for words, kept in (("handed over", True), ("SO_REUSEPORT", False)):
         ends = asyncio.run(measure(kept))
         lost = sum(count for end, count in ends.items() if not end.isdigit())
-        print(f"{words:13} {ROUNDS} upgrades, {sum(ends.values())} calls on new connections: {dict(ends)}; "
-              f"{lost / ROUNDS:.1f} lost an upgrade")
+        print(
+            f"{words:13} {ROUNDS} upgrades, {sum(ends.values())} calls on new connections: {dict(ends)}; "
+            f"{lost / ROUNDS:.1f} lost an upgrade"
+        )
--- a/benchmarks/wallet.py
+++ b/benchmarks/wallet.py
@@ -62,8 +62,12 @@
     run.world.run(run.now() + 2000)
     since = run.add("t", credit, "second")
     run.world.run(run.now() + 5000)
-    return first[2] / credit, sums.coming / (before + sums.coming), paused, \
-        run.checker.resumed_ms("t", since, run.names)
+    return (
+        first[2] / credit,
+        sums.coming / (before + sums.coming),
+        paused,
+        run.checker.resumed_ms("t", since, run.names),
+    )
 
 
 def traffic(count: int) -> tuple[float, float, float, float]:
@@ -76,8 +80,12 @@
     run.world.run(run.now() + 2500)
 
     def said(prefix: str) -> int:
-        return sum(size for node in run.world.nodes.values() for tag, (_, size) in node.traffic.by_tag.items()
-                   if tag.startswith(prefix))
+        return sum(
+            size
+            for node in run.world.nodes.values()
+            for tag, (_, size) in node.traffic.by_tag.items()
+            if tag.startswith(prefix)
+        )
 
     before = [said("wa."), said("ag."), run.checker.index, said("mb.")]
     run.world.run(run.now() + SPAN_MS)
@@ -130,9 +138,11 @@
     if "spent" in wanted:
         runs = [spent(seed) for seed in range(arguments.seeds)]
         shares, coming, paused, resumed = zip(*runs, strict=True)
-        print(f"spent before the first pause, {len(runs)} seeds: {min(shares):.2%} at least, "
-              f"median {median(shares):.2%}; told to come again {of(coming, 0.5):.2%} of calls, "
-              f"{max(coming):.2%} at most")
+        print(
+            f"spent before the first pause, {len(runs)} seeds: {min(shares):.2%} at least, "
+            f"median {median(shares):.2%}; told to come again {of(coming, 0.5):.2%} of calls, "
+            f"{max(coming):.2%} at most"
+        )
         for what, values, stated in (("pause", paused, tuning.pause_ms), ("resume", resumed, tuning.resume_ms)):
             print(f"ms to {what}: median {median(values):.0f}, longest {max(values):.0f}, stated {stated:.0f}")
     if "storms" in wanted:
@@ -152,8 +162,10 @@
             print(f"{count:7}  {wallet:10.0f}  {log:7.0f}  {entries:9.2f}  {members:14.0f}")
     if "cost" in wanted:
         runs_us = [cost() for _ in range(5)]
-        print(f"reserve + charge: {min(us for us, _ in runs_us):.2f} us of CPU a call; "
-              f"two calls of nothing {min(us for _, us in runs_us):.2f}")
+        print(
+            f"reserve + charge: {min(us for us, _ in runs_us):.2f} us of CPU a call; "
+            f"two calls of nothing {min(us for _, us in runs_us):.2f}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/wallet_cost.py
+++ b/benchmarks/wallet_cost.py
@@ -67,11 +67,13 @@
 
 def of_the_layer() -> float:
     """us a call."""
+
     async def case() -> float:
         till = Till(Tuning(tenants=("acme",)), lambda: None, SimpleNamespace(off=()))
         till.purse = a_purse()
-        calls: list[Any] = [SimpleNamespace(number=n, tenant="acme", kind="look", paid=False, final=None)
-                            for n in range(ROUND)]
+        calls: list[Any] = [
+            SimpleNamespace(number=n, tenant="acme", kind="look", paid=False, final=None) for n in range(ROUND)
+        ]
         rounds = []
         for _ in range(ROUNDS):
             before = process_time_ns()
@@ -94,8 +96,12 @@
     def toml(node: NodeProcess) -> str:
         if node.name == "alone":
             return ""
-        more: dict[str, Any] = {"group": node.name, "key_file": str(folder / "key"), "voters": [node.name],
-                                "folder": str(node.data)}
+        more: dict[str, Any] = {
+            "group": node.name,
+            "key_file": str(folder / "key"),
+            "voters": [node.name],
+            "folder": str(node.data),
+        }
         if node.name == "paying":
             # A turn comes at once after a rest, so its rate is not known: slices as large as they would soon be, and
             # none is called back while others have their turns.
@@ -105,8 +111,9 @@
     for name in ("paying", "fleet", "alone"):
         processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, known, toml))
     await processes.start()
-    await processes.until_all(lambda name, state: state["parts"]["agreement"].get("leader") == name, 30, "each leads",
-                              ["paying", "fleet"])
+    await processes.until_all(
+        lambda name, state: state["parts"]["agreement"].get("leader") == name, 30, "each leads", ["paying", "fleet"]
+    )
     paying = processes.nodes["paying"]
 
     async def paid() -> bool:
--- a/limenotch/bans.py
+++ b/limenotch/bans.py
@@ -167,5 +167,3 @@
 
 def _time(value: object) -> bool:
     return isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
-
-
--- a/limenotch/cli/lab/__init__.py
+++ b/limenotch/cli/lab/__init__.py
@@ -24,8 +24,17 @@
 `limenotch lab <command> --help` tells more of one of them.
 """
 
-MODULES = {"run": "run", "compare": "compare", "rehearse": "rehearse", "demo": "demo", "emulate": "emulate",
-           "load": "load", "fleet": "fleet", "scenarios": "scenarios", "timeline": "timeline"}
+MODULES = {
+    "run": "run",
+    "compare": "compare",
+    "rehearse": "rehearse",
+    "demo": "demo",
+    "emulate": "emulate",
+    "load": "load",
+    "fleet": "fleet",
+    "scenarios": "scenarios",
+    "timeline": "timeline",
+}
 
 
 def command(arguments: list[str]) -> int:
--- a/limenotch/cli/lab/compare.py
+++ b/limenotch/cli/lab/compare.py
@@ -51,8 +51,13 @@
         console = Console(stderr=True)
         with console.status("playing") as status:
             runs, whole = play_variants(
-                variants, given["--scenario"], range(first, first + count), processes, store,
-                given["--resume"], lambda done, of: status.update(f"{done} of {of} runs"),
+                variants,
+                given["--scenario"],
+                range(first, first + count),
+                processes,
+                store,
+                given["--resume"],
+                lambda done, of: status.update(f"{done} of {of} runs"),
             )
         found = compare(variants, runs)
         if not found:
@@ -60,10 +65,15 @@
             return 4
         print_comparisons(found, sys.stderr if given["--json"] == "-" else sys.stdout)
         if given["--json"] is not None:
-            write_json(given["--json"], {
-                "format": 1, "whole": whole, "variants": [asdict(variant) for variant in variants],
-                "comparisons": [{**asdict(each), "verdict": each.verdict} for each in found],
-            })
+            write_json(
+                given["--json"],
+                {
+                    "format": 1,
+                    "whole": whole,
+                    "variants": [asdict(variant) for variant in variants],
+                    "comparisons": [{**asdict(each), "verdict": each.verdict} for each in found],
+                },
+            )
         if given["--report"] is not None:
             from ...lab.report import write_comparison
 
--- a/limenotch/cli/lab/fleet.py
+++ b/limenotch/cli/lab/fleet.py
@@ -51,8 +51,9 @@
 
     def __init__(self, drawn: Scenario, console: Console) -> None:
         self._drawn, self._console = drawn, console
-        longest = [max((note.text for note in drawn.notes if note.node == name), key=len, default="")
-                   for name in drawn.columns]
+        longest = [
+            max((note.text for note in drawn.notes if note.node == name), key=len, default="") for name in drawn.columns
+        ]
         self._wide = drawing.widths(drawn, [longest])
         self._told: set[tuple[str, float, str]] = set()
         self._faults = 0  # printed
@@ -81,7 +82,7 @@
     def rows(self, stage: Stage, until: float) -> None:
         begun = stage.began_ms or 0.0
         rows = [(seen.at_ms - begun, seen.node, seen.text) for seen in stage.processes.seen()]
-        for came, (_, fault) in list(zip(stage.begun, stage.drawing.faults, strict=True))[self._faults:]:
+        for came, (_, fault) in list(zip(stage.begun, stage.drawing.faults, strict=True))[self._faults :]:
             if 0.0 < came <= until:
                 rows.append((came, FAULTS, str(fault)))
                 self._faults += 1
@@ -98,8 +99,10 @@
         table.add_column(holder)
     known = {name: {member["name"]: member for member in found or ()} for name, found in held.items()}
     for name in sorted({member for found in known.values() for member in found}):
-        cells = [found.get(name, {}).get("state", "-") if held[holder] is not None else "no answer"
-                 for holder, found in known.items()]
+        cells = [
+            found.get(name, {}).get("state", "-") if held[holder] is not None else "no answer"
+            for holder, found in known.items()
+        ]
         table.add_row(name, *cells)
     console.print(table)
 
@@ -113,10 +116,12 @@
 
         async def sure() -> bool:
             nodes = [node for node in stage.processes.nodes.values() if node.alive]
-            states.update(zip([node.name for node in nodes], await asyncio.gather(*(node.state() for node in nodes)),
-                              strict=True))
-            return not any(member["state"] == "suspect" for state in states.values() if state for member in
-                           state["members"])
+            states.update(
+                zip([node.name for node in nodes], await asyncio.gather(*(node.state() for node in nodes)), strict=True)
+            )
+            return not any(
+                member["state"] == "suspect" for state in states.values() if state for member in state["members"]
+            )
 
         with contextlib.suppress(NotReachedError):  # this process, which carries all they say, was busy at the end
             await stage.processes.until(sure, SURE_S, "nobody is suspect")
--- a/limenotch/cli/lab/load.py
+++ b/limenotch/cli/lab/load.py
@@ -55,8 +55,9 @@
 
 async def send(plan: Plan, addresses: list[tuple[str, int]], connections: int, console: Console) -> dict[str, Any]:
     seeds = Seeds(plan.seed)
-    clients = Clients(plan.clients, plan.classes, plan.accounts, len(plan.network.zones), plan.quota_per_s, seeds,
-                      plan.trace)
+    clients = Clients(
+        plan.clients, plan.classes, plan.accounts, len(plan.network.zones), plan.quota_per_s, seeds, plan.trace
+    )
     record, rules = Record(plan, []), Rules(Limits(slack_ms=SLACK_MS))
     pools = [Pool(host, port, connections) for host, port in addresses]
     began, cpu = monotonic(), process_time()
@@ -76,8 +77,10 @@
         with console.status("") as status:
             while True:
                 p = load.progress
-                status.update(f"{clock() / 1000:5.1f} of {plan.length_ms / 1000:g} s  asked {p.asked}  open {p.open}  "
-                              f"served {p.served}  rejected {p.rejected}  failed {p.failed}")
+                status.update(
+                    f"{clock() / 1000:5.1f} of {plan.length_ms / 1000:g} s  asked {p.asked}  open {p.open}  "
+                    f"served {p.served}  rejected {p.rejected}  failed {p.failed}"
+                )
                 await asyncio.sleep(PROGRESS_S)
 
     beside = asyncio.get_running_loop().create_task(progress())
@@ -95,8 +98,11 @@
     for value in load.late_us:
         late.record_value(max(value, 1))
     machine = {
-        "sent_late_ms": quantiles(late), "cpu_s": round(process_time() - cpu, 3), "seconds": round(spent, 3),
-        "connections": sum(pool.opened for pool in pools), "foreign_answers": load.foreign,
+        "sent_late_ms": quantiles(late),
+        "cpu_s": round(process_time() - cpu, 3),
+        "seconds": round(spent, 3),
+        "connections": sum(pool.opened for pool in pools),
+        "foreign_answers": load.foreign,
     }
     return {**record.result(), "host": "load", "machine": machine}
 
@@ -121,12 +127,21 @@
         return 4
     to = sys.stderr if given["--json"] == "-" else sys.stdout
     m, machine, requests = figures["metrics"], figures["machine"], figures["requests"]
-    print(f"asked {requests['asked']}, tries {requests['tries']}, served {requests['served']}, "
-          f"rejected {requests['rejected']}, failed {requests['failed']}, timed out {requests['timed out']}", file=to)
-    print(f"in time {m['in_time']:.2%}; ms from the intended time: p50 {m['p50_ms']:.1f}, p95 {m['p95_ms']:.1f}, "
-          f"p99 {m['p99_ms']:.1f}", file=to)
+    print(
+        f"asked {requests['asked']}, tries {requests['tries']}, served {requests['served']}, "
+        f"rejected {requests['rejected']}, failed {requests['failed']}, timed out {requests['timed out']}",
+        file=to,
+    )
+    print(
+        f"in time {m['in_time']:.2%}; ms from the intended time: p50 {m['p50_ms']:.1f}, p95 {m['p95_ms']:.1f}, "
+        f"p99 {m['p99_ms']:.1f}",
+        file=to,
+    )
     late = machine["sent_late_ms"]
-    print(f"this tool: sent late by {late.get('p50', 0):.2f} ms (p50), {late.get('p99', 0):.2f} ms (p99); "
-          f"{requests['tries'] / max(machine['seconds'], 1e-9):.0f} calls a second on {machine['connections']} "
-          f"connections, {machine['cpu_s'] / max(requests['tries'], 1) * 1e6:.0f} us of CPU a call", file=to)
+    print(
+        f"this tool: sent late by {late.get('p50', 0):.2f} ms (p50), {late.get('p99', 0):.2f} ms (p99); "
+        f"{requests['tries'] / max(machine['seconds'], 1e-9):.0f} calls a second on {machine['connections']} "
+        f"connections, {machine['cpu_s'] / max(requests['tries'], 1) * 1e6:.0f} us of CPU a call",
+        file=to,
+    )
     return 3 if m["rules_broken"] else 0
--- a/limenotch/cli/lab/rehearse.py
+++ b/limenotch/cli/lab/rehearse.py
@@ -54,7 +54,8 @@
                     bands = [b.text for b in rehearsal.script.bands if b.begin_ms <= now * 1000 < b.end_ms]
                     status.update(
                         f"{now:5.1f} of {plan.length_ms / 1000:g} s  asked {p.asked}  open {p.open}  "
-                        f"served {p.served}  rejected {p.rejected}  failed {p.failed}  {', '.join(bands)}")
+                        f"served {p.served}  rejected {p.rejected}  failed {p.failed}  {', '.join(bands)}"
+                    )
                 await asyncio.sleep(PROGRESS_S)
 
     try:
@@ -82,8 +83,11 @@
     print_runs([Result(Job(figures["scenario"], figures["seed"]), figures)], to)
     machine = figures["machine"]
     timers, sent = machine["loop_late_ms"].get("p99", 0), machine["sent_late_ms"].get("p99", 0)
-    print(f"this machine: timers late by {timers:.1f} ms (p99), requests sent late by {sent:.1f} ms (p99), "
-          f"the largest sidecar {machine['sidecar_memory_mb']} MB", file=to)
+    print(
+        f"this machine: timers late by {timers:.1f} ms (p99), requests sent late by {sent:.1f} ms (p99), "
+        f"the largest sidecar {machine['sidecar_memory_mb']} MB",
+        file=to,
+    )
     if machine["crashed"]:
         print(f"sidecars that ended by themselves: {', '.join(machine['crashed'])}", file=to)
     if json_to is not None:
--- a/limenotch/cli/lab/run.py
+++ b/limenotch/cli/lab/run.py
@@ -39,8 +39,9 @@
         first = whole_number(given, "--seed", 0)
         count = whole_number(given, "--seeds", 1)
         processes = whole_number(given, "--processes", 1)
-        jobs = [Job(given["<scenario>"], seed, given["--policy"], given["--time"])
-                for seed in range(first, first + count)]
+        jobs = [
+            Job(given["<scenario>"], seed, given["--policy"], given["--time"]) for seed in range(first, first + count)
+        ]
         results = play_all(jobs, processes)
         print_runs(results, sys.stderr if given["--json"] == "-" else sys.stdout)
         if given["--json"] is not None:
--- a/limenotch/cli/lab/scenarios.py
+++ b/limenotch/cli/lab/scenarios.py
@@ -25,8 +25,10 @@
     try:
         if given["--check"] is not None:
             drawn = planning.plan(scenario.load(given["--check"]), seed=1)
-            print(f"{drawn.scenario.name}: {sum(len(t.machines) for t in drawn.tiers)} providers, "
-                  f"{drawn.first_rate:.1f} calls a second of {drawn.rate_per_s:.1f} (seed 1)")
+            print(
+                f"{drawn.scenario.name}: {sum(len(t.machines) for t in drawn.tiers)} providers, "
+                f"{drawn.first_rate:.1f} calls a second of {drawn.rate_per_s:.1f} (seed 1)"
+            )
             return 0
         if given["<name>"] is not None:
             scenario.load(given["<name>"])
--- a/limenotch/config.py
+++ b/limenotch/config.py
@@ -149,11 +149,20 @@
     own = {key: config.env[key] for key in OWN if key in config.env}
     env = {**_object(document, "settings", "settings"), **own}
     at = document.get("directory", host_port(config.directory))
-    raw = {"listen": host_port(config.listen), "discovery": at, "settings": env, "limits": {
-        "memory_mb": config.memory_mb, "sockets": config.sockets}}
+    raw = {
+        "listen": host_port(config.listen),
+        "discovery": at,
+        "settings": env,
+        "limits": {"memory_mb": config.memory_mb, "sockets": config.sockets},
+    }
     new = parse(raw, {})
     return replace(
-        new, name=config.name, seed=config.seed, known=config.known, admin=config.admin, kept=config.kept,
+        new,
+        name=config.name,
+        seed=config.seed,
+        known=config.known,
+        admin=config.admin,
+        kept=config.kept,
         shape=config.shape,
     )
 
--- a/limenotch/facade.py
+++ b/limenotch/facade.py
@@ -222,8 +222,13 @@
         """What the decisions stand on, for the log: invoker calls out, and from how many calls are rejected."""
         balancer = self._balancer
         limit = balancer.entry.limit if math.isfinite(balancer.entry.limit) else -1.0
-        return {"out": balancer.out, "limit": round(limit, 1), "pace": round(balancer.entry.pace * 1000, 1),
-                "typical_ms": round(balancer.typical), "drawn": len(balancer.table[0])}
+        return {
+            "out": balancer.out,
+            "limit": round(limit, 1),
+            "pace": round(balancer.entry.pace * 1000, 1),
+            "typical_ms": round(balancer.typical),
+            "drawn": len(balancer.table[0]),
+        }
 
     def avoided(self) -> int:
         """Listed providers that the module leaves out now: draining, banned or silent."""
@@ -296,8 +301,17 @@
     def start(self) -> Orders:
         return self._handle(face.Started())
 
-    def pick(self, call: int, class_name: str, tenant: str, left_ms: float, resent: bool = False,
-             once: bool = False, hint: Hint | None = None, keyed: bool = True) -> Orders:
+    def pick(
+        self,
+        call: int,
+        class_name: str,
+        tenant: str,
+        left_ms: float,
+        resent: bool = False,
+        once: bool = False,
+        hint: Hint | None = None,
+        keyed: bool = True,
+    ) -> Orders:
         """A call was taken: exactly one final answer is owed within `left_ms`. `once`: its message is still coming;
         `keyed`: it has the key by which endpoints drop its repeats, where its class has them do so.
         """
--- a/limenotch/fleet/agreement/__init__.py
+++ b/limenotch/fleet/agreement/__init__.py
@@ -32,6 +32,19 @@
 from .tuning import Tuning
 
 __all__ = [
-    "Agreed", "Agreement", "ChangeVoters", "Compact", "Install", "LeaderChanged", "Promised", "Propose", "ReadAt",
-    "ReadReady", "Refused", "Role", "Tuning", "Unknown", "WantSnapshot",
+    "Agreed",
+    "Agreement",
+    "ChangeVoters",
+    "Compact",
+    "Install",
+    "LeaderChanged",
+    "Promised",
+    "Propose",
+    "ReadAt",
+    "ReadReady",
+    "Refused",
+    "Role",
+    "Tuning",
+    "Unknown",
+    "WantSnapshot",
 ]
--- a/limenotch/fleet/agreement/core.py
+++ b/limenotch/fleet/agreement/core.py
@@ -37,8 +37,9 @@
     The layers above start from `state` (what the snapshot found holds of them; None: none was found), at `index`.
     """
 
-    def __init__(self, name: str, voters: tuple[str, ...], held: Held, tuning: Tuning | None = None,
-                 seed: int = 0) -> None:
+    def __init__(
+        self, name: str, voters: tuple[str, ...], held: Held, tuning: Tuning | None = None, seed: int = 0
+    ) -> None:
         """Raises ValueError on names that can't be, msgspec.DecodeError on a store of another make."""
         if not name or any(MARK in one or not one for one in (name, *voters)) or len(set(voters)) != len(voters):
             raise ValueError(f"names must be there once, without {MARK!r}: {name!r}, {voters!r}")
@@ -116,9 +117,18 @@
     def figures(self) -> dict[str, Any]:
         """Of operators: indexes are those of the log's entries; `disk` is `ok` or why nothing is written."""
         node, log = self._node, self._node.log
-        return {"role": node.role.value, "leader": node.leader, "epoch": node.epoch, "voters": sorted(self.voters),
-                "agreed": node.applied, "last": log.last, "on_disk": log.stored, "snapshot": log.snapped,
-                "disk": node.ill or "ok", "counts": dict(node.counts)}
+        return {
+            "role": node.role.value,
+            "leader": node.leader,
+            "epoch": node.epoch,
+            "voters": sorted(self.voters),
+            "agreed": node.applied,
+            "last": log.last,
+            "on_disk": log.stored,
+            "snapshot": log.snapped,
+            "disk": node.ill or "ok",
+            "counts": dict(node.counts),
+        }
 
     def leases(self, now: float) -> bool:
         """Whether it leads and no other can have been elected by `now`."""
--- a/limenotch/fleet/agreement/lease.py
+++ b/limenotch/fleet/agreement/lease.py
@@ -38,8 +38,9 @@
 
     def quorum_round(self, voters: Voters) -> int:
         """The latest round that a quorum has answered; 0 where none."""
-        rounds = sorted((self.round if name == self._name else self._answered.get(name, 0)
-                         for name in voters.births), reverse=True)
+        rounds = sorted(
+            (self.round if name == self._name else self._answered.get(name, 0) for name in voters.births), reverse=True
+        )
         return rounds[voters.quorum - 1]
 
     def contact(self, voters: Voters) -> float:
--- a/limenotch/fleet/agreement/replicate.py
+++ b/limenotch/fleet/agreement/replicate.py
@@ -203,8 +203,20 @@
         node = self._node
         for name, transfer, data in self.outgoing.next(node.now, 3 * node.tuning.heartbeat_ms):
             snapshot = transfer.snapshot
-            node.tell(name, say.Chunk(node.epoch, snapshot.index, snapshot.epoch, len(snapshot.state), transfer.offset,
-                                      data, snapshot.voters, self.lease.round), Carrier.STREAM)
+            node.tell(
+                name,
+                say.Chunk(
+                    node.epoch,
+                    snapshot.index,
+                    snapshot.epoch,
+                    len(snapshot.state),
+                    transfer.offset,
+                    data,
+                    snapshot.voters,
+                    self.lease.round,
+                ),
+                Carrier.STREAM,
+            )
 
     # Hearing
 
@@ -313,8 +325,11 @@
     def best(self) -> str | None:
         """The voter with most on its disk among those heard lately."""
         node = self._node
-        near = [(self.peers[name].match, name) for name in node.others()
-                if node.now - self.peers[name].heard_at < node.tuning.election_least_ms]
+        near = [
+            (self.peers[name].match, name)
+            for name in node.others()
+            if node.now - self.peers[name].heard_at < node.tuning.election_least_ms
+        ]
         return max(near)[1] if near else None
 
     def hand_over(self) -> None:
--- a/limenotch/fleet/agreement/voters.py
+++ b/limenotch/fleet/agreement/voters.py
@@ -96,9 +96,16 @@
 
     def _quorum_without(self, voters: Voters, gone: str) -> bool:
         node, leading = self._node, self._leading
-        heard = sum(1 for name, birth in voters.births.items() if name != gone and (
-            name == node.name or leading.peers[name].birth == birth
-            and node.now - leading.peers[name].heard_at < node.tuning.election_most_ms))
+        heard = sum(
+            1
+            for name, birth in voters.births.items()
+            if name != gone
+            and (
+                name == node.name
+                or leading.peers[name].birth == birth
+                and node.now - leading.peers[name].heard_at < node.tuning.election_most_ms
+            )
+        )
         return heard >= (len(voters.births) - 1) // 2 + 1
 
     def _near(self, name: str) -> bool:
--- a/limenotch/fleet/agreement/votes.py
+++ b/limenotch/fleet/agreement/votes.py
@@ -125,8 +125,12 @@
         """Whether this disk is the one meant, works, and lacks nothing that the asker has not."""
         node = self._node
         log = node.log
-        return (message.birth == node.birth and not node.ill and node.on_disk is not None
-                and (message.last_epoch, message.last) >= (log.last_epoch, log.last))
+        return (
+            message.birth == node.birth
+            and not node.ill
+            and node.on_disk is not None
+            and (message.last_epoch, message.last) >= (log.last_epoch, log.last)
+        )
 
     def _led(self) -> bool:
         node = self._node
--- a/limenotch/fleet/bindings/core.py
+++ b/limenotch/fleet/bindings/core.py
@@ -48,8 +48,9 @@
 class Bindings:
     """`key`: the group's, 1 to 64 bytes: all have the same hash of a key, and nobody outside can make keys meet."""
 
-    def __init__(self, name: str, life: int, key: bytes, tuning: Tuning | None = None, seed: int = 0,
-                 noted: Noted | None = None) -> None:
+    def __init__(
+        self, name: str, life: int, key: bytes, tuning: Tuning | None = None, seed: int = 0, noted: Noted | None = None
+    ) -> None:
         self.ground = Ground(name, life, key, tuning or Tuning(), seed, noted)
         self.missing, self.repair = Missing(self.ground), Repair(self.ground)
         self._begun = False
@@ -58,17 +59,29 @@
         self._sweeps: list[tuple[int, int]] = []  # provider that went, next row to look at
         self._fencing = self._full = False
         self._events: dict[type, Callable[[Any], None]] = {
-            contract.Started: self._started, contract.Heard: self._heard, contract.TimerFired: self._fired,
-            contract.Leave: lambda event: self._tell(1 << 20), contract.MemberChanged: self._member,
-            contract.Fenced: lambda event: self._fenced(), Providers: self._providers,
+            contract.Started: self._started,
+            contract.Heard: self._heard,
+            contract.TimerFired: self._fired,
+            contract.Leave: lambda event: self._tell(1 << 20),
+            contract.MemberChanged: self._member,
+            contract.Fenced: lambda event: self._fenced(),
+            Providers: self._providers,
             Window: lambda event: self.table.spans.window(event.longest_ms),
         }
         repair = self.repair
         self._messages: dict[type, Callable[[Peer, Any], None]] = {
-            say.Sights: self._sights, say.Cover: self._cover, say.Ping: self._ping, say.Pong: self._pong,
-            say.Ask: self._asked, say.Page: self.missing.page, say.Compare: repair.compared,
-            say.Digests: repair.digests, say.AskKeys: repair.keys_asked, say.Keys: repair.keys,
-            say.Want: repair.wanted, say.Copies: repair.copies,
+            say.Sights: self._sights,
+            say.Cover: self._cover,
+            say.Ping: self._ping,
+            say.Pong: self._pong,
+            say.Ask: self._asked,
+            say.Page: self.missing.page,
+            say.Compare: repair.compared,
+            say.Digests: repair.digests,
+            say.AskKeys: repair.keys_asked,
+            say.Keys: repair.keys,
+            say.Want: repair.wanted,
+            say.Copies: repair.copies,
         }
 
     @property
--- a/limenotch/fleet/bindings/held.py
+++ b/limenotch/fleet/bindings/held.py
@@ -60,8 +60,9 @@
 
     def ends(self, row: int) -> float:
         rows, what = self.rows, self.rows.what[row]
-        return min(rows.seen[row] + self.spans.idle[what & (KIND | STATE)],
-                   rows.made[row] + self.spans.longest[what & KIND])
+        return min(
+            rows.seen[row] + self.spans.idle[what & (KIND | STATE)], rows.made[row] + self.spans.longest[what & KIND]
+        )
 
     def forgets(self, row: int) -> float:
         """When it may be forgotten at the soonest: surely over for whoever saw it, by a clock as slow as may be."""
@@ -126,8 +127,20 @@
     def _class(self, row: int) -> int:
         return class_of(self.rows.what[row])
 
-    def _set(self, row: int, what: int, place: Place, gen: int, move: int, count: int, by: str, seen: float,
-             made: float, told: float, stamp: int) -> None:
+    def _set(
+        self,
+        row: int,
+        what: int,
+        place: Place,
+        gen: int,
+        move: int,
+        count: int,
+        by: str,
+        seen: float,
+        made: float,
+        told: float,
+        stamp: int,
+    ) -> None:
         rows = self.rows
         number = self.providers.number(place)
         ended = ENDED if self.providers.gone[number] else 0
@@ -181,8 +194,21 @@
                 self.wheel.put(row, self.ends(row))
         rows.told[row] = max(rows.told[row], seen)
 
-    def _replace(self, row: int, what: int, place: Place, gen: int, move: int, count: int, by: str, seen: float,
-                 made: float, stamp: int, same_gen: bool, held_over: bool) -> None:
+    def _replace(
+        self,
+        row: int,
+        what: int,
+        place: Place,
+        gen: int,
+        move: int,
+        count: int,
+        by: str,
+        seen: float,
+        made: float,
+        stamp: int,
+        same_gen: bool,
+        held_over: bool,
+    ) -> None:
         """By a value that wins; what is known of the key's use stays."""
         rows = self.rows
         held = rows.what[row]
--- a/limenotch/fleet/bindings/names.py
+++ b/limenotch/fleet/bindings/names.py
@@ -93,8 +93,11 @@
             self._went[name] = None
         while len(self._went) > MOST_WENT:
             del self._went[next(iter(self._went))]
-        ended = [number for place, number in self._numbers.items()
-                 if place[0] in went and not self.gone[number] and there.get(place[0]) != place[1:]]
+        ended = [
+            number
+            for place, number in self._numbers.items()
+            if place[0] in went and not self.gone[number] and there.get(place[0]) != place[1:]
+        ]
         for number in ended:
             self.gone[number] = True
         return ended
--- a/limenotch/fleet/bindings/pages.py
+++ b/limenotch/fleet/bindings/pages.py
@@ -31,8 +31,11 @@
         return int(max(0.0, now - covered) * TENTHS) + 1
 
     known = [Knows(ground.name, ground.life, teller.seq, ground.table.counter, age(teller.covered))]
-    known += [Knows(peer.name, peer.life, peer.seq, peer.upto, age(peer.covered)) for peer in ground.peers.live()
-              if peer.seq >= 0 and not peer.gap and now - peer.covered < 1e12]
+    known += [
+        Knows(peer.name, peer.life, peer.seq, peer.upto, age(peer.covered))
+        for peer in ground.peers.live()
+        if peer.seq >= 0 and not peer.gap and now - peer.covered < 1e12
+    ]
     return tuple(known)
 
 
@@ -46,12 +49,21 @@
         of = ground.peers.get(ask.of)
         if of is None or of.life != ask.of_life or of.gap or of.seq < 0:
             return Page(ground.life, ask.serial, now, (), (), (), True, table.whole)
-    newest = merge(*(order.newest(ask.floor, ask.stamp, key) for order in table.orders),
-                   key=lambda row: (-rows.stamp[row], -rows.key(row)))
+    newest = merge(
+        *(order.newest(ask.floor, ask.stamp, key) for order in table.orders),
+        key=lambda row: (-rows.stamp[row], -rows.key(row)),
+    )
     chosen = list(islice(newest, MOST_PAGE + 1))
     knows = _knows(ground) if ask.stamp == MOST_COUNT else ()
-    return Page(ground.life, ask.serial, now, *pack(table, chosen[:MOST_PAGE], now), len(chosen) <= MOST_PAGE,
-                table.whole, knows)
+    return Page(
+        ground.life,
+        ask.serial,
+        now,
+        *pack(table, chosen[:MOST_PAGE], now),
+        len(chosen) <= MOST_PAGE,
+        table.whole,
+        knows,
+    )
 
 
 class Fetch:
--- a/limenotch/fleet/bindings/peers.py
+++ b/limenotch/fleet/bindings/peers.py
@@ -95,7 +95,6 @@
         """Whether all wait for it: only its cover changes what is covered by all."""
         return self._last is None or self._last is peer
 
-
     def fenced(self, now: float) -> None:
         """One's own new life: what they told while one was held dead went to others only."""
         for name, peer in list(self._peers.items()):
--- a/limenotch/fleet/bindings/repair.py
+++ b/limenotch/fleet/bindings/repair.py
@@ -35,16 +35,27 @@
     parts = min(RANGES, table.rows.held(ask.range) // MOST_KEYS + 1)
     if not 0 <= ask.part < parts:
         return None
-    return Keys(life, ask.serial, ask.range, ask.part, parts, b"".join(
-        key.to_bytes(16, "big") + digest.to_bytes(DIGEST_BYTES, "big")
-        for key, digest in listed(table, ask.range, ask.part, parts).items()))
+    return Keys(
+        life,
+        ask.serial,
+        ask.range,
+        ask.part,
+        parts,
+        b"".join(
+            key.to_bytes(16, "big") + digest.to_bytes(DIGEST_BYTES, "big")
+            for key, digest in listed(table, ask.range, ask.part, parts).items()
+        ),
+    )
 
 
 def listed(table: Shared, number: int, part: int, parts: int) -> dict[int, int]:
     """Digest by key, of live rows."""
     rows = table.rows
-    return {rows.key(row): rows.digest(row) for row in rows.in_range(number)
-            if not rows.what[row] & GRAVE and ((rows.high[row] >> 48 & 0xFF) * parts) >> 8 == part}
+    return {
+        rows.key(row): rows.digest(row)
+        for row in rows.in_range(number)
+        if not rows.what[row] & GRAVE and ((rows.high[row] >> 48 & 0xFF) * parts) >> 8 == part
+    }
 
 
 def copies(table: Shared, life: int, serial: int, wanted: Sequence[int], now: float, settle: float) -> Copies:
@@ -113,8 +124,12 @@
 
     def keys(self, table: Shared, life: int, now: float, answer: Keys) -> list[Copies]:
         """What the other lacks; what is lacked here is wanted next."""
-        if not self._ranges or (answer.range, answer.part) != (self._ranges[0], self._part) or not (
-                0 < answer.parts <= RANGES) or len(answer.packed) % KEY_BYTES:
+        if (
+            not self._ranges
+            or (answer.range, answer.part) != (self._ranges[0], self._part)
+            or not (0 < answer.parts <= RANGES)
+            or len(answer.packed) % KEY_BYTES
+        ):
             self.done = True
             return []
         self._said = None
--- a/limenotch/fleet/bindings/rows.py
+++ b/limenotch/fleet/bindings/rows.py
@@ -41,8 +41,24 @@
         self.older, self.newer = array("I"), array("I")  # the order's
         self.digests = [0] * RANGES
         self._columns: tuple[array[Any], ...] = (
-            self.high, self.low, self.who, self.what, self.gen, self.move, self.count, self.by, self.stamp, self.made,
-            self.seen, self.told, self.after, self.before, self.slot, self.older, self.newer)
+            self.high,
+            self.low,
+            self.who,
+            self.what,
+            self.gen,
+            self.move,
+            self.count,
+            self.by,
+            self.stamp,
+            self.made,
+            self.seen,
+            self.told,
+            self.after,
+            self.before,
+            self.slot,
+            self.older,
+            self.newer,
+        )
         self._free = array("I")
         self._index = [array("I", bytes(4 * FIRST)) for _ in range(RANGES)]  # row + 1; 0: none
         self._many = array("I", bytes(4 * RANGES))
--- a/limenotch/fleet/bindings/sights.py
+++ b/limenotch/fleet/bindings/sights.py
@@ -34,18 +34,36 @@
     copies = []
     for row in chosen:
         who, by = rows.who[row], rows.by[row]
-        copies.append(Copy(
-            rows.key(row).to_bytes(16, "big"), rows.what[row] & BITS, providers.setdefault(who, len(providers)),
-            members.setdefault(by, len(members)), rows.gen[row], rows.move[row], rows.count[row],
-            int(max(0.0, now - rows.seen[row]) * TENTHS), int(max(0.0, now - rows.made[row]) * TENTHS),
-            rows.stamp[row]))
+        copies.append(
+            Copy(
+                rows.key(row).to_bytes(16, "big"),
+                rows.what[row] & BITS,
+                providers.setdefault(who, len(providers)),
+                members.setdefault(by, len(members)),
+                rows.gen[row],
+                rows.move[row],
+                rows.count[row],
+                int(max(0.0, now - rows.seen[row]) * TENTHS),
+                int(max(0.0, now - rows.made[row]) * TENTHS),
+                rows.stamp[row],
+            )
+        )
     return tuple(places[who] for who in providers), tuple(names[by] for by in members), tuple(copies)
 
 
 def sound(copy: Copy, providers: Sequence[Place], names: Sequence[str]) -> bool:
-    return (len(copy.key) == 16 and 0 <= copy.what <= (KIND | STATE | CHARGED) and 0 <= copy.who < len(providers)
-            and 0 <= copy.by < len(names) and 0 <= copy.gen < 1 << 32 and 0 <= copy.move < 1 << 16
-            and 0 <= copy.count < MOST_COUNT and 0 <= copy.stamp < MOST_COUNT and copy.age >= 0 and copy.old >= 0)
+    return (
+        len(copy.key) == 16
+        and 0 <= copy.what <= (KIND | STATE | CHARGED)
+        and 0 <= copy.who < len(providers)
+        and 0 <= copy.by < len(names)
+        and 0 <= copy.gen < 1 << 32
+        and 0 <= copy.move < 1 << 16
+        and 0 <= copy.count < MOST_COUNT
+        and 0 <= copy.stamp < MOST_COUNT
+        and copy.age >= 0
+        and copy.old >= 0
+    )
 
 
 def _known(table: Shared, providers: Sequence[Place], names: Sequence[str]) -> bool:
@@ -75,8 +93,21 @@
             table.count("unsound copy")
             continue
         key = int.from_bytes(copy.key, "big")
-        table.hear(now, key, copy.what, providers[copy.who], copy.gen, copy.move, copy.count, names[copy.by],
-                   at - slow * copy.age / TENTHS, at - copy.old / TENTHS, max(stamp, copy.stamp), seer, doubt)
+        table.hear(
+            now,
+            key,
+            copy.what,
+            providers[copy.who],
+            copy.gen,
+            copy.move,
+            copy.count,
+            names[copy.by],
+            at - slow * copy.age / TENTHS,
+            at - copy.old / TENTHS,
+            max(stamp, copy.stamp),
+            seer,
+            doubt,
+        )
 
 
 class Teller:
@@ -116,8 +147,20 @@
                 self.covered, self._round = max(self.covered, self._mark), None
             if chosen or undone:
                 ended = tuple(Undone(key.to_bytes(16, "big"), *rest) for key, *rest in undone)
-                out.append(Sights(self.life, self.seq, table.counter, self.born, now, self.covered, table.whole,
-                                  *packed, ended, self.kept))
+                out.append(
+                    Sights(
+                        self.life,
+                        self.seq,
+                        table.counter,
+                        self.born,
+                        now,
+                        self.covered,
+                        table.whole,
+                        *packed,
+                        ended,
+                        self.kept,
+                    )
+                )
             if over:
                 break
         return out
--- a/limenotch/fleet/bindings/table.py
+++ b/limenotch/fleet/bindings/table.py
@@ -52,8 +52,15 @@
         if kind and self.providers.gone[number]:
             return None
         name, cell, zone = self.providers.places[number]
-        return Bound(name, cell, zone, State((what & STATE) >> STATE_AT), max(0.0, now - rows.seen[row]),
-                     max(0.0, now - rows.made[row]), bool(what & CHARGED))
+        return Bound(
+            name,
+            cell,
+            zone,
+            State((what & STATE) >> STATE_AT),
+            max(0.0, now - rows.seen[row]),
+            max(0.0, now - rows.made[row]),
+            bool(what & CHARGED),
+        )
 
     def see(self, now: float, kind: Kind, key: bytes, provider: str, state: State, charged: bool = False) -> bool:
         hashed = self.hash(kind, key)
@@ -95,12 +102,20 @@
         self.bury(now, row, "undo")
 
     def figures(self) -> Mapping[str, Any]:
-        return {"held": self.live, "graves": len(self.rows) - self.live, "opening": self.opening, "whole": self.whole,
-                "to_tell": len(self.to_tell), "ended": self.orders[GOING].held, "kept": self.orders[KEPT].held,
-                "counts": dict(self.counts)}
+        return {
+            "held": self.live,
+            "graves": len(self.rows) - self.live,
+            "opening": self.opening,
+            "whole": self.whole,
+            "to_tell": len(self.to_tell),
+            "ended": self.orders[GOING].held,
+            "kept": self.orders[KEPT].held,
+            "counts": dict(self.counts),
+        }
 
-    def _bind(self, now: float, key: int, row: int, kind: Kind, place: Place, state: State, charged: bool,
-              gen: int) -> bool:
+    def _bind(
+        self, now: float, key: int, row: int, kind: Kind, place: Place, state: State, charged: bool, gen: int
+    ) -> bool:
         what = kind | state << STATE_AT | (CHARGED if charged else 0)
         row = self._room(now, key, row, what, self.counter + 1)
         if row == NIL:
@@ -108,8 +123,9 @@
             return False
         self.counter += 1
         # Nobody has been told: the first chance is the next batch, so its told age is of no account till then.
-        self._set(row, what | OWN, place, gen, 0, self.counter, self.members.names[self.me], now, now, now,
-                  self.counter)
+        self._set(
+            row, what | OWN, place, gen, 0, self.counter, self.members.names[self.me], now, now, now, self.counter
+        )
         self._enter(row)
         self.tell(row)
         self.wheel.put(row, self.ends(row))
@@ -136,8 +152,19 @@
         move = min(rows.move[row] + 1, 0xFFFF)
         self.counter += 1
         self._leave(row)
-        self._set(row, rows.what[row] & ~TELL, place, rows.gen[row], move, self.counter, self.members.names[self.me],
-                  rows.seen[row], rows.made[row], rows.told[row], rows.stamp[row])
+        self._set(
+            row,
+            rows.what[row] & ~TELL,
+            place,
+            rows.gen[row],
+            move,
+            self.counter,
+            self.members.names[self.me],
+            rows.seen[row],
+            rows.made[row],
+            rows.told[row],
+            rows.stamp[row],
+        )
         self._enter(row)
         self.tell(row)
         self._note("moved", row)
@@ -201,8 +228,22 @@
 
     # What is heard
 
-    def hear(self, now: float, key: int, what: int, place: Place, gen: int, move: int, count: int, by: str,
-             seen: float, made: float, stamp: int, seer: bool, doubt: float = 0.0) -> bool:
+    def hear(
+        self,
+        now: float,
+        key: int,
+        what: int,
+        place: Place,
+        gen: int,
+        move: int,
+        count: int,
+        by: str,
+        seen: float,
+        made: float,
+        stamp: int,
+        seer: bool,
+        doubt: float = 0.0,
+    ) -> bool:
         """A sight told by its seer, or a copy. Ages as on one's own clock. Whether it is held afterwards.
 
         `doubt`: ms by which who gave the copy may have held it to be younger than it was. What would be over by then
@@ -217,8 +258,11 @@
         if row == NIL or rows.what[row] & GRAVE:
             if over or now + doubt >= seen + spans.idle[what & (KIND | STATE)]:
                 return False
-            if row != NIL and gen <= rows.gen[row] and not (
-                    (seer and gen == rows.gen[row]) or self._used_since(row, seen, made)):
+            if (
+                row != NIL
+                and gen <= rows.gen[row]
+                and not ((seer and gen == rows.gen[row]) or self._used_since(row, seen, made))
+            ):
                 self.count("copy of what is forgotten")
                 return False
             row = self._room(now, key, row, what, stamp)
@@ -229,8 +273,9 @@
             self.wheel.put(row, self.ends(row))
             self._note("has", row)
             return True
-        order = beats(gen, move, count, by, (rows.gen[row], rows.move[row], rows.count[row],
-                                             self.members.names[rows.by[row]]))
+        order = beats(
+            gen, move, count, by, (rows.gen[row], rows.move[row], rows.count[row], self.members.names[rows.by[row]])
+        )
         same_gen = gen == rows.gen[row]
         if order > 0:
             if over:
@@ -261,8 +306,13 @@
     def undone(self, now: float, key: int, gen: int, move: int, count: int, by: str) -> None:
         rows = self.rows
         row = rows.find(key)
-        if row == NIL or rows.what[row] & GRAVE or (rows.gen[row], rows.move[row], rows.count[row]) != (
-                gen, move, count) or self.members.names[rows.by[row]] != by or (rows.what[row] & STATE) >> STATE_AT:
+        if (
+            row == NIL
+            or rows.what[row] & GRAVE
+            or (rows.gen[row], rows.move[row], rows.count[row]) != (gen, move, count)
+            or self.members.names[rows.by[row]] != by
+            or (rows.what[row] & STATE) >> STATE_AT
+        ):
             return
         if rows.what[row] & OWN:
             self.tell(row)  # it was seen here too: in use
--- a/limenotch/fleet/bindings/values.py
+++ b/limenotch/fleet/bindings/values.py
@@ -83,5 +83,6 @@
     seen, charged = max(one.seen, other.seen), one.charged or (other.charged and one.gen == other.gen)
     if order:
         return one._replace(state=besides(one.state, other.state), seen=seen, charged=charged)
-    return one._replace(provider=min(one.provider, other.provider), state=AFTER[one.state, other.state],
-                        charged=charged, seen=seen)
+    return one._replace(
+        provider=min(one.provider, other.provider), state=AFTER[one.state, other.state], charged=charged, seen=seen
+    )
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -49,8 +49,16 @@
     """`life` should be higher than that of any process of this name before (say, ms of the wall clock); where it is
     not, it is raised. `addresses` says where to send to instead of what a member advertises (a laboratory's relays)."""
 
-    def __init__(self, name: str, at: Address, life: int, seeds: Iterable[Address], tuning: Tuning, seed: int,
-                 addresses: Mapping[str, Address] | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        at: Address,
+        life: int,
+        seeds: Iterable[Address],
+        tuning: Tuning,
+        seed: int,
+        addresses: Mapping[str, Address] | None = None,
+    ) -> None:
         if not sound(Claim(name, 0, at, life, 0)):
             raise ValueError(f"name {name!r}, address {at} or life {life} can't be a member's")
         self.ground = Ground(name, at, life, seeds, tuning, seed, addresses or {})
@@ -102,9 +110,16 @@
         states = {state.value: 0 for state in State}
         for member in ground.table:
             states[member.state.value] += 1
-        return {"phase": ground.phase.value, "life": ground.life, "incarnation": ground.incarnation, **states,
-                "health": ground.health.score, "queued": len(ground.queue), "probing": len(self.prober.flights),
-                "counts": dict(ground.counts)}
+        return {
+            "phase": ground.phase.value,
+            "life": ground.life,
+            "incarnation": ground.incarnation,
+            **states,
+            "health": ground.health.score,
+            "queued": len(ground.queue),
+            "probing": len(self.prober.flights),
+            "counts": dict(ground.counts),
+        }
 
     # Events
 
@@ -146,12 +161,23 @@
         while (key := agenda.pop(now)) is not None:
             what, of = key
             if isinstance(of, int):
-                {"indirect": self.prober.indirect, "failed": self.prober.fail, "nack": self._nack,
-                 "relayed": self._relayed}[what](now, of)
+                {
+                    "indirect": self.prober.indirect,
+                    "failed": self.prober.fail,
+                    "nack": self._nack,
+                    "relayed": self._relayed,
+                }[what](now, of)
             else:
-                {"probe": self._probe, "gossip": self._gossip, "suspect": self.holder.over, "ask": self.holder.ask,
-                 "own": self._own, "tables": self._tables, "reconnect": self._reconnect,
-                 "forget": self.holder.forget}[what](now, of)
+                {
+                    "probe": self._probe,
+                    "gossip": self._gossip,
+                    "suspect": self.holder.over,
+                    "ask": self.holder.ask,
+                    "own": self._own,
+                    "tables": self._tables,
+                    "reconnect": self._reconnect,
+                    "forget": self.holder.forget,
+                }[what](now, of)
 
     def _entered(self, now: float) -> None:
         """Inside: begins to probe, and gives its table to the seeds."""
--- a/limenotch/fleet/membership/ground.py
+++ b/limenotch/fleet/membership/ground.py
@@ -27,8 +27,16 @@
 
 
 class Ground:
-    def __init__(self, name: str, at: Address, life: int, seeds: Iterable[Address], tuning: Tuning, seed: int,
-                 addresses: Mapping[str, Address]) -> None:
+    def __init__(
+        self,
+        name: str,
+        at: Address,
+        life: int,
+        seeds: Iterable[Address],
+        tuning: Tuning,
+        seed: int,
+        addresses: Mapping[str, Address],
+    ) -> None:
         self.name, self.at, self.life, self.incarnation = name, at, life, 0
         self.seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != at))
         self.tuning, self.addresses = tuning, addresses
--- a/limenotch/fleet/membership/holding.py
+++ b/limenotch/fleet/membership/holding.py
@@ -1,12 +1,12 @@
 """What is held of the others, and the one way in which it changes: a claim is heard, from others or from oneself.
 
-    a claim is         | then
-    unsound            | counted
-    of oneself         | `own` sees to it
-    beaten by what is held (states.TABLE) | nothing
-    the suspicion held, by another finder | confirms it: its time gets shorter (`suspicion`)
-    a new suspicion    | told on; its time begins; shortly before it can end the suspect itself is asked once more
-    else new           | told on, noted, given to the parts above
+a claim is         | then
+unsound            | counted
+of oneself         | `own` sees to it
+beaten by what is held (states.TABLE) | nothing
+the suspicion held, by another finder | confirms it: its time gets shorter (`suspicion`)
+a new suspicion    | told on; its time begins; shortly before it can end the suspect itself is asked once more
+else new           | told on, noted, given to the parts above
 """
 
 from __future__ import annotations
@@ -54,8 +54,13 @@
         if member.state is State.SUSPECT:
             tuning = ground.tuning
             shortest = tuning.shortest_ms(ground.size)
-            member.suspicion = Suspicion(now, member.by, shortest, shortest * tuning.suspicion_longest,
-                                         min(tuning.confirmations, ground.size - 2))
+            member.suspicion = Suspicion(
+                now,
+                member.by,
+                shortest,
+                shortest * tuning.suspicion_longest,
+                min(tuning.confirmations, ground.size - 2),
+            )
             self._watch(member.suspicion, name)
         else:
             ground.agenda.drop(("suspect", name))
--- a/limenotch/fleet/promises.py
+++ b/limenotch/fleet/promises.py
@@ -181,5 +181,11 @@
         return Answer(ask.ticket, "kept", index=held[0])
 
 
-_HEEDLESS = (contract.Started, contract.Leave, contract.TimerFired, contract.MemberChanged, contract.Fenced,
-             api.LeaderChanged)
+_HEEDLESS = (
+    contract.Started,
+    contract.Leave,
+    contract.TimerFired,
+    contract.MemberChanged,
+    contract.Fenced,
+    api.LeaderChanged,
+)
--- a/limenotch/fleet/rules/arrivals.py
+++ b/limenotch/fleet/rules/arrivals.py
@@ -84,7 +84,7 @@
         self.again_at = now + AGAIN_MS
         out: list[Any] = []
         for at in range(0, max(len(new), len(gone)), MOST_ENTRIES):
-            know = Know(directory, tuple(new[at:at + MOST_ENTRIES]), tuple(gone[at:at + MOST_ENTRIES]))
+            know = Know(directory, tuple(new[at : at + MOST_ENTRIES]), tuple(gone[at : at + MOST_ENTRIES]))
             if self.leader == self.name:
                 self.heard(now, self.name, know)
             else:
@@ -123,11 +123,14 @@
         out: list[Any] = []
         for directory, keys in found.items():
             for at in range(0, len(keys), MOST_ENTRIES):
-                part = keys[at:at + MOST_ENTRIES]
+                part = keys[at : at + MOST_ENTRIES]
                 self._ticket += 1
                 self._proposed[self._ticket] = part
-                entry = Agree(directory, tuple(named for _, _, named in part if named is not None),
-                              tuple(name for _, name, named in part if named is None))
+                entry = Agree(
+                    directory,
+                    tuple(named for _, _, named in part if named is not None),
+                    tuple(name for _, name, named in part if named is None),
+                )
                 out.append(log.Propose(self._ticket, encode(entry), ""))
         return out
 
--- a/limenotch/fleet/rules/changes.py
+++ b/limenotch/fleet/rules/changes.py
@@ -110,8 +110,9 @@
             return
         reach = self.reach()
         data = doc.encode(whole)
-        self.looking[suggest.id] = Looking(sender, suggest, data, now + self.tuning.check_ms, set(reach),
-                                           len(self.voters) // 2 + 1)
+        self.looking[suggest.id] = Looking(
+            sender, suggest, data, now + self.tuning.check_ms, set(reach), len(self.voters) // 2 + 1
+        )
         self.out += [Tell(voter, Look(suggest.id, data)) for voter in reach]
         self._seen(suggest.id)
 
@@ -159,8 +160,9 @@
         del self.looking[ident]
         suggest = looking.suggest
         if looking.yes < looking.need:
-            self._refuse(looking.sender, ident, f"{looking.yes} of {len(self.voters)} voters looked at it, "
-                                                f"{looking.need} must")
+            self._refuse(
+                looking.sender, ident, f"{looking.yes} of {len(self.voters)} voters looked at it, {looking.need} must"
+            )
         elif suggest.names:
             self.propose(entries.Try(ident, suggest.base, looking.whole, suggest.names), ident, suggest.base)
         else:
@@ -191,8 +193,10 @@
             self.answer(ident, False, text, self.book.newest)
 
     def due(self) -> float:
-        return min([looking.until for looking in self.looking.values()] +
-                   [asked.until for asked in self.asked.values()], default=float("inf"))
+        return min(
+            [looking.until for looking in self.looking.values()] + [asked.until for asked in self.asked.values()],
+            default=float("inf"),
+        )
 
 
 # What operators write
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -41,8 +41,16 @@
 class Rules:
     """`first` is version 1, the same for the whole group. `state`: of the log's snapshot found at the start, if any."""
 
-    def __init__(self, name: str, life: int, voters: tuple[str, ...], first: Document, check: Check,
-                 tuning: Tuning | None = None, state: bytes | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        life: int,
+        voters: tuple[str, ...],
+        first: Document,
+        check: Check,
+        tuning: Tuning | None = None,
+        state: bytes | None = None,
+    ) -> None:
         """Raises ValueError on a first document or a state that can't be."""
         self.name, self.life, self.tuning = name, life, tuning or Tuning()
         self.book = Book(first, self.tuning.most_versions, self.tuning.most_document_bytes)
@@ -53,8 +61,9 @@
         self.leader: str | None = None
         self.epoch = 0
         self.counts: dict[str, int] = {}
-        self.telling = Telling(name, self.book, self.tuning.most_bans, self.tuning.most_holders, self.tuning.lease_ms,
-                               self._count)
+        self.telling = Telling(
+            name, self.book, self.tuning.most_bans, self.tuning.most_holders, self.tuning.lease_ms, self._count
+        )
         self._out: list[Any] = []
         self._now = -NEVER
         self._armed = NEVER
@@ -75,23 +84,34 @@
         self._begun = False
         self.changes = Changes(name, self.book, check, self.tuning, self._reach, tuple(voters), self._propose)
         self._events: dict[type, Callable[[Any], None]] = {
-            contract.Started: lambda event: setattr(self, "_begun", True), contract.Heard: self._heard,
-            contract.TimerFired: self._fired, contract.Leave: lambda event: None, contract.MemberChanged: self._member,
-            contract.Fenced: lambda event: self._fenced(), Ask: self._ask, Counted: self._counted,
+            contract.Started: lambda event: setattr(self, "_begun", True),
+            contract.Heard: self._heard,
+            contract.TimerFired: self._fired,
+            contract.Leave: lambda event: None,
+            contract.MemberChanged: self._member,
+            contract.Fenced: lambda event: self._fenced(),
+            Ask: self._ask,
+            Counted: self._counted,
             Voters: lambda event: setattr(self.changes, "voters", event.names),
-            log.Agreed: self._agreed, log.Install: self._install, log.LeaderChanged: self._led,
+            log.Agreed: self._agreed,
+            log.Install: self._install,
+            log.LeaderChanged: self._led,
             log.Promised: lambda event: self._ended(event.ticket, None),
             log.Refused: lambda event: self._ended(event.ticket, event.why),
-            log.Unknown: lambda event: self._ended(event.ticket, "unknown"), log.ReadReady: self._ready,
+            log.Unknown: lambda event: self._ended(event.ticket, "unknown"),
+            log.ReadReady: self._ready,
         }
         self._messages: dict[type, Callable[[str, Any], None]] = {
-            say.AskLease: self._asked, say.Grant: self._granted,
+            say.AskLease: self._asked,
+            say.Grant: self._granted,
             # Of who is behind: it asks anew as soon as it has applied the version.
             say.Behind: lambda sender, behind: self._count("behind"),
             say.Told: lambda sender, told: self._bans(self.telling.heard(((told.upstream, told.after),))),
             say.Bans: lambda sender, bans: self._bans(self.telling.exchanged(sender, bans)),
             say.Suggest: lambda sender, suggest: self.changes.suggested(self._now, sender, suggest),
-            say.Look: self.changes.look, say.Looked: self.changes.looked, say.Count: self._count_canary,
+            say.Look: self.changes.look,
+            say.Looked: self.changes.looked,
+            say.Count: self._count_canary,
             say.Verdict: lambda sender, no: self.changes.answer(no.id, False, no.why, no.version),
         }
 
@@ -207,8 +227,9 @@
         holder = self.holder
         serial = holder.ask(self._now)
         parts = holder.parts if holder.holds(self._now) else 0
-        ask = say.AskLease(serial, self.life, self.book.newest, self.book.active, parts, holder.granted,
-                           self.telling.riding())
+        ask = say.AskLease(
+            serial, self.life, self.book.newest, self.book.active, parts, holder.granted, self.telling.riding()
+        )
         self._ask_at = self._now + self.tuning.lease_ms / 3
         if self.leads:
             self._asked(self.name, ask)
@@ -382,4 +403,3 @@
 
     def _count(self, why: str) -> None:
         self.counts[why] = self.counts.get(why, 0) + 1
-
--- a/limenotch/fleet/rules/document.py
+++ b/limenotch/fleet/rules/document.py
@@ -17,8 +17,13 @@
 Document = dict[str, Any]
 TOP = ("settings", "bans", "directory")
 # Narrowest first: what a second run of a call may do, see the design's table.
-RANKS = (("at_most_once", ""), ("deduplicated", "cell"), ("deduplicated", "zone"), ("deduplicated", "all"),
-         ("idempotent", ""))
+RANKS = (
+    ("at_most_once", ""),
+    ("deduplicated", "cell"),
+    ("deduplicated", "zone"),
+    ("deduplicated", "all"),
+    ("idempotent", ""),
+)
 
 
 def rank_of(entry: Mapping[str, Any]) -> int:
@@ -53,7 +58,7 @@
             out[path] = value
     for name, ban in _object(document.get("bans", {}), "bans").items():
         if not isinstance(ban, dict) or not isinstance(ban.get("out"), bool):
-            raise ValueError(f"bans.{name}: expected {{\"out\": true or false, \"at_ms\": number}}")
+            raise ValueError(f'bans.{name}: expected {{"out": true or false, "at_ms": number}}')
         out["bans", name] = (ban["out"], float(_number(ban.get("at_ms"), 0.0)))
     if "directory" in document:
         out["directory",] = document["directory"]
@@ -92,8 +97,10 @@
 def _entries(value: Any, key: str) -> dict[str, Any]:
     """A list of entries, or an object of them by name, by name. A null entry is one to be removed."""
     if isinstance(value, dict):
-        found = {name: None if entry is None else {**_object(entry, f"{key}.{name}"), "name": name}
-                 for name, entry in value.items()}
+        found = {
+            name: None if entry is None else {**_object(entry, f"{key}.{name}"), "name": name}
+            for name, entry in value.items()
+        }
         return found
     if not isinstance(value, list):
         raise ValueError(f"{key}: expected a list, or an object by name")
@@ -152,8 +159,10 @@
     out = {**base, **{key: value for key, value in change.items() if key not in ("settings", "bans")}}
     out = {key: value for key, value in out.items() if value is not None}
     before = _object(base.get("settings", {}), "settings")
-    settings = _patch(before, {key: value for key, value in
-                               _object(change.get("settings", {}), "settings").items() if key not in NAMED})
+    settings = _patch(
+        before,
+        {key: value for key, value in _object(change.get("settings", {}), "settings").items() if key not in NAMED},
+    )
     for key in NAMED:
         if key not in change.get("settings", {}):
             continue
--- a/limenotch/fleet/rules/drains.py
+++ b/limenotch/fleet/rules/drains.py
@@ -55,13 +55,19 @@
 
     def stages(self) -> dict[str, str]:
         """What restricts here."""
-        return {name: max((claim.stage for claim in told.values()), key=STAGES.index)
-                for name, told in self.claims.items()}
+        return {
+            name: max((claim.stage for claim in told.values()), key=STAGES.index) for name, told in self.claims.items()
+        }
 
     def told_enough(self, name: str, directory: str, stage: str) -> bool:
         told = self.claims.get(name, {})
-        return sum(claim.directory == directory and STAGES.index(claim.stage) >= STAGES.index(stage)
-                   for claim in told.values()) >= ENOUGH
+        return (
+            sum(
+                claim.directory == directory and STAGES.index(claim.stage) >= STAGES.index(stage)
+                for claim in told.values()
+            )
+            >= ENOUGH
+        )
 
     def member(self, name: str, state: str, life: int) -> bool:
         """Whether somebody is there who was not."""
@@ -94,8 +100,9 @@
             return
         if word.whole:
             # What a process of its name before it restricted it knows nothing of: that is not taken back.
-            for name in [name for name, told in self.claims.items()
-                         if teller in told and told[teller].begun == word.begun]:
+            for name in [
+                name for name, told in self.claims.items() if teller in told and told[teller].begun == word.begun
+            ]:
                 self._end(name, teller)
         peer.serial, peer.live = word.serial, word.live
         for name, stage in word.names:
--- a/limenotch/fleet/rules/leases.py
+++ b/limenotch/fleet/rules/leases.py
@@ -112,8 +112,9 @@
 
     def may_activate(self, number: int, now: float) -> bool:
         """Whether every lease that may be held is of a sidecar that holds this version."""
-        return self.settled(now) and all(record.version >= number or record.until <= now
-                                         for record in self.records.values())
+        return self.settled(now) and all(
+            record.version >= number or record.until <= now for record in self.records.values()
+        )
 
     def due(self, number: int, now: float) -> float:
         """When `may_activate` may come true by time alone."""
--- a/limenotch/fleet/rules/lists.py
+++ b/limenotch/fleet/rules/lists.py
@@ -49,8 +49,15 @@
 class Lists:
     """`directory`: the address of one's own, as HOST:PORT. At most `most` providers are remembered."""
 
-    def __init__(self, name: str, begun: int, directory: str, voters: tuple[str, ...] = (), most: int = 10_000,
-                 state: bytes | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        begun: int,
+        directory: str,
+        voters: tuple[str, ...] = (),
+        most: int = 10_000,
+        state: bytes | None = None,
+    ) -> None:
         """`state`: of the log's snapshot found at the start. Raises msgspec.DecodeError where it can't be read."""
         self.name, self.begun, self.directory, self._most = name, begun, directory, most
         self.index, self.live = -1, False
@@ -73,8 +80,11 @@
         self._now = 0.0
         self._out: list[Any] = []
         self._events: dict[type, Callable[[Any], None]] = {
-            Listed: self._listed, DirectorySilent: self._silent, contract.Heard: self._heard,
-            contract.MemberChanged: self._member, contract.TimerFired: self._fired,
+            Listed: self._listed,
+            DirectorySilent: self._silent,
+            contract.Heard: self._heard,
+            contract.MemberChanged: self._member,
+            contract.TimerFired: self._fired,
             Voters: lambda event: self.arrivals.voted(self._now, event.names),
             log.Agreed: lambda event: self.arrivals.apply(event),
             log.Install: lambda event: self.arrivals.install(event.state),
@@ -110,9 +120,16 @@
         return {**self.drains.counts, **self.arrivals.counts}
 
     def figures(self) -> dict[str, Any]:
-        return {"directory": self.directory, "index": self.index, "live": self.live, "runs": self.runs,
-                "drained_by_peers": len(self._drained), "arrived_by_agreement": len(self._arrived),
-                "agreed": len(self.arrivals.agreed), "counts": self.counts}
+        return {
+            "directory": self.directory,
+            "index": self.index,
+            "live": self.live,
+            "runs": self.runs,
+            "drained_by_peers": len(self._drained),
+            "arrived_by_agreement": len(self._arrived),
+            "agreed": len(self.arrivals.agreed),
+            "counts": self.counts,
+        }
 
     # One's own directory
 
@@ -146,8 +163,12 @@
                 self._fresh[name] = AGAIN + 1
                 (self._said.discard if better else self._said.add)(name)
         self._bound()
-        self.drains.listed(self.directory, self.index, {name for name, stage in stages.items() if stage == READY},
-                           event.asked_ms if event.whole else -NEVER)
+        self.drains.listed(
+            self.directory,
+            self.index,
+            {name for name, stage in stages.items() if stage == READY},
+            event.asked_ms if event.whole else -NEVER,
+        )
         if self._fresh or self._state_again:
             self._again_at = self._now
         self.arrivals.again_at = self._now
@@ -160,7 +181,7 @@
         for name in gone[: max(0, len(gone) - MOST_GONE)]:
             del self.own[name]
             self._said.discard(name)
-        for name in list(self.own)[self._most:]:
+        for name in list(self.own)[self._most :]:
             del self.own[name]
             self.ready.pop(name, None)
             self._count("list too long")
@@ -186,8 +207,9 @@
     # To the others
 
     def _others(self) -> list[str]:
-        return [name for name, peer in self.drains.peers.items()
-                if name != self.name and peer.state in ("alive", "suspect")]
+        return [
+            name for name, peer in self.drains.peers.items() if name != self.name and peer.state in ("alive", "suspect")
+        ]
 
     def _say(self) -> None:
         """What is new, with the stage that it has now, to all."""
--- a/limenotch/fleet/rules/telling.py
+++ b/limenotch/fleet/rules/telling.py
@@ -26,8 +26,9 @@
 
 
 class Telling:
-    def __init__(self, name: str, book: Book, most_bans: int, most_members: int, again_ms: float,
-                 count: Callable[[str], None]) -> None:
+    def __init__(
+        self, name: str, book: Book, most_bans: int, most_members: int, again_ms: float, count: Callable[[str], None]
+    ) -> None:
         self.name, self.book, self._most, self._most_members = name, book, most_bans, most_members
         self._again_ms, self._count = again_ms, count
         self.members: dict[str, tuple[str, int]] = {}  # state and life
@@ -35,7 +36,7 @@
         self._exchanged = (-NEVER, 0)  # since when, how many
 
     def riding(self) -> tuple[tuple[str, int], ...]:
-        return tuple(list(self.book.told.items())[-say.MOST_BANS:])
+        return tuple(list(self.book.told.items())[-say.MOST_BANS :])
 
     def heard(self, bans: tuple[tuple[str, int], ...]) -> list[Any]:
         """Heard from anyone: acts at once. A version that holds it, or a later return, makes it no news."""
@@ -51,17 +52,21 @@
                 out.append(Note(f"heard ban {upstream}"))
         return out
 
-    def spread(self, now: float, under_way: set[str], propose: Callable[[entries.Entry, str, int], None] | None
-               ) -> list[Any]:
+    def spread(
+        self, now: float, under_way: set[str], propose: Callable[[entries.Entry, str, int], None] | None
+    ) -> list[Any]:
         """Own told bans again: to all members, and to the log where one leads."""
         self.at = NEVER
         out: list[Any] = []
-        for upstream, after in list(self.book.told.items())[-say.MOST_BANS:]:
+        for upstream, after in list(self.book.told.items())[-say.MOST_BANS :]:
             ident = f"ban {upstream}"
             if propose is not None and ident not in under_way:
                 propose(entries.Out(ident, upstream), ident, after)
-            out += [Tell(name, say.Told(upstream, after), Carrier.DATAGRAM)
-                    for name, (state, _) in self.members.items() if name != self.name and state not in GONE]
+            out += [
+                Tell(name, say.Told(upstream, after), Carrier.DATAGRAM)
+                for name, (state, _) in self.members.items()
+                if name != self.name and state not in GONE
+            ]
             self.at = now + self._again_ms
         return out
 
--- a/limenotch/fleet/wallet/asks.py
+++ b/limenotch/fleet/wallet/asks.py
@@ -84,8 +84,17 @@
             return
         wallets = self._book.wallets
         names = [one.ask.tenant] if one.ask.tenant else sorted(wallets)[:MOST_SHOWN]
-        body = {name: {"credit": wallet.credit, "spent": wallet.spent, "left": wallet.left, "held": wallet.held,
-                       "slices": len(wallet.slices)} for name in names if (wallet := wallets.get(name)) is not None}
+        body = {
+            name: {
+                "credit": wallet.credit,
+                "spent": wallet.spent,
+                "left": wallet.left,
+                "held": wallet.held,
+                "slices": len(wallet.slices),
+            }
+            for name in names
+            if (wallet := wallets.get(name)) is not None
+        }
         if one.ask.tenant and not body:
             self.out.append(Answer(one.ask.ticket, "none", f"no wallet of {one.ask.tenant!r}"))
         else:
@@ -114,14 +123,20 @@
         if applied is None:  # a snapshot has passed over it
             wallet = self._book.wallets.get(ask.tenant)
             held = wallet.ids.get(ask.id) if wallet is not None else None
-            return Answer(ask.ticket, "unknown", "ask again with the same id") if held is None else \
-                Answer(ask.ticket, "counted", f"{held} under {ask.id!r}", held)
+            return (
+                Answer(ask.ticket, "unknown", "ask again with the same id")
+                if held is None
+                else Answer(ask.ticket, "counted", f"{held} under {ask.id!r}", held)
+            )
         if applied.word == "counted":
             return Answer(ask.ticket, "counted", f"{applied.amount} under {ask.id!r}", applied.amount)
         if applied.ok:
             return Answer(ask.ticket, "done")
-        why = "too many wallets, or ids of this one: none is forgotten" if applied.word == "full" else \
-            f"more than {MOST_CREDIT} in one wallet"
+        why = (
+            "too many wallets, or ids of this one: none is forgotten"
+            if applied.word == "full"
+            else f"more than {MOST_CREDIT} in one wallet"
+        )
         return Answer(ask.ticket, "refused", why)
 
     def due(self) -> float:
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -46,8 +46,14 @@
 class Wallet:
     """`state`: of the log's snapshot found at the start, if any. Raises msgspec.DecodeError on one that is none."""
 
-    def __init__(self, name: str, life: int, tuning: Tuning | None = None, voters: tuple[str, ...] = (),
-                 state: bytes | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        life: int,
+        tuning: Tuning | None = None,
+        voters: tuple[str, ...] = (),
+        state: bytes | None = None,
+    ) -> None:
         self.name, self.life, self.tuning = name, life, tuning or Tuning()
         self.book = Book()
         if state is not None:
@@ -71,21 +77,31 @@
         self._waiting: dict[tuple[str, int], say.AskLease] = {}  # asks for a lease, until the log says it leads
         self._reads: dict[int, tuple[int, dict[tuple[str, int], say.AskLease]]] = {}  # ticket: epoch, the asks before
         self._events: dict[type, Callable[[Any], None]] = {
-            contract.Started: lambda event: None, contract.Heard: self._heard, contract.TimerFired: self._fired,
-            contract.Leave: lambda event: self._leave(), contract.MemberChanged: self._member,
-            contract.Fenced: lambda event: self._fenced(), Look: lambda event: None,
+            contract.Started: lambda event: None,
+            contract.Heard: self._heard,
+            contract.TimerFired: self._fired,
+            contract.Leave: lambda event: self._leave(),
+            contract.MemberChanged: self._member,
+            contract.Fenced: lambda event: self._fenced(),
+            Look: lambda event: None,
             Ask: lambda event: self.asks.ask(self._now, event),
             Witnesses: lambda event: setattr(self.granting, "voters", event.names),
-            log.Agreed: self._agreed, log.Install: self._install, log.LeaderChanged: self._led,
+            log.Agreed: self._agreed,
+            log.Install: self._install,
+            log.LeaderChanged: self._led,
             log.Promised: lambda event: self._ended(event.ticket, "promised", "", event.index),
             log.Refused: lambda event: self._ended(event.ticket, "refused", event.why),
             log.Unknown: lambda event: self._ended(event.ticket, "unknown", "ask again with the same id"),
             log.ReadReady: self._ready,
         }
         self._messages: dict[type, Callable[[str, Any], None]] = {
-            say.AskLease: self._asked, say.Lease: self._leased, say.Mark: self._marked, say.Held: self._held,
+            say.AskLease: self._asked,
+            say.Lease: self._leased,
+            say.Mark: self._marked,
+            say.Held: self._held,
             say.Want: lambda sender, want: self.granting.wanted(self._now, sender, want),
-            say.Recall: self._recalled, say.Question: self._questioned,
+            say.Recall: self._recalled,
+            say.Question: self._questioned,
             say.Told: lambda sender, told: self.granting.told(self._now, sender, told),
         }
 
@@ -260,7 +276,7 @@
 
     def _marked(self, sender: str, mark: say.Mark) -> None:
         owner = (sender, mark.life)
-        held = tuple(one for one in mark.marks[:say.MOST] if self.memory.tell(one[0], owner, one[1], one[2]))
+        held = tuple(one for one in mark.marks[: say.MOST] if self.memory.tell(one[0], owner, one[1], one[2]))
         if held:
             carrier = say.carrier([one[0] for one in held])
             self._out.append(Tell(sender, say.Held(self.life, mark.life, held), carrier))
@@ -274,8 +290,9 @@
             self.holding.recalled(self._now, recall.recalls)
 
     def _questioned(self, sender: str, asked: say.Question) -> None:
-        marks = tuple(self.memory.mark(tenant, (asked.name, asked.life), serial)
-                      for tenant, serial in asked.slices[:say.MOST])
+        marks = tuple(
+            self.memory.mark(tenant, (asked.name, asked.life), serial) for tenant, serial in asked.slices[: say.MOST]
+        )
         self._out.append(Tell(sender, say.Told(asked.number, asked.asker, self.life, marks), Carrier.STREAM))
 
     # After each event
--- a/limenotch/fleet/wallet/granting.py
+++ b/limenotch/fleet/wallet/granting.py
@@ -52,8 +52,9 @@
 
 
 class Granting:
-    def __init__(self, name: str, life: int, book: Book, tuning: Tuning, voters: tuple[str, ...],
-                 propose: Propose) -> None:
+    def __init__(
+        self, name: str, life: int, book: Book, tuning: Tuning, voters: tuple[str, ...], propose: Propose
+    ) -> None:
         self._own: Owner = (name, life)
         self._book, self._tuning, self._propose = book, tuning, propose
         self.voters = voters
@@ -83,8 +84,17 @@
     def end(self) -> None:
         self.leads = False
         self.leases.end()
-        for table in (self._wants, self._short, self._serials, self._flying, self._granting, self._expiring,
-                      self._gone, self._recalls, self._dirty):
+        for table in (
+            self._wants,
+            self._short,
+            self._serials,
+            self._flying,
+            self._granting,
+            self._expiring,
+            self._gone,
+            self._recalls,
+            self._dirty,
+        ):
             table.clear()
         self._gone_at = NEVER
 
@@ -145,7 +155,7 @@
             self._grant(now)
         for (name, life), recalls in self._recalls.items():
             for at in range(0, len(recalls), say.MOST):
-                part = tuple(recalls[at:at + say.MOST])
+                part = tuple(recalls[at : at + say.MOST])
                 self.out.append(Tell(name, say.Recall(life, part), say.carrier([recall[0] for recall in part])))
         self._recalls.clear()
         if now >= self._gone_at:
@@ -180,7 +190,7 @@
                 continue
             grants += self._shares(now, tenant, wallet, witnesses)
         for at in range(0, len(grants), entries.MOST):
-            part = tuple(grants[at:at + entries.MOST])
+            part = tuple(grants[at : at + entries.MOST])
             flying: dict[str, int] = {}
             ticket = self._propose(part, "grant")
             for grant in part:
@@ -201,8 +211,13 @@
         free = wallet.left - sum(units.get(tenant, 0) for units in self._flying.values())
         grants: list[entries.Grant] = []
         # Slices that are still to be settled hold the credit that is wanted: more of them would bring nothing.
-        open_to = [(owner, want) for owner, want in wants.items() if (tenant, owner) not in self._granting
-                   and len(held.get(owner, ())) < MOST_SLICES and now < self.leases.records.get(owner, -NEVER)]
+        open_to = [
+            (owner, want)
+            for owner, want in wants.items()
+            if (tenant, owner) not in self._granting
+            and len(held.get(owner, ())) < MOST_SLICES
+            and now < self.leases.records.get(owner, -NEVER)
+        ]
         short = self._judge(now, tenant, wallet, open_to, free)
         unmet, half = False, free // (2 * max(1, len(open_to)))
         for owner, want in open_to:
@@ -229,8 +244,9 @@
             self._wants.pop(tenant, None)
         return grants
 
-    def _judge(self, now: float, tenant: str, wallet: Wallet, open_to: list[tuple[Owner, Wanted]],
-               free: int) -> Short | None:
+    def _judge(
+        self, now: float, tenant: str, wallet: Wallet, open_to: list[tuple[Owner, Wanted]], free: int
+    ) -> Short | None:
         """It is short from when less is left than two slices for each who wants, until there is credit, or so much is
         left for all who have wanted since."""
         short = self._short.get(tenant)
@@ -283,8 +299,11 @@
             gone = self._gone.get(owner)
             if gone is None:
                 self._number += 1
-                asked = {key: one for key in sorted(slices)[:MOST_ASKED]
-                         if (one := self._book.slice(key[0], *owner, key[1])) is not None}
+                asked = {
+                    key: one
+                    for key in sorted(slices)[:MOST_ASKED]
+                    if (one := self._book.slice(key[0], *owner, key[1])) is not None
+                }
                 gone = self._gone[owner] = Gone(self._number, owner, asked, now)
             elif now < gone.asked_at + tuning.lease_ms / 3:
                 self._resolve(now, gone)
--- a/limenotch/fleet/wallet/holding.py
+++ b/limenotch/fleet/wallet/holding.py
@@ -28,8 +28,9 @@
 
 
 class Holding:
-    def __init__(self, owner: Owner, book: Book, purse: Purse, memory: Memory, tuning: Tuning,
-                 propose: Propose) -> None:
+    def __init__(
+        self, owner: Owner, book: Book, purse: Purse, memory: Memory, tuning: Tuning, propose: Propose
+    ) -> None:
         self._owner, self._book, self._purse, self._memory = owner, book, purse, memory
         self._tuning, self._propose = tuning, propose
         self.out: list[Any] = []
@@ -66,8 +67,9 @@
 
     def leased(self, now: float) -> None:
         """From now on, or anew."""
-        self._purse.touched.update(account.tenant for account in self._purse.accounts.values()
-                                   if account.paused or account.lent)
+        self._purse.touched.update(
+            account.tenant for account in self._purse.accounts.values() if account.paused or account.lent
+        )
 
     def ended(self, tenant: str, serial: int) -> None:
         self._purse.ended(tenant, serial)
@@ -153,8 +155,12 @@
             self._dirty = True
         if now >= self._again_at:
             self._again_at = NEVER
-            self._unheld = {tenant for tenant in self._unheld if (account := purse.accounts.get(tenant)) is not None
-                            and any(one.waits for one in account.slices.values())}
+            self._unheld = {
+                tenant
+                for tenant in self._unheld
+                if (account := purse.accounts.get(tenant)) is not None
+                and any(one.waits for one in account.slices.values())
+            }
             touched |= self._unheld
         self._mark(now, touched)
         self._settle(now)
@@ -176,8 +182,12 @@
             account.dry = False
             if now - account.turned_at >= tuning.idle_ms + tuning.retry_after_ms:
                 account.need = 0  # who was turned away does not come back
-            if not account.slices and not account.lent and not account.lending and \
-                    now - seen >= tuning.idle_ms + tuning.retry_after_ms:
+            if (
+                not account.slices
+                and not account.lent
+                and not account.lending
+                and now - seen >= tuning.idle_ms + tuning.retry_after_ms
+            ):
                 del purse.accounts[account.tenant]
                 self._wants.pop(account.tenant, None)
             elif account.slices or account.need or account.lent:
@@ -255,7 +265,7 @@
                         self._unheld.add(tenant)
         for (name, _), of in marks.items():
             for at in range(0, len(of), say.MOST):
-                part = tuple(of[at:at + say.MOST])
+                part = tuple(of[at : at + say.MOST])
                 self.out.append(Tell(name, say.Mark(self._owner[1], part), say.carrier([mark[0] for mark in part])))
         if self._unheld and self._again_at == NEVER:
             self._again_at = now + self._tuning.record_ms
@@ -266,7 +276,7 @@
             return []
         self._news = False
         wants = [(tenant, *want) for tenant, want in self._wants.items()]
-        return [say.Want(self._owner[1], tuple(wants[at:at + say.MOST])) for at in range(0, len(wants), say.MOST)]
+        return [say.Want(self._owner[1], tuple(wants[at : at + say.MOST])) for at in range(0, len(wants), say.MOST)]
 
     # The log
 
@@ -282,8 +292,16 @@
             account = self._purse.accounts.get(tenant)
             one = account.slices.get(serial) if account is not None else None
             if agreed is not None and one is not None and self._differs(agreed, one, regular):
-                told.append(entries.Settle(tenant, *self._owner, serial, one.spent,
-                                           one.narrowed or one.spent == one.top, one.top - one.spent))
+                told.append(
+                    entries.Settle(
+                        tenant,
+                        *self._owner,
+                        serial,
+                        one.spent,
+                        one.narrowed or one.spent == one.top,
+                        one.top - one.spent,
+                    )
+                )
         for account in self._purse.accounts.values():
             if account.lent and self._purse.until > now:
                 if not account.telling:
@@ -295,7 +313,7 @@
         if told:
             self._settling = True
             self._settle_at = now + self._tuning.record_ms
-            self._propose(tuple(told[:entries.MOST]), "settle")
+            self._propose(tuple(told[: entries.MOST]), "settle")
         else:
             self._settle_at = min(self._settle_at, now)
 
--- a/limenotch/fleet/wallet/purse.py
+++ b/limenotch/fleet/wallet/purse.py
@@ -22,8 +22,25 @@
 class Held:
     """A slice of one's own."""
 
-    __slots__ = ("serial", "size", "top", "witnesses", "quorum", "spent", "reserved", "room", "open", "asked", "low",
-                 "narrowed", "closing", "acks", "got_at", "told", "told_at")
+    __slots__ = (
+        "serial",
+        "size",
+        "top",
+        "witnesses",
+        "quorum",
+        "spent",
+        "reserved",
+        "room",
+        "open",
+        "asked",
+        "low",
+        "narrowed",
+        "closing",
+        "acks",
+        "got_at",
+        "told",
+        "told_at",
+    )
 
     def __init__(self, serial: int, top: int, spent: int, witnesses: tuple[Owner, ...], now: float) -> None:
         self.serial, self.size, self.top, self.spent = serial, top, top, spent
@@ -80,9 +97,30 @@
 class Account:
     """A tenant's, here."""
 
-    __slots__ = ("tenant", "slices", "first", "units", "turned", "last", "turned_at", "need", "dry", "paused", "noted",
-                 "ramp", "rate", "served", "rolled", "rolled_at", "lent", "lending", "telling", "told_serial",
-                 "span_ms", "span_until")
+    __slots__ = (
+        "tenant",
+        "slices",
+        "first",
+        "units",
+        "turned",
+        "last",
+        "turned_at",
+        "need",
+        "dry",
+        "paused",
+        "noted",
+        "ramp",
+        "rate",
+        "served",
+        "rolled",
+        "rolled_at",
+        "lent",
+        "lending",
+        "telling",
+        "told_serial",
+        "span_ms",
+        "span_until",
+    )
 
     def __init__(self, tenant: str, now: float) -> None:
         self.tenant = tenant
@@ -224,8 +262,11 @@
                     self.open += 1
                     self.touched.add(tenant)
                     return Reservation(tenant, cost, taken)
-            elif tuning.without_lease == "advance" and tenant in self._book.wallets \
-                    and account.lent + account.lending + cost <= tuning.advance:
+            elif (
+                tuning.without_lease == "advance"
+                and tenant in self._book.wallets
+                and account.lent + account.lending + cost <= tuning.advance
+            ):
                 account.lending += cost
                 account.last = now
                 self.open += 1
@@ -286,8 +327,18 @@
 
     def figures(self) -> Mapping[str, Any]:
         """Units by tenant: reserved and not ended yet, free under slices held, open for the next calls."""
-        return {"open": self.open, "counts": dict(self.counts), "tenants": {
-            account.tenant: {"slices": len(account.slices), "free": account.free, "room": account.room,
-                             "reserved": sum(one.reserved for one in account.slices.values()),
-                             "advanced": account.lent, "paused": account.paused}
-            for account in self.accounts.values()}}
+        return {
+            "open": self.open,
+            "counts": dict(self.counts),
+            "tenants": {
+                account.tenant: {
+                    "slices": len(account.slices),
+                    "free": account.free,
+                    "room": account.room,
+                    "reserved": sum(one.reserved for one in account.slices.values()),
+                    "advanced": account.lent,
+                    "paused": account.paused,
+                }
+                for account in self.accounts.values()
+            },
+        }
--- a/limenotch/fleet/wallet/witness.py
+++ b/limenotch/fleet/wallet/witness.py
@@ -104,7 +104,9 @@
             told = [marks.get((tenant, serial), 0) for witness, marks in self._told.items() if witness in one.witnesses]
             if len(told) >= one.quorum:
                 ends.append(Expire(tenant, *self.owner, serial, max(0, min(one.top, max(told))), epoch))
-            elif len(told) + sum(1 for witness in one.witnesses if witness not in self._told and not lost(witness)) \
-                    < one.quorum:
+            elif (
+                len(told) + sum(1 for witness in one.witnesses if witness not in self._told and not lost(witness))
+                < one.quorum
+            ):
                 ends.append(Expire(tenant, *self.owner, serial, one.top, epoch, False))
         return ends
--- a/limenotch/lab/compare.py
+++ b/limenotch/lab/compare.py
@@ -24,13 +24,40 @@
 
 # Which way is better; those that only tell how something was had are left out of verdicts (0).
 METRICS = {
-    "score": 1, "in_time": 1, "goodput": 1, "worst_10s": 1, "worst_class": 1, "worst_account": 1, "rejected": -1,
-    "failed": -1, "retries": -1, "again": 0, "crossings": 0, "wasted_work": -1, "p50_ms": -1, "p95_ms": -1,
-    "p99_ms": -1, "cold_push": 0, "rules_broken": -1,
+    "score": 1,
+    "in_time": 1,
+    "goodput": 1,
+    "worst_10s": 1,
+    "worst_class": 1,
+    "worst_account": 1,
+    "rejected": -1,
+    "failed": -1,
+    "retries": -1,
+    "again": 0,
+    "crossings": 0,
+    "wasted_work": -1,
+    "p50_ms": -1,
+    "p95_ms": -1,
+    "p99_ms": -1,
+    "cold_push": 0,
+    "rules_broken": -1,
 }
 # Those that tables and pages show.
-SHOWN = ("score", "in_time", "worst_10s", "worst_class", "worst_account", "rejected", "failed", "wasted_work", "p50_ms",
-         "p95_ms", "p99_ms", "cold_push", "rules_broken")
+SHOWN = (
+    "score",
+    "in_time",
+    "worst_10s",
+    "worst_class",
+    "worst_account",
+    "rejected",
+    "failed",
+    "wasted_work",
+    "p50_ms",
+    "p95_ms",
+    "p99_ms",
+    "cold_push",
+    "rules_broken",
+)
 CONFIDENCE = 0.95
 RESAMPLES = 4000
 FEWEST = 4  # pairs below which no verdict is given: the bootstrap of three values knows nothing of their spread
@@ -72,8 +99,14 @@
     mean = float(apart.mean())
     low = high = mean
     if len(pairs) >= 2 and float(np.ptp(apart)) > 0:
-        found = bootstrap((apart,), np.mean, confidence_level=CONFIDENCE, n_resamples=RESAMPLES, method="percentile",
-                          rng=np.random.default_rng(1))
+        found = bootstrap(
+            (apart,),
+            np.mean,
+            confidence_level=CONFIDENCE,
+            n_resamples=RESAMPLES,
+            method="percentile",
+            rng=np.random.default_rng(1),
+        )
         low, high = float(found.confidence_interval.low), float(found.confidence_interval.high)
     direction = METRICS[metric]
     if not apart.any():
@@ -109,13 +142,21 @@
     comparisons = []
     for name in dict.fromkeys(key[1] for key in runs):
         for other in variants[1:]:
-            seeds = [seed for variant, scenario, seed in runs
-                     if variant == first and scenario == name and (other.name, name, seed) in runs]
+            seeds = [
+                seed
+                for variant, scenario, seed in runs
+                if variant == first and scenario == name and (other.name, name, seed) in runs
+            ]
             if not seeds:
                 continue
             differences = tuple(
-                difference(metric, [(runs[first, name, seed]["metrics"][metric],
-                                     runs[other.name, name, seed]["metrics"][metric]) for seed in seeds])
+                difference(
+                    metric,
+                    [
+                        (runs[first, name, seed]["metrics"][metric], runs[other.name, name, seed]["metrics"][metric])
+                        for seed in seeds
+                    ],
+                )
                 for metric in METRICS
             )
             comparisons.append(Comparison(name, first, other.name, differences, tuple(seeds)))
@@ -180,8 +221,12 @@
 ) -> tuple[dict[tuple[str, str, int], dict[str, Any]], bool]:
     """The figures by variant, scenario and seed; and whether all are there (not after Ctrl-C)."""
     # By seed first: what an interruption leaves is whole pairs.
-    jobs = {(variant.name, name, seed): Job(name, seed, variant.policy, over=variant.over)
-            for seed in seeds for name in scenarios for variant in variants}
+    jobs = {
+        (variant.name, name, seed): Job(name, seed, variant.policy, over=variant.over)
+        for seed in seeds
+        for name in scenarios
+        for variant in variants
+    }
     runs: dict[tuple[str, str, int], dict[str, Any]] = {}
     if resume:
         for key, job in jobs.items():
--- a/limenotch/lab/emulate/directory.py
+++ b/limenotch/lab/emulate/directory.py
@@ -24,8 +24,13 @@
 def line_of(entry: Entry, address: str, zones: tuple[str, ...], kinds: list[str], unix_ms: float) -> dict[str, Any]:
     """One line of the list, in the platform's form. Times of starts are Unix ms, 0 for long ago."""
     return {
-        "name": entry.name, "address": address, "zone": zones[entry.zone], "type": kinds[entry.kind],
-        "group": entry.group, "status": STATUS[entry.stage], "weight": entry.weight,
+        "name": entry.name,
+        "address": address,
+        "zone": zones[entry.zone],
+        "type": kinds[entry.kind],
+        "group": entry.group,
+        "status": STATUS[entry.stage],
+        "weight": entry.weight,
         "since_ms": round(unix_ms + entry.started_ms) if entry.started_ms > 0 else 0,
     }
 
@@ -46,8 +51,7 @@
         sock = listener()
         self.port = sock.getsockname()[1]
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(
-            lambda: Served(self._request, self._gone, lambda _: True), sock=sock)
+        self._server = await loop.create_server(lambda: Served(self._request, self._gone, lambda _: True), sock=sock)
 
     def _request(self, connection: Served, message: http1.Message) -> None:
         path, _, query = message.target.partition(b"?")
@@ -112,9 +116,13 @@
 class DirectoryHost:
     """The directories of all tiers, woken when they are due."""
 
-    def __init__(self, directories: list[Directory], clock: Callable[[], float],
-                 lines: Callable[[tuple[int, int], tuple[Entry, ...]], list[dict[str, Any]]],
-                 told: Callable[[tuple[int, int], Tell], None]) -> None:
+    def __init__(
+        self,
+        directories: list[Directory],
+        clock: Callable[[], float],
+        lines: Callable[[tuple[int, int], tuple[Entry, ...]], list[dict[str, Any]]],
+        told: Callable[[tuple[int, int], Tell], None],
+    ) -> None:
         self._directories, self._clock, self._lines, self._told = directories, clock, lines, told
         self._watchers: dict[tuple[int, int], Watcher] = {}
         self._timers: list[asyncio.TimerHandle | None] = [None] * len(directories)
--- a/limenotch/lab/emulate/host.py
+++ b/limenotch/lab/emulate/host.py
@@ -75,7 +75,8 @@
         seeds = Seeds(plan.seed)
         network = Network(plan.network, seeds)
         self.clients = Clients(
-            plan.clients, plan.classes, plan.accounts, len(plan.network.zones), plan.quota_per_s, seeds, plan.trace)
+            plan.clients, plan.classes, plan.accounts, len(plan.network.zones), plan.quota_per_s, seeds, plan.trace
+        )
         self.fleet = Fleet(plan, seeds, network, self.clients)
         self.script = Script(plan, seeds)
         self.rules = Rules(Limits(plan.scenario.rules.drain_grace_ms, SLACK_MS))
@@ -117,7 +118,8 @@
         if len(keys) > MOST_SIDECARS or doors > MOST_LISTENERS:
             raise TooLargeError(
                 f"{len(keys)} sidecars and {doors} listeners; at most {MOST_SIDECARS} and {MOST_LISTENERS} on sockets: "
-                "play it in simulated time, or make it smaller")
+                "play it in simulated time, or make it smaller"
+            )
         said(f"{doors} listeners for {sum(len(sites) for sites in self.fleet.sites)} providers")
         for key, zone, _, _ in keys:
             for site in self.fleet.sites[key[0]]:
@@ -202,9 +204,13 @@
             late.record_value(max(value, 1))
         memory = sorted(s.memory_kb() for s in self.sidecars.values())
         return {
-            "loop_late_ms": quantiles(lags), "sent_late_ms": quantiles(late), "cpu_s": round(cpu_s, 2),
-            "sidecar_memory_mb": round(memory[-1] / 1024, 1) if memory else 0.0, "sidecars": len(self.sidecars),
-            "crashed": self.crashed, "foreign_answers": self.load.foreign if self.load is not None else 0,
+            "loop_late_ms": quantiles(lags),
+            "sent_late_ms": quantiles(late),
+            "cpu_s": round(cpu_s, 2),
+            "sidecar_memory_mb": round(memory[-1] / 1024, 1) if memory else 0.0,
+            "sidecars": len(self.sidecars),
+            "crashed": self.crashed,
+            "foreign_answers": self.load.foreign if self.load is not None else 0,
             "requests_not_understood": self.providers.unknown,
         }
 
@@ -313,8 +319,9 @@
         """A new process on the machine: its own sidecar first, then its listeners."""
         machine = site.machine
         if machine.tier + 1 < len(self.plan.tiers):
-            await self._start_sidecar((machine.tier + 1, machine.index), machine.zone, machine.index,
-                                      len(self.fleet.sites[machine.tier]))
+            await self._start_sidecar(
+                (machine.tier + 1, machine.index), machine.zone, machine.index, len(self.fleet.sites[machine.tier])
+            )
         for door in self.providers.of_site(site):
             await door.open()
 
@@ -346,8 +353,9 @@
         await asyncio.sleep(0)
 
 
-async def rehearse(plan: Plan, said: Callable[[str], None], watch: Callable[[Rehearsal], Any] | None = None) \
-        -> dict[str, Any]:
+async def rehearse(
+    plan: Plan, said: Callable[[str], None], watch: Callable[[Rehearsal], Any] | None = None
+) -> dict[str, Any]:
     """Play a plan on sockets; the figures, as of simulated time, with what the machine added.
 
     Raises TooLargeError, SidecarError. `watch` gives a coroutine that runs beside it (a progress line).
@@ -360,8 +368,14 @@
             if watch is not None:
                 beside = asyncio.get_running_loop().create_task(watch(rehearsal))
             record = await rehearsal.run()
-            return {**record.result(), "policy": "installed", "policy_digest": "", "change": "", "host": "sockets",
-                    "machine": record.machine}
+            return {
+                **record.result(),
+                "policy": "installed",
+                "policy_digest": "",
+                "change": "",
+                "host": "sockets",
+                "machine": record.machine,
+            }
         finally:
             if beside is not None:
                 beside.cancel()
--- a/limenotch/lab/emulate/load.py
+++ b/limenotch/lab/emulate/load.py
@@ -32,14 +32,18 @@
     failed: int = 0
 
 
-def call_wire(plan: Plan, cls: int, account: int | None, name: str, key: str, budget_ms: float, size: float,
-              again: bool = False) -> bytes:
+def call_wire(
+    plan: Plan, cls: int, account: int | None, name: str, key: str, budget_ms: float, size: float, again: bool = False
+) -> bytes:
     """A call as consumers send it. The work's size is carried in a header of the laboratory's own."""
     spec = plan.classes[cls]
     keyed = spec.effect != "idempotent"
     headers = [
-        (b"Host", b"lab"), (b"X-Call-Id", name.encode()), (b"X-Call-Class", spec.name.encode()),
-        (b"X-Budget", b"%du" % max(int(budget_ms * 1000.0), 1)), (b"X-Lab-Size", b"%.6g" % size),
+        (b"Host", b"lab"),
+        (b"X-Call-Id", name.encode()),
+        (b"X-Call-Class", spec.name.encode()),
+        (b"X-Budget", b"%du" % max(int(budget_ms * 1000.0), 1)),
+        (b"X-Lab-Size", b"%.6g" % size),
     ]
     if plan.accounts:
         headers.append((b"X-Caller", plan.accounts[account or 0].name.encode()))
@@ -67,8 +71,16 @@
 class Load:
     """Owns its pools and every try under way; `run` ends when all have their end."""
 
-    def __init__(self, plan: Plan, clients: Clients, record: Record, rules: Rules, clock: Callable[[], float],
-                 choose: Callable[[Request], Pool | None], mark: str = "c") -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        clients: Clients,
+        record: Record,
+        rules: Rules,
+        clock: Callable[[], float],
+        choose: Callable[[Request], Pool | None],
+        mark: str = "c",
+    ) -> None:
         """`clock` in ms since the run's begin; `choose` gives the way to the sidecar that a try goes to."""
         self._plan, self._clients, self._record, self._rules = plan, clients, record, rules
         self._clock, self._choose, self._mark = clock, choose, mark
@@ -163,8 +175,9 @@
             asyncio.get_running_loop().call_soon(answered, None)
             return
         left = max(end - now, 1.0)
-        wire = call_wire(self._plan, request.cls, request.account, name, request.key, left, request.size,
-                         request.tries > 1)
+        wire = call_wire(
+            self._plan, request.cls, request.account, name, request.key, left, request.size, request.tries > 1
+        )
 
         def began(connection: Asking) -> None:
             held[:] = [connection]
--- a/limenotch/lab/emulate/providers.py
+++ b/limenotch/lab/emulate/providers.py
@@ -64,7 +64,8 @@
             sock = listener()
         self.port = sock.getsockname()[1]
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Served(self._request, self._gone, self._met), sock=sock)
+            lambda: Served(self._request, self._gone, self._met), sock=sock
+        )
 
     def shut(self) -> None:
         """The process is gone: its connections are reset, new ones refused."""
--- a/limenotch/lab/emulate/sidecars.py
+++ b/limenotch/lab/emulate/sidecars.py
@@ -46,12 +46,25 @@
 class SidecarProcess:
     """One process. Owned by the rehearsal; `end` is the one place where it is ended and waited for."""
 
-    def __init__(self, name: str, folder: Path, settings: dict[str, Any], directory_port: int, seed: int,
-                 known: dict[str, Any], log_form: str = "json") -> None:
+    def __init__(
+        self,
+        name: str,
+        folder: Path,
+        settings: dict[str, Any],
+        directory_port: int,
+        seed: int,
+        known: dict[str, Any],
+        log_form: str = "json",
+    ) -> None:
         self.name, self._folder, self._log_form = name, folder, log_form
         self._config = {
-            "name": name, "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{directory_port}", "seed": f"{seed:x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known, "settings": settings,
+            "name": name,
+            "listen": "127.0.0.1:0",
+            "discovery": f"127.0.0.1:{directory_port}",
+            "seed": f"{seed:x}",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": known,
+            "settings": settings,
         }
         self.port = 0
         self.process: subprocess.Popen[bytes] | None = None
@@ -86,7 +99,11 @@
         with self.log.open("ab") as log:
             # A group of its own: Ctrl-C at the terminal is for the rehearsal, which then ends its sidecars.
             self.process = subprocess.Popen(
-                [sys.executable, *self.command()], env=environ, stdout=log, stderr=log, stdin=subprocess.DEVNULL,
+                [sys.executable, *self.command()],
+                env=environ,
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
                 start_new_session=True,
             )
 
--- a/limenotch/lab/emulate/wire.py
+++ b/limenotch/lab/emulate/wire.py
@@ -32,8 +32,12 @@
 class Served(asyncio.Protocol):
     """One connection to a server of ours. One request at a time; `request` hears of each, `gone` of the end."""
 
-    def __init__(self, request: Callable[[Served, http1.Message], None], gone: Callable[[Served], None],
-                 met: Callable[[Served], bool]) -> None:
+    def __init__(
+        self,
+        request: Callable[[Served, http1.Message], None],
+        gone: Callable[[Served], None],
+        met: Callable[[Served], bool],
+    ) -> None:
         self._request, self._gone, self._met = request, gone, met
         self._parser = http1.RequestParser()
         self.transport: asyncio.Transport | None = None
@@ -164,8 +168,9 @@
     def count(self) -> int:
         return len(self._all)
 
-    def ask(self, wire: bytes, done: Callable[[http1.Message | None], None],
-            began: Callable[[Asking], None] | None = None) -> None:
+    def ask(
+        self, wire: bytes, done: Callable[[http1.Message | None], None], began: Callable[[Asking], None] | None = None
+    ) -> None:
         """`done` is called once, with None if no answer came; `began` gets the connection once the request is out."""
         while self._idle:
             connection = self._idle.pop()
@@ -182,8 +187,13 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _again(self, wire: bytes, done: Callable[[http1.Message | None], None],
-               began: Callable[[Asking], None] | None, used: int) -> Callable[[http1.Message | None], None]:
+    def _again(
+        self,
+        wire: bytes,
+        done: Callable[[http1.Message | None], None],
+        began: Callable[[Asking], None] | None,
+        used: int,
+    ) -> Callable[[http1.Message | None], None]:
         """A kept connection that ends without a byte may have crossed the request: once more on a new one."""
 
         def answered(message: http1.Message | None) -> None:
@@ -197,12 +207,14 @@
 
         return answered
 
-    async def _open(self, wire: bytes, done: Callable[[http1.Message | None], None],
-                    began: Callable[[Asking], None] | None) -> None:
+    async def _open(
+        self, wire: bytes, done: Callable[[http1.Message | None], None], began: Callable[[Asking], None] | None
+    ) -> None:
         loop = asyncio.get_running_loop()
         try:
             _, connection = await loop.create_connection(
-                lambda: Asking(self._idle.append, self._all.discard), self.host, self.port)
+                lambda: Asking(self._idle.append, self._all.discard), self.host, self.port
+            )
         except OSError:
             done(None)
             return
--- a/limenotch/lab/experiment.py
+++ b/limenotch/lab/experiment.py
@@ -46,12 +46,18 @@
     finally:
         gc.set_threshold(*threshold)
     spent = process_time() - began
-    figures = {**record.result(), "policy": job.policy, "policy_digest": policy.digest(job.policy),
-               "change": job.over}
+    figures = {**record.result(), "policy": job.policy, "policy_digest": policy.digest(job.policy), "change": job.over}
     calls = sum(tier["attempts"] - tier["again"] for tier in figures["tiers"])
-    return Result(job, figures, {
-        "cpu_s": spent, "events": world.kernel.events, "calls": calls, "deciding_s": world.deciding,
-    })
+    return Result(
+        job,
+        figures,
+        {
+            "cpu_s": spent,
+            "events": world.kernel.events,
+            "calls": calls,
+            "deciding_s": world.deciding,
+        },
+    )
 
 
 def play_all(
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -31,8 +31,19 @@
 from limenotch.store.records import Held
 
 AGES = Ages(opening=400, open=1000, closing=300, lingering=200, longest=20_000)
-TUNING = Tuning(key=AGES, sessions=AGES, conn=AGES, flow=AGES, batch_ms=20, cover_ms=50, grave_ms=4000, tick_ms=20,
-                digest_ms=200, session="s", connections=True)
+TUNING = Tuning(
+    key=AGES,
+    sessions=AGES,
+    conn=AGES,
+    flow=AGES,
+    batch_ms=20,
+    cover_ms=50,
+    grave_ms=4000,
+    tick_ms=20,
+    digest_ms=200,
+    session="s",
+    connections=True,
+)
 MEMBERS = membership.Tuning(period_ms=200, timeout_ms=40, gossip_ms=15, reconnect=2)
 WINDOW_MS = 1500.0
 THERE = {"p1": ("x", "z1"), "p2": ("x", "z1"), "p3": ("y", "z2")}
@@ -131,8 +142,10 @@
             table.undo(clock, kind_of(about[0]), about[0].encode())
         elif word in GROUPS:
             group, state = GROUPS[word]
-            refused = sum(not table.see(clock, kind_of(group), f"{group}{number}".encode(), about[1], state)
-                          for number in range(int(about[0])))
+            refused = sum(
+                not table.see(clock, kind_of(group), f"{group}{number}".encode(), about[1], state)
+                for number in range(int(about[0]))
+            )
             self.groups[group] = int(about[0])
             if refused:
                 world.seen.append(Seen(world.now, name, f"{refused} of {group} refused"))
@@ -143,8 +156,11 @@
 
 def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
     """AssertionError where it did not come out, if `exact`."""
-    tuning = replace(TUNING, most=int(scenario.figure("most", TUNING.most)),
-                     most_opening=scenario.figure("opening", TUNING.most_opening))
+    tuning = replace(
+        TUNING,
+        most=int(scenario.figure("most", TUNING.most)),
+        most_opening=scenario.figure("opening", TUNING.most_opening),
+    )
     prober = Prober(scenario)
     seeds = [address(name) for name in scenario.nodes[:2]]
 
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -27,8 +27,20 @@
 PREFIX = tag_of(say.Sights).partition(".")[0] + "."
 SECRET = b"of the laboratory"
 AGES = Ages(opening=400, open=1200, closing=500, lingering=300, longest=9000)
-QUICK = Tuning(key=AGES, sessions=AGES, conn=AGES, flow=AGES, batch_ms=20, cover_ms=60, grave_ms=4000, tick_ms=20,
-               digest_ms=200, session="s", connections=True, most=5000)
+QUICK = Tuning(
+    key=AGES,
+    sessions=AGES,
+    conn=AGES,
+    flow=AGES,
+    batch_ms=20,
+    cover_ms=60,
+    grave_ms=4000,
+    tick_ms=20,
+    digest_ms=200,
+    session="s",
+    connections=True,
+    most=5000,
+)
 MEMBERS = membership.Tuning(period_ms=200, timeout_ms=40, gossip_ms=15, reconnect=2)
 WINDOW_MS = 1500.0
 THERE = {f"p{number}": (f"cell{number % 4}", f"z{number % 2}") for number in range(6)}
@@ -40,9 +52,11 @@
     return 3 * members.period_ms + members.suspicion_longest * members.shortest_ms(count)
 
 
-def stated(tuning: Tuning, members: membership.Tuning, count: int, delay_ms: float = 1.0,
-           window_ms: float = WINDOW_MS) -> Stated:
+def stated(
+    tuning: Tuning, members: membership.Tuning, count: int, delay_ms: float = 1.0, window_ms: float = WINDOW_MS
+) -> Stated:
     """What docs/fleet/bindings.md promises of these settings where a message takes `delay_ms` at most."""
+
     def idle(kind: int, state: int) -> float:
         ages = (tuning.key, tuning.sessions, tuning.conn, tuning.flow)[kind]
         of_state = (ages.opening, ages.open, ages.closing, ages.lingering)[state]
@@ -56,11 +70,16 @@
     scale = max(1.0, count / 32)  # of batches and covers, which go to all
     batch, cover = tuning.batch_ms * scale, tuning.cover_ms * scale
     return Stated(
-        idle, longest, tuning.tell, tuning.drift, told_ms=batch + 2 * tuning.tick_ms + 3 * delay_ms + 10,
+        idle,
+        longest,
+        tuning.tell,
+        tuning.drift,
+        told_ms=batch + 2 * tuning.tick_ms + 3 * delay_ms + 10,
         spare_ms=4 * cover + 2 * batch + 2 * tuning.tick_ms + 4 * delay_ms,
         mend_ms=detect_ms(members, count) + 6 * tuning.digest_ms + 4 * delay_ms,
         agree_ms=batch + 4 * delay_ms + 3 * tuning.digest_ms,
-        young_ms=3 * delay_ms + 5)
+        young_ms=3 * delay_ms + 5,
+    )
 
 
 class Recorded:
@@ -90,9 +109,18 @@
 
 
 class Run:
-    def __init__(self, nodes: Iterable[str], seed: int = 0, *, tuning: Tuning = QUICK,
-                 members: membership.Tuning = MEMBERS, delay_ms: float = 1.0, window_ms: float = WINDOW_MS,
-                 there: Mapping[str, tuple[str, str]] = THERE, **weather: Any) -> None:
+    def __init__(
+        self,
+        nodes: Iterable[str],
+        seed: int = 0,
+        *,
+        tuning: Tuning = QUICK,
+        members: membership.Tuning = MEMBERS,
+        delay_ms: float = 1.0,
+        window_ms: float = WINDOW_MS,
+        there: Mapping[str, tuple[str, str]] = THERE,
+        **weather: Any,
+    ) -> None:
         self.names = list(nodes)
         self.tuning, self.members, self.there, self.window_ms = tuning, members, dict(there), window_ms
         self.checker = Checker(stated(tuning, members, len(self.names), delay_ms, window_ms), self.names)
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -53,8 +53,14 @@
     random = Random(f"{seed} bindings")
     names = list("abcdef"[: random.choice((3, 3, 4, 5))])
     delay = random.choice((1, 1, 5, 20))
-    run = Run(names, seed, tuning=tuning, delay_ms=max(1.0, delay), drift_ppm=tuning.drift * 0.49e6,
-              wake=random.choice(("timers", "heard")))
+    run = Run(
+        names,
+        seed,
+        tuning=tuning,
+        delay_ms=max(1.0, delay),
+        drift_ppm=tuning.drift * 0.49e6,
+        wake=random.choice(("timers", "heard")),
+    )
     run.joined()
     run.looked()
     run.fault(f"loss {random.choice((0, 0, 5, 20))}%")
@@ -105,8 +111,25 @@
 
 def _fault(run: Run, random: Random) -> None:
     world, name = run.world, random.choice(run.names)
-    kind = random.choice(("kill", "start", "start", "pause", "wake", "wake", "cut", "halves", "one way", "link", "mute",
-                          "slow", "heal", "heal", "heal"))
+    kind = random.choice(
+        (
+            "kill",
+            "start",
+            "start",
+            "pause",
+            "wake",
+            "wake",
+            "cut",
+            "halves",
+            "one way",
+            "link",
+            "mute",
+            "slow",
+            "heal",
+            "heal",
+            "heal",
+        )
+    )
     rest = [other for other in run.names if other != name]
     others = " ".join(rest)
     if kind == "kill" and world.alive(name):
@@ -142,8 +165,7 @@
 def crowd(seed: int, most: int = 24, rounds: int = 120) -> Run:
     """Tables of `most` rows, and more seen; between two sights all hear of all, nothing gets old: equal replicas."""
     random = Random(f"{seed} crowd")
-    run = Run("abc", seed, tuning=replace(QUICK, flow=LONG, sessions=LONG, conn=LONG, most=most),
-              window_ms=60_000.0)
+    run = Run("abc", seed, tuning=replace(QUICK, flow=LONG, sessions=LONG, conn=LONG, most=most), window_ms=60_000.0)
     run.joined()
     kinds = (Kind.KEY, Kind.SESSION, Kind.CONN, Kind.FLOW, Kind.FLOW, Kind.FLOW)
     for number in range(rounds):
--- a/limenotch/lab/fleet/checks_bindings.py
+++ b/limenotch/lab/fleet/checks_bindings.py
@@ -61,8 +61,10 @@
 
     def check(self) -> None:
         if self.broken:
-            raise AssertionError("; ".join(list(self.broken)[:3]) + (f" (and {len(self.broken) - 3} more)"
-                                                                     if len(self.broken) > 3 else ""))
+            raise AssertionError(
+                "; ".join(list(self.broken)[:3])
+                + (f" (and {len(self.broken) - 3} more)" if len(self.broken) > 3 else "")
+            )
 
     def _wrong(self, at: float, rule: str, node: str, key: Key, text: str) -> None:
         if len(self.broken) < 50:
@@ -138,8 +140,9 @@
         sight = Sight(at, node, process.number, process.life, provider, state)
         truth = self.truths.get(key)
         if truth is None or at >= self._over(key, truth):
-            sure = not any(other is not None and (key in other.found or key in other.before)
-                           for other in self.processes.values())
+            sure = not any(
+                other is not None and (key in other.found or key in other.before) for other in self.processes.values()
+            )
             self.truths[key] = Truth(at, at, at, state, at, {state}, {provider}, {(node, process.number): sight}, sure)
         else:
             idle = min(stated.idle(key[0], each) for each in truth.states)
@@ -196,8 +199,13 @@
             self._honest(at, node, key, truth, bound)
             before = process.over.pop(key, None)
             if before is not None and truth.last < before:
-                self._wrong(at, "no revival", node, key,
-                            f"last seen at {truth.last:.1f}, over and not found at {before:.1f}, found again")
+                self._wrong(
+                    at,
+                    "no revival",
+                    node,
+                    key,
+                    f"last seen at {truth.last:.1f}, over and not found at {before:.1f}, found again",
+                )
             since = process.gone.get(bound.provider)
             if since is not None and at - since > self.stated.gone_ms + EDGE_MS and key[0] != KEY:
                 self._wrong(at, "gone", node, key, f"{bound.provider} left the list at {since:.1f}")
@@ -229,8 +237,9 @@
     def _surely_over(self, key: Key, truth: Truth) -> float:
         """When it is over whichever of its states is known."""
         stated = self.stated
-        return min(truth.last + max(stated.idle(key[0], state) for state in truth.states),
-                   truth.anew + stated.longest(key[0]))
+        return min(
+            truth.last + max(stated.idle(key[0], state) for state in truth.states), truth.anew + stated.longest(key[0])
+        )
 
     def _idle_after(self, key: Key, truth: Truth, sight: Sight) -> float:
         """Its seer holds it in the state it saw, or in a later one that it heard of."""
@@ -265,8 +274,13 @@
                 # One that fell is waited for too, until it is held dead. One that was fenced is somebody else now.
                 state, life = process.holds.get(sight.node, ("dead", 0))
                 if state not in DEAD and life == sight.life:
-                    self._wrong(at, "none early", node, key,
-                                f"{what}, {sight.node} (held {state}) saw it at {sight.at:.1f}, idle time {idle:g}")
+                    self._wrong(
+                        at,
+                        "none early",
+                        node,
+                        key,
+                        f"{what}, {sight.node} (held {state}) saw it at {sight.at:.1f}, idle time {idle:g}",
+                    )
 
     def _not_late(self, at: float, node: str, process: Process, key: Key, truth: Truth) -> None:
         stated = self.stated
@@ -284,8 +298,11 @@
         if excused > truth.state_at or (self._rough_until or at) > truth.state_at:
             idle = max(stated.idle(key[0], state) for state in truth.states)  # its state may not have come through
         longest = stated.longest(key[0])
-        due = (min(truth.last + idle, truth.anew + longest) + stated.spare_ms
-               + 2 * stated.drift * (idle if truth.last + idle < truth.anew + longest else longest))
+        due = (
+            min(truth.last + idle, truth.anew + longest)
+            + stated.spare_ms
+            + 2 * stated.drift * (idle if truth.last + idle < truth.anew + longest else longest)
+        )
         allowed = max(due, excused + stated.mend_ms + stated.spare_ms if excused else 0.0)
         if at < self.lossy_until:
             allowed += LOSSY_MS
@@ -349,7 +366,8 @@
             if before is not None and before != now:
                 self.counts["moved"] += 1
                 if all(process is None or before in process.there for process in self.processes.values()) and (
-                        self.calm(at)):
+                    self.calm(at)
+                ):
                     self._wrong(at, "one provider", min(bound), key, f"all found {before}, which stayed; now {now}")
             self._agreed[key] = now
 
@@ -358,8 +376,11 @@
         if truth is None or not truth.sure or len(bound) == len(by):
             return
         told = stated.told_ms + stated.agree_ms
-        seen = [sight.at for sight in truth.sights.values() if self._word(sight)
-                and at - sight.at < self._idle_after(key, truth, sight) * (1 - stated.drift) - EDGE_MS]
+        seen = [
+            sight.at
+            for sight in truth.sights.values()
+            if self._word(sight) and at - sight.at < self._idle_after(key, truth, sight) * (1 - stated.drift) - EDGE_MS
+        ]
         if not seen or at - truth.made < told or at > truth.made + stated.longest(key[0]) * (1 - stated.drift):
             return
         for node in by.keys() - bound.keys():
@@ -372,7 +393,7 @@
         """Where two replicas let the same keys go for others, they did so in one order."""
         lists = [(node, process.given) for node, process in self.processes.items() if process is not None]
         for number, (node, given) in enumerate(lists):
-            for other, theirs in lists[number + 1:]:
+            for other, theirs in lists[number + 1 :]:
                 both = set(given) & set(theirs)
                 one, two = ([key for key in keys if key in both] for keys in (given, theirs))
                 for mine, their in zip(one, two, strict=False):
--- a/limenotch/lab/fleet/checks_rules.py
+++ b/limenotch/lab/fleet/checks_rules.py
@@ -96,18 +96,33 @@
     def acted(self, at_ms: float, node: str, action: Any, ahead: float, rate: float) -> None:
         """An InForce or a Narrow. The node's clock shows `ahead` + the world's time x `rate`."""
         leased = hasattr(action, "lease_until_ms")
-        self.acts.setdefault(node, []).append(Act(
-            at_ms, (action.lease_until_ms - ahead) / rate if leased else -math.inf, action.document,
-            action.narrow if leased else action.document, action.version, action.active if leased else 0,
-            action.parts if leased else 0))
+        self.acts.setdefault(node, []).append(
+            Act(
+                at_ms,
+                (action.lease_until_ms - ahead) / rate if leased else -math.inf,
+                action.document,
+                action.narrow if leased else action.document,
+                action.version,
+                action.active if leased else 0,
+                action.parts if leased else 0,
+            )
+        )
 
     def ended(self, at_ms: float, node: str) -> None:
         self.acts.setdefault(node, []).append(Act(at_ms, -math.inf, None, None, 0, 0, 0))
 
     def check(self, end_ms: float, bound_ms: float) -> float:
         """The longest contradiction seen, ms. AssertionError where a rule does not hold."""
-        edges = sorted({0.0, end_ms} | {edge for acts in self.acts.values() for act in acts
-                                        for edge in (act.at_ms, act.until_ms) if 0 <= edge <= end_ms})
+        edges = sorted(
+            {0.0, end_ms}
+            | {
+                edge
+                for acts in self.acts.values()
+                for act in acts
+                for edge in (act.at_ms, act.until_ms)
+                if 0 <= edge <= end_ms
+            }
+        )
         since: dict[str, float] = {}
         heads = dict.fromkeys(self.acts, 0)
         for begin, end in zip(edges, edges[1:], strict=False):
@@ -155,8 +170,10 @@
                     continue
                 key = wider(moment.document, self.versions[held.version])
                 if key is not None:
-                    raise AssertionError(f"{begin:.1f}: {node} acts on {key} of version {moment.version} while {other} "
-                                         f"holds a lease on version {held.version}")
+                    raise AssertionError(
+                        f"{begin:.1f}: {node} acts on {key} of version {moment.version} while {other} "
+                        f"holds a lease on version {held.version}"
+                    )
         parts = sum(1 / moment.parts for moment in leased.values() if moment.parts)
         if parts > 1 + 1e-9:
             shares = {node: moment.parts for node, moment in leased.items()}
--- a/limenotch/lab/fleet/checks_wallet.py
+++ b/limenotch/lab/fleet/checks_wallet.py
@@ -121,8 +121,9 @@
 
     # Calls
 
-    def reserved(self, at: float, name: str, life: int, number: int, tenant: str,
-                 slices: Iterable[tuple[int, int]]) -> None:
+    def reserved(
+        self, at: float, name: str, life: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]
+    ) -> None:
         """`slices`: serial and units; serial 0 is the advance."""
         sums, who = self.sums[tenant], f"{at:.1f}: {name}.{life} {tenant}"
         self._is((name, life) not in self.ended, f"{who}: reserves after its end")
@@ -138,12 +139,16 @@
             assert part is not None
             part.taken += units
             part.peak = max(part.peak, part.taken)
-            self._is(part.taken <= part.top, f"{who}: slice {serial} has {part.top}{' and is closed' * part.closed}, "
-                                             f"{part.taken} are taken")
+            self._is(
+                part.taken <= part.top,
+                f"{who}: slice {serial} has {part.top}{' and is closed' * part.closed}, {part.taken} are taken",
+            )
         whole = sums.charged + sums.reserved
         bound = sums.credit + self.advance * max(1, len(self.ended) + len(self.lives))
-        self._is(whole <= bound, f"{who}: overspent: {whole} charged and reserved, {sums.credit} credited, "
-                                 f"{sums.ahead} of them ahead of it")
+        self._is(
+            whole <= bound,
+            f"{who}: overspent: {whole} charged and reserved, {sums.credit} credited, {sums.ahead} of them ahead of it",
+        )
         if sum(units for _, units in slices):
             sums.served.append((at, name))
 
@@ -176,15 +181,20 @@
 
     # Agreed states
 
-    def agreed(self, at: float, name: str, index: int, state: Mapping[str, Kept],
-               claims: Mapping[Key, Claim] | None = None) -> None:
+    def agreed(
+        self, at: float, name: str, index: int, state: Mapping[str, Kept], claims: Mapping[Key, Claim] | None = None
+    ) -> None:
         """The whole state of `name` right after entry `index`.
 
         `claims`: what the entry says of slices, as the states don't tell what of a sum is whose when several end with
         it; the sum is held against the states. Without a claim a slice counts as settled by its holder.
         """
-        digest = hash(tuple((tenant, kept.credit, kept.spent, kept.left, frozenset(kept.slices.items()))
-                            for tenant, kept in sorted(state.items())))
+        digest = hash(
+            tuple(
+                (tenant, kept.credit, kept.spent, kept.left, frozenset(kept.slices.items()))
+                for tenant, kept in sorted(state.items())
+            )
+        )
         if index <= self.index:
             known = self.states.get(index)
             self._is(known is None or known == digest, f"{at:.1f}: {name} differs from others after entry {index}")
@@ -198,15 +208,19 @@
         self._is(not lost, f"{at:.1f}: {name}, entry {index}: wallets gone: {sorted(lost)}")
         self.latest = dict(state)
 
-    def _step(self, where: str, at: float, tenant: str, before: Kept | None, kept: Kept,
-              claims: Mapping[Key, Claim]) -> None:
+    def _step(
+        self, where: str, at: float, tenant: str, before: Kept | None, kept: Kept, claims: Mapping[Key, Claim]
+    ) -> None:
         before = before or Kept(0, 0, 0, {})
         sums = self.sums[tenant]
-        self._is(kept.credit == kept.spent + kept.left + kept.held,
-                 f"{where}: credit {kept.credit} is not spent {kept.spent} + left {kept.left} + held {kept.held}")
+        self._is(
+            kept.credit == kept.spent + kept.left + kept.held,
+            f"{where}: credit {kept.credit} is not spent {kept.spent} + left {kept.left} + held {kept.held}",
+        )
         below = [key for key, part in kept.slices.items() if not 0 <= part.spent <= part.top]
-        self._is(not below and (kept.left >= 0 or self.advance > 0),
-                 f"{where}: below 0: left {kept.left}, slices {below}")
+        self._is(
+            not below and (kept.left >= 0 or self.advance > 0), f"{where}: below 0: left {kept.left}, slices {below}"
+        )
         self._is(kept.credit >= before.credit, f"{where}: credit fell from {before.credit} to {kept.credit}")
         self._is(kept.spent >= before.spent, f"{where}: spent fell from {before.spent} to {kept.spent}")
         asked = sum(sums.ids.values())
@@ -224,8 +238,10 @@
                 self._is(key not in self.slices, f"{where}: slice {owner} is granted again")
                 self.slices[key] = Slice(part.top, part.top, witnesses=part.witnesses)
             one = self.slices[key]
-            self._is(part.top <= one.top and part.spent >= one.spent,
-                     f"{where}: slice {owner} grew from {one.spent} of {one.top} to {part.spent} of {part.top}")
+            self._is(
+                part.top <= one.top and part.spent >= one.spent,
+                f"{where}: slice {owner} grew from {one.spent} of {one.top} to {part.spent} of {part.top}",
+            )
             rest -= part.spent - one.spent
             one.top, one.spent = part.top, part.spent
             self._is(one.taken <= one.top, f"{where}: slice {owner} has {one.top} now, {one.taken} are taken")
@@ -263,8 +279,10 @@
             self._is(kept.spent + untold >= taken, f"{tenant}: {taken} were taken, {kept.spent} count as spent")
             self._is(not kept.slices, f"{tenant}: slices are held yet: {dict(kept.slices)}")
         for key, part in self.slices.items():
-            self._is(part.over <= part.bound, f"{key}: {part.over} of {part.amount} count as spent for nothing, at the "
-                                              f"most {part.bound} may")
+            self._is(
+                part.over <= part.bound,
+                f"{key}: {part.over} of {part.amount} count as spent for nothing, at the most {part.bound} may",
+            )
 
     def paused_ms(self, tenant: str, since: float) -> float:
         """From when first nothing was left and somebody was turned away, till the last reservation anywhere."""
--- a/limenotch/lab/fleet/comparing.py
+++ b/limenotch/lab/fleet/comparing.py
@@ -26,8 +26,11 @@
 
 
 def within(
-    scenario: Scenario, seen: Iterable[tuple[float, str, str]], happened: Sequence[float] = (),
-    window: float | None = None, grace: float | None = None,
+    scenario: Scenario,
+    seen: Iterable[tuple[float, str, str]],
+    happened: Sequence[float] = (),
+    window: float | None = None,
+    grace: float | None = None,
 ) -> str | None:
     """As `exact`, with a window. `happened`: the times of the drawing's faults, in its order, as they really were.
 
@@ -55,12 +58,17 @@
                 wrong.append((note.at_ms, f"{node}: {text!r} at {at:.0f} where {note.text!r} is drawn"))
                 break
             if abs(at - due) > span:
-                wrong.append((note.at_ms, f"{node}: {text!r} at {at:.0f}, {abs(at - due):.0f} ms from {due:.0f}; "
-                                          f"the window is {span:.0f}"))
+                wrong.append(
+                    (
+                        note.at_ms,
+                        f"{node}: {text!r} at {at:.0f}, {abs(at - due):.0f} ms from {due:.0f}; "
+                        f"the window is {span:.0f}",
+                    )
+                )
                 break
         else:
             last = scenario.ends + _shift(shifts, scenario.ends)
-            more = [(at, text) for at, text in own[len(drawn):] if at <= last - grace]
+            more = [(at, text) for at, text in own[len(drawn) :] if at <= last - grace]
             if more:
                 wrong.append((int(more[0][0]), f"{node}: {more[0][1]!r} at {more[0][0]:.0f} is not drawn"))
     if not wrong:
@@ -93,8 +101,10 @@
         cells.setdefault((note.at_ms, note.node), []).append(note)
     found: list[Drawn] = []
     for (at, node), notes in itertools.groupby(seen, lambda note: (note.at_ms, note.node)):
-        found += [Drawn(at, node, text) for _, text in
-                  _in_order(cells.get((at, node), []), [(at, note.text) for note in notes])]
+        found += [
+            Drawn(at, node, text)
+            for _, text in _in_order(cells.get((at, node), []), [(at, note.text) for note in notes])
+        ]
     return found
 
 
@@ -129,6 +139,7 @@
         out.append(why)
     out.append(both("  ms", titles, "faults", titles))
     for at in sorted({*expected, *found, *faults, first}):
-        out.append(both(f"{'>' if at == first else ' '} {at}", expected.get(at, none), faults.get(at, ""),
-                        found.get(at, none)))
+        out.append(
+            both(f"{'>' if at == first else ' '} {at}", expected.get(at, none), faults.get(at, ""), found.get(at, none))
+        )
     return "\n".join(out)
--- a/limenotch/lab/fleet/disk.py
+++ b/limenotch/lab/fleet/disk.py
@@ -83,5 +83,5 @@
     def _some(self, batches: list[tuple[int, tuple[Any, ...]]], *, all_too: bool = False) -> None:
         """Up to some record; all of them only after a fall, where just the answer is missing."""
         records = [record for _, batch in batches for record in batch]
-        for record in records[:self._random.randrange(len(records) + all_too) if records else 0]:
+        for record in records[: self._random.randrange(len(records) + all_too) if records else 0]:
             self.held.apply(record)
--- a/limenotch/lab/fleet/drawing.py
+++ b/limenotch/lab/fleet/drawing.py
@@ -74,8 +74,11 @@
     def looked_at(self, seen: Iterable[tuple[float, str, str]]) -> list[Drawn]:
         """Of the notes seen (ms, node, text), in the drawing's terms and order, those that it is about."""
         place = {name: number for number, name in enumerate(self.columns)}
-        found = [Drawn(int(at + 0.5), node, plain(text)) for at, node, text in seen
-                 if node in place and self.shows(text) and int(at + 0.5) <= self.ends]
+        found = [
+            Drawn(int(at + 0.5), node, plain(text))
+            for at, node, text in seen
+            if node in place and self.shows(text) and int(at + 0.5) <= self.ends
+        ]
         return sorted(found, key=lambda one: (one.at_ms, place[one.node]))
 
     def quicker(self, share: float, lead_ms: float) -> Scenario:
@@ -89,8 +92,11 @@
             return int((ms - first) * share + lead_ms + 0.5)
 
         return replace(
-            self, ends=at(self.ends), faults=tuple((at(when), fault) for when, fault in self.faults),
-            notes=tuple(replace(note, at_ms=at(note.at_ms)) for note in self.notes if note.at_ms >= first))
+            self,
+            ends=at(self.ends),
+            faults=tuple((at(when), fault) for when, fault in self.faults),
+            notes=tuple(replace(note, at_ms=at(note.at_ms)) for note in self.notes if note.at_ms >= first),
+        )
 
     @property
     def before(self) -> tuple[Drawn, ...]:
@@ -192,8 +198,9 @@
             if title != FAULTS:
                 rows += _notes(where, at, title, cell, any(row.node == title for row in rows))
     ends = int(float(head["until"])) if "until" in head else at
-    scenario = Scenario(head, nodes, tuple(title for title in titles if title != FAULTS), (), tuple(faults), ends, name,
-                        tuple(remarks))
+    scenario = Scenario(
+        head, nodes, tuple(title for title in titles if title != FAULTS), (), tuple(faults), ends, name, tuple(remarks)
+    )
     for row in rows:
         if not scenario.shows(row.text):
             raise ValueError(f"{name}: {row.text!r} is drawn at {row.at_ms} for {row.node}, but has no word of `show`")
@@ -252,7 +259,7 @@
 def line(first: str, cells: list[str], wide: list[int]) -> str:
     """A row; what has no width is the last and is not filled up."""
     filled = [cell.ljust(width) for cell, width in zip(cells, wide, strict=False)]
-    return (first.ljust(8) + "".join(filled) + "".join(cells[len(wide):])).rstrip()
+    return (first.ljust(8) + "".join(filled) + "".join(cells[len(wide) :])).rstrip()
 
 
 def draw(scenario: Scenario, notes: Iterable[Drawn]) -> str:
--- a/limenotch/lab/fleet/drills.py
+++ b/limenotch/lab/fleet/drills.py
@@ -83,11 +83,17 @@
     names = [chr(ord("a") + number) for number in range(members)]
     last, others = names[-1], names[:-1]
     wide = 18
-    rows = [("ms", [*names, "faults"]), ("3000", ["" for _ in names] + [f"kill {last}"]),
-            ("5450", [f"{last} dead"] * len(others)), ("8000", ["" for _ in names] + [f"start {last}"]),
-            ("8003", [f"{last} alive"] * len(others))]
-    rows += [("8003", [""] * len(others) + [f"{'& ' if number else ''}{name} alive"])  # in whatever order it hears them
-             for number, name in enumerate(others)]
+    rows = [
+        ("ms", [*names, "faults"]),
+        ("3000", ["" for _ in names] + [f"kill {last}"]),
+        ("5450", [f"{last} dead"] * len(others)),
+        ("8000", ["" for _ in names] + [f"start {last}"]),
+        ("8003", [f"{last} alive"] * len(others)),
+    ]
+    rows += [
+        ("8003", [""] * len(others) + [f"{'& ' if number else ''}{name} alive"])  # in whatever order it hears them
+        for number, name in enumerate(others)
+    ]
     rows.append(("10000", []))
     drawn = "\n".join(at.ljust(8) + "".join(cell.ljust(wide) for cell in cells).rstrip() for at, cells in rows)
     return f"window: 2000\nseed: {seed}\nshow: dead alive\n\n{drawn}\n"
@@ -120,13 +126,13 @@
     gone: list[Seen] = []
     place = want = 0
     while place < len(told):
-        text, after = plain(told[place][2]), [plain(one[2]) for one in told[place + 1:place + 2]]
+        text, after = plain(told[place][2]), [plain(one[2]) for one in told[place + 1 : place + 2]]
         due = wanted[want] if want < len(wanted) else ""
         open_still = not after and told[place][0] > drawn.ends - drawn.window
         if text == doubt != due and (after == [ended] or open_still):
             # Where its end is drawn for itself, as of a new life, only the doubt goes.
             count = 1 if due == ended else 2
-            gone += told[place:place + count]
+            gone += told[place : place + count]
             place += count
         else:
             want += drawn.shows(text)
@@ -140,6 +146,7 @@
 
 def compared(drawn: Scenario, played: Scenario) -> Callable[[list[Seen], list[float]], str | None]:
     """`drawn`: the file; `played`: as it is played. Both sides, where they differ."""
+
     def compare(seen: list[Seen], happened: list[float]) -> str | None:
         after = [one for one in firm(played, [one for one in seen if one[0] >= 0.0])]
         return _missing(drawn, seen) or within(played, after, happened, grace=0.0)
@@ -162,9 +169,15 @@
     return lambda name, state: count == sum(member["state"] == "alive" for member in state["members"])
 
 
-async def play(drawn: Scenario, folder: Path, *, rate: float = 60.0, seed: int = 3,
-               watch: Callable[[Stage], Coroutine[Any, Any, None]] | None = None,
-               after: Callable[[Stage], Coroutine[Any, Any, None]] | None = None) -> Outcome:
+async def play(
+    drawn: Scenario,
+    folder: Path,
+    *,
+    rate: float = 60.0,
+    seed: int = 3,
+    watch: Callable[[Stage], Coroutine[Any, Any, None]] | None = None,
+    after: Callable[[Stage], Coroutine[Any, Any, None]] | None = None,
+) -> Outcome:
     """One run on processes, all of them ended whatever happens: before it returns, raises or is cancelled.
 
     `watch` runs beside it, from its first process on; `after` at its end, while its processes are there.
@@ -182,9 +195,17 @@
         there = [name for name in drawn.nodes if name not in drawn.later]
         await processes.until_all(_alive(len(there)), SETTLED_S, "all are alive to all", there)
 
-    stage = Stage(planning.plan(scenario.parse(text, "drill"), seed), folder, played, Weather(drawn.seed),
-                  fleet=fleet_of(drawn, key_file, pace), compare=compared(drawn, played), spoils=same or _spoils(drawn),
-                  names=twins_of(drawn), clock_back_s=3600.0 if same else 0.0)
+    stage = Stage(
+        planning.plan(scenario.parse(text, "drill"), seed),
+        folder,
+        played,
+        Weather(drawn.seed),
+        fleet=fleet_of(drawn, key_file, pace),
+        compare=compared(drawn, played),
+        spoils=same or _spoils(drawn),
+        names=twins_of(drawn),
+        clock_back_s=3600.0 if same else 0.0,
+    )
     beside = asyncio.get_running_loop().create_task(watch(stage)) if watch is not None else None
     try:
         outcome = await stage.perform(settled)
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -104,8 +104,16 @@
     """
 
     def __init__(
-        self, nodes: Sequence[str], make: Make, digest: Callable[[Any], Hashable], check: Callable[[View], str | None],
-        bounds: Bounds = USUAL, *, seed: int = 0, asks: Sequence[tuple[str, Any]] = (), clocks: str = "free",
+        self,
+        nodes: Sequence[str],
+        make: Make,
+        digest: Callable[[Any], Hashable],
+        check: Callable[[View], str | None],
+        bounds: Bounds = USUAL,
+        *,
+        seed: int = 0,
+        asks: Sequence[tuple[str, Any]] = (),
+        clocks: str = "free",
         disks: Mapping[str, Held] | None = None,
     ) -> None:
         if clocks not in ("free", "one"):
@@ -122,8 +130,17 @@
 
     def run(self) -> Explored:
         nodes = {name: _Node(held=self.disks.get(name, Held(entries=[]))) for name in self.names}
-        first = _State(nodes, (), 0, (self.bounds.lose, self.bounds.double,
-                       self.bounds.crash, self.bounds.fire), frozenset(), 0, "start", (), None)
+        first = _State(
+            nodes,
+            (),
+            0,
+            (self.bounds.lose, self.bounds.double, self.bounds.crash, self.bounds.fire),
+            frozenset(),
+            0,
+            "start",
+            (),
+            None,
+        )
         for name in self.names:
             first = replace(self._start(first, name, "start"), steps=0, before=None, noted=())
         first = replace(first, noted=tuple(sorted(first.notes)))
@@ -150,15 +167,24 @@
         return Explored(None, (), "", len(known), whole)
 
     def _wrong(self, state: _State) -> str | None:
-        return self.check(View({name: node.part for name, node in state.nodes.items()}, state.notes,
-                               {name: node.held for name, node in state.nodes.items()}))
+        return self.check(
+            View(
+                {name: node.part for name, node in state.nodes.items()},
+                state.notes,
+                {name: node.held for name, node in state.nodes.items()},
+            )
+        )
 
     def _key(self, state: _State) -> Hashable:
         nodes = tuple(
-            (node.mark, node.life,
-             tuple((at - node.now, token) for at, token in node.timers),
-             _ENCODER.encode((node.held.ballot, node.held.snapshot, node.held.entries, node.waiting)))
-            for node in state.nodes.values())
+            (
+                node.mark,
+                node.life,
+                tuple((at - node.now, token) for at, token in node.timers),
+                _ENCODER.encode((node.held.ballot, node.held.snapshot, node.held.entries, node.waiting)),
+            )
+            for node in state.nodes.values()
+        )
         return nodes, tuple(one[:4] for one in state.flying), state.asked, state.left, state.notes
 
     # Choices
@@ -200,9 +226,16 @@
                         held = _with(held, records)
                     down = _Node(life=node.life, now=node.now, held=held)
                     flying = tuple(one for one in state.flying if not (one.stream and name in (one.frm, one.to)))
-                    yield replace(state, nodes={**state.nodes, name: down}, flying=flying, noted=(), before=state,
-                                  left=(lose, double, crash - 1, fire), steps=state.steps + 1,
-                                  choice=f"kill {name}" + (f" with {many} batches down" if many else ""))
+                    yield replace(
+                        state,
+                        nodes={**state.nodes, name: down},
+                        flying=flying,
+                        noted=(),
+                        before=state,
+                        left=(lose, double, crash - 1, fire),
+                        steps=state.steps + 1,
+                        choice=f"kill {name}" + (f" with {many} batches down" if many else ""),
+                    )
 
     def _messages(self, state: _State) -> Iterator[_State]:
         lose, double, crash, fire = state.left
@@ -212,7 +245,7 @@
             if this == last:  # the same message again, or not the first of its stream
                 continue
             last = this
-            without = state.flying[:number] + state.flying[number + 1:]
+            without = state.flying[:number] + state.flying[number + 1 :]
             said = f"{_brief(one.message)} {one.frm} > {one.to}"
             carrier = Carrier.STREAM if one.stream else Carrier.DATAGRAM
             heard = Heard(address(one.frm), one.frm, one.message, carrier)
@@ -223,8 +256,15 @@
                 continue
             if lose or not up:
                 left = (lose - 1 if up else lose, double, crash, fire)
-                yield replace(state, flying=without, left=left, noted=(), before=state, steps=state.steps + 1,
-                              choice=f"lose {said}")
+                yield replace(
+                    state,
+                    flying=without,
+                    left=left,
+                    noted=(),
+                    before=state,
+                    steps=state.steps + 1,
+                    choice=f"lose {said}",
+                )
             if double and up:
                 after = replace(state, left=(lose, double - 1, crash, fire))
                 yield self._told(after, state, one.to, heard, f"deliver and keep {said}")
@@ -247,8 +287,11 @@
             if isinstance(action, (Send, Tell)):
                 to = action.at[0] if isinstance(action, Send) else action.to
                 if to in after.nodes:
-                    flying.append(_Flight(name, to, action.carrier is Carrier.STREAM, _ENCODER.encode(action.message),
-                                          action.message))
+                    flying.append(
+                        _Flight(
+                            name, to, action.carrier is Carrier.STREAM, _ENCODER.encode(action.message), action.message
+                        )
+                    )
             elif isinstance(action, SetTimer):
                 timers.append((max(action.at_ms, node.now), action.token))
             elif isinstance(action, Store):
@@ -258,8 +301,16 @@
         timers.sort(key=lambda timer: timer[0])
         told = replace(node, part=part, mark=self.digest(part), timers=tuple(timers), waiting=tuple(waiting))
         flying.sort(key=lambda one: one.order)
-        return replace(after, nodes={**after.nodes, name: told}, flying=tuple(flying), notes=after.notes | set(noted),
-                       noted=tuple(noted), before=before, steps=before.steps + 1, choice=choice)
+        return replace(
+            after,
+            nodes={**after.nodes, name: told},
+            flying=tuple(flying),
+            notes=after.notes | set(noted),
+            noted=tuple(noted),
+            before=before,
+            steps=before.steps + 1,
+            choice=choice,
+        )
 
     def _found(self, why: str, state: _State, states: int) -> Explored:
         steps: list[_State] = []
@@ -270,11 +321,17 @@
         steps.reverse()
         cells = [[", ".join(text for who, text in step.noted if who == name) for name in self.names] for step in steps]
         wide = [max(14, len(name), *(len(row[number]) for row in cells)) + 2 for number, name in enumerate(self.names)]
-        out = [f"# {why}; each row is one choice", "",
-               "step    " + "".join(name.ljust(width) for name, width in zip(self.names, wide, strict=True)) + "choice"]
+        out = [
+            f"# {why}; each row is one choice",
+            "",
+            "step    " + "".join(name.ljust(width) for name, width in zip(self.names, wide, strict=True)) + "choice",
+        ]
         for number, (step, row) in enumerate(zip(steps, cells, strict=True)):
-            out.append(str(number).ljust(8) + "".join(cell.ljust(width) for cell, width in zip(row, wide, strict=True))
-                       + step.choice)
+            out.append(
+                str(number).ljust(8)
+                + "".join(cell.ljust(width) for cell, width in zip(row, wide, strict=True))
+                + step.choice
+            )
         return Explored(why, tuple(step.choice for step in steps[1:]), "\n".join(out) + "\n", states, False)
 
 
--- a/limenotch/lab/fleet/explore_log.py
+++ b/limenotch/lab/fleet/explore_log.py
@@ -18,8 +18,9 @@
 from limenotch.lab.fleet.world import Make
 from limenotch.store.records import Ballot, Entry, Held
 
-TUNING = agreement.Tuning(heartbeat_ms=50, election_least_ms=200, election_most_ms=400, learner_ms=300, retry_ms=100,
-                          ask_ms=1000)
+TUNING = agreement.Tuning(
+    heartbeat_ms=50, election_least_ms=200, election_most_ms=400, learner_ms=300, retry_ms=100, ask_ms=1000
+)
 NEVER = float("inf")
 
 
@@ -80,17 +81,42 @@
     def rest(at: float) -> float:
         return at if at in (NEVER, -NEVER) else round(at - now, 3)
 
-    peers = tuple((name, peer.next, peer.mode.value, peer.match, peer.held, peer.birth, tuple(peer.flight),
-                   rest(peer.heard_at)) for name, peer in leading.peers.items())
+    peers = tuple(
+        (name, peer.next, peer.mode.value, peer.match, peer.held, peer.birth, tuple(peer.flight), rest(peer.heard_at))
+        for name, peer in leading.peers.items()
+    )
     leads = node.role is Role.LEADER
     lease = (leading.lease.round, leading.lease.void, tuple(sorted(leading.lease._answered.items()))) if leads else ()
-    waits = (rest(node.wait_until), rest(node.retry_at), rest(node._armed), rest(node.heard_at),
-             rest(leading._beat_at) if leads else NEVER, rest(leading._news_at) if leads else NEVER)
-    return (node.epoch, node.vote, node.on_disk, node.role.value, node.leader, node.commit, node.applied, node.ill,
-            tuple((entry.index, entry.epoch, entry.kind, entry.data) for entry in log.entries), log.stored,
-            tuple((write.ticket, write.ballot, write.last) for write in node.writes), node.ticket,
-            tuple(sorted(node.ids.items())), tuple(sorted(elections._yes)), elections._promise, peers if leads else (),
-            lease, waits, part.told, part.promised)
+    waits = (
+        rest(node.wait_until),
+        rest(node.retry_at),
+        rest(node._armed),
+        rest(node.heard_at),
+        rest(leading._beat_at) if leads else NEVER,
+        rest(leading._news_at) if leads else NEVER,
+    )
+    return (
+        node.epoch,
+        node.vote,
+        node.on_disk,
+        node.role.value,
+        node.leader,
+        node.commit,
+        node.applied,
+        node.ill,
+        tuple((entry.index, entry.epoch, entry.kind, entry.data) for entry in log.entries),
+        log.stored,
+        tuple((write.ticket, write.ballot, write.last) for write in node.writes),
+        node.ticket,
+        tuple(sorted(node.ids.items())),
+        tuple(sorted(elections._yes)),
+        elections._promise,
+        peers if leads else (),
+        lease,
+        waits,
+        part.told,
+        part.promised,
+    )
 
 
 class Check:
@@ -112,9 +138,11 @@
             if len(names) > 1:
                 return f"epoch {epoch} was led by {' and '.join(sorted(names))}"
             name = next(iter(names))
-            voted = [one for one, held in view.disks.items()
-                     if held.ballot.epoch > epoch or (held.ballot.epoch, held.ballot.vote.partition("?")[0]) == (
-                         epoch, name)]
+            voted = [
+                one
+                for one, held in view.disks.items()
+                if held.ballot.epoch > epoch or (held.ballot.epoch, held.ballot.vote.partition("?")[0]) == (epoch, name)
+            ]
             if len(voted) < self.quorum:
                 return f"{name} leads {epoch} by the disks of {', '.join(sorted(voted)) or 'nobody'}"
         return None
--- a/limenotch/lab/fleet/faults.py
+++ b/limenotch/lab/fleet/faults.py
@@ -272,6 +272,13 @@
 
 
 _READERS: dict[str, Callable[[str, str], Fault]] = {
-    "cut": _cut, "heal": _heal, "delay": _delay, "slow": _slow, "disk": _disk, "clock": _clock, "ask": _ask,
-    **dict.fromkeys(DOINGS, _doing), **dict.fromkeys(CHANCES, _chance),
+    "cut": _cut,
+    "heal": _heal,
+    "delay": _delay,
+    "slow": _slow,
+    "disk": _disk,
+    "clock": _clock,
+    "ask": _ask,
+    **dict.fromkeys(DOINGS, _doing),
+    **dict.fromkeys(CHANCES, _chance),
 }
--- a/limenotch/lab/fleet/faulty.py
+++ b/limenotch/lab/fleet/faulty.py
@@ -97,8 +97,9 @@
 class FaultyFiles:
     """Files as given, but for what is wished. `wait` is called with ms, in the thread of the store's."""
 
-    def __init__(self, files: Files, wishes: Callable[[], Wish],
-                 wait: Callable[[float], None] = lambda ms: sleep(ms / 1000.0)) -> None:
+    def __init__(
+        self, files: Files, wishes: Callable[[], Wish], wait: Callable[[float], None] = lambda ms: sleep(ms / 1000.0)
+    ) -> None:
         self._files, self._wishes, self._wait = files, wishes, wait
         self.failed: dict[str, int] = dict.fromkeys(STATES[1:], 0)  # operations that met it
 
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -36,7 +36,7 @@
     directory = "d1"
     if "at" in parts:
         directory = parts[parts.index("at") + 1]
-        parts = parts[:parts.index("at")]
+        parts = parts[: parts.index("at")]
     if parts[0] == "silent":
         return DirectorySilent(directory)
     if parts[0] not in ("whole", "change"):
--- a/limenotch/lab/fleet/log_run.py
+++ b/limenotch/lab/fleet/log_run.py
@@ -19,11 +19,28 @@
 from limenotch.lab.fleet.world import World
 from limenotch.store.records import Held
 
-TELLS = (api.Agreed, api.Install, api.Promised, api.Refused, api.Unknown, api.ReadReady, api.LeaderChanged,
-         api.WantSnapshot)
-QUICK = agreement.Tuning(heartbeat_ms=50, election_least_ms=200, election_most_ms=400, learner_ms=300, retry_ms=100,
-                         ask_ms=1000, snapshot_entries=20, tail_entries=5, chunk_bytes=256,
-                         snapshot_bytes_per_s=1 << 20)
+TELLS = (
+    api.Agreed,
+    api.Install,
+    api.Promised,
+    api.Refused,
+    api.Unknown,
+    api.ReadReady,
+    api.LeaderChanged,
+    api.WantSnapshot,
+)
+QUICK = agreement.Tuning(
+    heartbeat_ms=50,
+    election_least_ms=200,
+    election_most_ms=400,
+    learner_ms=300,
+    retry_ms=100,
+    ask_ms=1000,
+    snapshot_entries=20,
+    tail_entries=5,
+    chunk_bytes=256,
+    snapshot_bytes_per_s=1 << 20,
+)
 
 Table = dict[int, str]
 
@@ -66,8 +83,15 @@
 
 
 class Run:
-    def __init__(self, nodes: Iterable[str], voters: tuple[str, ...], seed: int = 0, *,
-                 tuning: agreement.Tuning = QUICK, **weather: Any) -> None:
+    def __init__(
+        self,
+        nodes: Iterable[str],
+        voters: tuple[str, ...],
+        seed: int = 0,
+        *,
+        tuning: agreement.Tuning = QUICK,
+        **weather: Any,
+    ) -> None:
         self.voters, self.tuning = voters, tuning
         self.names = list(nodes)
         self.random = Random(f"{seed} run")
@@ -102,8 +126,9 @@
 
     def leader(self) -> str | None:
         """The one in the latest epoch of those that say they lead."""
-        leading = [(part.epoch, name) for name in self.names
-                   if (part := self.of(name)) is not None and part.leader == name]
+        leading = [
+            (part.epoch, name) for name in self.names if (part := self.of(name)) is not None and part.leader == name
+        ]
         return max(leading)[1] if leading else None
 
     def of(self, name: str) -> Any:
@@ -193,8 +218,27 @@
 
 def _fault(run: Run, random: Random, name: str, wiped: bool) -> bool:
     world = run.world
-    kind = random.choice(("kill", "kill", "start", "pause", "pause", "wake", "wake", "cut", "one way", "heal", "heal",
-                          "disk", "disk ok", "disk ok", "all", "wipe", "leader"))
+    kind = random.choice(
+        (
+            "kill",
+            "kill",
+            "start",
+            "pause",
+            "pause",
+            "wake",
+            "wake",
+            "cut",
+            "one way",
+            "heal",
+            "heal",
+            "disk",
+            "disk ok",
+            "disk ok",
+            "all",
+            "wipe",
+            "leader",
+        )
+    )
     others = [other for other in run.names if other != name]
     if kind == "leader":
         name = run.leader() or name
--- a/limenotch/lab/fleet/members.py
+++ b/limenotch/lab/fleet/members.py
@@ -30,8 +30,12 @@
         return self.part.handle(now, event)
 
 
-def maker(seeds: Iterable[str] = ("a", "b"), tuning: Tuning = TUNING, names: Mapping[str, str] | None = None,
-          lives: str = "grow") -> Make:
+def maker(
+    seeds: Iterable[str] = ("a", "b"),
+    tuning: Tuning = TUNING,
+    names: Mapping[str, str] | None = None,
+    lives: str = "grow",
+) -> Make:
     known, named = [address(seed) for seed in seeds], dict(names or {})
 
     def make(name: str, seed: int, life: int, held: Held) -> Named:
--- a/limenotch/lab/fleet/processes.py
+++ b/limenotch/lab/fleet/processes.py
@@ -83,9 +83,17 @@
 class NodeProcess(SidecarProcess):
     """One process at addresses that stay the same, however often it is started."""
 
-    def __init__(self, name: str, folder: Path, settings: dict[str, Any], directory_port: int, seed: int,
-                 known: dict[str, Any], toml: Callable[[NodeProcess], str] | None = None,
-                 module: str = "limenotch") -> None:
+    def __init__(
+        self,
+        name: str,
+        folder: Path,
+        settings: dict[str, Any],
+        directory_port: int,
+        seed: int,
+        known: dict[str, Any],
+        toml: Callable[[NodeProcess], str] | None = None,
+        module: str = "limenotch",
+    ) -> None:
         """`toml`: gives the text of its settings file, asked at each start; None: it has none. `module`: what is run
         with `serve`: `limenotch.lab.fleet.node` where its disk is to fail.
         """
@@ -234,8 +242,13 @@
         self._seen.sort(key=lambda seen: seen.at_ms)
         return list(self._seen)
 
-    async def until(self, holds: Callable[[], Awaitable[bool]] | Callable[[], bool], within_s: float, what: str,
-                    instead: Callable[[], object] = lambda: "") -> None:
+    async def until(
+        self,
+        holds: Callable[[], Awaitable[bool]] | Callable[[], bool],
+        within_s: float,
+        what: str,
+        instead: Callable[[], object] = lambda: "",
+    ) -> None:
         """Asks until `holds` does. Raises NotReachedError, whose text has `what`, and `instead()` for what was seen."""
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
@@ -247,8 +260,13 @@
                 raise NotReachedError(f"within {within_s:g} s not reached: {what}. {instead()}")
             await asyncio.sleep(LOOK_S)
 
-    async def until_all(self, holds: Callable[[str, dict[str, Any]], bool], within_s: float, what: str,
-                        names: Iterable[str] | None = None) -> None:
+    async def until_all(
+        self,
+        holds: Callable[[str, dict[str, Any]], bool],
+        within_s: float,
+        what: str,
+        names: Iterable[str] | None = None,
+    ) -> None:
         """Until `GET /fleet` of each of these, else of all, says what `holds(name, state)` wants, all in one round."""
         asked = list(self.nodes if names is None else names)
         last: dict[str, Any] = {}
@@ -267,8 +285,12 @@
         def holds() -> bool:
             return wanted <= {seen.node for seen in self.seen() if seen.text == text and seen.at_ms >= since_ms}
 
-        await self.until(holds, within_s, f"{text!r} at {' '.join(sorted(wanted))}",
-                         lambda: [tuple(seen)[:3] for seen in self.seen()[-40:]])
+        await self.until(
+            holds,
+            within_s,
+            f"{text!r} at {' '.join(sorted(wanted))}",
+            lambda: [tuple(seen)[:3] for seen in self.seen()[-40:]],
+        )
 
     async def __aenter__(self) -> Processes:
         return self
