--- a/limenotch/lab/fleet/relay.py
+++ b/limenotch/lab/fleet/relay.py
@@ -180,7 +180,9 @@
         numbers = {name: number for number, name in enumerate(sorted(members), 1)}
         self.doors = {
             (frm, to): Door(self, frm, to, f"127.{NET}.{numbers[frm]}.{numbers[to]}")
-            for frm in members for to in members if frm != to
+            for frm in members
+            for to in members
+            if frm != to
         }
 
     async def open(self) -> None:
--- a/limenotch/lab/fleet/rules_drawings.py
+++ b/limenotch/lab/fleet/rules_drawings.py
@@ -63,6 +63,5 @@
 def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
     """AssertionError where it did not come out, if `exact`."""
     old = scenario.head.get("objects")
-    run = Run(scenario.nodes, tuple(scenario.nodes[:3]), None, tuning=TUNING,
-              checks={old: _old_program} if old else {})
+    run = Run(scenario.nodes, tuple(scenario.nodes[:3]), None, tuning=TUNING, checks={old: _old_program} if old else {})
     return (check if exact else play)(scenario, run.make, ask)
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -26,15 +26,29 @@
 
 TO_RULES = (log.Agreed, log.Install, log.Promised, log.Refused, log.Unknown, log.ReadReady, log.LeaderChanged)
 TOKEN = 1000  # the rules' timers begin here
-LOG = agreement.Tuning(heartbeat_ms=50, election_least_ms=200, election_most_ms=400, learner_ms=200, retry_ms=100,
-                       ask_ms=1000, snapshot_entries=20, tail_entries=5)
+LOG = agreement.Tuning(
+    heartbeat_ms=50,
+    election_least_ms=200,
+    election_most_ms=400,
+    learner_ms=200,
+    retry_ms=100,
+    ask_ms=1000,
+    snapshot_entries=20,
+    tail_entries=5,
+)
 QUICK = Tuning(lease_ms=600, drift=0.02, grace_ms=50, check_ms=200, ask_ms=3000)
 FIRST: Document = {
     "settings": {
         "classes": [
             {"name": "read", "effect": "idempotent", "target_ms": 100, "hard_limit_ms": 1000},
-            {"name": "pay", "effect": "deduplicated", "dedup_scope": "all", "window_ms": 5000, "target_ms": 200,
-             "hard_limit_ms": 2000},
+            {
+                "name": "pay",
+                "effect": "deduplicated",
+                "dedup_scope": "all",
+                "window_ms": 5000,
+                "target_ms": 200,
+                "hard_limit_ms": 2000,
+            },
         ],
         "tenants": [{"name": "t1", "quota_per_s": 100}],
         "permissions": {"max_attempts": 3},
@@ -56,8 +70,9 @@
     def __init__(self, run: Run, name: str, seed: int, life: int, held: Held) -> None:
         self.run, self.name = run, name
         self.agreement = agreement.Agreement(name, run.voters, held, run.log, seed)
-        self.rules = Rules(name, life, run.voters, FIRST, run.checks.get(name, settings_check), run.tuning,
-                           self.agreement.state)
+        self.rules = Rules(
+            name, life, run.voters, FIRST, run.checks.get(name, settings_check), run.tuning, self.agreement.state
+        )
 
     def handle(self, now: float, event: Any) -> list[Any]:
         """What parts say to each other waits until all that came before it has been given out, as in a hub: an entry's
@@ -117,9 +132,17 @@
 
 
 class Run:
-    def __init__(self, nodes: Iterable[str], voters: tuple[str, ...], seed: int | None = 0, *, tuning: Tuning = QUICK,
-                 log_tuning: agreement.Tuning = LOG, checks: dict[str, Check] | None = None,
-                 **weather: Any) -> None:
+    def __init__(
+        self,
+        nodes: Iterable[str],
+        voters: tuple[str, ...],
+        seed: int | None = 0,
+        *,
+        tuning: Tuning = QUICK,
+        log_tuning: agreement.Tuning = LOG,
+        checks: dict[str, Check] | None = None,
+        **weather: Any,
+    ) -> None:
         """Without a `seed` it has no world and no checker: its members are hosted by a drawing's."""
         self.names, self.voters = list(nodes), voters
         self.tuning, self.log = tuning, log_tuning
@@ -163,12 +186,18 @@
         while True:
             held = [rules for name in self.names if (rules := self.rules(name)) is not None]
             newest = max((rules.book.newest for rules in held), default=0)
-            if len(held) == len(self.names) and all(rules.book.active == newest and rules.holder.parts and
-                                                    rules.holder.holds(self._clock(rules.name)) for rules in held):
+            if len(held) == len(self.names) and all(
+                rules.book.active == newest and rules.holder.parts and rules.holder.holds(self._clock(rules.name))
+                for rules in held
+            ):
                 return
             if self.world.now >= until:
-                raise AssertionError(f"not within {most_ms:g} ms: " + ", ".join(
-                    f"{one.name} {one.book.active}/{one.book.newest} parts {one.holder.parts}" for one in held))
+                raise AssertionError(
+                    f"not within {most_ms:g} ms: "
+                    + ", ".join(
+                        f"{one.name} {one.book.active}/{one.book.newest} parts {one.holder.parts}" for one in held
+                    )
+                )
             self.world.run(self.world.now + 10)
 
 
@@ -194,8 +223,14 @@
     random = Random(f"{seed} rules")
     many = random.choice((3, 3, 5))
     names = list("abcdefgh"[: many + random.choice((0, 1, 3))])
-    run = Run(names, tuple(names[:many]), seed, tuning=tuning, drift_ppm=tuning.drift * 0.49e6,
-              wake=random.choice(("timers", "heard")))
+    run = Run(
+        names,
+        tuple(names[:many]),
+        seed,
+        tuning=tuning,
+        drift_ppm=tuning.drift * 0.49e6,
+        wake=random.choice(("timers", "heard")),
+    )
     world = run.world
     run.settled()
     world.fault(faults.parse(f"loss {random.choice((0, 0, 5, 20))}%"))
@@ -219,8 +254,23 @@
 
 def _fault(run: Run, random: Random, name: str) -> None:
     world = run.world
-    kind = random.choice(("kill", "start", "start", "pause", "pause", "wake", "wake", "cut", "one way", "heal", "heal",
-                          "leader", "fence"))
+    kind = random.choice(
+        (
+            "kill",
+            "start",
+            "start",
+            "pause",
+            "pause",
+            "wake",
+            "wake",
+            "cut",
+            "one way",
+            "heal",
+            "heal",
+            "leader",
+            "fence",
+        )
+    )
     if kind == "leader":
         name = run.leader() or name
         kind = random.choice(("pause", "kill", "one way", "cut"))
--- a/limenotch/lab/fleet/scenario.py
+++ b/limenotch/lab/fleet/scenario.py
@@ -36,14 +36,22 @@
     return read(path.read_text(encoding="utf-8"), path.name)
 
 
-def play(scenario: Scenario, make: Make, ask: Asked | None = None, prepare: Callable[[World], None] | None = None,
-         **settings: Any) -> Outcome:
+def play(
+    scenario: Scenario,
+    make: Make,
+    ask: Asked | None = None,
+    prepare: Callable[[World], None] | None = None,
+    **settings: Any,
+) -> Outcome:
     """`settings` are World's and go before the head's. ValueError if the drawing asks and `ask` is not given.
 
     `prepare(world)` is called before anything happens in it.
     """
-    usual = {"drift_ppm": scenario.figure("drift", 0.0), "delay_ms": scenario.figure("delay", 1.0),
-             "fsync_ms": scenario.figure("fsync", 2.0)}
+    usual = {
+        "drift_ppm": scenario.figure("drift", 0.0),
+        "delay_ms": scenario.figure("delay", 1.0),
+        "fsync_ms": scenario.figure("fsync", 2.0),
+    }
     world = World(scenario.nodes, make, scenario.seed, later=scenario.later, **{**usual, **settings})
     if prepare is not None:
         prepare(world)
@@ -57,8 +65,13 @@
     return Outcome(scenario, world, scenario.looked_at(seen), exact(scenario, seen))
 
 
-def check(scenario: Scenario, make: Make, ask: Asked | None = None, prepare: Callable[[World], None] | None = None,
-          **settings: Any) -> Outcome:
+def check(
+    scenario: Scenario,
+    make: Make,
+    ask: Asked | None = None,
+    prepare: Callable[[World], None] | None = None,
+    **settings: Any,
+) -> Outcome:
     """As `play`; AssertionError with both side by side, and the drawing anew, if it did not come out."""
     outcome = play(scenario, make, ask, prepare, **settings)
     if outcome.difference is not None:
--- a/limenotch/lab/fleet/splice.py
+++ b/limenotch/lab/fleet/splice.py
@@ -177,8 +177,7 @@
         while self._relay.cut(frm, to) or self._relay.cut(to, frm):
             await asyncio.sleep(LOOK_MS / 1000.0)
         try:
-            await loop.create_connection(
-                lambda: self.far, *self._relay.members[to], local_addr=(self._back.host, 0))
+            await loop.create_connection(lambda: self.far, *self._relay.members[to], local_addr=(self._back.host, 0))
         except OSError:
             self.reset()  # refused there: as near as an accepted connection comes to it
 
--- a/limenotch/lab/fleet/stage.py
+++ b/limenotch/lab/fleet/stage.py
@@ -96,9 +96,20 @@
 class Stage(Rehearsal):
     """Owns all of a run: `perform` once, then `close`, whatever happened."""
 
-    def __init__(self, plan: Plan, folder: Path, drawing: Drawing, weather: Weather, *, fleet: Fleet | None = None,
-                 compare: Compare | None = None, ask: Asked | None = None, spoils: bool = False,
-                 names: Mapping[str, str] | None = None, clock_back_s: float = 0.0) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        folder: Path,
+        drawing: Drawing,
+        weather: Weather,
+        *,
+        fleet: Fleet | None = None,
+        compare: Compare | None = None,
+        ask: Asked | None = None,
+        spoils: bool = False,
+        names: Mapping[str, str] | None = None,
+        clock_back_s: float = 0.0,
+    ) -> None:
         """`fleet`: None: plain sidecars. `spoils`: nodes run as `limenotch.lab.fleet.node`, where disks can fail.
 
         `names`: of nodes whose process runs under another's name. `clock_back_s`: set back before each further start
@@ -211,10 +222,18 @@
         difference = self._compare(seen, self.happened) if self._compare is not None else None
         doors = self.relay.doors if self.relay is not None else {}
         return Outcome(
-            difference, tuple(self.trial.violations), dict(self.trial.counts), self.trial.excused, tuple(self.crashed),
-            dict(record.finals), tuple(seen), tuple(self.happened), self.drawing.ends / 1000.0,
+            difference,
+            tuple(self.trial.violations),
+            dict(self.trial.counts),
+            self.trial.excused,
+            tuple(self.crashed),
+            dict(record.finals),
+            tuple(seen),
+            tuple(self.happened),
+            self.drawing.ends / 1000.0,
             max(self._lag.values_us, default=0) / 1000.0,
-            {pair: door.passed for pair, door in doors.items()})
+            {pair: door.passed for pair, door in doors.items()},
+        )
 
     @property
     def began_ms(self) -> float | None:
@@ -303,8 +322,15 @@
                 self.relay.close()
 
 
-def together(names: Sequence[str], key_file: Path, voters: Sequence[str] = (), *, seeds: Sequence[str] | None = None,
-             twins: Mapping[str, str] | None = None, **tables: dict[str, Any]) -> Fleet:
+def together(
+    names: Sequence[str],
+    key_file: Path,
+    voters: Sequence[str] = (),
+    *,
+    seeds: Sequence[str] | None = None,
+    twins: Mapping[str, str] | None = None,
+    **tables: dict[str, Any],
+) -> Fleet:
     """Settings that make the stage's nodes one fleet, each finding the others through the relay.
 
     `seeds`: names, all if not said. `twins`: nodes under another's name: others find only that other by it, and they
@@ -317,9 +343,14 @@
         doors = stage.relay.addresses(node.name)
         own = twin.get(node.name)
         addresses = {name: at for name, at in doors.items() if name not in twin and name != own}
-        more: dict[str, Any] = {"group": "stage", "key_file": str(key_file), "voters": list(voters),
-                                "seeds": [doors[name] for name in (names if seeds is None else seeds) if name in doors],
-                                "folder": str(node.data), **tables}
+        more: dict[str, Any] = {
+            "group": "stage",
+            "key_file": str(key_file),
+            "voters": list(voters),
+            "seeds": [doors[name] for name in (names if seeds is None else seeds) if name in doors],
+            "folder": str(node.data),
+            **tables,
+        }
         return fleet_table(f"127.0.0.1:{stage.ports[node.name]}", addresses, more)
 
     return text
--- a/limenotch/lab/fleet/streams.py
+++ b/limenotch/lab/fleet/streams.py
@@ -32,7 +32,11 @@
     """`arrive(node, heard)` is called in order; `count(why)` for each message dropped. `to` has a `name`."""
 
     def __init__(
-        self, kernel: Kernel, weather: Weather, arrive: Callable[[Any, Any], None], count: Callable[[str], None],
+        self,
+        kernel: Kernel,
+        weather: Weather,
+        arrive: Callable[[Any, Any], None],
+        count: Callable[[str], None],
         patience: float,
     ) -> None:
         self._kernel = kernel
--- a/limenotch/lab/fleet/trial.py
+++ b/limenotch/lab/fleet/trial.py
@@ -52,8 +52,16 @@
         self._woke.pop(sidecar, None)
         self.forget(sidecar)
 
-    def taken(self, now: float, call: Hashable, effect: str, scope: str, window_ms: float, end: float,
-              allowed: Allowed | None = None) -> None:
+    def taken(
+        self,
+        now: float,
+        call: Hashable,
+        effect: str,
+        scope: str,
+        window_ms: float,
+        end: float,
+        allowed: Allowed | None = None,
+    ) -> None:
         super().taken(now, call, effect, scope, window_ms, end, allowed)
         if self._next is not None:
             self._via[call] = (self._next, now)
--- a/limenotch/lab/fleet/wallet_drawings.py
+++ b/limenotch/lab/fleet/wallet_drawings.py
@@ -26,10 +26,25 @@
 from limenotch.lab.fleet.scenario import Outcome
 from limenotch.lab.fleet.wallet_run import Call, Calls, Run
 
-TUNING = Tuning(lease_ms=900, drift=0.02, slice_ms=500, least_slice=10, record_ms=100, idle_ms=1000, ask_ms=3000,
-                retry_after_ms=1000)
-LOG = agreement.Tuning(heartbeat_ms=50, election_least_ms=200, election_most_ms=400, learner_ms=200,
-                       learner_batch_ms=10, retry_ms=100, ask_ms=1000)
+TUNING = Tuning(
+    lease_ms=900,
+    drift=0.02,
+    slice_ms=500,
+    least_slice=10,
+    record_ms=100,
+    idle_ms=1000,
+    ask_ms=3000,
+    retry_after_ms=1000,
+)
+LOG = agreement.Tuning(
+    heartbeat_ms=50,
+    election_least_ms=200,
+    election_most_ms=400,
+    learner_ms=200,
+    learner_batch_ms=10,
+    retry_ms=100,
+    ask_ms=1000,
+)
 MEMBERS = Members(period_ms=300, timeout_ms=60, gossip_ms=20)
 
 
@@ -69,8 +84,13 @@
 def outcome(scenario: Scenario, judge: bool = True) -> Outcome:
     """AssertionError where it did not come out, if `judge`, or where the checker found something in any case."""
     run = run_of(scenario)
-    run.begin(scenario.seed, later=scenario.later, drift_ppm=scenario.figure("drift", 0.0),
-              delay_ms=scenario.figure("delay", 1.0), fsync_ms=scenario.figure("fsync", 2.0))
+    run.begin(
+        scenario.seed,
+        later=scenario.later,
+        drift_ppm=scenario.figure("drift", 0.0),
+        delay_ms=scenario.figure("delay", 1.0),
+        fsync_ms=scenario.figure("fsync", 2.0),
+    )
     for at, fault in scenario.faults:
         run.world.kernel.at(float(at), _happen, run, fault)
     run.world.run(scenario.ends + 0.4999)
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -27,11 +27,29 @@
 from limenotch.store.records import Held
 
 PREFIX = "wa."
-LOG = agreement.Tuning(heartbeat_ms=50, election_least_ms=200, election_most_ms=400, learner_ms=200,
-                       learner_batch_ms=10, retry_ms=100, ask_ms=1000, snapshot_entries=60, tail_entries=10)
+LOG = agreement.Tuning(
+    heartbeat_ms=50,
+    election_least_ms=200,
+    election_most_ms=400,
+    learner_ms=200,
+    learner_batch_ms=10,
+    retry_ms=100,
+    ask_ms=1000,
+    snapshot_entries=60,
+    tail_entries=10,
+)
 MEMBERS = Members(period_ms=200, timeout_ms=50, gossip_ms=20)
-QUICK = Tuning(lease_ms=600, drift=0.02, slice_ms=400, least_slice=4, record_ms=50, idle_ms=500, retry_after_ms=1000,
-               ask_ms=2000, cost={"dear": 5})
+QUICK = Tuning(
+    lease_ms=600,
+    drift=0.02,
+    slice_ms=400,
+    least_slice=4,
+    record_ms=50,
+    idle_ms=500,
+    retry_after_ms=1000,
+    ask_ms=2000,
+    cost={"dear": 5},
+)
 
 
 class Call(NamedTuple):
@@ -57,10 +75,18 @@
 
 def kept_of(book: Book) -> dict[str, Kept]:
     """The agreed state as the checker takes it: the one place here that knows how the book holds it."""
-    return {tenant: Kept(wallet.credit, wallet.spent, wallet.left,
-                         {(one.name, one.life, one.serial): Part(one.top, one.spent, one.witnesses)
-                          for one in wallet.slices.values()})
-            for tenant, wallet in book.wallets.items()}
+    return {
+        tenant: Kept(
+            wallet.credit,
+            wallet.spent,
+            wallet.left,
+            {
+                (one.name, one.life, one.serial): Part(one.top, one.spent, one.witnesses)
+                for one in wallet.slices.values()
+            },
+        )
+        for tenant, wallet in book.wallets.items()
+    }
 
 
 def claims_of(data: bytes) -> dict[Key, Claim]:
@@ -101,8 +127,9 @@
         state = parted(self.agreement.state).get(PREFIX)
         self.wallet = Wallet(name, life, run.tuning, run.voters, state)
         self.purse = self.wallet.purse
-        self.hub = Hub([("mb.", self.membership), ("ag.", self.agreement), (PREFIX, Watched(self, self.wallet))],
-                       self.membership)
+        self.hub = Hub(
+            [("mb.", self.membership), ("ag.", self.agreement), (PREFIX, Watched(self, self.wallet))], self.membership
+        )
         self.hub.hears(api.Answer, self._answered)
         self.open: dict[int, api.Reservation] = {}
         self.serving: dict[str, bool] = {}
@@ -178,9 +205,16 @@
 class Run:
     """`world` is made by `begin`, or is a drawing's own."""
 
-    def __init__(self, nodes: Iterable[str], voters: tuple[str, ...], tuning: Tuning = QUICK, *,
-                 log_tuning: agreement.Tuning = LOG, members: Members = MEMBERS,
-                 watched: Iterable[str] | None = None) -> None:
+    def __init__(
+        self,
+        nodes: Iterable[str],
+        voters: tuple[str, ...],
+        tuning: Tuning = QUICK,
+        *,
+        log_tuning: agreement.Tuning = LOG,
+        members: Members = MEMBERS,
+        watched: Iterable[str] | None = None,
+    ) -> None:
         """`watched`: whose agreed states the checker is told; all, if not said."""
         self.names, self.voters = list(nodes), voters
         self.tuning, self.log, self.members = tuning, log_tuning, members
@@ -249,18 +283,28 @@
         self.calls += 1
         self.world.poke(name, Call(self.calls, tenant, kind, span_ms, served))
 
-    def stream(self, name: str, tenant: str, per_s: float, random: Random | None = None, dear: float = 0.0,
-               failed: float = 0.0, span_ms: float = 20.0) -> None:
+    def stream(
+        self,
+        name: str,
+        tenant: str,
+        per_s: float,
+        random: Random | None = None,
+        dear: float = 0.0,
+        failed: float = 0.0,
+        span_ms: float = 20.0,
+    ) -> None:
         """Calls at that rate from now on, instead of those before; evenly, or as `random` has them. 0: none."""
         number = self._streams[name, tenant] = self._streams.get((name, tenant), 0) + 1
         if per_s > 0:
             gap = 1000 / per_s
             first = random.random() * gap if random else gap
-            self.world.kernel.at(self.world.now + first, self._next, name, tenant, number, gap, random,
-                                 (dear, failed, span_ms))
+            self.world.kernel.at(
+                self.world.now + first, self._next, name, tenant, number, gap, random, (dear, failed, span_ms)
+            )
 
-    def _next(self, name: str, tenant: str, number: int, gap: float, random: Random | None,
-              kind: tuple[float, float, float]) -> None:
+    def _next(
+        self, name: str, tenant: str, number: int, gap: float, random: Random | None, kind: tuple[float, float, float]
+    ) -> None:
         if self._streams[name, tenant] != number:
             return
         dear, failed, span = kind
@@ -268,8 +312,13 @@
             self.call(name, tenant, span_ms=span)
             after = gap
         else:
-            self.call(name, tenant, "dear" if random.random() < dear else "plain",
-                      span * random.expovariate(1.0), random.random() >= failed)
+            self.call(
+                name,
+                tenant,
+                "dear" if random.random() < dear else "plain",
+                span * random.expovariate(1.0),
+                random.random() >= failed,
+            )
             after = gap * random.expovariate(1.0)
         self.world.kernel.at(self.world.now + after, self._next, name, tenant, number, gap, random, kind)
 
@@ -298,8 +347,11 @@
         self.checker.away = self._paused | self._cut
 
     def leader(self) -> str | None:
-        leading = [(part.agreement.epoch, name) for name in self.names
-                   if (part := self.world.part(name)) is not None and part.agreement.leader == name]
+        leading = [
+            (part.agreement.epoch, name)
+            for name in self.names
+            if (part := self.world.part(name)) is not None and part.agreement.leader == name
+        ]
         return max(leading)[1] if leading else None
 
     def until(self, holds: Callable[[], bool], most_ms: float, what: str, step_ms: float = 10.0) -> float:
@@ -313,14 +365,16 @@
 
     def begun(self, most_ms: float = 10_000.0) -> None:
         """Till all follow a leader and know each other."""
+
         def ready() -> bool:
             parts = [self.world.part(name) for name in self.names]
-            return all(part is not None and part.agreement.leader is not None and
-                       part.membership.size() == len(self.names) for part in parts)
+            return all(
+                part is not None and part.agreement.leader is not None and part.membership.size() == len(self.names)
+                for part in parts
+            )
 
         self.until(ready, most_ms, "all follow a leader")
 
     def settled(self, most_ms: float = 20_000.0) -> None:
         """Till no slice is held that its holder does not spend from any more: after calls ended, none at all."""
-        self.until(lambda: not any(kept.slices for kept in self.checker.latest.values()), most_ms,
-                   "all slices settled")
+        self.until(lambda: not any(kept.slices for kept in self.checker.latest.values()), most_ms, "all slices settled")
--- a/limenotch/lab/fleet/wallet_storm.py
+++ b/limenotch/lab/fleet/wallet_storm.py
@@ -45,8 +45,9 @@
             _consumers(run, random)
         elif what < 0.4:
             for _ in range(random.choice((1, 10, 30))):
-                run.call(name, random.choice(TENANTS), span_ms=random.choice((1, 50, 700)),
-                         served=random.random() < 0.8)
+                run.call(
+                    name, random.choice(TENANTS), span_ms=random.choice((1, 50, 700)), served=random.random() < 0.8
+                )
         elif what > 0.75:
             wiped = _fault(run, random, name, wiped)
     calm(run)
@@ -159,14 +160,41 @@
         for tenant in TENANTS:
             whole = random.choice((20.0, 60.0, 200.0))
             rate = whole * (0.9 if name == busy else 0.1 / len(run.names))
-            run.stream(name, tenant, rate, Random(f"{random.random()}"), dear=0.1, failed=0.1,
-                       span_ms=random.choice((2.0, 20.0, 200.0)))
+            run.stream(
+                name,
+                tenant,
+                rate,
+                Random(f"{random.random()}"),
+                dear=0.1,
+                failed=0.1,
+                span_ms=random.choice((2.0, 20.0, 200.0)),
+            )
 
 
 def _fault(run: Run, random: Random, name: str, wiped: bool) -> bool:
     world = run.world
-    kind = random.choice(("kill", "kill", "start", "start", "pause", "pause", "wake", "wake", "cut", "two", "one way",
-                          "heal", "heal", "leader", "wipe", "all", "aside", "aside"))
+    kind = random.choice(
+        (
+            "kill",
+            "kill",
+            "start",
+            "start",
+            "pause",
+            "pause",
+            "wake",
+            "wake",
+            "cut",
+            "two",
+            "one way",
+            "heal",
+            "heal",
+            "leader",
+            "wipe",
+            "all",
+            "aside",
+            "aside",
+        )
+    )
     if kind == "leader":
         name = run.leader() or name
         kind = random.choice(("pause", "kill", "one way", "cut"))
@@ -208,5 +236,3 @@
             run.fault(f"start {name}")
         elif node.paused:
             run.fault(f"wake {name}")
-
-
--- a/limenotch/lab/fleet/weather.py
+++ b/limenotch/lab/fleet/weather.py
@@ -54,7 +54,7 @@
     def apply(self, fault: Fault) -> None:
         if isinstance(fault, Cut):
             for number, side in enumerate(fault.sides):
-                for other in fault.sides[number + 1:]:
+                for other in fault.sides[number + 1 :]:
                     for one in side:
                         for two in other:
                             self.cuts.add((one, two))
@@ -161,7 +161,8 @@
     def _look(self) -> None:
         chancy = any(self.overall.values()) or any(self.chances.values())
         self._calm = not (self.cuts or self.muted or self.slow or self.delays or chancy) and (
-            self.usual[0] == self.usual[1])
+            self.usual[0] == self.usual[1]
+        )
 
 
 def _links(way: Way) -> list[tuple[str, str]]:
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -107,8 +107,17 @@
 
 class World:
     def __init__(
-        self, nodes: Iterable[str], make: Make, seed: int = 0, *, later: Iterable[str] = (), delay_ms: float = 1.0,
-        drift_ppm: float = 200.0, fsync_ms: float = 2.0, patience_ms: float = 15_000.0, wake: str = "timers",
+        self,
+        nodes: Iterable[str],
+        make: Make,
+        seed: int = 0,
+        *,
+        later: Iterable[str] = (),
+        delay_ms: float = 1.0,
+        drift_ppm: float = 200.0,
+        fsync_ms: float = 2.0,
+        patience_ms: float = 15_000.0,
+        wake: str = "timers",
         watch: Callable[[float, str, Any], None] | None = None,
     ) -> None:
         """Starts all `nodes` but those of `later`, at 0 ms, in order.
@@ -133,16 +142,26 @@
         self._history = 0
         self._streams = Streams(self.kernel, self.weather, self._arrive, self._count, patience_ms)
         self._acts: dict[type, Callable[[Node, Any], None]] = {
-            Send: self._send, Tell: self._tell, SetTimer: self._set, Note: self._note, Store: self._store,
-            MemberChanged: self._changed, Fenced: self._changed}
+            Send: self._send,
+            Tell: self._tell,
+            SetTimer: self._set,
+            Note: self._note,
+            Store: self._store,
+            MemberChanged: self._changed,
+            Fenced: self._changed,
+        }
         absent = set(later)
         for name in nodes:
             if name in self.nodes:
                 raise ValueError(f"node {name!r} twice")
             random = Random(f"{seed} clock {name}")
             rate = 1 + random.uniform(-drift_ppm, drift_ppm) * 1e-6
-            disk = SimulatedDisk(self.kernel, lambda event, name=name: self.poke(name, event), fsync_ms,  # type: ignore[misc]
-                                 f"{seed} disk {name}")
+            disk = SimulatedDisk(
+                self.kernel,
+                lambda event, name=name: self.poke(name, event),
+                fsync_ms,  # type: ignore[misc]
+                f"{seed} disk {name}",
+            )
             self.nodes[name] = Node(name, len(self.nodes), disk, float(random.randrange(1_000_000)), rate)
             if name in absent:
                 self.weather.dead.add(name)
--- a/limenotch/lab/matrix.py
+++ b/limenotch/lab/matrix.py
@@ -39,17 +39,25 @@
 TRIES = 40  # cells drawn for each that a covering array takes
 LENGTH_S = 4.0
 TROUBLES: dict[str, tuple[dict[str, Any], ...]] = {
-    "silent": ({"kind": "silent", "at_s": 1.0, "length_s": 2.0, "count": 2},
-               {"kind": "slow", "at_s": 2.5, "length_s": 1.5, "count": 1, "size": 8.0}),
-    "deploy": ({"kind": "deploy", "at_s": 1.0, "length_s": 3.0, "part": 0.7, "batch": 0.3, "drain_s": 0.6},
-               {"kind": "directory_down", "at_s": 2.0, "length_s": 1.0}),
-    "errors": ({"kind": "error_burst", "at_s": 1.0, "length_s": 3.0, "part": 0.4, "size": 0.5},
-               {"kind": "spoil", "at_s": 2.0, "length_s": 2.0, "part": 0.3, "size": 0.4},
-               {"kind": "kill", "at_s": 3.0, "length_s": 0.7, "count": 1}),
-    "hand": ({"kind": "ban", "at_s": 1.0, "length_s": 1.0, "count": 2},
-             {"kind": "retune", "at_s": 2.0, "length_s": 1.5, "size": 2.0},
-             {"kind": "upgrade", "at_s": 2.5, "length_s": 1.0},
-             {"kind": "stall", "at_s": 3.2, "length_s": 0.8, "count": 1}),
+    "silent": (
+        {"kind": "silent", "at_s": 1.0, "length_s": 2.0, "count": 2},
+        {"kind": "slow", "at_s": 2.5, "length_s": 1.5, "count": 1, "size": 8.0},
+    ),
+    "deploy": (
+        {"kind": "deploy", "at_s": 1.0, "length_s": 3.0, "part": 0.7, "batch": 0.3, "drain_s": 0.6},
+        {"kind": "directory_down", "at_s": 2.0, "length_s": 1.0},
+    ),
+    "errors": (
+        {"kind": "error_burst", "at_s": 1.0, "length_s": 3.0, "part": 0.4, "size": 0.5},
+        {"kind": "spoil", "at_s": 2.0, "length_s": 2.0, "part": 0.3, "size": 0.4},
+        {"kind": "kill", "at_s": 3.0, "length_s": 0.7, "count": 1},
+    ),
+    "hand": (
+        {"kind": "ban", "at_s": 1.0, "length_s": 1.0, "count": 2},
+        {"kind": "retune", "at_s": 2.0, "length_s": 1.5, "size": 2.0},
+        {"kind": "upgrade", "at_s": 2.5, "length_s": 1.0},
+        {"kind": "stall", "at_s": 3.2, "length_s": 0.8, "count": 1},
+    ),
 }
 
 
@@ -125,29 +133,76 @@
     """A short day: a few providers near the edge of what they can do, so that queues and time-outs occur."""
     names = [f"z{number}" for number in range(cell["zones"])]
     scope = cell["effect"] if cell["effect"] in SCOPES else "zone"
-    kind = {"name": "box", "cores": 1, "speed": [0.8, 1.4], "speed_cv": 0.2, "slots": 6, "queue": 6, "cold_from": 0.3,
-            "cold_s": 2.0, "error_rate": 0.01}
-    tier = {"providers": 6, "work": 1.0 / cell["tiers"], "cell_size": 2, "kind": [kind],
-            "report": {"sent": bool(cell["report"]), "fields": list(cell["report"]) or ["util"], "period_ms": 200},
-            "choke": {"at": 5, "over_s": 1.0, "slower": 3.0, "rest_s": 1.0, "below": 0.4, "most_s": 4.0},
-            "connections": {"handshake_us": 2000, "connect_timeout_ms": 60, "idle_s": 2}}
+    kind = {
+        "name": "box",
+        "cores": 1,
+        "speed": [0.8, 1.4],
+        "speed_cv": 0.2,
+        "slots": 6,
+        "queue": 6,
+        "cold_from": 0.3,
+        "cold_s": 2.0,
+        "error_rate": 0.01,
+    }
+    tier = {
+        "providers": 6,
+        "work": 1.0 / cell["tiers"],
+        "cell_size": 2,
+        "kind": [kind],
+        "report": {"sent": bool(cell["report"]), "fields": list(cell["report"]) or ["util"], "period_ms": 200},
+        "choke": {"at": 5, "over_s": 1.0, "slower": 3.0, "rest_s": 1.0, "below": 0.4, "most_s": 4.0},
+        "connections": {"handshake_us": 2000, "connect_timeout_ms": 60, "idle_s": 2},
+    }
     made = {
-        "name": "cell", "length_s": length_s,
+        "name": "cell",
+        "length_s": length_s,
         "tier": [{**tier, "name": f"t{number}"} for number in range(cell["tiers"])],
         "class": [
-            {"name": "most", "work_ms": 120, "share": 3, "aim_ms": 500, "deadline_ms": 1200, "dist": "exp", "worth": 2,
-             **_effect(cell["effect"], scope)},
-            {"name": "some", "work_ms": 240, "share": 1, "aim_ms": 800, "deadline_ms": 1500, "late_worth": 0.5,
-             **_effect(cell["beside"], scope)},
+            {
+                "name": "most",
+                "work_ms": 120,
+                "share": 3,
+                "aim_ms": 500,
+                "deadline_ms": 1200,
+                "dist": "exp",
+                "worth": 2,
+                **_effect(cell["effect"], scope),
+            },
+            {
+                "name": "some",
+                "work_ms": 240,
+                "share": 1,
+                "aim_ms": 800,
+                "deadline_ms": 1500,
+                "late_worth": 0.5,
+                **_effect(cell["beside"], scope),
+            },
         ],
         "account": [{"name": f"a{number}", "share": 1 + number} for number in range(cell["accounts"])],
-        "clients": {"load": 0.65, "retries": 1, "backoff_ms": [20, 200], "patience": [0.6, 1.0], "wave": 0.4,
-                    "wave_s": 3.0},
+        "clients": {
+            "load": 0.65,
+            "retries": 1,
+            "backoff_ms": [20, 200],
+            "patience": [0.6, 1.0],
+            "wave": 0.4,
+            "wave_s": 3.0,
+        },
         "network": {"zones": names, "cross_ms": [1.0, 3.0]},
-        "directory": {"add_ms": [50, 300], "drain_ms": [20, 100], "notice_ms": [300, 900], "silent_ms": [900, 1900],
-                      "period_ms": 200},
-        "sidecars": {"count": 2, "max_attempts": cell["attempts"], "copies": cell["copies"], "cancel": cell["cancel"],
-                     "max_retry_after_ms": 500 if cell["advice"] else 0, "list_by": cell["list"]},
+        "directory": {
+            "add_ms": [50, 300],
+            "drain_ms": [20, 100],
+            "notice_ms": [300, 900],
+            "silent_ms": [900, 1900],
+            "period_ms": 200,
+        },
+        "sidecars": {
+            "count": 2,
+            "max_attempts": cell["attempts"],
+            "copies": cell["copies"],
+            "cancel": cell["cancel"],
+            "max_retry_after_ms": 500 if cell["advice"] else 0,
+            "list_by": cell["list"],
+        },
         "rules": {"drain_grace_ms": 250, "fall_multiple": 4, "fall_s": 1.5, "start_capacity": 0.3, "cold_s": 2.0},
         "fault": list(TROUBLES[cell["trouble"]]),
     }
@@ -168,6 +223,9 @@
 def told(broken: Broken) -> str:
     """For a person: the cell, what broke, and the history of the first call that broke it."""
     first = broken.first
-    head = [f"seed {broken.seed}: {broken.cell}", f"  {broken.counts}",
-            f"  {first.at_ms:.0f} ms: {first.rule}: {first.text}"]
+    head = [
+        f"seed {broken.seed}: {broken.cell}",
+        f"  {broken.counts}",
+        f"  {first.at_ms:.0f} ms: {first.rule}: {first.text}",
+    ]
     return "\n".join([*head, *(f"    {line}" for line in first.history)])
--- a/limenotch/lab/model/directory.py
+++ b/limenotch/lab/model/directory.py
@@ -159,7 +159,7 @@
         if watch is None or watch.at == inf:
             return
         watch.at = inf
-        changed = self._changes[watch.version:]
+        changed = self._changes[watch.version :]
         watch.version = len(self._changes)
         latest = {entry.name: entry for entry in changed}
         if latest:
--- a/limenotch/lab/model/faults.py
+++ b/limenotch/lab/model/faults.py
@@ -109,34 +109,41 @@
                 yield Deed(at + drain, "stop", tier, machine)
                 yield Deed(at + drain + chance.between(100.0, 1000.0), "start", tier, machine)
 
-    def _while(self, kind: str, begin: float, length: float, tier: int, victims: list[int], on: float, off: float) \
-            -> Iterator[Deed]:
+    def _while(
+        self, kind: str, begin: float, length: float, tier: int, victims: list[int], on: float, off: float
+    ) -> Iterator[Deed]:
         for machine in victims:
             yield Deed(begin, kind, tier, machine, on)
             yield Deed(begin + length, kind, tier, machine, off)
 
-    def _slow(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-              victims: list[int]) -> Iterator[Deed]:
+    def _slow(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         return self._while("slow", begin, length, tier, victims, max(size, 1.0), 1.0)
 
-    def _stall(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-               victims: list[int]) -> Iterator[Deed]:
+    def _stall(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         return self._while("stall", begin, length, tier, victims, 1.0, 0.0)
 
-    def _silent(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                victims: list[int]) -> Iterator[Deed]:
+    def _silent(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         return self._while("silent", begin, length, tier, victims, 1.0, 0.0)
 
-    def _error_burst(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                     victims: list[int]) -> Iterator[Deed]:
+    def _error_burst(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         return self._while("errors", begin, length, tier, victims, size, 0.0)
 
-    def _spoil(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-               victims: list[int]) -> Iterator[Deed]:
+    def _spoil(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         return self._while("spoil", begin, length, tier, victims, size, 0.0)
 
-    def _neighbour(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                   victims: list[int]) -> Iterator[Deed]:
+    def _neighbour(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         turn = _of(fault.on_s, chance) * 1000.0
         for machine in victims:
             at, on = begin, True
@@ -146,47 +153,54 @@
                 on = not on
             yield Deed(begin + length, "neighbour", tier, machine, 0.0)
 
-    def _kill(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-              victims: list[int]) -> Iterator[Deed]:
+    def _kill(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         for machine in victims:
             yield Deed(begin, "kill", tier, machine, length)
             if length > 0:
                 yield Deed(begin + length, "start", tier, machine)
 
-    def _ban(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-             victims: list[int]) -> Iterator[Deed]:
+    def _ban(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         """One after another. A restart would give the machine's process a new name here, so there is none."""
         for number, machine in enumerate(victims):
             at = begin + number * length
             yield Deed(at, "ban", tier, machine, 1.0)
             yield Deed(at + length, "ban", tier, machine, 0.0)
 
-    def _retune(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                victims: list[int]) -> Iterator[Deed]:
+    def _retune(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         yield Deed(begin, "retune", value=size)
         if length > 0:
             yield Deed(begin + length, "retune", value=float(self._plan.scenario.sidecars.max_attempts))
 
-    def _upgrade(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                 victims: list[int]) -> Iterator[Deed]:
+    def _upgrade(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         """All entries in turn."""
         count = self._plan.scenario.sidecars.count
         for sidecar in range(count):
             yield Deed(begin + length * sidecar / count, "upgrade", target=sidecar)
 
-    def _forget(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                victims: list[int]) -> Iterator[Deed]:
+    def _forget(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         for machine in victims:
             yield Deed(begin, "forget", tier, machine, length)
 
-    def _directory_down(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                        victims: list[int]) -> Iterator[Deed]:
+    def _directory_down(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         # One service for all tiers.
         yield Deed(begin, "directory", value=1.0)
         yield Deed(begin + length, "directory", value=0.0)
 
-    def _ramp(self, kind: str, target: int, begin: float, length: float, rise: float, off: float, on: float) \
-            -> Iterator[Deed]:
+    def _ramp(
+        self, kind: str, target: int, begin: float, length: float, rise: float, off: float, on: float
+    ) -> Iterator[Deed]:
         """Up to `on` within `rise`, and back as fast at the end."""
         steps = max(int(rise / RISE_STEP_MS), 1)
         for step in range(1, steps + 1):
@@ -194,22 +208,25 @@
             yield Deed(begin + rise * (step - 1) / steps, kind, target=target, value=value)
             yield Deed(begin + length - rise * (step - 1) / steps, kind, target=target, value=off + on - value)
 
-    def _surge(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-               victims: list[int]) -> Iterator[Deed]:
+    def _surge(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         names = [account.name for account in self._plan.accounts]
         draw = chance.index(len(names))
         account = names.index(fault.account) if fault.account is not None else draw
         rise = min(_of(fault.rise_s, chance) * 1000.0, length / 2)
         return self._ramp("surge", account, begin, length, rise, 1.0, max(size, 0.0))
 
-    def _hot_sidecar(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                     victims: list[int]) -> Iterator[Deed]:
+    def _hot_sidecar(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         sidecar = chance.index(self._plan.scenario.sidecars.count)
         rise = min(_of(fault.rise_s, chance) * 1000.0, length / 2)
         return self._ramp("hot", sidecar, begin, length, rise, 0.0, size)
 
-    def _cut_link(self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int,
-                  victims: list[int]) -> Iterator[Deed]:
+    def _cut_link(
+        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
+    ) -> Iterator[Deed]:
         zones = self._plan.network.zones
         assert fault.zones is not None  # checked with the scenario
         one, two = zones.index(fault.zones[0]), zones.index(fault.zones[1])
--- a/limenotch/lab/model/provider.py
+++ b/limenotch/lab/model/provider.py
@@ -242,8 +242,9 @@
         self._renew(now)
         return effects
 
-    def strain(self, now: float, slow: float | None = None, taken: float | None = None,
-               stalled: bool | None = None) -> None:
+    def strain(
+        self, now: float, slow: float | None = None, taken: float | None = None, stalled: bool | None = None
+    ) -> None:
         """A fault begins or ends: `slow` times slower, a neighbour takes a part, nothing moves at all."""
         self._advance(now)
         self.slow = self.slow if slow is None else slow
--- a/limenotch/lab/model/rules.py
+++ b/limenotch/lab/model/rules.py
@@ -114,8 +114,16 @@
     def open(self) -> int:
         return len(self._calls)
 
-    def taken(self, now: float, call: Hashable, effect: str, scope: str, window_ms: float, end: float,
-              allowed: Allowed | None = None) -> None:
+    def taken(
+        self,
+        now: float,
+        call: Hashable,
+        effect: str,
+        scope: str,
+        window_ms: float,
+        end: float,
+        allowed: Allowed | None = None,
+    ) -> None:
         """A sidecar has taken a call whose consumer waits until `end`."""
         if call in self._calls:
             self._break(ONE_ANSWER, now, f"call {call!r} was taken twice", self._calls[call])
--- a/limenotch/lab/planning.py
+++ b/limenotch/lab/planning.py
@@ -134,16 +134,31 @@
         conn = tier.connections
         tiers.append(
             TierPlan(
-                tier.name, tier.work, _draw(tier.calls, draw) if number + 1 < len(scenario.tier) else 0.0,
-                _machines(scenario, number, seeds), _draw(conn.handshake_rtts, draw),
-                _draw(conn.idle_s, draw) * 1000.0, _draw(conn.connect_timeout_ms, draw),
+                tier.name,
+                tier.work,
+                _draw(tier.calls, draw) if number + 1 < len(scenario.tier) else 0.0,
+                _machines(scenario, number, seeds),
+                _draw(conn.handshake_rtts, draw),
+                _draw(conn.idle_s, draw) * 1000.0,
+                _draw(conn.connect_timeout_ms, draw),
             )
         )
     classes = tuple(
         ClassSpec(
-            cls.name, _draw(cls.share, draw), _draw(cls.work_ms, draw), cls.effect, cls.scope, cls.window_s * 1000.0,
-            cls.dist, _draw(cls.cv, draw), _draw(cls.attempt_noise, draw), cls.aim_ms, cls.deadline_ms, cls.worth,
-            cls.late_worth, cls.carried,
+            cls.name,
+            _draw(cls.share, draw),
+            _draw(cls.work_ms, draw),
+            cls.effect,
+            cls.scope,
+            cls.window_s * 1000.0,
+            cls.dist,
+            _draw(cls.cv, draw),
+            _draw(cls.attempt_noise, draw),
+            cls.aim_ms,
+            cls.deadline_ms,
+            cls.worth,
+            cls.late_worth,
+            cls.carried,
         )
         for cls in scenario.cls
     )
@@ -163,22 +178,45 @@
     if rate * scenario.length_s > MOST_CALLS:
         raise toml.FaultError(f"{scenario.name}: clients: more than {MOST_CALLS} calls in all")
     clients = ClientSpec(
-        rate, _draw(source.wave, draw), _draw(source.wave_s, draw) * 1000.0, round(_draw(source.retries, draw)),
-        _draw(source.retry_share, draw), source.backoff_ms, source.backoff_grows, _draw(source.honour, draw),
-        source.patience, _draw(source.zone_skew, draw),
+        rate,
+        _draw(source.wave, draw),
+        _draw(source.wave_s, draw) * 1000.0,
+        round(_draw(source.retries, draw)),
+        _draw(source.retry_share, draw),
+        source.backoff_ms,
+        source.backoff_grows,
+        _draw(source.honour, draw),
+        source.patience,
+        _draw(source.zone_skew, draw),
     )
     net, where = scenario.network, scenario.directory
     network = NetworkSpec(
         net.zones, _draw(net.same_ms, draw), net.cross_ms, _draw(net.client_ms, draw), _draw(net.jitter, draw)
     )
     directory = DirectorySpec(
-        where.add_ms, where.drain_ms, where.notice_ms, where.silent_ms, _draw(where.period_ms, draw),
-        _draw(where.spread_ms, draw), _draw(where.call_ms, draw), _draw(where.timeout_ms, draw),
+        where.add_ms,
+        where.drain_ms,
+        where.notice_ms,
+        where.silent_ms,
+        _draw(where.period_ms, draw),
+        _draw(where.spread_ms, draw),
+        _draw(where.call_ms, draw),
+        _draw(where.timeout_ms, draw),
     )
     quota = most * _draw(scenario.sidecars.quota_of_capacity, draw)
     return Plan(
-        scenario, seed, scenario.length_s * 1000.0, tuple(tiers), classes, accounts, clients, network, directory,
-        most, quota, trace,
+        scenario,
+        seed,
+        scenario.length_s * 1000.0,
+        tuple(tiers),
+        classes,
+        accounts,
+        clients,
+        network,
+        directory,
+        most,
+        quota,
+        trace,
     )
 
 
@@ -189,8 +227,14 @@
     return {
         "classes": [
             {
-                "name": c.name, "effect": c.effect, "dedup_scope": c.scope, "window_ms": c.window_ms,
-                "target_ms": c.aim_ms, "hard_limit_ms": c.deadline_ms, "worth": c.worth, "late_worth": c.late_worth,
+                "name": c.name,
+                "effect": c.effect,
+                "dedup_scope": c.scope,
+                "window_ms": c.window_ms,
+                "target_ms": c.aim_ms,
+                "hard_limit_ms": c.deadline_ms,
+                "worth": c.worth,
+                "late_worth": c.late_worth,
             }
             for c in plan.classes
         ],
--- a/limenotch/lab/record.py
+++ b/limenotch/lab/record.py
@@ -67,8 +67,10 @@
         if whole <= MOST_SERIES:
             kinds = [[kind.name for kind in tier.kind] for tier in plan.scenario.tier]
             self.series = [
-                [Series(f"{tier.name}-{m.index}", kinds[m.tier][m.kind], plan.network.zones[m.zone])
-                 for m in tier.machines]
+                [
+                    Series(f"{tier.name}-{m.index}", kinds[m.tier][m.kind], plan.network.zones[m.zone])
+                    for m in tier.machines
+                ]
                 for tier in plan.tiers
             ]
         self._busy: dict[tuple[int, int], tuple[object, float]] = {}
@@ -268,8 +270,7 @@
                 for spec, sums, hist in zip(self.plan.classes, self.classes, self.latency, strict=True)
             ],
             "accounts": [
-                {"name": spec.name, **_sums(sums)}
-                for spec, sums in zip(self.plan.accounts, self.accounts, strict=True)
+                {"name": spec.name, **_sums(sums)} for spec, sums in zip(self.plan.accounts, self.accounts, strict=True)
             ],
             "tiers": [
                 {"name": tier.name, "providers": len(tier.machines), **asdict(sums), "work": work}
@@ -283,9 +284,7 @@
             },
             "faults": [asdict(band) for band in self.bands],
             "events": [list(event) for event in self.events],
-            "windows": {
-                name: _rounded([getattr(w, name) for w in self.windows]) for name in Window.__slots__
-            },
+            "windows": {name: _rounded([getattr(w, name) for w in self.windows]) for name in Window.__slots__},
             "samples": {
                 "at_ms": self.sampled_ms,
                 "tiers": [
@@ -302,15 +301,24 @@
 
 def _sums(sums: Sums) -> dict[str, Any]:
     return {
-        "asked": sums.asked, "served": sums.served, "in_time": sums.in_time, "worth": round(sums.worth, 4),
-        "earned": round(sums.earned, 4), "service": round(sums.service, 5),
+        "asked": sums.asked,
+        "served": sums.served,
+        "in_time": sums.in_time,
+        "worth": round(sums.worth, 4),
+        "earned": round(sums.earned, 4),
+        "service": round(sums.service, 5),
     }
 
 
 def _series(series: Series) -> dict[str, Any]:
     return {
-        "name": series.name, "kind": series.kind, "zone": series.zone, "runnable": series.runnable,
-        "held": series.held, "util": series.util, "state": "".join(series.state),
+        "name": series.name,
+        "kind": series.kind,
+        "zone": series.zone,
+        "runnable": series.runnable,
+        "held": series.held,
+        "util": series.util,
+        "state": "".join(series.state),
     }
 
 
@@ -348,10 +356,15 @@
             sojourn += process.sojourn_ms(now)
             pushed = max(pushed, process.pushed)
         accounted = sums["refused"] + sums["served"] + sums["wasted"] + sums["unspent"] + sums["held_work"]
-        result.append({
-            **{name: round(value, 3) for name, value in sums.items()}, **counts,
-            "pushed_most": round(pushed, 4), "held_ms": round(held, 3), "sojourn_ms": round(sojourn, 3),
-            "work_error": float(f"{abs(sums['offered'] - accounted) / max(sums['offered'], 1.0):.1e}"),
-            "little_error": float(f"{abs(held - sojourn) / max(sojourn, 1.0):.1e}"),
-        })
+        result.append(
+            {
+                **{name: round(value, 3) for name, value in sums.items()},
+                **counts,
+                "pushed_most": round(pushed, 4),
+                "held_ms": round(held, 3),
+                "sojourn_ms": round(sojourn, 3),
+                "work_error": float(f"{abs(sums['offered'] - accounted) / max(sums['offered'], 1.0):.1e}"),
+                "little_error": float(f"{abs(held - sojourn) / max(sojourn, 1.0):.1e}"),
+            }
+        )
     return result
--- a/limenotch/lab/report/page.py
+++ b/limenotch/lab/report/page.py
@@ -16,8 +16,13 @@
 
 
 def _environment() -> Environment:
-    made = Environment(loader=PackageLoader("limenotch.lab.report", "."), autoescape=True, undefined=StrictUndefined,
-                       trim_blocks=True, lstrip_blocks=True)
+    made = Environment(
+        loader=PackageLoader("limenotch.lab.report", "."),
+        autoescape=True,
+        undefined=StrictUndefined,
+        trim_blocks=True,
+        lstrip_blocks=True,
+    )
     made.filters["percent"] = lambda value: f"{value:.1%}"
     made.filters["ms"] = lambda value: f"{value:,.0f}"
     made.filters["three"] = lambda value: f"{value:.3f}"
@@ -61,8 +66,14 @@
     """The page of a comparison. Raises FaultError."""
     parts = []
     for each in comparisons:
-        scores = [(seed, runs[each.first, each.scenario, seed]["metrics"]["score"],
-                   runs[each.other, each.scenario, seed]["metrics"]["score"]) for seed in each.seeds]
+        scores = [
+            (
+                seed,
+                runs[each.first, each.scenario, seed]["metrics"]["score"],
+                runs[each.other, each.scenario, seed]["metrics"]["score"],
+            )
+            for seed in each.seeds
+        ]
         figures = plots.of_comparison(each, scores, SHOWN)
         try:
             drawn = [(name, plots.svg(figure)) for name, figure in figures]
--- a/limenotch/lab/report/plots.py
+++ b/limenotch/lab/report/plots.py
@@ -20,14 +20,32 @@
 
 WIDTH = 4.6  # inches: at a phone's width the text is about as large as the page's
 STYLE = {
-    "font.size": 8, "axes.spines.top": False, "axes.spines.right": False, "axes.linewidth": 0.6,
-    "axes.titlesize": 9, "axes.titleweight": "bold", "axes.titlelocation": "left", "legend.frameon": False,
-    "legend.fontsize": 7, "lines.linewidth": 1.3, "svg.fonttype": "path", "svg.hashsalt": "limenotch",
-    "xtick.major.width": 0.6, "ytick.major.width": 0.6, "figure.dpi": 110,
+    "font.size": 8,
+    "axes.spines.top": False,
+    "axes.spines.right": False,
+    "axes.linewidth": 0.6,
+    "axes.titlesize": 9,
+    "axes.titleweight": "bold",
+    "axes.titlelocation": "left",
+    "legend.frameon": False,
+    "legend.fontsize": 7,
+    "lines.linewidth": 1.3,
+    "svg.fonttype": "path",
+    "svg.hashsalt": "limenotch",
+    "xtick.major.width": 0.6,
+    "ytick.major.width": 0.6,
+    "figure.dpi": 110,
 }
 # Colours that hold apart for the colour-blind (Okabe and Ito).
 BLUE, ORANGE, GREEN, RED, PURPLE, SKY, GREY = (
-    "#0072b2", "#e69f00", "#009e73", "#d55e00", "#cc79a7", "#56b4e9", "#8a8a8a")
+    "#0072b2",
+    "#e69f00",
+    "#009e73",
+    "#d55e00",
+    "#cc79a7",
+    "#56b4e9",
+    "#8a8a8a",
+)
 STATE_COLOURS = {"c": SKY, "k": RED, "d": ORANGE, "x": "#333333", "s": PURPLE, "t": "#7b4f00"}
 STATE_NAMES = {"c": "cold", "k": "choked", "d": "draining", "x": "down", "s": "silent", "t": "stalled"}
 BAND_COLOURS = [ORANGE, SKY, PURPLE, GREEN, RED, BLUE, GREY]
@@ -52,8 +70,14 @@
             row = next((row for row, taken in enumerate(ends) if taken <= begin), len(ends))
             ends[row : row + 1] = [begin + width]
             left = min(begin, max(length - width, 0.0))
-            axes.annotate(band["text"], (left, 1.02 + 0.075 * row), xycoords=("data", "axes fraction"), color=colour,
-                          fontsize=6.5, annotation_clip=False)
+            axes.annotate(
+                band["text"],
+                (left, 1.02 + 0.075 * row),
+                xycoords=("data", "axes fraction"),
+                color=colour,
+                fontsize=6.5,
+                annotation_clip=False,
+            )
     axes.set_xlim(0, length)
 
 
@@ -90,8 +114,14 @@
     count = _seconds(run)
     windows, at = run["windows"], np.arange(count) + 0.5
     names = (("served", GREEN), ("rejected", ORANGE), ("failed", RED), ("timed_out", PURPLE))
-    axes.stackplot(at, *(windows[name][:count] for name, _ in names), colors=[colour for _, colour in names],
-                   labels=[name.replace("_", " ") for name, _ in names], alpha=0.75, linewidth=0)
+    axes.stackplot(
+        at,
+        *(windows[name][:count] for name, _ in names),
+        colors=[colour for _, colour in names],
+        labels=[name.replace("_", " ") for name, _ in names],
+        alpha=0.75,
+        linewidth=0,
+    )
     axes.plot(at, windows["tries"][:count], color="black", linewidth=0.8, label="tries begun")
     _bands(axes, run)
     axes.set(ylim=(0, axes.get_ylim()[1] * 1.3), ylabel="a second", xlabel="s", title="How tries ended")
@@ -165,8 +195,9 @@
     """Load over the providers of a tier: median, nine tenths, all; and how many were not plain ready."""
     data = run["samples"]["tiers"][tier]["spread"]
     at = np.array(run["samples"]["at_ms"]) / 1000.0
-    figure, (axes, below) = pyplot.subplots(2, 1, figsize=(WIDTH, 2.9), layout="constrained", sharex=True,
-                                            height_ratios=(2, 1))
+    figure, (axes, below) = pyplot.subplots(
+        2, 1, figsize=(WIDTH, 2.9), layout="constrained", sharex=True, height_ratios=(2, 1)
+    )
     axes.fill_between(at, data["load_0.1"], data["load_0.9"], color=BLUE, alpha=0.25, linewidth=0, label="10 to 90%")
     axes.plot(at, data["load_0.5"], color=BLUE, label="median")
     axes.plot(at, data["load_1"], color=RED, linewidth=0.8, label="fullest")
@@ -208,8 +239,14 @@
     """The score of each seed under both variants."""
     figure, axes = _figure(2.1)
     for _, one, two in scores:
-        axes.plot([0, 1], [one, two], color=GREEN if two > one else RED if two < one else GREY, marker="o",
-                  markersize=3, linewidth=1)
+        axes.plot(
+            [0, 1],
+            [one, two],
+            color=GREEN if two > one else RED if two < one else GREY,
+            marker="o",
+            markersize=3,
+            linewidth=1,
+        )
     axes.set_xticks([0, 1], [comparison.first, comparison.other])
     axes.set(xlim=(-0.3, 1.3), ylabel="score", title="Each seed's score")
     return figure
@@ -218,16 +255,21 @@
 def of_run(run: dict[str, Any]) -> list[tuple[str, Figure]]:
     """All plots of a run, by name."""
     with matplotlib.rc_context(STYLE):  # type: ignore[arg-type]
-        made = [("goodput", goodput(run)), ("outcomes", outcomes(run)), ("again", again(run)),
-                ("latency", latency(run))]
+        made = [
+            ("goodput", goodput(run)),
+            ("outcomes", outcomes(run)),
+            ("again", again(run)),
+            ("latency", latency(run)),
+        ]
         for tier, sampled in enumerate(run["samples"]["tiers"]):
             draw = fleet if sampled["providers"] else spread
             made.append((f"tier-{run['tiers'][tier]['name']}", draw(run, tier)))
     return made
 
 
-def of_comparison(comparison: Any, scores: Sequence[tuple[int, float, float]], shown: Sequence[str]) \
-        -> list[tuple[str, Figure]]:
+def of_comparison(
+    comparison: Any, scores: Sequence[tuple[int, float, float]], shown: Sequence[str]
+) -> list[tuple[str, Figure]]:
     with matplotlib.rc_context(STYLE):  # type: ignore[arg-type]
         return [("differences", differences(comparison, shown)), ("scores", pairs(comparison, scores))]
 
@@ -238,7 +280,7 @@
         out = io.StringIO()
         figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
-    return text[text.index("<svg"):]
+    return text[text.index("<svg") :]
 
 
 def png(figure: Figure) -> bytes:
--- a/limenotch/lab/scenario.py
+++ b/limenotch/lab/scenario.py
@@ -27,8 +27,22 @@
 MOST_PROVIDERS = 20_000
 MOST_CALLS = 50_000_000  # first tries of a run
 FAULT_KINDS = Literal[
-    "deploy", "slow", "neighbour", "surge", "hot_sidecar", "directory_down", "forget", "silent", "kill", "cut_link",
-    "stall", "error_burst", "spoil", "ban", "retune", "upgrade",
+    "deploy",
+    "slow",
+    "neighbour",
+    "surge",
+    "hot_sidecar",
+    "directory_down",
+    "forget",
+    "silent",
+    "kill",
+    "cut_link",
+    "stall",
+    "error_burst",
+    "spoil",
+    "ban",
+    "retune",
+    "upgrade",
 ]
 BY_HAND = ("ban", "retune", "upgrade")  # what operators do to sidecars; played in simulated time only
 
--- a/limenotch/lab/simulate/by_hand.py
+++ b/limenotch/lab/simulate/by_hand.py
@@ -40,7 +40,8 @@
     world.leaving.append(old)
     world.record.event(world.kernel.now, "upgraded", f"entry {deed.target}")
     new = world.sidecars[old.key] = Sidecar(
-        world, old.key, old.zone, 0, old.told, world.fleet.sidecar_seed(old.key) + len(world.leaving))
+        world, old.key, old.zone, 0, old.told, world.fleet.sidecar_seed(old.key) + len(world.leaving)
+    )
     new.take_over(old)
     old.together(2)
     new.together(2)
--- a/limenotch/lab/simulate/sidecar.py
+++ b/limenotch/lab/simulate/sidecar.py
@@ -58,13 +58,15 @@
 def allowed_by(told: dict[str, Any]) -> Allowed:
     """What a sidecar's settings allow, for the rules."""
     permissions = told["permissions"]
-    return Allowed(permissions["max_attempts"], permissions["parallel_tries"], permissions["cancel"],
-                   permissions["retry_after"])
+    return Allowed(
+        permissions["max_attempts"], permissions["parallel_tries"], permissions["cancel"], permissions["retry_after"]
+    )
 
 
 class Sidecar:
-    def __init__(self, world: World, key: tuple[int, int], zone: int, tier: int, told: dict[str, Any],
-                 seed: int) -> None:
+    def __init__(
+        self, world: World, key: tuple[int, int], zone: int, tier: int, told: dict[str, Any], seed: int
+    ) -> None:
         """`told` are its settings; `tier` is the one it sends to; `key` is unique in the world."""
         self.world, self.key, self.zone, self.tier = world, key, zone, tier
         self.told = told
@@ -85,11 +87,18 @@
         if "per_s" not in face.Finished._fields:
             self._shown = self._shown[:1]  # a variant of an older interface
         self._outcomes = {
-            "served": outcome.OK, "error": outcome.ERROR, "refused": outcome.REFUSED, "reset": outcome.RESET,
+            "served": outcome.OK,
+            "error": outcome.ERROR,
+            "refused": outcome.REFUSED,
+            "reset": outcome.RESET,
         }
         self._do: dict[type, Callable[[Any], None]] = {
-            face.Send: self._send, face.SetTimer: self._set_timer, face.Cancel: self._abandon,
-            face.Refuse: self._reject, face.Fail: self._fail, face.Subscribe: self._subscribe,
+            face.Send: self._send,
+            face.SetTimer: self._set_timer,
+            face.Cancel: self._abandon,
+            face.Refuse: self._reject,
+            face.Fail: self._fail,
+            face.Subscribe: self._subscribe,
         }
 
     # What it is told
@@ -124,8 +133,15 @@
                 self._close_idle(entry.name)
             self._tell_rules(entry.name)
             upstreams.append(
-                face.Upstream(entry.name, face.Stage(entry.stage), entry.weight, entry.kind, entry.zone, entry.group,
-                              entry.started_ms)
+                face.Upstream(
+                    entry.name,
+                    face.Stage(entry.stage),
+                    entry.weight,
+                    entry.kind,
+                    entry.zone,
+                    entry.group,
+                    entry.started_ms,
+                )
             )
         listing = face.Listing.WHOLE if told.whole else face.Listing.CHANGES
         self._handle(face.Membership(listing, tuple(upstreams)))
@@ -160,8 +176,9 @@
     def take_over(self, old: Sidecar) -> None:
         """What the old process hands to this one: list, bans and knowledge."""
         self._banned = set(old._banned)
-        entries = tuple(entry for entry in self.world.fleet.directories[self.tier].entries.values()
-                        if entry.name in old._stage)
+        entries = tuple(
+            entry for entry in self.world.fleet.directories[self.tier].entries.values() if entry.name in old._stage
+        )
         self._handle(self._face.Started())
         self.heard(Tell(self.key, True, tuple(replace(entry, stage=old._stage[entry.name]) for entry in entries)))
         for name in sorted(self._banned):
@@ -174,8 +191,18 @@
             assert process is not None
             process.disconnect(self.world.kernel.now)
 
-    def take(self, number: int, cls: int, account: int, size: float, key: str, budget_ms: float, end: float,
-             answer: Answer, again: bool = False) -> Call:
+    def take(
+        self,
+        number: int,
+        cls: int,
+        account: int,
+        size: float,
+        key: str,
+        budget_ms: float,
+        end: float,
+        answer: Answer,
+        again: bool = False,
+    ) -> Call:
         """A call came in, whole; `answer` is called once unless its consumer leaves."""
         world = self.world
         call = Call(number, cls, size, key, end, answer)
@@ -363,6 +390,7 @@
         elif call.closed:
             self._close(call)
         told = [value if shown else None for value, shown in zip(report or (), self._shown, strict=False)]
-        event = face.Finished(str(call.number), attempt.name, attempt.number, now - attempt.began, outcome,
-                              call.closed, *told)
+        event = face.Finished(
+            str(call.number), attempt.name, attempt.number, now - attempt.began, outcome, call.closed, *told
+        )
         self._handle(event)
--- a/limenotch/lab/simulate/world.py
+++ b/limenotch/lab/simulate/world.py
@@ -77,7 +77,8 @@
         longest = max(cls.deadline_ms for cls in plan.classes)
         # After the last arrival all is answered: retries, and the wait before each.
         tail = (longest + max(plan.clients.backoff_ms[1], plan.scenario.sidecars.max_retry_after_ms) * 4) * (
-            1 + plan.clients.retries) + 1000.0
+            1 + plan.clients.retries
+        ) + 1000.0
         kernel.run(plan.length_ms + tail)
         self._over = True
         self.rules.quiet(kernel.now)
@@ -125,8 +126,15 @@
                 over("failed", 0.0)
                 return
             state[0] = sidecar.take(
-                self.next_number(), request.cls, request.account, request.size, request.key, request.budget_ms,
-                now + request.budget_ms, answer, request.tries > 1,
+                self.next_number(),
+                request.cls,
+                request.account,
+                request.size,
+                request.key,
+                request.budget_ms,
+                now + request.budget_ms,
+                answer,
+                request.tries > 1,
             )
 
         def give_up() -> None:
@@ -158,8 +166,7 @@
 
     def _start_sidecar(self, key: tuple[int, int], zone: int, tier: int, rank: int, balancers: int) -> None:
         settings = settings_of(self.plan, tier, rank, balancers, zone)
-        sidecar = self.sidecars[key] = Sidecar(
-            self, key, zone, tier, settings, self.fleet.sidecar_seed(key))
+        sidecar = self.sidecars[key] = Sidecar(self, key, zone, tier, settings, self.fleet.sidecar_seed(key))
         sidecar.start()
         for banned_tier, name in sorted(self.banned):
             if banned_tier == tier:
@@ -168,8 +175,9 @@
     def _start_inner(self, tier: int, site: Site) -> None:
         """The sidecar of a provider, for its calls of the tier below."""
         machine = site.machine
-        self._start_sidecar((tier + 1, machine.index), machine.zone, tier + 1, machine.index,
-                            len(self.fleet.sites[tier]))
+        self._start_sidecar(
+            (tier + 1, machine.index), machine.zone, tier + 1, machine.index, len(self.fleet.sites[tier])
+        )
 
     def find(self, tier: int, name: str) -> tuple[Site | None, Provider | None]:
         return self._names.get(name, (None, None))
@@ -223,8 +231,13 @@
         if attempt.ticket and site is not None and attempt.ticket in self._attempts:
             del self._attempts[attempt.ticket]
             if self.reaches(sidecar.zone, site):
-                self.kernel.at(self.kernel.now + self.one_way(sidecar.zone, site), self._drop, site,
-                               attempt.process, attempt.ticket)
+                self.kernel.at(
+                    self.kernel.now + self.one_way(sidecar.zone, site),
+                    self._drop,
+                    site,
+                    attempt.process,
+                    attempt.ticket,
+                )
 
     def _drop(self, site: Site, process: Provider, ticket: int) -> None:
         if process.stopped:
--- a/limenotch/lab/timeline.py
+++ b/limenotch/lab/timeline.py
@@ -117,8 +117,20 @@
         second.counts["watches"] += 1
 
 
-COLUMNS = ("taken", "final rejected", "final failed", "further", "turned away", "timed out", "connect failed", "reset",
-           "abandoned", "not sent", "watches", "list lines")
+COLUMNS = (
+    "taken",
+    "final rejected",
+    "final failed",
+    "further",
+    "turned away",
+    "timed out",
+    "connect failed",
+    "reset",
+    "abandoned",
+    "not sent",
+    "watches",
+    "list lines",
+)
 SPANS = (*(f"<{bound:g}s" for bound in AGES_S), "warm")
 
 
@@ -130,12 +142,18 @@
     for number, second in sorted(timeline.layers[layer].items()):
         spent = sorted(second.spent_ms)
         limit, out = (sum(v) / len(v) if v else 0.0 for v in (second.limits, second.outs))
-        rows.append({
-            "s": number, **{c.replace("final ", ""): second.counts[c] for c in COLUMNS},
-            "limit": round(limit, 1), "out": round(out, 1), "p50 ms": round(spent[len(spent) // 2]) if spent else 0,
-            **{span: second.ages[span] for span in SPANS},
-            "most": max(second.providers.values(), default=0), "used": len(second.providers),
-        })
+        rows.append(
+            {
+                "s": number,
+                **{c.replace("final ", ""): second.counts[c] for c in COLUMNS},
+                "limit": round(limit, 1),
+                "out": round(out, 1),
+                "p50 ms": round(spent[len(spent) // 2]) if spent else 0,
+                **{span: second.ages[span] for span in SPANS},
+                "most": max(second.providers.values(), default=0),
+                "used": len(second.providers),
+            }
+        )
     return rows
 
 
--- a/limenotch/layers/base.py
+++ b/limenotch/layers/base.py
@@ -79,6 +79,8 @@
 
 
 def messages_of(module: ModuleType) -> tuple[type[Message], ...]:
-    return tuple(kind for kind in vars(module).values()
-                 if isinstance(kind, type) and issubclass(kind, Message) and kind is not Message)
-
+    return tuple(
+        kind
+        for kind in vars(module).values()
+        if isinstance(kind, type) and issubclass(kind, Message) and kind is not Message
+    )
--- a/limenotch/layers/bindings.py
+++ b/limenotch/layers/bindings.py
@@ -132,8 +132,11 @@
             self._table.see(now, kind, key, provider, state, charged)
 
     def adopted(self, config: Config) -> None:
-        windows = {cls.name: cls.window_ms for cls in config.settings.classes
-                   if cls.effect is Effect.DEDUPLICATED and cls.window_ms > 0}
+        windows = {
+            cls.name: cls.window_ms
+            for cls in config.settings.classes
+            if cls.effect is Effect.DEDUPLICATED and cls.window_ms > 0
+        }
         if windows != self._windows:
             self._windows = windows
             self._classes |= windows.keys()
@@ -154,8 +157,11 @@
 
     def _tell(self) -> None:
         """At once: what may take no work keeps nothing from now on."""
-        there = {name: (str(each.group), each.zone) for name, each in self._listed.items()
-                 if each.takes_new and name not in self._out}
+        there = {
+            name: (str(each.group), each.zone)
+            for name, each in self._listed.items()
+            if each.takes_new and name not in self._out
+        }
         if there != self._there:
             self._there = there
             self._among.tell(Asked(PREFIX, Providers(there)))
@@ -168,9 +174,12 @@
     def figures(self) -> dict[str, Any]:
         ground = self._bindings.ground
         return {
-            "state": "whole" if self._table.whole else "joining", **self._table.figures(),
-            "calls": {**self.counts, "open": len(self._mine)}, "consumers": len(self._conns),
-            "providers": len(self._there), "window_ms": max(self._windows.values(), default=0.0),
+            "state": "whole" if self._table.whole else "joining",
+            **self._table.figures(),
+            "calls": {**self.counts, "open": len(self._mine)},
+            "consumers": len(self._conns),
+            "providers": len(self._there),
+            "window_ms": max(self._windows.values(), default=0.0),
             "told": ground.teller.seq,  # words of sights so far; of each other member, those heard here:
             "heard": {peer.name: peer.seq for peer in ground.peers.live()},
         }
--- a/limenotch/layers/lists.py
+++ b/limenotch/layers/lists.py
@@ -157,5 +157,6 @@
         at = address(named.address, "")
     except ConfigError:
         return None
-    return Provider(named.name, at, Status.IN_SERVICE, named.zone, named.kind, named.group, named.weight,
-                    named.since_ms)
+    return Provider(
+        named.name, at, Status.IN_SERVICE, named.zone, named.kind, named.group, named.weight, named.since_ms
+    )
--- a/limenotch/layers/rules.py
+++ b/limenotch/layers/rules.py
@@ -114,7 +114,12 @@
         book, holder, now = rules.book, rules.holder, self._among.now()
         left = max(holder.until - now, 0.0) if holder.holds(now) else 0.0
         return {
-            "state": "leased" if left else "narrow", "newest": book.newest, "active": book.active,
-            "lease_left_ms": round(left), "parts": holder.parts, "contradiction_ms": rules.tuning.contradiction_ms,
-            "leader": rules.leader, "counts": dict(rules.counts),
+            "state": "leased" if left else "narrow",
+            "newest": book.newest,
+            "active": book.active,
+            "lease_left_ms": round(left),
+            "parts": holder.parts,
+            "contradiction_ms": rules.tuning.contradiction_ms,
+            "leader": rules.leader,
+            "counts": dict(rules.counts),
         }
--- a/limenotch/layers/wallet.py
+++ b/limenotch/layers/wallet.py
@@ -170,7 +170,11 @@
         purse = dict(wallet.purse.figures())
         tenants = purse.pop("tenants", {})
         return {
-            "state": "off" if self._till.off else "leased" if left else "no lease", "lease_left_ms": round(left),
-            "leader": wallet.leader, "wallets": len(wallet.book.wallets), "calls": self._till.figures(),
-            "purse": {**purse, "tenants": dict(sorted(tenants.items())[:MOST_SHOWN])}, "counts": dict(wallet.counts),
+            "state": "off" if self._till.off else "leased" if left else "no lease",
+            "lease_left_ms": round(left),
+            "leader": wallet.leader,
+            "wallets": len(wallet.book.wallets),
+            "calls": self._till.figures(),
+            "purse": {**purse, "tenants": dict(sorted(tenants.items())[:MOST_SHOWN])},
+            "counts": dict(wallet.counts),
         }
--- a/limenotch/net/calls.py
+++ b/limenotch/net/calls.py
@@ -84,8 +84,15 @@
         self.open[call.number] = call
         self._names.add(name)
         if self._trace:
-            log.debug("taken", call=call.number, id=name.decode("latin-1"), kind=class_name, account=tenant,
-                      left_ms=round(left), resent=about.resent)
+            log.debug(
+                "taken",
+                call=call.number,
+                id=name.decode("latin-1"),
+                kind=class_name,
+                account=tenant,
+                left_ms=round(left),
+                resent=about.resent,
+            )
         try:
             self._admit(call)
         except Exception:
@@ -95,7 +102,7 @@
 
     def _admit(self, call: Call) -> None:
         """Ask who has a say and has not said yet, then the decisions."""
-        for one in self.beside[len(call.told):]:
+        for one in self.beside[len(call.told) :]:
             said = one.taken(call)
             if isinstance(said, Later):
                 if monotonic() + said.ms / 1000.0 < call.end:
@@ -112,9 +119,18 @@
             ran_at_ms = monotonic() * 1000.0 - call.hint.ago_ms
             call.ran_elsewhere = Sent(call.hint.zone, call.hint.group, ran_at_ms)
         left = call.left_s if call.rest is not None else max(call.end - monotonic(), 0.0)
-        self.carry_out(self.facade.pick(
-            call.number, call.kind, call.tenant, left * 1000.0, call.about.resent, call.rest is not None, call.hint,
-            bool(call.about.key)))
+        self.carry_out(
+            self.facade.pick(
+                call.number,
+                call.kind,
+                call.tenant,
+                left * 1000.0,
+                call.about.resent,
+                call.rest is not None,
+                call.hint,
+                bool(call.about.key),
+            )
+        )
 
     def _admit_later(self, call: Call) -> None:
         if call.number in self.open:
@@ -214,12 +230,27 @@
         call, spent = invoker_call.call, (monotonic() - invoker_call.began) * 1000.0
         gone = call.rest is not None and call.rest.begun
         if self._trace:
-            log.debug("invoked", call=call.number, number=invoker_call.number, provider=invoker_call.provider,
-                      ending=ending.value, spent_ms=round(spent, 1), util=utilisation, per_s=per_s)
+            log.debug(
+                "invoked",
+                call=call.number,
+                number=invoker_call.number,
+                provider=invoker_call.provider,
+                ending=ending.value,
+                spent_ms=round(spent, 1),
+                util=utilisation,
+                per_s=per_s,
+            )
         closed = call.final is not None or call.gone
         self.carry_out(
             self.facade.report(
-                call.number, invoker_call.number, invoker_call.provider, spent, ending, closed, utilisation, per_s,
+                call.number,
+                invoker_call.number,
+                invoker_call.provider,
+                spent,
+                ending,
+                closed,
+                utilisation,
+                per_s,
                 gone,
             )
         )
@@ -281,8 +312,9 @@
         if call.number not in self.passing:
             self.figures.ended(call.kind, ENDS[final.verdict])
         if self._trace:
-            log.debug("final", call=call.number, verdict=final.verdict.value, invoked=len(call.made),
-                      **self.facade.figures())
+            log.debug(
+                "final", call=call.number, verdict=final.verdict.value, invoked=len(call.made), **self.facade.figures()
+            )
         self._forget(call)
         self._tell_end(call)
         call.answer(final)
--- a/limenotch/net/connection.py
+++ b/limenotch/net/connection.py
@@ -27,7 +27,12 @@
     """
 
     def __init__(
-        self, stream: IOStream, provider: str, address: tuple[str, int], answer_s: float = 0.5, stall_s: float = 10.0,
+        self,
+        stream: IOStream,
+        provider: str,
+        address: tuple[str, int],
+        answer_s: float = 0.5,
+        stall_s: float = 10.0,
         budget: Budget | None = None,
     ) -> None:
         """An answer that has begun goes on within `answer_s`, and its head ends: heads that never end and bodies
--- a/limenotch/net/directory.py
+++ b/limenotch/net/directory.py
@@ -91,8 +91,16 @@
     def held(self, providers: Iterable[Provider]) -> dict[str, Any]:
         """The list as it is held, for `known` of the next process, with where it is from."""
         listed = [
-            {"name": p.name, "address": host_port(p.address), "zone": p.zone, "type": p.kind, "group": p.group,
-             "status": p.status.value, "weight": p.weight, "since_ms": p.since_ms}
+            {
+                "name": p.name,
+                "address": host_port(p.address),
+                "zone": p.zone,
+                "type": p.kind,
+                "group": p.group,
+                "status": p.status.value,
+                "weight": p.weight,
+                "since_ms": p.since_ms,
+            }
             for p in providers
         ]
         return {"from": host_port(self._at), "index": self._version, "snapshot": True, "endpoints": listed}
@@ -115,8 +123,12 @@
 
     def _tell(self, told: Listing, whole: bool = False) -> None:
         if self._trace:
-            log.debug("told", version=told.version, whole=told.whole or whole,
-                      entries=[[p.name, p.status.value, p.since_ms, p.kind, p.zone, p.weight] for p in told.entries])
+            log.debug(
+                "told",
+                version=told.version,
+                whole=told.whole or whole,
+                entries=[[p.name, p.status.value, p.since_ms, p.kind, p.zone, p.weight] for p in told.entries],
+            )
         self._heard(told.entries, told.whole or whole)
 
     # The watch
@@ -280,8 +292,14 @@
             raise http1.MalformedError(502, "no list")
         if not watch.told:
             watch.told = True
-            log.info("directory: answered", version=told.version, whole=told.whole, entries=len(told.entries),
-                     predecessor=watch is not self._watch, after_ms=round((monotonic() - watch.began) * 1000.0))
+            log.info(
+                "directory: answered",
+                version=told.version,
+                whole=told.whole,
+                entries=len(told.entries),
+                predecessor=watch is not self._watch,
+                after_ms=round((monotonic() - watch.began) * 1000.0),
+            )
         return told
 
     def _take(self, watch: Watch, told: Listing) -> None:
--- a/limenotch/net/http1.py
+++ b/limenotch/net/http1.py
@@ -35,8 +35,7 @@
 }
 # Of one connection only, or written anew by whoever frames the message.
 HOP_BY_HOP = frozenset(
-    b"connection content-length expect keep-alive proxy-connection te trailer transfer-encoding upgrade"
-    .split()
+    b"connection content-length expect keep-alive proxy-connection te trailer transfer-encoding upgrade".split()
 )
 
 # Not twice, even where both say the same: what reads the message next may take the other.
@@ -368,5 +367,10 @@
     reason = REASONS.get(status, b"")
     last = b"Connection: close\r\n" if close else b""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
-        status, reason, _lines(headers), len(body), last, body,
+        status,
+        reason,
+        _lines(headers),
+        len(body),
+        last,
+        body,
     )
--- a/limenotch/net/operators.py
+++ b/limenotch/net/operators.py
@@ -44,7 +44,10 @@
     """Owns the operators' listener and connections."""
 
     def __init__(
-        self, ready: Callable[[], bool], stats: Callable[[], bytes], ban: Ban,
+        self,
+        ready: Callable[[], bool],
+        stats: Callable[[], bytes],
+        ban: Ban,
         extra: Mapping[str, Extra] = {},  # noqa: B006 (read only)
     ) -> None:
         """`extra`: further paths, each with what answers any call for it; one that ends in `/` is for all below it."""
--- a/limenotch/net/others.py
+++ b/limenotch/net/others.py
@@ -75,8 +75,15 @@
     """Drives one hub. Made, started and closed on the loop's thread."""
 
     def __init__(
-        self, listen: Address, name: str, life: int, hub: Hub, wire: Wire, streams: int = 32,
-        disk: Disk | None = None, at: Address | None = None,
+        self,
+        listen: Address,
+        name: str,
+        life: int,
+        hub: Hub,
+        wire: Wire,
+        streams: int = 32,
+        disk: Disk | None = None,
+        at: Address | None = None,
     ) -> None:
         """`at`: where others reach this process, if not at `listen`. `disk` is closed with this."""
         self._listen, self._name, self._life = listen, name, life
--- a/limenotch/net/promised.py
+++ b/limenotch/net/promised.py
@@ -19,8 +19,17 @@
 PREFIX = "pr."
 PROMISES, VOTERS = "/fleet/promises/", "/fleet/voters"
 IDENT = re.compile(r"[A-Za-z0-9._:-]{1,100}")
-STATUS = {"kept": 200, "found": 200, "listed": 200, "done": 200, "none": 404, "other": 409, "refused": 503,
-          "full": 503, "unknown": 504}
+STATUS = {
+    "kept": 200,
+    "found": 200,
+    "listed": 200,
+    "done": 200,
+    "none": 404,
+    "other": 409,
+    "refused": 503,
+    "full": 503,
+    "unknown": 504,
+}
 
 Name = Annotated[str, Meta(max_length=64)]
 
--- a/limenotch/net/providers.py
+++ b/limenotch/net/providers.py
@@ -24,6 +24,7 @@
 
 log = logs.get(__name__)
 
+
 class Providers:
     """Owns the connections to providers and makes invoker calls over them."""
 
@@ -236,8 +237,7 @@
         endpoint = self._usable(invoker_call.provider)
         hindrance = admission.hindrance(invoker_call, endpoint, monotonic())
         if hindrance is not None and self._trace:
-            log.debug("not sent", call=invoker_call.call.number, provider=invoker_call.provider,
-                      reason=hindrance.value)
+            log.debug("not sent", call=invoker_call.call.number, provider=invoker_call.provider, reason=hindrance.value)
         return hindrance is None
 
     def _unsent(self, invoker_call: InvokerCall, else_: Ending) -> Ending:
--- a/limenotch/net/streams.py
+++ b/limenotch/net/streams.py
@@ -37,8 +37,17 @@
 USER_TIMEOUT: int | None = getattr(socket, "TCP_USER_TIMEOUT", None)  # Linux; RFC 5482
 
 COUNTS = (
-    "connected", "connect_failed", "lost", "stalled", "given_up", "sent", "dropped_full", "dropped_old",
-    "accepted", "refused", "heard",
+    "connected",
+    "connect_failed",
+    "lost",
+    "stalled",
+    "given_up",
+    "sent",
+    "dropped_full",
+    "dropped_old",
+    "accepted",
+    "refused",
+    "heard",
 )
 
 
--- a/limenotch/program.py
+++ b/limenotch/program.py
@@ -95,11 +95,13 @@
         return await bans.set(name, out, facade.now_ms())
 
     def stats() -> bytes:
-        return figures.lines({
-            "current": len(calls.open) + len(calls.passing),
-            "cluster_size": len(providers),
-            "cluster_unhealthy": facade.avoided(),
-        })
+        return figures.lines(
+            {
+                "current": len(calls.open) + len(calls.passing),
+                "cluster_size": len(providers),
+                "cluster_unhealthy": facade.avoided(),
+            }
+        )
 
     extra = others.paths if others is not None else {}
     operators = Operators(lambda: serving and consumers.ready() and not consumers.leaving, stats, ban, extra)
@@ -202,8 +204,15 @@
 class Following:
     """The parts that follow settings, be it those of the file or those that many agreed on."""
 
-    def __init__(self, figures: Figures, providers: Providers, calls: Calls, facade: Facade, directory: Directory,
-                 banned: Callable[[str, bool, float], None]) -> None:
+    def __init__(
+        self,
+        figures: Figures,
+        providers: Providers,
+        calls: Calls,
+        facade: Facade,
+        directory: Directory,
+        banned: Callable[[str, bool, float], None],
+    ) -> None:
         self._figures, self._providers, self._calls = figures, providers, calls
         self._facade, self._directory, self.ban = facade, directory, banned
         self.now: Callable[[], float] = lambda: 0.0  # the clock of leases, in ms
--- a/limenotch/store/files.py
+++ b/limenotch/store/files.py
@@ -20,9 +20,16 @@
 READ_PIECE = 1 << 20  # bytes
 
 _WHYS = {
-    errno.ENOSPC: "full", errno.EDQUOT: "full", errno.EFBIG: "full",
-    errno.EROFS: "read-only", errno.EACCES: "read-only", errno.EPERM: "read-only",
-    errno.ENOENT: "removed", errno.ESTALE: "removed", errno.ENOTDIR: "removed", errno.ENODEV: "removed",
+    errno.ENOSPC: "full",
+    errno.EDQUOT: "full",
+    errno.EFBIG: "full",
+    errno.EROFS: "read-only",
+    errno.EACCES: "read-only",
+    errno.EPERM: "read-only",
+    errno.ENOENT: "removed",
+    errno.ESTALE: "removed",
+    errno.ENOTDIR: "removed",
+    errno.ENODEV: "removed",
 }
 
 
@@ -108,7 +115,7 @@
     def write(self, handle: int, data: bytes) -> None:
         rest = memoryview(data)
         while rest:
-            rest = rest[os.write(handle, rest):]
+            rest = rest[os.write(handle, rest) :]
 
     def sync(self, handle: int) -> None:
         os.fsync(handle)
--- a/limenotch/store/records.py
+++ b/limenotch/store/records.py
@@ -79,7 +79,7 @@
         first = entries[0].index
         if not self.base < first <= self.last + 1:
             raise ValueError(f"append: {first} does not follow {self.last}, or lies behind {self.base}")
-        del self.entries[first - self.base - 1:]
+        del self.entries[first - self.base - 1 :]
         self.entries += entries
 
     def _snap(self, snapshot: Snapshot) -> None:
--- a/limenotch/store/segments.py
+++ b/limenotch/store/segments.py
@@ -104,7 +104,7 @@
     """Raises StoreError `damaged` or `version`."""
     _check_head(name, raw, KEPT, sequence)
     data = memoryview(raw)[HEAD_SIZE:]
-    if crc32c(data, crc32c(raw[:HEAD.size])) != SUM.unpack_from(raw, HEAD.size)[0]:
+    if crc32c(data, crc32c(raw[: HEAD.size])) != SUM.unpack_from(raw, HEAD.size)[0]:
         raise damaged(name, 0, "its checksum is wrong")
     try:
         kept = _decode_kept.decode(data)
@@ -116,7 +116,7 @@
 def read_segment(name: str, raw: bytes, first: int, last: bool) -> Read:
     """`last`: no later segment exists, so its end may be torn. Raises StoreError `damaged` or `version`."""
     _check_head(name, raw, LOG, first)
-    if crc32c(raw[:HEAD.size]) != SUM.unpack_from(raw, HEAD.size)[0]:
+    if crc32c(raw[: HEAD.size]) != SUM.unpack_from(raw, HEAD.size)[0]:
         raise damaged(name, 0, "the checksum of its head is wrong")
     records: list[tuple[int, Record]] = []
     at, sequence, closed = HEAD_SIZE, first, False
@@ -133,7 +133,7 @@
         closed = length == 0
         if length:
             try:
-                records.append((at, _decode.decode(view[at + FRAME_SIZE:at + FRAME_SIZE + length])))
+                records.append((at, _decode.decode(view[at + FRAME_SIZE : at + FRAME_SIZE + length])))
             except msgspec.MsgspecError as error:
                 raise damaged(name, at, f"not what this program writes: {error}") from None
         at, sequence = at + FRAME_SIZE + length, sequence + 1
@@ -160,7 +160,7 @@
     end = at + FRAME_SIZE + length
     if end > len(view) or (sequence is not None and numbered != sequence):
         return None
-    return length if crc32c(view[at + SUM.size:end]) == SUM.unpack_from(view, at)[0] else None
+    return length if crc32c(view[at + SUM.size : end]) == SUM.unpack_from(view, at)[0] else None
 
 
 def _later(view: memoryview, at: int, sequence: int) -> int | None:
@@ -178,5 +178,3 @@
 
 def damaged(name: str, offset: int, text: str) -> StoreError:
     return StoreError("damaged", f"{name} at offset {offset}: {text}")
-
-
--- a/limenotch/together.py
+++ b/limenotch/together.py
@@ -50,8 +50,14 @@
 
 def members(membership: Membership, now: float) -> list[dict[str, Any]]:
     return [
-        {"name": seen.name, "state": seen.state.value, "incarnation": seen.incarnation, "life": seen.life,
-         "address": host_port(seen.address), "since_ms": round(now - seen.since)}
+        {
+            "name": seen.name,
+            "state": seen.state.value,
+            "incarnation": seen.incarnation,
+            "life": seen.life,
+            "address": host_port(seen.address),
+            "since_ms": round(now - seen.since),
+        }
         for seen in membership.members()
     ]
 
@@ -67,7 +73,8 @@
         # the only use of that clock here, and to membership it is just a number.
         self.life = time.time_ns() // 1000
         self._membership = Membership(
-            placed.name, placed.at, self.life, placed.seeds, table.membership, _seed(), placed.addresses)
+            placed.name, placed.at, self.life, placed.seeds, table.membership, _seed(), placed.addresses
+        )
         self._hub = Hub([("mb.", self._membership)], self._membership)
         self._among = Among(placed.name, self.life, table.voters, placed.key, self._tell, self.now)
         self._rules = RulesLayer(self._among, table.rules) if table.rules is not None else None
@@ -181,8 +188,9 @@
             held = await disk.open() if isinstance(disk, Folder) else Held(entries=[])
             agreement = Agreement(placed.name, placed.table.voters, held, placed.table.agreement, _seed())
             states = above.parted(agreement.state)
-            parts = [(layer, layer.part(states.get(layer.prefix), agreement.index))
-                     for layer in self._layers if layer.above]
+            parts = [
+                (layer, layer.part(states.get(layer.prefix), agreement.index)) for layer in self._layers if layer.above
+            ]
         except (UnreadableError, msgspec.DecodeError, ValueError) as error:
             self._why = f"no log: {error}"
             log.error("fleet: goes on without the log", folder=placed.table.folder, error=str(error))
--- a/switchthread/books.py
+++ b/switchthread/books.py
@@ -44,9 +44,14 @@
         self.random = Random(seed)
         self.roster = Roster(self.random)
         self.ready = Ready(settings)
-        self.known: dict[Server, None] = {}  # those that have been sent to and may have shown something, in order
+        self.known: dict[
+            Server, None
+        ] = {}  # those that have been sent to and may have shown something, in order
         self.roomy: list[Server] = []  # those that have room for cold starts, by the latest shares
-        self.shared_at, self.stale = -inf, False  # when shares were taken last; whether the list has changed since
+        self.shared_at, self.stale = (
+            -inf,
+            False,
+        )  # when shares were taken last; whether the list has changed since
         self.table, self.home = drawable([]), drawable([])  # those drawn from, and of them the own zone's
         self.groups: dict[tuple[Scope, Hashable], Table] = {}
         self.tier = Mean()
@@ -192,8 +197,17 @@
         cls = self.set.classes[event.traffic_class].as_keyed(event.keyed)
         useful = min(event.budget_ms, cls.aim_ms) if cls.late_worth <= 0 else event.budget_ms
         usual, most, aim = self.usual[cls.name], self.set.max_attempts, now + cls.aim_ms
-        call = Call(event.call, cls, usual, most, now + useful, aim,
-                    once=event.once, prefer=event.prefer, bound=event.bound)
+        call = Call(
+            event.call,
+            cls,
+            usual,
+            most,
+            now + useful,
+            aim,
+            once=event.once,
+            prefer=event.prefer,
+            bound=event.bound,
+        )
         self.calls[call.name] = call
         self.came, self.arrived = self.came + 1, self.arrived + 1
         # With each call and not with answers: a shut door has none, and would not see that nothing is out.
--- a/switchthread/copies.py
+++ b/switchthread/copies.py
@@ -23,8 +23,12 @@
     repeat = call.cls.effect is not Effect.AT_MOST_ONCE and books.set.may_copy
     repeat = repeat and call.end - now <= call.usual.mean * one.like.low * URGENT
     books.copyable += repeat and two is not None
-    return (repeat and two is not None and allowed(books, now, call, two)
-            and gate(books, now, call, one, two, books.copyable / books.came))
+    return (
+        repeat
+        and two is not None
+        and allowed(books, now, call, two)
+        and gate(books, now, call, one, two, books.copyable / books.came)
+    )
 
 
 def patience(books: Books, call: Call, server: Server) -> float:
--- a/switchthread/entry.py
+++ b/switchthread/entry.py
@@ -60,8 +60,12 @@
     """At each window's end. Where nothing is turned away nothing is bound: the copies' gate reads it."""
     # Before two means are known a just started balancer takes its first calls for a jam.
     known = len(books.tier.lows) > 1 and not books.set.layer
-    books.entry.bound(books.tier.low * books.typical, books.tier.now * books.typical,
-                      min(c.aim_ms for c in books.set.classes), known)
+    books.entry.bound(
+        books.tier.low * books.typical,
+        books.tier.now * books.typical,
+        min(c.aim_ms for c in books.set.classes),
+        known,
+    )
 
 
 def refused(books: Books, now: float, call: Call, event: face.Arrival) -> bool:
--- a/switchthread/flow.py
+++ b/switchthread/flow.py
@@ -12,7 +12,9 @@
     """Counts only; nothing is decided here."""
 
     def __init__(self) -> None:
-        self.flow = self.pace = 0.0  # answers in time: of the last windows, and the most that was shown, fading
+        self.flow = self.pace = (
+            0.0  # answers in time: of the last windows, and the most that was shown, fading
+        )
         self.coming, self.answered = Rate(), Rate()
         self._served = 0
         self._values: dict[float, float] = {}  # of the calls that came, and how many
--- a/switchthread/interface.py
+++ b/switchthread/interface.py
@@ -140,8 +140,12 @@
     max_retry_after_ms: float = 0.0  # 0: clients take no advice on when to return
     crossing_cost: float = 0.0  # price of sending a call to another zone
     cold: ColdStart = field(default_factory=ColdStart)
-    narrow: bool = False  # without the others' word: nothing goes out again that may have run, and nothing to cold ones
-    cold_parts: float = 0.0  # by which cold upstreams' allowance is divided, where that is agreed on; 0: by `parts`
+    narrow: bool = (
+        False  # without the others' word: nothing goes out again that may have run, and nothing to cold ones
+    )
+    cold_parts: float = (
+        0.0  # by which cold upstreams' allowance is divided, where that is agreed on; 0: by `parts`
+    )
 
     def __post_init__(self) -> None:
         _need(len(self.classes) > 0, "classes", "at least one")
--- a/switchthread/placement.py
+++ b/switchthread/placement.py
@@ -48,8 +48,9 @@
     return one, two if urgent else None
 
 
-def draw(books: Books, now: float, call: Call, avoid: Server | None, any_: bool = False,
-         home: bool = False) -> Server | None:
+def draw(
+    books: Books, now: float, call: Call, avoid: Server | None, any_: bool = False, home: bool = False
+) -> Server | None:
     """An upstream by share, of the group that an attempt which may have run binds the call to."""
     servers, sums = reach(books, now, call, home)
     for _ in range(DRAWS):
--- a/switchthread/ready.py
+++ b/switchthread/ready.py
@@ -138,7 +138,9 @@
         """`changed` may be sent to, as they are now; `left` may no more, or are other processes now."""
         for server in left:
             self.remove(server)
-        for server in sorted(changed, key=lambda server: place_of(server.at.name)):  # a whole list is appended
+        for server in sorted(
+            changed, key=lambda server: place_of(server.at.name)
+        ):  # a whole list is appended
             self.remove(server)
             self.add(now, server)
 
--- a/switchthread/records.py
+++ b/switchthread/records.py
@@ -46,7 +46,7 @@
         if self.count >= enough:
             recent = self.total / self.count
             self.now += (recent - self.now) * self.count / (self.count + enough)
-            self.lows = [*self.lows[1 - span:], recent]
+            self.lows = [*self.lows[1 - span :], recent]
             self.low, self.total, self.count = min(self.lows), 0.0, 0.0
 
 
@@ -98,7 +98,9 @@
     doubted: bool = False  # it does so since the list may lack its drain: up to the next list
     since: float = 0.0  # when it last started, by the list or by its return from a ban; 0: long ago
     ready: bool = False  # it may be sent to
-    able: float = 1.0  # requests a second that it can do now, from all balancers; its weight where none are reported
+    able: float = (
+        1.0  # requests a second that it can do now, from all balancers; its weight where none are reported
+    )
     sure: float = 1.0  # the same, but no more than the settings' ramp makes of what its kind can do
 
     def capacity(self, now: float, cold: face.ColdStart) -> float:
--- a/switchthread/repeats.py
+++ b/switchthread/repeats.py
@@ -15,12 +15,14 @@
     return {Scope.ALL: None, Scope.ZONE: zone, Scope.CELL: cell}[scope]
 
 
-def may_repeat(cls: TrafficClass, earlier: Iterable[Earlier], at_ms: float, zone: Hashable = None,
-               cell: Hashable = None) -> bool:
+def may_repeat(
+    cls: TrafficClass, earlier: Iterable[Earlier], at_ms: float, zone: Hashable = None, cell: Hashable = None
+) -> bool:
     """Whether the call may run at this time, at an upstream there or, with no place named, anywhere."""
     ran = [one for one in earlier if one.ran]
     if not ran or cls.effect is not Effect.DEDUPLICATED:
         return not ran or cls.effect is Effect.IDEMPOTENT
     there = group(cls.scope, zone, cell)
-    return all(at_ms < one.sent_ms + cls.window_ms and group(cls.scope, one.zone, one.cell) == there
-               for one in ran)
+    return all(
+        at_ms < one.sent_ms + cls.window_ms and group(cls.scope, one.zone, one.cell) == there for one in ran
+    )
--- a/switchthread/roster.py
+++ b/switchthread/roster.py
@@ -66,7 +66,9 @@
             self._banned.add(event.upstream)
             return Changes([old] if old is not None else [], [])
         self._banned.discard(event.upstream)
-        self._back[event.upstream] = min(event.at_ms, now)  # of an earlier process, whose clock may have been ahead
+        self._back[event.upstream] = min(
+            event.at_ms, now
+        )  # of an earlier process, whose clock may have been ahead
         if old is None:
             return Changes([], [])
         server = self.servers[event.upstream] = self._new(old.at, now)
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -48,8 +48,11 @@
     except subprocess.CalledProcessError as error:
         print(f"tests: could not set up {ROOT / FOLDER}: {error}", file=sys.stderr)
         return 2
-    environ = {**os.environ, "PATH": f"{python.parent}{os.pathsep}{os.environ.get('PATH', '')}",
-               "PYTHONDONTWRITEBYTECODE": "1"}
+    environ = {
+        **os.environ,
+        "PATH": f"{python.parent}{os.pathsep}{os.environ.get('PATH', '')}",
+        "PYTHONDONTWRITEBYTECODE": "1",
+    }
     for check in CHECKS:
         more = arguments if check[0] == "pytest" else []
         code = subprocess.run([python, "-m", *check, *more], cwd=ROOT, env=environ, check=False).returncode
--- a/tests/fleet/bindings_worlds.py
+++ b/tests/fleet/bindings_worlds.py
@@ -21,8 +21,11 @@
 
 KEY = b"0123456789abcdef"
 THERE = {"p1": ("c1", "z1"), "p2": ("c1", "z1"), "p3": ("c2", "z2")}
-QUICK = Tuning(sessions=Ages(opening=1000, open=4000, closing=500, lingering=500), key=Ages(open=3000),
-               flow=Ages(opening=1000, open=4000, closing=500, lingering=500))
+QUICK = Tuning(
+    sessions=Ages(opening=1000, open=4000, closing=500, lingering=500),
+    key=Ages(open=3000),
+    flow=Ages(opening=1000, open=4000, closing=500, lingering=500),
+)
 
 
 def alone(tuning: Tuning = QUICK, name: str = "a") -> Bindings:
@@ -70,8 +73,15 @@
 
 
 class Fleet:
-    def __init__(self, names: Iterable[str], seed: int = 1, tuning: Tuning = QUICK, real: bool = False,
-                 mute: str = "", **weather: Any) -> None:
+    def __init__(
+        self,
+        names: Iterable[str],
+        seed: int = 1,
+        tuning: Tuning = QUICK,
+        real: bool = False,
+        mute: str = "",
+        **weather: Any,
+    ) -> None:
         """`mute`: of `later`, held alive all the same."""
         self.names, self.tuning = list(names), tuning
         self.there = set(self.names) - set(weather.get("later", "")) | set(mute)
@@ -112,8 +122,15 @@
         self.say(Fenced(), who)
         self.changed(who, "alive", self.lives[who])
 
-    def see(self, name: str, key: bytes, provider: str = "p1", state: State = State.OPEN,
-            kind: Kind = Kind.SESSION, charged: bool = False) -> bool:
+    def see(
+        self,
+        name: str,
+        key: bytes,
+        provider: str = "p1",
+        state: State = State.OPEN,
+        kind: Kind = Kind.SESSION,
+        charged: bool = False,
+    ) -> bool:
         return self.table(name).see(self.now(name), kind, key, provider, state, charged)
 
     def find(self, name: str, key: bytes, kind: Kind = Kind.SESSION) -> Bound | None:
@@ -145,5 +162,5 @@
     """As the member `z` would tell it."""
     made = alone(name="z")
     made.table.see(seen, Kind.SESSION, key, other.get("provider", "p1"), State.OPEN)
-    batch, = made.ground.teller.batches(now)
+    (batch,) = made.ground.teller.batches(now)
     return msgspec.structs.replace(batch, seq=seq)
--- a/tests/fleet/comers.py
+++ b/tests/fleet/comers.py
@@ -71,8 +71,9 @@
     def zone_of(self, provider: str) -> int:
         return next(site.machine.zone for site in self.fleet.sites[0] if site.name == provider)
 
-    async def call(self, node: str, cls: int, key: str = "", session: str = "", again: bool = False) \
-            -> tuple[str, str, str]:
+    async def call(
+        self, node: str, cls: int, key: str = "", session: str = "", again: bool = False
+    ) -> tuple[str, str, str]:
         """The verdict, by which provider, and the call's name. Judged by the rules for calls, as all others are."""
         number, key_of = len(self.attempts), self.keys_of[node]
         name, spec = f"t{number}-{self.clock():.3f}", self.plan.classes[cls]
@@ -111,8 +112,14 @@
 
     async def asked(self, node: NodeProcess, words: str) -> None:
         word, *rest = words.split()
-        do = {"same": self.same, "moved": self.moved, "agree": self.agree, "drain": self.drain, "drop": self.drop,
-              "alone": self.alone}.get(word)
+        do = {
+            "same": self.same,
+            "moved": self.moved,
+            "agree": self.agree,
+            "drain": self.drain,
+            "drop": self.drop,
+            "alone": self.alone,
+        }.get(word)
         name, what = node.name, rest[0] if rest else ""
         if do is not None:
             await do(name, what)
@@ -127,7 +134,8 @@
             assert (verdict, self.bench.attempts.get(call)) == ("rejected", None), (words, verdict)
         elif word == "whole":
             await self.processes.until_all(
-                lambda _, state: state["parts"]["bindings"]["state"] == "whole", 20, words, [name])
+                lambda _, state: state["parts"]["bindings"]["state"] == "whole", 20, words, [name]
+            )
         elif word == "twice":
             for number in range(8):
                 await self.keyed("a", f"k{number}")
@@ -170,8 +178,11 @@
         told = state["told"] + (2 if state["to_tell"] else 0)  # the word under way, and the one after it
         nodes = self.processes.nodes
         members = (await nodes[node].state() or {})["members"]
-        alive = [member["name"] for member in members
-                 if member["state"] == "alive" and member["name"] != node and nodes[member["name"]].alive]
+        alive = [
+            member["name"]
+            for member in members
+            if member["state"] == "alive" and member["name"] != node and nodes[member["name"]].alive
+        ]
 
         async def holds() -> bool:
             own = await self.figures(node)
@@ -216,7 +227,8 @@
                 bench._see_to(bench.fleet.carry_out(bench.clock(), Deed(bench.clock(), "drain", 0, number)))
         left = sum(not site.draining and site.name not in self.banned for site in bench.fleet.sites[0])
         await self.processes.until_all(
-            lambda _, state: state["parts"]["bindings"]["providers"] == left, 20, f"{providers} drain", self.there)
+            lambda _, state: state["parts"]["bindings"]["providers"] == left, 20, f"{providers} drain", self.there
+        )
 
     async def drain(self, _: str, session: str) -> None:
         await self.out_of([self.homes[session]])
@@ -232,11 +244,15 @@
         assert status == 200, said
         agreed = self.bench.clock()
         await self.processes.until_all(
-            lambda name, state: state["parts"]["bindings"]["providers"] < before[name], 5, "out at all", self.there)
+            lambda name, state: state["parts"]["bindings"]["providers"] < before[name], 5, "out at all", self.there
+        )
         took = self.bench.clock() - agreed
         assert took <= ENDS_MS + self.bench._lag.now_ms(), took
 
     async def alone(self, node: str, count: str) -> None:
         await self.processes.until_all(
-            lambda _, state: sum(member["state"] == "alive" for member in state["members"]) == int(count), 20,
-            f"{count} are alive", [node])
+            lambda _, state: sum(member["state"] == "alive" for member in state["members"]) == int(count),
+            20,
+            f"{count} are alive",
+            [node],
+        )
--- a/tests/fleet/disks.py
+++ b/tests/fleet/disks.py
@@ -64,11 +64,11 @@
     def _left(file: File, chance: Random) -> bytes:
         if not file.now.startswith(file.synced):  # cut back: that may be on the disk or not
             return chance.choice([file.now, file.synced])
-        rest = bytearray(file.now[len(file.synced):])
-        del rest[chance.randint(0, len(rest)):]
+        rest = bytearray(file.now[len(file.synced) :])
+        del rest[chance.randint(0, len(rest)) :]
         for at in range(0, len(rest), PAGE):
             if chance.random() < 0.25:
-                rest[at:at + PAGE] = bytes(len(rest[at:at + PAGE]))
+                rest[at : at + PAGE] = bytes(len(rest[at : at + PAGE]))
         return file.synced + bytes(rest)
 
     def _find(self, name: str) -> File:
@@ -89,12 +89,12 @@
         try:
             self.step()
         except OSError:
-            file.now += data[:len(data) // 2]
+            file.now += data[: len(data) // 2]
             raise
         except FellError:
             file.now += data
             raise
-        file.now += data[:max(room, 0)]
+        file.now += data[: max(room, 0)]
         if room < len(data):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
--- a/tests/fleet/house.py
+++ b/tests/fleet/house.py
@@ -23,16 +23,33 @@
 KEY = b"a key for tests, of 16 bytes"
 CLASSES: list[dict[str, Any]] = [
     {"name": "free", "effect": "idempotent", "target_ms": 60.0, "hard_limit_ms": 900.0, "late_worth": 1.0},
-    {"name": "keyed", "effect": "deduplicated", "dedup_scope": "zone", "window_ms": 9000.0, "target_ms": 60.0,
-     "hard_limit_ms": 900.0, "late_worth": 1.0},
-    {"name": "other", "effect": "deduplicated", "dedup_scope": "zone", "window_ms": 2000.0, "target_ms": 60.0,
-     "hard_limit_ms": 900.0, "late_worth": 1.0},
+    {
+        "name": "keyed",
+        "effect": "deduplicated",
+        "dedup_scope": "zone",
+        "window_ms": 9000.0,
+        "target_ms": 60.0,
+        "hard_limit_ms": 900.0,
+        "late_worth": 1.0,
+    },
+    {
+        "name": "other",
+        "effect": "deduplicated",
+        "dedup_scope": "zone",
+        "window_ms": 2000.0,
+        "target_ms": 60.0,
+        "hard_limit_ms": 900.0,
+        "late_worth": 1.0,
+    },
     {"name": "once", "effect": "at_most_once", "target_ms": 60.0, "hard_limit_ms": 900.0, "late_worth": 1.0},
 ]
 SETTINGS: dict[str, Any] = {
-    "classes": CLASSES, "zones": ["east", "west"],
+    "classes": CLASSES,
+    "zones": ["east", "west"],
     "tenants": [{"name": "acme", "quota_per_s": 1000.0}, {"name": "bolt", "quota_per_s": 1000.0}],
-    "permissions": {"cancel": True, "parallel_tries": False, "max_attempts": 3}, "registry_mode": "ask", "layer": 1,
+    "permissions": {"cancel": True, "parallel_tries": False, "max_attempts": 3},
+    "registry_mode": "ask",
+    "layer": 1,
 }
 ANSWER = Message([], {})
 SERVED, FAR = Ending.SERVED, [f"w{number}" for number in range(3)]
@@ -108,12 +125,18 @@
     def session(self, name: bytes, tenant: str = "acme") -> Bound | None:
         return self.layer._table.find(self.now(), Kind.SESSION, joined(tenant.encode(), b"", name))
 
-    def take(self, kind: str = "keyed", key: bytes = b"", tenant: str = "acme", resent: bool = False,
-             origin: str = "", fields: dict[str, str] | None = None) -> asyncio.Future[Final]:
+    def take(
+        self,
+        kind: str = "keyed",
+        key: bytes = b"",
+        tenant: str = "acme",
+        resent: bool = False,
+        origin: str = "",
+        fields: dict[str, str] | None = None,
+    ) -> asyncio.Future[Final]:
         final: asyncio.Future[Final] = asyncio.get_running_loop().create_future()
         about = About(key, {name.encode(): value.encode() for name, value in (fields or {}).items()}, origin, resent)
-        self.last = self.calls.take(
-            b"%d" % next(self.names), None, kind, tenant, 900.0, final.set_result, about=about)
+        self.last = self.calls.take(b"%d" % next(self.names), None, kind, tenant, 900.0, final.set_result, about=about)
         return final
 
     def end(self, ending: Ending = SERVED, attempt: int = -1) -> str:
--- a/tests/fleet/log_bugs.py
+++ b/tests/fleet/log_bugs.py
@@ -98,6 +98,7 @@
 
 def retried_twice(patch: pytest.MonkeyPatch) -> None:
     """An id on its way, and one agreed, are forgotten."""
+
     def apply(self: node.Node) -> Any:
         self.ids.clear()
         return real(self)
@@ -111,8 +112,20 @@
     patch.setattr(node.Node, "failed", lambda self, ticket, why: self.stored(ticket))
 
 
-PLANTED: dict[str, Plant] = {plant.__name__: plant for plant in (
-    vote_not_persisted, acked_before_stored, old_epoch_counted, lease_over_a_pause, not_cut_on_conflict,
-    ids_not_in_snapshot, votes_twice, shorter_log_elected, wiped_disk_counts, read_of_a_new_leader, retried_twice,
-    goes_on_with_full_disk)}
-
+PLANTED: dict[str, Plant] = {
+    plant.__name__: plant
+    for plant in (
+        vote_not_persisted,
+        acked_before_stored,
+        old_epoch_counted,
+        lease_over_a_pause,
+        not_cut_on_conflict,
+        ids_not_in_snapshot,
+        votes_twice,
+        shorter_log_elected,
+        wiped_disk_counts,
+        read_of_a_new_leader,
+        retried_twice,
+        goes_on_with_full_disk,
+    )
+}
--- a/tests/fleet/members.py
+++ b/tests/fleet/members.py
@@ -11,6 +11,7 @@
 
 __all__ = ["TUNING", "all_alive", "deaths", "held", "maker", "part"]
 
+
 def part(world: World, node: str) -> Membership:
     found = world.part(node).part
     assert isinstance(found, Membership)
@@ -22,12 +23,16 @@
 
 
 def deaths(world: World, since: float = 0.0) -> set[str]:
-    return {change.what.name for change in world.changes
-            if isinstance(change.what, MemberChanged) and change.what.state == "dead" and change.at_ms >= since}
+    return {
+        change.what.name
+        for change in world.changes
+        if isinstance(change.what, MemberChanged) and change.what.state == "dead" and change.at_ms >= since
+    }
 
 
 def all_alive(world: World, names: Iterable[str]) -> bool:
     """Whether each of the names holds all of them alive, and itself to be inside."""
     want = dict.fromkeys(names, State.ALIVE)
-    return all(part(world, name).inside and {n: s for n, s in held(world, name).items() if n in want} == want
-               for name in want)
+    return all(
+        part(world, name).inside and {n: s for n, s in held(world, name).items() if n in want} == want for name in want
+    )
--- a/tests/fleet/test_agreement.py
+++ b/tests/fleet/test_agreement.py
@@ -60,8 +60,10 @@
         storm(seed, SHORT_MS)
     for role_before in ("leader", "pre-candidate", "candidate"):
         _fence(role_before)
-    for role_before, message in (("leader", say.Ack(99, False, 0, 0, 0, "2")),
-                                 ("candidate", say.Append(99, 1, 1, (), 0, 1))):
+    for role_before, message in (
+        ("leader", say.Ack(99, False, 0, 0, 0, "2")),
+        ("candidate", say.Append(99, 1, 1, (), 0, 1)),
+    ):
         member = one_of_three()
         run_to(member, role_before)
         member.handle(600.0, heard("b", message))
@@ -134,8 +136,9 @@
 
 
 def _told(out: list[Any]) -> list[Any]:
-    return [action.message for action in out if isinstance(action, contract.Tell)
-            and isinstance(action.message, say.Voted)]
+    return [
+        action.message for action in out if isinstance(action, contract.Tell) and isinstance(action.message, say.Voted)
+    ]
 
 
 def test_the_lease_ends_before_any_voters_wait_at_the_bound_of_drift() -> None:
@@ -203,8 +206,13 @@
 
 def test_one_back_empty_catches_up_by_a_snapshot_at_the_stated_pace() -> None:
     pace, state = 4096, 400
-    tuning = Tuning(**{**{name: getattr(QUICK, name) for name in QUICK.__struct_fields__},
-                       "snapshot_bytes_per_s": pace, "chunk_bytes": 256})
+    tuning = Tuning(
+        **{
+            **{name: getattr(QUICK, name) for name in QUICK.__struct_fields__},
+            "snapshot_bytes_per_s": pace,
+            "chunk_bytes": 256,
+        }
+    )
     run = Run("abcd", ("a", "b", "c"), tuning=tuning)
     run.until(lambda: run.leader() is not None, 3000)
     for _ in range(state):
@@ -226,6 +234,7 @@
     run.until(lambda: run.leader() is not None, 3000)
     run.world.run(run.world.now + 1000)
     for add, remove in zip("def", "abc", strict=True):
+
         def gone(remove: str = remove, add: str = add) -> bool:
             run.propose("d")
             leader = run.leader()
@@ -291,5 +300,3 @@
 def test_the_checker_finds_a_tail_that_is_not_cut(monkeypatch: pytest.MonkeyPatch) -> None:
     PLANTED["not_cut_on_conflict"](monkeypatch)
     assert "two entries agreed at 26" in storm(61, SHORT_MS).checker.broken
-
-
--- a/tests/fleet/test_bindings_checker.py
+++ b/tests/fleet/test_bindings_checker.py
@@ -8,8 +8,17 @@
 
 from limenotch.lab.fleet.checks_bindings import Checker, Key, Stated
 
-STATED = Stated(idle=lambda kind, state: (400.0, 1000.0, 300.0, 200.0)[state], longest=lambda kind: 10_000.0,
-                tell=0.125, drift=0.01, told_ms=50, spare_ms=220, mend_ms=1000, agree_ms=100, young_ms=5)
+STATED = Stated(
+    idle=lambda kind, state: (400.0, 1000.0, 300.0, 200.0)[state],
+    longest=lambda kind: 10_000.0,
+    tell=0.125,
+    drift=0.01,
+    told_ms=50,
+    spare_ms=220,
+    mend_ms=1000,
+    agree_ms=100,
+    young_ms=5,
+)
 FLOW: Key = (3, b"f1")
 CALL: Key = (0, b"k1")
 
--- a/tests/fleet/test_bindings_core.py
+++ b/tests/fleet/test_bindings_core.py
@@ -176,7 +176,7 @@
     batch = next(iter(fleet.of("c").ground.teller.batches(fleet.now("c"))), None)
     assert batch is None  # told already
     fleet.see("c", b"late")
-    batch, = fleet.of("c").ground.teller.batches(fleet.now("c"))
+    (batch,) = fleet.of("c").ground.teller.batches(fleet.now("c"))
     fleet.world.kill("c")
     fleet.world.start("c")
     fleet.run(2000)
@@ -229,8 +229,12 @@
     fault(fleet, "loss 20%")
     fault(fleet, "delay 1..60")
     for number in range(400):
-        fleet.see("abcde"[number % 5], b"%d" % (number % 90), f"p{1 + number % 3}",
-                  (State.OPENING, State.OPEN, State.OPEN)[number % 3])
+        fleet.see(
+            "abcde"[number % 5],
+            b"%d" % (number % 90),
+            f"p{1 + number % 3}",
+            (State.OPENING, State.OPEN, State.OPEN)[number % 3],
+        )
         fleet.run(20)
     fault(fleet, "loss 0%")
     fault(fleet, "delay 1..1")
--- a/tests/fleet/test_bindings_full.py
+++ b/tests/fleet/test_bindings_full.py
@@ -31,12 +31,20 @@
     return keys
 
 
-@pytest.mark.parametrize(("kind", "state", "ended", "number"), [
-    (Kind.FLOW, State.OPENING, False, OPENING), (Kind.FLOW, State.OPEN, False, OPENED),
-    (Kind.CONN, State.CLOSING, False, GOING), (Kind.SESSION, State.LINGERING, False, GOING),
-    (Kind.CONN, State.OPEN, True, GOING), (Kind.CONN, State.OPENING, True, GOING),
-    (Kind.KEY, State.OPEN, True, KEPT), (Kind.KEY, State.OPENING, False, KEPT), (Kind.KEY, State.CLOSING, False, KEPT),
-])
+@pytest.mark.parametrize(
+    ("kind", "state", "ended", "number"),
+    [
+        (Kind.FLOW, State.OPENING, False, OPENING),
+        (Kind.FLOW, State.OPEN, False, OPENED),
+        (Kind.CONN, State.CLOSING, False, GOING),
+        (Kind.SESSION, State.LINGERING, False, GOING),
+        (Kind.CONN, State.OPEN, True, GOING),
+        (Kind.CONN, State.OPENING, True, GOING),
+        (Kind.KEY, State.OPEN, True, KEPT),
+        (Kind.KEY, State.OPENING, False, KEPT),
+        (Kind.KEY, State.CLOSING, False, KEPT),
+    ],
+)
 def test_classes(kind: Kind, state: State, ended: bool, number: int) -> None:
     assert class_of(kind | state << STATE_AT | (ENDED if ended else 0)) == number
 
@@ -62,8 +70,7 @@
             assert list(order.newest(-1, 1 << 60, (1 << 128) - 1)) == by_stamp
             if len(by_stamp) > 8:
                 after, floor = model[by_stamp[3]], model[by_stamp[7]][0]
-                assert list(order.newest(floor, *after)) == [
-                    row for row in by_stamp[4:] if model[row][0] > floor]
+                assert list(order.newest(floor, *after)) == [row for row in by_stamp[4:] if model[row][0] > floor]
     assert order.held == len(model)
 
 
@@ -107,16 +114,23 @@
 
 def test_keys_half_open_have_their_share_only() -> None:
     part = alone(SMALL)
-    assert [part.table.see(1100.0, Kind.KEY, b"%d" % each, "p1", State.OPENING) for each in range(6)] == [
-        True] * 4 + [False] * 2
+    assert [part.table.see(1100.0, Kind.KEY, b"%d" % each, "p1", State.OPENING) for each in range(6)] == [True] * 4 + [
+        False
+    ] * 2
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_in_whatever_order_copies_come_the_same_ones_stay(seed: int) -> None:
     """The table holds the highest of all."""
     random = Random(seed)
-    copies = [(random.getrandbits(128), Kind.FLOW | random.choice((State.OPEN, State.CLOSING)) << STATE_AT,
-               random.randrange(1, 8)) for _ in range(60)]
+    copies = [
+        (
+            random.getrandbits(128),
+            Kind.FLOW | random.choice((State.OPEN, State.CLOSING)) << STATE_AT,
+            random.randrange(1, 8),
+        )
+        for _ in range(60)
+    ]
     kept = []
     for _ in range(3):
         part = alone(SMALL)
@@ -124,8 +138,7 @@
         for key, what, stamp in copies:
             part.table.hear(1000.0, key, what, ("p1", "c1", "z1"), 0, 0, stamp, "b", 1000.0, 1000.0, stamp, True)
         rows = part.table.rows
-        kept.append({
-            key for key, _, _ in copies if (row := rows.find(key)) != NIL and not rows.what[row] & GRAVE})
+        kept.append({key for key, _, _ in copies if (row := rows.find(key)) != NIL and not rows.what[row] & GRAVE})
         assert len(kept[-1]) == 16
     order = sorted(copies, key=lambda each: (class_of(each[1]) != GOING, each[2], each[0]))
     assert kept[0] == kept[1] == kept[2] == {key for key, _, _ in order[-16:]}
--- a/tests/fleet/test_bindings_join.py
+++ b/tests/fleet/test_bindings_join.py
@@ -207,12 +207,23 @@
     assert [ask.floor for ask in asks] == [2]
 
 
-@pytest.mark.parametrize("message", [
-    say.Ask(1, 1, -5, 0, b"x" * 16), say.Ask(1, 1, 0, 0, b"short"), say.AskKeys(1, 1, 999), say.Want(1, 1, b"odd"),
-    say.Page(1, 77, 0.0, (), (), (), True, True), say.Digests(1, 77, b"", True), say.Keys(1, 77, 0, 0, 1, b""),
-    say.Copies(1, 77, 0.0, (), (), ()), say.Cover(1, -1, 0, 0, 0.0, 0.0, True),
-    say.Cover(1, 1, 1 << 63, 0, 0.0, 0.0, True), say.Pong(1, 1e9, 0.0), say.Sights(1, 1, 1, 0, float("nan"), 0.0, True,
-                                                                                  (), (), ())])
+@pytest.mark.parametrize(
+    "message",
+    [
+        say.Ask(1, 1, -5, 0, b"x" * 16),
+        say.Ask(1, 1, 0, 0, b"short"),
+        say.AskKeys(1, 1, 999),
+        say.Want(1, 1, b"odd"),
+        say.Page(1, 77, 0.0, (), (), (), True, True),
+        say.Digests(1, 77, b"", True),
+        say.Keys(1, 77, 0, 0, 1, b""),
+        say.Copies(1, 77, 0.0, (), (), ()),
+        say.Cover(1, -1, 0, 0, 0.0, 0.0, True),
+        say.Cover(1, 1, 1 << 63, 0, 0.0, 0.0, True),
+        say.Pong(1, 1e9, 0.0),
+        say.Sights(1, 1, 1, 0, float("nan"), 0.0, True, (), (), ()),
+    ],
+)
 def test_nonsense_is_borne(message: say.Said) -> None:
     fleet = settled(Fleet("ab"))
     fleet.see("a", b"k")
@@ -243,6 +254,6 @@
 def test_who_joins_is_told_by_all_that_speak_to_it() -> None:
     fleet = settled(Fleet("ab"))
     out = fleet.of("a").handle(fleet.now("a"), Heard(address("b"), "b", say.Ask(1, 3, -1, MOST_COUNT, b"\xff" * 16)))
-    page, = [act.message for act in out if isinstance(act, Tell)]
+    (page,) = [act.message for act in out if isinstance(act, Tell)]
     assert isinstance(page, say.Page) and page.last
     assert {known.name for known in page.knows} == {"a", "b"}
--- a/tests/fleet/test_bindings_processes.py
+++ b/tests/fleet/test_bindings_processes.py
@@ -75,8 +75,9 @@
     """They did not find each other."""
 
 
-def play(text: str, folder: Path, rules: bool = False, bindings: dict[str, Any] | None = BINDINGS) \
-        -> tuple[Outcome, Comers]:
+def play(
+    text: str, folder: Path, rules: bool = False, bindings: dict[str, Any] | None = BINDINGS
+) -> tuple[Outcome, Comers]:
     """Once more where they did not find each other before the drawing began: a port that was free may be taken."""
     for number in range(3):
         place = folder / str(number)
@@ -99,15 +100,24 @@
     fleet = together(drawn.nodes, key, tuple("abc") if rules else (), **tables)
 
     async def case() -> Outcome:
-        bench = Bench(plan, folder, drawn, weather.Weather(drawn.seed), ask=comers.asked,
-                      fleet=lambda stage, node: fleet(stage, node) + (RULES if rules else ""))
+        bench = Bench(
+            plan,
+            folder,
+            drawn,
+            weather.Weather(drawn.seed),
+            ask=comers.asked,
+            fleet=lambda stage, node: fleet(stage, node) + (RULES if rules else ""),
+        )
         comers.stage, comers.there = bench, list(drawn.nodes)
 
         async def settled(processes: Processes) -> None:
             def holds(name: str, state: dict[str, Any]) -> bool:
                 parts, alive = state["parts"], sum(member["state"] == "alive" for member in state["members"])
-                return (alive == len(drawn.nodes) and (not rules or parts["rules"].get("state") == "leased")
-                        and (bindings is None or parts["bindings"]["state"] == "whole"))
+                return (
+                    alive == len(drawn.nodes)
+                    and (not rules or parts["rules"].get("state") == "leased")
+                    and (bindings is None or parts["bindings"]["state"] == "whole")
+                )
 
             try:
                 await processes.until_all(holds, 12, "all are together")
@@ -131,7 +141,8 @@
 
 
 def test_keys_and_sessions_stay_through_all_sidecars_until_their_providers_go(tmp_path: Path) -> None:
-    _, comers = play("""
+    _, comers = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -151,14 +162,18 @@
 113    ask a key k3
 114    ask b again k3, ask c again k3
 3500
-""", tmp_path, rules=True)
+""",
+        tmp_path,
+        rules=True,
+    )
     for key in ("k1", "k2", "k3"):
         assert comers.bench.zones_of[key] == {comers.zones[key]}
     assert comers.repeats > 10
 
 
 def test_of_five_one_is_killed_and_back_and_two_are_cut_off_and_healed(tmp_path: Path) -> None:
-    _, comers = play("""
+    _, comers = play(
+        """
 nodes: a b c d e
 
 ms     faults
@@ -182,7 +197,9 @@
 117    ask e same s3, ask d same s3, ask a same s4, ask c same s4, ask b same s4
 118    ask a agree k7, ask b agree s5
 4500
-""", tmp_path)
+""",
+        tmp_path,
+    )
     for key in ("k1", "k2", "k3", "k4", "k5", "k6"):
         assert comers.bench.zones_of[key] == {comers.zones[key]}, key
 
--- a/tests/fleet/test_bindings_program.py
+++ b/tests/fleet/test_bindings_program.py
@@ -310,12 +310,15 @@
     (tmp_path / "key").write_text("sixteen bytes ok")
     text = example.replace("/etc/limenotch/fleet.key", str(tmp_path / "key"))
     assert parse_settings(text, "x").fleet.bindings == Table()
-    part = text[text.index("[fleet.bindings]"):]
+    part = text[text.index("[fleet.bindings]") :]
     keys = {line.split(" ")[0] for line in part.splitlines() if " = " in line.split("#")[0]}
     tables = {line.split("]")[0].rpartition(".")[2] for line in part.splitlines() if line.startswith("[")}
     assert keys | tables >= set(Table.__struct_fields__) | {"opening", "open", "closing", "lingering", "longest"}
-    for more, says in ((' session = "x y"', "fleet.bindings.session: expected the name of a header field"),
-                       ('sesion = "x"', "fleet.bindings.sesion: unknown key"), ("most = 1", "fleet.bindings.most")):
-        bad = text[:text.index("[fleet.bindings]")] + f"[fleet.bindings]\n{more}\n"
+    for more, says in (
+        (' session = "x y"', "fleet.bindings.session: expected the name of a header field"),
+        ('sesion = "x"', "fleet.bindings.sesion: unknown key"),
+        ("most = 1", "fleet.bindings.most"),
+    ):
+        bad = text[: text.index("[fleet.bindings]")] + f"[fleet.bindings]\n{more}\n"
         with pytest.raises(toml.FaultError, match=says):
             parse_settings(bad, "f.toml")
--- a/tests/fleet/test_bindings_rows.py
+++ b/tests/fleet/test_bindings_rows.py
@@ -108,8 +108,11 @@
         assert clock.latest(11_020.0 + late, 10_000.0) == pytest.approx(11_002.2, abs=0.1)
 
 
-@given(st.integers(-10**6, 10**6), st.lists(st.tuples(st.floats(0, 2000), st.floats(0, 500), st.floats(0, 500)),
-                                          min_size=1, max_size=20), st.floats(-1, 1))
+@given(
+    st.integers(-(10**6), 10**6),
+    st.lists(st.tuples(st.floats(0, 2000), st.floats(0, 500), st.floats(0, 500)), min_size=1, max_size=20),
+    st.floats(-1, 1),
+)
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_the_bounds_hold_under_drift(ahead: int, steps: list[tuple[float, float, float]], pull: float) -> None:
     drift = 0.02
--- a/tests/fleet/test_bindings_sights.py
+++ b/tests/fleet/test_bindings_sights.py
@@ -104,17 +104,17 @@
 def test_what_reached_nobody_is_undone_everywhere_but_where_it_was_seen() -> None:
     one, two, three = (alone(name=name) for name in "abc")
     one.table.see(1000.0, S, b"k", "p1", State.OPENING)
-    batch, = rounds(one, 1010.0)
+    (batch,) = rounds(one, 1010.0)
     for part in (two, three):
         hear(part, batch, 1011.0)
         assert part.table.find(1012.0, S, b"k") is not None
     three.table.see(1012.0, S, b"k", "p1", State.OPENING)
     one.table.undo(1013.0, S, b"k")
-    undone, = rounds(one, 1020.0)
+    (undone,) = rounds(one, 1020.0)
     for part in (two, three):
         hear(part, undone, 1021.0)
     assert [part.table.find(1022.0, S, b"k") is not None for part in (one, two, three)] == [False, False, True]
-    again, = rounds(three, 1030.0)  # it is in use there: told at once
+    (again,) = rounds(three, 1030.0)  # it is in use there: told at once
     hear(one, again, 1031.0, "c")
     assert one.table.find(1032.0, S, b"k") is not None
     one.table.see(1033.0, S, b"k", "p1", State.OPEN)
@@ -185,7 +185,7 @@
     """One's own sight, back as a copy by a way of 40 ms."""
     one, two = alone(), alone(name="z")
     one.table.see(1000.0, S, b"k", "p1", State.OPEN)
-    batch, = rounds(one, 1000.0)
+    (batch,) = rounds(one, 1000.0)
     hear(two, batch, 1040.0, "a")
     hear(one, say.Pong(1, 1000.0, 1040.0), 1080.0, "z")
     before = one.table.rows.seen[0]
@@ -224,9 +224,22 @@
         assert other.table.find(1001.0, S, b"k") is not None
 
 
-@pytest.mark.parametrize("change", [
-    {"key": b"short"}, {"what": 64}, {"what": -1}, {"who": 5}, {"by": -1}, {"gen": 1 << 32}, {"move": 1 << 16},
-    {"count": 1 << 63}, {"age": -1}, {"old": -1}, {"stamp": -1}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"key": b"short"},
+        {"what": 64},
+        {"what": -1},
+        {"who": 5},
+        {"by": -1},
+        {"gen": 1 << 32},
+        {"move": 1 << 16},
+        {"count": 1 << 63},
+        {"age": -1},
+        {"old": -1},
+        {"stamp": -1},
+    ],
+)
 def test_unsound_copies_change_nothing(change: dict[str, Any]) -> None:
     part = alone()
     batch = sights(b"k", 1000.0, 1000.0)
--- a/tests/fleet/test_bindings_storms.py
+++ b/tests/fleet/test_bindings_storms.py
@@ -51,8 +51,9 @@
     assert storm(9, 1500).world.digest() == storm(9, 1500).world.digest()
 
 
-@pytest.mark.parametrize(("bug", "run", "seed"), [(bug, *found) for bug, found in BUGS.items()],
-                         ids=[bug.__name__ for bug in BUGS])
+@pytest.mark.parametrize(
+    ("bug", "run", "seed"), [(bug, *found) for bug, found in BUGS.items()], ids=[bug.__name__ for bug in BUGS]
+)
 def test_planted_faults_are_found(bug: Plant, run: Any, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     bug(monkeypatch)
     with pytest.raises(AssertionError, match="none early|none late|no revival|honest ages|gone: |full: |that differs"):
--- a/tests/fleet/test_bindings_table.py
+++ b/tests/fleet/test_bindings_table.py
@@ -126,7 +126,9 @@
     part.table.see(1002.0, S, b"other", "p2", State.OPEN)
     part.table.see(1003.0, S, b"third", "p1", State.OPEN)
     assert [found and found.provider for found in (part.table.find(1004.0, S, key) for key in (b"k", b"other"))] == [
-        "p3", "p2"]
+        "p3",
+        "p2",
+    ]
 
 
 def test_what_was_found_to_be_over_stays_so() -> None:
--- a/tests/fleet/test_bindings_values.py
+++ b/tests/fleet/test_bindings_values.py
@@ -19,11 +19,21 @@
 
 @st.composite
 def value(draw: st.DrawFn) -> Value:
-    gen, move, count, by = draw(st.tuples(st.integers(0, 2), st.integers(0, 1), st.integers(1, 2),
-                                          st.sampled_from("ab")))
+    gen, move, count, by = draw(
+        st.tuples(st.integers(0, 2), st.integers(0, 1), st.integers(1, 2), st.sampled_from("ab"))
+    )
     place = PLACES[(gen + move + count + len(by) + ord(by)) % 3]  # a value has one provider
-    return Value(gen, move, count, by, place, draw(st.sampled_from(State)), draw(st.booleans()),
-                 draw(st.integers(900, 1000)) * 1.0, float(count))
+    return Value(
+        gen,
+        move,
+        count,
+        by,
+        place,
+        draw(st.sampled_from(State)),
+        draw(st.booleans()),
+        draw(st.integers(900, 1000)) * 1.0,
+        float(count),
+    )
 
 
 @pytest.mark.parametrize(("held", "told"), list(product(State, State)))
@@ -39,8 +49,20 @@
         key = part.table.hash(Kind.SESSION, b"k")
         at = part.table.rows.find(key)
         if heard:
-            part.table.hear(1001.0, key, Kind.SESSION | told << STATE_AT, PLACES[0], 0, 0, part.table.rows.count[at],
-                            "a", 1001.0, 1000.0, 9, True)
+            part.table.hear(
+                1001.0,
+                key,
+                Kind.SESSION | told << STATE_AT,
+                PLACES[0],
+                0,
+                0,
+                part.table.rows.count[at],
+                "a",
+                1001.0,
+                1000.0,
+                9,
+                True,
+            )
         else:
             part.table.see(1001.0, Kind.SESSION, b"k", "p1", told)
         assert (part.table.rows.what[at] & STATE) >> STATE_AT == AFTER[held, told]
@@ -62,15 +84,32 @@
     part = alone()
     table, want = part.table, copies[0]
     for each in copies:
-        table.hear(1000.0, 77, Kind.SESSION | each.state << STATE_AT | (CHARGED if each.charged else 0), each.provider,
-                   *each[:4], each.seen, each.made, 3, True)
+        table.hear(
+            1000.0,
+            77,
+            Kind.SESSION | each.state << STATE_AT | (CHARGED if each.charged else 0),
+            each.provider,
+            *each[:4],
+            each.seen,
+            each.made,
+            3,
+            True,
+        )
         want = merge(want, each)
     row = table.rows.find(77)
     assert row != NIL and not table.rows.what[row] & GRAVE
     rows = table.rows
-    held = Value(rows.gen[row], rows.move[row], rows.count[row], table.members.names[rows.by[row]],
-                 table.providers.places[rows.who[row]], State((rows.what[row] & STATE) >> STATE_AT),
-                 bool(rows.what[row] & CHARGED), rows.seen[row], rows.made[row])
+    held = Value(
+        rows.gen[row],
+        rows.move[row],
+        rows.count[row],
+        table.members.names[rows.by[row]],
+        table.providers.places[rows.who[row]],
+        State((rows.what[row] & STATE) >> STATE_AT),
+        bool(rows.what[row] & CHARGED),
+        rows.seen[row],
+        rows.made[row],
+    )
     assert held == want
 
 
--- a/tests/fleet/test_drawing.py
+++ b/tests/fleet/test_drawing.py
@@ -58,11 +58,17 @@
     low, high = sorted([draw(figures), draw(figures)])
     disk = draw(st.sampled_from(["ok", "full", "slow", "torn", "read-only"]))
     every: list[Fault] = [
-        Cut((way.frm, way.to)), Cut((way.frm, way.to), one_way=True), Cut(tuple((one,) for one in some)), Heal(),
+        Cut((way.frm, way.to)),
+        Cut((way.frm, way.to), one_way=True),
+        Cut(tuple((one,) for one in some)),
+        Heal(),
         Chance(draw(st.sampled_from(["loss", "double", "reorder"])), draw(st.integers(0, 100_000)) / 1000, perhaps),
-        Delay(low, high, perhaps), Slow(way, high), Disk(some[0], disk, high if disk == "slow" else 0.0),
+        Delay(low, high, perhaps),
+        Slow(way, high),
+        Disk(some[0], disk, high if disk == "slow" else 0.0),
         Doing(draw(st.sampled_from(["pause", "wake", "kill", "start", "wipe", "leave", "mute"])), tuple(some)),
-        Clock(some[0], draw(st.integers(-10**8, 10**8)) * 1.0), Ask(some[0], "rules 5 propose"),
+        Clock(some[0], draw(st.integers(-(10**8), 10**8)) * 1.0),
+        Ask(some[0], "rules 5 propose"),
     ]
     return draw(st.sampled_from(every))
 
@@ -80,25 +86,27 @@
 """
 
 
-@pytest.mark.parametrize(("moved", "exactly", "with_window"), [
-    ({}, True, True),
-    ({"a": [(200, "x"), (200, "z"), (200, "y")]}, True, True),
-    ({"a": [(200, "y"), (200, "x"), (200, "z")]}, False, False),
-    ({"a": [(200, "x"), (250, "z"), (290, "y")]}, False, True),
-    ({"a": [(200, "x"), (200, "z"), (200, "z")]}, False, False),
-    ({"a": [(200, "x"), (200, "z")]}, False, False),
-    ({"a": [(200, "x"), (200, "z"), (350, "y")]}, False, False),
-    ({"b": [(320, "y"), (350, "x"), (400, "z")]}, False, True),
-    ({"b": [(320, "y"), (410, "x"), (420, "z")]}, False, False),  # x: 110 ms late
-    ({"b": [(300, "x"), (400, "z"), (410, "y")]}, False, False),
-])
+@pytest.mark.parametrize(
+    ("moved", "exactly", "with_window"),
+    [
+        ({}, True, True),
+        ({"a": [(200, "x"), (200, "z"), (200, "y")]}, True, True),
+        ({"a": [(200, "y"), (200, "x"), (200, "z")]}, False, False),
+        ({"a": [(200, "x"), (250, "z"), (290, "y")]}, False, True),
+        ({"a": [(200, "x"), (200, "z"), (200, "z")]}, False, False),
+        ({"a": [(200, "x"), (200, "z")]}, False, False),
+        ({"a": [(200, "x"), (200, "z"), (350, "y")]}, False, False),
+        ({"b": [(320, "y"), (350, "x"), (400, "z")]}, False, True),
+        ({"b": [(320, "y"), (410, "x"), (420, "z")]}, False, False),  # x: 110 ms late
+        ({"b": [(300, "x"), (400, "z"), (410, "y")]}, False, False),
+    ],
+)
 def test_notes_bound_come_in_either_order(
     moved: dict[str, list[tuple[int, str]]], exactly: bool, with_window: bool
 ) -> None:
     scenario = read(EITHER)
     notes = {"a": [(200, "x"), (200, "y"), (200, "z")], "b": [(300, "x"), (400, "y"), (400, "z")], **moved}
-    seen = sorted(((float(at), node, text) for node, own in notes.items() for at, text in own),
-                  key=lambda one: one[0])
+    seen = sorted(((float(at), node, text) for node, own in notes.items() for at, text in own), key=lambda one: one[0])
     assert (exact(scenario, seen) is None) == exactly and (within(scenario, seen) is None) == with_window
     assert read(draw(scenario, scenario.notes)) == scenario
     assert [note.either for note in read(draw(scenario, scenario.looked_at(seen))).notes].count(True) == 2 or moved
@@ -121,14 +129,29 @@
     assert parse_all(", ".join(map(str, some))) == some
 
 
-@pytest.mark.parametrize(("text", "words"), [
-    ("cat a | b", "'cat' is none"), ("cut a b", "'a b' has no"), ("cut a > a", "both sides"),
-    ("cut a | ", "name is missing"),
-    ("cut a | b | a", "twice"), ("loss 20", "'20' is no share"), ("loss 120%", "'120%'"), ("delay 40..5", "'40..5'"),
-    ("slow a > b", "no number of ms"), ("disk a fulll", "'fulll' is none"), ("disk a full 3", "'3' after 'full'"),
-    ("clock a 3600s", "'3600s' is no step"), ("ask a", "ask what"), ("kill", "missing"), ("heal a", "'a' is too much"),
-    ("pause 1a", "'1a' is no name"), ("cut a > b | c", "either"), ("disk a slow x", "'x' is no number"),
-])
+@pytest.mark.parametrize(
+    ("text", "words"),
+    [
+        ("cat a | b", "'cat' is none"),
+        ("cut a b", "'a b' has no"),
+        ("cut a > a", "both sides"),
+        ("cut a | ", "name is missing"),
+        ("cut a | b | a", "twice"),
+        ("loss 20", "'20' is no share"),
+        ("loss 120%", "'120%'"),
+        ("delay 40..5", "'40..5'"),
+        ("slow a > b", "no number of ms"),
+        ("disk a fulll", "'fulll' is none"),
+        ("disk a full 3", "'3' after 'full'"),
+        ("clock a 3600s", "'3600s' is no step"),
+        ("ask a", "ask what"),
+        ("kill", "missing"),
+        ("heal a", "'a' is too much"),
+        ("pause 1a", "'1a' is no name"),
+        ("cut a > b | c", "either"),
+        ("disk a slow x", "'x' is no number"),
+    ],
+)
 def test_faults_refused_name_the_words(text: str, words: str) -> None:
     with pytest.raises(ValueError, match="fault") as error:
         parse(text)
@@ -138,8 +161,12 @@
 def test_a_drawing_is_read() -> None:
     scenario = read(TEXT)
     assert scenario.nodes == scenario.columns == ("a", "b", "c")
-    assert scenario.notes == (Drawn(1300, "a", "suspects c"), Drawn(1300, "b", "suspects c"),
-                              Drawn(2001, "a", "c back"), Drawn(2001, "b", "c back"))
+    assert scenario.notes == (
+        Drawn(1300, "a", "suspects c"),
+        Drawn(1300, "b", "suspects c"),
+        Drawn(2001, "a", "c back"),
+        Drawn(2001, "b", "c back"),
+    )
     assert [(at, str(fault)) for at, fault in scenario.faults] == [(1000, "kill c"), (2000, "start c")]
     assert scenario.ends == 2001 and scenario.seed == 1
 
@@ -150,18 +177,27 @@
     assert [str(fault) for _, fault in scenario.faults] == ["heal"]
 
 
-@pytest.mark.parametrize(("text", "words"), [
-    ("nodes: a\n", "no heading"), ("nodes a\nms a\n", "'nodes a'"), ("ms  a\n0\tx\n", "a tab"),
-    ("ms    a       b\n0     long note here\n", "runs into the column of b"), ("ms  a\n5\n4\n", "4 after 5"),
-    ("ms    a\nx     y\n", "'x' is no time"), ("ms    a\n      y\n", "'y' is no time"),
-    ("nodes: a\nms    a    b\n", "'b'"),
-    ("ms    a    faults\n0          kill b\n", "'b' is none of the nodes"),
-    ("ms   a   faults\n0        kil a\n", "'kil'"),
-    ("show: dead\nms    a\n0     back\n", "'back' is drawn at 0"), ("ms    faults    a\n", "last column"),
-    ("nodes: n1..n0\nms   n1\n", "no range"), ("seed: x\nms   a\n", "'x' is no number"),
-    ("a: 1\na: 2\nms  a\n", "twice"),
-    ("until: 5\nms    a\n9     x\n", "after `until`"),
-])
+@pytest.mark.parametrize(
+    ("text", "words"),
+    [
+        ("nodes: a\n", "no heading"),
+        ("nodes a\nms a\n", "'nodes a'"),
+        ("ms  a\n0\tx\n", "a tab"),
+        ("ms    a       b\n0     long note here\n", "runs into the column of b"),
+        ("ms  a\n5\n4\n", "4 after 5"),
+        ("ms    a\nx     y\n", "'x' is no time"),
+        ("ms    a\n      y\n", "'y' is no time"),
+        ("nodes: a\nms    a    b\n", "'b'"),
+        ("ms    a    faults\n0          kill b\n", "'b' is none of the nodes"),
+        ("ms   a   faults\n0        kil a\n", "'kil'"),
+        ("show: dead\nms    a\n0     back\n", "'back' is drawn at 0"),
+        ("ms    faults    a\n", "last column"),
+        ("nodes: n1..n0\nms   n1\n", "no range"),
+        ("seed: x\nms   a\n", "'x' is no number"),
+        ("a: 1\na: 2\nms  a\n", "twice"),
+        ("until: 5\nms    a\n9     x\n", "after `until`"),
+    ],
+)
 def test_drawings_refused_name_the_words(text: str, words: str) -> None:
     with pytest.raises(ValueError, match="drawing") as error:
         read(text)
@@ -185,8 +221,15 @@
 def test_what_is_drawn_anew_is_read_as_it_was(some: list[tuple[int, str, str]], what: list[tuple[int, Fault]]) -> None:
     head = "nodes: a b c n12 east-1\nuntil: 60\n\nms    a     b     c     faults\n"
     empty = read(head)
-    scenario = Scenario(empty.head, empty.nodes, empty.columns, tuple(empty.looked_at(some)),
-                        tuple(sorted(what, key=lambda one: one[0])), 60, "drawing")
+    scenario = Scenario(
+        empty.head,
+        empty.nodes,
+        empty.columns,
+        tuple(empty.looked_at(some)),
+        tuple(sorted(what, key=lambda one: one[0])),
+        60,
+        "drawing",
+    )
     assert read(draw(scenario, scenario.notes)) == scenario
     assert exact(scenario, some) is None
 
@@ -197,18 +240,23 @@
     scenario = Scenario(empty.head, empty.nodes, empty.columns, tuple(empty.looked_at(some)), (), 100, "drawing")
     which = data.draw(st.integers(0, len(some) - 1))
     at, node, text = some[which]
-    moved = [*some[:which], (at + data.draw(st.integers(1, 40)), node, text), *some[which + 1:]]
-    missing = some[:which] + some[which + 1:]
+    moved = [*some[:which], (at + data.draw(st.integers(1, 40)), node, text), *some[which + 1 :]]
+    missing = some[:which] + some[which + 1 :]
     more = [*some, (data.draw(st.integers(0, 100)), node, "more")]
-    changed = [*some[:which], (at, node, "other"), *some[which + 1:]]
+    changed = [*some[:which], (at, node, "other"), *some[which + 1 :]]
     for other in (moved, missing, more, changed):
         difference = exact(scenario, other)
         assert difference is not None
         marked = [line for line in difference.splitlines() if line.startswith(">")]
         assert len(marked) == 1
-        assert all(left.strip() == right.strip() for left, right in (
-            (line[8:].split("|")[0], line.split("|")[2]) for line in difference.splitlines()[2:]
-            if int(line[1:].split()[0]) < int(marked[0][1:].split()[0])))
+        assert all(
+            left.strip() == right.strip()
+            for left, right in (
+                (line[8:].split("|")[0], line.split("|")[2])
+                for line in difference.splitlines()[2:]
+                if int(line[1:].split()[0]) < int(marked[0][1:].split()[0])
+            )
+        )
         left, _, right = marked[0][8:].split("|")
         assert left.strip() != right.strip()
     assert within(scenario, missing, window=1000) is not None
@@ -217,8 +265,10 @@
 
 
 def test_a_window_lets_nodes_change_places_but_not_a_nodes_own_order() -> None:
-    scenario = read("window: 100\nuntil: 3000\nms    a      b      faults\n1000  x\n1050         y\n1080  z\n"
-                    "2000                kill a\n2500         w\n")
+    scenario = read(
+        "window: 100\nuntil: 3000\nms    a      b      faults\n1000  x\n1050         y\n1080  z\n"
+        "2000                kill a\n2500         w\n"
+    )
     assert within(scenario, [(1060, "b", "y"), (1090, "a", "x"), (1100, "a", "z"), (2500, "b", "w")]) is None
     swapped = within(scenario, [(1000, "a", "z"), (1050, "b", "y"), (1080, "a", "x"), (2500, "b", "w")])
     assert swapped is not None and "a: 'z' at 1000 where 'x' is drawn" in swapped
@@ -264,8 +314,9 @@
 
 
 def test_asking_in_a_scenario() -> None:
-    scenario = read("nodes: a b\nshow: hello\nms    a               b      faults\n"
-                    "10    hello there            ask a hello there\n")
+    scenario = read(
+        "nodes: a b\nshow: hello\nms    a               b      faults\n10    hello there            ask a hello there\n"
+    )
 
     def ask(world: World, node: str, words: str) -> None:
         world.poke(node, words)
--- a/tests/fleet/test_explore.py
+++ b/tests/fleet/test_explore.py
@@ -24,8 +24,9 @@
 
 
 def explore(bounds: Bounds, bug: str = "", no: str = "c", clocks: str = "free") -> Explored:
-    return Explorer(NODES, lambda name, seed, life, held: Voter(name, held, bug, no), Voter.digest, agreed, bounds,
-                    clocks=clocks).run()
+    return Explorer(
+        NODES, lambda name, seed, life, held: Voter(name, held, bug, no), Voter.digest, agreed, bounds, clocks=clocks
+    ).run()
 
 
 @pytest.mark.parametrize("no", ["c", ""])
@@ -40,8 +41,12 @@
     found = explore(Bounds(double=1), "counts votes")
     assert found.why == "a yes without all votes"
     # Ask b, its vote down, its vote heard twice: nothing shorter can.
-    assert found.path == ("deliver Ask a > b", "b stored 1", "deliver and keep Vote True b > a",
-                          "deliver Vote True b > a")
+    assert found.path == (
+        "deliver Ask a > b",
+        "b stored 1",
+        "deliver and keep Vote True b > a",
+        "deliver Vote True b > a",
+    )
     rows = found.drawing.splitlines()
     assert rows[-1].split() == "4 decides yes deliver Vote True b > a".split()
     assert explore(Bounds(), "counts votes").why is None  # not without doubles
@@ -86,8 +91,12 @@
 
 @pytest.mark.parametrize("carrier", list(Carrier))
 def test_streams_keep_order_and_datagrams_do_not(carrier: Carrier) -> None:
-    found = Explorer(("a", "b"), lambda name, seed, life, held: Order(name, carrier), lambda part: tuple(part.heard),
-                     lambda view: "order" if ("b", "wrong order") in view.notes else None).run()
+    found = Explorer(
+        ("a", "b"),
+        lambda name, seed, life, held: Order(name, carrier),
+        lambda part: tuple(part.heard),
+        lambda view: "order" if ("b", "wrong order") in view.notes else None,
+    ).run()
     assert (found.why == "order") is (carrier is Carrier.DATAGRAM)
     assert found.whole is (carrier is Carrier.STREAM)
 
@@ -102,6 +111,11 @@
                 return [] if self.heard else [Note("asked early")]
             return super().handle(now, event)
 
-    found = Explorer(("a", "b"), lambda name, seed, life, held: Asked(name, Carrier.STREAM),
-                     lambda part: tuple(part.heard), check, asks=[("b", "now")]).run()
+    found = Explorer(
+        ("a", "b"),
+        lambda name, seed, life, held: Asked(name, Carrier.STREAM),
+        lambda part: tuple(part.heard),
+        check,
+        asks=[("b", "now")],
+    ).run()
     assert found.path == ("ask b now",)
--- a/tests/fleet/test_explore_agreement.py
+++ b/tests/fleet/test_explore_agreement.py
@@ -17,8 +17,15 @@
 
 
 def explore(bounds: Bounds, check: object = None) -> Explored:
-    return Explorer(NAMES, maker(NAMES), digest, check or Check(NAMES), bounds, clocks="one",  # type: ignore[arg-type]
-                    disks=begun(NAMES)).run()
+    return Explorer(
+        NAMES,
+        maker(NAMES),
+        digest,
+        check or Check(NAMES),
+        bounds,
+        clocks="one",  # type: ignore[arg-type]
+        disks=begun(NAMES),
+    ).run()
 
 
 def leads(view: View) -> str | None:
--- a/tests/fleet/test_fleet_off.py
+++ b/tests/fleet/test_fleet_off.py
@@ -33,9 +33,19 @@
 finally:
     print(json.dumps(sorted(sys.modules)))
 """
-FLEET = ("limenotch.fleet", "limenotch.store", "limenotch.net.others", "limenotch.net.streams", "limenotch.net.kept",
-         "limenotch.net.promised", "limenotch.net.asking", "limenotch.net.ruled", "limenotch.net.paid",
-         "limenotch.layers", "limenotch.together")
+FLEET = (
+    "limenotch.fleet",
+    "limenotch.store",
+    "limenotch.net.others",
+    "limenotch.net.streams",
+    "limenotch.net.kept",
+    "limenotch.net.promised",
+    "limenotch.net.asking",
+    "limenotch.net.ruled",
+    "limenotch.net.paid",
+    "limenotch.layers",
+    "limenotch.together",
+)
 
 
 def of_the_fleet(modules: list[str]) -> list[str]:
@@ -85,22 +95,43 @@
     """`fleet`: the table's further lines; None: no table."""
     handler, _ = answering(whole(200))
     provider = await asyncio.start_server(handler, "127.0.0.1", 0)
-    listed = [{"name": "a", "address": "127.0.0.1:%d" % provider.sockets[0].getsockname()[1],  # noqa: UP031
-               "zone": "a", "status": "in_service"}]
+    listed = [
+        {
+            "name": "a",
+            "address": "127.0.0.1:%d" % provider.sockets[0].getsockname()[1],  # noqa: UP031
+            "zone": "a",
+            "status": "in_service",
+        }
+    ]
     ports = free_port(), free_port(), port or free_port()
     config, settings = folder / f"{name}.json", folder / f"{name}.toml"
-    config.write_text(json.dumps({
-        "name": name, "listen": f"127.0.0.1:{ports[0]}", "discovery": f"127.0.0.1:{free_port()}", "seed": "1f",
-        "admin_addr": f"127.0.0.1:{ports[1]}", "settings": SETTINGS,
-        "known": {"index": 3, "snapshot": True, "endpoints": listed}}))
+    config.write_text(
+        json.dumps(
+            {
+                "name": name,
+                "listen": f"127.0.0.1:{ports[0]}",
+                "discovery": f"127.0.0.1:{free_port()}",
+                "seed": "1f",
+                "admin_addr": f"127.0.0.1:{ports[1]}",
+                "settings": SETTINGS,
+                "known": {"index": 3, "snapshot": True, "endpoints": listed},
+            }
+        )
+    )
     (folder / "key").write_text(key)
     text = '[log]\nform = "json"\n'
     if fleet is not None:
         text += f'[fleet]\ngroup = "g"\nlisten = "127.0.0.1:{ports[2]}"\nkey_file = "{folder / "key"}"\n{fleet}'
     settings.write_text(text)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", RUN, cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
-        env={"LB_CONFIG": str(config), "LIMENOTCH_SETTINGS": str(settings), "PYTHONDONTWRITEBYTECODE": "1"})
+        sys.executable,
+        "-c",
+        RUN,
+        cwd=ROOT,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.DEVNULL,
+        env={"LB_CONFIG": str(config), "LIMENOTCH_SETTINGS": str(settings), "PYTHONDONTWRITEBYTECODE": "1"},
+    )
     try:
         async with asyncio.timeout(20):
             while True:
@@ -154,7 +185,8 @@
     async def case() -> bytes:
         code = f"import sys, json, {name}; print(json.dumps(sorted(sys.modules)))"
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", code, cwd=ROOT, stdout=asyncio.subprocess.PIPE)
+            sys.executable, "-c", code, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        )
         return (await process.communicate())[0]
 
     assert of_the_fleet(json.loads(asyncio.run(case()))) == []
--- a/tests/fleet/test_fleet_settings.py
+++ b/tests/fleet/test_fleet_settings.py
@@ -37,9 +37,15 @@
 def test_the_example_is_read_and_names_every_key(key: Path) -> None:
     settings = parse(example(key), "fleet.toml")
     keys = set(re.findall(r"^(\w+) =", EXAMPLE.read_text(), re.MULTILINE)) | set(
-        re.findall(r"^\[fleet\.(?:\w+\.)?(\w+)\]", EXAMPLE.read_text(), re.MULTILINE))
-    assert keys >= {*Fleet.__struct_fields__, *Membership.__struct_fields__, *Agreement.__struct_fields__,
-                    *Rules.__struct_fields__, *Wallet.__struct_fields__}
+        re.findall(r"^\[fleet\.(?:\w+\.)?(\w+)\]", EXAMPLE.read_text(), re.MULTILINE)
+    )
+    assert keys >= {
+        *Fleet.__struct_fields__,
+        *Membership.__struct_fields__,
+        *Agreement.__struct_fields__,
+        *Rules.__struct_fields__,
+        *Wallet.__struct_fields__,
+    }
     assert settings.fleet.membership == Membership() and settings.fleet.agreement == Agreement()
     assert settings.fleet.rules == Rules() and settings.fleet.wallet == Wallet()
     assert settings.fleet.streams == Fleet("g", "h", "k").streams  # a value that stands there is the default
@@ -56,29 +62,32 @@
     assert "fleet" not in effective(Settings())
 
 
-@pytest.mark.parametrize(("more", "says"), [
-    ("streems = 3", "f.toml:8: fleet.streems: unknown key"),
-    ("streams = 0", "f.toml:8: fleet.streams: expected"),
-    ('seeds = ["127.0.0.1:1", "b"]', "f.toml:8: fleet.seeds[1]: expected HOST:PORT"),
-    ('seeds = ["localhost:1"]', "f.toml:8: fleet.seeds[0]: expected a numeric host"),
-    ('seeds = ["127.0.0.1:0"]', "f.toml:8: fleet.seeds[0]: expected a port other than 0"),
-    ('voters = ["a", "a"]', "f.toml:8: fleet.voters: a name stands twice"),
-    ('name = ""', "f.toml:8: fleet.name: expected"),
-    ('[fleet.addresses]\nb = "x"', "f.toml:9: fleet.addresses.b: expected HOST:PORT"),
-    ("[fleet.membership]\n\nperiod = 1", "f.toml:10: fleet.membership.period: unknown key"),
-    ("[fleet.membership]\nprobes = 1.5", "f.toml:9: fleet.membership.probes: expected `int`"),
-    ("[fleet.membership]\nperiod_ms = 5", "f.toml:8: fleet.membership: period_ms: 5"),
-    ("[fleet.agreement]\nb = 1", "f.toml:9: fleet.agreement.b: unknown key"),
-    ("[fleet.member]\nb = 1", "f.toml:8: fleet.member: unknown key"),
-    ("[fleet.wallet]", "f.toml:8: fleet.wallet: credit is agreed on by voters"),
-    (WALLET + 'tenants = ["a", "b", "a"]', "f.toml:11: fleet.wallet.tenants: a name stands twice"),
-    (WALLET + 'tenants = ["a", "*"]', "f.toml:11: fleet.wallet.tenants: names beside"),
-    (WALLET + "tenants = []", "f.toml:11: fleet.wallet.tenants: nobody pays"),
-    (WALLET + 'without_lease = "advance"', "f.toml:11: fleet.wallet.without_lease: advance, and"),
-    (WALLET + 'without_lease = "go on"', "f.toml:11: fleet.wallet.without_lease: "),
-    (WALLET + "[fleet.wallet.cost]\nread = -1", "f.toml:11: fleet.wallet.cost"),
-    (WALLET + "costs = 1", "f.toml:11: fleet.wallet.costs: unknown key"),
-])
+@pytest.mark.parametrize(
+    ("more", "says"),
+    [
+        ("streems = 3", "f.toml:8: fleet.streems: unknown key"),
+        ("streams = 0", "f.toml:8: fleet.streams: expected"),
+        ('seeds = ["127.0.0.1:1", "b"]', "f.toml:8: fleet.seeds[1]: expected HOST:PORT"),
+        ('seeds = ["localhost:1"]', "f.toml:8: fleet.seeds[0]: expected a numeric host"),
+        ('seeds = ["127.0.0.1:0"]', "f.toml:8: fleet.seeds[0]: expected a port other than 0"),
+        ('voters = ["a", "a"]', "f.toml:8: fleet.voters: a name stands twice"),
+        ('name = ""', "f.toml:8: fleet.name: expected"),
+        ('[fleet.addresses]\nb = "x"', "f.toml:9: fleet.addresses.b: expected HOST:PORT"),
+        ("[fleet.membership]\n\nperiod = 1", "f.toml:10: fleet.membership.period: unknown key"),
+        ("[fleet.membership]\nprobes = 1.5", "f.toml:9: fleet.membership.probes: expected `int`"),
+        ("[fleet.membership]\nperiod_ms = 5", "f.toml:8: fleet.membership: period_ms: 5"),
+        ("[fleet.agreement]\nb = 1", "f.toml:9: fleet.agreement.b: unknown key"),
+        ("[fleet.member]\nb = 1", "f.toml:8: fleet.member: unknown key"),
+        ("[fleet.wallet]", "f.toml:8: fleet.wallet: credit is agreed on by voters"),
+        (WALLET + 'tenants = ["a", "b", "a"]', "f.toml:11: fleet.wallet.tenants: a name stands twice"),
+        (WALLET + 'tenants = ["a", "*"]', "f.toml:11: fleet.wallet.tenants: names beside"),
+        (WALLET + "tenants = []", "f.toml:11: fleet.wallet.tenants: nobody pays"),
+        (WALLET + 'without_lease = "advance"', "f.toml:11: fleet.wallet.without_lease: advance, and"),
+        (WALLET + 'without_lease = "go on"', "f.toml:11: fleet.wallet.without_lease: "),
+        (WALLET + "[fleet.wallet.cost]\nread = -1", "f.toml:11: fleet.wallet.cost"),
+        (WALLET + "costs = 1", "f.toml:11: fleet.wallet.costs: unknown key"),
+    ],
+)
 def test_a_fault_names_file_line_and_key(key: Path, more: str, says: str) -> None:
     with pytest.raises(toml.FaultError, match="^" + re.escape(says)):
         parse(table(key, more), "f.toml")
@@ -98,8 +107,11 @@
     assert place(anywhere, "n").at == ("127.0.0.1", 7)
     voter = parse(table(key, 'voters = ["v"]'), "x").fleet
     assert place(voter, "n").name == "n"
-    for fleet, name, says in [(anywhere, "m", "fleet.listen: 0.0.0.0:7400 can't be reached"),
-                              (voter, "v", "fleet.folder"), (voter, "x" * 65, "fleet.name")]:
+    for fleet, name, says in [
+        (anywhere, "m", "fleet.listen: 0.0.0.0:7400 can't be reached"),
+        (voter, "v", "fleet.folder"),
+        (voter, "x" * 65, "fleet.name"),
+    ]:
         with pytest.raises(toml.FaultError, match="^" + says):
             place(fleet, name)
 
@@ -126,14 +138,19 @@
 def test_check_config_shows_the_table_and_finds_its_faults(tmp_path: Path, key: Path) -> None:
     from tests.helpers.peers import SETTINGS
 
-    (tmp_path / "c.json").write_text(json.dumps(
-        {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}))
+    (tmp_path / "c.json").write_text(
+        json.dumps({"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS})
+    )
     file = tmp_path / "s.toml"
 
     def check(text: str) -> subprocess.CompletedProcess[str]:
         file.write_text(text)
-        return subprocess.run([sys.executable, "-m", "limenotch", "check-config", "--settings", str(file)],
-                              capture_output=True, text=True, env={"LB_CONFIG": str(tmp_path / "c.json")})
+        return subprocess.run(
+            [sys.executable, "-m", "limenotch", "check-config", "--settings", str(file)],
+            capture_output=True,
+            text=True,
+            env={"LB_CONFIG": str(tmp_path / "c.json")},
+        )
 
     shown = check(table(key, "streams = 7"))
     assert shown.returncode == 0 and '[fleet]\ngroup = "g"' in shown.stdout and "streams = 7" in shown.stdout
--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -65,11 +65,20 @@
 
 
 def test_names_become_addresses_by_what_membership_knows() -> None:
-    said = [Tell("b", Line("x")), Tell("z", Line("y")), Send(B, Probe(2)), Note("n"),
-            Tell("b", Probe(3), Carrier.DATAGRAM)]
+    said = [
+        Tell("b", Line("x")),
+        Tell("z", Line("y")),
+        Send(B, Probe(2)),
+        Note("n"),
+        Tell("b", Probe(3), Carrier.DATAGRAM),
+    ]
     both, _ = hub(lambda *_: [], lambda *_: list(said))
     assert both.handle(0.0, Heard(B, "b", Line("q"))) == [
-        Send(B, Line("x"), Carrier.STREAM), Send(B, Probe(2)), Note("n"), Send(B, Probe(3), Carrier.DATAGRAM)]
+        Send(B, Line("x"), Carrier.STREAM),
+        Send(B, Probe(2)),
+        Note("n"),
+        Send(B, Probe(3), Carrier.DATAGRAM),
+    ]
     assert both.untold == 1
 
 
@@ -103,11 +112,21 @@
     def members(_: float, event: Any) -> list[Any]:
         return [Note("before"), DEAD, Note("between"), Fenced(), Note("after")]
 
-    three, toys = hub(members, lambda _, event: [Note(f"log {type(event).__name__}")],
-                      lambda _, event: [Note(f"rules {type(event).__name__}")])
+    three, toys = hub(
+        members,
+        lambda _, event: [Note(f"log {type(event).__name__}")],
+        lambda _, event: [Note(f"rules {type(event).__name__}")],
+    )
     notes = [action.text for action in three.handle(0.0, Heard(B, "b", Probe(1))) if isinstance(action, Note)]
-    assert notes == ["before", "log MemberChanged", "rules MemberChanged", "between", "log Fenced", "rules Fenced",
-                     "after"]
+    assert notes == [
+        "before",
+        "log MemberChanged",
+        "rules MemberChanged",
+        "between",
+        "log Fenced",
+        "rules Fenced",
+        "after",
+    ]
     assert toys[1].told == [DEAD, Fenced()] and len(toys[0].told) == 1
 
 
@@ -164,11 +183,17 @@
 
 def test_what_layers_ask_goes_to_the_log_and_its_answers_to_who_asked() -> None:
     def log(_: float, event: Any) -> list[Any]:
-        return [Promised(event.ticket, 7)] if isinstance(event, Propose) else [] if isinstance(event, Started) else \
-            [Refused(event.ticket, "busy", "b")]
+        return (
+            [Promised(event.ticket, 7)]
+            if isinstance(event, Propose)
+            else []
+            if isinstance(event, Started)
+            else [Refused(event.ticket, "busy", "b")]
+        )
 
     hub, of_log, (rules, promises) = with_log(
-        log, on(Started, Propose(3, b"x", "i"), ReadAt(4)), on(Started, Propose(3, b"y"), ChangeVoters(5, "d", "c")))
+        log, on(Started, Propose(3, b"x", "i"), ReadAt(4)), on(Started, Propose(3, b"y"), ChangeVoters(5, "d", "c"))
+    )
     assert hub.handle(0.0, Started()) == []
     asked = of_log.told[1:]
     assert [(each.data, each.id) for each in asked if isinstance(each, Propose)] == [(b"ru.x", "ru.i"), (b"pr.y", "")]
@@ -178,8 +203,9 @@
 
 
 def test_what_is_agreed_goes_to_whom_it_is_of_and_a_leader_to_all() -> None:
-    hub, _, (rules, promises) = with_log(on(Leave, Agreed(1, 1, b"ru.a.b", "ru.i"), Agreed(2, 1, b"pr.", ""),
-                                            LeaderChanged("b", 2)), on(int), on(int))
+    hub, _, (rules, promises) = with_log(
+        on(Leave, Agreed(1, 1, b"ru.a.b", "ru.i"), Agreed(2, 1, b"pr.", ""), LeaderChanged("b", 2)), on(int), on(int)
+    )
     hub.handle(0.0, Leave())
     assert rules.told[:2] == [Agreed(1, 1, b"a.b", "i"), LeaderChanged("b", 2)]
     assert promises.told[:2] == [Agreed(2, 1, b"", ""), LeaderChanged("b", 2)]
@@ -187,6 +213,7 @@
 
 def test_the_log_hears_what_is_asked_when_all_it_said_is_told() -> None:
     """A layer that proposes on the first of two entries must hear of the second before the answer."""
+
     def log(_: float, event: Any) -> list[Any]:
         if isinstance(event, Leave):
             return [Agreed(1, 1, b"ru.1", ""), Agreed(2, 1, b"ru.2", "")]
@@ -198,8 +225,7 @@
 
 
 def test_a_snapshot_is_of_all_layers_and_each_gets_its_own_back() -> None:
-    hub, of_log, (rules, promises) = with_log(on(Started, Agreed(5, 1, b"ru.", ""), WantSnapshot(5)),
-                                              on(int), on(int))
+    hub, of_log, (rules, promises) = with_log(on(Started, Agreed(5, 1, b"ru.", ""), WantSnapshot(5)), on(int), on(int))
     rules.kept, promises.kept = b"R", b"P"
     hub.handle(0.0, Started())
     (compact,) = [told for told in of_log.told if isinstance(told, Compact)]
--- a/tests/fleet/test_kept.py
+++ b/tests/fleet/test_kept.py
@@ -52,10 +52,14 @@
             listed = json.loads((await said(first, "GET", "/fleet/promises/"))[1])
             assert [each["id"] for each in listed] == ["x.1"]
             for method, path, body, status in [
-                ("POST", "/fleet/promises/" + "x" * 101, b"", 400), ("POST", "/fleet/promises/a/b", b"", 404),
-                ("POST", "/fleet/promises/x", bytes(4097), 413), ("PUT", "/fleet/promises/x", b"", 405),
-                ("GET", "/fleet/voters", b"", 405), ("POST", "/fleet/voters", b'{"ad": "x"}', 400),
-                ("POST", "/fleet/voters", b'{"remove": "n"}', 503), ("POST", "/fleet/voters", b"{}", 503),
+                ("POST", "/fleet/promises/" + "x" * 101, b"", 400),
+                ("POST", "/fleet/promises/a/b", b"", 404),
+                ("POST", "/fleet/promises/x", bytes(4097), 413),
+                ("PUT", "/fleet/promises/x", b"", 405),
+                ("GET", "/fleet/voters", b"", 405),
+                ("POST", "/fleet/voters", b'{"ad": "x"}', 400),
+                ("POST", "/fleet/voters", b'{"remove": "n"}', 503),
+                ("POST", "/fleet/voters", b"{}", 503),
             ]:
                 assert (await said(first, method, path, body))[0] == status, path
             async with serving(tmp_path, "n", table(tmp_path), first.fleet) as second:  # waits for the first to go
@@ -93,13 +97,16 @@
     asyncio.run(case())
 
 
-@pytest.mark.parametrize(("record", "says"), [
-    (Ballot(3), None),
-    (Append((Entry(1, 1, "command", b"d"), Entry(2, 1, "voters", b"\x92\x82\xa1a\xa2dd\xa1b\xa1c\x90"))), None),
-    (Append((Entry(1, 1, "voters", b"\x92\x82\xa1a\xa1x\xa1d\xa1y\x90"),)), "no folder"),
-    (Snapshot(1, 1, b"", ("a", "d")), "no folder"),
-    (Snapshot(1, 1, b"", ("a", "dd")), None),
-])
+@pytest.mark.parametrize(
+    ("record", "says"),
+    [
+        (Ballot(3), None),
+        (Append((Entry(1, 1, "command", b"d"), Entry(2, 1, "voters", b"\x92\x82\xa1a\xa2dd\xa1b\xa1c\x90"))), None),
+        (Append((Entry(1, 1, "voters", b"\x92\x82\xa1a\xa1x\xa1d\xa1y\x90"),)), "no folder"),
+        (Snapshot(1, 1, b"", ("a", "d")), "no folder"),
+        (Snapshot(1, 1, b"", ("a", "dd")), None),
+    ],
+)
 def test_memory_never_says_yes_to_what_makes_a_voter(record: Any, says: str | None) -> None:
     answers: list[str | None] = []
     memory = Memory("d")
--- a/tests/fleet/test_lab_fleet.py
+++ b/tests/fleet/test_lab_fleet.py
@@ -56,8 +56,13 @@
         live.rows(Played(drawn), until)  # type: ignore[arg-type]
     assert isinstance(console.file, io.StringIO)
     rows = [line.split(maxsplit=1) for line in console.file.getvalue().splitlines()]
-    assert rows == [["200", "kill c"], ["1250", "c dead"], ["2200", "start c"], ["2400", "a alive"],
-                    ["2420", "c alive"]]
+    assert rows == [
+        ["200", "kill c"],
+        ["1250", "c dead"],
+        ["2200", "start c"],
+        ["2400", "a alive"],
+        ["2420", "c alive"],
+    ]
 
 
 def test_drawings_in_simulated_time(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -73,9 +78,14 @@
 
 
 def test_ctrl_c_ends_all_of_it(tmp_path: Path) -> None:
-    process = subprocess.Popen([sys.executable, "-m", "limenotch", "lab", "fleet"], cwd=ROOT, stdout=subprocess.PIPE,
-                               stderr=subprocess.PIPE, text=True, env={**os.environ, "TMPDIR": str(tmp_path),
-                                                                       "PYTHONUNBUFFERED": "1"})
+    process = subprocess.Popen(
+        [sys.executable, "-m", "limenotch", "lab", "fleet"],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "TMPDIR": str(tmp_path), "PYTHONUNBUFFERED": "1"},
+    )
     try:
         assert process.stdout is not None
         while "kill c" not in (line := process.stdout.readline()):
--- a/tests/fleet/test_lists_processes.py
+++ b/tests/fleet/test_lists_processes.py
@@ -118,18 +118,37 @@
     """Its port for calls, and that for operators."""
     listen, admin = free_port(), free_port()
     config, settings = folder / f"{name}.json", folder / f"{name}.toml"
-    config.write_text(json.dumps({
-        "name": name, "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{directory.port}", "seed": "1f",
-        "admin_addr": f"127.0.0.1:{admin}", "settings": {**SETTINGS, "classes": [CLASS]}}))
+    config.write_text(
+        json.dumps(
+            {
+                "name": name,
+                "listen": f"127.0.0.1:{listen}",
+                "discovery": f"127.0.0.1:{directory.port}",
+                "seed": "1f",
+                "admin_addr": f"127.0.0.1:{admin}",
+                "settings": {**SETTINGS, "classes": [CLASS]},
+            }
+        )
+    )
     (folder / "key").write_text("sixteen bytes ok")
     seeds = [f"127.0.0.1:{port}" for port in ports.values()]
     settings.write_text(
         f'[fleet]\ngroup = "g"\nlisten = "127.0.0.1:{ports[name]}"\nkey_file = "{folder / "key"}"\n'
-        f'folder = "{folder / name}"\nvoters = ["a", "b", "c"]\nseeds = {json.dumps(seeds)}\n{BESIDE}')
+        f'folder = "{folder / name}"\nvoters = ["a", "b", "c"]\nseeds = {json.dumps(seeds)}\n{BESIDE}'
+    )
     with (folder / f"{name}.log").open("wb") as logged:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "limenotch", "serve", "--log", "json", cwd=ROOT, stdout=logged, stderr=logged,
-            env={**os.environ, "LB_CONFIG": str(config), "LIMENOTCH_SETTINGS": str(settings)})
+            sys.executable,
+            "-m",
+            "limenotch",
+            "serve",
+            "--log",
+            "json",
+            cwd=ROOT,
+            stdout=logged,
+            stderr=logged,
+            env={**os.environ, "LB_CONFIG": str(config), "LIMENOTCH_SETTINGS": str(settings)},
+        )
     try:
         await until(lambda: up(admin))
         yield listen, admin
--- a/tests/fleet/test_log_processes.py
+++ b/tests/fleet/test_log_processes.py
@@ -23,8 +23,16 @@
 from .test_processes import TRAFFIC
 
 MEMBERSHIP = {"period_ms": 400.0, "timeout_ms": 120.0}
-AGREEMENT = {"heartbeat_ms": 80.0, "election_least_ms": 500.0, "election_most_ms": 900.0, "learner_ms": 300.0,
-             "retry_ms": 100.0, "ask_ms": 2000.0, "snapshot_entries": 40, "tail_entries": 10}
+AGREEMENT = {
+    "heartbeat_ms": 80.0,
+    "election_least_ms": 500.0,
+    "election_most_ms": 900.0,
+    "learner_ms": 300.0,
+    "retry_ms": 100.0,
+    "ask_ms": 2000.0,
+    "snapshot_entries": 40,
+    "tail_entries": 10,
+}
 
 
 class Played:
@@ -117,7 +125,8 @@
 
 
 def test_the_leader_and_its_disk_are_lost_right_after_a_yes_and_it_comes_back_empty(tmp_path: Path) -> None:
-    played = play("""
+    played = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -128,13 +137,16 @@
 304    ask b read x, ask c read x
 1500   start a
 3500
-""", tmp_path)
+""",
+        tmp_path,
+    )
     voters = {tuple(state["parts"]["agreement"]["voters"]) for state in played.states.values()}
     assert voters == {("a", "b", "c")}
 
 
 def test_the_leader_is_stopped_for_three_seconds_and_goes_on_in_mid_sentence(tmp_path: Path) -> None:
-    played = play("""
+    played = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -145,12 +157,15 @@
 3301   wake a
 4200   ask a in time z
 5000
-""", tmp_path)
+""",
+        tmp_path,
+    )
     assert "no leader" in played.notes("a") or any(note.startswith("follows") for note in played.notes("a"))
 
 
 def test_cut_off_the_leader_promises_nothing_and_the_others_do(tmp_path: Path) -> None:
-    play("""
+    play(
+        """
 nodes: a b c
 
 ms     faults
@@ -161,11 +176,14 @@
 2800   heal
 2801   ask a in time z
 4500
-""", tmp_path)
+""",
+        tmp_path,
+    )
 
 
 def test_a_leader_that_nobody_hears_and_one_that_hears_nobody(tmp_path: Path) -> None:
-    play("""
+    play(
+        """
 nodes: a b c
 
 ms     faults
@@ -178,11 +196,14 @@
 2301   ask c in time z
 4500   heal
 5500
-""", tmp_path)
+""",
+        tmp_path,
+    )
 
 
 def test_all_voters_are_killed_and_started_at_once_one_with_a_torn_end(tmp_path: Path) -> None:
-    played = play("""
+    played = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -193,14 +214,17 @@
 2500   ask b in time y
 2501   ask a read x, ask c read x
 3500
-""", tmp_path)
+""",
+        tmp_path,
+    )
     log = (tmp_path / "b" / "b.log").read_text()
     assert log.count("a torn end of the log was cut off") == 1
     assert played.operators.count()[None] > 0
 
 
 def test_a_full_disk_is_a_clear_refusal_and_serving_goes_on(tmp_path: Path) -> None:
-    played = play("""
+    played = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -216,7 +240,9 @@
 3000   disk a ok, disk b ok, disk c ok
 3001   ask a in time w
 4000
-""", tmp_path)
+""",
+        tmp_path,
+    )
     for node in "abc":
         assert {"disk full", "disk full no more"} <= set(played.notes(node))
     refused = [told for told in played.operators.told if told.ident == "z"]
@@ -224,7 +250,8 @@
 
 
 def test_of_five_one_voter_is_replaced_while_promises_are_made_and_one_member_has_no_folder(tmp_path: Path) -> None:
-    played = play("""
+    played = play(
+        """
 nodes: a b c d e
 
 ms     faults
@@ -236,7 +263,10 @@
 1000   start c
 2200   ask c in time z
 3200
-""", tmp_path, without_folder="e")
+""",
+        tmp_path,
+        without_folder="e",
+    )
     assert played.states["e"]["parts"]["agreement"]["store"] == "memory"
     assert played.states["e"]["parts"]["agreement"]["snapshot"] > 0
     voters = {tuple(state["parts"]["agreement"]["voters"]) for state in played.states.values()}
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -183,19 +183,22 @@
         member.handle(9.0, TimerFired(1))
 
 
-@pytest.mark.parametrize(("message", "why"), [
-    (News(ME, (claim("c", state=9),)), "unsound claim"),
-    (News(ME, (claim("c", life=-1),)), "unsound claim"),
-    (News(ME, (claim("c", incarnation=1 << 60),)), "unsound claim"),
-    (News(ME, (claim(""),)), "unsound claim"),
-    (News(ME, (Claim("c", 0, ("x" * (LONGEST_HOST + 1), 1), 1, 0),)), "unsound claim"),
-    (News(ME, (claim("c"),) * 500), "unsound message"),
-    (Ask(ME, tuple(claim(f"m{n}") for n in range(1001))), "unsound message"),
-    (Ping(1, "z", ME), "ping for another"),
-    (Ack(77, "b", ME), "ack of nothing"),
-    (PingReq(1, "c", ("", 0), ME), "unsound message"),
-    (News(Me(("b", 0), 1, 0)), "unsound message"),
-])
+@pytest.mark.parametrize(
+    ("message", "why"),
+    [
+        (News(ME, (claim("c", state=9),)), "unsound claim"),
+        (News(ME, (claim("c", life=-1),)), "unsound claim"),
+        (News(ME, (claim("c", incarnation=1 << 60),)), "unsound claim"),
+        (News(ME, (claim(""),)), "unsound claim"),
+        (News(ME, (Claim("c", 0, ("x" * (LONGEST_HOST + 1), 1), 1, 0),)), "unsound claim"),
+        (News(ME, (claim("c"),) * 500), "unsound message"),
+        (Ask(ME, tuple(claim(f"m{n}") for n in range(1001))), "unsound message"),
+        (Ping(1, "z", ME), "ping for another"),
+        (Ack(77, "b", ME), "ack of nothing"),
+        (PingReq(1, "c", ("", 0), ME), "unsound message"),
+        (News(Me(("b", 0), 1, 0)), "unsound message"),
+    ],
+)
 def test_sound_frames_with_nonsense_are_counted_and_do_nothing(message: News, why: str) -> None:
     member = alone()
     member.handle(1.0, Heard(("b", 1), "b", message))
@@ -232,10 +235,18 @@
     member.handle(1.0, Heard(("c", 1), "c", News(Me(("c", 1), 1, 0), (claim("b", state=2),))))
 
     def answers(since: int, name: str = "b") -> int:
-        acts = [act for number in range(500)
-                for act in member.handle(since + number * 1.9, Heard((name, 1), name, News(Me((name, 1), 1, 0))))]
-        return sum(isinstance(act, Send) and act.at == (name, 1) and isinstance(act.message, News)
-                   and [one.name for one in act.message.news] == [name] for act in acts)
+        acts = [
+            act
+            for number in range(500)
+            for act in member.handle(since + number * 1.9, Heard((name, 1), name, News(Me((name, 1), 1, 0))))
+        ]
+        return sum(
+            isinstance(act, Send)
+            and act.at == (name, 1)
+            and isinstance(act.message, News)
+            and [one.name for one in act.message.news] == [name]
+            for act in acts
+        )
 
     assert answers(2) == MOST_TOLD_OFF and member.figures()["counts"]["told often enough"] == 500 - MOST_TOLD_OFF
     assert answers(1010) == MOST_TOLD_OFF
@@ -288,8 +299,9 @@
     member = alone()
     member.handle(0.0, Heard(("b", 1), "b", News(ME)))
     acts = member.handle(1.0, Leave())
-    assert [act.message.news[0].says for act in acts if isinstance(act, Send) and isinstance(act.message, News)] \
-        == [State.LEFT] * 2
+    assert [act.message.news[0].says for act in acts if isinstance(act, Send) and isinstance(act.message, News)] == [
+        State.LEFT
+    ] * 2
     assert not any(isinstance(act, SetTimer) for act in acts)
     assert member.handle(2.0, Heard(("b", 1), "b", Ping(1, "a", ME))) == [] and member.size() == 1
 
--- a/tests/fleet/test_membership_processes.py
+++ b/tests/fleet/test_membership_processes.py
@@ -35,14 +35,20 @@
 
 
 @pytest.fixture(scope="module")
-def outcomes(tmp_path_factory: pytest.TempPathFactory, request: pytest.FixtureRequest) -> Iterator[
-    dict[str, Future[Outcome]]
-]:
-    wanted = {item.callspec.params["path"] for item in request.session.items
-              if isinstance(item, pytest.Function) and hasattr(item, "callspec") and "path" in item.callspec.params}
+def outcomes(
+    tmp_path_factory: pytest.TempPathFactory, request: pytest.FixtureRequest
+) -> Iterator[dict[str, Future[Outcome]]]:
+    wanted = {
+        item.callspec.params["path"]
+        for item in request.session.items
+        if isinstance(item, pytest.Function) and hasattr(item, "callspec") and "path" in item.callspec.params
+    }
     with ProcessPoolExecutor(AT_A_TIME, multiprocessing.get_context("spawn")) as pool:
-        yield {path.stem: pool.submit(perform, path, tmp_path_factory.mktemp(path.stem))
-               for path in PLAYED if path in wanted}
+        yield {
+            path.stem: pool.submit(perform, path, tmp_path_factory.mktemp(path.stem))
+            for path in PLAYED
+            if path in wanted
+        }
 
 
 @pytest.mark.parametrize("path", PLAYED, ids=lambda path: path.stem)
@@ -55,7 +61,8 @@
     assert {len(load(path).nodes) for path in PLAYED} >= {3, 4, 5, 9} and len(PLAYED) >= 12
 
 
-DOUBTED = read("""
+DOUBTED = read(
+    """
 window: 300
 nodes: a b c
 show: suspects dead alive
@@ -65,17 +72,22 @@
 300    suspects c
 900    c alive
 2000
-""", "doubted")
-
-
-@pytest.mark.parametrize(("seen", "left"), [
-    ("suspects b, b alive, suspects c, c alive", "suspects c, c alive"),
-    ("suspects c, c alive, suspects c, c alive", "suspects c, c alive"),
-    ("c alive", "c alive"),
-    ("suspects c, c dead, c alive", "suspects c, c dead, c alive"),
-    ("suspects b, suspects c, b dead, c alive", "suspects b, suspects c, b dead, c alive"),
-    ("suspects c, suspects b, c alive", "suspects c, suspects b, c alive"),
-])
+""",
+    "doubted",
+)
+
+
+@pytest.mark.parametrize(
+    ("seen", "left"),
+    [
+        ("suspects b, b alive, suspects c, c alive", "suspects c, c alive"),
+        ("suspects c, c alive, suspects c, c alive", "suspects c, c alive"),
+        ("c alive", "c alive"),
+        ("suspects c, c dead, c alive", "suspects c, c dead, c alive"),
+        ("suspects b, suspects c, b dead, c alive", "suspects b, suspects c, b dead, c alive"),
+        ("suspects c, suspects b, c alive", "suspects c, suspects b, c alive"),
+    ],
+)
 def test_doubts_that_were_refuted_count_for_nothing_and_deaths_do(seen: str, left: str) -> None:
     told = [(float(at), "a", text) for at, text in enumerate(seen.split(", "))]
     assert [text for _, _, text in drills.firm(DOUBTED, told)] == left.split(", ")
--- a/tests/fleet/test_membership_runs.py
+++ b/tests/fleet/test_membership_runs.py
@@ -91,9 +91,21 @@
     for _ in range(8):
         one, two = random.sample(nodes, 2)
         rest = [node for node in nodes if node != one]
-        what = random.choice([f"cut {one} | {' '.join(rest)}", f"cut {one} > {two}", f"cut {one} | {two}", "heal",
-                              f"pause {one}", f"wake {one}", f"kill {one}", f"loss {random.choice([0, 10, 30])}%",
-                              f"slow {one} > {two} 300", "double 10%", f"start {one}"])
+        what = random.choice(
+            [
+                f"cut {one} | {' '.join(rest)}",
+                f"cut {one} > {two}",
+                f"cut {one} | {two}",
+                "heal",
+                f"pause {one}",
+                f"wake {one}",
+                f"kill {one}",
+                f"loss {random.choice([0, 10, 30])}%",
+                f"slow {one} > {two} 300",
+                "double 10%",
+                f"start {one}",
+            ]
+        )
         if not (what.startswith("start") and world.alive(one)):
             world.fault(parse(what))
         world.run(world.now + random.uniform(100.0, 4000.0))
@@ -267,8 +279,10 @@
     "suspicions are not restarted after a pause": (stopped, lambda patch: patch.setattr(Holder, "restart", nothing)),
     "a fence is not told to the parts above": (halves, lambda patch: patch.setattr(Own, "_reborn", fence_untold)),
     "nobody knocks at the dead": (halves, lambda patch: patch.setattr(Membership, "_reconnect", nothing)),
-    "old news revive the dead": (storm, lambda patch: patch.setitem(
-        table_of_states.TABLE, (State.DEAD, State.ALIVE), Needs.AS_HIGH)),
+    "old news revive the dead": (
+        storm,
+        lambda patch: patch.setitem(table_of_states.TABLE, (State.DEAD, State.ALIVE), Needs.AS_HIGH),
+    ),
     "no relays are asked and no stream": (one_link, lambda patch: patch.setattr(Prober, "indirect", nothing)),
 }
 
@@ -282,4 +296,3 @@
             print(f"{bug}: found by {check.__name__} with {seed + 1} seeds")
             return
     pytest.fail(f"{bug}: not found with {MOST_SEEDS} seeds")
-
--- a/tests/fleet/test_others.py
+++ b/tests/fleet/test_others.py
@@ -78,12 +78,24 @@
             writer.write(HELLO + framed(wire.encode("a", Newer(1))) + framed(wire.encode("a", Line("heard"))))
             await until(lambda: b.log.heard)
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-                for data in (b"", b"x", bytes(1000), bytes(1201), bytes(60000), wire.encode("a", Hello(1, (HOST, 9))),
-                             wire.encode("a", Probe(1))):
+                for data in (
+                    b"",
+                    b"x",
+                    bytes(1000),
+                    bytes(1201),
+                    bytes(60000),
+                    wire.encode("a", Hello(1, (HOST, 9))),
+                    wire.encode("a", Probe(1)),
+                ):
                     sock.sendto(data, b.at)
             await until(lambda: b.toy.heard)
-            assert b.wire.faults == {**dict.fromkeys(Fault, 0), Fault.KIND: 2, Fault.SHORT: 2, Fault.DIGEST: 1,
-                                     Fault.TOO_LONG: 2}
+            assert b.wire.faults == {
+                **dict.fromkeys(Fault, 0),
+                Fault.KIND: 2,
+                Fault.SHORT: 2,
+                Fault.DIGEST: 1,
+                Fault.TOO_LONG: 2,
+            }
             assert b.others.counts["received"] == 7
             writer.close()
 
@@ -149,6 +161,7 @@
     async def case() -> None:
         a, b = One("a"), One("b")
         async with several(a, b):
+
             def broken(now: float, event: Any) -> list[Any]:
                 raise KeyError("broken here")
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -124,9 +124,12 @@
     whole = json.dumps({"event": "b dead", "fleet": True, "mono_ms": 5, "sidecar": "n", "level": "info", "after": 3})
     seen = Seen(5.0, "n", "b dead", {"after": 3})
     with path.open("w") as log:
-        for piece, expected in ((whole[:20], []), (whole[20:] + "\n" + whole[:9], [seen]),
-                                (whole[9:] + "\n[1]\n{\n\n", [seen]),
-                                ('{"event": "listening"}\n{"fleet": true, "event": "x"}\n', [])):
+        for piece, expected in (
+            (whole[:20], []),
+            (whole[20:] + "\n" + whole[:9], [seen]),
+            (whole[9:] + "\n[1]\n{\n\n", [seen]),
+            ('{"event": "listening"}\n{"fleet": true, "event": "x"}\n', []),
+        ):
             log.write(piece)
             log.flush()
             assert tail.read() == expected
@@ -136,8 +139,15 @@
 def test_the_table_is_toml() -> None:
     more = {"group": "g", "membership": {"period_ms": 300.0}, "seeds": ["h:1"]}
     table = decode_table(fleet_table("127.0.0.1:1", {"b": "127.64.1.2:3"}, more), "t")
-    assert table == {"fleet": {"listen": "127.0.0.1:1", "group": "g", "seeds": ["h:1"],
-                               "membership": {"period_ms": 300.0}, "addresses": {"b": "127.64.1.2:3"}}}
+    assert table == {
+        "fleet": {
+            "listen": "127.0.0.1:1",
+            "group": "g",
+            "seeds": ["h:1"],
+            "membership": {"period_ms": 300.0},
+            "addresses": {"b": "127.64.1.2:3"},
+        }
+    }
 
 
 class Folder:
@@ -202,8 +212,14 @@
     fails(errno.EIO, files.truncate, "log", 0)
     assert files.read("log") == b"one.futo"
     ask_for(wishes, Wish("read-only"))
-    for do, about in ((files.open_append, ("log",)), (files.write, (handle, b"x")), (files.replace, ("log", b"")),
-                      (files.remove, ("log",)), (files.truncate, ("log", 0)), (files.sync, (handle,))):
+    for do, about in (
+        (files.open_append, ("log",)),
+        (files.write, (handle, b"x")),
+        (files.replace, ("log", b"")),
+        (files.remove, ("log",)),
+        (files.truncate, ("log", 0)),
+        (files.sync, (handle,)),
+    ):
         fails(errno.EROFS, do, *about)
     assert files.names() == ["log"] and not waited
     ask_for(wishes, Wish("slow", 300.0))
--- a/tests/fleet/test_promises.py
+++ b/tests/fleet/test_promises.py
@@ -49,8 +49,9 @@
     part = Promises()
     one, two = (part.handle(0.0, Ask(n, "keep", "x", words))[0] for n, words in ((1, b"a"), (2, b"b")))
     assert one.id != two.id
-    words = [answer.word for answer in asked(part, entry(1, "x", b"a"), entry(2, "x", b"b"), Promised(1, 1),
-                                             Promised(2, 2))]
+    words = [
+        answer.word for answer in asked(part, entry(1, "x", b"a"), entry(2, "x", b"b"), Promised(1, 1), Promised(2, 2))
+    ]
     assert words == ["kept", "other"]
     asked(part, Ask(3, "keep", "z", b"w"), entry(3, "y"), entry(4, "z"), entry(5, "x", b"a"))
     assert asked(part, Promised(3, 4))[0].word == "full" and len(part) == 2
@@ -63,7 +64,9 @@
     assert asked(part, Ask(1, "voters", "d", other="c")) == [ChangeVoters(1, "d", "c")]
     assert asked(part, Promised(1, 8)) == [Answer(1, "done", index=8)]
     assert asked(part, Ask(2, "read", "x"), Refused(2, "no quorum", None)) == [
-        ReadAt(2), Answer(2, "refused", "no quorum")]
+        ReadAt(2),
+        Answer(2, "refused", "no quorum"),
+    ]
     asked(part, Ask(3, "keep", "x"), Ask(4, "keep", "y"))
     assert asked(part, Refused(3, "disk full", "b"), Unknown(4))[0].text == "disk full; b leads"
     assert asked(part, Ask(5, "keep", "x", bytes(module.MOST_BYTES + 1)))[0].text == "too large"
@@ -102,18 +105,21 @@
     return {ident: (index, f"why {ident}".encode()) for ident, index in kept.items()}
 
 
-@pytest.mark.parametrize(("told", "at_b", "says"), [
-    ([post("x", 0, 200, 1)], found(x=1), None),
-    ([post("x", 0, None), post("x", 2, 503)], found(x=1), None),
-    ([post("x", 0, 200, 1)], found(), "differ"),
-    ([post("x", 0, 503)], found(x=1), "refused and is kept"),
-    ([post("x", 0, 200, 2)], found(x=1), "promised at 2"),
-    ([post("y", 0, 200, 2), post("x", 0, 200, 1)], found(x=1), "y was promised and is None"),
-    ([], found(x=1), "nobody asked"),
-    ([post("y", 0, 200, 2), post("x", 3, 200, 1)], found(x=1, y=2), "asked after 2"),
-    ([post("y", 0, 200, 2), post("x", 0.5, 200, 1)], found(x=1, y=2), None),
-    ([post("x", 0, 200, 1), post("x", 2, 404, method="GET")], found(x=1), "not found"),
-])
+@pytest.mark.parametrize(
+    ("told", "at_b", "says"),
+    [
+        ([post("x", 0, 200, 1)], found(x=1), None),
+        ([post("x", 0, None), post("x", 2, 503)], found(x=1), None),
+        ([post("x", 0, 200, 1)], found(), "differ"),
+        ([post("x", 0, 503)], found(x=1), "refused and is kept"),
+        ([post("x", 0, 200, 2)], found(x=1), "promised at 2"),
+        ([post("y", 0, 200, 2), post("x", 0, 200, 1)], found(x=1), "y was promised and is None"),
+        ([], found(x=1), "nobody asked"),
+        ([post("y", 0, 200, 2), post("x", 3, 200, 1)], found(x=1, y=2), "asked after 2"),
+        ([post("y", 0, 200, 2), post("x", 0.5, 200, 1)], found(x=1, y=2), None),
+        ([post("x", 0, 200, 1), post("x", 2, 404, method="GET")], found(x=1), "not found"),
+    ],
+)
 def test_the_checker_finds_what_is_wrong(told: list[Told], at_b: Any, says: str | None) -> None:
     operators = Operators(Processes())
     operators.told = told
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -90,8 +90,10 @@
             self.met.put_nowait((reader, writer))
 
         for name, mouth in self.mouths.items():
-            await loop.create_datagram_endpoint(lambda mouth=mouth: mouth,  # type: ignore[misc]
-                                                local_addr=("127.0.0.1", free_port()))
+            await loop.create_datagram_endpoint(
+                lambda mouth=mouth: mouth,  # type: ignore[misc]
+                local_addr=("127.0.0.1", free_port()),
+            )
             own[name] = mouth.transport.get_extra_info("sockname")
             self.servers.append(await asyncio.start_server(meet, *own[name]))
         self.relay = Relay(own, self.plan)
--- a/tests/fleet/test_rules_core.py
+++ b/tests/fleet/test_rules_core.py
@@ -31,12 +31,15 @@
     return answer.ok, answer.text
 
 
-@pytest.mark.parametrize(("change", "key"), [
-    ({"settings": {"classes": {"pay": {"target_ms": -1}}}}, "settings.classes[1].target_ms"),
-    ({"settings": {"rank": 1}}, "settings.rank"),
-    ({"odd": 1}, "odd"),
-    (3, "change"),
-])
+@pytest.mark.parametrize(
+    ("change", "key"),
+    [
+        ({"settings": {"classes": {"pay": {"target_ms": -1}}}}, "settings.classes[1].target_ms"),
+        ({"settings": {"rank": 1}}, "settings.rank"),
+        ({"odd": 1}, "odd"),
+        (3, "change"),
+    ],
+)
 def test_a_refused_change_names_its_key(change: Any, key: str) -> None:
     run = started()
     ok, why = text(run, run.ask("d", "propose", change=change))
@@ -118,8 +121,16 @@
     rules = Rules("a", 1, ("a", "b", "c"), FIRST, settings_check)
     rules.handle(0.0, Started())
     at = ("b", 1)
-    bad = [say.Grant(5, 1e9, 1), say.Looked("x", ""), say.Verdict("x", "y", 3), say.Told("u" * 500, 1),
-           say.Suggest("x", 1, b"{", 0), say.Look("x", b"\xff"), say.AskLease(1, 1, 1, 1, 1, 1), say.Count("x", 1, 2)]
+    bad = [
+        say.Grant(5, 1e9, 1),
+        say.Looked("x", ""),
+        say.Verdict("x", "y", 3),
+        say.Told("u" * 500, 1),
+        say.Suggest("x", 1, b"{", 0),
+        say.Look("x", b"\xff"),
+        say.AskLease(1, 1, 1, 1, 1, 1),
+        say.Count("x", 1, 2),
+    ]
     for message in bad:
         assert not [act for act in rules.handle(1.0, Heard(at, "b", message)) if isinstance(act, api.InForce)]
     assert rules.book.newest == 1
--- a/tests/fleet/test_rules_late.py
+++ b/tests/fleet/test_rules_late.py
@@ -38,8 +38,13 @@
     document["settings"]["classes"][0]["target_ms"] = aim_s * 1000.0
     acting.in_force(document, 1e12, 1, 2)
     assert layer.beside is not None
-    for spent_s, verdict in ((1.0, Verdict.SERVED), (3.0, Verdict.SERVED), (9.5, Verdict.SERVED),
-                             (9.5, Verdict.FAILED), (9.5, None)):
+    for spent_s, verdict in (
+        (1.0, Verdict.SERVED),
+        (3.0, Verdict.SERVED),
+        (9.5, Verdict.SERVED),
+        (9.5, Verdict.FAILED),
+        (9.5, None),
+    ):
         layer.beside.closed(call("look", spent_s, verdict))
     layer.beside.closed(call("no class of these rules", 100.0, Verdict.SERVED))
     counts[:] = [16, 2]
