--- a/tests/fleet/test_rules_lists.py
+++ b/tests/fleet/test_rules_lists.py
@@ -47,12 +47,22 @@
 
 
 def heard(lists: Lists, message: Any, sender: str = "b", now: float = 0.0) -> list[Any]:
-    return [action for action in lists.handle(now, Heard((sender, 1), sender, message))
-            if isinstance(action, (PeerDrain, Arrived, log.Propose))]
-
-
-def word(index: int, *names: tuple[str, str], directory: str = "d1", serial: int = 1, live: bool = True,
-         begun: int = 1, whole: bool = False) -> Word:
+    return [
+        action
+        for action in lists.handle(now, Heard((sender, 1), sender, message))
+        if isinstance(action, (PeerDrain, Arrived, log.Propose))
+    ]
+
+
+def word(
+    index: int,
+    *names: tuple[str, str],
+    directory: str = "d1",
+    serial: int = 1,
+    live: bool = True,
+    begun: int = 1,
+    whole: bool = False,
+) -> Word:
     return Word(begun, directory, index, serial, live, names, whole)
 
 
@@ -72,8 +82,12 @@
     told = [action for action in lists.handle(5000.0, event_of("change 6 -u")) if isinstance(action, Tell)]
     assert {one.to for one in told} == {"b", "c"}
     assert all(isinstance(one.message, Word) and one.message.names == (U,) for one in told)
-    more = [action for number in range(1, AGAIN + 3) for action in lists.handle(5000.0 + number * AGAIN_MS, Started())
-            if isinstance(action, Tell) and isinstance(action.message, Word)]
+    more = [
+        action
+        for number in range(1, AGAIN + 3)
+        for action in lists.handle(5000.0 + number * AGAIN_MS, Started())
+        if isinstance(action, Tell) and isinstance(action.message, Word)
+    ]
     assert len(more) == 2 * AGAIN
 
 
@@ -81,8 +95,11 @@
     lists = held("b", "c", "e")
     for number, sender in enumerate("bce"):
         heard(lists, word(6, U), sender, float(number))
-    assert not [action for action in lists.handle(5000.0, event_of("change 6 -u"))
-                if isinstance(action, Tell) and isinstance(action.message, Word) and U in action.message.names]
+    assert not [
+        action
+        for action in lists.handle(5000.0, event_of("change 6 -u"))
+        if isinstance(action, Tell) and isinstance(action.message, Word) and U in action.message.names
+    ]
 
 
 def test_it_stands_until_taken_back_or_passed_by_the_own_index() -> None:
@@ -144,7 +161,8 @@
     lists.handle(1.0, event_of("change 6 -u"))
     told = lists.handle(5000.0, event_of("whole 1 v at d2"))
     assert [one.message.names for one in told if isinstance(one, Tell) and isinstance(one.message, Word)] == [
-        (("u", "ready"),)]
+        (("u", "ready"),)
+    ]
 
 
 def test_who_asks_is_told_all_and_who_is_new_asks_a_few() -> None:
@@ -178,6 +196,7 @@
 
 # New ones, by agreement
 
+
 def leader() -> Lists:
     lists = held()
     lists.handle(0.0, log.LeaderChanged("a", 1))
@@ -228,6 +247,7 @@
 
 # Under faults
 
+
 def storm(seed: int) -> None:
     """One directory, whose word reaches each sidecar at a time of its own or not for long; restarts, deaths, loss.
 
@@ -263,8 +283,7 @@
         live[node] = True
 
     def leaves(node: str) -> set[str]:
-        return {name for name in marks
-                if run.made[node].own.get(name, "gone") != "ready" or name in run.uses[node][0]}
+        return {name for name in marks if run.made[node].own.get(name, "gone") != "ready" or name in run.uses[node][0]}
 
     def change(name: str) -> None:
         nonlocal index
@@ -369,8 +388,14 @@
         monkeypatch.setattr("limenotch.fleet.rules.lists.SILENT_MS", 1e9)
 
 
-@pytest.mark.parametrize(("bug", "seed"), [("a list asked for before ends a drain", 0),
-                                           ("a drain ends with its teller", 13), ("said once, and nobody asks", 1)])
+@pytest.mark.parametrize(
+    ("bug", "seed"),
+    [
+        ("a list asked for before ends a drain", 0),
+        ("a drain ends with its teller", 13),
+        ("said once, and nobody asks", 1),
+    ],
+)
 def test_the_storm_finds_what_is_planted(bug: str, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """`seed`: the first of those from 0 on that finds it."""
     plant(bug, monkeypatch)
--- a/tests/fleet/test_rules_processes.py
+++ b/tests/fleet/test_rules_processes.py
@@ -82,17 +82,20 @@
         assert state is not None
         base = state["parts"]["rules"]["newest"]
         second = self.processes.nodes[self.there[(self.there.index(node.name) + 1) % len(self.there)]]
-        made = [{"change": {"settings": {"permissions": {"max_attempts": number}}}, "base": base}
-                for number in (one, other)]
-        said = await asyncio.gather(self.rules(node, "propose", made[0], "one"),
-                                    self.rules(second, "propose", made[1], "other"))
+        made = [
+            {"change": {"settings": {"permissions": {"max_attempts": number}}}, "base": base} for number in (one, other)
+        ]
+        said = await asyncio.gather(
+            self.rules(node, "propose", made[0], "one"), self.rules(second, "propose", made[1], "other")
+        )
         assert sorted(status for status, _ in said) == [200, 409], said
         lost = next(told for status, told in said if status == 409)
         assert lost["text"].startswith(f"version {base + 1} won"), said
 
     async def until(self, holds: Any, what: str, nodes: list[str] | None = None) -> None:
         await self.processes.until_all(
-            lambda name, state: bool(holds(state["parts"].get("rules", {}))), 15, what, nodes or self.there)
+            lambda name, state: bool(holds(state["parts"].get("rules", {}))), 15, what, nodes or self.there
+        )
 
     async def provider(self, number: int) -> str:
         assert self.stage is not None
@@ -124,8 +127,15 @@
 
     async def case() -> tuple[Outcome, dict[str, dict[str, Any]]]:
         with_log = together(drawn.nodes, key, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT)
-        stage = Stage(plan, folder, drawn, weather.Weather(drawn.seed), ask=hands.asked, spoils=True,
-                      fleet=lambda stage, node: with_log(stage, node) + RULES)
+        stage = Stage(
+            plan,
+            folder,
+            drawn,
+            weather.Weather(drawn.seed),
+            ask=hands.asked,
+            spoils=True,
+            fleet=lambda stage, node: with_log(stage, node) + RULES,
+        )
         hands.stage = stage
         hands.there = [name for name in drawn.nodes if name not in drawn.later]
 
@@ -150,7 +160,8 @@
 
 
 def test_a_change_and_a_ban_reach_all_whoever_is_asked(tmp_path: Path) -> None:
-    outcome, states = play("""
+    outcome, states = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -161,7 +172,9 @@
 600    ask a back 1
 601    ask b out 0
 2500
-""", tmp_path)
+""",
+        tmp_path,
+    )
     versions = {(state["parts"]["rules"]["newest"], state["parts"]["rules"]["active"]) for state in states.values()}
     assert len(versions) == 1 and min(versions)[0] >= 3
 
@@ -172,7 +185,8 @@
     A change that it is asked for in between waits for 3 s, and with it the heal. All are held dead by then, and all are
     narrow once they hear of that.
     """
-    outcome, states = play("""
+    outcome, states = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -184,14 +198,17 @@
 1200   heal
 1201   ask a all 2
 4500
-""", tmp_path)
+""",
+        tmp_path,
+    )
     assert "narrow" in notes(outcome, "c")
     assert "narrow" not in notes(outcome, "b")
     assert {state["parts"]["rules"]["active"] for state in states.values()} == {2}
 
 
 def test_one_that_wakes_after_its_lease_is_narrow_before_it_acts(tmp_path: Path) -> None:
-    outcome, _ = play("""
+    outcome, _ = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -199,14 +216,17 @@
 2000   wake b
 2001   ask b leased
 4000
-""", tmp_path)
+""",
+        tmp_path,
+    )
     texts = notes(outcome, "b")
     assert "narrow" in texts
-    assert any(text.startswith("rules ") for text in texts[texts.index("narrow"):])
+    assert any(text.startswith("rules ") for text in texts[texts.index("narrow") :])
 
 
 def test_of_two_changes_at_once_one_wins_and_going_back_is_a_new_version(tmp_path: Path) -> None:
-    outcome, states = play("""
+    outcome, states = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -215,12 +235,15 @@
 400    ask c undo 1
 401    ask a all 3
 1500
-""", tmp_path)
+""",
+        tmp_path,
+    )
     assert {state["parts"]["rules"]["newest"] for state in states.values()} == {3}
 
 
 def test_a_change_outlives_its_leader_and_a_ban_in_a_cut_is_agreed_after_it(tmp_path: Path) -> None:
-    outcome, states = play("""
+    outcome, states = play(
+        """
 nodes: a b c
 
 ms     faults
@@ -236,19 +259,24 @@
 4001   ask a out 1
 4002   ask a all 4
 6500
-""", tmp_path)
+""",
+        tmp_path,
+    )
     assert "narrow" in notes(outcome, "c")
     assert len({state["parts"]["rules"]["active"] for state in states.values()}) == 1
 
 
 def test_three_divide_the_cold_budget_of_a_provider_that_restarts_twice(tmp_path: Path) -> None:
-    outcome, states = play("""
+    outcome, states = play(
+        """
 nodes: a b c
 
 ms     faults
 100    ask a all 1
 7000
-""", tmp_path, """
+""",
+        tmp_path,
+        """
 [[fault]]
 kind = "kill"
 at_s = 0.5
@@ -259,6 +287,8 @@
 at_s = 3.5
 length_s = 0.7
 victims = [0]
-""", "cold_from = 0.1\ncold_s = 4.0\n")
+""",
+        "cold_from = 0.1\ncold_s = 4.0\n",
+    )
     assert outcome.counts[COLD] == 0
     assert {state["parts"]["rules"]["parts"] for state in states.values()} == {3}
--- a/tests/fleet/test_stage.py
+++ b/tests/fleet/test_stage.py
@@ -34,9 +34,14 @@
 
     async def case() -> Outcome:
         stage = Stage(
-            plan, folder, drawn, weather.Weather(drawn.seed),
-            fleet=together(drawn.nodes, key, membership=MEMBERSHIP), spoils=spoils,
-            compare=lambda seen, came: comparing.within(drawn, [n for n in seen if n[0] >= 0 and n[2] in texts], came))
+            plan,
+            folder,
+            drawn,
+            weather.Weather(drawn.seed),
+            fleet=together(drawn.nodes, key, membership=MEMBERSHIP),
+            spoils=spoils,
+            compare=lambda seen, came: comparing.within(drawn, [n for n in seen if n[0] >= 0 and n[2] in texts], came),
+        )
         try:
             return await stage.perform(settled)
         finally:
@@ -51,7 +56,8 @@
 
 
 def test_a_death_and_the_same_node_back_while_datagrams_are_lost(tmp_path: Path) -> None:
-    outcome = perform("""
+    outcome = perform(
+        """
 seed: 4
 window: 1400
 nodes: a b c
@@ -64,12 +70,15 @@
 3000                                   start c
 3600   c alive         c alive
 4500
-""", tmp_path)
+""",
+        tmp_path,
+    )
     assert outcome.passed["a", "b"].lost > 0 < outcome.passed["b", "a"].lost and outcome.calls["served"] > 150
 
 
 def test_a_node_cut_off_with_its_clock_set_back(tmp_path: Path) -> None:
-    outcome = perform("""
+    outcome = perform(
+        """
 seed: 4
 nodes: a b c
 window: 1400
@@ -80,7 +89,10 @@
 500                                    cut c | a b
 1700   c dead          c dead
 3000
-""", tmp_path, spoils=True)
+""",
+        tmp_path,
+        spoils=True,
+    )
     assert [path.read_text() for path in sorted(tmp_path.rglob("c/faults"))][0] == "disk ok\nclock -3600\n"
     assert outcome.calls["served"] > 100 and outcome.passed["c", "a"].lost > 0
 
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -77,8 +77,9 @@
     assert told.value.why == "read-only"
 
 
-@pytest.mark.parametrize(("number", "why"), [
-    (errno.ENOSPC, "full"), (errno.EDQUOT, "full"), (errno.EROFS, "read-only"), (errno.EIO, "torn")])
+@pytest.mark.parametrize(
+    ("number", "why"), [(errno.ENOSPC, "full"), (errno.EDQUOT, "full"), (errno.EROFS, "read-only"), (errno.EIO, "torn")]
+)
 def test_errors_of_the_disk_have_words(number: int, why: str) -> None:
     disk = Disk()
     store = Store(disk)
--- a/tests/fleet/test_store_crash.py
+++ b/tests/fleet/test_store_crash.py
@@ -44,6 +44,7 @@
     def before(number: int) -> None:
         if number >= step:
             raise FellError
+
     return before
 
 
@@ -116,7 +117,7 @@
                 assert error.why == "torn"
                 fallen = copy_of(disk.fall())
                 held = Store(fallen, segment_bytes=SMALL).open()
-                assert any(same(held, state) for state in all_states[told:told + len(batch) + 1])
+                assert any(same(held, state) for state in all_states[told : told + len(batch) + 1])
                 sick = False
                 store.write(batch)
             told += len(batch)
@@ -193,9 +194,7 @@
 
 @settings(max_examples=40)
 @given(histories(), st.integers(0, 1 << 16))
-def test_what_an_opening_found_after_a_kill_survives_the_machines_fall(
-    history: list[list[Record]], seed: int
-) -> None:
+def test_what_an_opening_found_after_a_kill_survives_the_machines_fall(history: list[list[Record]], seed: int) -> None:
     """A killed process leaves bytes in the system's memory; what the next one acts on must be on the disk."""
     for step in range(1, steps_of(history) + 1):
         disk = Disk(seed, before=falls_at(step))
@@ -255,7 +254,7 @@
     disk = written([entries(1, 1, 1)], [entries(2, 1, 1), entries(3, 1, 1), entries(4, 1, 1)])
     file = disk.names_now[segment_name(1)]
     at = len(file.now) * 5 // 8
-    file.now = file.now[:at] + bytes(4) + file.now[at + 4:]
+    file.now = file.now[:at] + bytes(4) + file.now[at + 4 :]
     store = Store(disk)
     assert 1 <= store.open().last < 4 and store.torn is not None
 
--- a/tests/fleet/test_store_thread.py
+++ b/tests/fleet/test_store_thread.py
@@ -30,8 +30,14 @@
         self.told: list[tuple[int, str | None]] = []
         self.opened: list[tuple[Held | None, StoreError | None]] = []
         self.slow: list[float] = []
-        self.thread = StoreThread(Store(disk), self.posted.put, lambda *found: self.opened.append(found),
-                                  self.slow.append, most_waiting, slow_s)
+        self.thread = StoreThread(
+            Store(disk),
+            self.posted.put,
+            lambda *found: self.opened.append(found),
+            self.slow.append,
+            most_waiting,
+            slow_s,
+        )
 
     def submit(self, ticket: int) -> None:
         self.thread.submit(ticket, [entries(ticket, 1, 1)], lambda why: self.told.append((ticket, why)))
@@ -205,6 +211,8 @@
 
 
 def test_nothing_of_the_fleet_is_imported() -> None:
-    code = ("import sys, limenotch.store.thread; "
-            "print([name for name in sys.modules if name.startswith(('limenotch.fleet', 'tornado', 'asyncio'))])")
+    code = (
+        "import sys, limenotch.store.thread; "
+        "print([name for name in sys.modules if name.startswith(('limenotch.fleet', 'tornado', 'asyncio'))])"
+    )
     assert printed_by(code).strip() == "[]"
--- a/tests/fleet/test_streams.py
+++ b/tests/fleet/test_streams.py
@@ -189,17 +189,20 @@
     run(case)
 
 
-@pytest.mark.parametrize(("sent", "fault"), [
-    (b"GET / HTTP/1.1\r\n\r\n", Fault.TOO_LONG),
-    (b"\0\0\0\x03abc", Fault.SHORT),
-    (framed(bytes(40)), Fault.DIGEST),
-    (framed(bytes(2000)), Fault.TOO_LONG),  # who has not shown that it has the key gets little room
-    (HELLO + framed(bytes(2000)), Fault.DIGEST),
-    (HELLO + (2**21).to_bytes(4, "big"), Fault.TOO_LONG),
-    (framed(Wire(KEY, "other", ALL).encode("a", Hello(1, (HOST, 9)))), Fault.GROUP),
-    (framed(Wire(KEY, "g", ALL).encode("a", Line("no hello"))), None),
-    (HELLO + framed(Wire(KEY, "g", ALL).encode("z", Line("another's name"))), None),
-])
+@pytest.mark.parametrize(
+    ("sent", "fault"),
+    [
+        (b"GET / HTTP/1.1\r\n\r\n", Fault.TOO_LONG),
+        (b"\0\0\0\x03abc", Fault.SHORT),
+        (framed(bytes(40)), Fault.DIGEST),
+        (framed(bytes(2000)), Fault.TOO_LONG),  # who has not shown that it has the key gets little room
+        (HELLO + framed(bytes(2000)), Fault.DIGEST),
+        (HELLO + (2**21).to_bytes(4, "big"), Fault.TOO_LONG),
+        (framed(Wire(KEY, "other", ALL).encode("a", Hello(1, (HOST, 9)))), Fault.GROUP),
+        (framed(Wire(KEY, "g", ALL).encode("a", Line("no hello"))), None),
+        (HELLO + framed(Wire(KEY, "g", ALL).encode("z", Line("another's name"))), None),
+    ],
+)
 def test_a_stream_with_garbage_is_ended_and_counted(
     sent: bytes, fault: Fault | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/fleet/test_wallet_book.py
+++ b/tests/fleet/test_wallet_book.py
@@ -60,10 +60,18 @@
     assert told.acme == (2, 0, 2, 0)
 
 
-@pytest.mark.parametrize("credit", [
-    Credit("acme", "y", 0), Credit("acme", "y", -5), Credit("acme", "", 5), Credit("", "y", 5),
-    Credit("acme", "y", MOST_CREDIT), Credit("acme", "i" * 201, 5), Credit("t" * 201, "y", 5),
-])
+@pytest.mark.parametrize(
+    "credit",
+    [
+        Credit("acme", "y", 0),
+        Credit("acme", "y", -5),
+        Credit("acme", "", 5),
+        Credit("", "y", 5),
+        Credit("acme", "y", MOST_CREDIT),
+        Credit("acme", "i" * 201, 5),
+        Credit("t" * 201, "y", 5),
+    ],
+)
 def test_what_can_be_no_credit_is_none(credit: Credit) -> None:
     told = Told(Credit("acme", "x", 10))
     assert told.one(credit).word == "bad"
@@ -150,8 +158,13 @@
 
 
 def test_entries_go_through_the_log_and_what_is_none_is_left() -> None:
-    told = (Credit("acme", "x", 1), grant(1, 2), settle(1, 2, True, 1), Expire("acme", "a", 1, 1, 3, 4, False),
-            Advance("acme", "a", 1, 1, 1))
+    told = (
+        Credit("acme", "x", 1),
+        grant(1, 2),
+        settle(1, 2, True, 1),
+        Expire("acme", "a", 1, 1, 3, 4, False),
+        Advance("acme", "a", 1, 1, 1),
+    )
     assert entries.decode(entries.encode(told)) == told
     assert entries.decode(b"\xc1") is None
     assert entries.decode(msgspec.msgpack.encode([["odd", 1]])) is None
@@ -185,18 +198,34 @@
         if applied.ok:
             self.credits[tenant][ident] = amount
 
-    @rule(tenant=some.sampled_from("xy"), name=some.sampled_from("ab"), serial=some.integers(0, 12),
-          amount=some.integers(0, 30), epoch=some.integers(1, 2))
+    @rule(
+        tenant=some.sampled_from("xy"),
+        name=some.sampled_from("ab"),
+        serial=some.integers(0, 12),
+        amount=some.integers(0, 30),
+        epoch=some.integers(1, 2),
+    )
     def grant(self, tenant: str, name: str, serial: int, amount: int, epoch: int) -> None:
         self.tell(Grant(tenant, name, 1, serial, amount, WITNESSES, 1), epoch)
 
-    @rule(tenant=some.sampled_from("xy"), name=some.sampled_from("ab"), serial=some.integers(0, 12),
-          spent=some.integers(0, 30), close=some.booleans(), keep=some.integers(0, 5))
+    @rule(
+        tenant=some.sampled_from("xy"),
+        name=some.sampled_from("ab"),
+        serial=some.integers(0, 12),
+        spent=some.integers(0, 30),
+        close=some.booleans(),
+        keep=some.integers(0, 5),
+    )
     def settle(self, tenant: str, name: str, serial: int, spent: int, close: bool, keep: int) -> None:
         self.tell(Settle(tenant, name, 1, serial, spent, close, keep))
 
-    @rule(tenant=some.sampled_from("xy"), name=some.sampled_from("ab"), serial=some.integers(0, 12),
-          mark=some.integers(0, 30), epoch=some.integers(1, 2))
+    @rule(
+        tenant=some.sampled_from("xy"),
+        name=some.sampled_from("ab"),
+        serial=some.integers(0, 12),
+        mark=some.integers(0, 30),
+        epoch=some.integers(1, 2),
+    )
     def expire(self, tenant: str, name: str, serial: int, mark: int, epoch: int) -> None:
         held = self.book.slice(tenant, name, 1, serial)
         applied = self.tell(Expire(tenant, name, 1, serial, mark, 1), epoch)
--- a/tests/fleet/test_wallet_checks.py
+++ b/tests/fleet/test_wallet_checks.py
@@ -160,11 +160,23 @@
 
 
 FOUND: dict[Callable[[Checker], None], str] = {
-    overspends: "overspent", more_than_the_slice: "slice 1 has 10", after_the_closing: "6 and is closed, 7 are taken",
-    closed_for_less: "5 spent, 6 are taken", without_a_slice: "agreed nowhere", dead_and_reserves: "after its end",
-    ends_twice: "ends twice", does_not_add_up: "is not spent", below_nothing: "below 0", counted_twice: "all ids",
-    credit_gone: "credit fell", wallet_gone: "wallets gone", answered_and_lost: "credit lost", differs: "differs",
-    grows: "grew", narrowed_below: "has 5 now, 6 are taken", spent_of_nothing: "7 more than its slices",
+    overspends: "overspent",
+    more_than_the_slice: "slice 1 has 10",
+    after_the_closing: "6 and is closed, 7 are taken",
+    closed_for_less: "5 spent, 6 are taken",
+    without_a_slice: "agreed nowhere",
+    dead_and_reserves: "after its end",
+    ends_twice: "ends twice",
+    does_not_add_up: "is not spent",
+    below_nothing: "below 0",
+    counted_twice: "all ids",
+    credit_gone: "credit fell",
+    wallet_gone: "wallets gone",
+    answered_and_lost: "credit lost",
+    differs: "differs",
+    grows: "grew",
+    narrowed_below: "has 5 now, 6 are taken",
+    spent_of_nothing: "7 more than its slices",
     never_comes_in: "held yet",
 }
 
--- a/tests/fleet/test_wallet_core.py
+++ b/tests/fleet/test_wallet_core.py
@@ -67,10 +67,17 @@
     assert len(group.answers) == 2, "each gets one answer"
 
 
-@pytest.mark.parametrize(("tenant", "amount", "ident", "word"), [
-    ("acme", 0, "x", "amount"), ("acme", 1 << 61, "x", "amount"), ("", 1, "x", "tenant"), ("acme", 1, "", "id"),
-    ("other", 1, "x", "tenant"), ("acme", 1, "i" * 300, "id"),
-])
+@pytest.mark.parametrize(
+    ("tenant", "amount", "ident", "word"),
+    [
+        ("acme", 0, "x", "amount"),
+        ("acme", 1 << 61, "x", "amount"),
+        ("", 1, "x", "tenant"),
+        ("acme", 1, "", "id"),
+        ("other", 1, "x", "tenant"),
+        ("acme", 1, "i" * 300, "id"),
+    ],
+)
 def test_what_can_be_no_credit_is_refused_by_its_key(tenant: str, amount: int, ident: str, word: str) -> None:
     group = ready(tuning=msgspec.structs.replace(QUICK, tenants=("acme",)))
     before = len(group.log)
@@ -133,7 +140,7 @@
         group.run(1)
     assert group.now - begin <= QUICK.resume_ms
     texts = group.texts("b")
-    assert "resumes acme" in texts[texts.index("paid acme 500"):]
+    assert "resumes acme" in texts[texts.index("paid acme 500") :]
 
 
 def test_slices_after_a_pause_begin_small_and_double() -> None:
@@ -291,11 +298,16 @@
         group.serve("b")
     before = group.wallets["b"].state()
     life = group.wallets["b"].life
-    for message in (say.Lease(life, 99, float("nan"), 0), say.Lease(life + 1, 1, 600, 0),
-                    say.Held(1, life, (("acme", 77, 5), ("odd", 1, 5), ("acme", 1, -5))),
-                    say.Recall(life, (("acme", float("nan")), ("odd", 5.0))), say.Recall(life + 1, (("acme", 0.0),)),
-                    say.Told(1, 1, 1, (5,)), say.Question(1, 1, "x", 1, (("acme", 1),) * 500),
-                    say.Mark(5, (("t" * 900, 1, 5), ("acme", 900, -1)))):
+    for message in (
+        say.Lease(life, 99, float("nan"), 0),
+        say.Lease(life + 1, 1, 600, 0),
+        say.Held(1, life, (("acme", 77, 5), ("odd", 1, 5), ("acme", 1, -5))),
+        say.Recall(life, (("acme", float("nan")), ("odd", 5.0))),
+        say.Recall(life + 1, (("acme", 0.0),)),
+        say.Told(1, 1, 1, (5,)),
+        say.Question(1, 1, "x", 1, (("acme", 1),) * 500),
+        say.Mark(5, (("t" * 900, 1, 5), ("acme", 900, -1))),
+    ):
         group.tell("b", Heard(("x", 1), "c", message))
     assert group.wallets["b"].state() == before
     assert group.serve("b")
--- a/tests/fleet/test_wallet_granting.py
+++ b/tests/fleet/test_wallet_granting.py
@@ -52,8 +52,11 @@
         return [one for one in fresh if isinstance(one, Grant)]
 
     def recalls(self) -> dict[str, float]:
-        return {one.to: one.message.recalls[0][1] for one in self.granting.out
-                if isinstance(one, Tell) and isinstance(one.message, say.Recall)}
+        return {
+            one.to: one.message.recalls[0][1]
+            for one in self.granting.out
+            if isinstance(one, Tell) and isinstance(one.message, say.Recall)
+        }
 
     def promise(self) -> None:
         """The last that was asked for."""
@@ -225,6 +228,7 @@
 
 # In a group
 
+
 def spend(group: Group, name: str, ms: float, each_ms: float, kind: str = "call") -> int:
     """A call each so many ms; how many were served."""
     served = 0
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -225,4 +225,5 @@
     group.catch_up("b")
     assert held.purse.until > group.now
     assert not held.purse.accounts["acme"].slices or all(
-        group.wallets["a"].book.slice("acme", "b", held.life, serial) for serial in held.purse.accounts["acme"].slices)
+        group.wallets["a"].book.slice("acme", "b", held.life, serial) for serial in held.purse.accounts["acme"].slices
+    )
--- a/tests/fleet/test_wallet_processes.py
+++ b/tests/fleet/test_wallet_processes.py
@@ -27,8 +27,16 @@
 from .test_log_processes import AGREEMENT, MEMBERSHIP, leader
 from .test_processes import TRAFFIC
 
-WALLET = {"tenants": ["ann", "bob"], "lease_ms": 600.0, "slice_ms": 600.0, "least_slice": 5, "record_ms": 40.0,
-          "idle_ms": 700.0, "retry_after_ms": 300.0, "ask_ms": 3000.0}
+WALLET = {
+    "tenants": ["ann", "bob"],
+    "lease_ms": 600.0,
+    "slice_ms": 600.0,
+    "least_slice": 5,
+    "record_ms": 40.0,
+    "idle_ms": 700.0,
+    "retry_after_ms": 300.0,
+    "ask_ms": 3000.0,
+}
 TUNING = msgspec.convert(WALLET, Tuning)
 DEAREST = max(COST.values())
 WARM_MS = 700.0  # each sidecar has its first slices by then
@@ -120,8 +128,11 @@
 
 async def _played(text: str, folder: Path, late: list[float], error_rate: float, more: dict[str, Any]) -> Played:
     drawn = drawing.read(text)
-    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {drawn.ends / 1000.0}").replace(
-        "rate_per_s = 60", "rate_per_s = 150").replace('name = "k"', f'name = "k"\nerror_rate = {error_rate}')
+    traffic = (
+        TRAFFIC.replace("length_s = 3", f"length_s = {drawn.ends / 1000.0}")
+        .replace("rate_per_s = 60", "rate_per_s = 150")
+        .replace('name = "k"', f'name = "k"\nerror_rate = {error_rate}')
+    )
     traffic = traffic.replace("count = 3", f"count = {len(drawn.nodes)}") + ACCOUNTS
     key = folder / "key"
     key.write_text("a key for tests, of 16 bytes or more")
@@ -130,12 +141,19 @@
     costs = "\n[fleet.wallet.cost]\n" + "".join(f"{name} = {units}\n" for name, units in COST.items())
     fleet = together(drawn.nodes, key, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT, wallet=table)
     stage = operator.stage = Paying(
-        planning.plan(scenario.parse(traffic, "wallet"), 3), folder, drawn, weather.Weather(drawn.seed),
-        ask=operator.asked, spoils=True, fleet=lambda stage, node: fleet(stage, node) + costs)
+        planning.plan(scenario.parse(traffic, "wallet"), 3),
+        folder,
+        drawn,
+        weather.Weather(drawn.seed),
+        ask=operator.asked,
+        spoils=True,
+        fleet=lambda stage, node: fleet(stage, node) + costs,
+    )
 
     async def settled(processes: Processes) -> None:
-        await processes.until_all(lambda name, state: leader(state) == "a" and leased(name, state), 20,
-                                  "a leads, all hold leases")
+        await processes.until_all(
+            lambda name, state: leader(state) == "a" and leased(name, state), 20, "a leads, all hold leases"
+        )
         assert (await stage.add(processes.nodes["a"], "bob", BOB, "bob"))[0] == 200
         stage.begin()
 
@@ -176,7 +194,8 @@
                 assert played.statuses(tenant, node, after) <= {200}, (tenant, node)
                 assert played.first(tenant, node, after)
 
-    play("""
+    play(
+        """
 nodes: a b c
 
 ms     faults
@@ -190,7 +209,10 @@
 1502   ask c spends ann
 2900   kill a
 5800
-""", tmp_path, judge)
+""",
+        tmp_path,
+        judge,
+    )
 
 
 def test_a_paused_holder_spends_nothing_after_its_lease_and_a_dead_one_s_slice_comes_back(tmp_path: Path) -> None:
@@ -202,12 +224,16 @@
         assert played.statuses("ann", "b", paused + 1.0, paid) == {429}  # those that came before it woke as well
         assert played.first("ann", "b", paid)
         assert (end.credit, end.spent, end.left, end.held) == (230, 230, 0, 0)
-        backs = [(seen.node, seen.text.split()[0], seen.fields["of"]) for seen in stage.processes.seen()
-                 if seen.text.split()[:2] in (["back", "ann"], ["lost", "ann"])]
+        backs = [
+            (seen.node, seen.text.split()[0], seen.fields["of"])
+            for seen in stage.processes.seen()
+            if seen.text.split()[:2] in (["back", "ann"], ["lost", "ann"])
+        ]
         assert {("a", "back", "b"), ("a", "back", "c")} <= set(backs) and not [one for one in backs if one[1] == "lost"]
         assert end.spent - stage.units("ann") <= played.wrongly("ann")
 
-    play("""
+    play(
+        """
 nodes: a b c
 
 ms     faults
@@ -220,7 +246,10 @@
 3900   kill c
 3901   ask a dry ann
 6800
-""", tmp_path, judge)
+""",
+        tmp_path,
+        judge,
+    )
 
 
 NO_QUORUM = """
@@ -286,7 +315,8 @@
         for node in "abcde":
             assert played.first("ann", node, more).asked_ms - more <= TUNING.resume_ms + LOG_MS
 
-    play("""
+    play(
+        """
 nodes: a b c d e
 
 ms     faults
@@ -297,4 +327,8 @@
 304    ask a dry ann
 305    ask e pay ann 1000 two
 5600
-""", tmp_path, judge, error_rate=0.2)
+""",
+        tmp_path,
+        judge,
+        error_rate=0.2,
+    )
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -28,8 +28,10 @@
 REJECTED = whole(503, (b"X-Rejected", b"1"))
 OTHER = LOOK.replace(b"acme", b"zeta")  # of a tenant that does not pay
 TIER: dict[str, Any] = dict(SETTINGS)
-TIER |= {"tenants": [{"name": "acme", "quota_per_s": 100.0}, {"name": "zeta", "quota_per_s": 100.0}],
-         "permissions": {**TIER["permissions"], "retry_after": True, "max_retry_after_ms": 700.0}}
+TIER |= {
+    "tenants": [{"name": "acme", "quota_per_s": 100.0}, {"name": "zeta", "quota_per_s": 100.0}],
+    "permissions": {**TIER["permissions"], "retry_after": True, "max_retry_after_ms": 700.0},
+}
 MORE = {"settings": TIER}
 TABLE = """
 [fleet]
@@ -97,8 +99,13 @@
         return wallet
 
 
-def play(folder: Path, handler: Handler, use: Callable[[Program], Coroutine[Any, Any, None]], table: str = TABLE,
-         more: dict[str, Any] = MORE) -> None:
+def play(
+    folder: Path,
+    handler: Handler,
+    use: Callable[[Program], Coroutine[Any, Any, None]],
+    table: str = TABLE,
+    more: dict[str, Any] = MORE,
+) -> None:
     (folder / "key").write_text("sixteen bytes ok")
     text = table.format(port=free_port(), folder=folder)
     admin = free_port()
@@ -124,10 +131,18 @@
         assert wallet["credit"] == wallet["spent"] + wallet["left"] + wallet["held"] and wallet["spent"] == 0
         assert list((await operator("GET", "/fleet/wallets"))[1]["wallets"]) == ["acme"]
         path = "/fleet/wallets/acme"
-        for body, says in [({"id": "x"}, "`add`"), ({"add": 1}, "`id`"), ({"id": "", "add": 1}, "$.id"),
-                           ({"id": "x", "add": 0}, "$.add"), ({"id": "x", "add": 1.5}, "$.add"),
-                           ({"id": "x", "add": 1 << 61}, "$.add"), ({"id": "x" * 201, "add": 1}, "$.id"),
-                           ({"id": "x", "add": 1, "of": 2}, "`of`"), (b"{", "JSON"), (None, "JSON")]:
+        for body, says in [
+            ({"id": "x"}, "`add`"),
+            ({"add": 1}, "`id`"),
+            ({"id": "", "add": 1}, "$.id"),
+            ({"id": "x", "add": 0}, "$.add"),
+            ({"id": "x", "add": 1.5}, "$.add"),
+            ({"id": "x", "add": 1 << 61}, "$.add"),
+            ({"id": "x" * 201, "add": 1}, "$.id"),
+            ({"id": "x", "add": 1, "of": 2}, "`of`"),
+            (b"{", "JSON"),
+            (None, "JSON"),
+        ]:
             status, said = await operator("POST", path, body)
             assert status == 400 and not said["ok"] and (says in said["text"] or "truncated" in said["text"]), said
         for tenant in ("", "zeta", "a" * 201):
@@ -228,8 +243,11 @@
         def fault(*about: Any) -> Any:
             raise ZeroDivisionError("planted")
 
-        target = {"the part": "limenotch.fleet.wallet.core.Wallet.handle", "the purse":
-                  "limenotch.fleet.wallet.purse.Purse.reserve", "the log": "limenotch.fleet.agreement.Agreement.handle"}
+        target = {
+            "the part": "limenotch.fleet.wallet.core.Wallet.handle",
+            "the purse": "limenotch.fleet.wallet.purse.Purse.reserve",
+            "the log": "limenotch.fleet.agreement.Agreement.handle",
+        }
         monkeypatch.setattr(target[what], fault)
         async with asyncio.timeout(20):
             while (await program.call(LOOK)).status != 429:
--- a/tests/fleet/test_wallet_storms.py
+++ b/tests/fleet/test_wallet_storms.py
@@ -37,8 +37,14 @@
 
 def test_fifty_members_and_few_units() -> None:
     names = [f"n{number}" for number in range(50)]
-    run = Run(names, tuple(names[:5]), Tuning(), log_tuning=agreement.Tuning(), members=Members(),
-              watched=(*names[:2], names[-1]))
+    run = Run(
+        names,
+        tuple(names[:5]),
+        Tuning(),
+        log_tuning=agreement.Tuning(),
+        members=Members(),
+        watched=(*names[:2], names[-1]),
+    )
     run.begin(1)
     run.begun()
     run.world.run(run.now() + 1000)
--- a/tests/fleet/test_wallet_witness.py
+++ b/tests/fleet/test_wallet_witness.py
@@ -18,8 +18,14 @@
 
 def book(*amounts: int) -> Book:
     made = Book()
-    made.apply(1, 1, (Credit("acme", "x", 1000), *(
-        Grant("acme", *HOLDER, serial, amount, WITNESSES, 1) for serial, amount in enumerate(amounts, 1))))
+    made.apply(
+        1,
+        1,
+        (
+            Credit("acme", "x", 1000),
+            *(Grant("acme", *HOLDER, serial, amount, WITNESSES, 1) for serial, amount in enumerate(amounts, 1)),
+        ),
+    )
     return made
 
 
@@ -62,8 +68,12 @@
 
 
 def gone(*tops: int) -> Gone:
-    return Gone(1, HOLDER, {("acme", serial): Slice(*HOLDER, serial, top, 0, WITNESSES)
-                            for serial, top in enumerate(tops, 1)}, 0.0)
+    return Gone(
+        1,
+        HOLDER,
+        {("acme", serial): Slice(*HOLDER, serial, top, 0, WITNESSES) for serial, top in enumerate(tops, 1)},
+        0.0,
+    )
 
 
 def marks(**told: int) -> dict[tuple[str, int], int]:
@@ -123,6 +133,7 @@
 
 # In a group
 
+
 def died(group: Group, name: str, calls: int) -> int:
     """How many it had served, when it was killed."""
     served = 0
@@ -217,9 +228,11 @@
     group.lost = lost
     group.run(QUICK.held_ms + QUICK.lease_ms)
     first = told[0]
-    for wrong in (say.Told(first.number, first.asker + 1, first.life, first.marks),
-                  say.Told(first.number + 99, first.asker, first.life, first.marks),
-                  say.Told(first.number, first.asker, first.life, first.marks + (1,))):
+    for wrong in (
+        say.Told(first.number, first.asker + 1, first.life, first.marks),
+        say.Told(first.number + 99, first.asker, first.life, first.marks),
+        say.Told(first.number, first.asker, first.life, first.marks + (1,)),
+    ):
         group.wallets["a"].granting.told(group.now, "b", wrong)
         group.wallets["a"].granting.told(group.now, "c", wrong)
     assert group.wallets["a"].book.wallets["acme"].held
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -20,8 +20,10 @@
 
 
 MESSAGES = st.one_of(
-    st.builds(Probe, st.integers(-(2**63), 2**64 - 1), st.text()), st.builds(Line, st.text()),
-    st.builds(Block, st.binary()), st.builds(Hello, st.integers(0, 2**60), st.tuples(st.text(), st.integers(0, 65535))),
+    st.builds(Probe, st.integers(-(2**63), 2**64 - 1), st.text()),
+    st.builds(Line, st.text()),
+    st.builds(Block, st.binary()),
+    st.builds(Hello, st.integers(0, 2**60), st.tuples(st.text(), st.integers(0, 65535))),
 )
 
 
@@ -67,8 +69,13 @@
     assert one.decode(one.encode("a", Probe("no number"))) is Fault.MALFORMED  # type: ignore[arg-type]
     assert one.decode(one.encode("a", Block(bytes(MOST_FRAME)))) is Fault.TOO_LONG
     assert one.decode(one.encode("a", Block(bytes(2000))), 1200) is Fault.TOO_LONG
-    assert one.faults == {**dict.fromkeys(Fault, 0), Fault.DIGEST: 1, Fault.GROUP: 1, Fault.MALFORMED: 1,
-                          Fault.TOO_LONG: 2}
+    assert one.faults == {
+        **dict.fromkeys(Fault, 0),
+        Fault.DIGEST: 1,
+        Fault.GROUP: 1,
+        Fault.MALFORMED: 1,
+        Fault.TOO_LONG: 2,
+    }
 
 
 def test_versions_of_a_roll() -> None:
@@ -94,11 +101,18 @@
     assert old.decode(old._digest(body) + body) == ("a", Probe(7))
 
 
-@pytest.mark.parametrize("made", [
-    lambda: Wire(b"short", "g", ALL), lambda: Wire(b"l" * 65, "g", ALL), lambda: Wire(KEY, "", ALL),
-    lambda: Wire(KEY, "g", (Probe, Probe)), lambda: wire(spoken=(2, 1)), lambda: wire().encode("", Probe(1)),
-    lambda: wire().encode("x" * (MOST_NAME + 1), Probe(1)),
-])
+@pytest.mark.parametrize(
+    "made",
+    [
+        lambda: Wire(b"short", "g", ALL),
+        lambda: Wire(b"l" * 65, "g", ALL),
+        lambda: Wire(KEY, "", ALL),
+        lambda: Wire(KEY, "g", (Probe, Probe)),
+        lambda: wire(spoken=(2, 1)),
+        lambda: wire().encode("", Probe(1)),
+        lambda: wire().encode("x" * (MOST_NAME + 1), Probe(1)),
+    ],
+)
 def test_what_can_not_be_made(made: object) -> None:
     with pytest.raises(ValueError):
         made()  # type: ignore[operator]
@@ -115,8 +129,12 @@
 
 
 def test_a_stream_s_lengths_are_bounded() -> None:
-    for length, fault in [(MOST_FRAME + 1, Fault.TOO_LONG), (2**32 - 1, Fault.TOO_LONG), (DIGEST, Fault.SHORT),
-                          (0, Fault.SHORT)]:
+    for length, fault in [
+        (MOST_FRAME + 1, Fault.TOO_LONG),
+        (2**32 - 1, Fault.TOO_LONG),
+        (DIGEST, Fault.SHORT),
+        (0, Fault.SHORT),
+    ]:
         frames = Frames()
         frames.feed(length.to_bytes(4, "big"))
         assert frames.take() is fault
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -30,8 +30,9 @@
 NODES = ("a", "b", "c")
 
 
-def world(*faults: tuple[float, str], until: float = 5000, seed: int = 0, carrier: Carrier = Carrier.DATAGRAM,
-          **more: Any) -> World:
+def world(
+    *faults: tuple[float, str], until: float = 5000, seed: int = 0, carrier: Carrier = Carrier.DATAGRAM, **more: Any
+) -> World:
     made = World(NODES, listeners(*NODES, carrier=carrier), seed, **{"drift_ppm": 0.0, **more})
     for at, text in faults:
         made.at(at, parse(text))
@@ -66,13 +67,21 @@
 def test_a_cut_is_both_ways_and_between_sides_only() -> None:
     made = world((1000, "cut a | b c"), until=2000)
     assert {(node, text) for _, node, text in said(made)} == {
-        ("a", "suspects b"), ("a", "suspects c"), ("b", "suspects a"), ("c", "suspects a")}
+        ("a", "suspects b"),
+        ("a", "suspects c"),
+        ("b", "suspects a"),
+        ("c", "suspects a"),
+    }
 
 
 def test_who_is_mute_hears_on() -> None:
     made = world((1000, "mute a"), (2000, "heal"), until=2100)
-    assert said(made) == [(1300, "b", "suspects a"), (1300, "c", "suspects a"), (2001, "b", "a back"),
-                          (2001, "c", "a back")]
+    assert said(made) == [
+        (1300, "b", "suspects a"),
+        (1300, "c", "suspects a"),
+        (2001, "b", "a back"),
+        (2001, "c", "a back"),
+    ]
     assert numbers(made, "a", "b") == list(range(1, 22))
 
 
@@ -81,8 +90,12 @@
     assert said(made)[:2] == [(1400, "b", "suspects a"), (1400, "c", "suspects a")]
     woken = [one for one in said(made) if one[0] >= 2000]
     # Its own look comes first and finds the others silent; then what had waited in its buffer is heard.
-    assert woken[:4] == [(2000.5, "a", "suspects b"), (2000.5, "a", "suspects c"), (2000.5, "a", "b back"),
-                         (2000.5, "a", "c back")]
+    assert woken[:4] == [
+        (2000.5, "a", "suspects b"),
+        (2000.5, "a", "suspects c"),
+        (2000.5, "a", "b back"),
+        (2000.5, "a", "c back"),
+    ]
     part: Listener = made.part("a")
     assert max(part.late) == pytest.approx(900.5) and part.late[-1] == max(part.late)
     first = world((1000.5, "pause a"), (2000.5, "wake a"), until=2050, wake="heard")
@@ -173,8 +186,9 @@
 
 
 def test_a_stream_is_in_order_and_silent_under_a_cut_until_it_heals() -> None:
-    made = world((0, "delay 1..90"), (0, "loss 10%"), (1000, "cut a > b"), (2000, "heal"), carrier=Carrier.STREAM,
-                 until=9000)
+    made = world(
+        (0, "delay 1..90"), (0, "loss 10%"), (1000, "cut a > b"), (2000, "heal"), carrier=Carrier.STREAM, until=9000
+    )
     heard = numbers(made, "b", "a")
     assert heard == list(range(1, len(heard) + 1)) and len(heard) > 80
     assert "lost" not in made.counts
@@ -197,9 +211,30 @@
 
 
 @settings(max_examples=25)
-@given(st.integers(0, 2**32), st.lists(st.sampled_from([
-    "loss 20%", "double 30%", "reorder 20%", "delay 1..60", "cut a | b c", "heal", "pause b", "wake b", "mute c",
-    "slow a > b 70", "kill c", "clock a +3600s", "disk a full"]), max_size=6, unique=True))
+@given(
+    st.integers(0, 2**32),
+    st.lists(
+        st.sampled_from(
+            [
+                "loss 20%",
+                "double 30%",
+                "reorder 20%",
+                "delay 1..60",
+                "cut a | b c",
+                "heal",
+                "pause b",
+                "wake b",
+                "mute c",
+                "slow a > b 70",
+                "kill c",
+                "clock a +3600s",
+                "disk a full",
+            ]
+        ),
+        max_size=6,
+        unique=True,
+    ),
+)
 def test_one_seed_is_one_history(seed: int, faults: list[str]) -> None:
     plan = [(300.0 * number, text) for number, text in enumerate(faults, 1)]
     assert world(*plan, until=2500, seed=seed).digest() == world(*plan, until=2500, seed=seed).digest()
@@ -288,10 +323,17 @@
 
 @given(st.lists(st.tuples(st.integers(0, 200), st.integers(1, 4)), max_size=8), st.integers(0, 220), st.integers(0, 50))
 def test_what_was_answered_survives_a_kill_and_the_rest_does_up_to_some_record(
-    puts: list[tuple[int, int]], at: int, seed: int,
+    puts: list[tuple[int, int]],
+    at: int,
+    seed: int,
 ) -> None:
-    made = keeper((at + 0.5, "kill a"), (at + 50.5, "start a"), puts=[(float(when), Put(many)) for when, many in puts],
-                  until=at + 0.4, seed=seed)
+    made = keeper(
+        (at + 0.5, "kill a"),
+        (at + 50.5, "start a"),
+        puts=[(float(when), Put(many)) for when, many in puts],
+        until=at + 0.4,
+        seed=seed,
+    )
     part: Keeper = made.part("a")
     kept = [event.ticket for event in part.answers if isinstance(event, Stored)]
     asked = part.last
@@ -303,21 +345,28 @@
 
 
 def test_a_write_under_way_is_torn_at_any_record_by_a_kill_and_wiped_with_its_disk() -> None:
-    ends = {keeper((15.0, "kill a"), (20.0, "start a"), puts=[(0.0, Put(2)), (12.0, Put(3))], seed=seed)
-            .part("a").held.last for seed in range(40)}
+    ends = {
+        keeper((15.0, "kill a"), (20.0, "start a"), puts=[(0.0, Put(2)), (12.0, Put(3))], seed=seed).part("a").held.last
+        for seed in range(40)
+    }
     assert ends == {2, 3, 4, 5}
     assert keeper((15.0, "wipe a"), (20.0, "start a"), puts=[(0.0, Put(2))]).part("a").held.last == 0
 
 
 @pytest.mark.parametrize("state", ["full", "read-only", "torn"])
 def test_a_disk_that_refuses_says_why_and_takes_again_when_it_is_well(state: str) -> None:
-    made = keeper((20.0, f"disk a {state}"), (100.0, "disk a ok"),
-                  puts=[(0.0, Put()), (30.0, Put(3)), (35.0, Put()), (120.0, Put(2))])
+    made = keeper(
+        (20.0, f"disk a {state}"),
+        (100.0, "disk a ok"),
+        puts=[(0.0, Put()), (30.0, Put(3)), (35.0, Put()), (120.0, Put(2))],
+    )
     answers = made.part("a").answers
     assert answers == [Stored(1), StoreFailed(2, state), StoreFailed(3, state), Stored(4)]
     assert made.nodes["a"].disk.held.last == 3
-    during = {keeper((20.0, f"disk a {state}"), puts=[(0.0, Put()), (30.0, Put(3))], seed=seed)
-              .nodes["a"].disk.held.last for seed in range(30)}
+    during = {
+        keeper((20.0, f"disk a {state}"), puts=[(0.0, Put()), (30.0, Put(3))], seed=seed).nodes["a"].disk.held.last
+        for seed in range(30)
+    }
     assert during == ({1, 2, 3} if state == "torn" else {1})
 
 
--- a/tests/fleet/toys.py
+++ b/tests/fleet/toys.py
@@ -141,8 +141,11 @@
 
     def handle(self, now: float, event: Any) -> list[Any]:
         if isinstance(event, Started):
-            return [Tell(to, Ask(), Carrier.DATAGRAM) for to in ("b", "c")] + [SetTimer(now + 100, 1)] \
-                if self.name == "a" else []
+            return (
+                [Tell(to, Ask(), Carrier.DATAGRAM) for to in ("b", "c")] + [SetTimer(now + 100, 1)]
+                if self.name == "a"
+                else []
+            )
         if isinstance(event, TimerFired):
             return self._decide(self.bug == "late means yes")
         if isinstance(event, Stored):
--- a/tests/fleet/wallet_bugs.py
+++ b/tests/fleet/wallet_bugs.py
@@ -43,8 +43,11 @@
     real = book.Book._credit
 
     def credit(self: book.Book, entry: entries.Credit) -> book.Applied:
-        if (wallet := self.wallets.get(entry.tenant)) is not None and entry.id in wallet.ids \
-                and next(reversed(wallet.ids)) != entry.id:
+        if (
+            (wallet := self.wallets.get(entry.tenant)) is not None
+            and entry.id in wallet.ids
+            and next(reversed(wallet.ids)) != entry.id
+        ):
             del wallet.ids[entry.id]
         return real(self, entry)
 
@@ -55,8 +58,10 @@
     """What its holder had settled counts."""
 
     def ends(self: witness.Gone, epoch: int, lost: Any) -> list[entries.Expire]:
-        return [entries.Expire(tenant, *self.owner, serial, one.spent, epoch)
-                for (tenant, serial), one in self.slices.items()]
+        return [
+            entries.Expire(tenant, *self.owner, serial, one.spent, epoch)
+            for (tenant, serial), one in self.slices.items()
+        ]
 
     patch.setattr(witness.Gone, "ends", ends)
 
--- a/tests/fleet/wallets.py
+++ b/tests/fleet/wallets.py
@@ -14,8 +14,16 @@
 from limenotch.fleet.contract import Heard, Note, SetTimer, Started, Tell, TimerFired
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries
 
-QUICK = Tuning(lease_ms=600, drift=0.1, slice_ms=400, record_ms=40, idle_ms=400, retry_after_ms=500, ask_ms=3000,
-               cost={"call": 1, "dear": 8, "free": 0})
+QUICK = Tuning(
+    lease_ms=600,
+    drift=0.1,
+    slice_ms=400,
+    record_ms=40,
+    idle_ms=400,
+    retry_after_ms=500,
+    ask_ms=3000,
+    cost={"call": 1, "dear": 8, "free": 0},
+)
 
 
 class Group:
@@ -47,8 +55,13 @@
         self.behind.discard(name)
         self._later = [one for one in self._later if one[0] != name]
         self.wallets[name] = Wallet(name, self._lives, self.tuning, self.voters)
-        self._tell([(name, Started()), *((name, agreed) for agreed in self.log),
-                    (name, log.LeaderChanged(self.leader, self.epoch))])
+        self._tell(
+            [
+                (name, Started()),
+                *((name, agreed) for agreed in self.log),
+                (name, log.LeaderChanged(self.leader, self.epoch)),
+            ]
+        )
         return self.wallets[name]
 
     def kill(self, name: str) -> None:
@@ -119,8 +132,10 @@
             self.answers.append(action)
         elif isinstance(action, log.ReadAt):
             ready = self.leader is not None and self.leader in self.wallets
-            self.tell(name, log.ReadReady(action.ticket, len(self.log)) if ready
-                      else log.Refused(action.ticket, "no leader", None))
+            self.tell(
+                name,
+                log.ReadReady(action.ticket, len(self.log)) if ready else log.Refused(action.ticket, "no leader", None),
+            )
         else:
             assert isinstance(action, log.Propose), action
             self._proposed(name, action)
--- a/tests/helpers/cold_fleet.py
+++ b/tests/helpers/cold_fleet.py
@@ -117,8 +117,14 @@
         self.rate = self.random.uniform(*case.load) * sum(e.rate for e in self.endpoints.values())
         total = self.random.randint(*case.sidecars)
         self.settings = face.Settings(
-            classes=tuple(cls for cls, _, _ in case.classes), balancers=total, cold=self.cold,
-            weights_listed=case.weights, crossing_cost=case.crossing, may_copy=case.copies, max_attempts=4, layer=1,
+            classes=tuple(cls for cls, _, _ in case.classes),
+            balancers=total,
+            cold=self.cold,
+            weights_listed=case.weights,
+            crossing_cost=case.crossing,
+            may_copy=case.copies,
+            max_attempts=4,
+            layer=1,
         )
         mean = sum(part * work for _, part, work in case.classes)
         self.works = [work / mean for _, _, work in case.classes]
@@ -135,8 +141,9 @@
     def _endpoint(self, number: int, rate: float) -> Endpoint:
         kind, case = number % len(self.case.speeds), self.case
         speed = case.speeds[kind]
-        at = face.Upstream(f"{number}", weight=speed if case.weights else 1.0, kind=kind,
-                           zone=number % case.zones, cell=number // 4)
+        at = face.Upstream(
+            f"{number}", weight=speed if case.weights else 1.0, kind=kind, zone=number % case.zones, cell=number // 4
+        )
         reports = case.reports in ("all", "use") or (case.reports == "half" and number % 2 == 0)
         return Endpoint(at, rate * speed * self.random.uniform(0.9, 1.1), reports)
 
@@ -224,8 +231,12 @@
         self.settings = replace(self.settings, processes=2)
         first = list(self.sidecars)
         for sidecar in first:
-            second = Sidecar(sidecar.rank, sidecar.zone, sidecar.weight,
-                             Balancer(self._settings(sidecar), self.random.getrandbits(32)))
+            second = Sidecar(
+                sidecar.rank,
+                sidecar.zone,
+                sidecar.weight,
+                Balancer(self._settings(sidecar), self.random.getrandbits(32)),
+            )
             self.sidecars.append(second)
             self._list(second)
             self._tell(sidecar, face.Retuned(self._settings(sidecar)))
@@ -311,8 +322,9 @@
             aim = self.settings.classes[request.kind].aim_ms
             self.served += request.born >= COLD_AT and self.now - request.born <= aim and not request.ended
             request.ended = True
-        done = face.Finished(name, upstream, number, self.now - sent, outcome, False, use,
-                             None if self.case.reports == "use" else rate)
+        done = face.Finished(
+            name, upstream, number, self.now - sent, outcome, False, use, None if self.case.reports == "use" else rate
+        )
         self._tell(request.sidecar, done, request.sidecar.balancer)
 
 
--- a/tests/helpers/discovery_peer.py
+++ b/tests/helpers/discovery_peer.py
@@ -68,8 +68,9 @@
     def __init__(self, at: tuple[str, int], silence_s: float = SILENCE_S) -> None:
         self.heard = asyncio.Queue[tuple[list[str], bool]]()
         self.broken = asyncio.Queue[None]()
-        self.directory = Directory(at, self._hear, lambda: self.broken.put_nowait(None),
-                                   settings.Directory(silence_s=silence_s))
+        self.directory = Directory(
+            at, self._hear, lambda: self.broken.put_nowait(None), settings.Directory(silence_s=silence_s)
+        )
 
     def _hear(self, providers: list[Provider], whole: bool) -> None:
         self.heard.put_nowait(([p.name for p in providers], whole))
--- a/tests/helpers/discovery_service.py
+++ b/tests/helpers/discovery_service.py
@@ -44,8 +44,9 @@
 class DiscoveryService:
     """The list and those that watch it."""
 
-    def __init__(self, endpoints: list[dict[str, Any]], list_s: float = 0.0, patience_s: float = 2.0,
-                 ends: bool = False) -> None:
+    def __init__(
+        self, endpoints: list[dict[str, Any]], list_s: float = 0.0, patience_s: float = 2.0, ends: bool = False
+    ) -> None:
         """`ends`: a watch ends in place of telling a change."""
         self.version = 1
         self._ends = ends
--- a/tests/helpers/paying.py
+++ b/tests/helpers/paying.py
@@ -62,8 +62,9 @@
     def __init__(self, pool: Pool, note: Callable[[http1.Message | None], None]) -> None:
         self._pool, self._note = pool, note
 
-    def ask(self, wire: bytes, done: Callable[[http1.Message | None], None],
-            began: Callable[[Asking], None] | None = None) -> None:
+    def ask(
+        self, wire: bytes, done: Callable[[http1.Message | None], None], began: Callable[[Asking], None] | None = None
+    ) -> None:
         def answered(message: http1.Message | None) -> None:
             self._note(message)
             done(message)
@@ -143,8 +144,11 @@
 
     def answered(self, tenant: str, node: str = "", since: float = 0.0, until: float = 1e12) -> list[Answered]:
         """Calls that were asked since, and answered until."""
-        return [one for one in self.answers if one.tenant == tenant and node in ("", one.node)
-                and one.asked_ms >= since and one.at_ms <= until]
+        return [
+            one
+            for one in self.answers
+            if one.tenant == tenant and node in ("", one.node) and one.asked_ms >= since and one.at_ms <= until
+        ]
 
     def units(self, tenant: str) -> int:
         """What consumers were served costs."""
--- a/tests/helpers/peers.py
+++ b/tests/helpers/peers.py
@@ -18,8 +18,15 @@
 SETTINGS = {
     "classes": [
         {"name": "look", "effect": "idempotent", "target_ms": 9000.0, "hard_limit_ms": 20000.0},
-        {"name": "deliver", "effect": "deduplicated", "dedup_scope": "zone", "window_ms": 9000.0,
-         "target_ms": 9000.0, "hard_limit_ms": 20000.0, "late_worth": 0.5},
+        {
+            "name": "deliver",
+            "effect": "deduplicated",
+            "dedup_scope": "zone",
+            "window_ms": 9000.0,
+            "target_ms": 9000.0,
+            "hard_limit_ms": 20000.0,
+            "late_worth": 0.5,
+        },
     ],
     "tenants": [{"name": "acme", "quota_per_s": 100.0}],
     "permissions": {"cancel": True, "parallel_tries": True, "max_attempts": 2, "connect_timeout_ms": 9000.0},
@@ -75,4 +82,5 @@
     writer.close()
     return message
 
+
 GET_HEALTH = b"GET /healthcheck HTTP/1.1\r\nHost: o\r\n\r\n"
--- a/tests/helpers/processes.py
+++ b/tests/helpers/processes.py
@@ -30,9 +30,13 @@
 
 
 async def with_sidecar(
-    handler: Handler, use: Callable[[int], Coroutine[Any, Any, None]], ends: bool = False,
+    handler: Handler,
+    use: Callable[[int], Coroutine[Any, Any, None]],
+    ends: bool = False,
     tuning: Settings = Settings(),  # noqa: B008 (frozen)
-    more: dict[str, Any] | None = None, port: int = 0, environ: dict[str, str] | None = None,
+    more: dict[str, Any] | None = None,
+    port: int = 0,
+    environ: dict[str, str] | None = None,
 ) -> None:
     """Starts a provider and a sidecar that knows it by two names; ends them unless `use` has.
 
@@ -42,8 +46,15 @@
     address = "127.0.0.1:%d" % provider.sockets[0].getsockname()[1]  # noqa: UP031
     listed = [{"name": name, "address": address, "zone": "a", "status": "in_service"} for name in "ab"]
     port = port or free_port()
-    raw = {"name": "n", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}", "seed": "1f",
-           "known": {"index": 3, "snapshot": True, "endpoints": listed}, "settings": SETTINGS, **(more or {})}
+    raw = {
+        "name": "n",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{free_port()}",
+        "seed": "1f",
+        "known": {"index": 3, "snapshot": True, "endpoints": listed},
+        "settings": SETTINGS,
+        **(more or {}),
+    }
     serving = asyncio.create_task(program.serve(config.parse(raw, environ or {}), tuning))
     while True:
         try:
@@ -63,12 +74,13 @@
     assert serving.cancelled() or serving.exception() is None
 
 
-def finished(command: list[str], text: str | None = None, env: Mapping[str, str] | None = None) -> (
-    subprocess.CompletedProcess[str]
-):
+def finished(
+    command: list[str], text: str | None = None, env: Mapping[str, str] | None = None
+) -> subprocess.CompletedProcess[str]:
     """A process that ended by itself, and what it printed."""
-    return subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, env=env, timeout=LIMIT_S,
-                          check=False)
+    return subprocess.run(
+        command, input=text, capture_output=True, text=True, cwd=ROOT, env=env, timeout=LIMIT_S, check=False
+    )
 
 
 def printed_by(code: str) -> str:
@@ -81,8 +93,14 @@
 @contextlib.contextmanager
 def begun(*arguments: str, env: Mapping[str, str] | None = None) -> Iterator[subprocess.Popen[str]]:
     """`python -m ARGUMENTS`, with its standard output to read; killed at the end if it has not ended."""
-    process = subprocess.Popen([sys.executable, "-m", *arguments], cwd=ROOT, stdout=subprocess.PIPE,
-                               stderr=subprocess.DEVNULL, text=True, env=env)
+    process = subprocess.Popen(
+        [sys.executable, "-m", *arguments],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        text=True,
+        env=env,
+    )
     try:
         yield process
     finally:
@@ -97,8 +115,9 @@
         self.folder = folder
         self.all: list[asyncio.subprocess.Process] = []
 
-    async def serve(self, raw: dict[str, Any], kept: bool = True, module: str = "limenotch",
-                    more: Mapping[str, str] | None = None) -> tuple[asyncio.subprocess.Process, int]:
+    async def serve(
+        self, raw: dict[str, Any], kept: bool = True, module: str = "limenotch", more: Mapping[str, str] | None = None
+    ) -> tuple[asyncio.subprocess.Process, int]:
         """One of this configuration and its second address; returns when it is ready. `kept`: it has the folder.
 
         `module` is run with `serve`; `more` is laid over the environment.
--- a/tests/helpers/scripted.py
+++ b/tests/helpers/scripted.py
@@ -26,8 +26,17 @@
     def permits(self, class_name: str, keyed: bool = True) -> Permits:
         return Permits()
 
-    def pick(self, call: int, class_name: str, tenant: str, left_ms: float, resent: bool = False,
-             once: bool = False, hint: Hint | None = None, keyed: bool = True) -> Orders:
+    def pick(
+        self,
+        call: int,
+        class_name: str,
+        tenant: str,
+        left_ms: float,
+        resent: bool = False,
+        once: bool = False,
+        hint: Hint | None = None,
+        keyed: bool = True,
+    ) -> Orders:
         self.hints.append(hint)
         return self.picked
 
@@ -67,6 +76,7 @@
     return calls, hand
 
 
-def take(calls: Calls, answer: Callable[[Final], None], name: bytes = b"n", tenant: str = "acme",
-         about: About | None = None) -> Call:
+def take(
+    calls: Calls, answer: Callable[[Final], None], name: bytes = b"n", tenant: str = "acme", about: About | None = None
+) -> Call:
     return calls.take(name, None, "look", tenant, 9000.0, answer, about=about or About())
--- a/tests/helpers/soak.py
+++ b/tests/helpers/soak.py
@@ -105,6 +105,7 @@
 
     async def begin(self, count: int, names: int) -> None:
         for number in range(count):
+
             async def handle(reader: Reader, writer: Writer, number: int = number) -> None:
                 with contextlib.suppress(OSError, asyncio.CancelledError, http1.MalformedError):
                     await self._serve(number, reader, writer)
@@ -112,8 +113,14 @@
             self._servers.append(await asyncio.start_server(handle, "127.0.0.1", 0))
         for number in range(names):
             host, port = self._servers[number % count].sockets[0].getsockname()
-            self.entries.append({"name": f"s-{number:04x}", "address": f"{host}:{port}", "zone": "ab"[number % 2],
-                                 "status": "in_service"})
+            self.entries.append(
+                {
+                    "name": f"s-{number:04x}",
+                    "address": f"{host}:{port}",
+                    "zone": "ab"[number % 2],
+                    "status": "in_service",
+                }
+            )
 
     def drain(self, number: int) -> list[str]:
         """The names that begin to drain now."""
@@ -163,8 +170,13 @@
     async def _call(self, name: str, reader: Reader, writer: Writer) -> tuple[Reader, Writer] | None:
         kind = b"once" if int(name.rpartition("-")[2]) % 3 == 0 else b"look"
         method = b"POST" if kind == b"once" else b"GET"
-        headers = [(b"Host", b"s"), (b"X-Call-Id", name.encode()), (b"X-Call-Class", kind), (b"X-Caller", b"acme"),
-                   (b"X-Budget", b"%dm" % int(1000 * self._deadline_s))]
+        headers = [
+            (b"Host", b"s"),
+            (b"X-Call-Id", name.encode()),
+            (b"X-Call-Class", kind),
+            (b"X-Caller", b"acme"),
+            (b"X-Budget", b"%dm" % int(1000 * self._deadline_s)),
+        ]
         self._seen.sent += 1
         began, parser = monotonic(), http1.ResponseParser()
         try:
@@ -212,9 +224,12 @@
         self._at = await self._service.listen()
         try:
             clients = await self._begin(done)
-            jobs = [*((at, self._move) for at in plan.moves), *((at, self._drain) for at in plan.drains),
-                    *((at, self._service.silence) for at in plan.silent),
-                    *((at, self._service.hang_next) for at in plan.hang)]
+            jobs = [
+                *((at, self._move) for at in plan.moves),
+                *((at, self._drain) for at in plan.drains),
+                *((at, self._service.silence) for at in plan.silent),
+                *((at, self._service.hang_next) for at in plan.hang),
+            ]
             began = monotonic()
             for at, job in sorted(jobs, key=lambda one: one[0]):
                 await asyncio.sleep(max(began + at - monotonic(), 0.0))
@@ -235,10 +250,15 @@
         clients = list[Client]()
         for number in range(self.plan.processes):
             port = free_port()
-            raw = {"name": f"n{number}", "listen": f"127.0.0.1:{port}", "discovery": self._at.name,
-                   "seed": f"{number + 1:x}", "settings": settings(self.plan.deadline_s),
-                   "limits": {"sockets": 256},
-                   "known": {"index": 1, "snapshot": True, "endpoints": self._endpoints.entries}}
+            raw = {
+                "name": f"n{number}",
+                "listen": f"127.0.0.1:{port}",
+                "discovery": self._at.name,
+                "seed": f"{number + 1:x}",
+                "settings": settings(self.plan.deadline_s),
+                "limits": {"sockets": 256},
+                "known": {"index": 1, "snapshot": True, "endpoints": self._endpoints.entries},
+            }
             process, admin = await self._processes.serve(raw, kept=False)
             self._started.append((process, self._folder / f"{admin}.json", raw))
             for one in range(4):
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -46,8 +46,10 @@
 def test_equal_variants_are_seldom_told_apart() -> None:
     """Without a difference about one comparison in twenty shows one, as 95% promises; small samples a little more."""
     draw = np.random.default_rng(5)
-    told = sum(difference("score", [(0.0, d) for d in draw.standard_normal(12)]).verdict in ("better", "worse")
-               for _ in range(120))
+    told = sum(
+        difference("score", [(0.0, d) for d in draw.standard_normal(12)]).verdict in ("better", "worse")
+        for _ in range(120)
+    )
     assert told <= 18
 
 
@@ -59,7 +61,8 @@
 
 def test_variants_are_parsed() -> None:
     assert parse_variant("b=git:HEAD,sidecars.copies=false,clients.load=0.5") == Variant(
-        "b", "git:HEAD", "sidecars.copies=false\nclients.load=0.5")
+        "b", "git:HEAD", "sidecars.copies=false\nclients.load=0.5"
+    )
 
 
 def test_runs_are_kept_and_taken_up_again(two: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -108,7 +111,8 @@
     figures = play(Job(two, 1)).figures
     figures["rules"]["kept"] = False
     figures["rules"]["violations"] = [
-        {"rule": "r", "at_ms": 5.0, "text": "<b>call</b>", "history": ["1.0 ms: <taken>"]}]
+        {"rule": "r", "at_ms": 5.0, "text": "<b>call</b>", "history": ["1.0 ms: <taken>"]}
+    ]
     write_run(tmp_path / "a.html", figures, tmp_path / "png")
     write_run(tmp_path / "b.html", figures)
     text = (tmp_path / "a.html").read_text()
@@ -128,8 +132,24 @@
     assert "FLOOR = 0.02" in text
     worse = tmp_path / "shares.py"
     worse.write_text(text.replace("FLOOR = 0.02", "FLOOR = 5.0"))
-    line = ["lab", "compare", "--scenario", two, "--variant", "a=installed", "--variant", f"b={worse}", "--seeds", "4",
-            "--json", str(tmp_path / "c.json"), "--report", str(tmp_path / "c.html"), "--out", str(tmp_path / "runs")]
+    line = [
+        "lab",
+        "compare",
+        "--scenario",
+        two,
+        "--variant",
+        "a=installed",
+        "--variant",
+        f"b={worse}",
+        "--seeds",
+        "4",
+        "--json",
+        str(tmp_path / "c.json"),
+        "--report",
+        str(tmp_path / "c.html"),
+        "--out",
+        str(tmp_path / "runs"),
+    ]
     assert main(line) == 0
     out = capsys.readouterr().out
     assert "two" in out and "b against a, 4 pairs" in out and "p99_ms" in out
--- a/tests/lab/test_directory.py
+++ b/tests/lab/test_directory.py
@@ -5,8 +5,16 @@
 from limenotch.lab.model.chance import Seeds
 from limenotch.lab.model.directory import Broken, Directory, DirectorySpec, Entry, Tell
 
-SPEC = DirectorySpec(add_ms=(300, 300), drain_ms=(50, 50), notice_ms=(2000, 2000), silent_ms=(6000, 6000),
-                     period_ms=100, spread_ms=0, call_ms=400, timeout_ms=1000)
+SPEC = DirectorySpec(
+    add_ms=(300, 300),
+    drain_ms=(50, 50),
+    notice_ms=(2000, 2000),
+    silent_ms=(6000, 6000),
+    period_ms=100,
+    spread_ms=0,
+    call_ms=400,
+    timeout_ms=1000,
+)
 
 
 def made() -> Directory:
@@ -44,7 +52,11 @@
         directory.ask(0.0, number)
     told = until(directory, 5000.0)
     assert [(at, type(each), each.watcher) for at, each in told] == [
-        (400.0, Tell, 0), (800.0, Tell, 1), (1000.0, Broken, 2), (1000.0, Broken, 3)]
+        (400.0, Tell, 0),
+        (800.0, Tell, 1),
+        (1000.0, Broken, 2),
+        (1000.0, Broken, 3),
+    ]
 
 
 def test_down_ends_watches_and_calls_and_news_come_after() -> None:
--- a/tests/lab/test_emulate.py
+++ b/tests/lab/test_emulate.py
@@ -177,7 +177,8 @@
             connection.answer(http1.write_response(200, [], b"x" * 100_000))
 
         server = await asyncio.get_running_loop().create_server(
-            lambda: Served(request, lambda _: ended.set(), lambda _: True), sock=listener())
+            lambda: Served(request, lambda _: ended.set(), lambda _: True), sock=listener()
+        )
         with socket.create_connection(server.sockets[0].getsockname()) as peer:
             peer.setblocking(False)
             while not ended.is_set():
@@ -199,8 +200,11 @@
         doors = Doors()
         door = await doors.host.door((0, 0), doors.site, 0)
         pool = Pool("127.0.0.1", door.port)
-        for wire, status in ((b"GET /api HTTP/1.1\r\n\r\n", 404), (b"GET /api HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n", 400),
-                             (b"GET /alive HTTP/1.1\r\n\r\n", 200)):
+        for wire, status in (
+            (b"GET /api HTTP/1.1\r\n\r\n", 404),
+            (b"GET /api HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n", 400),
+            (b"GET /alive HTTP/1.1\r\n\r\n", 200),
+        ):
             answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
             pool.ask(wire, answer.set_result)
             assert (await answer).status == status
@@ -214,12 +218,17 @@
 def test_the_directory_is_watched_over_sockets() -> None:
     async def case() -> None:
         now = [0.0]
-        directory = Directory(DirectorySpec(period_ms=0.0, spread_ms=0.0, call_ms=0.0, drain_ms=(5.0, 5.0)),
-                              Seeds(1).stream("d"))
+        directory = Directory(
+            DirectorySpec(period_ms=0.0, spread_ms=0.0, call_ms=0.0, drain_ms=(5.0, 5.0)), Seeds(1).stream("d")
+        )
         directory.known(Entry("p-0-0"))
         told: list[str] = []
-        hosted = DirectoryHost([directory], lambda: now[0], lambda _, entries: [{"name": e.name, "s": e.stage}
-                               for e in entries], lambda _, tell: told.extend(e.stage for e in tell.entries))
+        hosted = DirectoryHost(
+            [directory],
+            lambda: now[0],
+            lambda _, entries: [{"name": e.name, "s": e.stage} for e in entries],
+            lambda _, tell: told.extend(e.stage for e in tell.entries),
+        )
         port = await hosted.watcher((0, 0))
         assert port == await hosted.watcher((0, 0))
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -256,6 +265,7 @@
 
 def test_the_load_tool_counts_from_the_intended_time_and_gives_up() -> None:
     """A server that holds its first answers back: later requests leave in time all the same."""
+
     async def case() -> None:
         made = plan(ONE.replace("deadline_ms = 3000", "deadline_ms = 400").replace("aim_ms = 1000", "aim_ms = 100"))
         _, clients, record, rules = parts(made)
@@ -273,7 +283,8 @@
                 connection.answer(http1.write_response(200, [], body))
 
         server = await asyncio.get_running_loop().create_server(
-            lambda: Served(request, lambda _: None, lambda _: True), sock=listener())
+            lambda: Served(request, lambda _: None, lambda _: True), sock=listener()
+        )
         pool = Pool("127.0.0.1", server.sockets[0].getsockname()[1])
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -362,8 +373,24 @@
             lines.append(line)
         port = int(lines[0].rpartition(":")[2])
         assert len(lines) == 4
-        done = finished([sys.executable, "-m", "limenotch", "lab", "load", *lines, "--scenario", str(path),
-                         "--seconds", "1", "--rate", "40", "--json", str(tmp_path / "l.json")])
+        done = finished(
+            [
+                sys.executable,
+                "-m",
+                "limenotch",
+                "lab",
+                "load",
+                *lines,
+                "--scenario",
+                str(path),
+                "--seconds",
+                "1",
+                "--rate",
+                "40",
+                "--json",
+                str(tmp_path / "l.json"),
+            ]
+        )
         figures = json.loads((tmp_path / "l.json").read_text())
         assert done.returncode == 0 and figures["requests"]["served"] == figures["requests"]["asked"] > 10
         process.send_signal(signal.SIGINT)
--- a/tests/lab/test_fleet_scenarios.py
+++ b/tests/lab/test_fleet_scenarios.py
@@ -8,10 +8,15 @@
 from limenotch.lab.experiment import Job, play
 
 
-@pytest.mark.parametrize(("name", "in_time"), [
-    # The decisions before shares by reports reached 0.911, 0.977 and 0.957 in the mean of eight seeds.
-    ("fleet-join", 0.93), ("fleet-zone", 0.95), ("fleet-directory", 0.95),
-])
+@pytest.mark.parametrize(
+    ("name", "in_time"),
+    [
+        # The decisions before shares by reports reached 0.911, 0.977 and 0.957 in the mean of eight seeds.
+        ("fleet-join", 0.93),
+        ("fleet-zone", 0.95),
+        ("fleet-directory", 0.95),
+    ],
+)
 def test_a_fleet_holds_and_pushes_no_cold_provider_over(name: str, in_time: float) -> None:
     plan = planning.plan(scenario.load(name), 1)
     assert 50 <= sum(len(tier.machines) for tier in plan.tiers) <= 60
--- a/tests/lab/test_provider.py
+++ b/tests/lab/test_provider.py
@@ -68,8 +68,16 @@
 
 
 def test_it_chokes_when_crowded_for_long_and_recovers_after_rest() -> None:
-    spec = ProviderSpec(cores=1, slots=10, choke_at=3, choke_over_ms=1000, choke_slower=2, choke_below=0.5,
-                        choke_rest_ms=500, choke_most_ms=1e9)
+    spec = ProviderSpec(
+        cores=1,
+        slots=10,
+        choke_at=3,
+        choke_over_ms=1000,
+        choke_slower=2,
+        choke_below=0.5,
+        choke_rest_ms=500,
+        choke_most_ms=1e9,
+    )
     provider = make(spec)
     for ticket in range(5):
         provider.offer(0.0, Job(ticket, [1000.0]))
@@ -101,9 +109,14 @@
     assert [round(time) for time, _ in finish(provider)] == [200] * 4  # 1 / (1 + (4 - 2) / 2)
 
 
-@pytest.mark.parametrize(("stops", "running", "queued"), [
-    (Stops.ALL, True, True), (Stops.QUEUED, False, True), (Stops.NONE, False, False),
-])
+@pytest.mark.parametrize(
+    ("stops", "running", "queued"),
+    [
+        (Stops.ALL, True, True),
+        (Stops.QUEUED, False, True),
+        (Stops.NONE, False, False),
+    ],
+)
 def test_which_dropped_jobs_stop(stops: Stops, running: bool, queued: bool) -> None:
     provider = make(ProviderSpec(stops=stops))
     provider.offer(0.0, Job(1, [100.0]))
--- a/tests/lab/test_queueing.py
+++ b/tests/lab/test_queueing.py
@@ -21,8 +21,9 @@
 JOBS = 60_000
 
 
-def simulate(spec: ProviderSpec, rate: float, mean: float, size: ClassSpec, jobs: int = JOBS, seed: int = 1) \
-        -> tuple[list[float], int, Provider]:
+def simulate(
+    spec: ProviderSpec, rate: float, mean: float, size: ClassSpec, jobs: int = JOBS, seed: int = 1
+) -> tuple[list[float], int, Provider]:
     """Times in the system of those served, how many were turned away, and the provider after its last job."""
     seeds = Seeds(seed)
     gaps, sizes = seeds.stream("gaps"), seeds.stream("sizes")
@@ -100,10 +101,16 @@
     assert abs(lost / JOBS - expected) < 8 * sqrt(expected * (1 - expected) / JOBS)
 
 
-@pytest.mark.parametrize("spec", [
-    ProviderSpec(cores=2, slots=6, queue=3, crowd_at=3, crowd_loss=0.5, choke_at=2, choke_slower=2, choke_over_ms=50),
-    ProviderSpec(cores=3, slots=3, queue=2, error_rate=0.0, handshake_ms=1.0, report_ms=70),
-], ids=["crowded", "small"])
+@pytest.mark.parametrize(
+    "spec",
+    [
+        ProviderSpec(
+            cores=2, slots=6, queue=3, crowd_at=3, crowd_loss=0.5, choke_at=2, choke_slower=2, choke_over_ms=50
+        ),
+        ProviderSpec(cores=3, slots=3, queue=2, error_rate=0.0, handshake_ms=1.0, report_ms=70),
+    ],
+    ids=["crowded", "small"],
+)
 def test_littles_law_and_the_books(spec: ProviderSpec) -> None:
     took, lost, provider = simulate(spec, 0.4, 10, EXP, jobs=8000)
     ledger = provider.ledger
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -51,14 +51,17 @@
     assert rules.kept
 
 
-@pytest.mark.parametrize(("effect", "scope", "group", "at", "ok"), [
-    ("idempotent", "all", 2, 400.0, True),
-    ("deduplicated", "zone", 1, 400.0, True),
-    ("deduplicated", "zone", 2, 400.0, False),
-    ("deduplicated", "all", 2, 400.0, True),
-    ("deduplicated", "zone", 1, 1002.0, False),
-    ("at_most_once", "all", 1, 400.0, False),
-])
+@pytest.mark.parametrize(
+    ("effect", "scope", "group", "at", "ok"),
+    [
+        ("idempotent", "all", 2, 400.0, True),
+        ("deduplicated", "zone", 1, 400.0, True),
+        ("deduplicated", "zone", 2, 400.0, False),
+        ("deduplicated", "all", 2, 400.0, True),
+        ("deduplicated", "zone", 1, 1002.0, False),
+        ("at_most_once", "all", 1, 400.0, False),
+    ],
+)
 def test_repeats_only_as_the_class_allows(effect: str, scope: str, group: int, at: float, ok: bool) -> None:
     rules = taken(effect, scope, end=5000.0)
     rules.sent(1.0, 1, "s", "p", 1)
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -33,22 +33,33 @@
 """
 
 
-@pytest.mark.parametrize(("old", "new", "says"), [
-    ("speed = [1.0, 2.0]", "speed = [2.0, 1.0]", "s.toml:11: tier[0].kind[0].speed: expected low and high"),
-    ("speed = [1.0, 2.0]", "sped = 1", "s.toml:11: tier[0].kind[0].sped: unknown key"),
-    ("speed = [1.0, 2.0]", "speed = 0.0", "s.toml:11: tier[0].kind[0].speed: expected a number above 0"),
-    ("providers = 3", "providers = 0", "s.toml:8: tier[0].providers: expected"),
-    ("providers = 3", "providers = 99999", "s.toml:6: tier: more than"),
-    ("rate_per_s = 20", "rate_per_s = 20\nload = 0.5", "s.toml:4: clients: expected one of"),
-    ("aim_ms = 100\n", "", "s.toml:12: class[0].aim_ms: missing"),
-    ("[[class]]", '[[fault]]\nkind = "tornado"\nat_s = 1\n[[class]]', "s.toml:13: fault[0].kind: invalid enum"),
-    ("[[class]]", '[[fault]]\nkind = "slow"\nat_s = 1\n[[class]]', "s.toml:12: fault[0].size: expected how many"),
-    ("[[class]]", '[[fault]]\nkind = "kill"\nat_s = 1\nvictims = [3]\n[[class]]', "s.toml:15: fault[0].victims: tier"),
-    ("[[class]]", '[[fault]]\nkind = "kill"\nat_s = 1\ntier = "x"\n[[class]]', "s.toml:15: fault[0].tier: 'x' is no"),
-    ("[[class]]", '[[fault]]\nkind = "surge"\nat_s = 1\nsize=2.0\n[[class]]', "s.toml:13: fault[0].kind: a surge"),
-    ("name = \"small\"", "name = \"small\"\nextends = \"none\"", "s.toml:3: extends: 'none' is no shipped"),
-    ("length_s = 5", "length_s = ", "s.toml: not TOML"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "says"),
+    [
+        ("speed = [1.0, 2.0]", "speed = [2.0, 1.0]", "s.toml:11: tier[0].kind[0].speed: expected low and high"),
+        ("speed = [1.0, 2.0]", "sped = 1", "s.toml:11: tier[0].kind[0].sped: unknown key"),
+        ("speed = [1.0, 2.0]", "speed = 0.0", "s.toml:11: tier[0].kind[0].speed: expected a number above 0"),
+        ("providers = 3", "providers = 0", "s.toml:8: tier[0].providers: expected"),
+        ("providers = 3", "providers = 99999", "s.toml:6: tier: more than"),
+        ("rate_per_s = 20", "rate_per_s = 20\nload = 0.5", "s.toml:4: clients: expected one of"),
+        ("aim_ms = 100\n", "", "s.toml:12: class[0].aim_ms: missing"),
+        ("[[class]]", '[[fault]]\nkind = "tornado"\nat_s = 1\n[[class]]', "s.toml:13: fault[0].kind: invalid enum"),
+        ("[[class]]", '[[fault]]\nkind = "slow"\nat_s = 1\n[[class]]', "s.toml:12: fault[0].size: expected how many"),
+        (
+            "[[class]]",
+            '[[fault]]\nkind = "kill"\nat_s = 1\nvictims = [3]\n[[class]]',
+            "s.toml:15: fault[0].victims: tier",
+        ),
+        (
+            "[[class]]",
+            '[[fault]]\nkind = "kill"\nat_s = 1\ntier = "x"\n[[class]]',
+            "s.toml:15: fault[0].tier: 'x' is no",
+        ),
+        ("[[class]]", '[[fault]]\nkind = "surge"\nat_s = 1\nsize=2.0\n[[class]]', "s.toml:13: fault[0].kind: a surge"),
+        ('name = "small"', 'name = "small"\nextends = "none"', "s.toml:3: extends: 'none' is no shipped"),
+        ("length_s = 5", "length_s = ", "s.toml: not TOML"),
+    ],
+)
 def test_faults_name_file_line_and_key(old: str, new: str, says: str) -> None:
     assert old in SMALL
     with pytest.raises(toml.FaultError, match="^" + re.escape(says)):
--- a/tests/lab/test_timeline.py
+++ b/tests/lab/test_timeline.py
@@ -25,16 +25,29 @@
     one = [
         (0.0, line(20.0, "listening", layer=1)),
         (0.1, line(20.1, "directory: asked", since=0)),
-        (0.2, line(20.2, "told", version=3, whole=True, entries=[
-            ["old", "in_service", 0.0, "k", "z", 1.0], ["new", "in_service", (START + 1.0) * 1000, "k", "z", 1.0]])),
+        (
+            0.2,
+            line(
+                20.2,
+                "told",
+                version=3,
+                whole=True,
+                entries=[
+                    ["old", "in_service", 0.0, "k", "z", 1.0],
+                    ["new", "in_service", (START + 1.0) * 1000, "k", "z", 1.0],
+                ],
+            ),
+        ),
         (1.5, line(21.5, "taken", call=1, kind="look", account="", left_ms=100, resent=True)),
         (1.9, line(21.9, "invoked", call=1, number=0, provider="new", ending="served", spent_ms=400.0)),
         (1.9, line(21.9, "final", call=1, verdict="served", invoked=1, out=2, limit=10.0)),
         (5.2, line(25.2, "invoked", call=2, number=1, provider="new", ending="abandoned", spent_ms=100.0)),
         (5.2, line(25.2, "invoked", call=2, number=0, provider="old", ending="timed out", spent_ms=900.0)),
     ]
-    two = [(0.0, line(20.0, "listening", layer=0)), (5.0, line(25.0, "final", call=1, verdict="rejected", invoked=0,
-                                                           out=0, limit=4.0))]
+    two = [
+        (0.0, line(20.0, "listening", layer=0)),
+        (5.0, line(25.0, "final", call=1, verdict="rejected", invoked=0, out=0, limit=4.0)),
+    ]
     for name, rows in (("n0.log", one), ("n1.log", two)):
         text = "\n".join(f"{at:.3f} {row}" if before else row for at, row in rows)
         (folder / name).write_text(text + "\nTraceback (most recent call last):\n\n")
@@ -72,10 +85,23 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.one_of(st.text(max_size=40), st.dictionaries(
-    st.sampled_from(["event", "timestamp", "entries", "spent_ms", "number", "provider", "limit"]),
-    st.one_of(st.sampled_from(["told", "invoked", "final", "2026-09-21T14:13:20Z"]), st.integers(), st.none(),
-              st.lists(st.integers(), max_size=2))).map(json.dumps)), max_size=6))
+@given(
+    st.lists(
+        st.one_of(
+            st.text(max_size=40),
+            st.dictionaries(
+                st.sampled_from(["event", "timestamp", "entries", "spent_ms", "number", "provider", "limit"]),
+                st.one_of(
+                    st.sampled_from(["told", "invoked", "final", "2026-09-21T14:13:20Z"]),
+                    st.integers(),
+                    st.none(),
+                    st.lists(st.integers(), max_size=2),
+                ),
+            ).map(json.dumps),
+        ),
+        max_size=6,
+    )
+)
 def test_no_line_stops_it(tmp_path_factory: pytest.TempPathFactory, lines: list[str]) -> None:
     path = tmp_path_factory.mktemp("logs") / "n0.log"
     path.write_text("\n".join(lines), encoding="utf-8")
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -152,8 +152,11 @@
 
 
 def test_a_provider_that_drains_while_it_is_cold() -> None:
-    result = figures(TWO_TIERS + fault("kill", at_s=2, length_s=0.5, victims=[1])
-                     + fault("deploy", at_s=4, length_s=2, victims=[1], drain_s=2.0))
+    result = figures(
+        TWO_TIERS
+        + fault("kill", at_s=2, length_s=0.5, victims=[1])
+        + fault("deploy", at_s=4, length_s=2, victims=[1], drain_s=2.0)
+    )
     assert "cdd" in rows(result)[1]["state"].replace("cc", "c") and result["rules"]["kept"]
     assert [event[1] for event in result["events"]] == ["stopped", "started", "drains", "stopped", "started"]
 
@@ -195,10 +198,15 @@
 PLANTED = {
     # The module's text, with a fault planted in one place each: file, what stands there, what shall.
     ONE_ANSWER: (
-        "decide.py", "acts.append(face.Refuse(call.name, wait) if harmless else face.Fail(call.name))",
-        "acts += [face.Refuse(call.name, wait)] if harmless else []"),
-    REPEATS: ("placement.py", "    if not earlier or call.cls.effect is Effect.IDEMPOTENT and not books.set.narrow:",
-              "    if True:"),
+        "decide.py",
+        "acts.append(face.Refuse(call.name, wait) if harmless else face.Fail(call.name))",
+        "acts += [face.Refuse(call.name, wait)] if harmless else []",
+    ),
+    REPEATS: (
+        "placement.py",
+        "    if not earlier or call.cls.effect is Effect.IDEMPOTENT and not books.set.narrow:",
+        "    if True:",
+    ),
     COLD: ("records.py", "        if self.since <= 0 or age >= cold.warm_ms:", "        if True:"),
 }
 
@@ -213,8 +221,11 @@
     rough = TWO_TIERS + fault("error_burst", part=1.0, size=0.8) + fault("spoil", at_s=8, part=1.0, size=0.8)
     if rule == COLD:
         colder = TWO_TIERS.replace("cold_from = 0.3\ncold_s = 6", "cold_from = 0.12\ncold_s = 20")
-        rough = (colder.replace("load = 0.4", "load = 0.9")
-                 + "[rules]\nfall_multiple = 0.8\n" + fault("kill", length_s=1, part=0.5))
+        rough = (
+            colder.replace("load = 0.4", "load = 0.9")
+            + "[rules]\nfall_multiple = 0.8\n"
+            + fault("kill", length_s=1, part=0.5)
+        )
     assert figures(rough)["rules"]["kept"]
     broken = figures(rough, spec=str(variant))["rules"]
     assert broken["counts"][rule] > 0
--- a/tests/referee.py
+++ b/tests/referee.py
@@ -164,9 +164,7 @@
             assert self.now <= held.deadline + 20, "answers too late"
             held.over = True
             cls = held.cls
-            free = cls.effect is Effect.IDEMPOTENT or (
-                cls.effect is Effect.DEDUPLICATED and cls.scope is Scope.ALL
-            )
+            free = cls.effect is Effect.IDEMPOTENT or (cls.effect is Effect.DEDUPLICATED and cls.scope is Scope.ALL)
             ran = self.may_have_run(held)
             assert isinstance(action, Fail) or free or not ran, "refuses what may have run"
             if isinstance(action, Refuse) and ran and cls.effect is Effect.DEDUPLICATED:
--- a/tests/test_acting.py
+++ b/tests/test_acting.py
@@ -14,8 +14,12 @@
 from .helpers.peers import SETTINGS
 
 RAW = {
-    "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:8500", "name": "n3", "seed": "ff",
-    "limits": {"memory_mb": 64, "sockets": 300}, "settings": {**SETTINGS, "rank": 2, "balancers": 5, "locality": 0},
+    "listen": "127.0.0.1:5000",
+    "discovery": "127.0.0.1:8500",
+    "name": "n3",
+    "seed": "ff",
+    "limits": {"memory_mb": 64, "sockets": 300},
+    "settings": {**SETTINGS, "rank": 2, "balancers": 5, "locality": 0},
 }
 
 
@@ -113,5 +117,5 @@
     again["settings"]["permissions"]["max_attempts"] = 6  # type: ignore[index]
     again["settings"]["rank"], again["limits"]["sockets"] = 4, 500  # type: ignore[index]
     made.renewed(parse(again, {}))
-    (_, config), = deeds.took()
+    ((_, config),) = deeds.took()
     assert (config.settings.max_attempts, config.settings.rank, config.sockets) == (1, 4, 500)
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -88,22 +88,26 @@
 
 CROSSINGS: dict[str, tuple[TrafficClass, Ending | None, Crossing]] = {
     "its client's end lies in the kernel": (
-        SAFE, Ending.ERROR, lambda pool, attempt: setattr(attempt.call, "present", lambda: False)),
+        SAFE,
+        Ending.ERROR,
+        lambda pool, attempt: setattr(attempt.call, "present", lambda: False),
+    ),
     "its client goes": (SAFE, Ending.ERROR, lambda pool, attempt: setattr(attempt.call, "gone", True)),
     "its call is answered": (SAFE, Ending.ERROR, lambda pool, attempt: setattr(attempt.call, "final", object())),
     "its time passes": (SAFE, Ending.ERROR, lambda pool, attempt: setattr(attempt, "end", monotonic())),
-    "its endpoint drains": (
-        SAFE, Ending.ERROR, lambda pool, attempt: pool.list_anew(status=Status.TERMINATING)),
+    "its endpoint drains": (SAFE, Ending.ERROR, lambda pool, attempt: pool.list_anew(status=Status.TERMINATING)),
     "its endpoint goes": (SAFE, Ending.ERROR, lambda pool, attempt: pool.list_anew(status=Status.TERMINATED)),
     "a whole list omits its endpoint": (SAFE, Ending.ERROR, lambda pool, attempt: pool.pool.listed([], True)),
     "its endpoint starts anew": (SAFE, Ending.ERROR, lambda pool, attempt: pool.list_anew(since_ms=6.0)),
     "its endpoint is banned": (SAFE, Ending.ERROR, lambda pool, attempt: pool.pool.ban("a", True)),
     "it is abandoned": (SAFE, Ending.ERROR, lambda pool, attempt: pool.pool.abandon(attempt)),
     "the window for repeats passes": (KEYED, Ending.RESET, window_passes),
-    "an earlier one turns out to be out": (
-        SAFE, Ending.TURNED_AWAY, lambda pool, attempt: begun(attempt.call, None)),
+    "an earlier one turns out to be out": (SAFE, Ending.TURNED_AWAY, lambda pool, attempt: begun(attempt.call, None)),
     "an earlier one turns out to have run": (
-        ONCE, Ending.TURNED_AWAY, lambda pool, attempt: begun(attempt.call, Ending.TIMED_OUT)),
+        ONCE,
+        Ending.TURNED_AWAY,
+        lambda pool, attempt: begun(attempt.call, Ending.TIMED_OUT),
+    ),
 }
 
 
@@ -334,8 +338,12 @@
 
 
 MAY_HAVE_RUN: list[Act] = [
-    resets_after_the_request, ends_after_the_request, resets_an_answer_with_no_length, cuts_an_answer,
-    answers_half_a_line, rejects_with_half_a_body,
+    resets_after_the_request,
+    ends_after_the_request,
+    resets_an_answer_with_no_length,
+    cuts_an_answer,
+    answers_half_a_line,
+    rejects_with_half_a_body,
 ]
 GROUPS: dict[str, tuple[dict[str, Any], bytes, int, int]] = {
     # settings, request, times that it reaches endpoints, status: two attempts are allowed, both endpoints of one zone
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -49,9 +49,11 @@
         self.ears = [Ear(), Ear()]
         self.finals: list[Final] = []
 
-    def play(self, use: Callable[[Call, Hand], None] = lambda call, hand: None, room: bool = True,
-             alike: bool = True) -> list[Told]:
+    def play(
+        self, use: Callable[[Call, Hand], None] = lambda call, hand: None, room: bool = True, alike: bool = True
+    ) -> list[Told]:
         """What the first was told; `alike`: both were."""
+
         async def case() -> None:
             calls, hand = calls_of(self.script, *self.ears)
             call = calls.take(b"n", None, "look", "acme", 9000.0, self.finals.append, room)
@@ -71,16 +73,26 @@
         hand.end(1)
 
     assert case.play(use) == [
-        ("taken", 1), ("sent", 0), ("ended", 0, Ending.ERROR), ("sent", 1), ("ended", 1, Ending.SERVED),
-        ("closed", Verdict.SERVED)]
+        ("taken", 1),
+        ("sent", 0),
+        ("ended", 0, Ending.ERROR),
+        ("sent", 1),
+        ("ended", 1, Ending.SERVED),
+        ("closed", Verdict.SERVED),
+    ]
     assert [final.verdict for final in case.finals] == [Verdict.SERVED]
 
 
 def test_a_second_copy_and_its_loser() -> None:
     case = Case([*ONE, Invoke(1, "b", 100.0)], [Abandon(1, 0)])
     assert case.play(lambda call, hand: hand.end(1)) == [
-        ("taken", 1), ("sent", 0), ("sent", 1), ("ended", 1, Ending.SERVED), ("closed", Verdict.SERVED),
-        ("ended", 0, Ending.ABANDONED)]
+        ("taken", 1),
+        ("sent", 0),
+        ("sent", 1),
+        ("ended", 1, Ending.SERVED),
+        ("closed", Verdict.SERVED),
+        ("ended", 0, Ending.ABANDONED),
+    ]
     assert len(case.finals) == 1
 
 
@@ -93,14 +105,22 @@
         hand.end(1, Ending.RESET)
 
     assert [told for told in case.play(use) if told[0] != "sent"] == [
-        ("taken", 1), ("ended", 0, Ending.SERVED), ("closed", Verdict.SERVED), ("ended", 1, Ending.SERVED)]
+        ("taken", 1),
+        ("ended", 0, Ending.SERVED),
+        ("closed", Verdict.SERVED),
+        ("ended", 1, Ending.SERVED),
+    ]
 
 
 @pytest.mark.parametrize(("last", "verdict"), [(Reject(1, 5.0), Verdict.REJECTED), (GiveUp(1), Verdict.FAILED)])
 def test_rejected_and_failed(last: Order, verdict: Verdict) -> None:
     case = Case(ONE, [last])
     assert case.play(lambda call, hand: hand.end(0, Ending.ERROR)) == [
-        ("taken", 1), ("sent", 0), ("ended", 0, Ending.ERROR), ("closed", verdict)]
+        ("taken", 1),
+        ("sent", 0),
+        ("ended", 0, Ending.ERROR),
+        ("closed", verdict),
+    ]
     untried = Case([last])
     assert untried.play() == [("taken", 1), ("closed", verdict)]
     assert [final.verdict for final in case.finals + untried.finals] == [verdict] * 2
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -28,8 +28,7 @@
         take(calls, finals.append)
 
     asyncio.run(case())
-    assert [(final.verdict, final.retry_after_ms) for final in finals] == [
-        (Verdict.REJECTED, min(allowed_ms, 1000.0))]
+    assert [(final.verdict, final.retry_after_ms) for final in finals] == [(Verdict.REJECTED, min(allowed_ms, 1000.0))]
 
 
 Act = Callable[[Calls, Hand, Call], None]
@@ -48,8 +47,10 @@
     hand.end(0, Ending.TURNED_AWAY)
 
 
-@pytest.mark.parametrize(("act", "verdict"), [
-    (nothing, Verdict.REJECTED), (written, Verdict.FAILED), (rejected_by_the_endpoint, Verdict.REJECTED)])
+@pytest.mark.parametrize(
+    ("act", "verdict"),
+    [(nothing, Verdict.REJECTED), (written, Verdict.FAILED), (rejected_by_the_endpoint, Verdict.REJECTED)],
+)
 def test_calls_that_are_open_have_one_answer_by_the_end_of_leaving(act: Act, verdict: Verdict) -> None:
     # Guards clients of long deadlines: what the kill finds unanswered has no answer at all.
     finals: list[Final] = []
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -49,7 +49,9 @@
 @pytest.mark.parametrize("where", [in_kernel, read])
 @pytest.mark.parametrize("end", [timer, eviction, leaving])
 def test_a_request_that_has_come_is_served_whoever_ends_idle_connections(
-    end: Callable[[Connections, Consumer], None], where: Callable[[Consumer], None], used: bool,
+    end: Callable[[Connections, Consumer], None],
+    where: Callable[[Consumer], None],
+    used: bool,
 ) -> None:
     # Guards requests read and not answered: a timer is run before whoever waits for the bytes of the same turn.
     async def use(connections: Connections) -> None:
@@ -83,11 +85,19 @@
     run(with_connections(use, PATIENT))
 
 
-@pytest.mark.parametrize(("part", "crossing", "behind"), [
-    (LOOK[:30], b"x", b""), (LOOK[:30], b"", b"x"), (DELIVER[:-1], b"", b"x" * 100_000),
-], ids=["unread then", "later", "much later"])
+@pytest.mark.parametrize(
+    ("part", "crossing", "behind"),
+    [
+        (LOOK[:30], b"x", b""),
+        (LOOK[:30], b"", b"x"),
+        (DELIVER[:-1], b"", b"x" * 100_000),
+    ],
+    ids=["unread then", "later", "much later"],
+)
 def test_a_request_that_does_not_end_is_told_so_though_more_of_it_comes(
-    part: bytes, crossing: bytes, behind: bytes,
+    part: bytes,
+    crossing: bytes,
+    behind: bytes,
 ) -> None:
     # Guards the answer: closed at once, over bytes that were not read, the connection was reset.
     async def use(connections: Connections) -> None:
@@ -110,7 +120,7 @@
         with_body = UP.replace(b"GET", b"POST").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\ndoc")
         wire = with_body if late == b"c" else UP
         sock, consumer = await connections.client()
-        sock.sendall(wire[:-len(late)])
+        sock.sendall(wire[: -len(late)])
         await until(lambda: not consumer._parser.idle and consumer.reader.empty)
         sock.sendall(late)
         consumer._overdue()
@@ -123,15 +133,19 @@
 CLOSING = b"\r\nConnection: close\r\n\r\n"
 
 
-@pytest.mark.parametrize(("wire", "status"), [
-    (UP.replace(b"\r\n\r\n", CLOSING), 200),
-    (UP.replace(b"HTTP/1.1", b"HTTP/1.0"), 200),
-    (LOOK.replace(b"look", b"odd"), 400),
-    (BIG.replace(b"deliver", b"odd"), 400),
-    (LOOK.replace(b"GET", b"HEAD"), 405),
-    (DELIVER.replace(b"Length: 3", b"Length: 70000000"), 413),
-    (b"GET /" + b"a" * 20_000, 431),
-], ids=["asked to close", "HTTP/1.0", "400", "400 to a long one", "405", "413", "431"])
+@pytest.mark.parametrize(
+    ("wire", "status"),
+    [
+        (UP.replace(b"\r\n\r\n", CLOSING), 200),
+        (UP.replace(b"HTTP/1.1", b"HTTP/1.0"), 200),
+        (LOOK.replace(b"look", b"odd"), 400),
+        (BIG.replace(b"deliver", b"odd"), 400),
+        (LOOK.replace(b"GET", b"HEAD"), 405),
+        (DELIVER.replace(b"Length: 3", b"Length: 70000000"), 413),
+        (b"GET /" + b"a" * 20_000, 431),
+    ],
+    ids=["asked to close", "HTTP/1.0", "400", "400 to a long one", "405", "413", "431"],
+)
 def test_a_last_answer_is_had_though_more_is_sent(wire: bytes, status: int) -> None:
     # Guards the answer: a close over unread bytes resets the connection, and the answer may be dropped unread.
     async def use(connections: Connections) -> None:
@@ -239,7 +253,9 @@
 @pytest.mark.parametrize("framing", [b"Content-Length: %d\r\n" % (4 * HOLD), b""], ids=["length", "until the end"])
 @pytest.mark.parametrize("minor", [0, 1])
 def test_a_fault_of_ours_within_an_answer_adds_nothing_to_it(
-    framing: bytes, minor: int, monkeypatch: pytest.MonkeyPatch,
+    framing: bytes,
+    minor: int,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against bytes that no endpoint made: the words for our fault would be taken for a part of the body.
     async def faulty(self: Pipe) -> bytes:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -21,8 +21,13 @@
 
 NEXT = LOOK.replace(b"Id: 1", b"Id: 2")
 LONG = DELIVER.replace(b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * HOLD)) + bytes(3 * HOLD)
-BYTES = {"nothing": b"", "half a line": b"GET /ha", "a request": NEXT, "a request and a half": NEXT + b"GET /ha",
-         "much": bytes(AHEAD // 2)}
+BYTES = {
+    "nothing": b"",
+    "half a line": b"GET /ha",
+    "a request": NEXT,
+    "a request and a half": NEXT + b"GET /ha",
+    "much": bytes(AHEAD // 2),
+}
 FEW = pytest.mark.parametrize("more", BYTES.values(), ids=BYTES)
 MORE = pytest.mark.parametrize("more", [*BYTES.values(), bytes(4 * AHEAD)], ids=[*BYTES, "a flood"])
 SOON_S = 20.0  # far from what it takes; a program that does not notice waits for the calls' end
@@ -80,8 +85,9 @@
 
 
 def listing(address: str, status: str, index: int) -> bytes:
-    entries = [{"name": name, "address": address, "zone": "a", "status": status, "weight": 1.0, "since_ms": 0}
-               for name in "ab"]
+    entries = [
+        {"name": name, "address": address, "zone": "a", "status": status, "weight": 1.0, "since_ms": 0} for name in "ab"
+    ]
     return json.dumps({"index": index, "snapshot": True, "endpoints": entries}).encode() + b"\n"
 
 
@@ -116,8 +122,11 @@
         releasing.address = "127.0.0.1:%d" % endpoint.sockets[0].getsockname()[1]  # noqa: UP031
         discovery = await asyncio.start_server(releasing.handle, "127.0.0.1", 0)
         known = json.loads(listing(releasing.address, "terminating", 3))
-        config = {"admin_addr": f"127.0.0.1:{admin}", "known": known,
-                  "discovery": "127.0.0.1:%d" % discovery.sockets[0].getsockname()[1]}  # noqa: UP031
+        config = {
+            "admin_addr": f"127.0.0.1:{admin}",
+            "known": known,
+            "discovery": "127.0.0.1:%d" % discovery.sockets[0].getsockname()[1],  # noqa: UP031
+        }
 
         async def use(port: int) -> None:
             _, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -54,8 +54,9 @@
 
 def test_a_keyed_repeat_leaves_the_part_as_it_is() -> None:
     """The group's shares are taken anew for it, without the distance: the part of far cold ones grew twentyfold."""
-    classes = (face.TrafficClass("keyed", face.Effect.DEDUPLICATED, 1000.0, 3000.0, scope=face.Scope.ZONE,
-                                 window_ms=3000.0),)
+    classes = (
+        face.TrafficClass("keyed", face.Effect.DEDUPLICATED, 1000.0, 3000.0, scope=face.Scope.ZONE, window_ms=3000.0),
+    )
     balancer = told(0, 4, rows(9, 9, 3), classes=classes, crossing_cost=0.015)
     before = {name: server.room for name, server in balancer.roster.servers.items()}
     for call in range(50):
@@ -88,8 +89,12 @@
                 balancer.handle(now + 1, done)
     longer = face.ColdStart(0.1, 60_000.0, 3.0, 2000.0)
     balancer.handle(89_100.0, face.Retuned(face.Settings((LOOK,), cold=longer, layer=1)))
-    sent = [a for n in range(300) for a in balancer.handle(89_200.0 + n * 10, face.Arrival(f"d{n}", 0, 4000.0))
-            if isinstance(a, face.Send)]
+    sent = [
+        a
+        for n in range(300)
+        for a in balancer.handle(89_200.0 + n * 10, face.Arrival(f"d{n}", 0, 4000.0))
+        if isinstance(a, face.Send)
+    ]
     assert len(sent) > 20
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,8 +14,13 @@
 
 CLASS = {"name": "look", "effect": "idempotent", "target_ms": 400.0, "hard_limit_ms": 900.0}
 RAW: dict[str, Any] = {
-    "name": "n3", "listen": "127.0.0.1:5000", "discovery": "127.0.0.2:8500", "seed": "8c1f30d27a5be964",
-    "limits": {"sockets": 256, "of_tomorrow": 1}, "known": {"index": 1, "endpoints": []}, "of_tomorrow": [],
+    "name": "n3",
+    "listen": "127.0.0.1:5000",
+    "discovery": "127.0.0.2:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"sockets": 256, "of_tomorrow": 1},
+    "known": {"index": 1, "endpoints": []},
+    "of_tomorrow": [],
     "settings": {"classes": [CLASS], "zones": ["a"], "skus": ["m2"], "permissions": {"conn_idle_ms": 9000}},
 }
 
@@ -27,24 +32,27 @@
     assert (config.sockets, config.idle_ms, config.connect_ms, config.max_open) == (256, 9000, 250, 20000)
 
 
-@pytest.mark.parametrize(("path", "value", "key"), [
-    ("listen", "nowhere", "listen"),
-    ("discovery", None, "discovery"),
-    ("seed", "xyz", "seed"),
-    ("limits", 3, "limits"),
-    ("limits.sockets", "many", "limits.sockets"),
-    ("known", [], "known"),
-    ("settings", None, "settings"),
-    ("settings.classes", None, "settings.classes"),
-    ("settings.classes", [{**CLASS, "effect": "odd"}], r"settings.classes\[0\].effect"),
-    ("settings.zones", "a", "settings.zones"),
-    ("settings.permissions.conn_idle_ms", -1, "settings.permissions.conn_idle_ms"),
-    ("settings.permissions.max_attempts", 0, "settings.max_attempts"),
-    ("limits.memory_mb", float("inf"), "limits.memory_mb"),
-    ("admin_addr", "127.0.0.1", "admin_addr"),
-    ("settings.classes", [CLASS, CLASS], "settings.classes"),
-    ("settings.classes", {"look": CLASS}, "settings.classes"),
-])
+@pytest.mark.parametrize(
+    ("path", "value", "key"),
+    [
+        ("listen", "nowhere", "listen"),
+        ("discovery", None, "discovery"),
+        ("seed", "xyz", "seed"),
+        ("limits", 3, "limits"),
+        ("limits.sockets", "many", "limits.sockets"),
+        ("known", [], "known"),
+        ("settings", None, "settings"),
+        ("settings.classes", None, "settings.classes"),
+        ("settings.classes", [{**CLASS, "effect": "odd"}], r"settings.classes\[0\].effect"),
+        ("settings.zones", "a", "settings.zones"),
+        ("settings.permissions.conn_idle_ms", -1, "settings.permissions.conn_idle_ms"),
+        ("settings.permissions.max_attempts", 0, "settings.max_attempts"),
+        ("limits.memory_mb", float("inf"), "limits.memory_mb"),
+        ("admin_addr", "127.0.0.1", "admin_addr"),
+        ("settings.classes", [CLASS, CLASS], "settings.classes"),
+        ("settings.classes", {"look": CLASS}, "settings.classes"),
+    ],
+)
 def test_a_fault_names_its_key(path: str, value: object, key: str) -> None:
     raw = copy.deepcopy(RAW)
     *outer, last = path.split(".")
@@ -72,10 +80,20 @@
             parse(raw, {})
 
 
-@pytest.mark.parametrize("path", [
-    "discovery", "limits", "settings", "settings.classes", "settings.zones", "settings.permissions",
-    "settings.permissions.conn_idle_ms", "settings.classes.0.effect", "settings.classes.0.hard_limit_ms",
-])
+@pytest.mark.parametrize(
+    "path",
+    [
+        "discovery",
+        "limits",
+        "settings",
+        "settings.classes",
+        "settings.zones",
+        "settings.permissions",
+        "settings.permissions.conn_idle_ms",
+        "settings.classes.0.effect",
+        "settings.classes.0.hard_limit_ms",
+    ],
+)
 def test_a_file_read_again_may_lack_no_key(tmp_path: Path, path: str) -> None:
     # Guards against the half of a file that is still JSON: its defaults would be taken for the operators' wish.
     held = parse(RAW, {})
@@ -111,9 +129,7 @@
             load(environ)
 
 
-def test_commands(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_commands(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "config.json"
     monkeypatch.setenv("LB_CONFIG", str(path))
     for name in ("LB_LISTEN", "LB_DISCOVERY", "LB_NAME"):
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -30,8 +30,10 @@
 @pytest.mark.parametrize("size", [1, 2, 7, 10_000])
 def test_lists_may_be_indented_and_cut_anywhere(size: int) -> None:
     entry = {"name": "a{", "address": "127.0.0.1:1", "status": "in_service"}
-    lists = [{"index": 7, "snapshot": True, "endpoints": [entry, {**entry, "name": "b"}]},
-             {"index": 8, "snapshot": False, "endpoints": [{**entry, "status": "terminating"}]}]
+    lists = [
+        {"index": 7, "snapshot": True, "endpoints": [entry, {**entry, "name": "b"}]},
+        {"index": 8, "snapshot": False, "endpoints": [{**entry, "status": "terminating"}]},
+    ]
     body = b"\n\n".join(json.dumps(one, indent=2).encode() for one in lists)  # and no end of the last line
 
     async def case() -> None:
@@ -43,8 +45,9 @@
             await reader.read()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        watched = Directory(server.sockets[0].getsockname(), lambda *told: heard.put_nowait(told),
-                            lambda: broken.put_nowait(None))
+        watched = Directory(
+            server.sockets[0].getsockname(), lambda *told: heard.put_nowait(told), lambda: broken.put_nowait(None)
+        )
         watched.watch()
         # How many lists are told as one depends on how they come; the first is whole, and the last word counts.
         held, first = dict[str, str](), True
@@ -72,8 +75,12 @@
                 await asyncio.sleep(0.01)
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        watched = Directory(server.sockets[0].getsockname(), lambda *_: None, lambda: broken.put_nowait(None),
-                            settings.Directory(silence_s=0.2))
+        watched = Directory(
+            server.sockets[0].getsockname(),
+            lambda *_: None,
+            lambda: broken.put_nowait(None),
+            settings.Directory(silence_s=0.2),
+        )
         watched.watch()
         await broken.get()
 
@@ -107,10 +114,14 @@
 def test_a_watch_that_ends_is_told_once_and_resumed_by_version() -> None:
     async def case() -> None:
         asked, heard, broken = list[bytes](), list[tuple[list[Provider], bool]](), asyncio.Queue[None]()
-        lines = b'{"index":7,"snapshot":true,"endpoints":[{"name":"a"},{"name":"b","address":"127.0.0.1:1",' \
-                b'"status":"odd"}]}\nnot json\n\n'
-        answers = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(lines), lines),
-                   b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"]
+        lines = (
+            b'{"index":7,"snapshot":true,"endpoints":[{"name":"a"},{"name":"b","address":"127.0.0.1:1",'
+            b'"status":"odd"}]}\nnot json\n\n'
+        )
+        answers = [
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(lines), lines),
+            b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+        ]
 
         async def handler(reader: Reader, writer: Writer) -> None:
             asked.append((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1])
@@ -131,9 +142,17 @@
     run(case())
 
 
-@pytest.mark.parametrize("raw", [None, [], {}, {"endpoints": 3}, {"endpoints": [None, 1, {"name": "a"}]},
-                                 json.loads('{"endpoints":[{"name":"a","address":"h:1","status":"in_service",'
-                                            '"weight":Infinity}]}')])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        None,
+        [],
+        {},
+        {"endpoints": 3},
+        {"endpoints": [None, 1, {"name": "a"}]},
+        json.loads('{"endpoints":[{"name":"a","address":"h:1","status":"in_service","weight":Infinity}]}'),
+    ],
+)
 def test_odd_lists_crash_nothing(raw: Any) -> None:
     told = list_of(raw)
     assert told is None or told[2] == []
@@ -186,7 +205,10 @@
     draining = listed("a", Status.TERMINATING)
     assert merged([]) is None
     assert merged([Listing(1, False, [listed("a"), listed("b")]), Listing(2, False, [draining])]) == (
-        2, False, [draining, listed("b")])
+        2,
+        False,
+        [draining, listed("b")],
+    )
     # A whole list takes the place of all that came before it, and changes after it leave it whole.
     came = [Listing(1, False, [listed("x")]), Listing(4, True, [listed("a")]), Listing(0, False, [draining])]
     assert merged(came) == (4, True, [draining])
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -23,6 +23,7 @@
 
     What discovery has written counts as told; to close over it would lose it.
     """
+
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         call.send(CHUNKED, chunk(listing(7, "a")))
@@ -51,6 +52,7 @@
 
 def test_of_moves_in_a_row_the_latest_list_counts() -> None:
     """A call that a later move leaves behind may bring its list first; what is older than that counts no more."""
+
     async def body(peer: Discovery, held: Held) -> None:
         first = await peer.calls.get()
         first.send(CHUNKED, chunk(listing(7, "a")))
@@ -151,6 +153,7 @@
 
 def test_for_how_long_nothing_was_heard_is_told_until_the_line_that_is_told() -> None:
     """By it a fresh endpoint is told from one that was there before; half a list is no word yet."""
+
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         assert held.directory.unheard_ms() == math.inf
--- a/tests/test_discovery_states.py
+++ b/tests/test_discovery_states.py
@@ -67,8 +67,9 @@
     `lost` is the fate of the call that a move begins, if it is not to be answered.
     """
 
-    def __init__(self, machine: DiscoveryState, fates: list[Fate], back: float, answer_s: float,
-                 lost: Fate | None = None) -> None:
+    def __init__(
+        self, machine: DiscoveryState, fates: list[Fate], back: float, answer_s: float, lost: Fate | None = None
+    ) -> None:
         self.machine, self.fates, self.back, self.answer_s, self.lost = machine, fates, back, answer_s, lost
         self.now, self.count = 0.0, 0
         self.call: int | None = None  # the one under way
@@ -130,8 +131,15 @@
             self.put(self.now + after, event, self.call)
 
 
-def played(fates: list[Fate], back: float, answer_s: float, seed: int, pushed: bool = False,
-           moves: tuple[float, ...] = (), lost: Fate | None = None) -> Play:
+def played(
+    fates: list[Fate],
+    back: float,
+    answer_s: float,
+    seed: int,
+    pushed: bool = False,
+    moves: tuple[float, ...] = (),
+    lost: Fate | None = None,
+) -> Play:
     play = Play(DiscoveryState(SILENCE_S, Random(seed), pushed), fates, back, answer_s, lost)
     play.put(0.0, Wanted())
     for at in moves:
@@ -158,8 +166,13 @@
     assert discovery.ASK_AGAIN_S + answer_s <= TOLD_S
 
 
-@given(st.floats(0.0, 30.0), st.integers(0, 99), st.sampled_from((
-    (), ((0.1, Connected()),), ((0.1, Connected()), (2.0, Ended())), ((0.1, Connected()), (1.0, Heard())))))
+@given(
+    st.floats(0.0, 30.0),
+    st.integers(0, 99),
+    st.sampled_from(
+        ((), ((0.1, Connected()),), ((0.1, Connected()), (2.0, Ended())), ((0.1, Connected()), (1.0, Heard())))
+    ),
+)
 def test_a_watch_that_falls_silent_and_a_call_that_is_lost_leave_time_for_another(
     lasted: float, seed: int, lost: Fate
 ) -> None:
@@ -176,9 +189,22 @@
     assert play.opened[2] + answer_s <= last_word + TOLD_S + EPSILON
 
 
-@given(FATES, st.floats(0.0, 40.0), st.floats(0.0, 1.5), st.integers(0, 99), st.booleans(), st.sampled_from((
-    (), ((0.1, Connected()),), ((0.0, Ended()),), ((0.1, Connected()), (2.0, Ended())),
-    ((0.1, Connected()), (1.0, Heard()), (2.0, Heard())))))
+@given(
+    FATES,
+    st.floats(0.0, 40.0),
+    st.floats(0.0, 1.5),
+    st.integers(0, 99),
+    st.booleans(),
+    st.sampled_from(
+        (
+            (),
+            ((0.1, Connected()),),
+            ((0.0, Ended()),),
+            ((0.1, Connected()), (2.0, Ended())),
+            ((0.1, Connected()), (1.0, Heard()), (2.0, Heard())),
+        )
+    ),
+)
 def test_a_new_address_is_asked_at_once_and_again_in_time(
     fates: list[Fate], moved: float, answer_s: float, seed: int, pushed: bool, lost: Fate
 ) -> None:
@@ -228,8 +254,16 @@
     assert all(gap >= discovery.MOVED_SETTLE_S - EPSILON for gap in apart)
 
 
-@given(st.lists(st.tuples(st.floats(0.0, 5.0), st.sampled_from(
-    (Wanted(), Connected(), Listed(), Heard(), Ended(), Moved(), Due(), Resumed()))), max_size=60), st.integers(0, 9))
+@given(
+    st.lists(
+        st.tuples(
+            st.floats(0.0, 5.0),
+            st.sampled_from((Wanted(), Connected(), Listed(), Heard(), Ended(), Moved(), Due(), Resumed())),
+        ),
+        max_size=60,
+    ),
+    st.integers(0, 9),
+)
 def test_any_order_of_events_is_survived(events: list[tuple[float, Event]], seed: int) -> None:
     """Late events of any kind never open a second call, and outside IDLE there is always a time to come back."""
     machine, now, calling = DiscoveryState(SILENCE_S, Random(seed)), 0.0, False
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -22,11 +22,15 @@
 from .test_sidecar import Heard, invoker_call, unlimited
 
 
-@pytest.mark.parametrize("rest", [
-    b'{"index": 8, "endp',  # a list that never ends, on one line
-    b'{\n"index":\n8,\n',  # the same over several lines
-    None,  # the size line of a chunk
-], ids=["line", "lines", "size"])
+@pytest.mark.parametrize(
+    "rest",
+    [
+        b'{"index": 8, "endp',  # a list that never ends, on one line
+        b'{\n"index":\n8,\n',  # the same over several lines
+        None,  # the size line of a chunk
+    ],
+    ids=["line", "lines", "size"],
+)
 @pytest.mark.parametrize("listed", [True, False])
 def test_bytes_that_trickle_and_make_no_list_are_silence(rest: bytes | None, listed: bool) -> None:
     # Guards against a watch that every single byte keeps alive while it tells nothing.
@@ -73,15 +77,19 @@
 MANY = [f"endpoint-{number:05}" for number in range(16_000)]  # over 1 MiB as a list
 
 
-@pytest.mark.parametrize(("names", "head", "framed"), [
-    (["a"], b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", lambda body: body),  # up to its end
-    (["a"], b"HTTP/1.0 200 OK\r\n\r\n", lambda body: body),
-    (["a"], b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", lambda body: body),
-    (["a"], b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKED, chunk),
-    (["a"], CHUNKED, lambda body: b"".join(chunk(body[at : at + 1]) for at in range(len(body)))),
-    (MANY, CHUNKED, chunk),  # in one chunk
-    (MANY, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", lambda body: body),
-], ids=["close", "http10", "length", "interim", "bytes", "big chunk", "big length"])
+@pytest.mark.parametrize(
+    ("names", "head", "framed"),
+    [
+        (["a"], b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", lambda body: body),  # up to its end
+        (["a"], b"HTTP/1.0 200 OK\r\n\r\n", lambda body: body),
+        (["a"], b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", lambda body: body),
+        (["a"], b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKED, chunk),
+        (["a"], CHUNKED, lambda body: b"".join(chunk(body[at : at + 1]) for at in range(len(body)))),
+        (MANY, CHUNKED, chunk),  # in one chunk
+        (MANY, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", lambda body: body),
+    ],
+    ids=["close", "http10", "length", "interim", "bytes", "big chunk", "big length"],
+)
 def test_an_answer_of_any_form_is_a_list(names: list[str], head: bytes, framed: Callable[[bytes], bytes]) -> None:
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
@@ -95,13 +103,17 @@
     case(body, silence_s=3.0)
 
 
-@pytest.mark.parametrize("answer", [
-    b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-    b"HTTP/1.1 500 Oops\r\nContent-Length: 80\r\n\r\n" + listing(9, "x"),  # a list, even, under an error
-    b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(listing(9, "x")),
-    b"nonsense\r\n\r\n",
-    b"",
-], ids=["empty", "list", "chunked", "nonsense", "nothing"])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 500 Oops\r\nContent-Length: 80\r\n\r\n" + listing(9, "x"),  # a list, even, under an error
+        b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(listing(9, "x")),
+        b"nonsense\r\n\r\n",
+        b"",
+    ],
+    ids=["empty", "list", "chunked", "nonsense", "nothing"],
+)
 def test_an_error_with_a_body_tells_nothing_and_is_followed_by_another_call(answer: bytes) -> None:
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
@@ -159,7 +171,7 @@
 
 
 def test_a_call_that_was_left_behind_is_followed_if_its_list_comes_before_the_next_call(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards a jammed discovery against a call more from each caller that it has just answered.
     monkeypatch.setattr(discovery, "LIST_S", 0.1)
@@ -182,6 +194,7 @@
 
 def test_bytes_that_have_come_count_before_a_time_that_is_over() -> None:
     """The process stood still for longer than the silence that ends a watch, and the line was there in time."""
+
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         call.send(CHUNKED, chunk(listing(7, "a")))
@@ -227,6 +240,7 @@
 
 def test_what_a_whole_list_does_not_name_is_gone_while_an_attempt_connects() -> None:
     """As if it were listed as terminated: nothing is written to it, though it still answers."""
+
     async def whole() -> None:
         calls, seen = Heard(), asyncio.Queue[bytes]()
 
@@ -247,6 +261,7 @@
 
 def test_a_descriptor_is_kept_for_discovery() -> None:
     """All others are in use when a call is to begin; the listener's queue needs none."""
+
     async def whole() -> None:
         loop = asyncio.get_running_loop()
         listener, fillers = socket.create_server(("127.0.0.1", 0)), list[int]()
--- a/tests/test_drain_at_size.py
+++ b/tests/test_drain_at_size.py
@@ -51,11 +51,10 @@
             self.seen.append(seen)
         for number in range(names):
             address = host_port(self._servers[number % count].sockets[0].getsockname())
-            self.entries.append(
-                {"name": f"s-{number:04x}", "address": address, "zone": "a", "status": "in_service"})
+            self.entries.append({"name": f"s-{number:04x}", "address": address, "zone": "a", "status": "in_service"})
 
     def names_of(self, server: int) -> list[str]:
-        return [entry["name"] for entry in self.entries[server::len(self._servers)]]
+        return [entry["name"] for entry in self.entries[server :: len(self._servers)]]
 
     def close(self) -> None:
         for server in self._servers:
@@ -63,8 +62,14 @@
 
 
 def configuration(port: int, at: Address, entries: list[dict[str, Any]]) -> dict[str, Any]:
-    return {"name": "n", "listen": f"127.0.0.1:{port}", "discovery": at.name, "seed": "1f", "settings": SETTINGS,
-            "known": {"index": 1, "snapshot": True, "endpoints": entries}}
+    return {
+        "name": "n",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": at.name,
+        "seed": "1f",
+        "settings": SETTINGS,
+        "known": {"index": 1, "snapshot": True, "endpoints": entries},
+    }
 
 
 async def reload(process: asyncio.subprocess.Process, path: Path, raw: dict[str, Any], at: Address) -> None:
@@ -113,6 +118,7 @@
 
 def test_moves_in_a_row_leave_discovery_able_to_answer(tmp_path: Path) -> None:
     """Each of six processes is moved four times, as in the run; a list takes discovery 0.3 s."""
+
     async def case() -> None:
         servers, processes = Servers(), Processes(tmp_path)
         await servers.begin(2, names=2)
@@ -130,8 +136,7 @@
             for gap, (old, new) in zip((*GAPS_S, 0.0), zip(addresses, addresses[1:], strict=False), strict=True):
                 retired.append(asyncio.create_task(discovery.retire(old)))
                 for process, path, raw in begun:
-                    path.write_text(json.dumps(
-                        {**raw, "discovery": new.name, "admin_addr": f"127.0.0.1:{path.stem}"}))
+                    path.write_text(json.dumps({**raw, "discovery": new.name, "admin_addr": f"127.0.0.1:{path.stem}"}))
                     process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(gap)
             discovery.change(*servers.names_of(0))
@@ -151,6 +156,7 @@
 
 def test_half_of_a_large_list_may_drain_within_seconds(tmp_path: Path) -> None:
     """3,200 endpoints behind eight processes, of which four drain one after another, a line for each endpoint."""
+
     async def case() -> None:
         servers, processes = Servers(), Processes(tmp_path)
         await servers.begin(8, names=3200)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,9 @@
 
 
 def settings(balancers: int = 40, rank: int = 0, crossing: float = 0.015) -> face.Settings:
-    return face.Settings(classes=(LOOK,), balancers=balancers, rank=rank, crossing_cost=crossing, cold=COLD,
-                         must_ask=True, layer=1)
+    return face.Settings(
+        classes=(LOOK,), balancers=balancers, rank=rank, crossing_cost=crossing, cold=COLD, must_ask=True, layer=1
+    )
 
 
 def ups(names: str, zone: int = 0, started: float = 0.0) -> tuple[face.Upstream, ...]:
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -56,7 +56,7 @@
 
 def of(**where: int) -> set[str]:
     """Names of those in that zone or cell."""
-    (key, value), = where.items()
+    ((key, value),) = where.items()
     return {row.name for row in fleet(AMONG) if getattr(row, key) == value}
 
 
@@ -194,8 +194,9 @@
     at = [0.0]
     made = Facade(settings(classes=CLASSES, zone=0), 5, ("a", "b"), clock=lambda: 1000.0 + at[0])
     made.start()
-    made.heard([Provider(row.name, ("h", 1), Status.IN_SERVICE, "ab"[row.zone], group=row.cell)
-                for row in fleet(AMONG)], True)
+    made.heard(
+        [Provider(row.name, ("h", 1), Status.IN_SERVICE, "ab"[row.zone], group=row.cell) for row in fleet(AMONG)], True
+    )
     return made
 
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -92,9 +92,25 @@
     assert message is not None and message.body == b"all" and not message.keep_alive
 
 
-@given(st.lists(st.sampled_from([b"GET / HTTP/1.1\r\n", b"HTTP/1.1 200 OK\r\n", b"\r\n", b": ", b"a" * 90,
-                                 b"Transfer-Encoding: chunked\r\n", b"Content-Length: 9\r\n", b"\xff\x00",
-                                 b"ffffffff\r\n"]) | st.binary(max_size=40), max_size=30))
+@given(
+    st.lists(
+        st.sampled_from(
+            [
+                b"GET / HTTP/1.1\r\n",
+                b"HTTP/1.1 200 OK\r\n",
+                b"\r\n",
+                b": ",
+                b"a" * 90,
+                b"Transfer-Encoding: chunked\r\n",
+                b"Content-Length: 9\r\n",
+                b"\xff\x00",
+                b"ffffffff\r\n",
+            ]
+        )
+        | st.binary(max_size=40),
+        max_size=30,
+    )
+)
 def test_garbage_is_malformed_or_waited_on(pieces: list[bytes]) -> None:
     for parser in (RequestParser(), ResponseParser()):
         try:
@@ -107,29 +123,32 @@
         pass
 
 
-@pytest.mark.parametrize(("wire", "status"), [
-    (b"GET / HTTP/1.1\r\nX: " + b"a" * http1.MAX_HEAD, 431),
-    (b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
-    (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", 413),
-    (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-    (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400),
-    (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
-    (b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", 400),
-    (b"\x16\x03\x01", 400),
-    (b"GET / HTTP/2.0\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nX : 1\r\n\r\n", 400),
-    (b"GET /a b HTTP/1.1\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nHost: a\r\nhost: a\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nX: a\rb\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nX: a\nY: b\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nX: a\r\n Y: folded\r\n\r\n", 400),
-    (b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", 400),
-    (b"POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 400),
-    (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0x1\r\na\r\n", 400),
-    (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\na\r\n", 400),
-    (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;\nx\r\na\r\n", 400),
-    (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400),
-])
+@pytest.mark.parametrize(
+    ("wire", "status"),
+    [
+        (b"GET / HTTP/1.1\r\nX: " + b"a" * http1.MAX_HEAD, 431),
+        (b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", 413),
+        (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", 400),
+        (b"\x16\x03\x01", 400),
+        (b"GET / HTTP/2.0\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nX : 1\r\n\r\n", 400),
+        (b"GET /a b HTTP/1.1\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nhost: a\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nX: a\rb\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nX: a\nY: b\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nX: a\r\n Y: folded\r\n\r\n", 400),
+        (b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0x1\r\na\r\n", 400),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\na\r\n", 400),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;\nx\r\na\r\n", 400),
+        (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400),
+    ],
+)
 def test_limits_and_framing(wire: bytes, status: int) -> None:
     with pytest.raises(MalformedError) as caught:
         fed(RequestParser(), wire, [])
@@ -167,14 +186,27 @@
     assert message is not None and message.end_to_end() == [(b"Accept", b"a")] and not message.keep_alive
 
 
-LISTED = st.recursive(st.integers() | st.text('ab{}[]"\\\n', max_size=6), lambda values: st.lists(values, max_size=3)
-                      | st.dictionaries(st.text('a}"\\', max_size=3), values, max_size=3), max_leaves=6)
-
-
-@given(st.lists(st.tuples(st.dictionaries(st.text("a{", max_size=3), LISTED, max_size=4),
-                          st.sampled_from([None, 0, 2]), st.sampled_from([b"\n", b"\r\n\n"])), max_size=5), CUTS)
-def test_documents_however_laid_out_and_cut(told: list[tuple[dict[str, Any], int | None, bytes]],
-                                            cuts: list[int]) -> None:
+LISTED = st.recursive(
+    st.integers() | st.text('ab{}[]"\\\n', max_size=6),
+    lambda values: st.lists(values, max_size=3) | st.dictionaries(st.text('a}"\\', max_size=3), values, max_size=3),
+    max_leaves=6,
+)
+
+
+@given(
+    st.lists(
+        st.tuples(
+            st.dictionaries(st.text("a{", max_size=3), LISTED, max_size=4),
+            st.sampled_from([None, 0, 2]),
+            st.sampled_from([b"\n", b"\r\n\n"]),
+        ),
+        max_size=5,
+    ),
+    CUTS,
+)
+def test_documents_however_laid_out_and_cut(
+    told: list[tuple[dict[str, Any], int | None, bytes]], cuts: list[int]
+) -> None:
     body = b"".join(json.dumps(one, indent=indent).encode() + end for one, indent, end in told)
     wire = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body)
     stream, found = documents.ChunkStream(), []
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -55,13 +55,17 @@
     return face.Membership(face.Listing.CHANGES, (row,))
 
 
-@pytest.mark.parametrize("event", [
-    change(face.Stage.DRAINING),
-    change(face.Stage.GONE),
-    change(face.Stage.READY, "new"),
-    change(face.Stage.READY, started_ms=START_MS - 1000.0),
-    face.Arrival("call", 0, 2000.0),
-], ids=["drains", "goes", "comes", "starts anew", "a call"])
+@pytest.mark.parametrize(
+    "event",
+    [
+        change(face.Stage.DRAINING),
+        change(face.Stage.GONE),
+        change(face.Stage.READY, "new"),
+        change(face.Stage.READY, started_ms=START_MS - 1000.0),
+        face.Arrival("call", 0, 2000.0),
+    ],
+    ids=["drains", "goes", "comes", "starts anew", "a call"],
+)
 def test_an_event_costs_no_more_with_a_large_list(event: face.Event) -> None:
     """The sidecar is one of so many that it draws from 8 endpoints of each zone, whatever the list."""
     costs = []
@@ -78,8 +82,12 @@
         balancer = told(number)
         balancer.handle(START_MS + 1.0, face.Arrival("first", 0, 2000.0))
         end = balancer.due + 1.0
-        costs.append(counted(lambda balancer=balancer, end=end:  # type: ignore[misc]
-                             balancer.handle(end, face.Arrival("second", 0, 2000.0))))
+        costs.append(
+            counted(
+                lambda balancer=balancer, end=end:  # type: ignore[misc]
+                balancer.handle(end, face.Arrival("second", 0, 2000.0))
+            )
+        )
     drawn = [sum(len(told(number).table[0]) for _ in (1,)) for number in (SMALL, LARGE)]
     assert drawn == [16, 64] and costs[1] <= costs[0] * drawn[1] / drawn[0]
 
@@ -97,8 +105,13 @@
 def test_one_that_drains_is_not_drawn_before_shares_are_taken_again() -> None:
     balancer = told(SMALL, balancers=1)
     gone = {f"u{number}" for number in range(SMALL - 10)}
-    balancer.handle(START_MS + 0.01, face.Membership(face.Listing.CHANGES, tuple(
-        row._replace(stage=face.Stage.DRAINING) for row in rows(SMALL) if row.name in gone)))
+    balancer.handle(
+        START_MS + 0.01,
+        face.Membership(
+            face.Listing.CHANGES,
+            tuple(row._replace(stage=face.Stage.DRAINING) for row in rows(SMALL) if row.name in gone),
+        ),
+    )
     assert balancer.stale and {server.at.name for server in balancer.table[0]} >= gone
     call = Call("c", LOOK, Usual(), 3, 1e9, 1e9)
     drawn = {server.at.name for _ in range(300) if (server := draw(balancer, START_MS + 0.01, call, None))}
@@ -138,8 +151,9 @@
         able = ready.able(now)
         for zone in range(3):
             for kind in kinds:
-                wanted = sum(s.weight * s.capacity(now, COLD) for s in held.values()
-                             if s.at.zone == zone and s.like is kind)
+                wanted = sum(
+                    s.weight * s.capacity(now, COLD) for s in held.values() if s.at.zone == zone and s.like is kind
+                )
                 assert able.get((zone, kind), 0.0) == pytest.approx(wanted, abs=1e-6)
         assert ready.weight == pytest.approx(sum(s.weight for s in held.values()))
         assert ready.warm == sum(s.capacity(now, COLD) >= 1.0 for s in held.values())
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -32,7 +32,7 @@
 
 
 def in_chunks(body: bytes, size: int, extension: bytes = b"", trailers: bytes = b"") -> bytes:
-    parts = [body[at:at + size] for at in range(0, len(body), size)]
+    parts = [body[at : at + size] for at in range(0, len(body), size)]
     wire = b"".join(b"%X%b\r\n%b\r\n" % (len(part), extension, part) for part in parts)
     return wire + b"0%b\r\n%b\r\n" % (extension, trailers)
 
@@ -50,12 +50,12 @@
     elif framing == "until the end":
         wire = head + b"\r\n" + body
     else:
-        spare = (b" ;a=\"b;c\"", b"X-T: 1\r\nX-U: 2\r\n") if framing != "chunked" else (b"", b"")
+        spare = (b' ;a="b;c"', b"X-T: 1\r\nX-U: 2\r\n") if framing != "chunked" else (b"", b"")
         wire = head + b"Transfer-Encoding: chunked\r\n\r\n" + in_chunks(body, size, *spare)
     wire = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + wire
     parser, got, at = http1.ResponseParser(), bytearray(), 0
     for cut in [*cuts, len(wire)]:
-        parser.feed(wire[at:at + cut])
+        parser.feed(wire[at : at + cut])
         at += cut
         message = parser.head()
         if message is not None:
@@ -71,6 +71,7 @@
 
 # Pipes
 
+
 def test_a_pipe_holds_a_bounded_part_and_gives_it_in_order() -> None:
     async def case() -> None:
         budget = Budget(10 * MOST)
@@ -130,6 +131,7 @@
 
 # Answers
 
+
 def says(*words: bytes) -> Handler:
     """A provider that sends these, one after another, to each request, and hangs up."""
 
@@ -193,10 +195,10 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.write(OK + b"Content-Length: %d\r\n\r\n" % len(BODY))
             for at in range(0, HOLD + 2000, 1000):
-                writer.write(BODY[at:at + 1000])
+                writer.write(BODY[at : at + 1000])
                 await writer.drain()
             await last.wait()
-            writer.write(BODY[HOLD + 2000 - (HOLD + 2000) % 1000 + 1000:])
+            writer.write(BODY[HOLD + 2000 - (HOLD + 2000) % 1000 + 1000 :])
             writer.close()
 
         async def use(port: int) -> None:
@@ -226,15 +228,19 @@
         assert figures["lb.transactions.look.errored"][0] == 1 and figures["lb.current"][0] == 0
         assert figures["lb.sends"][0] == 1  # the winner was fixed: nobody else was asked
 
-    handler = says(FRAMINGS[framing][:len(BODY) // 2])
+    handler = says(FRAMINGS[framing][: len(BODY) // 2])
     run(with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"}))
 
 
-@pytest.mark.parametrize("sent", [
-    OK + b"Content-Length: %d\r\n\r\nshort" % len(BODY),
-    OK + b"Content-Length: 3000000000\r\n\r\n" + BODY[:1000],
-    OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
-], ids=["ends early", "3 GB", "no chunk"])
+@pytest.mark.parametrize(
+    "sent",
+    [
+        OK + b"Content-Length: %d\r\n\r\nshort" % len(BODY),
+        OK + b"Content-Length: 3000000000\r\n\r\n" + BODY[:1000],
+        OK + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+    ],
+    ids=["ends early", "3 GB", "no chunk"],
+)
 def test_what_is_spoilt_within_what_is_held_is_had_elsewhere(sent: bytes) -> None:
     handler, seen = answering(sent, whole(200))
 
--- a/tests/test_long_requests.py
+++ b/tests/test_long_requests.py
@@ -90,8 +90,10 @@
     async def case() -> None:
         server = await asyncio.start_server(reading(whole(200), got), "127.0.0.1", 0)
         at = server.sockets[0].getsockname()[1]
-        listed = [{"name": name, "address": f"127.0.0.1:{port}", "zone": "a", "status": "in_service"}
-                  for name, port in (("a", free_port()), ("b", at))]
+        listed = [
+            {"name": name, "address": f"127.0.0.1:{port}", "zone": "a", "status": "in_service"}
+            for name, port in (("a", free_port()), ("b", at))
+        ]
         known = {"index": 3, "snapshot": True, "endpoints": listed}
         await with_sidecar(reading(whole(200), got), use, more={"known": known})
 
@@ -103,16 +105,18 @@
     """Half of a long request, then whatever `then` does; the answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     wire = long_request("chunked")
-    writer.write(wire[:len(wire) // 2])
+    writer.write(wire[: len(wire) // 2])
     then(writer)
     answer = await answer_from(reader, http1.ResponseParser())
     writer.close()
     return answer
 
 
-@pytest.mark.parametrize(("answer", "status"), [(whole(503, (b"X-Rejected", b"1")), 503), (whole(500), 502),
-                                                (b"", 503), (whole(200), 200)],
-                         ids=["rejected", "500", "hangs up", "200"])
+@pytest.mark.parametrize(
+    ("answer", "status"),
+    [(whole(503, (b"X-Rejected", b"1")), 503), (whole(500), 502), (b"", 503), (whole(200), 200)],
+    ids=["rejected", "500", "hangs up", "200"],
+)
 def test_an_answer_may_come_before_the_request_is_whole(answer: bytes, status: int) -> None:
     # Only what is marked as rejected, or breaks before the last byte was written, says that it never ran.
     async def early(reader: Reader, writer: Writer) -> None:
@@ -183,10 +187,9 @@
     assert got == [BODY] * 8
 
 
-
-
 # The module
 
+
 def test_a_call_that_goes_out_once_is_load_from_its_last_byte_on() -> None:
     # Guards the entry: calls under way for seconds at the pace of their clients once passed for a jam, and a quarter
     # of all calls was refused.
--- a/tests/test_narrow.py
+++ b/tests/test_narrow.py
@@ -101,11 +101,11 @@
 def test_the_first_event_after_a_pause_finds_the_lease_run_out() -> None:
     """No timer runs here: SIGSTOP for 10 s, and the provider's answer is what the loop handles first."""
     facade, clock = leased()
-    call, = made(facade.pick(1, "read", "", 900.0))[:1]
+    (call,) = made(facade.pick(1, "read", "", 900.0))[:1]
     clock.now = 1499.0
     assert made(facade.report(1, 0, call.provider, 5.0, Ending.ERROR, False)), "the lease holds: it is tried again"
     facade, clock = leased()
-    call, = made(facade.pick(1, "read", "", 900.0))[:1]
+    (call,) = made(facade.pick(1, "read", "", 900.0))[:1]
     clock.now = 1500.0
     orders = facade.report(1, 0, call.provider, 5.0, Ending.ERROR, False)
     assert not made(orders) and any(isinstance(order, GiveUp) for order in orders)
@@ -116,10 +116,10 @@
     facade, clock = leased()
     clock.now = 5000.0
     facade.retune(settings(classes=(READ,)))
-    call, = made(facade.pick(1, "read", "", 20000.0))[:1]
+    (call,) = made(facade.pick(1, "read", "", 20000.0))[:1]
     assert not made(facade.report(1, 0, call.provider, 5.0, Ending.RESET, False))
     facade.lease(8000.0)
-    call, = made(facade.pick(2, "read", "", 20000.0))[:1]
+    (call,) = made(facade.pick(2, "read", "", 20000.0))[:1]
     assert made(facade.report(2, 0, call.provider, 5.0, Ending.RESET, False))
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -71,14 +71,22 @@
 def test_calls_of_operators_and_their_faults() -> None:
     async def use(port: int, admin: int) -> None:
         for wire, status in [
-            (GET_HEALTH, 200), (GET_STATS, 200), (GET_HEALTH.replace(b"check", b""), 404), (post("zz", "maint"), 404),
-            (post("zz", "ready"), 404), (post("a", "away"), 404), (b"nonsense\r\n\r\n", 400), (post("", "maint"), 404),
+            (GET_HEALTH, 200),
+            (GET_STATS, 200),
+            (GET_HEALTH.replace(b"check", b""), 404),
+            (post("zz", "maint"), 404),
+            (post("zz", "ready"), 404),
+            (post("a", "away"), 404),
+            (b"nonsense\r\n\r\n", 400),
+            (post("", "maint"), 404),
             (GET_HEALTH.replace(b"GET", b"HTTP"), 405),
         ]:
             answer = await ask(admin, wire)
             assert (answer.status, answer.keep_alive) == (status, False), wire
-        for wire, allow in [(GET_STATS.replace(b"GET", b"POST"), b"GET"),
-                            (post("a", "maint").replace(b"POST", b"GET"), b"POST")]:
+        for wire, allow in [
+            (GET_STATS.replace(b"GET", b"POST"), b"GET"),
+            (post("a", "maint").replace(b"POST", b"GET"), b"POST"),
+        ]:
             answer = await ask(admin, wire)
             assert (answer.status, answer.fields[b"allow"]) == (405, allow)
         assert (await ask(port, GET_STATS)).status == 400  # consumers get none of this
@@ -116,8 +124,14 @@
         assert (await ask(port, renamed(DELIVER))).status == 502  # tried twice
         assert (await ask(port, renamed(LOOK))).status == 503  # likewise, and harmless to repeat
         figures = await conserved(admin)
-        for name, value in {"look.answered": 1, "look.deferred": 1, "look.errored": 0, "deliver.errored": 1,
-                            "deliver.sends": 2, "look.sends": 3}.items():
+        for name, value in {
+            "look.answered": 1,
+            "look.deferred": 1,
+            "look.errored": 0,
+            "deliver.errored": 1,
+            "deliver.sends": 2,
+            "look.sends": 3,
+        }.items():
             assert figures["lb.transactions." + name] == (value, "c"), name
         for name, value in {"current": 0, "cluster_size": 2, "cluster_unhealthy": 0}.items():
             assert figures["lb." + name] == (value, "g"), name
@@ -233,11 +247,21 @@
     run(case())
 
 
-@pytest.mark.parametrize("raw", [
-    b"", b"{", b"[]", b"null", b'{"limenotch_bans": 2}', b'{"limenotch_bans": 1, "out": "a", "back": {}}',
-    b'{"limenotch_bans": 1, "out": [], "back": {"a": NaN}}', b'{"limenotch_bans": 1, "out": [1], "back": {}}',
-    b"\xff\xfe", written({"a"}, {})[:-3],
-])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"",
+        b"{",
+        b"[]",
+        b"null",
+        b'{"limenotch_bans": 2}',
+        b'{"limenotch_bans": 1, "out": "a", "back": {}}',
+        b'{"limenotch_bans": 1, "out": [], "back": {"a": NaN}}',
+        b'{"limenotch_bans": 1, "out": [1], "back": {}}',
+        b"\xff\xfe",
+        written({"a"}, {})[:-3],
+    ],
+)
 def test_a_foreign_or_torn_file_counts_as_none(tmp_path: Path, raw: bytes) -> None:
     (tmp_path / ("n" + FILE)).write_bytes(raw)
     bans, told = kept(tmp_path)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -78,8 +78,12 @@
 async def serving(discovery: str, known: list[dict[str, Any]], settings: dict[str, Any]) -> AsyncIterator[int]:
     """A sidecar within this process, from the moment it listens; its port."""
     port = free_port()
-    raw = {"listen": f"127.0.0.1:{port}", "discovery": discovery, "settings": settings,
-           "known": {"index": 3, "snapshot": True, "endpoints": known}}
+    raw = {
+        "listen": f"127.0.0.1:{port}",
+        "discovery": discovery,
+        "settings": settings,
+        "known": {"index": 3, "snapshot": True, "endpoints": known},
+    }
     task = asyncio.create_task(program.serve(config.parse(raw, {})))
     try:
         await listening(port)
@@ -181,8 +185,12 @@
 
         (server,) = await providers(slow)
         path, port = tmp_path / "config.json", free_port()
-        raw = {"listen": f"127.0.0.1:{port}", "discovery": at_first, "settings": SETTINGS,
-               "known": {"index": 3, "snapshot": True, "endpoints": [entry("a", server)]}}
+        raw = {
+            "listen": f"127.0.0.1:{port}",
+            "discovery": at_first,
+            "settings": SETTINGS,
+            "known": {"index": 3, "snapshot": True, "endpoints": [entry("a", server)]},
+        }
         path.write_text(json.dumps(raw))
         monkeypatch.setenv("LB_CONFIG", str(path))
         task = asyncio.create_task(program.serve(config.load(os.environ)))
@@ -216,14 +224,26 @@
             down.bind(("127.0.0.1", 0))  # refuses until it listens
             port = free_port()
             path = tmp_path / "config.json"
-            path.write_text(json.dumps({
-                "listen": f"127.0.0.1:{port}", "discovery": config.host_port(down.getsockname()),
-                "settings": SETTINGS, "limits": {"sockets": limit},
-                "known": {"index": 3, "snapshot": True, "endpoints": [entry("a", server)]}}))
+            path.write_text(
+                json.dumps(
+                    {
+                        "listen": f"127.0.0.1:{port}",
+                        "discovery": config.host_port(down.getsockname()),
+                        "settings": SETTINGS,
+                        "limits": {"sockets": limit},
+                        "known": {"index": 3, "snapshot": True, "endpoints": [entry("a", server)]},
+                    }
+                )
+            )
             environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(tmp_path)}
             process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", f'ulimit -n {limit} && exec "$0" -m limenotch serve', sys.executable,
-                env=environ, stderr=asyncio.subprocess.DEVNULL)
+                "/bin/sh",
+                "-c",
+                f'ulimit -n {limit} && exec "$0" -m limenotch serve',
+                sys.executable,
+                env=environ,
+                stderr=asyncio.subprocess.DEVNULL,
+            )
             try:
                 assert await listening(port) == 200
                 idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(clients)]
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -19,10 +19,14 @@
 
 EFFECTS = st.builds(
     lambda effect, scope, window: TrafficClass("c", effect, 100.0, 1000.0, scope=scope, window_ms=window),
-    st.sampled_from(list(Effect)), st.sampled_from(list(Scope)), st.sampled_from([0.0, 50.0, 400.0, 9000.0]),
+    st.sampled_from(list(Effect)),
+    st.sampled_from(list(Scope)),
+    st.sampled_from([0.0, 50.0, 400.0, 9000.0]),
+)
+EARLIER = st.lists(
+    st.builds(Earlier, st.sampled_from("ab"), st.sampled_from([1, 2]), st.floats(0.0, 1000.0), st.booleans()),
+    max_size=4,
 )
-EARLIER = st.lists(st.builds(Earlier, st.sampled_from("ab"), st.sampled_from([1, 2]), st.floats(0.0, 1000.0),
-                             st.booleans()), max_size=4)
 
 
 def allowed_by_the_pages(cls: TrafficClass, ran: Sequence[Earlier], now: float, zone: object, cell: object) -> bool:
@@ -42,8 +46,9 @@
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(EFFECTS, EARLIER, st.floats(0.0, 10_000.0), st.sampled_from("ab"), st.sampled_from([1, 2]))
-def test_the_rule_is_that_of_the_pages(cls: TrafficClass, earlier: list[Earlier], now: float, zone: str,
-                                       cell: int) -> None:
+def test_the_rule_is_that_of_the_pages(
+    cls: TrafficClass, earlier: list[Earlier], now: float, zone: str, cell: int
+) -> None:
     ran = [one for one in earlier if one.ran]
     assert may_repeat(cls, earlier, now, zone, cell) is allowed_by_the_pages(cls, ran, now, zone, cell)
     # With no place named it is a client's repeat, that may land anywhere.
@@ -69,8 +74,16 @@
     return attempt
 
 
-HISTORY = st.lists(st.tuples(st.sampled_from([None, *Ending]), st.booleans(), st.sampled_from("ab"),
-                             st.sampled_from([1, 2]), st.floats(0.001, 40.0)), max_size=4)
+HISTORY = st.lists(
+    st.tuples(
+        st.sampled_from([None, *Ending]),
+        st.booleans(),
+        st.sampled_from("ab"),
+        st.sampled_from([1, 2]),
+        st.floats(0.001, 40.0),
+    ),
+    max_size=4,
+)
 
 
 @settings(derandomize=True, max_examples=600, deadline=None)
@@ -86,8 +99,11 @@
         attempt.over, attempt.ending = ending is not None, ending
     found = hindrance(attempt_of(call), CHOSEN, now)
 
-    ran = [Earlier(zone, group, at * 1000.0) for ending, begun, zone, group, at in history
-           if begun and ending not in NEVER_RAN]
+    ran = [
+        Earlier(zone, group, at * 1000.0)
+        for ending, begun, zone, group, at in history
+        if begun and ending not in NEVER_RAN
+    ]
     out = any(begun and ending is None for ending, begun, *_ in history)
     may = allowed_by_the_pages(cls, ran, now * 1000.0 + ARRIVAL_MS, "a", 1)
     if out and (not copies or cls.effect is Effect.AT_MOST_ONCE):
--- a/tests/test_repeats_played.py
+++ b/tests/test_repeats_played.py
@@ -30,9 +30,7 @@
 
 
 @pytest.mark.parametrize(("cls", "ending"), [(LONG, Refuse), (SHORT, Fail)])
-def test_refused_only_while_the_repeat_of_any_client_is_dropped(
-    cls: TrafficClass, ending: type[Refuse | Fail]
-) -> None:
+def test_refused_only_while_the_repeat_of_any_client_is_dropped(cls: TrafficClass, ending: type[Refuse | Fail]) -> None:
     # Guards work that may run once in a window: a refusal says that a repeat is harmless, whenever it comes.
     referee = Referee(settings(classes=(cls,), max_attempts=1), rows=fleet(5))
     name, _ = referee.arrive(0, budget=2000.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,8 +30,22 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(
-            ["arrive", "finish", "finish", "wait", "leave", "drain", "remove", "restart", "list", "begin", "ban",
-             "back", "retune", "once"]
+            [
+                "arrive",
+                "finish",
+                "finish",
+                "wait",
+                "leave",
+                "drain",
+                "remove",
+                "restart",
+                "list",
+                "begin",
+                "ban",
+                "back",
+                "retune",
+                "once",
+            ]
         ),
         st.integers(0, 1000),
         st.sampled_from([o for o in Outcome if o is not Outcome.CANCELLED]),
@@ -55,7 +69,7 @@
         elif what in ("ban", "back"):
             referee.ban(f"10.0.0.{number % 8}:80", what == "ban")  # listed or not
         elif what == "retune":
-            classes = referee.given.classes[number % 4:] + referee.given.classes[:number % 4]
+            classes = referee.given.classes[number % 4 :] + referee.given.classes[: number % 4]
             referee.retune(replace(referee.given, classes=classes, max_attempts=number % 3 + 2))
         elif what == "once":
             referee.arrive(number % 4, once=True)
@@ -66,10 +80,7 @@
             referee.members((row._replace(stage=stage, started_ms=started),), Listing.CHANGES)
         else:
             out = [
-                (name, i)
-                for name, held in referee.calls.items()
-                for i in range(len(held.sent))
-                if i not in held.ended
+                (name, i) for name, held in referee.calls.items() for i in range(len(held.sent)) if i not in held.ended
             ]
             if not out:
                 continue
@@ -82,9 +93,7 @@
 
 
 @given(STEPS, st.integers(0, 3), st.integers(0, 9), st.booleans())
-def test_rules_hold_for_any_events(
-    steps: list[tuple[str, int, Outcome]], layer: int, seed: int, copies: bool
-) -> None:
+def test_rules_hold_for_any_events(steps: list[tuple[str, int, Outcome]], layer: int, seed: int, copies: bool) -> None:
     referee = Referee(settings(layer=layer, may_copy=copies), seed, fleet(7))
     play(referee, steps)
     referee.settle()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -28,15 +28,18 @@
     assert parse(effective(settings), "x") == settings and settings.providers.answer_s == 1.5
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ('[log]\n\nform = "xml"', "f.toml:3: log.form: "),
-    ("[consumers]\nidle_s = 0", "f.toml:2: consumers.idle_s: expected"),
-    ("[consumers]\nidel_s = 1", "f.toml:2: consumers.idel_s: unknown key"),
-    ("[consumers]\naccept_s = 2.0", "f.toml:1: consumers: keep_s: expected accept_s or more"),
-    ("[descriptors]\nreserve = 1.5", "f.toml:2: descriptors.reserve: expected `int`"),
-    ("log = 3", "f.toml:1: log: expected `object`"),
-    ("[log", "f.toml: not TOML: "),
-])
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ('[log]\n\nform = "xml"', "f.toml:3: log.form: "),
+        ("[consumers]\nidle_s = 0", "f.toml:2: consumers.idle_s: expected"),
+        ("[consumers]\nidel_s = 1", "f.toml:2: consumers.idel_s: unknown key"),
+        ("[consumers]\naccept_s = 2.0", "f.toml:1: consumers: keep_s: expected accept_s or more"),
+        ("[descriptors]\nreserve = 1.5", "f.toml:2: descriptors.reserve: expected `int`"),
+        ("log = 3", "f.toml:1: log: expected `object`"),
+        ("[log", "f.toml: not TOML: "),
+    ],
+)
 def test_a_fault_names_file_line_and_key(text: str, says: str) -> None:
     with pytest.raises(toml.FaultError, match="^" + re.escape(says)):
         parse(text, "f.toml")
@@ -56,8 +59,9 @@
 
 def test_a_line_of_a_table_in_a_list() -> None:
     text = "[[tier]]\n[[tier.kind]]\na = 1\n[[tier]]\n[[tier.kind]]\n[[tier.kind]]\nb = 2\n"
-    assert [toml.line_of(text, path) for path in ("tier[1].kind[1].b", "tier[1].kind[0].z", "tier[0].kind[0].a", "q")
-            ] == [7, 5, 3, None]
+    assert [
+        toml.line_of(text, path) for path in ("tier[1].kind[1].b", "tier[1].kind[0].z", "tier[0].kind[0].a", "q")
+    ] == [7, 5, 3, None]
 
 
 @pytest.mark.parametrize("form", logs.FORMS)
@@ -74,7 +78,12 @@
     if form == "json":
         first = json.loads(lines[0])
         assert (first["event"], first["provider"], first["call"], first["sidecar"], first["level"]) == (
-            "answer not understood", "p1", "c1", "n3", "warning")
+            "answer not understood",
+            "p1",
+            "c1",
+            "n3",
+            "warning",
+        )
         assert json.loads(lines[1])["event"] == "plain 7"
     else:
         assert "provider" in lines[0] and "p1" in lines[0] and "plain 7" in lines[1]
@@ -82,8 +91,10 @@
 
 def test_serve_imports_nothing_of_the_laboratory() -> None:
     """Guards the memory and the start of every sidecar."""
-    code = ("import sys, limenotch.cli.serve, limenotch.program; "
-            "print([m for m in sys.modules if m.split('.')[0] in ('numpy', 'scipy', 'rich', 'hdrh', 'matplotlib', "
-            "'jinja2') or m.startswith('limenotch.lab')])")
+    code = (
+        "import sys, limenotch.cli.serve, limenotch.program; "
+        "print([m for m in sys.modules if m.split('.')[0] in ('numpy', 'scipy', 'rich', 'hdrh', 'matplotlib', "
+        "'jinja2') or m.startswith('limenotch.lab')])"
+    )
     # structlog looks for rich by itself where it is installed; the platform's own installation has none.
     assert [m for m in eval(printed_by(code)) if not m.startswith(("rich", "pygments"))] == []
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -38,12 +38,15 @@
     return {**SETTINGS, "classes": classes}
 
 
-@pytest.mark.parametrize(("longest", "expected"), [
-    (0.3, Schedule(0.5, 0.65, 0.8, 0.9, 1.2)),
-    (1.0, Schedule(0.5, 1.0, 1.5, 1.6, 2.6)),
-    (3.0, Schedule(0.5, 1.8, 3.5, 3.6, 6.6)),
-    (10.0, Schedule(0.5, 1.8, 3.5, 3.6, 13.6)),
-])
+@pytest.mark.parametrize(
+    ("longest", "expected"),
+    [
+        (0.3, Schedule(0.5, 0.65, 0.8, 0.9, 1.2)),
+        (1.0, Schedule(0.5, 1.0, 1.5, 1.6, 2.6)),
+        (3.0, Schedule(0.5, 1.8, 3.5, 3.6, 6.6)),
+        (10.0, Schedule(0.5, 1.8, 3.5, 3.6, 13.6)),
+    ],
+)
 def test_the_schedule_follows_from_the_longest_deadline(longest: float, expected: Schedule) -> None:
     assert schedule(longest, 0.5, 1.8) == pytest.approx(expected)
     assert schedule(longest, 0.5, 1.8, handed_on=True) == pytest.approx(expected._replace(accept_s=0.0))
@@ -267,8 +270,9 @@
     run(with_connections(use, PATIENT))
 
 
-@pytest.mark.parametrize(("effect", "status", "runs"), [
-    ("idempotent", 200, 2), ("deduplicated", 200, 2), ("at_most_once", 502, 1)])
+@pytest.mark.parametrize(
+    ("effect", "status", "runs"), [("idempotent", 200, 2), ("deduplicated", 200, 2), ("at_most_once", 502, 1)]
+)
 def test_what_is_under_way_at_sigterm_goes_again_only_as_its_class_allows(effect: str, status: int, runs: int) -> None:
     # Guards once-only work in the one moment in which a process ends and an endpoint hangs up.
     classes = [{**SETTINGS["classes"][1], "effect": effect}]  # type: ignore[index]
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -32,17 +32,21 @@
 REJECTED = whole(503, (b"X-Rejected", b"1"))
 
 
-@pytest.mark.parametrize(("request_", "answers", "status", "runs"), [
-    (LOOK, [whole(200, (b"X-Load-Report", b"TEXT util=?"))], 200, 1),
-    (LOOK, [whole(500), whole(200)], 200, 2),
-    (LOOK, [whole(500)], 503, 2),  # a repeat is harmless: a rejection, worded by us
-    (DELIVER, [whole(500)], 502, 2),  # never a rejection after it may have run
-    (DELIVER, [whole(503)], 502, 2),  # a bare 503 may have run
-    (DELIVER, [REJECTED], 503, 2),
-    (DELIVER, [b""], 502, 2),  # hung up after the last byte: reset
-    (DELIVER, [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbo"], 502, 2),  # cut off: no 200
-    (DELIVER, [b"nonsense\r\n\r\n"], 502, 2),
-], ids=["200", "500 then 200", "500", "keyed 500", "keyed 503", "turned away", "reset", "cut off", "garbage"])
+@pytest.mark.parametrize(
+    ("request_", "answers", "status", "runs"),
+    [
+        (LOOK, [whole(200, (b"X-Load-Report", b"TEXT util=?"))], 200, 1),
+        (LOOK, [whole(500), whole(200)], 200, 2),
+        (LOOK, [whole(500)], 503, 2),  # a repeat is harmless: a rejection, worded by us
+        (DELIVER, [whole(500)], 502, 2),  # never a rejection after it may have run
+        (DELIVER, [whole(503)], 502, 2),  # a bare 503 may have run
+        (DELIVER, [REJECTED], 503, 2),
+        (DELIVER, [b""], 502, 2),  # hung up after the last byte: reset
+        (DELIVER, [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbo"], 502, 2),  # cut off: no 200
+        (DELIVER, [b"nonsense\r\n\r\n"], 502, 2),
+    ],
+    ids=["200", "500 then 200", "500", "keyed 500", "keyed 503", "turned away", "reset", "cut off", "garbage"],
+)
 def test_final_answers(request_: bytes, answers: list[bytes], status: int, runs: int) -> None:
     handler, seen = answering(*answers)
 
@@ -58,21 +62,37 @@
     assert all(r.body == (b"doc" if r.method == b"POST" else b"") for r in seen)
 
 
-@pytest.mark.parametrize(("wire", "status"), [
-    (LOOK.replace(b"X-Call-Id", b"X-Other"), 400),
-    (LOOK.replace(b"Host: s\r\n", b""), 400),
-    (LOOK.replace(b"Host: s", b"Host: s\r\nHost: t"), 400),
-    (LOOK.replace(b"Host: s", b"Host: s\r\nX-Call-Id: 2"), 400),
-    (DELIVER.replace(b"Host: s", b"Host: s\r\nIdempotency-Key: l"), 400),
-    (LOOK.replace(b"look", b"odd"), 400),
-    (LOOK.replace(b"acme", b"odd"), 400),
-    (LOOK.replace(b"20000m", b"nanm"), 400),
-    (LOOK.replace(b"GET", b"HEAD"), 405),
-    (b"\x16\x03\x01 hello\r\n\r\n", 400),
-    (b"GET /" + b"a" * 70_000, 431),
-    (DELIVER.replace(b"Length: 3", b"Length: 70000000"), 413),
-], ids=["no id", "no host", "two hosts", "two ids", "two keys", "class", "tenant", "budget", "method", "garbage",
-        "large head", "large body"])
+@pytest.mark.parametrize(
+    ("wire", "status"),
+    [
+        (LOOK.replace(b"X-Call-Id", b"X-Other"), 400),
+        (LOOK.replace(b"Host: s\r\n", b""), 400),
+        (LOOK.replace(b"Host: s", b"Host: s\r\nHost: t"), 400),
+        (LOOK.replace(b"Host: s", b"Host: s\r\nX-Call-Id: 2"), 400),
+        (DELIVER.replace(b"Host: s", b"Host: s\r\nIdempotency-Key: l"), 400),
+        (LOOK.replace(b"look", b"odd"), 400),
+        (LOOK.replace(b"acme", b"odd"), 400),
+        (LOOK.replace(b"20000m", b"nanm"), 400),
+        (LOOK.replace(b"GET", b"HEAD"), 405),
+        (b"\x16\x03\x01 hello\r\n\r\n", 400),
+        (b"GET /" + b"a" * 70_000, 431),
+        (DELIVER.replace(b"Length: 3", b"Length: 70000000"), 413),
+    ],
+    ids=[
+        "no id",
+        "no host",
+        "two hosts",
+        "two ids",
+        "two keys",
+        "class",
+        "tenant",
+        "budget",
+        "method",
+        "garbage",
+        "large head",
+        "large body",
+    ],
+)
 def test_bad_input_is_answered_and_reaches_no_provider(wire: bytes, status: int) -> None:
     handler, seen = answering(whole(200))
 
@@ -152,9 +172,16 @@
     run(case())
 
 
-@pytest.mark.parametrize(("sent", "answer"), [
-    (b"", b""), (b"GET /ap", b"HTTP/1.1 408 "), (DELIVER[:-1], b"HTTP/1.1 408 "), (LOOK, b"HTTP/1.1 200 "),
-], ids=["silent", "half a head", "half a body", "idle after a call"])
+@pytest.mark.parametrize(
+    ("sent", "answer"),
+    [
+        (b"", b""),
+        (b"GET /ap", b"HTTP/1.1 408 "),
+        (DELIVER[:-1], b"HTTP/1.1 408 "),
+        (LOOK, b"HTTP/1.1 200 "),
+    ],
+    ids=["silent", "half a head", "half a body", "idle after a call"],
+)
 def test_connections_without_a_call_are_ended(sent: bytes, answer: bytes) -> None:
     # Guards the descriptors: consumers that ask once and stay, or never ask, once used them up for good.
     tuning = Settings(consumers=ConsumerTuning(request_s=0.2, idle_s=0.0))
@@ -215,9 +242,7 @@
         super().__init__(Facade(read_settings(SETTINGS), 1), 10)
         self.endings: asyncio.Queue[Ending] = asyncio.Queue()
 
-    def ended(
-        self, invoker_call: InvokerCall, ending: Ending, payload: Any = None, *report: float | None
-    ) -> None:
+    def ended(self, invoker_call: InvokerCall, ending: Ending, payload: Any = None, *report: float | None) -> None:
         invoker_call.over = True
         self.endings.put_nowait(ending)
 
@@ -331,11 +356,15 @@
     assert ending_of(marked) is Ending.ERROR
 
 
-@pytest.mark.parametrize("sent", [
-    b"HTTP/1.1 200 OK\r\nX-Pad: p\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbo",
-    b"HTTP/1.1 200 OK\r\n\r\nbo",
-], ids=["endless head", "short body", "no length"])
+@pytest.mark.parametrize(
+    "sent",
+    [
+        b"HTTP/1.1 200 OK\r\nX-Pad: p\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbo",
+        b"HTTP/1.1 200 OK\r\n\r\nbo",
+    ],
+    ids=["endless head", "short body", "no length"],
+)
 def test_an_answer_that_does_not_end_is_a_reset(sent: bytes) -> None:
     # Guards calls with time left to try elsewhere, and consumers: what there is of a body without a length
     # once passed for the whole when we closed the connection ourselves.
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -46,7 +46,8 @@
                 outcome = face.Outcome.REFUSED if send.upstream in self.rejecting else face.Outcome.OK
                 report = (0.3, 50.0) if outcome is face.Outcome.OK else (None, None)
                 actions += self.balancer.handle(
-                    self.now, face.Finished(send.call, send.upstream, attempt, 5.0, outcome, False, *report))
+                    self.now, face.Finished(send.call, send.upstream, attempt, 5.0, outcome, False, *report)
+                )
         return sent
 
     def sent_until(self, until: float, traffic_class: int = 0) -> list[str]:
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -36,7 +36,7 @@
         return self.began + self.passed
 
     def age(self, name: str, since_ms: float, unheard_ms: float = math.inf, whole: bool = False) -> float:
-        start, = self.starts.heard([Line(name, since_ms)], whole, unheard_ms)
+        (start,) = self.starts.heard([Line(name, since_ms)], whole, unheard_ms)
         return self.clock() - start
 
 
@@ -106,9 +106,19 @@
     assert later.age("a", UNIX - 7000) == 7000
 
 
-@pytest.mark.parametrize("told", [
-    None, [], {"a": 1}, {"a": [1.0]}, {"a": [1.0, -1.0]}, {"a": [1.0, math.nan]}, {"a": ["1", 2.0]}, {1: [1.0, 2.0]},
-])
+@pytest.mark.parametrize(
+    "told",
+    [
+        None,
+        [],
+        {"a": 1},
+        {"a": [1.0]},
+        {"a": [1.0, -1.0]},
+        {"a": [1.0, math.nan]},
+        {"a": ["1", 2.0]},
+        {1: [1.0, 2.0]},
+    ],
+)
 def test_what_is_not_sound_is_not_taken(told: Any) -> None:
     clocks = Clocks()
     with pytest.raises(ValueError, match="starts"):
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -91,6 +91,7 @@
     tmp_path: Path, at_start_s: float, later_s: float, listed_s: float
 ) -> None:
     """Without a ramp in the settings the part that is over was a division by zero: each call was answered 502."""
+
     async def case() -> None:
         assert await calls_to_a_fresh_endpoint(tmp_path, {}, at_start_s, later_s, listed_s) > 0
 
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -91,8 +91,11 @@
     return handle
 
 
-@pytest.mark.parametrize("door", [silent, says(b""), says(b"L", b"{}\n"), says(b"\xff" * 99)],
-                         ids=["silent", "hangs up", "no listener", "noise"])
+@pytest.mark.parametrize(
+    "door",
+    [silent, says(b""), says(b"L", b"{}\n"), says(b"\xff" * 99)],
+    ids=["silent", "hangs up", "no listener", "noise"],
+)
 def test_a_door_that_is_no_sidecars_is_given_up(
     tmp_path: Path, door: Callable[[Reader, Writer], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -133,6 +136,7 @@
 
 # Processes
 
+
 class Sidecars:
     """Processes of one sidecar, a provider, and what consumers got."""
 
@@ -155,8 +159,12 @@
     async def start(self, known: bool = False, kept: bool = True) -> tuple[asyncio.subprocess.Process, int]:
         """A process and its second address; returns when it is ready."""
         listed = [{"name": n, "address": f"127.0.0.1:{self.provider}", "status": "in_service"} for n in "ab"]
-        raw = {"name": "n", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{free_port()}",
-               "settings": SETTINGS}
+        raw = {
+            "name": "n",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{free_port()}",
+            "settings": SETTINGS,
+        }
         if known:
             raw["known"] = {"index": 3, "snapshot": True, "endpoints": listed}
         return await self._processes.serve(raw, kept)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -48,9 +48,7 @@
 
 def transcript(numbers: tuple[int, ...]) -> str:
     """The same story for each instance; every process hears of its own instances only."""
-    rows = [
-        f"ROW nominal=1.5 hw=0 locality=0 upstream=10.1.0.{i}:80 stage_state=ready" for i in range(5)
-    ]
+    rows = [f"ROW nominal=1.5 hw=0 locality=0 upstream=10.1.0.{i}:80 stage_state=ready" for i in range(5)]
     text = batch(100.0)
     text += batch(
         101.0,
@@ -69,10 +67,7 @@
         now = 110.0 + 50 * turn
         text += batch(
             now,
-            *[
-                f"KNOCK balancer_id={n} handle=call-{n}-{turn} kind={turn % 2} party=0 budget_ms=900.0"
-                for n in numbers
-            ],
+            *[f"KNOCK balancer_id={n} handle=call-{n}-{turn} kind={turn % 2} party=0 budget_ms=900.0" for n in numbers],
         )
     text += batch(750.0, *[f"LEFT balancer_id={n} handle=call-{n}-11" for n in numbers])
     text += batch(
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,8 +12,9 @@
 from tests.referee import Held, Referee, settings
 
 BOOK = face.TrafficClass("book", face.Effect.AT_MOST_ONCE, 1000.0, 2500.0, worth=10.0)
-SWAP = face.TrafficClass("swap", face.Effect.DEDUPLICATED, 2500.0, 6000.0, worth=5.0, scope=face.Scope.ZONE,
-                         window_ms=10_000.0)
+SWAP = face.TrafficClass(
+    "swap", face.Effect.DEDUPLICATED, 2500.0, 6000.0, worth=5.0, scope=face.Scope.ZONE, window_ms=10_000.0
+)
 NEAR, FAR = tuple("abcdef"), tuple("ghijklm")
 
 
@@ -33,8 +34,12 @@
 
     def out(self) -> list[tuple[Held, int, str, float]]:
         """Attempts that their providers hold: call, number, provider, since when."""
-        return [(held, number, name, since) for held in self.calls.values()
-                for number, (since, name) in enumerate(held.sent) if number not in held.ended]
+        return [
+            (held, number, name, since)
+            for held in self.calls.values()
+            for number, (since, name) in enumerate(held.sent)
+            if number not in held.ended
+        ]
 
     def answered(self, spent: float, but: str = "", outcome: face.Outcome = face.Outcome.OK) -> None:
         """Those that are out for so long end, and those that were called off; none of the upstream `but`."""
