--- a/limenotch/config.py
+++ b/limenotch/config.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from switchthread import interface as face
 from switchthread.settings import read_settings
+from switchthread.types import BalancerSettings
 
 Address = tuple[str, int]
 
@@ -34,7 +34,7 @@
     listen: Address
     directory: Address
     seed: int
-    settings: face.Settings
+    settings: BalancerSettings
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
     known: dict[str, Any] = field(default_factory=dict)  # the list as held last, in the directory's form
--- a/limenotch/facade.py
+++ b/limenotch/facade.py
@@ -15,8 +15,22 @@
 from typing import Any, NamedTuple
 
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
+from switchthread.events import (
+    AttemptFinished,
+    BalancerStarted,
+    ClientDisconnected,
+    Event,
+    MembershipKind,
+    MembershipUpdate,
+    OperatorEjection,
+    RequestArrived,
+    SettingsChanged,
+    TimerFired,
+    UploadFinished,
+)
 from switchthread.knowledge import learn, told_by
+from switchthread.types import BalancerSettings, Endpoint, EndpointState, Outcome, PriorExecution
 
 from .permits import Permits
 from .starts import Starts
@@ -123,19 +137,19 @@
 Orders = list[Order]
 
 OUTCOMES = {
-    Ending.SERVED: face.Outcome.OK,
-    Ending.ERROR: face.Outcome.ERROR,
-    Ending.TURNED_AWAY: face.Outcome.REFUSED,
-    Ending.TIMED_OUT: face.Outcome.TIMEOUT,
-    Ending.CONNECT_FAILED: face.Outcome.CONNECT_FAILED,
-    Ending.RESET: face.Outcome.RESET,
-    Ending.ABANDONED: face.Outcome.CANCELLED,
-    Ending.NOT_SENT: face.Outcome.NOT_SENT,
+    Ending.SERVED: Outcome.OK,
+    Ending.ERROR: Outcome.ERROR,
+    Ending.TURNED_AWAY: Outcome.REFUSED,
+    Ending.TIMED_OUT: Outcome.TIMEOUT,
+    Ending.CONNECT_FAILED: Outcome.CONNECT_FAILED,
+    Ending.RESET: Outcome.RESET,
+    Ending.ABANDONED: Outcome.CANCELLED,
+    Ending.NOT_SENT: Outcome.NOT_SENT,
 }
 STAGES = {
-    Status.IN_SERVICE: face.Stage.READY,
-    Status.TERMINATING: face.Stage.DRAINING,
-    Status.TERMINATED: face.Stage.GONE,
+    Status.IN_SERVICE: EndpointState.READY,
+    Status.TERMINATING: EndpointState.DRAINING,
+    Status.TERMINATED: EndpointState.GONE,
 }
 
 
@@ -169,7 +183,7 @@
 
     def __init__(
         self,
-        settings: face.Settings,
+        settings: BalancerSettings,
         seed: int,
         zones: Iterable[str] = (),
         kinds: Iterable[str] = (),
@@ -186,7 +200,7 @@
         self._zones = _Names({name: number for number, name in enumerate(zones)})
         self._kinds = _Names({name: number for number, name in enumerate(kinds)})
 
-    def _adopt(self, settings: face.Settings) -> None:
+    def _adopt(self, settings: BalancerSettings) -> None:
         self._settings = replace(
             settings, processes=self._processes, narrow=self._clock() >= self._until, cold_parts=self._cold_parts
         )
@@ -236,9 +250,9 @@
 
     def ban(self, name: str, out: bool, at_ms: float = 0.0) -> Orders:
         """A provider is taken out by hand or, since `at_ms`, let back."""
-        return self._handle(face.Ban(name, out, at_ms))
+        return self._handle(OperatorEjection(name, out, at_ms))
 
-    def retune(self, settings: face.Settings, zones: Iterable[str] = (), kinds: Iterable[str] = ()) -> Orders:
+    def retune(self, settings: BalancerSettings, zones: Iterable[str] = (), kinds: Iterable[str] = ()) -> Orders:
         """Other settings for the calls to come. Indexes of zones and kinds are those of the start, and go on."""
         names = list(zones)
         for kind in kinds:
@@ -246,13 +260,13 @@
         if settings.zone < len(names):
             settings = replace(settings, zone=self._zones[names[settings.zone]])
         self._adopt(settings)
-        return self._handle(face.Retuned(self._settings))
+        return self._handle(SettingsChanged(self._settings))
 
     def together(self, processes: int) -> Orders:
         """How many processes of this sidecar live: each does its part of what one may do."""
         self._processes = processes
         self._adopt(self._settings)
-        return self._handle(face.Retuned(self._settings))
+        return self._handle(SettingsChanged(self._settings))
 
     def lease(self, until_ms: float, cold_parts: float = 0.0, refusing: bool = False) -> Orders:
         """Of many that act as one: until when (by `now_ms`) this one has the others' word for its rules.
@@ -264,7 +278,7 @@
         self._until, self._refusing, self._cold_parts = until_ms, refusing, cold_parts
         before = self._settings
         self._adopt(before)
-        return self._handle(face.Retuned(self._settings)) if self._settings != before else []
+        return self._handle(SettingsChanged(self._settings)) if self._settings != before else []
 
     @property
     def shut(self) -> bool:
@@ -299,7 +313,7 @@
         learn(self._balancer, module)
 
     def start(self) -> Orders:
-        return self._handle(face.Started())
+        return self._handle(BalancerStarted())
 
     def pick(
         self,
@@ -319,17 +333,17 @@
         if hint is not None:
             prefer = hint.prefer
             if hint.ran:
-                bound = face.Bound(self._zones[hint.zone], hint.group, self._clock() - hint.ago_ms)
+                bound = PriorExecution(self._zones[hint.zone], hint.group, self._clock() - hint.ago_ms)
         cls = self._classes[class_name]
-        return self._handle(face.Arrival(str(call), cls, left_ms, party, resent, once, prefer, bound, keyed))
+        return self._handle(RequestArrived(str(call), cls, left_ms, party, resent, once, prefer, bound, keyed))
 
     def uploaded(self, call: int, left_ms: float) -> Orders:
         """The last byte of a message that goes out once was sent: its call has so much time from now."""
-        return self._handle(face.Uploaded(str(call), left_ms))
+        return self._handle(UploadFinished(str(call), left_ms))
 
     def depart(self, call: int) -> Orders:
         """The consumer is gone."""
-        return self._handle(face.Departure(str(call)))
+        return self._handle(ClientDisconnected(str(call)))
 
     def report(
         self,
@@ -349,19 +363,19 @@
         """
         outcome = OUTCOMES[ending]
         return self._handle(
-            face.Finished(str(call), provider, number, spent_ms, outcome, closed, utilisation, per_s, spent)
+            AttemptFinished(str(call), provider, number, spent_ms, outcome, closed, utilisation, per_s, spent)
         )
 
     def tick(self, ticket: int) -> Orders:
         """A wake is due."""
-        return self._handle(face.TimerFired(ticket))
+        return self._handle(TimerFired(ticket))
 
     def heard(self, providers: Collection[Provider], whole: bool, unheard_ms: float = math.inf) -> Orders:
         """The directory told its whole list, or what changed, `unheard_ms` after its last word."""
         starts = self._starts.heard(providers, whole, unheard_ms)
         self._starts.left(p.name for p in providers if p.status is Status.TERMINATED)
         upstreams = tuple(
-            face.Upstream(
+            Endpoint(
                 p.name,
                 STAGES[p.status],
                 p.weight,
@@ -373,31 +387,31 @@
             )
             for p, start in zip(providers, starts, strict=True)
         )
-        listing = face.Listing.WHOLE if whole else face.Listing.CHANGES
-        return self._handle(face.Membership(listing, upstreams))
+        listing = MembershipKind.WHOLE if whole else MembershipKind.CHANGES
+        return self._handle(MembershipUpdate(listing, upstreams))
 
     def broken(self) -> Orders:
         """A watch of the directory failed or ended."""
-        return self._handle(face.Membership(face.Listing.BROKEN))
+        return self._handle(MembershipUpdate(MembershipKind.BROKEN))
 
-    def _handle(self, event: face.Event) -> Orders:
+    def _handle(self, event: Event) -> Orders:
         now, acts = self._clock(), []
         if now >= self._until and not self._settings.narrow:
             self._settings = replace(self._settings, narrow=True)
-            acts = self._balancer.handle(now, face.Retuned(self._settings))
+            acts = self._balancer.handle(now, SettingsChanged(self._settings))
         acts += self._balancer.handle(now, event)
         return [_order(action, now) for action in acts]
 
 
-def _order(action: face.Action, now: float) -> Order:
-    if isinstance(action, face.Send):
+def _order(action: Action, now: float) -> Order:
+    if isinstance(action, SendAttempt):
         return Invoke(int(action.call), action.upstream, action.timeout_ms)
-    if isinstance(action, face.SetTimer):
+    if isinstance(action, SetTimer):
         return Wake(max(action.at_ms - now, 0.0), action.token)
-    if isinstance(action, face.Cancel):
+    if isinstance(action, CancelAttempt):
         return Abandon(int(action.call), action.attempt)
-    if isinstance(action, face.Refuse):
+    if isinstance(action, RejectRequest):
         return Reject(int(action.call), action.retry_after_ms)
-    if isinstance(action, face.Fail):
+    if isinstance(action, FailRequest):
         return GiveUp(int(action.call))
     return Watch()
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -158,8 +158,8 @@
             rate = 1 + random.uniform(-drift_ppm, drift_ppm) * 1e-6
             disk = SimulatedDisk(
                 self.kernel,
-                lambda event, name=name: self.poke(name, event),
-                fsync_ms,  # type: ignore[misc]
+                lambda event, name=name: self.poke(name, event),  # type: ignore[misc]
+                fsync_ms,
                 f"{seed} disk {name}",
             )
             self.nodes[name] = Node(name, len(self.nodes), disk, float(random.randrange(1_000_000)), rate)
--- a/limenotch/layers/bindings.py
+++ b/limenotch/layers/bindings.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from switchthread.interface import Effect
+from switchthread.types import Effect
 
 from ..config import Config
 from ..facade import NEVER_RAN, Ending, Hint, Provider, Status
--- a/limenotch/permits.py
+++ b/limenotch/permits.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from switchthread import interface as face
 from switchthread.repeats import may_repeat
+from switchthread.types import Effect, PriorAttempt, TrafficClass
 
 # A request counts at its endpoint with its last byte: what the way there and a busy core may take until then.
 ARRIVAL_MS = 20.0
@@ -21,22 +21,22 @@
     at_ms: float
     out: bool = False  # it has not ended yet
 
-    def as_earlier(self) -> face.Earlier:
+    def as_earlier(self) -> PriorAttempt:
         """The same in the decision module's terms."""
-        return face.Earlier(self.zone, self.group, self.at_ms)
+        return PriorAttempt(self.zone, self.group, self.at_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class Permits:
     """Asked right before an attempt's first byte. Without a class nothing may go out twice."""
 
-    traffic_class: face.TrafficClass = face.TrafficClass("", face.Effect.AT_MOST_ONCE, 1.0, 1.0)
+    traffic_class: TrafficClass = TrafficClass("", Effect.AT_MOST_ONCE, 1.0, 1.0)
     copies: bool = False
 
     @property
     def free(self) -> bool:
         """Whether a second run is harmless wherever and whenever it comes."""
-        return self.traffic_class.effect is face.Effect.IDEMPOTENT
+        return self.traffic_class.effect is Effect.IDEMPOTENT
 
     @property
     def longest_s(self) -> float:
@@ -45,7 +45,7 @@
 
     def beside(self, sent: Iterable[Sent]) -> bool:
         """Whether a further attempt may be out together with those that are."""
-        once = self.traffic_class.effect is face.Effect.AT_MOST_ONCE
+        once = self.traffic_class.effect is Effect.AT_MOST_ONCE
         return not any(attempt.out for attempt in sent) or (self.copies and not once)
 
     def again(self, may_have_run: Iterable[Sent], zone: str, group: int, now_ms: float) -> bool:
--- a/switchthread/benchlink.py
+++ b/switchthread/benchlink.py
@@ -10,27 +10,39 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from . import interface as face
+from .actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
 from .decide import Balancer
+from .events import (
+    AttemptFinished,
+    BalancerStarted,
+    ClientDisconnected,
+    Event,
+    MembershipKind,
+    MembershipUpdate,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
 from .settings import read_settings
+from .types import Endpoint, EndpointState, Outcome
 
 OUTCOMES = {
-    "100": face.Outcome.OK,
-    "301": face.Outcome.ERROR,
-    "302": face.Outcome.REFUSED,
-    "303": face.Outcome.TIMEOUT,
-    "304": face.Outcome.CONNECT_FAILED,
-    "305": face.Outcome.RESET,
-    "306": face.Outcome.CANCELLED,
-    "307": face.Outcome.NOT_SENT,
+    "100": Outcome.OK,
+    "301": Outcome.ERROR,
+    "302": Outcome.REFUSED,
+    "303": Outcome.TIMEOUT,
+    "304": Outcome.CONNECT_FAILED,
+    "305": Outcome.RESET,
+    "306": Outcome.CANCELLED,
+    "307": Outcome.NOT_SENT,
 }
 LISTINGS = {
-    "patch": face.Listing.CHANGES,
-    "whole": face.Listing.WHOLE,
-    "stale_copy": face.Listing.WHOLE,
-    "broken": face.Listing.BROKEN,
+    "patch": MembershipKind.CHANGES,
+    "whole": MembershipKind.WHOLE,
+    "stale_copy": MembershipKind.WHOLE,
+    "broken": MembershipKind.BROKEN,
 }
-STAGES = {stage.value: stage for stage in face.Stage}
+STAGES = {stage.value: stage for stage in EndpointState}
 IGNORED = frozenset({"CHECKED", "PEER_DATA"})  # probes and peers are not used
 SHEETS = 16
 
@@ -46,12 +58,12 @@
         raise WireError("expected name=value pairs set apart by one space") from None
 
 
-def _row(line: str) -> face.Upstream:
+def _row(line: str) -> Endpoint:
     parts = line.split(" ")
     if parts[0] != "ROW":
         raise WireError("expected ROW")
     pairs = _fields(parts[1:])
-    return face.Upstream(
+    return Endpoint(
         pairs["upstream"],
         STAGES[pairs["stage_state"]],
         float(pairs.get("nominal", 1.0)),
@@ -69,10 +81,10 @@
     return (float(util) if util else None, float(per_s) if per_s else None)
 
 
-def _event(name: str, pairs: dict[str, str]) -> face.Event:
+def _event(name: str, pairs: dict[str, str]) -> Event:
     """One wire event other than the list's and the instance's own start and stop."""
     if name == "KNOCK":
-        return face.Arrival(
+        return RequestArrived(
             pairs["handle"],
             int(pairs["kind"]),
             float(pairs["budget_ms"]),
@@ -80,7 +92,7 @@
             pairs.get("resent") == "1",
         )
     if name == "RESULT":
-        return face.Finished(
+        return AttemptFinished(
             pairs["handle"],
             pairs["upstream"],
             int(pairs["copy"]),
@@ -90,30 +102,30 @@
             *_report(pairs.get("report")),
         )
     if name == "TIMER":
-        return face.TimerFired(int(pairs["ctx"]))
+        return TimerFired(int(pairs["ctx"]))
     if name == "LEFT":
-        return face.Departure(pairs["handle"])
+        return ClientDisconnected(pairs["handle"])
     if name == "HEAD_RECEIVED":
-        return face.AnswerBegun(
+        return ResponseStarted(
             pairs["handle"], pairs["upstream"], int(pairs["copy"]), float(pairs["spent_ms"])
         )
     raise WireError("expected an event of the wire")
 
 
-def _line(action: face.Action, at: str) -> str:
+def _line(action: Action, at: str) -> str:
     """One action as the wire writes it."""
-    if isinstance(action, face.Send):
+    if isinstance(action, SendAttempt):
         return (
             f"RELAY balancer_id={at} handle={action.call} "
             f"try_for_ms={action.timeout_ms:.3f} upstream={action.upstream}"
         )
-    if isinstance(action, face.SetTimer):
+    if isinstance(action, SetTimer):
         return f"WAKE_ME balancer_id={at} at_ms={action.at_ms:.3f} ctx={action.token}"
-    if isinstance(action, face.Cancel):
+    if isinstance(action, CancelAttempt):
         return f"WITHDRAW balancer_id={at} handle={action.call} copy={action.attempt}"
-    if isinstance(action, face.Refuse):
+    if isinstance(action, RejectRequest):
         return f"TURN_AWAY balancer_id={at} handle={action.call} hold_off_ms={action.retry_after_ms:.3f}"
-    if isinstance(action, face.Fail):
+    if isinstance(action, FailRequest):
         return f"GIVE_UP balancer_id={at} handle={action.call}"
     return f"WATCH balancer_id={at} active=1"
 
@@ -125,7 +137,7 @@
         self.sink = sink
         self.number = 0
         self.source = source
-        self.sheets: dict[int, tuple[face.Upstream, ...]] = {}
+        self.sheets: dict[int, tuple[Endpoint, ...]] = {}
         self.instances: dict[str, Balancer] = {}
 
     def lines(self) -> Iterator[str]:
@@ -171,10 +183,10 @@
             self.sheets[number] = tuple(rows)
             return
         at = pairs["balancer_id"]
-        event: face.Event
+        event: Event
         if name == "LAUNCH":
             self.instances[at] = Balancer(read_settings(json.loads(env)), int(pairs["seed"]))
-            event = face.Started()
+            event = BalancerStarted()
         elif name == "TEARDOWN":
             self.instances.pop(at, None)
             return
@@ -182,13 +194,13 @@
             return
         elif name == "MEMBERSHIP":
             listing = LISTINGS[pairs["how"]]
-            rows_held: tuple[face.Upstream, ...] = ()
-            if listing is not face.Listing.BROKEN:
+            rows_held: tuple[Endpoint, ...] = ()
+            if listing is not MembershipKind.BROKEN:
                 number = int(pairs["sheet"])
                 if number not in self.sheets:
                     raise WireError(f"expected a registered sheet, not {number}")
                 rows_held = self.sheets[number]
-            event = face.Membership(listing, rows_held)
+            event = MembershipUpdate(listing, rows_held)
         else:
             event = _event(name, pairs)
         balancer = self.instances.get(at)
--- a/switchthread/books.py
+++ b/switchthread/books.py
@@ -11,12 +11,13 @@
 from math import inf, sqrt
 from random import Random
 
-from . import interface as face
+from .actions import Action, SendAttempt, SetTimer
 from .entry import Entry
-from .interface import Action, Outcome, Scope
+from .events import AttemptFinished, OperatorEjection, RequestArrived, SettingsChanged, UploadFinished
 from .ready import Ready
 from .records import Attempt, Call, Mean, Server, Usual
 from .roster import Changes, Roster
+from .types import NEVER_RAN, BalancerSettings, DedupScope, Outcome, Tenant
 
 MEMORY = 4.0  # evidence on an upstream fades over this many of the longest aims: troubles last a few aims
 WINDOW = 0.5  # shares and means are renewed after this part of the mean aim: answers still matter by then
@@ -40,7 +41,7 @@
 class Books:
     """Written by events as they come; every decision reads them."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: BalancerSettings, seed: int) -> None:
         self.random = Random(seed)
         self.roster = Roster(self.random)
         self.ready = Ready(settings)
@@ -53,7 +54,7 @@
             False,
         )  # when shares were taken last; whether the list has changed since
         self.table, self.home = drawable([]), drawable([])  # those drawn from, and of them the own zone's
-        self.groups: dict[tuple[Scope, Hashable], Table] = {}
+        self.groups: dict[tuple[DedupScope, Hashable], Table] = {}
         self.tier = Mean()
         self.calls: dict[str, Call] = {}
         self.timers: dict[int, Call | None] = {}
@@ -71,7 +72,7 @@
         self.quota: dict[str, tuple[float, float]] = {}  # of each tenant: calls saved up, and when
         self.adopt(settings)
 
-    def adopt(self, settings: face.Settings) -> None:
+    def adopt(self, settings: BalancerSettings) -> None:
         """Rules for the calls to come. What was learnt stays with the names that stay."""
         self.set, aims = settings, [c.aim_ms for c in settings.classes]
         self.roster.turn = settings.rank * TURN % 1
@@ -82,9 +83,9 @@
 
     # The list, and the time
 
-    def hear(self, now: float, event: face.Ban | face.Retuned) -> None:
+    def hear(self, now: float, event: OperatorEjection | SettingsChanged) -> None:
         """Operators have changed who may be sent to, or the rules."""
-        if isinstance(event, face.Ban):
+        if isinstance(event, OperatorEjection):
             self.relist(now, self.roster.ban(now, event))
             return
         self.adopt(event.settings)
@@ -181,7 +182,7 @@
         """A timer for a call, or for the list."""
         self.token += 1
         self.timers[self.token] = call
-        acts.append(face.SetTimer(at, self.token))
+        acts.append(SetTimer(at, self.token))
 
     def named(self, name: str) -> Server | None:
         """One that may be sent to, whether or not this balancer draws from it."""
@@ -190,7 +191,7 @@
 
     # Calls and attempts
 
-    def take(self, now: float, event: face.Arrival) -> Call:
+    def take(self, now: float, event: RequestArrived) -> Call:
         """A record for a call that came. Raises ValueError if its class is none of the settings."""
         if not 0 <= event.traffic_class < len(self.set.classes):
             raise ValueError(f"traffic_class: {event.traffic_class} is no class of the settings")
@@ -214,14 +215,14 @@
         self.held += (self.out - self.held) / 20
         return call
 
-    def worth(self, now: float, call: Call, event: face.Arrival) -> float:
+    def worth(self, now: float, call: Call, event: RequestArrived) -> float:
         """What an answer to it earns, by its class and by what its tenant has used of its quota."""
         if event.tenant >= len(self.set.tenants):
             return call.cls.worth
         over = self.over_quota(now, self.set.tenants[event.tenant])
         return call.cls.worth * (self.set.over_share_worth if over else 1.0)
 
-    def over_quota(self, now: float, tenant: face.Tenant) -> bool:
+    def over_quota(self, now: float, tenant: Tenant) -> bool:
         """One call more of this tenant: whether it is above what its quota has saved up."""
         rate = tenant.quota_per_s / self.set.parts / 1000
         saved, since = self.quota[tenant.name]
@@ -237,7 +238,7 @@
         self.copied, self.budget = self.copied + copy, self.budget - copy
         if server.capacity(now, self.set.cold) < 1.0:  # by its class's part of the mean work
             server.credit -= call.usual.mean / self.typical if call.usual.mean and self.typical else 1.0
-        acts.append(face.Send(call.name, server.at.name, max(call.end - now, 0.001)))
+        acts.append(SendAttempt(call.name, server.at.name, max(call.end - now, 0.001)))
 
     def _count(self, attempt: Attempt, now: float) -> None:
         """Its server has work by it from now on."""
@@ -247,20 +248,20 @@
         attempt.server.out, self.out = attempt.server.out + 1, self.out + 1
         attempt.server.owed += attempt.rate
 
-    def uploaded(self, now: float, event: face.Uploaded) -> None:
+    def uploaded(self, now: float, event: UploadFinished) -> None:
         """How long its client took to send it is neither load nor lateness."""
         call = self.calls.get(event.call)
         if call is not None and not call.done and call.tries and call.tries[-1].open:
             call.end, call.aim = now + event.budget_ms, now + call.cls.aim_ms
             self._count(call.tries[-1], now)
 
-    def ended(self, now: float, event: face.Finished) -> tuple[Call, Attempt] | None:
+    def ended(self, now: float, event: AttemptFinished) -> tuple[Call, Attempt] | None:
         """The attempt that has ended and its call; None for one that is not known to be out."""
         call = self.calls.get(event.call)
         if call is None or not 0 <= event.attempt < len(call.tries) or not call.tries[event.attempt].open:
             return None
         attempt = call.tries[event.attempt]
-        attempt.open, attempt.ran = False, event.outcome not in face.NEVER_RAN
+        attempt.open, attempt.ran = False, event.outcome not in NEVER_RAN
         attempt.server.out, self.out = attempt.server.out - attempt.counted, self.out - attempt.counted
         attempt.server.owed -= attempt.rate * attempt.counted
         if event.outcome in HEARD:
@@ -277,7 +278,7 @@
 
     # Evidence
 
-    def reported(self, now: float, server: Server, event: face.Finished) -> None:
+    def reported(self, now: float, server: Server, event: AttemptFinished) -> None:
         """What the upstream says of itself; most answers repeat its last report."""
         server.fade(now, self.memory)
         if event.utilisation is None:
@@ -291,7 +292,7 @@
                 for mean in (server.like, self.tier):
                     mean.done, mean.busy = mean.done + per_s, mean.busy + util * server.weight
 
-    def learn(self, now: float, call: Call, server: Server, event: face.Finished) -> None:
+    def learn(self, now: float, call: Call, server: Server, event: AttemptFinished) -> None:
         """What the attempt's end shows: in time or a miss, and how slow."""
         ok = event.outcome is Outcome.OK
         if ok and now <= call.aim:
--- a/switchthread/copies.py
+++ b/switchthread/copies.py
@@ -8,10 +8,11 @@
 
 from math import exp
 
+from .actions import Action
 from .books import BURST, Books
-from .interface import Action, Effect
 from .placement import LAX, draw, load_at, odds, reach
 from .records import Call, Server
+from .types import Effect
 from .verdicts import OVERDUE, quiet
 
 RETRIES = 0.2  # copies and retries allowed for each recent call: they can't multiply down the tiers
--- a/switchthread/decide.py
+++ b/switchthread/decide.py
@@ -1,4 +1,4 @@
-"""What becomes of a call: let in, sent, tried again, given up. Events and actions are in interface.py.
+"""What becomes of a call: let in, sent, tried again, given up. Events: events.py; actions: actions.py.
 
 Each decision has its file, all named under `policy` in deploy/balancer.toml: who is turned away (entry.py),
 the shares of upstreams (shares.py) in a part of the tier (subset.py), whom calls avoid (verdicts.py), where
@@ -7,15 +7,29 @@
 
 from __future__ import annotations
 
-from . import interface as face
+from .actions import Action, CancelAttempt, FailRequest, RejectRequest, Subscribe
 from .books import BURST, Books
 from .copies import RETRIES, at_once, overdue, patience
 from .entry import rebound, refused
-from .interface import Action, Effect, Outcome
+from .events import (
+    AttemptFinished,
+    BalancerStarted,
+    ClientDisconnected,
+    Event,
+    MembershipKind,
+    MembershipUpdate,
+    OperatorEjection,
+    RequestArrived,
+    ResponseStarted,
+    SettingsChanged,
+    TimerFired,
+    UploadFinished,
+)
 from .placement import choose
 from .records import Call
 from .repeats import may_repeat
 from .shares import due, reshare
+from .types import Effect, Outcome
 from .verdicts import rest, tired
 
 ASK_MS = 1000.0  # window by which asking again is timed at most: of 6 s, all that there is, a third is waited
@@ -24,42 +38,42 @@
 class Balancer(Books):
     """Feed it events in order; carry out the actions it returns in order."""
 
-    def handle(self, now_ms: float, event: face.Event) -> list[Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         acts: list[Action] = []
         if self.advance(now_ms):
             self._renew(now_ms)
-        if isinstance(event, face.Arrival):
+        if isinstance(event, RequestArrived):
             self._arrival(now_ms, event, acts)
-        elif isinstance(event, face.Finished):
+        elif isinstance(event, AttemptFinished):
             self._finished(now_ms, event, acts)
-        elif isinstance(event, face.TimerFired):
+        elif isinstance(event, TimerFired):
             self._timer(now_ms, event.token, acts)
-        elif isinstance(event, face.Membership):
+        elif isinstance(event, MembershipUpdate):
             self._membership(now_ms, event, acts)
-        elif isinstance(event, face.Departure):
+        elif isinstance(event, ClientDisconnected):
             if event.call in self.calls and not self.calls[event.call].done:
                 self._close(self.calls[event.call], acts)
-        elif isinstance(event, face.AnswerBegun):
+        elif isinstance(event, ResponseStarted):
             if event.call in self.calls and not self.calls[event.call].done:
                 self.calls[event.call].streaming = True
                 self._cancel(self.calls[event.call], event.attempt, acts)
-        elif isinstance(event, face.Uploaded):
+        elif isinstance(event, UploadFinished):
             self.uploaded(now_ms, event)
-        elif isinstance(event, (face.Ban, face.Retuned)):
+        elif isinstance(event, (OperatorEjection, SettingsChanged)):
             self.hear(now_ms, event)
             reshare(self, now_ms)
-        elif isinstance(event, face.Started):
-            acts += [face.Subscribe()] if self.set.must_ask else []
+        elif isinstance(event, BalancerStarted):
+            acts += [Subscribe()] if self.set.must_ask else []
         else:
-            raise TypeError(f"not an event of interface.py: {event!r}")
+            raise TypeError(f"not an event of events.py: {event!r}")
         if due(self, now_ms):
             reshare(self, now_ms)
         return acts
 
     # The list of upstreams
 
-    def _membership(self, now: float, event: face.Membership, acts: list[Action]) -> None:
-        self.failures = min(self.failures + 1, 3) if event.listing is face.Listing.BROKEN else 0
+    def _membership(self, now: float, event: MembershipUpdate, acts: list[Action]) -> None:
+        self.failures = min(self.failures + 1, 3) if event.listing is MembershipKind.BROKEN else 0
         if self.failures:
             # Blind to drains, ask again; later each time, out of step, or the list service stays jammed.
             wait = min(self.window, ASK_MS) * 2.0 ** (self.failures - 1) * (0.1 + 0.4 * self.random.random())
@@ -75,7 +89,7 @@
 
     # Calls
 
-    def _arrival(self, now: float, event: face.Arrival, acts: list[Action]) -> None:
+    def _arrival(self, now: float, event: RequestArrived, acts: list[Action]) -> None:
         call = self.take(now, event)
         if call.end <= now or (not self.set.layer and refused(self, now, call, event)):
             self._finish(now, call, acts)
@@ -101,7 +115,7 @@
         elif call.cls.effect is not Effect.AT_MOST_ONCE:
             self.wake(now + patience(self, call, one), call, acts)
 
-    def _finished(self, now: float, event: face.Finished, acts: list[Action]) -> None:
+    def _finished(self, now: float, event: AttemptFinished, acts: list[Action]) -> None:
         ended = self.ended(now, event)
         if ended is None:
             return
@@ -132,7 +146,7 @@
         last = call.aim - call.cls.aim_ms + call.cls.deadline_ms  # until then its client may come again
         harmless = may_repeat(call.cls, begun, last) and not (begun and self.set.narrow)
         wait = min(self.set.max_retry_after_ms, self.window)
-        acts.append(face.Refuse(call.name, wait) if harmless else face.Fail(call.name))
+        acts.append(RejectRequest(call.name, wait) if harmless else FailRequest(call.name))
         self._close(call, acts)
 
     def _close(self, call: Call, acts: list[Action]) -> None:
@@ -142,14 +156,14 @@
 
     def _cancel(self, call: Call, but: int, acts: list[Action]) -> None:
         if self.set.may_cancel:
-            acts += [face.Cancel(call.name, n) for n, t in enumerate(call.tries) if t.open and n != but]
+            acts += [CancelAttempt(call.name, n) for n, t in enumerate(call.tries) if t.open and n != but]
 
     def _timer(self, now: float, token: int, acts: list[Action]) -> None:
         if token not in self.timers:
             return
         call = self.timers.pop(token)
         if call is None:
-            acts.append(face.Subscribe())
+            acts.append(Subscribe())
         elif not call.tries and not call.done:
             self._place(now, call, acts)
         elif not (call.done or call.streaming) and sum(t.open for t in call.tries) == 1:
--- a/switchthread/entry.py
+++ b/switchthread/entry.py
@@ -11,7 +11,7 @@
 from math import inf, sqrt
 from typing import TYPE_CHECKING
 
-from . import interface as face
+from .events import RequestArrived
 from .flow import Flow
 from .records import RATED, Call
 
@@ -68,7 +68,7 @@
     )
 
 
-def refused(books: Books, now: float, call: Call, event: face.Arrival) -> bool:
+def refused(books: Books, now: float, call: Call, event: RequestArrived) -> bool:
     worth = books.worth(now, call, event)
     # Calls that hang at a silent upstream are no load on the others; the mean smooths what chance brings.
     held = (books.out + books.held) / 2 - sum(s.out for s in books.silent)
--- a/switchthread/placement.py
+++ b/switchthread/placement.py
@@ -9,10 +9,10 @@
 from math import exp, inf
 
 from .books import Books, Table, drawable
-from .interface import Effect, Scope
 from .records import Call, Server
 from .repeats import group, may_repeat
 from .shares import reshare, share_all
+from .types import DedupScope, Effect
 from .verdicts import crowded, quiet
 
 DRAWS = 4  # tries at one that may be sent to: more would bend the shares of those left
@@ -77,7 +77,7 @@
     first, scope = earlier[0], call.cls.scope
     if books.set.narrow or not may_repeat(call.cls, earlier, now, first.zone, first.cell):
         return [], []
-    if scope is Scope.ALL:
+    if scope is DedupScope.ALL:
         return books.table
     key = (scope, group(scope, first.zone, first.cell))
     if key not in books.groups:
--- a/switchthread/ready.py
+++ b/switchthread/ready.py
@@ -12,9 +12,8 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from . import interface as face
-from .interface import Scope
 from .records import Mean, Server
+from .types import BalancerSettings, DedupScope, SlowStart
 
 Place = tuple[int, str]
 
@@ -50,7 +49,7 @@
     cold: float = 0.0
     cold_started: float = 0.0  # sum of weight times start
 
-    def able(self, now: float, cold: face.ColdStart) -> float:
+    def able(self, now: float, cold: SlowStart) -> float:
         """What all of them can do, in weights of warm ones."""
         if self.cold <= 0:
             return self.warm
@@ -76,14 +75,14 @@
 class Ready:
     """Owns the order of the endpoints that may be sent to."""
 
-    def __init__(self, settings: face.Settings) -> None:
+    def __init__(self, settings: BalancerSettings) -> None:
         """For as long as the settings tell the same zone and the same start."""
         self._cold = settings.cold
         self._zone = settings.zone if settings.crossing_cost > 0 else None
         self._entries: dict[Server, Entry] = {}
         self._warming: list[tuple[float, Entry]] = []  # a heap: when each cold one is warm
         self._weights: dict[tuple[int, Mean], Weights] = {}
-        self._scopes: dict[tuple[Scope, Hashable], Ordered] = {}
+        self._scopes: dict[tuple[DedupScope, Hashable], Ordered] = {}
         self._zones: dict[int, int] = {}  # how many in each
         self._own, self._others = Ordered(), Ordered()
         self.weight = 0.0
@@ -106,7 +105,7 @@
         """How many zones there are."""
         return len(self._zones)
 
-    def members(self, scope: Scope, key: Hashable) -> list[Server]:
+    def members(self, scope: DedupScope, key: Hashable) -> list[Server]:
         """Those that drop each other's repeats."""
         found = self._scopes.get((scope, key))
         return found.servers if found is not None else []
@@ -147,7 +146,7 @@
     def add(self, now: float, server: Server) -> None:
         at = server.at
         own = self._own if at.zone == self._zone else self._others
-        keys = ((Scope.ZONE, at.zone), (Scope.CELL, at.cell))
+        keys = ((DedupScope.ZONE, at.zone), (DedupScope.CELL, at.cell))
         groups = (own, *(self._scopes.setdefault(key, Ordered()) for key in keys))
         entry = Entry(server, at.zone, server.like, server.weight, groups)
         for ordered in groups:
--- a/switchthread/records.py
+++ b/switchthread/records.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from math import exp
 
-from . import interface as face
+from .types import Endpoint, PriorAttempt, PriorExecution, SlowStart, TrafficClass
 
 RATED = 1000.0  # ms over which a rate looks back: shorter ones take chance for a rush
 
@@ -68,7 +68,7 @@
 class Server:
     """What this balancer knows of one upstream. Sums fade with age, counted from `stamp`."""
 
-    at: face.Upstream
+    at: Endpoint
     like: Mean  # of its kind
     stamp: float
     credit_at: float
@@ -103,7 +103,7 @@
     )
     sure: float = 1.0  # the same, but no more than the settings' ramp makes of what its kind can do
 
-    def capacity(self, now: float, cold: face.ColdStart) -> float:
+    def capacity(self, now: float, cold: SlowStart) -> float:
         """The least part of its work that it can do now, by the slowest ramp allowed."""
         age = max(now - self.since, 0.0)  # by another clock it may start in the future
         if self.since <= 0 or age >= cold.warm_ms:
@@ -155,7 +155,7 @@
 @dataclass(slots=True, eq=False)
 class Call:
     name: str
-    cls: face.TrafficClass  # this and `most` as they were when it came
+    cls: TrafficClass  # this and `most` as they were when it came
     usual: Usual  # of its class
     most: int  # attempts
     end: float  # an answer after this is worth nothing
@@ -165,14 +165,14 @@
     streaming: bool = False
     once: bool = False
     prefer: str = ""
-    bound: face.Bound | None = None
+    bound: PriorExecution | None = None
 
-    def begun(self) -> list[face.Earlier]:
+    def begun(self) -> list[PriorAttempt]:
         """Its attempts that may have run."""
-        return [face.Earlier(t.server.at.zone, t.server.at.cell, t.sent) for t in self.tries if t.ran]
+        return [PriorAttempt(t.server.at.zone, t.server.at.cell, t.sent) for t in self.tries if t.ran]
 
-    def earlier(self) -> list[face.Earlier]:
+    def earlier(self) -> list[PriorAttempt]:
         """The same, after what was told of it elsewhere."""
         if self.bound is None:
             return self.begun()
-        return [face.Earlier(self.bound.zone, self.bound.cell, self.bound.sent_ms), *self.begun()]
+        return [PriorAttempt(self.bound.zone, self.bound.cell, self.bound.sent_ms), *self.begun()]
--- a/switchthread/repeats.py
+++ b/switchthread/repeats.py
@@ -7,16 +7,20 @@
 
 from collections.abc import Hashable, Iterable
 
-from .interface import Earlier, Effect, Scope, TrafficClass
+from .types import DedupScope, Effect, PriorAttempt, TrafficClass
 
 
-def group(scope: Scope, zone: Hashable, cell: Hashable) -> Hashable:
+def group(scope: DedupScope, zone: Hashable, cell: Hashable) -> Hashable:
     """A name for the upstreams that drop each other's repeats."""
-    return {Scope.ALL: None, Scope.ZONE: zone, Scope.CELL: cell}[scope]
+    return {DedupScope.ALL: None, DedupScope.ZONE: zone, DedupScope.CELL: cell}[scope]
 
 
 def may_repeat(
-    cls: TrafficClass, earlier: Iterable[Earlier], at_ms: float, zone: Hashable = None, cell: Hashable = None
+    cls: TrafficClass,
+    earlier: Iterable[PriorAttempt],
+    at_ms: float,
+    zone: Hashable = None,
+    cell: Hashable = None,
 ) -> bool:
     """Whether the call may run at this time, at an upstream there or, with no place named, anywhere."""
     ran = [one for one in earlier if one.ran]
--- a/switchthread/roster.py
+++ b/switchthread/roster.py
@@ -5,8 +5,9 @@
 from random import Random
 from typing import NamedTuple
 
-from . import interface as face
+from .events import MembershipKind, MembershipUpdate, OperatorEjection
 from .records import Mean, Server
+from .types import Endpoint, EndpointState
 
 
 class Changes(NamedTuple):
@@ -28,10 +29,10 @@
         self._doubted: set[Server] = set()  # at rest up to the next list
         self._random = random
 
-    def heard(self, now: float, event: face.Membership, weights: bool) -> Changes:
+    def heard(self, now: float, event: MembershipUpdate, weights: bool) -> Changes:
         """The whole list, or what changed in it; `weights` says whether listed weights mean something."""
         changes = Changes([], [])
-        if event.listing is face.Listing.WHOLE:
+        if event.listing is MembershipKind.WHOLE:
             listed = {at.name for at in event.upstreams}
             changes.left.extend(self.servers.pop(name) for name in list(self.servers) if name not in listed)
         for at in event.upstreams:
@@ -42,7 +43,7 @@
         self._doubted.clear()
         return changes
 
-    def _listed(self, now: float, at: face.Upstream, weight: float, changes: Changes) -> None:
+    def _listed(self, now: float, at: Endpoint, weight: float, changes: Changes) -> None:
         server = old = self.servers.get(at.name)
         if server is None or server.at.started_ms != at.started_ms:
             server = self._new(at, now)
@@ -52,14 +53,14 @@
         server.since = self._since(at)
         if old is not None and old is not server:
             changes.left.append(old)
-        if at.stage is face.Stage.GONE:
+        if at.stage is EndpointState.GONE:
             self.servers.pop(at.name, None)
             changes.left.append(server)
         else:
             self.servers[at.name] = server
             changes.changed.append(server)
 
-    def ban(self, now: float, event: face.Ban) -> Changes:
+    def ban(self, now: float, event: OperatorEjection) -> Changes:
         """One that is back was restarted meanwhile: a new process, cold from then on."""
         old = self.servers.get(event.upstream)
         if event.out:
@@ -76,21 +77,21 @@
         server.since = self._since(old.at)
         return Changes([server], [old])
 
-    def _since(self, at: face.Upstream) -> float:
+    def _since(self, at: Endpoint) -> float:
         """When its process started, or was let back after that."""
         begun = at.started_ms if at.begun_ms is None else at.begun_ms
         return max(begun, self._back.get(at.name, 0.0))
 
     def takes(self, server: Server) -> bool:
         """Whether list and operators let it be sent to."""
-        return server.at.stage is face.Stage.READY and server.at.name not in self._banned
+        return server.at.stage is EndpointState.READY and server.at.name not in self._banned
 
     def doubt(self, server: Server) -> None:
         """It rests since the list may lack its drain: up to the next list."""
         server.doubted = True
         self._doubted.add(server)
 
-    def _new(self, at: face.Upstream, now: float) -> Server:
+    def _new(self, at: Endpoint, now: float) -> Server:
         """A restart is a new process: nothing that its predecessor showed holds for it."""
         server = Server(at, self.kinds.setdefault(at.kind, Mean()), now, now)
         # Out of step, or all balancers' first calls would reach a new one at the same time; also with one seed.
--- a/switchthread/settings.py
+++ b/switchthread/settings.py
@@ -6,7 +6,7 @@
 from math import isfinite
 from typing import Any
 
-from . import interface as face
+from .types import BalancerSettings, DedupScope, Effect, SlowStart, Tenant, TrafficClass
 
 
 def _get(source: dict[str, Any], key: str, default: Any = None) -> Any:
@@ -45,18 +45,18 @@
         raise ValueError(f"{key}: not one of the known values") from None
 
 
-def _class(entry: Any, path: str) -> face.TrafficClass:
+def _class(entry: Any, path: str) -> TrafficClass:
     if not isinstance(entry, dict):
         raise ValueError(f"{path}: expected an object")
     try:
-        return face.TrafficClass(
+        return TrafficClass(
             name=str(entry.get("name", "")),
-            effect=_choice(face.Effect, entry, "effect", ""),
+            effect=_choice(Effect, entry, "effect", ""),
             aim_ms=_above(entry, "target_ms"),
             deadline_ms=_above(entry, "hard_limit_ms"),
             worth=_number(entry, "worth", 1.0),
             late_worth=_number(entry, "late_worth", 0.0),
-            scope=_choice(face.Scope, entry, "dedup_scope", "all"),
+            scope=_choice(DedupScope, entry, "dedup_scope", "all"),
             window_ms=_number(entry, "window_ms", 0.0),
             streaming=bool(entry.get("streaming", False)),
         )
@@ -64,7 +64,7 @@
         raise ValueError(f"{path}.{str(error).removeprefix('classes.')}") from None
 
 
-def read_settings(env: dict[str, Any]) -> face.Settings:
+def read_settings(env: dict[str, Any]) -> BalancerSettings:
     """The settings as the wire names them; keys that are not known are skipped."""
     listed = _get(env, "classes")
     if not isinstance(listed, list):
@@ -73,12 +73,12 @@
     if len({cls.name for cls in classes}) < len(classes):
         raise ValueError("classes: two of one name")
     tenants = tuple(
-        face.Tenant(str(entry.get("name", "")), _number(entry, "quota_per_s", 0.0))
+        Tenant(str(entry.get("name", "")), _number(entry, "quota_per_s", 0.0))
         for entry in env.get("tenants") or ()
     )
     allowed, rules = _section(env, "permissions"), _section(env, "rules")
     advice = _number(allowed, "max_retry_after_ms", 0.0) if allowed.get("retry_after") else 0.0
-    return face.Settings(
+    return BalancerSettings(
         classes=tuple(classes),
         tenants=tenants,
         balancers=int(_number(env, "balancers", 1)),
@@ -93,7 +93,7 @@
         may_copy=bool(allowed.get("parallel_tries", True)),
         max_retry_after_ms=advice,
         crossing_cost=_number(_section(env, "costs"), "cross_zone", 0.0),
-        cold=face.ColdStart(
+        cold=SlowStart(
             _number(rules, "start_capacity", 1.0),
             _number(rules, "cold_ms", 0.0),
             _number(rules, "fall_multiple", 2.0),
--- a/switchthread/interface.py
+++ b/switchthread/types.py
@@ -1,7 +1,5 @@
-"""What the balancer is told and what it answers: settings, events and actions.
+"""The values that events and actions carry, and the balancer's settings.
 
-Everything is in the field's terms. An *upstream* is a server that a call can be sent to, an
-*attempt* is one sending of a call, and attempts of a call are numbered from 0 in the order sent.
 Times are milliseconds of one clock that never runs backwards; durations are milliseconds too.
 """
 
@@ -11,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 from math import inf
-from typing import NamedTuple, Union
+from typing import NamedTuple
 
 
 class Effect(Enum):
@@ -22,7 +20,7 @@
     AT_MOST_ONCE = "at_most_once"  # harm: never run twice
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """Which upstreams drop the repeats of a deduplicated call."""
 
     ALL = "all"
@@ -30,20 +28,12 @@
     CELL = "cell"
 
 
-class Stage(Enum):
+class EndpointState(Enum):
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class Listing(Enum):
-    """How a membership event relates to the list already held."""
-
-    WHOLE = "whole"  # the complete list; who is not on it is gone
-    CHANGES = "changes"  # changed entries only
-    BROKEN = "broken"  # asking failed or the subscription broke; the list stands
-
-
 class Outcome(Enum):
     """How an attempt ended."""
 
@@ -73,14 +63,14 @@
     deadline_ms: float  # the client's whole wait
     worth: float = 1.0
     late_worth: float = 0.0  # share of the worth still earned after the aim
-    scope: Scope = Scope.ALL
+    scope: DedupScope = DedupScope.ALL
     window_ms: float = 0.0  # deduplicated: how long a repeat is remembered
     streaming: bool = False
 
     @property
     def free(self) -> bool:
         """Whether a repeat at any upstream is harmless, also after the call may have run."""
-        deduplicated = self.effect is Effect.DEDUPLICATED and self.scope is Scope.ALL
+        deduplicated = self.effect is Effect.DEDUPLICATED and self.scope is DedupScope.ALL
         return deduplicated or self.effect is Effect.IDEMPOTENT
 
     def as_keyed(self, keyed: bool) -> TrafficClass:
@@ -107,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdStart:
+class SlowStart:
     """A started upstream can do `capacity` of its work at first and all of it after `warm_ms`."""
 
     capacity: float = 1.0
@@ -123,7 +113,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class BalancerSettings:
     classes: tuple[TrafficClass, ...]
     tenants: tuple[Tenant, ...] = ()
     balancers: int = 1  # how many share this tier's traffic, this one included
@@ -139,7 +129,7 @@
     may_copy: bool = True  # two attempts of one call may be out together
     max_retry_after_ms: float = 0.0  # 0: clients take no advice on when to return
     crossing_cost: float = 0.0  # price of sending a call to another zone
-    cold: ColdStart = field(default_factory=ColdStart)
+    cold: SlowStart = field(default_factory=SlowStart)
     narrow: bool = (
         False  # without the others' word: nothing goes out again that may have run, and nothing to cold ones
     )
@@ -170,11 +160,11 @@
         return inf if self.narrow else (self.cold_parts or self.balancers) * self.processes
 
 
-class Upstream(NamedTuple):
+class Endpoint(NamedTuple):
     """One line of the list."""
 
     name: str
-    stage: Stage = Stage.READY
+    stage: EndpointState = EndpointState.READY
     weight: float = 1.0
     kind: int = 0
     zone: int = 0
@@ -183,33 +173,7 @@
     begun_ms: float | None = None  # the same by the balancer's own clock, where that is another one
 
 
-class Started(NamedTuple):
-    """The balancer begins; it knows nothing yet."""
-
-
-class Membership(NamedTuple):
-    listing: Listing
-    upstreams: tuple[Upstream, ...] = ()
-
-
-class Ban(NamedTuple):
-    """An upstream is taken out by hand, or let back: it holds whatever the list says, until the next word.
-
-    One that is back is cold from `at_ms` on, unless the list tells a later start.
-    """
-
-    upstream: str
-    out: bool
-    at_ms: float = 0.0  # of the return
-
-
-class Retuned(NamedTuple):
-    """Other settings from now on; calls that are open keep the rules that they came under."""
-
-    settings: Settings
-
-
-class Bound(NamedTuple):
+class PriorExecution(NamedTuple):
     """Where a call may have run already, through another balancer: its repeats go where they are dropped."""
 
     zone: int
@@ -217,109 +181,10 @@
     sent_ms: float  # of the first of them
 
 
-class Earlier(NamedTuple):
+class PriorAttempt(NamedTuple):
     """An attempt that was sent, here or elsewhere. While it is out it may run."""
 
     zone: Hashable
     cell: Hashable
     sent_ms: float
     ran: bool = True  # may have run, for all that is known
-
-
-class Arrival(NamedTuple):
-    """A call came in; it is owed exactly one final answer within `budget_ms`."""
-
-    call: str
-    traffic_class: int
-    budget_ms: float
-    tenant: int = 0
-    resent: bool = False
-    once: bool = False  # its message is long and still coming: it can't be sent twice, nor to two at once
-    prefer: str = ""  # the upstream that it stays with while that one may take work
-    bound: Bound | None = None
-    keyed: bool = True  # has a key, where its class is deduplicated by one
-
-
-class Uploaded(NamedTuple):
-    """The last byte of a call that goes out once was sent. Its time begins: `budget_ms` from now."""
-
-    call: str
-    budget_ms: float
-
-
-class Departure(NamedTuple):
-    """The client is gone; nothing is owed any more."""
-
-    call: str
-
-
-class Finished(NamedTuple):
-    """An attempt ended; `closed` says that the call has its final answer."""
-
-    call: str
-    upstream: str
-    attempt: int
-    spent_ms: float
-    outcome: Outcome
-    closed: bool = False
-    utilisation: float | None = None  # as the upstream reports it
-    per_s: float | None = None  # requests a second that it served, of all balancers, as it reports it
-    spent: bool = False  # of a call that goes out once: some of its message is gone, so it can't go out again
-
-
-class AnswerBegun(NamedTuple):
-    """A streamed answer has begun; the attempt now belongs to the client."""
-
-    call: str
-    upstream: str
-    attempt: int
-    spent_ms: float
-
-
-class TimerFired(NamedTuple):
-    token: int
-
-
-Event = Union[
-    Started, Membership, Ban, Retuned, Arrival, Uploaded, Departure, Finished, AnswerBegun, TimerFired
-]
-
-
-class Send(NamedTuple):
-    """Make an attempt at the call."""
-
-    call: str
-    upstream: str
-    timeout_ms: float
-
-
-class Cancel(NamedTuple):
-    """Stop waiting for an attempt."""
-
-    call: str
-    attempt: int
-
-
-class Refuse(NamedTuple):
-    """Final answer: turned away; a repeat is harmless."""
-
-    call: str
-    retry_after_ms: float = 0.0
-
-
-class Fail(NamedTuple):
-    """Final answer: it failed; nothing is promised of its effect."""
-
-    call: str
-
-
-class SetTimer(NamedTuple):
-    at_ms: float
-    token: int
-
-
-class Subscribe(NamedTuple):
-    """Ask the list service for all changes from now on."""
-
-
-Action = Union[Send, Cancel, Refuse, Fail, SetTimer, Subscribe]
--- a/tests/fleet/test_explore_agreement.py
+++ b/tests/fleet/test_explore_agreement.py
@@ -21,9 +21,9 @@
         NAMES,
         maker(NAMES),
         digest,
-        check or Check(NAMES),
+        check or Check(NAMES),  # type: ignore[arg-type]
         bounds,
-        clocks="one",  # type: ignore[arg-type]
+        clocks="one",
         disks=begun(NAMES),
     ).run()
 
--- a/tests/helpers/cold_circumstances.py
+++ b/tests/helpers/cold_circumstances.py
@@ -4,14 +4,14 @@
 
 from dataclasses import dataclass, replace
 
-from switchthread import interface as face
+from switchthread.types import DedupScope, Effect, TrafficClass
 
 COLD_AT = 5000.0  # until then all is warm and the balancers learn
 REPORT_MS = 400.0  # between two reports of an endpoint
-LOOK = face.TrafficClass("look", face.Effect.IDEMPOTENT, 1500.0, 4000.0, 3.0, 0.2)
-FILE = face.TrafficClass("file", face.Effect.IDEMPOTENT, 2500.0, 6000.0, 1.0, 0.5)
-ZONAL = face.TrafficClass("zonal", face.Effect.DEDUPLICATED, 1500.0, 4000.0, 2.0, 0.5, face.Scope.ZONE, 4000.0)
-CELL = face.TrafficClass("cell", face.Effect.DEDUPLICATED, 1500.0, 4000.0, 2.0, 0.5, face.Scope.CELL, 4000.0)
+LOOK = TrafficClass("look", Effect.IDEMPOTENT, 1500.0, 4000.0, 3.0, 0.2)
+FILE = TrafficClass("file", Effect.IDEMPOTENT, 2500.0, 6000.0, 1.0, 0.5)
+ZONAL = TrafficClass("zonal", Effect.DEDUPLICATED, 1500.0, 4000.0, 2.0, 0.5, DedupScope.ZONE, 4000.0)
+CELL = TrafficClass("cell", Effect.DEDUPLICATED, 1500.0, 4000.0, 2.0, 0.5, DedupScope.CELL, 4000.0)
 TIER = (0.06, 0.2)  # calls a ms that a whole tier can do warm; few large endpoints or many small ones
 
 
@@ -40,7 +40,7 @@
     weights: bool = True  # listed truly
     zones: int = 1
     crossing: float = 0.0
-    classes: tuple[tuple[face.TrafficClass, float, float], ...] = ((LOOK, 1.0, 1.0),)  # part of calls, and work
+    classes: tuple[tuple[TrafficClass, float, float], ...] = ((LOOK, 1.0, 1.0),)  # part of calls, and work
     spread: bool = False  # each call's work is drawn, exponentially
     errors: float = 0.0
     copies: bool = False
--- a/tests/helpers/cold_fleet.py
+++ b/tests/helpers/cold_fleet.py
@@ -14,8 +14,18 @@
 from math import exp, sqrt
 from random import Random
 
-from switchthread import Balancer
-from switchthread import interface as face
+from switchthread import Balancer, types
+from switchthread.actions import CancelAttempt, RejectRequest, SendAttempt, SetTimer
+from switchthread.events import (
+    AttemptFinished,
+    Event,
+    MembershipKind,
+    MembershipUpdate,
+    RequestArrived,
+    SettingsChanged,
+    TimerFired,
+)
+from switchthread.types import BalancerSettings, Outcome, SlowStart
 
 from .cold_circumstances import COLD_AT, REPORT_MS, TIER, Circumstance
 
@@ -23,7 +33,7 @@
 class Endpoint:
     """A queue that works off its backlog at its present rate, and what came to it since it started."""
 
-    def __init__(self, at: face.Upstream, rate: float, reports: bool) -> None:
+    def __init__(self, at: types.Endpoint, rate: float, reports: bool) -> None:
         self.at, self.rate, self.reports = at, rate, reports
         self.started = 0.0
         self.free_at = self.came_at = self.told_at = 0.0
@@ -32,7 +42,7 @@
         self.report: tuple[float | None, float | None] = (None, None)
         self.got: list[tuple[float, float, bool]] = []  # since its start: when, work, from one that was told
 
-    def capacity(self, now: float, cold: face.ColdStart) -> float:
+    def capacity(self, now: float, cold: SlowStart) -> float:
         age = now - self.started
         if not self.started or age >= cold.warm_ms:
             return 1.0
@@ -42,7 +52,7 @@
         self.started, self.free_at, self.came, self.work, self.got = now, now, 0.0, 0.0, []
         self.at = self.at._replace(started_ms=now)
 
-    def take(self, now: float, work: float, cold: face.ColdStart) -> float | None:
+    def take(self, now: float, work: float, cold: SlowStart) -> float | None:
         """When it has answered, or None if it is full."""
         rate = self.rate * self.capacity(now, cold)
         fade = exp((self.came_at - now) / 1000)
@@ -52,7 +62,7 @@
         self.free_at = max(self.free_at, now) + work / rate
         return max(self.free_at, now + 0.8 * work / rate)
 
-    def tell(self, now: float, cold: face.ColdStart, noise: float) -> tuple[float | None, float | None]:
+    def tell(self, now: float, cold: SlowStart, noise: float) -> tuple[float | None, float | None]:
         if self.reports and now - self.told_at > REPORT_MS:
             fade, rate = exp((self.came_at - now) / 1000), self.rate * self.capacity(now, cold)
             use = self.work * fade / rate
@@ -60,7 +70,7 @@
             self.report = min(use, 1.0) * noise, self.came * fade / max(use, 1.0) * 1000
         return self.report
 
-    def pressed(self, cold: face.ColdStart) -> float:
+    def pressed(self, cold: SlowStart) -> float:
         """The most that any span held since its start, as a part of what fells it, if those told sent most of it."""
         worst, sums = 0.0, list(accumulate((work for _, work, _ in self.got), initial=0.0))
         told = list(accumulate((work * knew for _, work, knew in self.got), initial=0.0))
@@ -106,7 +116,7 @@
     def __init__(self, case: Circumstance, seed: int) -> None:
         self.case, self.random, self.end = case, Random(f"{case.name}/{seed}"), COLD_AT + case.after_ms
         draw = self.random.uniform
-        self.cold = face.ColdStart(draw(0.05, 0.3), draw(8000.0, 24_000.0), draw(1.5, 4.0), draw(1000.0, 4000.0))
+        self.cold = SlowStart(draw(0.05, 0.3), draw(8000.0, 24_000.0), draw(1.5, 4.0), draw(1000.0, 4000.0))
         self.heap: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self.now, self.count, self.born, self.served = 0.0, 0, 0, 0
         self.worst = 0.0
@@ -116,7 +126,7 @@
         self.endpoints = {str(n): self._endpoint(n, rate) for n in range(number)}
         self.rate = self.random.uniform(*case.load) * sum(e.rate for e in self.endpoints.values())
         total = self.random.randint(*case.sidecars)
-        self.settings = face.Settings(
+        self.settings = BalancerSettings(
             classes=tuple(cls for cls, _, _ in case.classes),
             balancers=total,
             cold=self.cold,
@@ -141,13 +151,13 @@
     def _endpoint(self, number: int, rate: float) -> Endpoint:
         kind, case = number % len(self.case.speeds), self.case
         speed = case.speeds[kind]
-        at = face.Upstream(
+        at = types.Endpoint(
             f"{number}", weight=speed if case.weights else 1.0, kind=kind, zone=number % case.zones, cell=number // 4
         )
         reports = case.reports in ("all", "use") or (case.reports == "half" and number % 2 == 0)
         return Endpoint(at, rate * speed * self.random.uniform(0.9, 1.1), reports)
 
-    def _settings(self, sidecar: Sidecar) -> face.Settings:
+    def _settings(self, sidecar: Sidecar) -> BalancerSettings:
         return replace(self.settings, rank=sidecar.rank, zone=sidecar.zone)
 
     def _sidecar(self, rank: int) -> Sidecar:
@@ -218,7 +228,7 @@
     def _list(self, sidecar: Sidecar) -> None:
         rows = tuple(endpoint.at for endpoint in self.endpoints.values())
         sidecar.told = {row.name: row.started_ms for row in rows}
-        self._tell(sidecar, face.Membership(face.Listing.WHOLE, rows))
+        self._tell(sidecar, MembershipUpdate(MembershipKind.WHOLE, rows))
 
     def _restart(self, sidecar: Sidecar) -> None:
         """Its calls are lost; the new process has no memory of what was sent."""
@@ -239,14 +249,14 @@
             )
             self.sidecars.append(second)
             self._list(second)
-            self._tell(sidecar, face.Retuned(self._settings(sidecar)))
+            self._tell(sidecar, SettingsChanged(self._settings(sidecar)))
 
     def _retune(self) -> None:
         """From now on endpoints count as colder for longer: by true ramp too, so that the limit is the new one."""
         self.cold = replace(self.cold, warm_ms=self.cold.warm_ms * 1.5, capacity=self.cold.capacity * 0.8)
         self.settings = replace(self.settings, cold=self.cold, balancers=len(self.sidecars) + 4)
         for sidecar in self.sidecars:
-            self._tell(sidecar, face.Retuned(self._settings(sidecar)))
+            self._tell(sidecar, SettingsChanged(self._settings(sidecar)))
 
     # Clients
 
@@ -272,21 +282,21 @@
         left = request.born + cls.deadline_ms - self.now
         if left > 0:
             self.requests[name] = request
-            self._tell(request.sidecar, face.Arrival(name, request.kind, left))
+            self._tell(request.sidecar, RequestArrived(name, request.kind, left))
 
     # Between sidecars and endpoints
 
-    def _tell(self, sidecar: Sidecar, event: face.Event, to: Balancer | None = None) -> None:
+    def _tell(self, sidecar: Sidecar, event: Event, to: Balancer | None = None) -> None:
         if to is not None and to is not sidecar.balancer:
             return  # that process has ended
         for action in sidecar.balancer.handle(self.now, event):
-            if isinstance(action, face.Send):
+            if isinstance(action, SendAttempt):
                 self._send(sidecar, action)
-            elif isinstance(action, face.SetTimer):
-                self.at(action.at_ms, self._tell, sidecar, face.TimerFired(action.token), sidecar.balancer)
-            elif isinstance(action, face.Cancel):
-                self.at(self.now + 0.1, self._answer, action.call, action.attempt, "", face.Outcome.CANCELLED, self.now)
-            elif isinstance(action, face.Refuse):
+            elif isinstance(action, SetTimer):
+                self.at(action.at_ms, self._tell, sidecar, TimerFired(action.token), sidecar.balancer)
+            elif isinstance(action, CancelAttempt):
+                self.at(self.now + 0.1, self._answer, action.call, action.attempt, "", Outcome.CANCELLED, self.now)
+            elif isinstance(action, RejectRequest):
                 self._refused(action.call)
 
     def _refused(self, name: str) -> None:
@@ -296,33 +306,33 @@
             again = Request(request.sidecar, request.kind, request.work, request.born)
             self.at(self.now + 300.0, self._ask, again)
 
-    def _send(self, sidecar: Sidecar, send: face.Send) -> None:
+    def _send(self, sidecar: Sidecar, send: SendAttempt) -> None:
         request, endpoint = self.requests[send.call], self.endpoints[send.upstream]
         request.attempts.append(True)
         number, cold = len(request.attempts) - 1, self.cold
         endpoint.got.append((self.now, request.work, sidecar.told[send.upstream] == endpoint.started))
         done = endpoint.take(self.now, request.work, cold)
         if done is None:
-            at, outcome = self.now + 1.0, face.Outcome.REFUSED
+            at, outcome = self.now + 1.0, Outcome.REFUSED
         elif done - self.now > send.timeout_ms:
-            at, outcome = self.now + send.timeout_ms, face.Outcome.TIMEOUT
+            at, outcome = self.now + send.timeout_ms, Outcome.TIMEOUT
         else:
-            at, outcome = done, face.Outcome.OK if self.random.random() >= self.case.errors else face.Outcome.ERROR
+            at, outcome = done, Outcome.OK if self.random.random() >= self.case.errors else Outcome.ERROR
         self.at(at, self._answer, send.call, number, send.upstream, outcome, self.now)
 
-    def _answer(self, name: str, number: int, upstream: str, outcome: face.Outcome, sent: float) -> None:
+    def _answer(self, name: str, number: int, upstream: str, outcome: Outcome, sent: float) -> None:
         request = self.requests.get(name)
-        if request is None or not request.attempts[number] or (request.ended and outcome is not face.Outcome.CANCELLED):
+        if request is None or not request.attempts[number] or (request.ended and outcome is not Outcome.CANCELLED):
             return
         request.attempts[number] = False
         use: float | None = None
         rate: float | None = None
-        if outcome is face.Outcome.OK:
+        if outcome is Outcome.OK:
             use, rate = self.endpoints[upstream].tell(self.now, self.cold, self.random.uniform(0.9, 1.1))
             aim = self.settings.classes[request.kind].aim_ms
             self.served += request.born >= COLD_AT and self.now - request.born <= aim and not request.ended
             request.ended = True
-        done = face.Finished(
+        done = AttemptFinished(
             name, upstream, number, self.now - sent, outcome, False, use, None if self.case.reports == "use" else rate
         )
         self._tell(request.sidecar, done, request.sidecar.balancer)
--- a/tests/referee.py
+++ b/tests/referee.py
@@ -4,55 +4,52 @@
 
 from dataclasses import dataclass, field
 
+from switchthread.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
 from switchthread.decide import Balancer
-from switchthread.interface import (
+from switchthread.events import (
+    AttemptFinished,
+    BalancerStarted,
+    ClientDisconnected,
+    Event,
+    MembershipKind,
+    MembershipUpdate,
+    OperatorEjection,
+    RequestArrived,
+    ResponseStarted,
+    SettingsChanged,
+    TimerFired,
+)
+from switchthread.types import (
     NEVER_RAN,
-    Action,
-    AnswerBegun,
-    Arrival,
-    Ban,
-    Cancel,
-    ColdStart,
-    Departure,
+    BalancerSettings,
+    DedupScope,
     Effect,
-    Event,
-    Fail,
-    Finished,
-    Listing,
-    Membership,
+    Endpoint,
+    EndpointState,
     Outcome,
-    Refuse,
-    Retuned,
-    Scope,
-    Send,
-    SetTimer,
-    Settings,
-    Stage,
-    Started,
-    TimerFired,
+    SlowStart,
     TrafficClass,
-    Upstream,
 )
 
 READ = TrafficClass("read", Effect.IDEMPOTENT, 1000.0, 3000.0, 1.0)
-WRITE = TrafficClass("write", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, Scope.CELL, 1500.0)
-ZONAL = TrafficClass("zonal", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, Scope.ZONE, 1500.0)
+WRITE = TrafficClass("write", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, DedupScope.CELL, 1500.0)
+ZONAL = TrafficClass("zonal", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, DedupScope.ZONE, 1500.0)
 PAY = TrafficClass("pay", Effect.AT_MOST_ONCE, 1000.0, 3000.0, 5.0)
-COLD = ColdStart(0.2, 10_000.0, 2.5, 1500.0)
+COLD = SlowStart(0.2, 10_000.0, 2.5, 1500.0)
 
 
-def fleet(count: int, stage: Stage = Stage.READY) -> tuple[Upstream, ...]:
-    return tuple(Upstream(f"10.0.0.{i}:80", stage, zone=i % 2, cell=i // 3) for i in range(count))
+def fleet(count: int, stage: EndpointState = EndpointState.READY) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(f"10.0.0.{i}:80", stage, zone=i % 2, cell=i // 3) for i in range(count))
 
 
-def settings(**changes: object) -> Settings:
+def settings(**changes: object) -> BalancerSettings:
     base: dict[str, object] = {"classes": (READ, WRITE, ZONAL, PAY), "max_attempts": 4, "cold": COLD}
-    return Settings(**(base | changes))  # type: ignore[arg-type]
+    return BalancerSettings(**(base | changes))  # type: ignore[arg-type]
 
 
 @dataclass
 class Held:
-    arrival: Arrival
+    arrival: RequestArrived
     deadline: float
     sent: list[tuple[float, str]] = field(default_factory=list)
     ended: dict[int, Outcome] = field(default_factory=dict)
@@ -64,17 +61,17 @@
 class Referee:
     """Knows the list as told, the calls held and their attempts; raises where a rule breaks."""
 
-    def __init__(self, given: Settings, seed: int = 7, rows: tuple[Upstream, ...] = ()) -> None:
+    def __init__(self, given: BalancerSettings, seed: int = 7, rows: tuple[Endpoint, ...] = ()) -> None:
         self.given, self.now = given, 1000.0
         self.balancer = Balancer(given, seed)
-        self.rows: dict[str, Upstream] = {}
-        self.known: dict[str, Upstream] = {}
+        self.rows: dict[str, Endpoint] = {}
+        self.known: dict[str, Endpoint] = {}
         self.banned: set[str] = set()
         self.calls: dict[str, Held] = {}
         self.timers: list[tuple[float, int]] = []
         self.log: list[Action] = []
         self.count = 0
-        self.tell(Started())
+        self.tell(BalancerStarted())
         self.members(rows)
 
     def tell(self, event: Event) -> list[Action]:
@@ -84,30 +81,30 @@
         self.log += actions
         return actions
 
-    def members(self, rows: tuple[Upstream, ...], listing: Listing = Listing.WHOLE) -> list[Action]:
-        if listing is Listing.WHOLE:
+    def members(self, rows: tuple[Endpoint, ...], listing: MembershipKind = MembershipKind.WHOLE) -> list[Action]:
+        if listing is MembershipKind.WHOLE:
             self.rows = {}
         self.rows |= {row.name: row for row in rows}
         self.known |= self.rows
-        return self.tell(Membership(listing, rows))
+        return self.tell(MembershipUpdate(listing, rows))
 
     def ban(self, name: str, out: bool) -> list[Action]:
         if out:
             self.banned.add(name)
         else:
             self.banned.discard(name)
-        return self.tell(Ban(name, out, self.now))
+        return self.tell(OperatorEjection(name, out, self.now))
 
-    def retune(self, given: Settings) -> list[Action]:
+    def retune(self, given: BalancerSettings) -> list[Action]:
         self.given = given
-        return self.tell(Retuned(given))
+        return self.tell(SettingsChanged(given))
 
     def arrive(
         self, index: int = 0, budget: float = 3000.0, tenant: int = 0, once: bool = False
     ) -> tuple[str, list[Action]]:
         self.count += 1
         name = f"call-{self.count}"
-        arrival = Arrival(name, index, budget, tenant, once=once)
+        arrival = RequestArrived(name, index, budget, tenant, once=once)
         cls = self.given.classes[index]
         self.calls[name] = Held(arrival, self.now + budget, most=self.given.max_attempts, cls=cls)
         return name, self.tell(arrival)
@@ -120,15 +117,15 @@
         held.ended[attempt] = outcome
         held.over = held.over or outcome is Outcome.OK
         spent = self.now - sent
-        return self.tell(Finished(name, upstream, attempt, spent, outcome, held.over, util))
+        return self.tell(AttemptFinished(name, upstream, attempt, spent, outcome, held.over, util))
 
     def leave(self, name: str) -> list[Action]:
         self.calls[name].over = True
-        return self.tell(Departure(name))
+        return self.tell(ClientDisconnected(name))
 
     def begin(self, name: str, attempt: int = 0) -> list[Action]:
         sent, upstream = self.calls[name].sent[attempt]
-        return self.tell(AnswerBegun(name, upstream, attempt, self.now - sent))
+        return self.tell(ResponseStarted(name, upstream, attempt, self.now - sent))
 
     def wait(self, span: float) -> list[Action]:
         """Let time pass; timers fire and time-outs end what is still out, in order of time."""
@@ -154,32 +151,34 @@
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append((max(action.at_ms, self.now), action.token))
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             assert action.attempt < len(self.calls[action.call].sent), "cancels what was never sent"
-        elif isinstance(action, Send):
+        elif isinstance(action, SendAttempt):
             self.check_send(action)
-        elif isinstance(action, (Fail, Refuse)):
+        elif isinstance(action, (FailRequest, RejectRequest)):
             held = self.calls[action.call]
             assert not held.over, "answers twice"
             assert self.now <= held.deadline + 20, "answers too late"
             held.over = True
             cls = held.cls
-            free = cls.effect is Effect.IDEMPOTENT or (cls.effect is Effect.DEDUPLICATED and cls.scope is Scope.ALL)
+            free = cls.effect is Effect.IDEMPOTENT or (
+                cls.effect is Effect.DEDUPLICATED and cls.scope is DedupScope.ALL
+            )
             ran = self.may_have_run(held)
-            assert isinstance(action, Fail) or free or not ran, "refuses what may have run"
-            if isinstance(action, Refuse) and ran and cls.effect is Effect.DEDUPLICATED:
+            assert isinstance(action, FailRequest) or free or not ran, "refuses what may have run"
+            if isinstance(action, RejectRequest) and ran and cls.effect is Effect.DEDUPLICATED:
                 came = held.deadline - held.arrival.budget_ms
                 assert came + cls.deadline_ms < ran[0][0] + cls.window_ms, "refuses what its repeat may run again"
 
     def may_have_run(self, held: Held) -> list[tuple[float, str]]:
         return [s for i, s in enumerate(held.sent) if held.ended.get(i) not in NEVER_RAN]
 
-    def check_send(self, action: Send) -> None:
+    def check_send(self, action: SendAttempt) -> None:
         held = self.calls[action.call]
         assert not held.over, "sends for a call that is over"
         assert self.now <= held.deadline, "sends after the deadline"
         row = self.rows.get(action.upstream)
-        assert row is not None and row.stage is Stage.READY, "sends to an upstream that drains or is gone"
+        assert row is not None and row.stage is EndpointState.READY, "sends to an upstream that drains or is gone"
         assert action.upstream not in self.banned, "sends to an upstream that is out by hand"
         cls = held.cls
         ran = self.may_have_run(held)
@@ -187,8 +186,8 @@
             raise AssertionError("sends an unsafe call again")
         if ran and cls.effect is Effect.DEDUPLICATED:
             first = self.known[ran[0][1]]
-            same = first.zone == row.zone if cls.scope is Scope.ZONE else first.cell == row.cell
-            assert same or cls.scope is Scope.ALL, "repeats a keyed call outside its group"
+            same = first.zone == row.zone if cls.scope is DedupScope.ZONE else first.cell == row.cell
+            assert same or cls.scope is DedupScope.ALL, "repeats a keyed call outside its group"
             assert self.now - ran[0][0] <= cls.window_ms, "repeats a keyed call after its window"
         assert len(held.sent) < held.most, "more attempts than allowed"
         copies = [i for i in range(len(held.sent)) if i not in held.ended]
@@ -198,5 +197,5 @@
         held.sent.append((self.now, action.upstream))
 
 
-def sends(actions: list[Action]) -> list[Send]:
-    return [a for a in actions if isinstance(a, Send)]
+def sends(actions: list[Action]) -> list[SendAttempt]:
+    return [a for a in actions if isinstance(a, SendAttempt)]
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -22,7 +22,7 @@
 from limenotch.net.providers import Providers
 from limenotch.permits import Permits
 from limenotch.settings import Providers as ProviderTuning
-from switchthread.interface import Effect, Scope, TrafficClass
+from switchthread.types import DedupScope, Effect, TrafficClass
 
 from .helpers.peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, whole
 from .helpers.processes import run, with_sidecar
@@ -30,7 +30,7 @@
 
 REJECTED = whole(503, (b"X-Rejected", b"1"))
 ONCE = TrafficClass("c", Effect.AT_MOST_ONCE, 9000.0, 20_000.0)
-KEYED = TrafficClass("c", Effect.DEDUPLICATED, 9000.0, 20_000.0, scope=Scope.ALL, window_ms=9000.0)
+KEYED = TrafficClass("c", Effect.DEDUPLICATED, 9000.0, 20_000.0, scope=DedupScope.ALL, window_ms=9000.0)
 SAFE = TrafficClass("c", Effect.IDEMPOTENT, 9000.0, 20_000.0)
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,12 +5,14 @@
 import heapq
 
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import FailRequest, RejectRequest, SendAttempt, SetTimer
+from switchthread.events import AttemptFinished, Event, MembershipKind, MembershipUpdate, RequestArrived, TimerFired
+from switchthread.types import BalancerSettings, Effect, Endpoint, Outcome, SlowStart, TrafficClass
 
 AIM, END, WARM = 2000.0, 5000.0, 24_000.0
-SETTINGS = face.Settings(
-    classes=(face.TrafficClass("look", face.Effect.IDEMPOTENT, AIM, END, late_worth=0.5),),
-    cold=face.ColdStart(0.12, WARM, 4.0, 3000.0),
+SETTINGS = BalancerSettings(
+    classes=(TrafficClass("look", Effect.IDEMPOTENT, AIM, END, late_worth=0.5),),
+    cold=SlowStart(0.12, WARM, 4.0, 3000.0),
     may_copy=False,
 )
 
@@ -20,38 +22,38 @@
 
     def __init__(self) -> None:
         self.balancer = Balancer(SETTINGS, 1)
-        self.heap: list[tuple[float, int, face.Event]] = []
+        self.heap: list[tuple[float, int, Event]] = []
         self.sent: list[float] = []
         self.ended: dict[str, tuple[float, bool]] = {}
         self.begun: dict[str, float] = {}
         self.count = 0
 
-    def at(self, time: float, event: face.Event) -> None:
+    def at(self, time: float, event: Event) -> None:
         self.count += 1
         heapq.heappush(self.heap, (time, self.count, event))
 
     def listed(self, time: float, started: float) -> None:
-        ups = tuple(face.Upstream(f"u{n}-{started:g}", started_ms=started) for n in range(4))
-        self.at(time, face.Membership(face.Listing.WHOLE, ups))
+        ups = tuple(Endpoint(f"u{n}-{started:g}", started_ms=started) for n in range(4))
+        self.at(time, MembershipUpdate(MembershipKind.WHOLE, ups))
 
     def calls(self, begin: float, end: float) -> None:
         for number in range(int((end - begin) / 10)):
-            self.at(begin + number * 10, face.Arrival(f"{begin}-{number}", 0, END))
+            self.at(begin + number * 10, RequestArrived(f"{begin}-{number}", 0, END))
 
     def run(self) -> None:
         while self.heap:
             now, _, event = heapq.heappop(self.heap)
-            if isinstance(event, face.Arrival):
+            if isinstance(event, RequestArrived):
                 self.begun[event.call] = now
             for action in self.balancer.handle(now, event):
-                if isinstance(action, face.Send):
+                if isinstance(action, SendAttempt):
                     self.sent.append(now)
-                    done = face.Finished(action.call, action.upstream, 0, 50.0, face.Outcome.OK, False, 0.3)
+                    done = AttemptFinished(action.call, action.upstream, 0, 50.0, Outcome.OK, False, 0.3)
                     self.at(now + 50, done)
-                elif isinstance(action, face.SetTimer):
-                    self.at(action.at_ms, face.TimerFired(action.token))
-                elif isinstance(action, (face.Refuse, face.Fail)):
-                    self.ended[action.call] = (now - self.begun[action.call], isinstance(action, face.Refuse))
+                elif isinstance(action, SetTimer):
+                    self.at(action.at_ms, TimerFired(action.token))
+                elif isinstance(action, (RejectRequest, FailRequest)):
+                    self.ended[action.call] = (now - self.begun[action.call], isinstance(action, RejectRequest))
 
 
 def cold_day() -> Day:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -5,15 +5,33 @@
 import pytest
 
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import Action, SendAttempt
+from switchthread.events import (
+    AttemptFinished,
+    MembershipKind,
+    MembershipUpdate,
+    RequestArrived,
+    SettingsChanged,
+    TimerFired,
+)
 from switchthread.records import Mean, Server
+from switchthread.types import (
+    BalancerSettings,
+    DedupScope,
+    Effect,
+    Endpoint,
+    Outcome,
+    PriorExecution,
+    SlowStart,
+    TrafficClass,
+)
 from tests.helpers.cold_circumstances import CIRCUMSTANCES, LOOK, Circumstance
 from tests.helpers.cold_fleet import play
 
 BY_NAME = {case.name: case for case in CIRCUMSTANCES}
 # Each of these seeds went over before the rate shown took the place of demand.
 FOUND = (("no reports, overload", (3, 4, 6, 7)), ("no reports, overload, burst", (5, 7, 8)))
-COLD = face.ColdStart(0.1, 20_000.0, 3.0, 2000.0)
+COLD = SlowStart(0.1, 20_000.0, 3.0, 2000.0)
 
 
 @pytest.mark.parametrize("case", CIRCUMSTANCES, ids=lambda case: case.name)
@@ -26,17 +44,17 @@
     assert max(play(BY_NAME[name], seed).worst for seed in seeds) <= 1.0
 
 
-def told(rank: int, total: int, rows: tuple[face.Upstream, ...], seed: int = 1, **given: object) -> Balancer:
+def told(rank: int, total: int, rows: tuple[Endpoint, ...], seed: int = 1, **given: object) -> Balancer:
     """A balancer that knows by reports what a warm endpoint can do: 20 a second."""
     base: dict[str, object] = {"classes": (LOOK,), "balancers": total, "rank": rank, "cold": COLD, "layer": 1}
-    balancer = Balancer(face.Settings(**(base | given)), seed)  # type: ignore[arg-type]
+    balancer = Balancer(BalancerSettings(**(base | given)), seed)  # type: ignore[arg-type]
     balancer.tier.done, balancer.tier.busy = 20.0, 1.0
-    balancer.handle(60_000.0, face.Membership(face.Listing.WHOLE, rows))
+    balancer.handle(60_000.0, MembershipUpdate(MembershipKind.WHOLE, rows))
     return balancer
 
 
-def rows(number: int, cold: int, zones: int = 1) -> tuple[face.Upstream, ...]:
-    return tuple(face.Upstream(f"u{n}", zone=n % zones, started_ms=60_000.0 * (n < cold)) for n in range(number))
+def rows(number: int, cold: int, zones: int = 1) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(f"u{n}", zone=n % zones, started_ms=60_000.0 * (n < cold)) for n in range(number))
 
 
 @pytest.mark.parametrize(
@@ -54,18 +72,16 @@
 
 def test_a_keyed_repeat_leaves_the_part_as_it_is() -> None:
     """The group's shares are taken anew for it, without the distance: the part of far cold ones grew twentyfold."""
-    classes = (
-        face.TrafficClass("keyed", face.Effect.DEDUPLICATED, 1000.0, 3000.0, scope=face.Scope.ZONE, window_ms=3000.0),
-    )
+    classes = (TrafficClass("keyed", Effect.DEDUPLICATED, 1000.0, 3000.0, scope=DedupScope.ZONE, window_ms=3000.0),)
     balancer = told(0, 4, rows(9, 9, 3), classes=classes, crossing_cost=0.015)
     before = {name: server.room for name, server in balancer.roster.servers.items()}
     for call in range(50):
-        balancer.handle(60_001.0 + call, face.Arrival(str(call), 0, 3000.0, bound=face.Bound(1, 0, 60_000.0)))
+        balancer.handle(60_001.0 + call, RequestArrived(str(call), 0, 3000.0, bound=PriorExecution(1, 0, 60_000.0)))
     assert before == {name: server.room for name, server in balancer.roster.servers.items()}
 
 
 def test_a_balancer_saves_up_one_request_and_half_a_span() -> None:
-    server = Server(face.Upstream("u"), Mean(), 0.0, 0.0)
+    server = Server(Endpoint("u"), Mean(), 0.0, 0.0)
     server.room = 0.01
     assert server.earn(50.0, 2000.0) == 0.5
     assert server.earn(1e6, 2000.0) == 11.0
@@ -83,42 +99,42 @@
     balancer = told(0, 1, rows(1, 1))
     for number in range(2000):
         now = 85_000.0 + number * 2  # warm by then
-        for action in balancer.handle(now, face.Arrival(f"c{number}", 0, 4000.0)):
-            if isinstance(action, face.Send):
-                done = face.Finished(action.call, action.upstream, 0, 5.0, face.Outcome.OK, False, 0.5, 10.0)
+        for action in balancer.handle(now, RequestArrived(f"c{number}", 0, 4000.0)):
+            if isinstance(action, SendAttempt):
+                done = AttemptFinished(action.call, action.upstream, 0, 5.0, Outcome.OK, False, 0.5, 10.0)
                 balancer.handle(now + 1, done)
-    longer = face.ColdStart(0.1, 60_000.0, 3.0, 2000.0)
-    balancer.handle(89_100.0, face.Retuned(face.Settings((LOOK,), cold=longer, layer=1)))
+    longer = SlowStart(0.1, 60_000.0, 3.0, 2000.0)
+    balancer.handle(89_100.0, SettingsChanged(BalancerSettings((LOOK,), cold=longer, layer=1)))
     sent = [
         a
         for n in range(300)
-        for a in balancer.handle(89_200.0 + n * 10, face.Arrival(f"d{n}", 0, 4000.0))
-        if isinstance(a, face.Send)
+        for a in balancer.handle(89_200.0 + n * 10, RequestArrived(f"d{n}", 0, 4000.0))
+        if isinstance(a, SendAttempt)
     ]
     assert len(sent) > 20
 
 
 def test_answers_of_those_that_left_are_no_rate_of_those_that_stay() -> None:
     """Ten answer, nine are replaced: what the nine still answer is not what the one can do."""
-    settings = face.Settings((LOOK,), cold=COLD, layer=1)
+    settings = BalancerSettings((LOOK,), cold=COLD, layer=1)
     balancer = Balancer(settings, 2)
-    listed = tuple(face.Upstream(f"u{n}") for n in range(10))
-    balancer.handle(0.0, face.Membership(face.Listing.WHOLE, listed))
+    listed = tuple(Endpoint(f"u{n}") for n in range(10))
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, listed))
     now = 0.0
 
-    def call(number: int) -> list[face.Action]:
-        return balancer.handle(now, face.Arrival(f"c{number}", 0, 4000.0))
+    def call(number: int) -> list[Action]:
+        return balancer.handle(now, RequestArrived(f"c{number}", 0, 4000.0))
 
     for number in range(1000):
         now = 1.0 + number * 10
         for action in call(number):
-            if isinstance(action, face.Send):
-                balancer.handle(now, face.Finished(action.call, action.upstream, 0, 5.0, face.Outcome.OK))
+            if isinstance(action, SendAttempt):
+                balancer.handle(now, AttemptFinished(action.call, action.upstream, 0, 5.0, Outcome.OK))
     assert 8.0 < balancer.shown < 12.0  # of 100 a second
-    out = [action for number in range(1000, 1200) for action in call(number) if isinstance(action, face.Send)]
-    cold = tuple(face.Upstream(f"v{n}", started_ms=now) for n in range(9))
-    balancer.handle(now, face.Membership(face.Listing.WHOLE, (listed[0], *cold)))
+    out = [action for number in range(1000, 1200) for action in call(number) if isinstance(action, SendAttempt)]
+    cold = tuple(Endpoint(f"v{n}", started_ms=now) for n in range(9))
+    balancer.handle(now, MembershipUpdate(MembershipKind.WHOLE, (listed[0], *cold)))
     for send in out:
-        balancer.handle(now, face.Finished(send.call, send.upstream, 0, 5.0, face.Outcome.OK))
-    balancer.handle(now + 2000.0, face.TimerFired(-1))
+        balancer.handle(now, AttemptFinished(send.call, send.upstream, 0, 5.0, Outcome.OK))
+    balancer.handle(now + 2000.0, TimerFired(-1))
     assert balancer.shown < 20.0
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,14 +7,12 @@
 
 import pytest
 
+from switchthread.actions import RejectRequest
 from switchthread.copies import gate
-from switchthread.interface import (
-    Outcome,
-    Refuse,
-)
 from switchthread.placement import draw
 from switchthread.records import Call, Usual
 from switchthread.shares import reshare
+from switchthread.types import Outcome
 
 from .referee import READ, WRITE, ZONAL, Referee, fleet, sends, settings
 
@@ -37,7 +35,7 @@
         for attempt in range(len(referee.calls[name].sent)):
             referee.finish(name, attempt, Outcome.CANCELLED if referee.calls[name].over else Outcome.OK)
     burst = [referee.arrive(0)[1] for _ in range(10)]
-    assert not any(isinstance(act, Refuse) for acts in burst for act in acts)
+    assert not any(isinstance(act, RejectRequest) for acts in burst for act in acts)
 
 
 def test_keyed_copy_keeps_its_group_in_a_large_group() -> None:
--- a/tests/test_discovery_states.py
+++ b/tests/test_discovery_states.py
@@ -27,7 +27,9 @@
     Wanted,
 )
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import SetTimer
+from switchthread.events import MembershipKind, MembershipUpdate
+from switchthread.types import BalancerSettings, Effect, TrafficClass
 
 SILENCE_S = 3.0
 TOLD_S, MOVED_TOLD_S = 6.0, 4.0  # the terms: after discovery had it and could be reached; after a new configuration
@@ -400,8 +402,8 @@
 def test_the_module_asks_again_in_time_whatever_the_aims(aim_ms: float) -> None:
     # Guards against a wait of up to twice the mean aim (8 s for aims of 8 s), and against a number that overflowed at
     # the 1025th failure in a row, after which nobody asked any more.
-    look = face.TrafficClass("look", face.Effect.IDEMPOTENT, aim_ms, 2 * aim_ms)
-    balancer = Balancer(face.Settings(classes=(look,), must_ask=True), 1)
+    look = TrafficClass("look", Effect.IDEMPOTENT, aim_ms, 2 * aim_ms)
+    balancer = Balancer(BalancerSettings(classes=(look,), must_ask=True), 1)
     for _ in range(1100):
-        (timer,) = balancer.handle(0.0, face.Membership(face.Listing.BROKEN))
-        assert isinstance(timer, face.SetTimer) and 0.0 < timer.at_ms <= 2000.0
+        (timer,) = balancer.handle(0.0, MembershipUpdate(MembershipKind.BROKEN))
+        assert isinstance(timer, SetTimer) and 0.0 < timer.at_ms <= 2000.0
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -9,8 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchthread import interface as face
+from switchthread.actions import RejectRequest
 from switchthread.entry import FEW, Entry
+from switchthread.types import Outcome
 from tests.referee import READ, Referee, fleet, settings
 from tests.test_decisions import steady
 from tests.test_zones import Desk
@@ -121,7 +122,7 @@
         if name == at and not held.over and desk.now - since >= 990.0:
             in_time = int(held.arrival.call.removeprefix("call-")) % answers == 0
             if in_time or desk.now - since >= 1000.0:
-                desk.finish(held.arrival.call, number, face.Outcome.OK if in_time else face.Outcome.TIMEOUT)
+                desk.finish(held.arrival.call, number, Outcome.OK if in_time else Outcome.TIMEOUT)
 
 
 def test_a_provider_that_misses_call_after_call_is_left_to_become_idle() -> None:
@@ -168,12 +169,12 @@
     """Its mean of what is held moved with answers alone: with nothing out it refused 40 calls a second for 3 s."""
     referee = Referee(settings(classes=(READ,)), rows=fleet(4))
     balancer = referee.balancer
-    steady(referee, 40, face.Outcome.OK)
+    steady(referee, 40, Outcome.OK)
     balancer.held = 10 * balancer.entry.limit  # a jam has just ended: every call of it is over
     assert not balancer.out
     for _ in range(60):
         referee.wait(25.0)
         _, acts = referee.arrive(0)
-        if not any(isinstance(act, face.Refuse) for act in acts):
+        if not any(isinstance(act, RejectRequest) for act in acts):
             return
     raise AssertionError("shut for 1.5 s with nothing out")
--- a/tests/test_few.py
+++ b/tests/test_few.py
@@ -3,30 +3,32 @@
 from __future__ import annotations
 
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import SendAttempt
+from switchthread.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived
+from switchthread.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 from switchthread.verdicts import quiet
 
-LOOK = face.TrafficClass("look", face.Effect.IDEMPOTENT, 750.0, 2000.0)
-PACK = face.TrafficClass("pack", face.Effect.IDEMPOTENT, 2500.0, 6000.0)
+LOOK = TrafficClass("look", Effect.IDEMPOTENT, 750.0, 2000.0)
+PACK = TrafficClass("pack", Effect.IDEMPOTENT, 2500.0, 6000.0)
 
 
 class Few:
     """One balancer and three upstreams; calls are sent and answered by hand."""
 
     def __init__(self) -> None:
-        given = face.Settings(classes=(LOOK, PACK), balancers=3, layer=1, may_copy=False, weights_listed=False)
+        given = BalancerSettings(classes=(LOOK, PACK), balancers=3, layer=1, may_copy=False, weights_listed=False)
         self.balancer, self.now, self.count = Balancer(given, 5), 0.0, 0
-        self.balancer.handle(0.0, face.Membership(face.Listing.WHOLE, tuple(face.Upstream(n) for n in "abc")))
+        self.balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, tuple(Endpoint(n) for n in "abc")))
 
     def send(self, index: int = 0) -> tuple[str, str]:
         """A call, and whom it was sent to."""
         self.count += 1
         name = str(self.count)
-        acts = self.balancer.handle(self.now, face.Arrival(name, index, (2000.0, 6000.0)[index]))
-        return name, next(a.upstream for a in acts if isinstance(a, face.Send))
+        acts = self.balancer.handle(self.now, RequestArrived(name, index, (2000.0, 6000.0)[index]))
+        return name, next(a.upstream for a in acts if isinstance(a, SendAttempt))
 
     def answer(self, name: str, at: str, spent: float, util: float) -> None:
-        self.balancer.handle(self.now, face.Finished(name, at, 0, spent, face.Outcome.OK, True, util, 20.0 * util))
+        self.balancer.handle(self.now, AttemptFinished(name, at, 0, spent, Outcome.OK, True, util, 20.0 * util))
 
     def play(self, calls: int, util: dict[str, float], index: int = 0, spent: float = 100.0) -> list[str]:
         """Calls one by one, each answered after `spent` ms with its upstream's report of use; whom they went to."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,47 +6,57 @@
 
 from limenotch.settings import Directory
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import SendAttempt, SetTimer
+from switchthread.events import (
+    AttemptFinished,
+    BalancerStarted,
+    Event,
+    MembershipKind,
+    MembershipUpdate,
+    RequestArrived,
+    TimerFired,
+)
 from switchthread.shares import reshare
+from switchthread.types import BalancerSettings, Effect, Endpoint, EndpointState, Outcome, SlowStart, TrafficClass
 
-LOOK = face.TrafficClass("look", face.Effect.IDEMPOTENT, 2000.0, 5000.0, late_worth=0.5)
-COLD = face.ColdStart(0.12, 24_000.0, 4.0, 3000.0)
+LOOK = TrafficClass("look", Effect.IDEMPOTENT, 2000.0, 5000.0, late_worth=0.5)
+COLD = SlowStart(0.12, 24_000.0, 4.0, 3000.0)
 
 
-def settings(balancers: int = 40, rank: int = 0, crossing: float = 0.015) -> face.Settings:
-    return face.Settings(
+def settings(balancers: int = 40, rank: int = 0, crossing: float = 0.015) -> BalancerSettings:
+    return BalancerSettings(
         classes=(LOOK,), balancers=balancers, rank=rank, crossing_cost=crossing, cold=COLD, must_ask=True, layer=1
     )
 
 
-def ups(names: str, zone: int = 0, started: float = 0.0) -> tuple[face.Upstream, ...]:
-    return tuple(face.Upstream(name, zone=zone, started_ms=started) for name in names.split())
+def ups(names: str, zone: int = 0, started: float = 0.0) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(name, zone=zone, started_ms=started) for name in names.split())
 
 
 class Host:
     """One balancer; every attempt is answered after `spent` ms with the report that its upstream has now."""
 
-    def __init__(self, given: face.Settings, listed: tuple[face.Upstream, ...], seed: int = 1) -> None:
+    def __init__(self, given: BalancerSettings, listed: tuple[Endpoint, ...], seed: int = 1) -> None:
         self.balancer, self.now, self.count, self.spent = Balancer(given, seed), 0.0, 0, 100.0
         self.reports: dict[str, tuple[float, float]] = {}
         self.sent: list[tuple[float, str]] = []
-        self.due: list[tuple[float, face.Finished]] = []
+        self.due: list[tuple[float, AttemptFinished]] = []
         self.wakes: list[tuple[float, int]] = []
-        self.do(face.Started())
-        self.do(face.Membership(face.Listing.WHOLE, listed))
+        self.do(BalancerStarted())
+        self.do(MembershipUpdate(MembershipKind.WHOLE, listed))
 
-    def do(self, event: face.Event) -> None:
+    def do(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
-            if isinstance(action, face.Send):
+            if isinstance(action, SendAttempt):
                 self.sent.append((self.now, action.upstream))
                 number = sum(a.open for a in self.balancer.calls[action.call].tries) - 1
                 report: tuple[float | None, float | None] = (None, None)
                 if action.upstream in self.reports:  # refreshed every 0.8 s, and a little noisy
                     util, per_s = self.reports[action.upstream]
                     report = (util, per_s * (1 + 1e-6 * (self.now // 800)))
-                done = face.Finished(action.call, action.upstream, number, self.spent, face.Outcome.OK, True, *report)
+                done = AttemptFinished(action.call, action.upstream, number, self.spent, Outcome.OK, True, *report)
                 self.due.append((self.now + self.spent, done))
-            elif isinstance(action, face.SetTimer):
+            elif isinstance(action, SetTimer):
                 self.wakes.append((action.at_ms, action.token))
 
     def until(self, time: float) -> None:
@@ -60,13 +70,13 @@
                 self.do(item[1])
             for wake in [w for w in self.wakes if w[0] <= at]:
                 self.wakes.remove(wake)
-                self.do(face.TimerFired(wake[1]))
+                self.do(TimerFired(wake[1]))
         self.now = time
 
     def calls(self, until: float, per_s: float) -> None:
         while self.now < until:
             self.count += 1
-            self.do(face.Arrival(f"c{self.count}", 0, 5000.0))
+            self.do(RequestArrived(f"c{self.count}", 0, 5000.0))
             self.until(self.now + 1000.0 / per_s)
 
     def part(self, name: str, since: float = 0.0) -> float:
@@ -123,12 +133,12 @@
 def test_a_zone_that_loses_its_upstreams_hands_calls_on_as_soon_as_the_list_tells() -> None:
     """Two old boxes of a zone were sent all of its calls, jammed, and stayed so for the rest of the day."""
     host = zoned()
-    host.do(face.Membership(face.Listing.CHANGES, (face.Upstream("0x", face.Stage.DRAINING),)))
+    host.do(MembershipUpdate(MembershipKind.CHANGES, (Endpoint("0x", EndpointState.DRAINING),)))
     told = host.now
     host.calls(told + 20_000.0, 4)
     # One of 50 a second is left for 40 a second; the mean use of the whole tier is 160 of 350.
     assert 0.5 < host.part("0y", told) < 0.9
-    host.do(face.Membership(face.Listing.CHANGES, (face.Upstream("0y", started_ms=host.now),)))
+    host.do(MembershipUpdate(MembershipKind.CHANGES, (Endpoint("0y", started_ms=host.now),)))
     told = host.now
     host.calls(told + 4_000.0, 4)
     assert host.part("0y", told) < 0.35  # cold: it can do an eighth to a quarter
@@ -137,8 +147,8 @@
 def test_zones_with_no_room_are_not_handed_calls() -> None:
     host = zoned()
     host.reports["1x"] = host.reports["1y"] = (0.9, 20.0)
-    host.do(face.Membership(face.Listing.CHANGES, (face.Upstream("0x", face.Stage.GONE),)))
-    host.do(face.Membership(face.Listing.CHANGES, (face.Upstream("1x", face.Stage.GONE),)))
+    host.do(MembershipUpdate(MembershipKind.CHANGES, (Endpoint("0x", EndpointState.GONE),)))
+    host.do(MembershipUpdate(MembershipKind.CHANGES, (Endpoint("1x", EndpointState.GONE),)))
     told = host.now
     host.calls(told + 60_000.0, 4)
     assert host.part("1y", told) < 0.5 * host.part("2x", told)
@@ -153,8 +163,8 @@
         host.reports = dict.fromkeys(warm, (0.5, 25.0))
         host.until(Random(rank).random() * 1000 / (per_s / balancers))
         host.calls(started, per_s / balancers)
-        gone = tuple(face.Upstream(n, face.Stage.GONE) for n in warm[: len(cold.split())])
-        host.do(face.Membership(face.Listing.CHANGES, (*gone, *ups(cold, started=started))))
+        gone = tuple(Endpoint(n, EndpointState.GONE) for n in warm[: len(cold.split())])
+        host.do(MembershipUpdate(MembershipKind.CHANGES, (*gone, *ups(cold, started=started))))
         host.calls(started + 12_000.0, per_s / balancers)
         sent += host.sent
     return sent
@@ -186,7 +196,7 @@
         host = Host(settings(rank=seed), ups("a b"), seed=seed)
         for _ in range(failures):
             host.wakes.clear()
-            host.do(face.Membership(face.Listing.BROKEN))
+            host.do(MembershipUpdate(MembershipKind.BROKEN))
         waits.append(host.wakes[-1][0] - host.now)
     return sorted(waits)
 
@@ -221,11 +231,11 @@
     # fact at the latest was 0.37 s past its grace. Forty out of step still ask a service that takes 4 a second.
     waits: dict[int, list[float]] = {}
     for seed in range(40):
-        look = face.TrafficClass("look", face.Effect.IDEMPOTENT, 2000, 5000)
-        balancer = Balancer(face.Settings(classes=(look,)), seed)
+        look = TrafficClass("look", Effect.IDEMPOTENT, 2000, 5000)
+        balancer = Balancer(BalancerSettings(classes=(look,)), seed)
         for number in range(6):
-            (timer,) = balancer.handle(0.0, face.Membership(face.Listing.BROKEN))
-            assert isinstance(timer, face.SetTimer)
+            (timer,) = balancer.handle(0.0, MembershipUpdate(MembershipKind.BROKEN))
+            assert isinstance(timer, SetTimer)
             waits.setdefault(number, []).append(timer.at_ms)
     assert max(waits[0]) <= 500.0 and max(w + v for w, v in zip(waits[0], waits[1], strict=True)) <= 1500.0
     assert all(len(set(of)) == 40 for of in waits.values())
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -8,12 +8,13 @@
 import pytest
 
 from limenotch.facade import Ending, Facade, Hint, Invoke, Provider, Status
-from switchthread import interface as face
-from switchthread.interface import Bound, Effect, Listing, Outcome, Refuse, Scope, Send, Stage, TrafficClass
+from switchthread.actions import RejectRequest, SendAttempt
+from switchthread.events import MembershipKind, RequestArrived
+from switchthread.types import DedupScope, Effect, Endpoint, EndpointState, Outcome, PriorExecution, TrafficClass
 
 from .referee import PAY, READ, WRITE, ZONAL, Held, Referee, fleet, sends, settings
 
-ANYWHERE = TrafficClass("anywhere", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, Scope.ALL, 1500.0)
+ANYWHERE = TrafficClass("anywhere", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, DedupScope.ALL, 1500.0)
 CLASSES = (READ, WRITE, ZONAL, PAY, ANYWHERE)
 KEPT = "10.0.0.4:80"  # of zone 0 and cell 1
 AMONG = 9
@@ -22,14 +23,14 @@
 class Desk(Referee):
     """A referee whose calls come with a hint. Each rule is still checked."""
 
-    def __init__(self, rows: tuple[face.Upstream, ...] | None = None, **changes: object) -> None:
+    def __init__(self, rows: tuple[Endpoint, ...] | None = None, **changes: object) -> None:
         super().__init__(settings(classes=CLASSES, **changes), rows=fleet(AMONG) if rows is None else rows)
 
-    def come(self, cls: TrafficClass = READ, prefer: str = "", bound: Bound | None = None) -> str:
+    def come(self, cls: TrafficClass = READ, prefer: str = "", bound: PriorExecution | None = None) -> str:
         """The call's name."""
         self.count += 1
         name = f"call-{self.count}"
-        arrival = face.Arrival(name, CLASSES.index(cls), 3000.0, prefer=prefer, bound=bound)
+        arrival = RequestArrived(name, CLASSES.index(cls), 3000.0, prefer=prefer, bound=bound)
         self.calls[name] = Held(arrival, self.now + 3000.0, most=self.given.max_attempts, cls=cls)
         self.tell(arrival)
         return name
@@ -37,7 +38,7 @@
     def to(self, name: str) -> list[str]:
         return [upstream for _, upstream in self.calls[name].sent]
 
-    def place(self, cls: TrafficClass = READ, prefer: str = "", bound: Bound | None = None) -> str:
+    def place(self, cls: TrafficClass = READ, prefer: str = "", bound: PriorExecution | None = None) -> str:
         """Where its first attempt went; it is answered in 100 ms."""
         name = self.come(cls, prefer, bound)
         first = self.to(name)[0]
@@ -46,12 +47,12 @@
             self.finish(name, attempt)
         return first
 
-    def refused(self, cls: TrafficClass, bound: Bound) -> bool:
+    def refused(self, cls: TrafficClass, bound: PriorExecution) -> bool:
         """Whether it was refused without an attempt, be it after a while."""
         name = self.come(cls, bound=bound)
         self.settle()
         assert self.calls[name].over
-        return not self.to(name) and any(isinstance(act, Refuse) and act.call == name for act in self.log)
+        return not self.to(name) and any(isinstance(act, RejectRequest) and act.call == name for act in self.log)
 
 
 def of(**where: int) -> set[str]:
@@ -71,10 +72,10 @@
 
 
 def test_it_goes_elsewhere_from_one_that_drains_is_gone_or_unknown() -> None:
-    for stage in (Stage.DRAINING, Stage.GONE):
+    for stage in (EndpointState.DRAINING, EndpointState.GONE):
         desk = Desk()
         row = next(row for row in fleet(AMONG) if row.name == KEPT)
-        desk.members((row._replace(stage=stage),), Listing.CHANGES)
+        desk.members((row._replace(stage=stage),), MembershipKind.CHANGES)
         assert KEPT not in {desk.place(prefer=KEPT) for _ in range(50)}
     assert Desk().place(prefer="10.9.9.9:80") in {row.name for row in fleet(AMONG)}
 
@@ -128,14 +129,14 @@
 @pytest.mark.parametrize(("cls", "group"), [(WRITE, of(cell=1)), (ZONAL, of(zone=1))])
 def test_a_call_that_may_have_run_goes_to_the_group_that_drops_its_repeats(cls: TrafficClass, group: set[str]) -> None:
     desk = Desk()
-    assert {desk.place(cls, bound=Bound(1, 1, desk.now - 100.0)) for _ in range(80)} == group
+    assert {desk.place(cls, bound=PriorExecution(1, 1, desk.now - 100.0)) for _ in range(80)} == group
     assert {desk.place(cls) for _ in range(80)} - group
 
 
 def test_so_do_its_repeats() -> None:
     desk = Desk()
     for _ in range(20):
-        name = desk.come(WRITE, bound=Bound(1, 1, desk.now - 100.0))
+        name = desk.come(WRITE, bound=PriorExecution(1, 1, desk.now - 100.0))
         desk.finish(name, 0, Outcome.RESET)
         assert len(desk.to(name)) == 2 and set(desk.to(name)) <= of(cell=1)
         desk.finish(name, 1)
@@ -146,7 +147,7 @@
 @pytest.mark.parametrize("cls", [READ, ANYWHERE])
 def test_a_call_that_may_run_twice_or_is_dropped_everywhere_goes_anywhere(cls: TrafficClass) -> None:
     desk = Desk()
-    placed = {desk.place(cls, bound=Bound(1, 1, desk.now - 100.0)) for _ in range(80)}
+    placed = {desk.place(cls, bound=PriorExecution(1, 1, desk.now - 100.0)) for _ in range(80)}
     assert placed - of(cell=1) and placed - of(zone=1)
 
 
@@ -154,37 +155,40 @@
     for ago, refused in ((0.0, False), (WRITE.window_ms - 1.0, False), (WRITE.window_ms, True), (1e6, True)):
         desk = Desk()
         for cls in (WRITE, ZONAL, ANYWHERE):
-            assert desk.refused(cls, Bound(1, 1, desk.now - ago)) is refused, (cls.name, ago)
+            assert desk.refused(cls, PriorExecution(1, 1, desk.now - ago)) is refused, (cls.name, ago)
 
 
 def test_what_may_run_once_is_refused() -> None:
     desk = Desk()
-    assert desk.refused(PAY, Bound(1, 1, desk.now - 100.0))
+    assert desk.refused(PAY, PriorExecution(1, 1, desk.now - 100.0))
 
 
 def test_refused_where_nobody_of_its_group_may_be_sent_to() -> None:
     desk = Desk()
     for name in of(cell=1):
         desk.ban(name, True)
-    assert desk.refused(WRITE, Bound(1, 1, desk.now - 100.0))
-    assert not desk.refused(ZONAL, Bound(1, 1, desk.now - 100.0))  # others of its zone
-    assert desk.refused(WRITE, Bound(1, 77, desk.now - 100.0))  # nobody ever heard of it
-    desk.members(tuple(row._replace(stage=Stage.DRAINING) for row in fleet(AMONG) if row.zone == 1), Listing.CHANGES)
-    assert desk.refused(ZONAL, Bound(1, 1, desk.now - 100.0))
+    assert desk.refused(WRITE, PriorExecution(1, 1, desk.now - 100.0))
+    assert not desk.refused(ZONAL, PriorExecution(1, 1, desk.now - 100.0))  # others of its zone
+    assert desk.refused(WRITE, PriorExecution(1, 77, desk.now - 100.0))  # nobody ever heard of it
+    desk.members(
+        tuple(row._replace(stage=EndpointState.DRAINING) for row in fleet(AMONG) if row.zone == 1),
+        MembershipKind.CHANGES,
+    )
+    assert desk.refused(ZONAL, PriorExecution(1, 1, desk.now - 100.0))
 
 
 def test_refused_in_the_narrow_state() -> None:
     desk = Desk()
     desk.retune(replace(desk.given, narrow=True))
     for cls in CLASSES:
-        assert desk.refused(cls, Bound(1, 1, desk.now - 100.0)), cls.name
+        assert desk.refused(cls, PriorExecution(1, 1, desk.now - 100.0)), cls.name
     assert desk.place(WRITE)  # what ran nowhere goes on
 
 
 def test_an_upstream_to_stay_with_is_kept_only_in_the_group() -> None:
     desk = Desk()
     assert KEPT in of(cell=1)
-    assert desk.place(WRITE, KEPT, Bound(1, 1, desk.now - 100.0)) == KEPT
+    assert desk.place(WRITE, KEPT, PriorExecution(1, 1, desk.now - 100.0)) == KEPT
 
 
 # The facade
@@ -227,5 +231,5 @@
 def test_hints_are_no_sends() -> None:
     """A call that is refused by its bound leaves nothing behind."""
     desk = Desk()
-    assert desk.refused(PAY, Bound(0, 0, desk.now)) and not sends(desk.log)
-    assert not desk.balancer.calls and not [act for act in desk.log if isinstance(act, Send)]
+    assert desk.refused(PAY, PriorExecution(0, 0, desk.now)) and not sends(desk.log)
+    assert not desk.balancer.calls and not [act for act in desk.log if isinstance(act, SendAttempt)]
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -10,14 +10,16 @@
 import pytest
 
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import SendAttempt
+from switchthread.events import Event, MembershipKind, MembershipUpdate, RequestArrived
 from switchthread.placement import draw
 from switchthread.ready import Ready
 from switchthread.records import Call, Mean, Server, Usual
+from switchthread.types import BalancerSettings, Effect, Endpoint, EndpointState, SlowStart, TrafficClass
 
 SMALL, LARGE = 200, 3200
-COLD = face.ColdStart(0.25, 8000.0, 2.0, 1000.0)
-LOOK = face.TrafficClass("look", face.Effect.IDEMPOTENT, 400.0, 2000.0)
+COLD = SlowStart(0.25, 8000.0, 2.0, 1000.0)
+LOOK = TrafficClass("look", Effect.IDEMPOTENT, 400.0, 2000.0)
 START_MS = 1e6
 
 
@@ -39,34 +41,34 @@
     return count
 
 
-def rows(number: int, zones: int = 2) -> tuple[face.Upstream, ...]:
-    return tuple(face.Upstream(f"u{n}", face.Stage.READY, 1.0, n % 3, n % zones, n % 7) for n in range(number))
+def rows(number: int, zones: int = 2) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(f"u{n}", EndpointState.READY, 1.0, n % 3, n % zones, n % 7) for n in range(number))
 
 
 def told(number: int, balancers: int = 200) -> Balancer:
-    settings = face.Settings(classes=(LOOK,), balancers=balancers, crossing_cost=0.015, cold=COLD)
+    settings = BalancerSettings(classes=(LOOK,), balancers=balancers, crossing_cost=0.015, cold=COLD)
     balancer = Balancer(settings, 1)
-    balancer.handle(START_MS, face.Membership(face.Listing.WHOLE, rows(number)))
+    balancer.handle(START_MS, MembershipUpdate(MembershipKind.WHOLE, rows(number)))
     return balancer
 
 
-def change(stage: face.Stage, name: str = "u7", started_ms: float = 0.0) -> face.Membership:
-    row = face.Upstream(name, stage, 1.0, 1, 1, 0, started_ms)
-    return face.Membership(face.Listing.CHANGES, (row,))
+def change(stage: EndpointState, name: str = "u7", started_ms: float = 0.0) -> MembershipUpdate:
+    row = Endpoint(name, stage, 1.0, 1, 1, 0, started_ms)
+    return MembershipUpdate(MembershipKind.CHANGES, (row,))
 
 
 @pytest.mark.parametrize(
     "event",
     [
-        change(face.Stage.DRAINING),
-        change(face.Stage.GONE),
-        change(face.Stage.READY, "new"),
-        change(face.Stage.READY, started_ms=START_MS - 1000.0),
-        face.Arrival("call", 0, 2000.0),
+        change(EndpointState.DRAINING),
+        change(EndpointState.GONE),
+        change(EndpointState.READY, "new"),
+        change(EndpointState.READY, started_ms=START_MS - 1000.0),
+        RequestArrived("call", 0, 2000.0),
     ],
     ids=["drains", "goes", "comes", "starts anew", "a call"],
 )
-def test_an_event_costs_no_more_with_a_large_list(event: face.Event) -> None:
+def test_an_event_costs_no_more_with_a_large_list(event: Event) -> None:
     """The sidecar is one of so many that it draws from 8 endpoints of each zone, whatever the list."""
     costs = []
     for number in (SMALL, LARGE):
@@ -80,12 +82,12 @@
     costs = []
     for number in (SMALL, LARGE):
         balancer = told(number)
-        balancer.handle(START_MS + 1.0, face.Arrival("first", 0, 2000.0))
+        balancer.handle(START_MS + 1.0, RequestArrived("first", 0, 2000.0))
         end = balancer.due + 1.0
         costs.append(
             counted(
                 lambda balancer=balancer, end=end:  # type: ignore[misc]
-                balancer.handle(end, face.Arrival("second", 0, 2000.0))
+                balancer.handle(end, RequestArrived("second", 0, 2000.0))
             )
         )
     drawn = [sum(len(told(number).table[0]) for _ in (1,)) for number in (SMALL, LARGE)]
@@ -96,7 +98,7 @@
     """A lone sidecar draws from all 3,200: half of them drain within 6 s, a line for each."""
     balancer, taken = told(LARGE, balancers=1), set[float]()
     for number in range(LARGE // 2):
-        balancer.handle(START_MS + 6000.0 * number / (LARGE / 2), change(face.Stage.DRAINING, f"u{number}"))
+        balancer.handle(START_MS + 6000.0 * number / (LARGE / 2), change(EndpointState.DRAINING, f"u{number}"))
         taken.add(balancer.shared_at)
     assert 6 <= len(taken) <= 60  # windows of 0.2 s included
     assert len(balancer.ready) == LARGE // 2
@@ -107,9 +109,9 @@
     gone = {f"u{number}" for number in range(SMALL - 10)}
     balancer.handle(
         START_MS + 0.01,
-        face.Membership(
-            face.Listing.CHANGES,
-            tuple(row._replace(stage=face.Stage.DRAINING) for row in rows(SMALL) if row.name in gone),
+        MembershipUpdate(
+            MembershipKind.CHANGES,
+            tuple(row._replace(stage=EndpointState.DRAINING) for row in rows(SMALL) if row.name in gone),
         ),
     )
     assert balancer.stale and {server.at.name for server in balancer.table[0]} >= gone
@@ -120,23 +122,23 @@
 
 def test_where_all_that_were_drawn_from_have_gone_the_new_ones_are_sent_to() -> None:
     balancer = told(SMALL, balancers=1)
-    drains = tuple(row._replace(stage=face.Stage.DRAINING) for row in rows(SMALL))
-    comes = tuple(face.Upstream(f"n{number}", face.Stage.READY) for number in range(20))
-    balancer.handle(START_MS + 0.01, face.Membership(face.Listing.CHANGES, drains + comes))
+    drains = tuple(row._replace(stage=EndpointState.DRAINING) for row in rows(SMALL))
+    comes = tuple(Endpoint(f"n{number}", EndpointState.READY) for number in range(20))
+    balancer.handle(START_MS + 0.01, MembershipUpdate(MembershipKind.CHANGES, drains + comes))
     assert balancer.stale
-    (send, *_) = balancer.handle(START_MS + 0.02, face.Arrival("call", 0, 2000.0))
-    assert isinstance(send, face.Send) and send.upstream.startswith("n")
+    (send, *_) = balancer.handle(START_MS + 0.02, RequestArrived("call", 0, 2000.0))
+    assert isinstance(send, SendAttempt) and send.upstream.startswith("n")
 
 
 def server_of(name: str, zone: int, kind: Mean, weight: float, since: float) -> Server:
-    server = Server(face.Upstream(name, face.Stage.READY, weight, 0, zone, 0, since), kind, 0.0, 0.0)
+    server = Server(Endpoint(name, EndpointState.READY, weight, 0, zone, 0, since), kind, 0.0, 0.0)
     server.weight, server.since = weight, since
     return server
 
 
 def test_the_sums_are_those_of_a_pass_over_all_whatever_came_and_went() -> None:
     kinds = [Mean(), Mean()]
-    ready, held = Ready(face.Settings(classes=(LOOK,), crossing_cost=0.1, cold=COLD)), dict[str, Server]()
+    ready, held = Ready(BalancerSettings(classes=(LOOK,), crossing_cost=0.1, cold=COLD)), dict[str, Server]()
     now = START_MS
     for step in range(600):
         now += 37.0
--- a/tests/test_long_requests.py
+++ b/tests/test_long_requests.py
@@ -17,8 +17,10 @@
 from limenotch.settings import Providers as ProviderTuning
 from limenotch.settings import Settings
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import RejectRequest, SendAttempt
+from switchthread.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived, UploadFinished
 from switchthread.settings import read_settings
+from switchthread.types import BalancerSettings, Endpoint, Outcome
 
 from .helpers.peers import (
     SETTINGS,
@@ -193,31 +195,31 @@
 def test_a_call_that_goes_out_once_is_load_from_its_last_byte_on() -> None:
     # Guards the entry: calls under way for seconds at the pace of their clients once passed for a jam, and a quarter
     # of all calls was refused.
-    balancer = Balancer(face.Settings(classes=CLASSES), seed=3)
-    balancer.handle(0.0, face.Membership(face.Listing.WHOLE, (face.Upstream("a"), face.Upstream("b"))))
-    acts = balancer.handle(1.0, face.Arrival("1", 0, 900, once=True))
-    (send,) = [act for act in acts if isinstance(act, face.Send)]  # and no copy
+    balancer = Balancer(BalancerSettings(classes=CLASSES), seed=3)
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, (Endpoint("a"), Endpoint("b"))))
+    acts = balancer.handle(1.0, RequestArrived("1", 0, 900, once=True))
+    (send,) = [act for act in acts if isinstance(act, SendAttempt)]  # and no copy
     server = balancer.roster.servers[send.upstream]
     assert (balancer.out, server.out) == (0, 0)
-    balancer.handle(5000.0, face.Uploaded("1", 900))
+    balancer.handle(5000.0, UploadFinished("1", 900))
     assert (balancer.out, server.out) == (1, 1)
     # Its class's 400 ms to be on time begin then.
-    balancer.handle(5300.0, face.Finished("1", send.upstream, 0, 300.0, face.Outcome.OK, True))
+    balancer.handle(5300.0, AttemptFinished("1", send.upstream, 0, 300.0, Outcome.OK, True))
     assert (balancer.out, server.out, server.bad) == (0, 0, 0.0) and server.good == 1.0
-    balancer.handle(5301.0, face.Uploaded("1", 900))  # late word of a call that is over
+    balancer.handle(5301.0, UploadFinished("1", 900))  # late word of a call that is over
     assert balancer.out == 0
 
 
 @pytest.mark.parametrize(("spent", "again"), [(False, True), (True, False)])
 def test_a_call_that_goes_out_once_may_go_elsewhere_while_nothing_of_it_is_spent(spent: bool, again: bool) -> None:
-    balancer = Balancer(face.Settings(classes=CLASSES), seed=3)
-    balancer.handle(0.0, face.Membership(face.Listing.WHOLE, (face.Upstream("a"), face.Upstream("b"))))
-    acts = balancer.handle(1.0, face.Arrival("1", 0, 900, once=True))
-    (send,) = [act for act in acts if isinstance(act, face.Send)]  # and no copy
-    failed = face.Finished("1", send.upstream, 0, 1.0, face.Outcome.CONNECT_FAILED, spent=spent)
+    balancer = Balancer(BalancerSettings(classes=CLASSES), seed=3)
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, (Endpoint("a"), Endpoint("b"))))
+    acts = balancer.handle(1.0, RequestArrived("1", 0, 900, once=True))
+    (send,) = [act for act in acts if isinstance(act, SendAttempt)]  # and no copy
+    failed = AttemptFinished("1", send.upstream, 0, 1.0, Outcome.CONNECT_FAILED, spent=spent)
     acts = balancer.handle(2.0, failed)
-    assert any(isinstance(act, face.Send) for act in acts) is again
-    assert any(isinstance(act, face.Refuse) for act in acts) is not again
+    assert any(isinstance(act, SendAttempt) for act in acts) is again
+    assert any(isinstance(act, RejectRequest) for act in acts) is not again
     assert balancer.out == 0
 
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parent.parent
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 # What they may read of the package, besides one another.
-BESIDE = {"books", "flow", "interface", "ready", "records", "roster"}
+BESIDE = {"actions", "books", "events", "flow", "ready", "records", "roster", "types"}
 STANDARD = {"__future__", "bisect", "collections.abc", "math", "typing"}
 
 
@@ -41,8 +41,8 @@
     assert max(len(line) for line in lines(name)) <= 110
 
 
-def test_first_lines_name_the_interface() -> None:
-    assert "interface.py" in "\n".join(lines("switchthread/decide.py")[:2])
+def test_first_lines_name_the_events() -> None:
+    assert "events.py" in "\n".join(lines("switchthread/decide.py")[:2])
 
 
 @pytest.mark.parametrize("name", POLICY)
--- a/tests/test_narrow.py
+++ b/tests/test_narrow.py
@@ -8,11 +8,12 @@
 import pytest
 
 from limenotch.facade import Ending, Facade, GiveUp, Invoke, Order, Provider, Reject, Status, Wake
-from switchthread.interface import Effect, Outcome, Refuse, Scope, TrafficClass
+from switchthread.actions import RejectRequest
+from switchthread.types import DedupScope, Effect, Outcome, TrafficClass
 
 from .referee import READ, WRITE, Referee, fleet, sends, settings
 
-KEYED = TrafficClass("keyed", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, Scope.ALL, 1500.0)
+KEYED = TrafficClass("keyed", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, DedupScope.ALL, 1500.0)
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT)
 
 
@@ -25,7 +26,7 @@
     referee.retune(replace(given, narrow=True))  # an open call as well
     actions = referee.finish(name, 0, outcome)
     assert not sends(actions) and referee.calls[name].over
-    assert not any(isinstance(act, Refuse) for act in actions)
+    assert not any(isinstance(act, RejectRequest) for act in actions)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REFUSED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -20,8 +20,26 @@
 from limenotch.net.operators import Operators
 from limenotch.net.sockets import OPERATORS as MOST
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import FailRequest, SendAttempt
+from switchthread.events import (
+    AttemptFinished,
+    MembershipKind,
+    MembershipUpdate,
+    OperatorEjection,
+    RequestArrived,
+    SettingsChanged,
+)
 from switchthread.records import Server
+from switchthread.types import (
+    BalancerSettings,
+    DedupScope,
+    Effect,
+    Endpoint,
+    EndpointState,
+    Outcome,
+    SlowStart,
+    TrafficClass,
+)
 
 from .helpers.peers import DELIVER, GET_HEALTH, LOOK, SETTINGS, answering, ask, renamed, whole
 from .helpers.processes import free_port, run, with_sidecar
@@ -276,18 +294,18 @@
 
 # The module
 
-CLASSES = (face.TrafficClass("look", face.Effect.IDEMPOTENT, 400, 900),)
-COLD = face.ColdStart(0.1, 20_000.0, 4.0, 3000.0)
+CLASSES = (TrafficClass("look", Effect.IDEMPOTENT, 400, 900),)
+COLD = SlowStart(0.1, 20_000.0, 4.0, 3000.0)
 
 
 def balancer_of(*names: str) -> Balancer:
-    balancer = Balancer(face.Settings(classes=CLASSES, cold=COLD), seed=3)
-    balancer.handle(0.0, face.Membership(face.Listing.WHOLE, tuple(face.Upstream(n) for n in names)))
+    balancer = Balancer(BalancerSettings(classes=CLASSES, cold=COLD), seed=3)
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, tuple(Endpoint(n) for n in names)))
     return balancer
 
 
 def sent(balancer: Balancer, now: float, call: str) -> list[str]:
-    return [a.upstream for a in balancer.handle(now, face.Arrival(call, 0, 900)) if isinstance(a, face.Send)]
+    return [a.upstream for a in balancer.handle(now, RequestArrived(call, 0, 900)) if isinstance(a, SendAttempt)]
 
 
 def server_of(balancer: Balancer, name: str) -> Server:
@@ -296,11 +314,11 @@
 
 def test_a_ban_holds_whatever_the_list_says() -> None:
     balancer = balancer_of("a", "b")
-    balancer.handle(1.0, face.Ban("a", True))
+    balancer.handle(1.0, OperatorEjection("a", True))
     lists = [
-        face.Membership(face.Listing.WHOLE, (face.Upstream("a"), face.Upstream("b"))),
-        face.Membership(face.Listing.CHANGES, (face.Upstream("a", face.Stage.GONE),)),
-        face.Membership(face.Listing.CHANGES, (face.Upstream("a", started_ms=2.0),)),
+        MembershipUpdate(MembershipKind.WHOLE, (Endpoint("a"), Endpoint("b"))),
+        MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a", EndpointState.GONE),)),
+        MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a", started_ms=2.0),)),
     ]
     for number, listed in enumerate(lists):
         balancer.handle(2.0, listed)
@@ -311,57 +329,59 @@
 
 def test_back_from_a_ban_it_is_cold_from_that_moment() -> None:
     balancer = balancer_of("a", "b")
-    balancer.handle(1.0, face.Ban("a", True))
-    balancer.handle(1000.0, face.Ban("a", False, 1000.0))
+    balancer.handle(1.0, OperatorEjection("a", True))
+    balancer.handle(1000.0, OperatorEjection("a", False, 1000.0))
     assert server_of(balancer, "a").capacity(1000.0, COLD) == pytest.approx(0.1)
     # The list still tells the old start: that does not warm it.
-    balancer.handle(1000.0, face.Membership(face.Listing.CHANGES, (face.Upstream("a"),)))
+    balancer.handle(1000.0, MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a"),)))
     assert server_of(balancer, "a").capacity(11_000.0, COLD) == pytest.approx(0.55)
-    balancer.handle(2000.0, face.Membership(face.Listing.CHANGES, (face.Upstream("a", started_ms=1500.0),)))
+    balancer.handle(2000.0, MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a", started_ms=1500.0),)))
     assert server_of(balancer, "a").since == 1500.0
     # One that comes back draining is not used.
-    balancer.handle(2000.0, face.Membership(face.Listing.CHANGES, (face.Upstream("a", face.Stage.DRAINING),)))
+    balancer.handle(2000.0, MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a", EndpointState.DRAINING),)))
     assert all(server.at.name == "b" for server in balancer.table[0])
 
 
 def test_a_ban_during_a_call_leaves_that_call_alone() -> None:
     balancer = balancer_of("a")
     assert sent(balancer, 0.0, "1") == ["a"]
-    balancer.handle(1.0, face.Ban("a", True))
-    assert balancer.handle(50.0, face.Finished("1", "a", 0, 50.0, face.Outcome.OK, True)) == []
+    balancer.handle(1.0, OperatorEjection("a", True))
+    assert balancer.handle(50.0, AttemptFinished("1", "a", 0, 50.0, Outcome.OK, True)) == []
 
 
 # New settings
 
-DELIVER_KEYED = face.TrafficClass("deliver", face.Effect.DEDUPLICATED, 400, 900, scope=face.Scope.ZONE, window_ms=9000)
+DELIVER_KEYED = TrafficClass("deliver", Effect.DEDUPLICATED, 400, 900, scope=DedupScope.ZONE, window_ms=9000)
 
 
 def test_open_calls_keep_their_rules_and_new_ones_have_the_new() -> None:
     names = ("a", "b", "c")
-    balancer = Balancer(face.Settings(classes=CLASSES, max_attempts=3, must_ask=True), seed=3)
-    balancer.handle(0.0, face.Membership(face.Listing.WHOLE, tuple(face.Upstream(n) for n in names)))
+    balancer = Balancer(BalancerSettings(classes=CLASSES, max_attempts=3, must_ask=True), seed=3)
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, tuple(Endpoint(n) for n in names)))
     (first,) = sent(balancer, 0.0, "old")
-    once = face.TrafficClass("look", face.Effect.AT_MOST_ONCE, 300, 500)
-    balancer.handle(1.0, face.Retuned(face.Settings(classes=(DELIVER_KEYED, once), max_attempts=1, must_ask=True)))
+    once = TrafficClass("look", Effect.AT_MOST_ONCE, 300, 500)
+    balancer.handle(
+        1.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, once), max_attempts=1, must_ask=True))
+    )
     # Held under three attempts and a harmless repeat: it is sent again though attempts are 1 by now.
-    acts = balancer.handle(2.0, face.Finished("old", first, 0, 2.0, face.Outcome.ERROR))
-    (again,) = [a for a in acts if isinstance(a, face.Send)]
+    acts = balancer.handle(2.0, AttemptFinished("old", first, 0, 2.0, Outcome.ERROR))
+    (again,) = [a for a in acts if isinstance(a, SendAttempt)]
     assert again.timeout_ms == pytest.approx(398.0)  # and to its own end
     # The new class of the old name: one attempt, and a failure rather than a refusal after it may have run.
-    (send,) = [a for a in balancer.handle(3.0, face.Arrival("new", 1, 500)) if isinstance(a, face.Send)]
-    acts = balancer.handle(4.0, face.Finished("new", send.upstream, 0, 1.0, face.Outcome.ERROR))
-    assert acts == [face.Fail("new")]
+    (send,) = [a for a in balancer.handle(3.0, RequestArrived("new", 1, 500)) if isinstance(a, SendAttempt)]
+    acts = balancer.handle(4.0, AttemptFinished("new", send.upstream, 0, 1.0, Outcome.ERROR))
+    assert acts == [FailRequest("new")]
 
 
 def test_what_was_learnt_stays_with_its_name_and_goes_with_it() -> None:
     balancer = balancer_of("a")
     sent(balancer, 0.0, "1")
-    balancer.handle(50.0, face.Finished("1", "a", 0, 50.0, face.Outcome.OK, True))
-    kept = face.TrafficClass("look", face.Effect.IDEMPOTENT, 500, 900)
-    balancer.handle(51.0, face.Retuned(face.Settings(classes=(DELIVER_KEYED, kept), cold=COLD)))
+    balancer.handle(50.0, AttemptFinished("1", "a", 0, 50.0, Outcome.OK, True))
+    kept = TrafficClass("look", Effect.IDEMPOTENT, 500, 900)
+    balancer.handle(51.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, kept), cold=COLD)))
     assert balancer.usual["look"].mean == 50.0 and balancer.usual["deliver"].mean == 0.0
-    balancer.handle(52.0, face.Retuned(face.Settings(classes=(DELIVER_KEYED,), cold=COLD)))
-    balancer.handle(53.0, face.Retuned(face.Settings(classes=(DELIVER_KEYED, kept), cold=COLD)))
+    balancer.handle(52.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED,), cold=COLD)))
+    balancer.handle(53.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, kept), cold=COLD)))
     assert balancer.usual["look"].mean == 0.0  # dropped and back: another class
     assert server_of(balancer, "a").count > 0
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -14,22 +14,24 @@
 from limenotch.net.call import Call, InvokerCall
 from limenotch.net.names import MOST_REMEMBERED, Names
 from limenotch.permits import ARRIVAL_MS, Permits, Sent
-from switchthread.interface import Earlier, Effect, Scope, TrafficClass
 from switchthread.repeats import may_repeat
+from switchthread.types import DedupScope, Effect, PriorAttempt, TrafficClass
 
 EFFECTS = st.builds(
     lambda effect, scope, window: TrafficClass("c", effect, 100.0, 1000.0, scope=scope, window_ms=window),
     st.sampled_from(list(Effect)),
-    st.sampled_from(list(Scope)),
+    st.sampled_from(list(DedupScope)),
     st.sampled_from([0.0, 50.0, 400.0, 9000.0]),
 )
 EARLIER = st.lists(
-    st.builds(Earlier, st.sampled_from("ab"), st.sampled_from([1, 2]), st.floats(0.0, 1000.0), st.booleans()),
+    st.builds(PriorAttempt, st.sampled_from("ab"), st.sampled_from([1, 2]), st.floats(0.0, 1000.0), st.booleans()),
     max_size=4,
 )
 
 
-def allowed_by_the_pages(cls: TrafficClass, ran: Sequence[Earlier], now: float, zone: object, cell: object) -> bool:
+def allowed_by_the_pages(
+    cls: TrafficClass, ran: Sequence[PriorAttempt], now: float, zone: object, cell: object
+) -> bool:
     """The second of the four rules, word for word, with no regard to how the program has it."""
     for one in ran:
         if cls.effect.value == "at_most_once":
@@ -47,7 +49,7 @@
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(EFFECTS, EARLIER, st.floats(0.0, 10_000.0), st.sampled_from("ab"), st.sampled_from([1, 2]))
 def test_the_rule_is_that_of_the_pages(
-    cls: TrafficClass, earlier: list[Earlier], now: float, zone: str, cell: int
+    cls: TrafficClass, earlier: list[PriorAttempt], now: float, zone: str, cell: int
 ) -> None:
     ran = [one for one in earlier if one.ran]
     assert may_repeat(cls, earlier, now, zone, cell) is allowed_by_the_pages(cls, ran, now, zone, cell)
@@ -100,7 +102,7 @@
     found = hindrance(attempt_of(call), CHOSEN, now)
 
     ran = [
-        Earlier(zone, group, at * 1000.0)
+        PriorAttempt(zone, group, at * 1000.0)
         for ending, begun, zone, group, at in history
         if begun and ending not in NEVER_RAN
     ]
--- a/tests/test_repeats_played.py
+++ b/tests/test_repeats_played.py
@@ -9,13 +9,14 @@
 from hypothesis import settings as drawn
 from hypothesis import strategies as st
 
-from switchthread.interface import Fail, Outcome, Refuse, Scope, TrafficClass
+from switchthread.actions import FailRequest, RejectRequest
+from switchthread.types import DedupScope, Outcome, TrafficClass
 
 from .referee import PAY, READ, WRITE, Referee, fleet, settings
 from .test_rules import STEPS, play
 
-LONG = replace(WRITE, name="long", scope=Scope.ALL, window_ms=10_000.0)  # outlasts its client's patience
-SHORT = replace(WRITE, name="short", scope=Scope.ALL, window_ms=300.0)
+LONG = replace(WRITE, name="long", scope=DedupScope.ALL, window_ms=10_000.0)  # outlasts its client's patience
+SHORT = replace(WRITE, name="short", scope=DedupScope.ALL, window_ms=300.0)
 
 
 @drawn(derandomize=True, deadline=None)
@@ -29,10 +30,12 @@
     referee.settle()
 
 
-@pytest.mark.parametrize(("cls", "ending"), [(LONG, Refuse), (SHORT, Fail)])
-def test_refused_only_while_the_repeat_of_any_client_is_dropped(cls: TrafficClass, ending: type[Refuse | Fail]) -> None:
+@pytest.mark.parametrize(("cls", "ending"), [(LONG, RejectRequest), (SHORT, FailRequest)])
+def test_refused_only_while_the_repeat_of_any_client_is_dropped(
+    cls: TrafficClass, ending: type[RejectRequest | FailRequest]
+) -> None:
     # Guards work that may run once in a window: a refusal says that a repeat is harmless, whenever it comes.
     referee = Referee(settings(classes=(cls,), max_attempts=1), rows=fleet(5))
     name, _ = referee.arrive(0, budget=2000.0)
     referee.finish(name, 0, Outcome.RESET)
-    assert [type(action) for action in referee.log if isinstance(action, (Refuse, Fail))] == [ending]
+    assert [type(action) for action in referee.log if isinstance(action, (RejectRequest, FailRequest))] == [ending]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,22 +8,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchthread.interface import (
-    AnswerBegun,
-    Cancel,
-    Departure,
-    Fail,
-    Finished,
-    Listing,
-    Membership,
-    Outcome,
-    Refuse,
-    SetTimer,
-    Stage,
-    Subscribe,
+from switchthread.actions import CancelAttempt, FailRequest, RejectRequest, SetTimer, Subscribe
+from switchthread.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    MembershipKind,
+    MembershipUpdate,
+    ResponseStarted,
     TimerFired,
-    Upstream,
 )
+from switchthread.types import Endpoint, EndpointState, Outcome
 
 from .referee import Referee, fleet, sends, settings
 
@@ -75,9 +69,9 @@
             referee.arrive(number % 4, once=True)
         elif what in ("drain", "remove", "restart") and names:
             row = referee.rows[names[number % len(names)]]
-            stage = {"drain": Stage.DRAINING, "remove": Stage.GONE}.get(what, Stage.READY)
+            stage = {"drain": EndpointState.DRAINING, "remove": EndpointState.GONE}.get(what, EndpointState.READY)
             started = referee.now if what == "restart" else row.started_ms
-            referee.members((row._replace(stage=stage, started_ms=started),), Listing.CHANGES)
+            referee.members((row._replace(stage=stage, started_ms=started),), MembershipKind.CHANGES)
         else:
             out = [
                 (name, i) for name, held in referee.calls.items() for i in range(len(held.sent)) if i not in held.ended
@@ -131,7 +125,7 @@
     referee = Referee(settings())
     referee.arrive(index)
     referee.settle()
-    assert any(isinstance(a, (Refuse, Fail)) for a in referee.log)
+    assert any(isinstance(a, (RejectRequest, FailRequest)) for a in referee.log)
 
 
 def test_held_call_goes_out_once_the_list_comes() -> None:
@@ -154,7 +148,7 @@
     referee = Referee(settings(), rows=fleet(7))
     name, _ = referee.arrive(3)
     actions = referee.finish(name, 0, outcome)
-    assert actions == [Fail(name)]
+    assert actions == [FailRequest(name)]
 
 
 def test_keyed_goes_again_within_its_group_only() -> None:
@@ -183,8 +177,8 @@
 
 def test_drained_gets_nothing_from_the_moment_it_is_told() -> None:
     referee = Referee(settings(), rows=fleet(4))
-    rows = tuple(r._replace(stage=Stage.DRAINING) for r in fleet(4)[:3])
-    referee.members(rows, Listing.CHANGES)
+    rows = tuple(r._replace(stage=EndpointState.DRAINING) for r in fleet(4)[:3])
+    referee.members(rows, MembershipKind.CHANGES)
     for _ in range(100):
         _, actions = referee.arrive()
         assert {s.upstream for s in sends(actions)} <= {fleet(4)[3].name}
@@ -198,7 +192,7 @@
 
 
 def test_all_draining() -> None:
-    referee = Referee(settings(), rows=fleet(4, stage=Stage.DRAINING))
+    referee = Referee(settings(), rows=fleet(4, stage=EndpointState.DRAINING))
     referee.arrive()
     referee.settle()
 
@@ -209,14 +203,14 @@
     for seed in range(5):
         referee = Referee(settings(must_ask=True), seed, fleet(4))
         assert Subscribe() in referee.log
-        timers = [a for a in referee.tell(Membership(Listing.BROKEN)) if isinstance(a, SetTimer)]
+        timers = [a for a in referee.tell(MembershipUpdate(MembershipKind.BROKEN)) if isinstance(a, SetTimer)]
         assert len(timers) == 1
         delays.add(timers[0].at_ms)
         assert Subscribe() in referee.wait(10_000.0)
     assert len(delays) == 5
 
 
-def cold_share(rows: tuple[Upstream, ...], seed: int = 3) -> float:
+def cold_share(rows: tuple[Endpoint, ...], seed: int = 3) -> float:
     """Most that one cold upstream is sent within the span that could fell it, per warm upstream's take."""
     referee = Referee(settings(), seed, fleet(len(rows)))
     names: list[str] = []
@@ -229,7 +223,7 @@
             referee.finish(name, attempt, Outcome.CANCELLED if over else Outcome.OK)
     start = referee.now
     cold = tuple(r._replace(started_ms=start) if r.started_ms else r for r in rows)
-    referee.members(cold, Listing.CHANGES)
+    referee.members(cold, MembershipKind.CHANGES)
     got: dict[str, list[float]] = {}
     for _ in range(300):
         name, actions = referee.arrive()
@@ -263,7 +257,7 @@
         copied = len(referee.calls[name].sent) == 2
         actions = referee.finish(name, 0)
         if copied:
-            assert Cancel(name, 1) in actions
+            assert CancelAttempt(name, 1) in actions
             return
     raise AssertionError("an idle fleet never got a copy")
 
@@ -271,17 +265,19 @@
 def test_departure_cancels_what_is_out() -> None:
     referee = Referee(settings(), rows=fleet(7))
     name, _ = referee.arrive(0)
-    assert Cancel(name, 0) in referee.leave(name)
+    assert CancelAttempt(name, 0) in referee.leave(name)
     assert referee.finish(name, 0, Outcome.CANCELLED) == []
 
 
 def test_odd_but_legal_is_quiet() -> None:
     referee = Referee(settings(), rows=fleet(3))
-    assert referee.tell(Finished("nobody", "10.0.0.1:80", 0, 5.0, Outcome.OK, True)) == []
-    assert referee.tell(Departure("nobody")) == []
+    assert referee.tell(AttemptFinished("nobody", "10.0.0.1:80", 0, 5.0, Outcome.OK, True)) == []
+    assert referee.tell(ClientDisconnected("nobody")) == []
     assert referee.tell(TimerFired(999)) == []
-    assert referee.tell(AnswerBegun("nobody", "10.0.0.1:80", 0, 5.0)) == []
-    referee.members((Upstream("unknown", Stage.GONE), Upstream("other", Stage.DRAINING)), Listing.CHANGES)
+    assert referee.tell(ResponseStarted("nobody", "10.0.0.1:80", 0, 5.0)) == []
+    referee.members(
+        (Endpoint("unknown", EndpointState.GONE), Endpoint("other", EndpointState.DRAINING)), MembershipKind.CHANGES
+    )
     for budget in (0.0, -5.0):
         name, _ = referee.arrive(0, budget)
         assert referee.calls[name].over or referee.calls[name].sent
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_list.py
@@ -5,11 +5,13 @@
 import pytest
 
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import SendAttempt
+from switchthread.events import AttemptFinished, BalancerStarted, MembershipKind, MembershipUpdate, RequestArrived
+from switchthread.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 from switchthread.verdicts import REST, RESTING
 
-SAFE = face.TrafficClass("look", face.Effect.IDEMPOTENT, 400.0, 900.0)
-ONCE = face.TrafficClass("file", face.Effect.AT_MOST_ONCE, 400.0, 900.0)
+SAFE = TrafficClass("look", Effect.IDEMPOTENT, 400.0, 900.0)
+ONCE = TrafficClass("file", Effect.AT_MOST_ONCE, 400.0, 900.0)
 NAMES = "abcdefgh"
 STEP_MS = 20.0
 
@@ -18,35 +20,35 @@
     """A balancer with eight endpoints, of which `rejecting` turn every attempt away and the others answer at once."""
 
     def __init__(self, layer: int = 0) -> None:
-        self.balancer = Balancer(face.Settings(classes=(SAFE, ONCE), layer=layer, max_attempts=3), seed=4)
+        self.balancer = Balancer(BalancerSettings(classes=(SAFE, ONCE), layer=layer, max_attempts=3), seed=4)
         self.now = 0.0
         self.rejecting: set[str] = set()
         self.calls = 0
-        self.balancer.handle(self.now, face.Started())
+        self.balancer.handle(self.now, BalancerStarted())
         self.listed(NAMES)
 
     def listed(self, names: str) -> None:
-        entries = tuple(face.Upstream(name) for name in names)
-        self.balancer.handle(self.now, face.Membership(face.Listing.WHOLE, entries))
+        entries = tuple(Endpoint(name) for name in names)
+        self.balancer.handle(self.now, MembershipUpdate(MembershipKind.WHOLE, entries))
 
     def watch_breaks(self) -> None:
-        self.balancer.handle(self.now, face.Membership(face.Listing.BROKEN))
+        self.balancer.handle(self.now, MembershipUpdate(MembershipKind.BROKEN))
 
     def call(self, traffic_class: int = 0) -> list[str]:
         """One call up to its end; the endpoints that it was sent to, in order."""
         self.now += STEP_MS
         self.calls += 1
-        actions = self.balancer.handle(self.now, face.Arrival(str(self.calls), traffic_class, 900.0))
+        actions = self.balancer.handle(self.now, RequestArrived(str(self.calls), traffic_class, 900.0))
         sent: list[str] = []
-        while sends := [action for action in actions if isinstance(action, face.Send)]:
+        while sends := [action for action in actions if isinstance(action, SendAttempt)]:
             actions = []
             for send in sends:
                 attempt = len(sent)
                 sent.append(send.upstream)
-                outcome = face.Outcome.REFUSED if send.upstream in self.rejecting else face.Outcome.OK
-                report = (0.3, 50.0) if outcome is face.Outcome.OK else (None, None)
+                outcome = Outcome.REFUSED if send.upstream in self.rejecting else Outcome.OK
+                report = (0.3, 50.0) if outcome is Outcome.OK else (None, None)
                 actions += self.balancer.handle(
-                    self.now, face.Finished(send.call, send.upstream, attempt, 5.0, outcome, False, *report)
+                    self.now, AttemptFinished(send.call, send.upstream, attempt, 5.0, outcome, False, *report)
                 )
         return sent
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -12,8 +12,9 @@
 from limenotch.facade import Facade, Provider, Status
 from limenotch.starts import Starts
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.events import MembershipKind, MembershipUpdate, OperatorEjection
 from switchthread.settings import read_settings
+from switchthread.types import BalancerSettings, Effect, Endpoint, SlowStart, TrafficClass
 
 from .helpers.peers import SETTINGS
 
@@ -128,11 +129,11 @@
 
 def test_the_return_from_a_ban_is_not_in_the_future() -> None:
     """It was noted by a process whose clock was an hour ahead: the endpoint would be cold for an hour."""
-    classes = (face.TrafficClass("look", face.Effect.IDEMPOTENT, 200.0, 500.0),)
-    balancer = Balancer(face.Settings(classes, cold=face.ColdStart(0.12, 24_000.0, 4.0, 1000.0)), 1)
-    balancer.handle(1000.0, face.Membership(face.Listing.WHOLE, (face.Upstream("a"),)))
-    balancer.handle(1000.0, face.Ban("a", True))
-    balancer.handle(1000.0, face.Ban("a", False, 1000.0 + HOUR))
+    classes = (TrafficClass("look", Effect.IDEMPOTENT, 200.0, 500.0),)
+    balancer = Balancer(BalancerSettings(classes, cold=SlowStart(0.12, 24_000.0, 4.0, 1000.0)), 1)
+    balancer.handle(1000.0, MembershipUpdate(MembershipKind.WHOLE, (Endpoint("a"),)))
+    balancer.handle(1000.0, OperatorEjection("a", True))
+    balancer.handle(1000.0, OperatorEjection("a", False, 1000.0 + HOUR))
     server = balancer.roster.servers["a"]
     cold = balancer.set.cold
     assert server.capacity(1000.0, cold) == cold.capacity < 1.0
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -19,9 +19,11 @@
 from limenotch.net.consumers import BACKLOG
 from limenotch.net.successor import Successor
 from switchthread import Balancer
-from switchthread import interface as face
+from switchthread.actions import SendAttempt
+from switchthread.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived, SettingsChanged
 from switchthread.knowledge import learn, told_by
 from switchthread.settings import read_settings
+from switchthread.types import BalancerSettings, Effect, Endpoint, Outcome, SlowStart, TrafficClass
 
 from .helpers.peers import LOOK, SETTINGS, Reader, Writer, answer_from, ask, whole
 from .helpers.processes import Processes, free_port, run
@@ -269,20 +271,20 @@
 
 # What goes over
 
-CLASSES = (face.TrafficClass("look", face.Effect.IDEMPOTENT, 400, 900),)
-COLD = face.ColdStart(0.1, 20_000.0, 4.0, 3000.0)
+CLASSES = (TrafficClass("look", Effect.IDEMPOTENT, 400, 900),)
+COLD = SlowStart(0.1, 20_000.0, 4.0, 3000.0)
 
 
 def balancer_that_knows() -> Balancer:
-    balancer = Balancer(face.Settings(classes=CLASSES, cold=COLD), seed=3)
-    rows = (face.Upstream("a", kind=1), face.Upstream("b", started_ms=5.0), face.Upstream("c", started_ms=7.0))
-    balancer.handle(10.0, face.Membership(face.Listing.WHOLE, rows))
+    balancer = Balancer(BalancerSettings(classes=CLASSES, cold=COLD), seed=3)
+    rows = (Endpoint("a", kind=1), Endpoint("b", started_ms=5.0), Endpoint("c", started_ms=7.0))
+    balancer.handle(10.0, MembershipUpdate(MembershipKind.WHOLE, rows))
     now = 10.0
     for number in range(60):
         now += 40.0
-        for act in balancer.handle(now, face.Arrival(str(number), 0, 900)):
-            if isinstance(act, face.Send):
-                ended = face.Finished(str(number), act.upstream, 0, 30.0, face.Outcome.OK, True, 0.5, 20.0 + number)
+        for act in balancer.handle(now, RequestArrived(str(number), 0, 900)):
+            if isinstance(act, SendAttempt):
+                ended = AttemptFinished(str(number), act.upstream, 0, 30.0, Outcome.OK, True, 0.5, 20.0 + number)
                 balancer.handle(now + 30.0, ended)
     return balancer
 
@@ -290,9 +292,9 @@
 def test_knowledge_goes_over_but_not_to_a_provider_that_restarted() -> None:
     old = balancer_that_knows()
     told = json.loads(json.dumps(told_by(old)))
-    new = Balancer(face.Settings(classes=CLASSES, cold=COLD), seed=4)
-    rows = (face.Upstream("a", kind=1), face.Upstream("b", started_ms=5.0), face.Upstream("c", started_ms=2500.0))
-    new.handle(2500.0, face.Membership(face.Listing.WHOLE, rows))
+    new = Balancer(BalancerSettings(classes=CLASSES, cold=COLD), seed=4)
+    rows = (Endpoint("a", kind=1), Endpoint("b", started_ms=5.0), Endpoint("c", started_ms=2500.0))
+    new.handle(2500.0, MembershipUpdate(MembershipKind.WHOLE, rows))
     learn(new, told)
     again = told_by(new)
     assert again["usual"] == told["usual"] and again["kinds"] == told["kinds"] and again["scalars"] == told["scalars"]
@@ -337,9 +339,9 @@
 def test_two_processes_share_what_one_may_do() -> None:
     balancer = balancer_that_knows()
     whole_room = balancer.room
-    balancer.handle(5000.0, face.Retuned(face.Settings(classes=CLASSES, cold=COLD, processes=2)))
+    balancer.handle(5000.0, SettingsChanged(BalancerSettings(classes=CLASSES, cold=COLD, processes=2)))
     two = balancer.room
-    balancer.handle(5000.0, face.Retuned(face.Settings(classes=CLASSES, cold=COLD)))
+    balancer.handle(5000.0, SettingsChanged(BalancerSettings(classes=CLASSES, cold=COLD)))
     assert two == pytest.approx(balancer.room / 2) and whole_room > 0
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,13 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchthread import interface as face
+from switchthread.types import DedupScope, Effect, Endpoint, Outcome, TrafficClass
 from tests.referee import Held, Referee, settings
 
-BOOK = face.TrafficClass("book", face.Effect.AT_MOST_ONCE, 1000.0, 2500.0, worth=10.0)
-SWAP = face.TrafficClass(
-    "swap", face.Effect.DEDUPLICATED, 2500.0, 6000.0, worth=5.0, scope=face.Scope.ZONE, window_ms=10_000.0
-)
+BOOK = TrafficClass("book", Effect.AT_MOST_ONCE, 1000.0, 2500.0, worth=10.0)
+SWAP = TrafficClass("swap", Effect.DEDUPLICATED, 2500.0, 6000.0, worth=5.0, scope=DedupScope.ZONE, window_ms=10_000.0)
 NEAR, FAR = tuple("abcdef"), tuple("ghijklm")
 
 
@@ -22,7 +20,7 @@
     """A balancer of zone 0 on a clock moved by hand, every rule checked; calls are answered when the test says so."""
 
     def __init__(self, seed: int = 1, crossing: float = 0.05, zones: tuple[Iterable[str], ...] = (NEAR, FAR)) -> None:
-        rows = [face.Upstream(name, zone=zone) for zone, names in enumerate(zones) for name in names]
+        rows = [Endpoint(name, zone=zone) for zone, names in enumerate(zones) for name in names]
         given = settings(classes=(BOOK, SWAP), balancers=2, crossing_cost=crossing, max_attempts=5)
         super().__init__(given, seed, tuple(rows))
 
@@ -41,11 +39,11 @@
             if number not in held.ended
         ]
 
-    def answered(self, spent: float, but: str = "", outcome: face.Outcome = face.Outcome.OK) -> None:
+    def answered(self, spent: float, but: str = "", outcome: Outcome = Outcome.OK) -> None:
         """Those that are out for so long end, and those that were called off; none of the upstream `but`."""
         for held, number, name, since in self.out():
             if held.over:
-                self.finish(held.arrival.call, number, face.Outcome.CANCELLED)
+                self.finish(held.arrival.call, number, Outcome.CANCELLED)
             elif name != but and self.now - since >= spent:
                 self.finish(held.arrival.call, number, outcome)
         self.calls = {name: held for name, held in self.calls.items() if len(held.ended) < len(held.sent)}
