--- a/benchmarks/bindings.py
+++ b/benchmarks/affinity.py
@@ -1,6 +1,6 @@
 """What bindings cost: bytes and time of an entry, sights a second, a takeover, and what members say to each other.
 
-    python -m benchmarks.bindings [entries sights takeover together traffic] [--most 1000000] [--members 9,50,200]
+    python -m benchmarks.affinity [entries sights takeover together traffic] [--most 1000000] [--members 9,50,200]
 
 - `entries`: a process each; n flows are bound in one table. bytes: what the process grew by, over n. `bind`, `find`,
   `again` (a sight of what is bound): us each.
@@ -26,11 +26,11 @@
 
 from msgspec.msgpack import Decoder, Encoder
 
-from limenotch.fleet.bindings import messages as say
-from limenotch.fleet.bindings.api import Kind, Providers, State
-from limenotch.fleet.bindings.core import Bindings
-from limenotch.fleet.bindings.tuning import Ages, Tuning
-from limenotch.fleet.contract import Heard, MemberChanged, SetTimer, Started, Tell, TimerFired
+from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity.api import Kind, Providers, State
+from limenotch.fleet.affinity.core import Bindings
+from limenotch.fleet.affinity.tuning import Ages, Tuning
+from limenotch.fleet.interfaces import Heard, MemberChanged, SetTimer, Started, Tell, TimerFired
 from limenotch.lab.fleet.bindings_run import PREFIX, Run
 from limenotch.lab.fleet.bindings_storms import Consumer
 
--- a/benchmarks/bindings_cost.py
+++ b/benchmarks/affinity_cost.py
@@ -1,6 +1,6 @@
 """What bindings cost a call: its CPU at a sidecar of a fleet that has them, beside one of a fleet that has not.
 
-    python -m benchmarks.bindings_cost [CALLS]
+    python -m benchmarks.affinity_cost [CALLS]
 
 Two fleets of three processes, one with `[fleet.bindings]`, one without; else the same. One sidecar of each gets the
 same calls in turns of TURN; the CPU is that of its process by the kernel's clock, with all that its fleet does in that
@@ -27,7 +27,7 @@
 from limenotch.lab.fleet.processes import NodeProcess, Processes, fleet_table
 from limenotch.net import http1
 
-from .promises import cpu_ms, listed, provider
+from .replicated_notes import cpu_ms, listed, provider
 
 TURN = 400  # calls
 NAMES = 1000  # sessions, and keys that come again
--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -10,8 +10,8 @@
 from multiprocessing import Pool
 from statistics import mean, median
 
-from tests.helpers.cold_circumstances import CIRCUMSTANCES
-from tests.helpers.cold_fleet import play
+from tests.helpers.slow_start_circumstances import CIRCUMSTANCES
+from tests.helpers.slow_start_fleet import play
 
 
 def main() -> None:
--- a/benchmarks/agreement.py
+++ b/benchmarks/consensus.py
@@ -1,6 +1,6 @@
 """Figures of the log in simulated time: promises, a new leader, what learners cost, a snapshot's time.
 
-Usage: python -m benchmarks.agreement [SEEDS]
+Usage: python -m benchmarks.consensus [SEEDS]
 
 Delay 0.2 to 1.5 ms one way, drawn for each message; fsync 2 ms; clocks within 200 ppm; the settings as they come.
 Promises: a proposal each 20 ms, at each member in turn, from its asking to its answer there. New leader: from the
@@ -12,7 +12,7 @@
 
 import sys
 
-from limenotch.fleet.agreement import Tuning
+from limenotch.fleet.consensus import Tuning
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.log_run import Run
 
--- a/benchmarks/constants.py
+++ b/benchmarks/constants.py
@@ -21,11 +21,21 @@
 from pathlib import Path
 from statistics import mean, stdev
 
-import switchthread
+import limenotch.balancing
 from limenotch.lab.experiment import Job, play
 
 SCENARIOS = ("fleet-join", "two-zones", str(Path(__file__).with_name("few-boxes.toml")))
-FILES = ("copies", "entry", "placement", "shares", "subset", "verdicts", "books", "flow", "records")
+FILES = (
+    "hedging",
+    "admission",
+    "endpoint_selection",
+    "weights",
+    "subsetting",
+    "outlier_detection",
+    "balancer_state",
+    "rates",
+    "endpoint_statistics",
+)
 KEPT_WHOLE = {"ROW", "DRAWS", "CHOICES", "SPAN", "ENOUGH", "FEWEST"}  # counts: their half is rounded
 
 
@@ -33,7 +43,7 @@
     """By `file.NAME`, every number that a file of the decisions sets at its top."""
     found: dict[str, float] = {}
     for file in FILES:
-        text = Path(switchthread.__path__[0], f"{file}.py").read_text()
+        text = Path(limenotch.balancing.__path__[0], f"{file}.py").read_text()
         for node in ast.parse(text).body:
             if isinstance(node, ast.Assign) and isinstance(node.value, ast.Constant):
                 name = node.targets[0]
@@ -46,12 +56,12 @@
 def altered(name: str, value: float) -> Iterator[None]:
     """The constant `file.NAME` at another value, wherever it was imported to."""
     file, bare = name.split(".")
-    own = importlib.import_module(f"switchthread.{file}")
+    own = importlib.import_module(f"limenotch.balancing.{file}")
     was = getattr(own, bare)
     modules = [
-        importlib.import_module(f"switchthread.{m.name}")
-        for m in pkgutil.iter_modules(switchthread.__path__)
-        if m.name != "benchlink"
+        importlib.import_module(f"limenotch.balancing.{m.name}")
+        for m in pkgutil.iter_modules(limenotch.balancing.__path__)
+        if m.name != "simulator_adapter"
     ]
     touched = [m for m in modules if getattr(m, bare, None) is was]
     for module in touched:
--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -12,13 +12,13 @@
 import argparse
 from functools import partial
 
-from limenotch.fleet import agreement
+from limenotch.fleet import consensus
 from limenotch.fleet.hub import LOG, Asked, Hub
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.fleet.rules import Rules
 from limenotch.fleet.rules.api import InForce, Narrow
-from limenotch.fleet.rules.listing import Arrived, PeerDrain
-from limenotch.fleet.rules.lists import Lists
+from limenotch.fleet.rules.endpoint_list_messages import Arrived, PeerDrain
+from limenotch.fleet.rules.endpoint_lists import Lists
 from limenotch.lab.fleet.lists_drawings import event_of
 from limenotch.lab.fleet.rules_run import FIRST, settings_check
 from limenotch.lab.fleet.world import World, address
@@ -31,7 +31,7 @@
 def hub_of(names: list[str], name: str, seed: int, life: int, held: Held) -> Hub:
     voters = tuple(names[:3])
     members = Membership(name, address(name), life, [address(one) for one in names[:2]], Tuning(), seed)
-    log = agreement.Agreement(name, voters, held, agreement.Tuning(), seed)
+    log = consensus.Agreement(name, voters, held, consensus.Tuning(), seed)
     hub = Hub(
         [
             ("mb.", members),
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from limenotch.fleet.contract import MemberChanged
+from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.membership import Tuning
 from limenotch.lab.fleet import drills
 from limenotch.lab.fleet.drawing import read
--- a/benchmarks/fleet_wire.py
+++ b/benchmarks/fleet_wire.py
@@ -13,7 +13,7 @@
 from time import perf_counter
 from typing import get_args
 
-from limenotch.fleet.contract import Message
+from limenotch.fleet.interfaces import Message
 from limenotch.fleet.membership.messages import Claim, Me, Ping, Spoken
 from limenotch.fleet.wire import DIGEST, Wire
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -19,7 +19,7 @@
 
 from msgspec import convert, json
 
-from limenotch.fleet.contract import MemberChanged
+from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.lab.fleet.faults import Chance
 from limenotch.lab.fleet.world import World, address
--- a/benchmarks/promises.py
+++ b/benchmarks/replicated_notes.py
@@ -1,6 +1,6 @@
 """What a promise takes on real processes, and what the fleet costs a call.
 
-    python -m benchmarks.promises [PROMISES] [CALLS]
+    python -m benchmarks.replicated_notes [PROMISES] [CALLS]
 
 First, on 3 and on 5 processes that all vote: promises over HTTP at the operators' addresses, one after another, each
 on a connection of its own; at the leader, and at a follower (which says yes when it has applied the promise itself).
--- a/benchmarks/wallet.py
+++ b/benchmarks/wallet.py
@@ -23,11 +23,11 @@
 from statistics import median
 from time import process_time
 
-from limenotch.fleet import agreement
+from limenotch.fleet import consensus
 from limenotch.fleet.membership import Tuning as Members
 from limenotch.fleet.wallet import api
-from limenotch.fleet.wallet.book import Book
-from limenotch.fleet.wallet.purse import Held, Purse
+from limenotch.fleet.wallet.allocations import Held, Purse
+from limenotch.fleet.wallet.ledger import Book
 from limenotch.fleet.wallet.tuning import Tuning
 from limenotch.lab.fleet.wallet_run import Run
 from limenotch.lab.fleet.wallet_storm import storm
@@ -37,7 +37,7 @@
 
 def begun(count: int, voters: int, seed: int) -> Run:
     names = [f"n{number}" for number in range(count)]
-    run = Run(names, tuple(names[:voters]), Tuning(), log_tuning=agreement.Tuning(), members=Members())
+    run = Run(names, tuple(names[:voters]), Tuning(), log_tuning=consensus.Tuning(), members=Members())
     run.begin(seed)
     run.begun(60_000)
     run.watched = frozenset({run.leader() or ""})  # who applies each entry first; no faults here that could change it
--- a/benchmarks/wallet_cost.py
+++ b/benchmarks/wallet_cost.py
@@ -22,16 +22,16 @@
 from types import SimpleNamespace
 from typing import Any
 
+from limenotch.fleet.wallet.allocations import Held, Purse
 from limenotch.fleet.wallet.api import Turned
-from limenotch.fleet.wallet.book import Book
-from limenotch.fleet.wallet.purse import Held, Purse
+from limenotch.fleet.wallet.ledger import Book
 from limenotch.fleet.wallet.tuning import Tuning
+from limenotch.fleet_adapters.wallet import Till
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.lab.fleet.processes import NodeProcess, Processes, fleet_table
-from limenotch.layers.wallet import Till
-from limenotch.net.call import Final, Verdict
+from limenotch.net.request import Final, Verdict
 
-from .promises import SETTINGS, TURN, listed, provider, turn
+from .replicated_notes import SETTINGS, TURN, listed, provider, turn
 
 ROUND = 20_000  # calls of the purse alone
 ROUNDS = 9
--- a/limenotch/program.py
+++ b/limenotch/app.py
@@ -14,23 +14,23 @@
 from tornado.ioloop import PeriodicCallback
 
 from . import logs
-from .bans import LOOK_S, Bans
 from .config import Config, ConfigError, host_port, load
-from .facade import Facade, Provider
-from .figures import Figures
-from .net.calls import Calls
-from .net.consumers import Consumers
-from .net.directory import Directory
-from .net.operators import Operators
+from .load_balancer import Facade, Provider
+from .metrics import Figures
+from .net.admin.server import Operators
+from .net.client_listener import Consumers
+from .net.discovery.client import Directory
+from .net.endpoint_pool import Providers
 from .net.pipe import Budget
-from .net.providers import Providers
+from .net.requests import Calls
 from .net.sockets import Sockets
 from .net.successor import Inheritance, Successor
+from .operator_ejections import LOOK_S, Bans
 from .settings import Settings
 
 if TYPE_CHECKING:
-    from .acting import Acting
-    from .together import Together
+    from .configuration_applier import Acting
+    from .fleet_node import Together
 
 log = logs.get(__name__)
 
@@ -196,7 +196,7 @@
     """The fleet's side, off without its table: nothing of it is imported then."""
     if settings.fleet is None:
         return None
-    from .together import Together
+    from .fleet_node import Together
 
     return Together(settings.fleet, config.name)
 
@@ -251,7 +251,7 @@
     """Where `[fleet.rules]` is set, what is agreed on takes the place of the file's rules."""
     if not others.ruled:
         return None
-    from .acting import Acting
+    from .configuration_applier import Acting
 
     parts.now, parts.ruled = others.now, True
     acting = Acting(config, parts)
--- a/switchthread/entry.py
+++ b/limenotch/balancing/admission.py
@@ -11,12 +11,12 @@
 from math import inf, sqrt
 from typing import TYPE_CHECKING
 
+from .endpoint_statistics import RATED, Call
 from .events import RequestArrived
-from .flow import Flow
-from .records import RATED, Call
+from .rates import Flow
 
 if TYPE_CHECKING:
-    from .books import Books
+    from .balancer_state import Books
 
 FEW = 3.0  # the least bound: before a pace is shown there is room for some calls at once
 FILL = 0.3  # of the time between an idle answer and the shortest aim that the wait may use
--- a/switchthread/ready.py
+++ b/limenotch/balancing/available_endpoints.py
@@ -12,7 +12,7 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from .records import Mean, Server
+from .endpoint_statistics import Mean, Server
 from .types import BalancerSettings, DedupScope, SlowStart
 
 Place = tuple[int, str]
--- a/switchthread/decide.py
+++ b/limenotch/balancing/balancer.py
@@ -8,9 +8,10 @@
 from __future__ import annotations
 
 from .actions import Action, CancelAttempt, FailRequest, RejectRequest, Subscribe
-from .books import BURST, Books
-from .copies import RETRIES, at_once, overdue, patience
-from .entry import rebound, refused
+from .admission import rebound, refused
+from .balancer_state import BURST, Books
+from .endpoint_selection import choose
+from .endpoint_statistics import Call
 from .events import (
     AttemptFinished,
     BalancerStarted,
@@ -25,12 +26,11 @@
     TimerFired,
     UploadFinished,
 )
-from .placement import choose
-from .records import Call
-from .repeats import may_repeat
-from .shares import due, reshare
+from .hedging import RETRIES, at_once, overdue, patience
+from .outlier_detection import rest, tired
+from .retry_policy import may_repeat
 from .types import Effect, Outcome
-from .verdicts import rest, tired
+from .weights import due, reshare
 
 ASK_MS = 1000.0  # window by which asking again is timed at most: of 6 s, all that there is, a third is waited
 
--- a/switchthread/books.py
+++ b/limenotch/balancing/balancer_state.py
@@ -12,11 +12,11 @@
 from random import Random
 
 from .actions import Action, SendAttempt, SetTimer
-from .entry import Entry
+from .admission import Entry
+from .available_endpoints import Ready
+from .endpoint_registry import Changes, Roster
+from .endpoint_statistics import Attempt, Call, Mean, Server, Usual
 from .events import AttemptFinished, OperatorEjection, RequestArrived, SettingsChanged, UploadFinished
-from .ready import Ready
-from .records import Attempt, Call, Mean, Server, Usual
-from .roster import Changes, Roster
 from .types import NEVER_RAN, BalancerSettings, DedupScope, Outcome, Tenant
 
 MEMORY = 4.0  # evidence on an upstream fades over this many of the longest aims: troubles last a few aims
--- a/switchthread/roster.py
+++ b/limenotch/balancing/endpoint_registry.py
@@ -5,8 +5,8 @@
 from random import Random
 from typing import NamedTuple
 
+from .endpoint_statistics import Mean, Server
 from .events import MembershipKind, MembershipUpdate, OperatorEjection
-from .records import Mean, Server
 from .types import Endpoint, EndpointState
 
 
--- a/switchthread/placement.py
+++ b/limenotch/balancing/endpoint_selection.py
@@ -8,12 +8,12 @@
 from bisect import bisect
 from math import exp, inf
 
-from .books import Books, Table, drawable
-from .records import Call, Server
-from .repeats import group, may_repeat
-from .shares import reshare, share_all
+from .balancer_state import Books, Table, drawable
+from .endpoint_statistics import Call, Server
+from .outlier_detection import crowded, quiet
+from .retry_policy import group, may_repeat
 from .types import DedupScope, Effect
-from .verdicts import crowded, quiet
+from .weights import reshare, share_all
 
 DRAWS = 4  # tries at one that may be sent to: more would bend the shares of those left
 SHORT = 2.0  # service times: a wait by which the better of two drawn upstreams is told
--- a/switchthread/copies.py
+++ b/limenotch/balancing/hedging.py
@@ -9,11 +9,11 @@
 from math import exp
 
 from .actions import Action
-from .books import BURST, Books
-from .placement import LAX, draw, load_at, odds, reach
-from .records import Call, Server
+from .balancer_state import BURST, Books
+from .endpoint_selection import LAX, draw, load_at, odds, reach
+from .endpoint_statistics import Call, Server
+from .outlier_detection import OVERDUE, quiet
 from .types import Effect
-from .verdicts import OVERDUE, quiet
 
 RETRIES = 0.2  # copies and retries allowed for each recent call: they can't multiply down the tiers
 URGENT = 10.0  # waits of this many service times hold for any upstream under two thirds load: no copy
--- a/switchthread/knowledge.py
+++ b/limenotch/balancing/learned_state.py
@@ -8,8 +8,8 @@
 import math
 from typing import Any
 
-from .decide import Balancer
-from .records import Mean, Server
+from .balancer import Balancer
+from .endpoint_statistics import Mean, Server
 
 VERSION = 2
 ENTRY = ("flow", "pace")
--- a/switchthread/verdicts.py
+++ b/limenotch/balancing/outlier_detection.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from .books import Books
-from .records import Server
-from .shares import reshare
+from .balancer_state import Books
+from .endpoint_statistics import Server
+from .weights import reshare
 
 OVERDUE = 2.0  # of its expected time out, a lone attempt asks the gate again
 QUIET = 8.0  # answers overdue by the usual of their classes, with none given, after which it counts as silent
--- a/switchthread/flow.py
+++ b/limenotch/balancing/rates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .records import Rate
+from .endpoint_statistics import Rate
 
 TRUST = 5.0  # in time for each miss, under which the pace shown falls fast: a lull holds it, a jam not
 FADE = 0.7  # of the values of calls that came, at each window's end
--- a/switchthread/benchlink.py
+++ b/limenotch/balancing/simulator_adapter.py
@@ -11,7 +11,7 @@
 from typing import TextIO
 
 from .actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
-from .decide import Balancer
+from .balancer import Balancer
 from .events import (
     AttemptFinished,
     BalancerStarted,
--- a/switchthread/subset.py
+++ b/limenotch/balancing/subsetting.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from .records import Server
+from .endpoint_statistics import Server
 
 SPREAD = 1.0  # upstreams drawn from for each call held: our own calls then tell of each one's queue
 OVERLAP = 4.0  # balancers that draw from each upstream at the least, so that none depends on one of them
--- a/switchthread/shares.py
+++ b/limenotch/balancing/weights.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable
 from math import exp
 
-from .books import Books, drawable
-from .records import Mean, Server
-from .subset import subset
+from .balancer_state import Books, drawable
+from .endpoint_statistics import Mean, Server
+from .subsetting import subset
 
 PRIOR = 4.0  # samples with which an upstream's own mean weighs as much as its kind's
 LEAN = 2.0  # share falls with this power of relative slowness: much hides behind time spent in tiers below
--- a/limenotch/cli/serve.py
+++ b/limenotch/cli/serve.py
@@ -43,7 +43,7 @@
             return 2
         settings = msgspec.structs.replace(settings, log=msgspec.structs.replace(settings.log, form=form))
     configure(settings.log.form, settings.log.level, config.name)
-    from ..program import serve  # the network's imports are needed by this command only
+    from ..app import serve  # the network's imports are needed by this command only
 
     try:
         asyncio.run(serve(config, settings))
--- a/limenotch/fleet/bindings/__init__.py
+++ b/limenotch/fleet/affinity/__init__.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from .core import Bindings
-    from .spans import death_ms, forget_ms
+    from .expiry import death_ms, forget_ms
 
 __all__ = ["Bindings", "Tuning", "death_ms", "forget_ms"]
 
@@ -23,7 +23,7 @@
 
         return Bindings
     if name in ("death_ms", "forget_ms"):
-        from . import spans
+        from . import expiry
 
-        return getattr(spans, name)
+        return getattr(expiry, name)
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/limenotch/fleet/bindings/ground.py
+++ b/limenotch/fleet/affinity/context.py
@@ -5,12 +5,12 @@
 from random import Random
 from typing import Any
 
-from ..contract import Carrier, Message, Note, Tell
+from ..interfaces import Carrier, Message, Note, Tell
 from .clocks import INFINITE
-from .held import Noted
+from .entries import Noted
+from .expiry import pace
+from .last_seen import Teller
 from .peers import Peer, Peers
-from .sights import Teller
-from .spans import pace
 from .table import Shared
 from .tuning import Tuning
 
--- a/limenotch/fleet/bindings/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -22,18 +22,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import contract
-from ..contract import Carrier, SetTimer
+from .. import interfaces
+from ..interfaces import Carrier, SetTimer
 from . import messages as say
 from .api import Providers, Window
 from .clocks import INFINITE
-from .ground import Ground
-from .held import Noted, Watch
+from .context import Ground
+from .entries import Noted, Watch
 from .join import Missing
+from .last_seen import MOST_COUNT, MOST_MESSAGES, Teller, take
 from .pages import page
 from .peers import Peer
 from .repair import Repair
-from .sights import MOST_COUNT, MOST_MESSAGES, Teller, take
 from .table import Shared
 from .tuning import Tuning
 
@@ -59,12 +59,12 @@
         self._sweeps: list[tuple[int, int]] = []  # provider that went, next row to look at
         self._fencing = self._full = False
         self._events: dict[type, Callable[[Any], None]] = {
-            contract.Started: self._started,
-            contract.Heard: self._heard,
-            contract.TimerFired: self._fired,
-            contract.Leave: lambda event: self._tell(1 << 20),
-            contract.MemberChanged: self._member,
-            contract.Fenced: lambda event: self._fenced(),
+            interfaces.Started: self._started,
+            interfaces.Heard: self._heard,
+            interfaces.TimerFired: self._fired,
+            interfaces.Leave: lambda event: self._tell(1 << 20),
+            interfaces.MemberChanged: self._member,
+            interfaces.Fenced: lambda event: self._fenced(),
             Providers: self._providers,
             Window: lambda event: self.table.spans.window(event.longest_ms),
         }
@@ -117,7 +117,7 @@
 
     # Events
 
-    def _started(self, event: contract.Started) -> None:
+    def _started(self, event: interfaces.Started) -> None:
         self._begun = True
         self.table.clear(self.ground.now)
         self._new_life(self.ground.life, kept=False)
@@ -125,7 +125,7 @@
         self.repair.begin()
         self._arm(self.ground.now + self.ground.tuning.batch_ms)
 
-    def _member(self, event: contract.MemberChanged) -> None:
+    def _member(self, event: interfaces.MemberChanged) -> None:
         ground = self.ground
         if event.name != ground.name:
             ground.peers.changed(ground.now, event.name, event.life, event.state)
@@ -151,7 +151,7 @@
     def _providers(self, event: Providers) -> None:
         self._sweeps += [(number, 0) for number in self.table.providers.now(event.there)]
 
-    def _fired(self, event: contract.TimerFired) -> None:
+    def _fired(self, event: interfaces.TimerFired) -> None:
         ground = self.ground
         now, tuning, table = ground.now, ground.tuning, ground.table
         if event.token != TOKEN or now < self._armed:
@@ -175,7 +175,7 @@
         self._full = table.full
         self._arm(now + (SOON_MS if behind or ground.teller.behind else tuning.batch_ms * ground.scale))
 
-    def _heard(self, event: contract.Heard) -> None:
+    def _heard(self, event: interfaces.Heard) -> None:
         ground, message = self.ground, event.message
         if not isinstance(message, say.BINDINGS) or not self._begun:
             ground.table.count("no message of bindings")
--- a/limenotch/fleet/bindings/held.py
+++ b/limenotch/fleet/affinity/entries.py
@@ -8,13 +8,13 @@
 
 from .api import Kind, State
 from .clocks import INFINITE
-from .full import CLASSES, GOING, OPENED, OPENING, Order, class_of
+from .eviction import CLASSES, GOING, OPENED, OPENING, Order, class_of
+from .expiry import Spans
 from .messages import Place
 from .names import Members, Providers
 from .rows import CHARGED, ENDED, GRAVE, KIND, NIL, OWN, STATE, STATE_AT, TELL, Rows
-from .spans import Spans
+from .timer_wheel import OVER, Wheel
 from .tuning import Tuning
-from .wheel import OVER, Wheel
 
 Noted = Callable[[str, bytes, str], None]  # `has`, `moved`, `forgot`; hash; provider: for drawings
 Watch = Callable[[str, bytes], None]  # each row that ends: `over`, `full`, `gone`, `undo`, `fenced`; hash
--- a/limenotch/fleet/bindings/join.py
+++ b/limenotch/fleet/affinity/join.py
@@ -13,11 +13,11 @@
 from __future__ import annotations
 
 from .clocks import INFINITE
-from .ground import Ground
+from .context import Ground
+from .last_seen import MOST_COUNT, TENTHS
 from .messages import Page
 from .pages import Fetch
 from .peers import Peer
-from .sights import MOST_COUNT, TENTHS
 
 SILENT = 4  # covers
 
--- a/limenotch/fleet/bindings/messages.py
+++ b/limenotch/fleet/affinity/messages.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from ..contract import Message
+from ..interfaces import Message
 
 MOST_ROWS = 512  # in one Sights; some 50 bytes each
 MOST_PAGE = 1024  # in one Page or Copies
--- a/limenotch/fleet/bindings/pages.py
+++ b/limenotch/fleet/affinity/pages.py
@@ -13,10 +13,10 @@
 from itertools import islice
 
 from .clocks import INFINITE
-from .ground import Ground
+from .context import Ground
+from .last_seen import MOST_COUNT, TENTHS, pack, take
 from .messages import MOST_PAGE, Ask, Knows, Page
 from .peers import Peer
-from .sights import MOST_COUNT, TENTHS, pack, take
 from .table import Shared
 
 WAIT_MS = 1000.0  # for a page, beyond what its bytes may take
--- a/limenotch/fleet/bindings/repair.py
+++ b/limenotch/fleet/affinity/repair.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 from .clocks import INFINITE
-from .ground import Ground
+from .context import Ground
+from .last_seen import pack, take
 from .messages import KEY_BYTES, MOST_KEYS, MOST_PAGE, AskKeys, Compare, Copies, Digests, Keys, Want
 from .pages import ROW_BYTES, WAIT_MS
 from .peers import Peer
 from .rows import GRAVE, NIL, RANGES
-from .sights import pack, take
 from .table import Shared
 
 DIGEST_BYTES = 8
--- a/limenotch/fleet/bindings/table.py
+++ b/limenotch/fleet/affinity/table.py
@@ -21,12 +21,12 @@
 
 from .api import Bound, Kind, State
 from .clocks import INFINITE
-from .full import GOING, KEPT
-from .held import Held
+from .entries import Held
+from .eviction import GOING, KEPT
 from .messages import Place
 from .rows import CHARGED, GRAVE, KIND, NIL, OWN, STATE, STATE_AT, TELL
+from .timer_wheel import OVER
 from .values import AFTER, beats
-from .wheel import OVER
 
 BITS = KIND | STATE | CHARGED
 AFTER_BITS = [[int(AFTER[State(held), State(told)]) for told in range(4)] for held in range(4)]
--- a/limenotch/fleet/agreement/asks.py
+++ b/limenotch/fleet/consensus/client_requests.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ...store.records import Entry
-from ..contract import Carrier
+from ..interfaces import Carrier
 from . import api
 from . import messages as say
 from .log import COMMAND
--- a/limenotch/fleet/agreement/core.py
+++ b/limenotch/fleet/consensus/core.py
@@ -17,18 +17,18 @@
 from typing import Any
 
 from ...store.records import Held
-from .. import contract
+from .. import interfaces
 from . import api
 from . import messages as say
-from .asks import Asker, Asks
-from .follow import Following
+from .client_requests import Asker, Asks
+from .elections import Elections
+from .follower import Following
 from .log import unpack
 from .node import MARK, NEVER, Node
+from .reconfiguration import Changing
 from .replicate import Leading
 from .states import Cause, Role
 from .tuning import Tuning
-from .voters import Changing
-from .votes import Elections
 
 
 class Agreement:
@@ -56,14 +56,14 @@
         self.state = unpack(held.snapshot).state if held.snapshot else None
         node.lost = self._lost
         self._events: dict[type, Callable[[Any], None]] = {
-            contract.Started: self._started,
-            contract.Heard: self._heard,
-            contract.TimerFired: lambda event: node.fired(),
-            contract.Leave: self._leave,
-            contract.Stored: lambda event: node.stored(event.ticket),
-            contract.StoreFailed: lambda event: node.failed(event.ticket, event.why),
-            contract.MemberChanged: self._member,
-            contract.Fenced: self._fenced,
+            interfaces.Started: self._started,
+            interfaces.Heard: self._heard,
+            interfaces.TimerFired: lambda event: node.fired(),
+            interfaces.Leave: self._leave,
+            interfaces.Stored: lambda event: node.stored(event.ticket),
+            interfaces.StoreFailed: lambda event: node.failed(event.ticket, event.why),
+            interfaces.MemberChanged: self._member,
+            interfaces.Fenced: self._fenced,
             api.Propose: lambda event: self._asks.propose(Asker(event.ticket), event.data, event.id),
             api.ReadAt: lambda event: self._asks.read(Asker(event.ticket)),
             api.ChangeVoters: lambda event: self._changing.ask(Asker(event.ticket), event.add, event.remove),
@@ -203,7 +203,7 @@
 
     # Events
 
-    def _started(self, event: contract.Started) -> None:
+    def _started(self, event: interfaces.Started) -> None:
         node = self._node
         node.heard_at = node.now
         if node.newborn:
@@ -213,7 +213,7 @@
         else:
             node.wait()
 
-    def _heard(self, event: contract.Heard) -> None:
+    def _heard(self, event: interfaces.Heard) -> None:
         do = self._messages.get(type(event.message))
         if do is None:
             self._node.count("no message of agreement")
@@ -222,12 +222,12 @@
         else:
             do(event.sender, event.message)
 
-    def _leave(self, event: contract.Leave) -> None:
+    def _leave(self, event: interfaces.Leave) -> None:
         self._asks.leaving = True
         if self._node.leads and len(self._node.log.voters.births) > 1:
             self._leading.hand_over()
 
-    def _member(self, event: contract.MemberChanged) -> None:
+    def _member(self, event: interfaces.MemberChanged) -> None:
         """A hint alone: who is asked for the leader, and how long a voter waits for a leader held dead."""
         node = self._node
         if event.state != "dead":
@@ -241,7 +241,7 @@
             least = node.heard_at + node.tuning.election_least_ms + node.random.uniform(0, node.tuning.heartbeat_ms)
             node.wait_until = min(node.wait_until, max(node.now, least))
 
-    def _fenced(self, event: contract.Fenced) -> None:
+    def _fenced(self, event: interfaces.Fenced) -> None:
         node = self._node
         if node.role in (Role.LEADER, Role.CANDIDATE, Role.PRE):
             node.become(Cause.FENCED)
--- a/limenotch/fleet/agreement/messages.py
+++ b/limenotch/fleet/consensus/messages.py
@@ -17,7 +17,7 @@
 from __future__ import annotations
 
 from ...store.records import Entry
-from ..contract import Message
+from ..interfaces import Message
 
 
 class Found(Message, frozen=True, array_like=True, tag="ag.found"):
--- a/limenotch/fleet/agreement/node.py
+++ b/limenotch/fleet/consensus/node.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from ...store.records import Append, Ballot, Entry, Held, Snapshot
-from ..contract import Carrier, Message, Note, SetTimer, Store, Tell
+from ..interfaces import Carrier, Message, Note, SetTimer, Store, Tell
 from . import api
 from .log import COMMAND, NOBODY, Log, State, Voters, pack, unpack
 from .states import Cause, Role, next_role
--- a/limenotch/fleet/agreement/voters.py
+++ b/limenotch/fleet/consensus/reconfiguration.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from .asks import Asker, Asks
+from .client_requests import Asker, Asks
 from .log import Voters
 from .node import NEVER, Node
 from .replicate import Leading
--- a/limenotch/fleet/agreement/replicate.py
+++ b/limenotch/fleet/consensus/replicate.py
@@ -22,7 +22,7 @@
 from enum import Enum
 
 from ...store.records import Entry
-from ..contract import Carrier
+from ..interfaces import Carrier
 from . import messages as say
 from .lease import Lease
 from .log import EMPTY, VOTERS, Voters, pack
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -24,9 +24,9 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple, Protocol, cast
 
-from . import above
-from .agreement import api
-from .contract import (
+from . import log_multiplexer
+from .consensus import api
+from .interfaces import (
     Action,
     Address,
     Event,
@@ -187,7 +187,7 @@
         prefix, ticket = self._prefixes[number], self._forth(action.ticket, number)
         if isinstance(action, api.Propose):
             ident = prefix + action.id if action.id else ""
-            action = api.Propose(ticket, above.marked(prefix, action.data), ident)
+            action = api.Propose(ticket, log_multiplexer.marked(prefix, action.data), ident)
         else:
             action = action._replace(ticket=ticket)
         self._asking.append((log, action))
@@ -198,14 +198,14 @@
             ticket, number = self._back(action.ticket)
             self._tell(now, number, action._replace(ticket=ticket), out)
         elif isinstance(action, api.Agreed):
-            prefix, data = above.unmarked(action.data)
+            prefix, data = log_multiplexer.unmarked(action.data)
             number = self._places.get(prefix, log)
             if number > log:
                 self._tell(now, number, action._replace(data=data, id=action.id.removeprefix(prefix)), out)
             else:
                 self._whole = False
         elif isinstance(action, api.Install):
-            states = above.parted(action.state)
+            states = log_multiplexer.parted(action.state)
             self.found(states)
             for number in layers:
                 if (state := states.get(self._prefixes[number])) is not None:
@@ -217,8 +217,10 @@
             if not self._whole or self._off:
                 out.append(Note("no snapshot: entries of a part that is not here"))
                 return
-            states = {self._prefixes[number]: cast(above.Above, self._parts[number]).state() for number in layers}
-            self._asking.append((log, api.Compact(action.index, above.joined(states))))
+            states = {
+                self._prefixes[number]: cast(log_multiplexer.Above, self._parts[number]).state() for number in layers
+            }
+            self._asking.append((log, api.Compact(action.index, log_multiplexer.joined(states))))
         else:
             raise TypeError(f"no action of {LOG}: {action!r}")
 
--- a/limenotch/fleet/above.py
+++ b/limenotch/fleet/log_multiplexer.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from .contract import Part
+from .interfaces import Part
 
 _states: msgspec.msgpack.Decoder[dict[str, bytes]] = msgspec.msgpack.Decoder(dict[str, bytes])
 
--- a/limenotch/fleet/membership/__init__.py
+++ b/limenotch/fleet/membership/__init__.py
@@ -1,7 +1,7 @@
 """Who is there: which sidecars of the fleet are alive. Decisions only; see `core` for the rules."""
 
+from .context import Phase
 from .core import Membership, Seen
-from .ground import Phase
 from .states import State
 from .tuning import Tuning
 
--- a/limenotch/fleet/membership/ground.py
+++ b/limenotch/fleet/membership/context.py
@@ -7,13 +7,13 @@
 from random import Random
 from typing import Any
 
-from ..contract import Action, Address, Carrier, Fenced, MemberChanged, Message, Note, Send
-from .agenda import Agenda
+from ..interfaces import Action, Address, Carrier, Fenced, MemberChanged, Message, Note, Send
+from .dissemination import Broadcasts
 from .health import Health
 from .messages import Claim, Me
-from .news import Broadcasts
 from .states import CODES, State, wins
 from .table import Table
+from .timer_queue import Agenda
 from .tuning import Tuning
 
 MOST_TOLD_OFF = 8  # as many as there are probes in a period, unless set otherwise
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -21,12 +21,12 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-from ..contract import Action, Address, Carrier, Heard, Leave, SetTimer, Started, TimerFired
-from .ground import Ground, Phase
-from .holding import Holder
+from ..interfaces import Action, Address, Carrier, Heard, Leave, SetTimer, Started, TimerFired
+from .context import Ground, Phase
+from .member_states import Holder
 from .messages import ALIVE, MOST_NEWS, Ack, Answer, Ask, Claim, Me, Nack, News, Ping, PingReq, Spoken, sound, sound_me
-from .own import Own
 from .probing import Prober
+from .self_member import Own
 from .states import State
 from .tuning import Tuning
 
--- a/limenotch/fleet/membership/news.py
+++ b/limenotch/fleet/membership/dissemination.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..contract import MOST_DATAGRAM
+from ..interfaces import MOST_DATAGRAM
 from .messages import MOST_NEWS, Claim
 
 OVERHEAD = 400  # bytes of a frame for its head, its digest, and the message's other fields with names at their longest
--- a/limenotch/fleet/membership/holding.py
+++ b/limenotch/fleet/membership/member_states.py
@@ -11,11 +11,11 @@
 
 from __future__ import annotations
 
-from ..contract import Carrier, MemberChanged
-from .ground import Ground, Phase
+from ..interfaces import Carrier, MemberChanged
+from .context import Ground, Phase
 from .messages import DEAD, SUSPECT, Claim, sound
-from .own import Own
 from .probing import Prober
+from .self_member import Own
 from .states import FINAL, State
 from .suspicion import Suspicion
 from .table import Came, Member
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from ..contract import Address, Message
+from ..interfaces import Address, Message
 from .states import CODES, State
 
 MOST_NEWS = 40  # claims in one datagram; more is nonsense
--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..contract import Address, Carrier
-from .ground import Ground
+from ..interfaces import Address, Carrier
+from .context import Ground
 from .health import ANSWERED, UNHEARD
 from .messages import Ack, Nack, Ping, PingReq
 from .states import FINAL
--- a/limenotch/fleet/membership/own.py
+++ b/limenotch/fleet/membership/self_member.py
@@ -19,8 +19,8 @@
 
 from collections.abc import Callable
 
-from ..contract import Carrier
-from .ground import Ground, Phase
+from ..interfaces import Carrier
+from .context import Ground, Phase
 from .health import REFUTED
 from .messages import MOST_INCARNATION, MOST_LIFE, Ack, Ask, Claim, Ping
 from .states import FINAL, State
--- a/limenotch/fleet/promises.py
+++ b/limenotch/fleet/replicated_notes.py
@@ -23,8 +23,8 @@
 
 import msgspec
 
-from . import contract
-from .agreement import api
+from . import interfaces
+from .consensus import api
 
 MOST = 1000
 MOST_BYTES = 4096  # of one promise's words
@@ -144,7 +144,7 @@
         until = self._now + LATE_MS
         self._waits[ask.ticket] = _Waits(ask, event.index, until)
         if event.index > self._applied:
-            self._out.append(contract.SetTimer(until, 1))
+            self._out.append(interfaces.SetTimer(until, 1))
 
     def _ready(self, event: api.ReadReady) -> None:
         ask = self._asked.pop(event.ticket, None)
@@ -182,10 +182,10 @@
 
 
 _HEEDLESS = (
-    contract.Started,
-    contract.Leave,
-    contract.TimerFired,
-    contract.MemberChanged,
-    contract.Fenced,
+    interfaces.Started,
+    interfaces.Leave,
+    interfaces.TimerFired,
+    interfaces.MemberChanged,
+    interfaces.Fenced,
     api.LeaderChanged,
 )
--- a/limenotch/fleet/rules/changes.py
+++ b/limenotch/fleet/rules/changes.py
@@ -13,14 +13,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..contract import Tell
+from ..interfaces import Tell
+from . import change_classification, entries
 from . import document as doc
-from . import entries, kinds
 from .api import Answer, Ask
-from .book import Applied, Book
 from .document import Document
 from .messages import MOST_NAME, Look, Looked, Suggest, Verdict
 from .tuning import Tuning
+from .versioned_rules import Applied, Book
 
 Check = Callable[[Document], "str | None"]
 
@@ -101,7 +101,7 @@
             whole = self._whole(suggest)
             why = self.book.refusal(suggest.base, whole) or self.fault(whole)
             if why is None and suggest.names:
-                why = kinds.canary_refuses(self.book.flat(self.book.newest), doc.flatten(whole))
+                why = change_classification.canary_refuses(self.book.flat(self.book.newest), doc.flatten(whole))
         except ValueError as error:
             self._refuse(sender, suggest.id, str(error))
             return
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -22,20 +22,20 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import contract
-from ..agreement import api as log
-from ..contract import Carrier, Note, SetTimer, Tell
-from ..leasing import NEVER
+from .. import interfaces
+from ..consensus import api as log
+from ..interfaces import Carrier, Note, SetTimer, Tell
+from ..leases import NEVER
 from . import entries
 from . import messages as say
 from .api import Answer, Ask, Counted, InForce, Narrow, Voters
-from .book import Book
 from .canary import Watch
 from .changes import Changes, Check, suggest_of, upstream_of, whole_number
 from .document import Document
+from .ejection_gossip import GONE, Telling
 from .leases import Granter, Holder
-from .telling import GONE, Telling
 from .tuning import Tuning
+from .versioned_rules import Book
 
 
 class Rules:
@@ -84,12 +84,12 @@
         self._begun = False
         self.changes = Changes(name, self.book, check, self.tuning, self._reach, tuple(voters), self._propose)
         self._events: dict[type, Callable[[Any], None]] = {
-            contract.Started: lambda event: setattr(self, "_begun", True),
-            contract.Heard: self._heard,
-            contract.TimerFired: self._fired,
-            contract.Leave: lambda event: None,
-            contract.MemberChanged: self._member,
-            contract.Fenced: lambda event: self._fenced(),
+            interfaces.Started: lambda event: setattr(self, "_begun", True),
+            interfaces.Heard: self._heard,
+            interfaces.TimerFired: self._fired,
+            interfaces.Leave: lambda event: None,
+            interfaces.MemberChanged: self._member,
+            interfaces.Fenced: lambda event: self._fenced(),
             Ask: self._ask,
             Counted: self._counted,
             Voters: lambda event: setattr(self.changes, "voters", event.names),
@@ -135,18 +135,18 @@
 
     # Events
 
-    def _fired(self, event: contract.TimerFired) -> None:
+    def _fired(self, event: interfaces.TimerFired) -> None:
         if self._now >= self._armed:
             self._armed = NEVER
 
-    def _heard(self, event: contract.Heard) -> None:
+    def _heard(self, event: interfaces.Heard) -> None:
         do = self._messages.get(type(event.message))
         if do is None:
             self._count("no message of rules")
         else:
             do(event.sender, event.message)
 
-    def _member(self, event: contract.MemberChanged) -> None:
+    def _member(self, event: interfaces.MemberChanged) -> None:
         self._out += self.telling.member(self._now, event)
 
     def _fenced(self) -> None:
--- a/limenotch/fleet/rules/document.py
+++ b/limenotch/fleet/rules/document.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from .kinds import NAMED, OWN, Flat, Path, kind_of, text_of
+from .change_classification import NAMED, OWN, Flat, Path, kind_of, text_of
 
 Document = dict[str, Any]
 TOP = ("settings", "bans", "directory")
--- a/limenotch/fleet/rules/drains.py
+++ b/limenotch/fleet/rules/drain_notices.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .listing import READY, STAGES, Word
+from .endpoint_list_messages import READY, STAGES, Word
 
 MOST_TELLERS = 8  # of one provider that are told apart; a ninth adds nothing
 ENOUGH = 3  # tellers of the same directory: who has heard of so many does not tell it again
--- a/limenotch/fleet/rules/telling.py
+++ b/limenotch/fleet/rules/ejection_gossip.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..contract import Carrier, MemberChanged, Note, Tell
+from ..interfaces import Carrier, MemberChanged, Note, Tell
 from . import entries
 from . import messages as say
-from .book import Book
+from .versioned_rules import Book
 
 GONE = frozenset({"dead", "left"})
 NEVER = float("inf")
--- a/limenotch/fleet/rules/arrivals.py
+++ b/limenotch/fleet/rules/endpoint_additions.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..agreement import api as log
-from ..contract import Tell
-from .listing import MOST_ENTRIES, Agree, Held, Know, Named, agree_of, encode, held_of
+from ..consensus import api as log
+from ..interfaces import Tell
+from .endpoint_list_messages import MOST_ENTRIES, Agree, Held, Know, Named, agree_of, encode, held_of
 
 AGAIN_MS = 1000.0
 LATELY_MS = 2.5 * AGAIN_MS
--- a/limenotch/fleet/rules/listing.py
+++ b/limenotch/fleet/rules/endpoint_list_messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Struct
 
-from ..contract import Message
+from ..interfaces import Message
 
 READY = "ready"
 STAGES = ("ready", "draining", "gone")  # each restricts more than the one before
--- a/limenotch/fleet/rules/lists.py
+++ b/limenotch/fleet/rules/endpoint_lists.py
@@ -18,13 +18,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import contract
-from ..agreement import api as log
-from ..contract import Carrier, Note, SetTimer, Tell
+from .. import interfaces
+from ..consensus import api as log
+from ..interfaces import Carrier, Note, SetTimer, Tell
 from .api import Voters
-from .arrivals import NEVER, Arrivals
-from .drains import Drains
-from .listing import (
+from .drain_notices import Drains
+from .endpoint_additions import NEVER, Arrivals
+from .endpoint_list_messages import (
     MOST_NAME,
     MOST_NAMES,
     READY,
@@ -82,9 +82,9 @@
         self._events: dict[type, Callable[[Any], None]] = {
             Listed: self._listed,
             DirectorySilent: self._silent,
-            contract.Heard: self._heard,
-            contract.MemberChanged: self._member,
-            contract.TimerFired: self._fired,
+            interfaces.Heard: self._heard,
+            interfaces.MemberChanged: self._member,
+            interfaces.TimerFired: self._fired,
             Voters: lambda event: self.arrivals.voted(self._now, event.names),
             log.Agreed: lambda event: self.arrivals.apply(event),
             log.Install: lambda event: self.arrivals.install(event.state),
@@ -92,7 +92,7 @@
             log.Promised: lambda event: self.arrivals.ended(event.ticket),
             log.Refused: lambda event: self.arrivals.ended(event.ticket),
             log.Unknown: lambda event: self.arrivals.ended(event.ticket),
-            **dict.fromkeys((contract.Started, contract.Leave, contract.Fenced), lambda event: None),
+            **dict.fromkeys((interfaces.Started, interfaces.Leave, interfaces.Fenced), lambda event: None),
         }
 
     def handle(self, now: float, event: Any) -> list[Any]:
@@ -246,7 +246,7 @@
 
     # From the others
 
-    def _member(self, event: contract.MemberChanged) -> None:
+    def _member(self, event: interfaces.MemberChanged) -> None:
         if self.drains.member(event.name, event.state, event.life) and event.name != self.name:
             since, many = self._pulls if self._now - self._pulls[0] < PULL_MS else (self._now, 0)
             if many < PULLED:
@@ -261,7 +261,7 @@
             self._out.append(Tell(others[self._turn % len(others)], Pull()))
         self._pull_at = self._now + SILENT_MS
 
-    def _heard(self, event: contract.Heard) -> None:
+    def _heard(self, event: interfaces.Heard) -> None:
         message, sender = event.message, event.sender
         if isinstance(message, Word):
             if len(message.names) > MOST_NAMES or any(_long(name) for name, _ in message.names):
@@ -295,7 +295,7 @@
             self._arrived = arrived
             self._out.append(Arrived(arrived))
 
-    def _fired(self, event: contract.TimerFired) -> None:
+    def _fired(self, event: interfaces.TimerFired) -> None:
         if self._now >= self._armed:
             self._armed = NEVER
 
--- a/limenotch/fleet/rules/leases.py
+++ b/limenotch/fleet/rules/leases.py
@@ -21,7 +21,7 @@
 from fractions import Fraction
 from math import ceil
 
-from ..leasing import NEVER, Held, Reign
+from ..leases import NEVER, Held, Reign
 from .messages import AskLease, Grant
 from .tuning import Tuning
 
--- a/limenotch/fleet/rules/messages.py
+++ b/limenotch/fleet/rules/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..contract import Message
+from ..interfaces import Message
 
 MOST_BANS = 8  # that ride on one ask or grant; a name is at most MOST_NAME
 MOST_NAME = 80
--- a/limenotch/fleet/rules/book.py
+++ b/limenotch/fleet/rules/versioned_rules.py
@@ -12,11 +12,11 @@
 import msgspec
 from msgspec import Struct
 
+from . import change_classification
 from . import document as doc
-from . import kinds
+from .change_classification import Flat
 from .document import Document
 from .entries import Activate, EndTry, Entry, Out, Put, Try
-from .kinds import Flat
 
 
 class Version(Struct, frozen=True, array_like=True):
@@ -86,7 +86,7 @@
             return f"document: more than {self._most_bytes} bytes"
         if self.waiting >= self._most:
             return f"{self.waiting} versions wait to be active"
-        between = kinds.in_force(self.flat(self.active), [*self._newer(), flat])
+        between = change_classification.in_force(self.flat(self.active), [*self._newer(), flat])
         if not any(len(path) == 3 and path[1] == "classes" for path in between):
             return "settings.classes: none would be left until it is active; add the new before removing the old"
         return None
@@ -100,7 +100,10 @@
 
     def diff(self, one: int, two: int) -> list[tuple[str, str]]:
         """Key and `narrows`, `widens` or `switches`, from version one to two. ValueError if either is not held."""
-        return [(kinds.text_of(path), word) for path, word in kinds.diff(self.flat(one), self.flat(two))]
+        return [
+            (change_classification.text_of(path), word)
+            for path, word in change_classification.diff(self.flat(one), self.flat(two))
+        ]
 
     def returned(self, upstream: str, upto: int | None = None) -> int:
         """The version that let it back, if that is how it stands at `upto`; else 0."""
@@ -175,7 +178,9 @@
     def _try(self, entry: Try) -> Applied:
         try:
             whole = doc.decode(entry.document)
-            why = self.refusal(entry.base, whole) or kinds.canary_refuses(self.flat(self.newest), doc.flatten(whole))
+            why = self.refusal(entry.base, whole) or change_classification.canary_refuses(
+                self.flat(self.newest), doc.flatten(whole)
+            )
         except ValueError as error:
             why = str(error)
         if why is None and self.trial is not None:
@@ -210,12 +215,17 @@
         if trial is not None and name in trial.names:
             tried = doc.flatten(doc.decode(trial.document))
             heard.append(tried)
-            active = {**active, **{path: value for path, value in tried.items() if kinds.kind_of(path).wide is None}}
-        return kinds.in_force(active, heard)
+            active = {
+                **active,
+                **{path: value for path, value in tried.items() if change_classification.kind_of(path).wide is None},
+            }
+        return change_classification.in_force(active, heard)
 
     def narrow(self) -> Flat:
         """Without a lease."""
-        return kinds.without_lease(kinds.in_force(self.flat(self.active), [*self._newer(), *self._bans()]))
+        return change_classification.without_lease(
+            change_classification.in_force(self.flat(self.active), [*self._newer(), *self._bans()])
+        )
 
     def _bans(self) -> list[Flat]:
         if not self.told:
--- a/limenotch/fleet/settings.py
+++ b/limenotch/fleet/settings.py
@@ -15,8 +15,8 @@
 from .. import settings as base
 from .. import toml
 from ..config import Address, ConfigError, address
-from .agreement import tuning as agreement
-from .bindings import tuning as bindings
+from .affinity import tuning as bindings
+from .consensus import tuning as agreement
 from .membership.tuning import Tuning
 from .rules import tuning as rules
 from .wallet import tuning as wallet
--- a/limenotch/fleet/wallet/purse.py
+++ b/limenotch/fleet/wallet/allocations.py
@@ -11,9 +11,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from ..leasing import NEVER
+from ..leases import NEVER
 from .api import Reservation, Turned
-from .book import Book, Owner
+from .ledger import Book, Owner
 from .tuning import Tuning
 
 ADVANCE = 0  # the serial of what was reserved without a lease
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -24,21 +24,21 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import contract
-from ..agreement import api as log
-from ..contract import Carrier, Heard, Note, SetTimer, Tell
-from ..leasing import NEVER
+from .. import interfaces
+from ..consensus import api as log
+from ..interfaces import Carrier, Heard, Note, SetTimer, Tell
+from ..leases import NEVER
 from . import entries
 from . import messages as say
+from .allocations import Purse
 from .api import Ask, Look, Witnesses
-from .asks import Asks
-from .book import Applied, Book
-from .granting import Granting
-from .holding import Holding
 from .lease import Holder
-from .purse import Purse
+from .ledger import Applied, Book
+from .operator_requests import Asks
+from .quota_grants import Granting
+from .quota_holder import Holding
+from .spend_witness import Memory
 from .tuning import Tuning
-from .witness import Memory
 
 OWN_AT = ("", 0)  # where what is said to oneself comes from
 
@@ -77,12 +77,12 @@
         self._waiting: dict[tuple[str, int], say.AskLease] = {}  # asks for a lease, until the log says it leads
         self._reads: dict[int, tuple[int, dict[tuple[str, int], say.AskLease]]] = {}  # ticket: epoch, the asks before
         self._events: dict[type, Callable[[Any], None]] = {
-            contract.Started: lambda event: None,
-            contract.Heard: self._heard,
-            contract.TimerFired: self._fired,
-            contract.Leave: lambda event: self._leave(),
-            contract.MemberChanged: self._member,
-            contract.Fenced: lambda event: self._fenced(),
+            interfaces.Started: lambda event: None,
+            interfaces.Heard: self._heard,
+            interfaces.TimerFired: self._fired,
+            interfaces.Leave: lambda event: self._leave(),
+            interfaces.MemberChanged: self._member,
+            interfaces.Fenced: lambda event: self._fenced(),
             Look: lambda event: None,
             Ask: lambda event: self.asks.ask(self._now, event),
             Witnesses: lambda event: setattr(self.granting, "voters", event.names),
@@ -129,7 +129,7 @@
 
     # Events
 
-    def _fired(self, event: contract.TimerFired) -> None:
+    def _fired(self, event: interfaces.TimerFired) -> None:
         if self._now >= self._armed:
             self._armed = NEVER
 
@@ -140,7 +140,7 @@
         else:
             do(event.sender, event.message)
 
-    def _member(self, event: contract.MemberChanged) -> None:
+    def _member(self, event: interfaces.MemberChanged) -> None:
         members = self.granting.members
         if event.name in members or len(members) < self.tuning.most_holders:
             members[event.name] = event.state
--- a/limenotch/fleet/wallet/lease.py
+++ b/limenotch/fleet/wallet/lease.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ..leasing import NEVER, Held, Reign
+from ..leases import NEVER, Held, Reign
 from .messages import Lease
 from .tuning import Tuning
 
--- a/limenotch/fleet/wallet/messages.py
+++ b/limenotch/fleet/wallet/messages.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from ..contract import MOST_DATAGRAM, Carrier, Message
+from ..interfaces import MOST_DATAGRAM, Carrier, Message
 
 MOST = 256  # tenants' items in one message
 
--- a/limenotch/fleet/wallet/asks.py
+++ b/limenotch/fleet/wallet/operator_requests.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..agreement import api as log
-from ..leasing import NEVER
+from ..consensus import api as log
+from ..leases import NEVER
 from . import entries
 from .api import Answer, Ask
-from .book import MOST_CREDIT, MOST_NAME, Applied, Book
+from .ledger import MOST_CREDIT, MOST_NAME, Applied, Book
 from .tuning import Tuning
 
 MOST_SEEN = 1000  # credits applied here whose asker has not heard yet where they stand
--- a/limenotch/fleet/wallet/granting.py
+++ b/limenotch/fleet/wallet/quota_grants.py
@@ -16,14 +16,14 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..contract import Carrier, Tell
-from ..leasing import NEVER
+from ..interfaces import Carrier, Tell
+from ..leases import NEVER
 from . import entries
 from . import messages as say
-from .book import Book, Owner, Wallet
 from .lease import Granter
+from .ledger import Book, Owner, Wallet
+from .spend_witness import MOST_ASKED, Gone
 from .tuning import Tuning
-from .witness import MOST_ASKED, Gone
 
 GONE = frozenset({"dead", "left"})
 MOST_SLICES = 8  # of one tenant at one holder, not settled yet
--- a/limenotch/fleet/wallet/holding.py
+++ b/limenotch/fleet/wallet/quota_holder.py
@@ -15,14 +15,14 @@
 from math import ceil
 from typing import Any
 
-from ..contract import Note, Tell
-from ..leasing import NEVER
+from ..interfaces import Note, Tell
+from ..leases import NEVER
 from . import entries
 from . import messages as say
-from .book import Book, Owner, Slice
-from .purse import Account, Held, Purse
+from .allocations import Account, Held, Purse
+from .ledger import Book, Owner, Slice
+from .spend_witness import Memory
 from .tuning import Tuning
-from .witness import Memory
 
 Propose = Callable[[tuple[entries.Entry, ...], str], int]
 
--- a/limenotch/fleet/wallet/witness.py
+++ b/limenotch/fleet/wallet/spend_witness.py
@@ -15,8 +15,8 @@
 
 from collections.abc import Callable, Iterable
 
-from .book import MOST_NAME, Book, Owner, Slice
 from .entries import Expire
+from .ledger import MOST_NAME, Book, Owner, Slice
 
 MOST_ASKED = 128  # slices of one holder that are asked for at a time
 
--- a/limenotch/fleet/wire.py
+++ b/limenotch/fleet/wire.py
@@ -22,7 +22,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .contract import Address, Message
+from .interfaces import Address, Message
 
 DIGEST = 16  # bytes
 LENGTH = 4  # bytes before a frame on a stream
--- a/limenotch/layers/bindings.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -23,17 +23,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from switchthread.types import Effect
+from limenotch.balancing.types import Effect
 
 from ..config import Config
-from ..facade import NEVER_RAN, Ending, Hint, Provider, Status
-from ..fleet.bindings import messages
-from ..fleet.bindings.api import Kind, Providers, State, Window
-from ..fleet.bindings.core import Bindings
-from ..fleet.bindings.tuning import Tuning
-from ..fleet.contract import Part, Started
+from ..fleet.affinity import messages
+from ..fleet.affinity.api import Kind, Providers, State, Window
+from ..fleet.affinity.core import Bindings
+from ..fleet.affinity.tuning import Tuning
 from ..fleet.hub import Asked
-from ..net.call import Call, Final, InvokerCall, Verdict
+from ..fleet.interfaces import Part, Started
+from ..load_balancer import NEVER_RAN, Ending, Hint, Provider, Status
+from ..net.request import Call, Final, InvokerCall, Verdict
 from .base import Among, Layer, messages_of
 
 PREFIX = "bi."
--- a/limenotch/layers/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -7,12 +7,12 @@
 from typing import Any, NamedTuple
 
 from ..config import Config
-from ..facade import Provider
-from ..fleet.contract import Message, Part
 from ..fleet.hub import Asked
-from ..net.asking import says
-from ..net.call import Beside
-from ..net.operators import Extra
+from ..fleet.interfaces import Message, Part
+from ..load_balancer import Provider
+from ..net.admin.queries import says
+from ..net.admin.server import Extra
+from ..net.request import Beside
 
 SPARE_S = 1.0  # for an answer that comes by the log's own bounds
 
--- a/limenotch/layers/lists.py
+++ b/limenotch/fleet_adapters/endpoint_lists.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from ..config import Address, ConfigError, address, host_port
-from ..facade import Provider, Status
 from ..fleet.hub import Asked
-from ..fleet.rules import listing
+from ..fleet.rules import endpoint_list_messages
 from ..fleet.rules.api import Voters
-from ..fleet.rules.listing import Arrived, DirectorySilent, Listed, Named, PeerDrain
-from ..fleet.rules.lists import Lists
+from ..fleet.rules.endpoint_list_messages import Arrived, DirectorySilent, Listed, Named, PeerDrain
+from ..fleet.rules.endpoint_lists import Lists
+from ..load_balancer import Provider, Status
 from .base import Among, Layer, messages_of
 
 PREFIX = "li."
@@ -32,7 +32,7 @@
 
 class ListsLayer(Layer):
     name, prefix = "lists", PREFIX
-    messages = messages_of(listing)
+    messages = messages_of(endpoint_list_messages)
 
     def __init__(self, among: Among) -> None:
         super().__init__()
--- a/limenotch/layers/promises.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from ..fleet.agreement.tuning import Tuning
-from ..fleet.promises import LATE_MS, Answer, Promises
-from ..net.promised import PREFIX, Promised, refused
+from ..fleet.consensus.tuning import Tuning
+from ..fleet.replicated_notes import LATE_MS, Answer, Promises
+from ..net.admin.log import PREFIX, Promised, refused
 from .base import SPARE_S, Among, Layer
 
 
--- a/limenotch/layers/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -9,14 +9,14 @@
 
 from tornado.ioloop import PeriodicCallback
 
-from ..acting import Acting
-from ..facade import Ending
+from ..configuration_applier import Acting
 from ..fleet.hub import Asked
 from ..fleet.rules import Rules, messages
 from ..fleet.rules.api import Answer, Counted, InForce, Narrow, Voters
 from ..fleet.rules.tuning import Tuning
-from ..net.call import Call, Final, InvokerCall, Verdict
-from ..net.ruled import PREFIX, RULES, Ruled
+from ..load_balancer import Ending
+from ..net.admin.rules import PREFIX, RULES, Ruled
+from ..net.request import Call, Final, InvokerCall, Verdict
 from .base import SPARE_S, Among, Layer, messages_of
 
 COUNT_S = 1.0  # between two words of what calls came to
--- a/limenotch/layers/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -15,13 +15,13 @@
 from typing import Any, Protocol
 
 from .. import logs
-from ..facade import Ending
 from ..fleet.hub import LOG, Asked
 from ..fleet.wallet import Wallet, messages
 from ..fleet.wallet.api import Answer, Look, Purse, Reservation, Turned, Witnesses
 from ..fleet.wallet.tuning import Tuning
-from ..net.call import Call, Final, InvokerCall, Later, Verdict
-from ..net.paid import PREFIX, Paid
+from ..load_balancer import Ending
+from ..net.admin.wallet import PREFIX, Paid
+from ..net.request import Call, Final, InvokerCall, Later, Verdict
 from .base import SPARE_S, Among, Layer, messages_of
 
 log = logs.get(__name__)
--- a/limenotch/together.py
+++ b/limenotch/fleet_node.py
@@ -2,7 +2,7 @@
 
 The log and the layers above it are there only where `voters` are set, and join when the store has been read: until
 then, and for good where it can't be read, this process is a member without a log. A layer is there where its table is
-(`layers/`); those that stand on no log are there from the start.
+(`fleet_adapters/`); those that stand on no log are there from the start.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from tornado.ioloop import PeriodicCallback
 
 from . import logs, toml
-from .acting import Acting
 from .config import Address, Config, host_port
-from .facade import Provider
-from .fleet import above
-from .fleet.agreement import Agreement
-from .fleet.agreement import messages as of_the_log
+from .configuration_applier import Acting
+from .fleet import log_multiplexer
+from .fleet.consensus import Agreement
+from .fleet.consensus import messages as of_the_log
 from .fleet.hub import LOG, Hub
 from .fleet.membership import Membership
 from .fleet.membership.messages import Spoken
 from .fleet.settings import Fleet, Placed, place
 from .fleet.wire import Wire
-from .layers.base import Among, Layer, messages_of
-from .layers.lists import ListsLayer, Use, Where
-from .layers.promises import PromisesLayer
-from .layers.rules import RulesLayer
+from .fleet_adapters.base import Among, Layer, messages_of
+from .fleet_adapters.endpoint_lists import ListsLayer, Use, Where
+from .fleet_adapters.replicated_notes import PromisesLayer
+from .fleet_adapters.rules import RulesLayer
+from .load_balancer import Provider
 from .net import http1
-from .net.asking import says
-from .net.call import Beside
-from .net.kept import Folder, Memory, UnreadableError
-from .net.operators import Extra
-from .net.others import Disk, Others
+from .net.admin.queries import says
+from .net.admin.server import Extra
+from .net.log_storage import Folder, Memory, UnreadableError
+from .net.peer_transport import Disk, Others
+from .net.request import Beside
 from .store.records import Held
 
 log = logs.get(__name__)
@@ -103,7 +103,7 @@
         """Those that the table has, in the order in which they hear of what all are told."""
         layers: list[Layer] = []
         if table.bindings is not None:
-            from .layers.bindings import BindingsLayer
+            from .fleet_adapters.affinity import BindingsLayer
 
             layers.append(BindingsLayer(self._among, table.bindings))
         if table.voters:
@@ -111,7 +111,7 @@
         if self._rules is not None:
             layers.append(self._rules)
         if table.wallet is not None:
-            from .layers.wallet import WalletLayer
+            from .fleet_adapters.wallet import WalletLayer
 
             layers.append(WalletLayer(self._among, table.wallet, self._hub))
         if self._lists is not None:
@@ -187,7 +187,7 @@
         try:
             held = await disk.open() if isinstance(disk, Folder) else Held(entries=[])
             agreement = Agreement(placed.name, placed.table.voters, held, placed.table.agreement, _seed())
-            states = above.parted(agreement.state)
+            states = log_multiplexer.parted(agreement.state)
             parts = [
                 (layer, layer.part(states.get(layer.prefix), agreement.index)) for layer in self._layers if layer.above
             ]
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -18,11 +18,11 @@
 from msgspec.structs import replace
 
 from limenotch.fleet import membership
-from limenotch.fleet.bindings.api import Bound, Kind, Providers, State, Window
-from limenotch.fleet.bindings.core import Bindings
-from limenotch.fleet.bindings.tuning import Ages, Tuning
-from limenotch.fleet.contract import Started
+from limenotch.fleet.affinity.api import Bound, Kind, Providers, State, Window
+from limenotch.fleet.affinity.core import Bindings
+from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.fleet.hub import Asked, Hub
+from limenotch.fleet.interfaces import Started
 from limenotch.fleet.membership import Membership
 from limenotch.lab.fleet.bindings_run import PREFIX, SECRET
 from limenotch.lab.fleet.drawing import Scenario
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -11,12 +11,12 @@
 from typing import Any, NamedTuple
 
 from limenotch.fleet import membership
-from limenotch.fleet.bindings import messages as say
-from limenotch.fleet.bindings.api import Bound, Kind, Providers, State, Window
-from limenotch.fleet.bindings.core import Bindings
-from limenotch.fleet.bindings.tuning import Ages, Tuning
-from limenotch.fleet.contract import Fenced, MemberChanged
+from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity.api import Bound, Kind, Providers, State, Window
+from limenotch.fleet.affinity.core import Bindings
+from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.fleet.hub import Asked, Hub
+from limenotch.fleet.interfaces import Fenced, MemberChanged
 from limenotch.fleet.membership import Membership
 from limenotch.fleet.wire import tag_of
 from limenotch.lab.fleet import faults
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -11,8 +11,8 @@
 
 from msgspec.structs import replace
 
-from limenotch.fleet.bindings.api import Kind, Providers, State
-from limenotch.fleet.bindings.tuning import Ages, Tuning
+from limenotch.fleet.affinity.api import Kind, Providers, State
+from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.lab.fleet.bindings_history import Key
 from limenotch.lab.fleet.bindings_run import QUICK, SWEEP_MS, THERE, Run
 
--- a/limenotch/lab/fleet/disk.py
+++ b/limenotch/lab/fleet/disk.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from limenotch.fleet.contract import Stored, StoreFailed
+from limenotch.fleet.interfaces import Stored, StoreFailed
 from limenotch.lab.fleet.faults import Disk
 from limenotch.lab.simulate.kernel import Kernel
 from limenotch.store.records import Held
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -18,7 +18,7 @@
 
 from msgspec.msgpack import Encoder
 
-from limenotch.fleet.contract import Carrier, Heard, Note, Send, SetTimer, Started, Store, Stored, Tell, TimerFired
+from limenotch.fleet.interfaces import Carrier, Heard, Note, Send, SetTimer, Started, Store, Stored, Tell, TimerFired
 from limenotch.lab.fleet.world import Make, address
 from limenotch.store.records import Held
 
--- a/limenotch/lab/fleet/explore_log.py
+++ b/limenotch/lab/fleet/explore_log.py
@@ -9,16 +9,16 @@
 from collections.abc import Hashable, Sequence
 from typing import Any
 
-from limenotch.fleet import agreement
-from limenotch.fleet.agreement import api
-from limenotch.fleet.agreement.log import VOTERS, Voters, pack
-from limenotch.fleet.agreement.states import Role
-from limenotch.fleet.contract import Note, SetTimer, Store, Tell
+from limenotch.fleet import consensus
+from limenotch.fleet.consensus import api
+from limenotch.fleet.consensus.log import VOTERS, Voters, pack
+from limenotch.fleet.consensus.states import Role
+from limenotch.fleet.interfaces import Note, SetTimer, Store, Tell
 from limenotch.lab.fleet.explore import View
 from limenotch.lab.fleet.world import Make
 from limenotch.store.records import Ballot, Entry, Held
 
-TUNING = agreement.Tuning(
+TUNING = consensus.Tuning(
     heartbeat_ms=50, election_least_ms=200, election_most_ms=400, learner_ms=300, retry_ms=100, ask_ms=1000
 )
 NEVER = float("inf")
@@ -34,7 +34,7 @@
     def __init__(self, name: str, names: Sequence[str], held: Held, seed: int) -> None:
         self._made = (name, tuple(names), Held(held.ballot, held.snapshot, list(held.entries)), seed)
         self._past: tuple[tuple[float, Any], ...] = ()
-        self.agreement = agreement.Agreement(name, tuple(names), held, TUNING, seed)
+        self.agreement = consensus.Agreement(name, tuple(names), held, TUNING, seed)
         self.told: tuple[tuple[int, int, str], ...] = ()  # agreed: index, epoch, id
         self.promised: frozenset[int] = frozenset()  # indexes that were promised here
 
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -9,12 +9,12 @@
 
 from typing import Any
 
-from limenotch.fleet import agreement
-from limenotch.fleet.above import parted
+from limenotch.fleet import consensus
 from limenotch.fleet.hub import LOG, Asked, Hub
+from limenotch.fleet.log_multiplexer import parted
 from limenotch.fleet.membership import Membership, Tuning
-from limenotch.fleet.rules.listing import Arrived, DirectorySilent, Listed, Named, PeerDrain
-from limenotch.fleet.rules.lists import Lists
+from limenotch.fleet.rules.endpoint_list_messages import Arrived, DirectorySilent, Listed, Named, PeerDrain
+from limenotch.fleet.rules.endpoint_lists import Lists
 from limenotch.lab.fleet.drawing import Scenario
 from limenotch.lab.fleet.rules_run import LOG as OF_THE_LOG
 from limenotch.lab.fleet.scenario import Outcome, check, play
@@ -60,7 +60,7 @@
 
     def make(self, name: str, seed: int, life: int, held: Held) -> Hub:
         members = Membership(name, address(name), life, [address(one) for one in self.nodes[:3]], MEMBERS, seed)
-        log = agreement.Agreement(name, self.voters, held, OF_THE_LOG, seed)
+        log = consensus.Agreement(name, self.voters, held, OF_THE_LOG, seed)
         states = parted(log.state)
         lists = self.made[name] = Lists(name, life, "d1", self.voters, state=states.get(PREFIX))
         hub = Hub([("mb.", members), (LOG, log), (PREFIX, lists)], members)
--- a/limenotch/lab/fleet/log_drawings.py
+++ b/limenotch/lab/fleet/log_drawings.py
@@ -7,23 +7,23 @@
 
 import msgspec
 
-from limenotch.fleet import agreement
-from limenotch.fleet.agreement import api
-from limenotch.fleet.contract import Note
+from limenotch.fleet import consensus
+from limenotch.fleet.consensus import api
+from limenotch.fleet.interfaces import Note
 from limenotch.lab.fleet.drawing import Scenario
 from limenotch.lab.fleet.scenario import Outcome, check, play
 from limenotch.lab.fleet.world import World
 from limenotch.store.records import Held
 
 MANY = 300
-TUNING = agreement.Tuning(snapshot_entries=100, tail_entries=10)
+TUNING = consensus.Tuning(snapshot_entries=100, tail_entries=10)
 
 
 class Told:
     """Agreement with a counter above it, whose answers are notes."""
 
     def __init__(self, name: str, voters: tuple[str, ...], seed: int, held: Held) -> None:
-        self.agreement = agreement.Agreement(name, voters, held, TUNING, seed)
+        self.agreement = consensus.Agreement(name, voters, held, TUNING, seed)
         self.words: dict[int, str] = {}
         state = self.agreement.state
         self.count: int = msgspec.msgpack.decode(state) if state else 0
--- a/limenotch/lab/fleet/log_run.py
+++ b/limenotch/lab/fleet/log_run.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from limenotch.fleet import agreement
-from limenotch.fleet.agreement import api
+from limenotch.fleet import consensus
+from limenotch.fleet.consensus import api
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.checks_log import Checker
 from limenotch.lab.fleet.world import World
@@ -29,7 +29,7 @@
     api.LeaderChanged,
     api.WantSnapshot,
 )
-QUICK = agreement.Tuning(
+QUICK = consensus.Tuning(
     heartbeat_ms=50,
     election_least_ms=200,
     election_most_ms=400,
@@ -49,7 +49,7 @@
     """A part for the world: agreement, and a table above it."""
 
     def __init__(self, run: Run, name: str, seed: int, held: Held) -> None:
-        self.agreement = agreement.Agreement(name, run.voters, held, run.tuning, seed)
+        self.agreement = consensus.Agreement(name, run.voters, held, run.tuning, seed)
         self._run, self._name = run, name
         state = self.agreement.state
         self.table: Table = msgspec.msgpack.decode(state, type=Table) if state else {}
@@ -89,7 +89,7 @@
         voters: tuple[str, ...],
         seed: int = 0,
         *,
-        tuning: agreement.Tuning = QUICK,
+        tuning: consensus.Tuning = QUICK,
         **weather: Any,
     ) -> None:
         self.voters, self.tuning = voters, tuning
--- a/limenotch/lab/fleet/members.py
+++ b/limenotch/lab/fleet/members.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from ...fleet.contract import Heard
+from ...fleet.interfaces import Heard
 from ...fleet.membership import Membership, Tuning
 from ...store.records import Held
 from .drawing import Scenario
--- a/limenotch/lab/fleet/relay.py
+++ b/limenotch/lab/fleet/relay.py
@@ -28,7 +28,7 @@
 from time import monotonic
 from typing import Protocol
 
-from ...fleet.contract import Address, Carrier
+from ...fleet.interfaces import Address, Carrier
 from .splice import Splice
 
 NET = 64  # second byte of the doors' addresses
--- a/limenotch/lab/fleet/rules_drawings.py
+++ b/limenotch/lab/fleet/rules_drawings.py
@@ -9,7 +9,7 @@
 
 from typing import Any
 
-from limenotch.fleet.contract import Fenced
+from limenotch.fleet.interfaces import Fenced
 from limenotch.fleet.rules import Tuning, api
 from limenotch.fleet.rules.document import Document
 from limenotch.lab.fleet.drawing import Scenario
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -11,9 +11,10 @@
 from random import Random
 from typing import Any
 
-from limenotch.fleet import agreement
-from limenotch.fleet.agreement import api as log
-from limenotch.fleet.contract import Fenced, Heard, Leave, MemberChanged, Note, SetTimer, Started, Tell, TimerFired
+from limenotch.balancing.settings import read_settings
+from limenotch.fleet import consensus
+from limenotch.fleet.consensus import api as log
+from limenotch.fleet.interfaces import Fenced, Heard, Leave, MemberChanged, Note, SetTimer, Started, Tell, TimerFired
 from limenotch.fleet.rules import Rules, Tuning, api
 from limenotch.fleet.rules.changes import Check
 from limenotch.fleet.rules.document import Document
@@ -22,11 +23,10 @@
 from limenotch.lab.fleet.checks_rules import Checker
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import Held
-from switchthread.settings import read_settings
 
 TO_RULES = (log.Agreed, log.Install, log.Promised, log.Refused, log.Unknown, log.ReadReady, log.LeaderChanged)
 TOKEN = 1000  # the rules' timers begin here
-LOG = agreement.Tuning(
+LOG = consensus.Tuning(
     heartbeat_ms=50,
     election_least_ms=200,
     election_most_ms=400,
@@ -69,7 +69,7 @@
 class Member:
     def __init__(self, run: Run, name: str, seed: int, life: int, held: Held) -> None:
         self.run, self.name = run, name
-        self.agreement = agreement.Agreement(name, run.voters, held, run.log, seed)
+        self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
         self.rules = Rules(
             name, life, run.voters, FIRST, run.checks.get(name, settings_check), run.tuning, self.agreement.state
         )
@@ -139,7 +139,7 @@
         seed: int | None = 0,
         *,
         tuning: Tuning = QUICK,
-        log_tuning: agreement.Tuning = LOG,
+        log_tuning: consensus.Tuning = LOG,
         checks: dict[str, Check] | None = None,
         **weather: Any,
     ) -> None:
--- a/limenotch/lab/fleet/splice.py
+++ b/limenotch/lab/fleet/splice.py
@@ -7,7 +7,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, cast
 
-from ...fleet.contract import Carrier
+from ...fleet.interfaces import Carrier
 from ..emulate.wire import reset
 
 if TYPE_CHECKING:
--- a/limenotch/lab/fleet/streams.py
+++ b/limenotch/lab/fleet/streams.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from limenotch.fleet.contract import Carrier
+from limenotch.fleet.interfaces import Carrier
 from limenotch.lab.fleet.weather import Weather
 from limenotch.lab.simulate.kernel import Kernel
 
--- a/limenotch/lab/fleet/wallet_drawings.py
+++ b/limenotch/lab/fleet/wallet_drawings.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from limenotch.fleet import agreement
+from limenotch.fleet import consensus
 from limenotch.fleet.membership import Tuning as Members
 from limenotch.fleet.wallet.tuning import Tuning
 from limenotch.lab.fleet.comparing import exact
@@ -36,7 +36,7 @@
     ask_ms=3000,
     retry_after_ms=1000,
 )
-LOG = agreement.Tuning(
+LOG = consensus.Tuning(
     heartbeat_ms=50,
     election_least_ms=200,
     election_most_ms=400,
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -10,16 +10,16 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from limenotch.fleet import agreement
-from limenotch.fleet.above import parted
-from limenotch.fleet.agreement import api as log
-from limenotch.fleet.contract import Note, Started
+from limenotch.fleet import consensus
+from limenotch.fleet.consensus import api as log
 from limenotch.fleet.hub import Asked, Hub
+from limenotch.fleet.interfaces import Note, Started
+from limenotch.fleet.log_multiplexer import parted
 from limenotch.fleet.membership import Membership
 from limenotch.fleet.membership import Tuning as Members
 from limenotch.fleet.wallet import api, entries
-from limenotch.fleet.wallet.book import Book
 from limenotch.fleet.wallet.core import Wallet
+from limenotch.fleet.wallet.ledger import Book
 from limenotch.fleet.wallet.tuning import Tuning
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.checks_wallet import Checker, Claim, Kept, Key, Part
@@ -27,7 +27,7 @@
 from limenotch.store.records import Held
 
 PREFIX = "wa."
-LOG = agreement.Tuning(
+LOG = consensus.Tuning(
     heartbeat_ms=50,
     election_least_ms=200,
     election_most_ms=400,
@@ -123,7 +123,7 @@
         self.run, self.name, self.life = run, name, life
         seeds = [address(one) for one in run.names[:2]]
         self.membership = Membership(name, address(name), life, seeds, run.members, seed)
-        self.agreement = agreement.Agreement(name, run.voters, held, run.log, seed)
+        self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
         state = parted(self.agreement.state).get(PREFIX)
         self.wallet = Wallet(name, life, run.tuning, run.voters, state)
         self.purse = self.wallet.purse
@@ -211,7 +211,7 @@
         voters: tuple[str, ...],
         tuning: Tuning = QUICK,
         *,
-        log_tuning: agreement.Tuning = LOG,
+        log_tuning: consensus.Tuning = LOG,
         members: Members = MEMBERS,
         watched: Iterable[str] | None = None,
     ) -> None:
--- a/limenotch/lab/fleet/weather.py
+++ b/limenotch/lab/fleet/weather.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from zlib import crc32
 
-from limenotch.fleet.contract import Carrier
+from limenotch.fleet.interfaces import Carrier
 from limenotch.lab.fleet.faults import Ask, Chance, Clock, Cut, Delay, Disk, Doing, Fault, Heal, Slow, Way
 
 HELD_BACK_MS = 50.0  # of a datagram that `reorder` meets: those sent less than this after it pass it
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -15,7 +15,7 @@
 
 from msgspec.msgpack import Encoder
 
-from limenotch.fleet.contract import (
+from limenotch.fleet.interfaces import (
     Address,
     Carrier,
     Fenced,
--- a/limenotch/lab/policy.py
+++ b/limenotch/lab/policy.py
@@ -21,12 +21,12 @@
 from types import ModuleType
 from typing import Any, Protocol
 
-import switchthread
+import limenotch.balancing
 
 from ..toml import FaultError
 
-PACKAGE = Path(switchthread.__file__).parent
-FILE = "decide.py"
+PACKAGE = Path(limenotch.balancing.__file__).parent
+FILE = "balancer.py"
 
 
 class Decider(Protocol):
@@ -36,11 +36,13 @@
 
 
 class Policy:
-    """A loaded decision module: its interface's types, and how to make an instance."""
+    """A loaded decision module: its types, events and actions, and how to make an instance."""
 
     def __init__(self, name: str, package: ModuleType) -> None:
         self.name = name
-        self.face: Any = importlib.import_module(f"{package.__name__}.interface")
+        self.types: Any = importlib.import_module(f"{package.__name__}.types")
+        self.events: Any = importlib.import_module(f"{package.__name__}.events")
+        self.actions: Any = importlib.import_module(f"{package.__name__}.actions")
         self.read_settings: Callable[[dict[str, Any]], Any] = importlib.import_module(
             f"{package.__name__}.settings"
         ).read_settings
@@ -74,7 +76,7 @@
             try:
                 importlib.invalidate_caches()
                 module = importlib.import_module(package)
-                for part in ("interface", "settings"):
+                for part in ("types", "events", "actions", "settings"):
                     importlib.import_module(f"{package}.{part}")
             except Exception as error:  # a variant's text may do anything
                 raise FaultError(f"policy {name}: {type(error).__name__}: {error}") from error
@@ -113,7 +115,7 @@
 def sources(spec: str) -> dict[str, bytes]:
     """The files of a variant: `installed`, `git:REVISION`, or the path of one of its files. Raises FaultError.
 
-    Such a file takes the place of the one of its name, or else of `decide.py`.
+    Such a file takes the place of the one of its name, or else of `balancer.py`.
     Read once a process, so that a digest is always of the text that was loaded.
     """
     if spec == "installed":
@@ -131,7 +133,7 @@
     """Raises FaultError. Loaded once a process."""
     if spec not in _loaded:
         if spec == "installed":
-            _loaded[spec] = Policy(spec, switchthread)
+            _loaded[spec] = Policy(spec, limenotch.balancing)
         else:
             _loaded[spec] = _install(sources(spec), spec)
     return _loaded[spec]
--- a/limenotch/lab/simulate/sidecar.py
+++ b/limenotch/lab/simulate/sidecar.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING, Any, cast
 
-from switchthread.knowledge import learn, told_by
+from limenotch.balancing.learned_state import learn, told_by
 
 from ... import settings
-from ...facade import time_left_ms
+from ...load_balancer import time_left_ms
 from ..model.directory import Broken, Tell
 from ..model.fleet import Site
 from ..model.provider import Provider
@@ -73,18 +73,18 @@
         self.alive = True
         self.calls: dict[int, Call] = {}
         self.decide = world.policy.instance(told, seed)
-        self._face = world.policy.face
+        self._decisions = world.policy
         self._idle: dict[Provider, list[float]] = {}  # when each idle connection was last used
         self._stage: dict[str, str] = {}  # as told
         self._allowed = allowed_by(told)
         self._banned: set[str] = set()
         plan = world.plan.tiers[tier]
         self._idle_ms, self._rtts, self._connect_ms = plan.idle_ms, plan.handshake_rtts, plan.connect_timeout_ms
-        face = self._face
-        outcome = face.Outcome
+        decisions = self._decisions
+        outcome = decisions.types.Outcome
         fields = world.plan.scenario.tier[tier].report.fields
         self._shown: tuple[bool, ...] = ("util" in fields, "qps" in fields)  # of a report
-        if "per_s" not in face.Finished._fields:
+        if "per_s" not in decisions.events.AttemptFinished._fields:
             self._shown = self._shown[:1]  # a variant of an older interface
         self._outcomes = {
             "served": outcome.OK,
@@ -93,18 +93,18 @@
             "reset": outcome.RESET,
         }
         self._do: dict[type, Callable[[Any], None]] = {
-            face.Send: self._send,
-            face.SetTimer: self._set_timer,
-            face.Cancel: self._abandon,
-            face.Refuse: self._reject,
-            face.Fail: self._fail,
-            face.Subscribe: self._subscribe,
+            decisions.actions.SendAttempt: self._send,
+            decisions.actions.SetTimer: self._set_timer,
+            decisions.actions.CancelAttempt: self._abandon,
+            decisions.actions.RejectRequest: self._reject,
+            decisions.actions.FailRequest: self._fail,
+            decisions.actions.Subscribe: self._subscribe,
         }
 
     # What it is told
 
     def start(self) -> None:
-        self._handle(self._face.Started())
+        self._handle(self._decisions.events.BalancerStarted())
         known = tuple(self.world.fleet.directories[self.tier].entries.values())
         self.heard(Tell(self.key, True, known))
         self.world.ask(self)
@@ -112,9 +112,9 @@
     def heard(self, told: Tell | Broken) -> None:
         if not self.alive:
             return
-        face = self._face
+        decisions = self._decisions
         if isinstance(told, Broken):
-            self._handle(face.Membership(face.Listing.BROKEN))
+            self._handle(decisions.events.MembershipUpdate(decisions.events.MembershipKind.BROKEN))
             return
         now, rules = self.world.kernel.now, self.world.rules
         if told.whole:
@@ -133,9 +133,9 @@
                 self._close_idle(entry.name)
             self._tell_rules(entry.name)
             upstreams.append(
-                face.Upstream(
+                decisions.types.Endpoint(
                     entry.name,
-                    face.Stage(entry.stage),
+                    decisions.types.EndpointState(entry.stage),
                     entry.weight,
                     entry.kind,
                     entry.zone,
@@ -143,8 +143,8 @@
                     entry.started_ms,
                 )
             )
-        listing = face.Listing.WHOLE if told.whole else face.Listing.CHANGES
-        self._handle(face.Membership(listing, tuple(upstreams)))
+        listing = decisions.events.MembershipKind.WHOLE if told.whole else decisions.events.MembershipKind.CHANGES
+        self._handle(decisions.events.MembershipUpdate(listing, tuple(upstreams)))
 
     def ban(self, name: str, out: bool) -> None:
         """As the operators' address does; to the rules it is a drain until the call back."""
@@ -155,7 +155,7 @@
         else:
             self._banned.discard(name)
         self._tell_rules(name)
-        self._handle(self._face.Ban(name, out, now))
+        self._handle(self._decisions.events.OperatorEjection(name, out, now))
 
     def _tell_rules(self, name: str) -> None:
         stage = self._stage.get(name, "gone")
@@ -166,12 +166,12 @@
         """As SIGHUP does with a file that gives another number of attempts."""
         self.told = {**self.told, "permissions": {**self.told["permissions"], "max_attempts": attempts}}
         self._allowed = allowed_by(self.told)
-        self._handle(self._face.Retuned(self.world.policy.read_settings(self.told)))
+        self._handle(self._decisions.events.SettingsChanged(self.world.policy.read_settings(self.told)))
 
     def together(self, processes: int) -> None:
         """As while one process takes over from another."""
         settings = replace(self.world.policy.read_settings(self.told), processes=processes)
-        self._handle(self._face.Retuned(settings))
+        self._handle(self._decisions.events.SettingsChanged(settings))
 
     def take_over(self, old: Sidecar) -> None:
         """What the old process hands to this one: list, bans and knowledge."""
@@ -179,10 +179,10 @@
         entries = tuple(
             entry for entry in self.world.fleet.directories[self.tier].entries.values() if entry.name in old._stage
         )
-        self._handle(self._face.Started())
+        self._handle(self._decisions.events.BalancerStarted())
         self.heard(Tell(self.key, True, tuple(replace(entry, stage=old._stage[entry.name]) for entry in entries)))
         for name in sorted(self._banned):
-            self._handle(self._face.Ban(name, True, 0.0))
+            self._handle(self._decisions.events.OperatorEjection(name, True, 0.0))
         learn(cast(Any, self.decide), told_by(cast(Any, old.decide)))
 
     def _close_idle(self, name: str) -> None:
@@ -210,7 +210,7 @@
         spec = world.plan.classes[cls]
         world.rules.taken(world.kernel.now, number, spec.effect, spec.scope, spec.window_ms, end, self._allowed)
         left = time_left_ms(min(budget_ms, spec.deadline_ms))
-        self._handle(self._face.Arrival(str(number), cls, left, account, again))
+        self._handle(self._decisions.events.RequestArrived(str(number), cls, left, account, again))
         return call
 
     def depart(self, call: Call) -> None:
@@ -219,10 +219,10 @@
             return
         self.world.rules.departed(self.world.kernel.now, call.number)
         self._close(call)
-        self._handle(self._face.Departure(str(call.number)))
+        self._handle(self._decisions.events.ClientDisconnected(str(call.number)))
         for attempt in call.attempts:  # those that the module may not cancel
             if not attempt.over:
-                self._cut(attempt, self._face.Outcome.CANCELLED)
+                self._cut(attempt, self._decisions.types.Outcome.CANCELLED)
 
     def die(self) -> None:
         """Its machine's process is gone: its calls are lost, its connections reset."""
@@ -263,7 +263,7 @@
 
     def _timer(self, token: int) -> None:
         if self.alive:
-            self._handle(self._face.TimerFired(token))
+            self._handle(self._decisions.events.TimerFired(token))
 
     def _subscribe(self, action: Any) -> None:
         self.world.ask(self)
@@ -295,7 +295,7 @@
         call = self.calls.get(int(action.call))
         if call is not None and 0 <= action.attempt < len(call.attempts):
             self.world.rules.cancelled(self.world.kernel.now, call.number)
-            self._cut(call.attempts[action.attempt], self._face.Outcome.CANCELLED)
+            self._cut(call.attempts[action.attempt], self._decisions.types.Outcome.CANCELLED)
 
     def _send(self, action: Any) -> None:
         world, call = self.world, self.calls[int(action.call)]
@@ -305,7 +305,7 @@
         call.attempts.append(attempt)
         world.kernel.late(attempt.end, self._timed_out, attempt)
         if self._stage.get(action.upstream) != "ready" or action.upstream in self._banned:
-            world.kernel.at(now, self._ended, attempt, self._face.Outcome.NOT_SENT, None)
+            world.kernel.at(now, self._ended, attempt, self._decisions.types.Outcome.NOT_SENT, None)
             return
         idle = self._idle.get(process) if process is not None else None
         while idle:
@@ -319,7 +319,7 @@
         delay = world.one_way(self.zone, site)
         if site is None or process is None or not world.reaches(self.zone, site):
             wait = self._connect_ms if site is not None else 2 * delay
-            world.kernel.at(now + wait, self._ended, attempt, self._face.Outcome.CONNECT_FAILED, None)
+            world.kernel.at(now + wait, self._ended, attempt, self._decisions.types.Outcome.CONNECT_FAILED, None)
             return
         world.kernel.at(now + delay, self._connect, attempt, delay)
 
@@ -329,7 +329,9 @@
         if attempt.over:
             return
         if not process.connect(world.kernel.now):
-            world.kernel.at(world.kernel.now + delay, self._ended, attempt, self._face.Outcome.CONNECT_FAILED, None)
+            world.kernel.at(
+                world.kernel.now + delay, self._ended, attempt, self._decisions.types.Outcome.CONNECT_FAILED, None
+            )
             return
         world.wake(attempt.site)
         attempt.connected = True
@@ -343,7 +345,7 @@
         now = world.kernel.now
         usable = self._stage.get(attempt.name) == "ready" and attempt.name not in self._banned
         if not usable or attempt.call.closed or now >= attempt.end:
-            self._ended(attempt, self._face.Outcome.NOT_SENT, None)
+            self._ended(attempt, self._decisions.types.Outcome.NOT_SENT, None)
             return
         assert attempt.site is not None
         group = world.fleet.group_of(attempt.site.machine)
@@ -354,8 +356,10 @@
 
     def _timed_out(self, attempt: Attempt) -> None:
         if not attempt.over and self.alive:
-            face = self._face
-            self._cut(attempt, face.Outcome.TIMEOUT if attempt.order >= 0 else face.Outcome.NOT_SENT)
+            decisions = self._decisions
+            self._cut(
+                attempt, decisions.types.Outcome.TIMEOUT if attempt.order >= 0 else decisions.types.Outcome.NOT_SENT
+            )
 
     def _cut(self, attempt: Attempt, outcome: Any) -> None:
         """From here: by closing its connection."""
@@ -370,10 +374,10 @@
     def _ended(self, attempt: Attempt, outcome: Any, report: tuple[float, float] | None) -> None:
         if attempt.over or not self.alive:
             return
-        world, call, face = self.world, attempt.call, self._face
+        world, call, decisions = self.world, attempt.call, self._decisions
         now = world.kernel.now
         attempt.over = True
-        kept = outcome in (face.Outcome.OK, face.Outcome.ERROR, face.Outcome.REFUSED)
+        kept = outcome in (decisions.types.Outcome.OK, decisions.types.Outcome.ERROR, decisions.types.Outcome.REFUSED)
         if attempt.connected:
             assert attempt.process is not None
             if kept and not attempt.process.stopped and self._stage.get(attempt.name) == "ready":
@@ -381,16 +385,16 @@
             else:
                 attempt.process.disconnect(now)
         if attempt.order >= 0:
-            ran = outcome not in face.NEVER_RAN
+            ran = outcome not in decisions.types.NEVER_RAN
             world.rules.ended(now, call.number, attempt.order, outcome.value, ran)
-        if outcome is face.Outcome.OK and not call.closed:
+        if outcome is decisions.types.Outcome.OK and not call.closed:
             world.rules.answered(now, call.number, "served")
             self._close(call)
             call.answer("served", 0.0)
         elif call.closed:
             self._close(call)
         told = [value if shown else None for value, shown in zip(report or (), self._shown, strict=False)]
-        event = face.Finished(
+        event = decisions.events.AttemptFinished(
             str(call.number), attempt.name, attempt.number, now - attempt.began, outcome, call.closed, *told
         )
         self._handle(event)
--- a/limenotch/facade.py
+++ b/limenotch/load_balancer.py
@@ -14,9 +14,9 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from switchthread import Balancer
-from switchthread.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
-from switchthread.events import (
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
+from limenotch.balancing.events import (
     AttemptFinished,
     BalancerStarted,
     ClientDisconnected,
@@ -29,11 +29,11 @@
     TimerFired,
     UploadFinished,
 )
-from switchthread.knowledge import learn, told_by
-from switchthread.types import BalancerSettings, Endpoint, EndpointState, Outcome, PriorExecution
+from limenotch.balancing.learned_state import learn, told_by
+from limenotch.balancing.types import BalancerSettings, Endpoint, EndpointState, Outcome, PriorExecution
 
-from .permits import Permits
-from .starts import Starts
+from .endpoint_ages import Starts
+from .request_policy import Permits
 
 # The answer must be with the consumer when its budget ends: what the way there and a busy core may take.
 MARGIN_MS = 20.0
--- a/limenotch/net/promised.py
+++ b/limenotch/net/admin/log.py
@@ -10,11 +10,11 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..fleet.hub import Asked
-from ..fleet.promises import MOST_BYTES, Answer, Ask
-from . import http1
-from .asking import Asking
-from .operators import Extra
+from ...fleet.hub import Asked
+from ...fleet.replicated_notes import MOST_BYTES, Answer, Ask
+from .. import http1
+from .queries import Asking
+from .server import Extra
 
 PREFIX = "pr."
 PROMISES, VOTERS = "/fleet/promises/", "/fleet/voters"
--- a/limenotch/net/asking.py
+++ b/limenotch/net/admin/queries.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ..fleet.hub import Asked
-from . import http1
+from ...fleet.hub import Asked
+from .. import http1
 
 
 class Ticketed(Protocol):
--- a/limenotch/net/ruled.py
+++ b/limenotch/net/admin/rules.py
@@ -8,10 +8,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..fleet.hub import Asked
-from ..fleet.rules.api import Answer, Ask
-from . import http1
-from .asking import Asking, says
+from ...fleet.hub import Asked
+from ...fleet.rules.api import Answer, Ask
+from .. import http1
+from .queries import Asking, says
 
 PREFIX = "ru."
 RULES = "/fleet/rules"
--- a/limenotch/net/operators.py
+++ b/limenotch/net/admin/server.py
@@ -15,10 +15,10 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import bind_sockets
 
-from .. import logs
-from ..config import Address
-from . import http1
-from .sockets import OPERATORS, Listener
+from ... import logs
+from ...config import Address
+from .. import http1
+from ..sockets import OPERATORS, Listener
 
 log = logs.get(__name__)
 
--- a/limenotch/net/paid.py
+++ b/limenotch/net/admin/wallet.py
@@ -18,12 +18,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..fleet.hub import Asked
-from ..fleet.wallet.api import Answer, Ask
-from ..fleet.wallet.book import MOST_CREDIT, MOST_NAME
-from . import http1
-from .asking import Asking, says
-from .operators import Extra
+from ...fleet.hub import Asked
+from ...fleet.wallet.api import Answer, Ask
+from ...fleet.wallet.ledger import MOST_CREDIT, MOST_NAME
+from .. import http1
+from .queries import Asking, says
+from .server import Extra
 
 PREFIX = "wa."
 WALLETS = "/fleet/wallets"
--- a/limenotch/net/admission.py
+++ b/limenotch/net/attempt_check.py
@@ -8,8 +8,8 @@
 
 from enum import Enum
 
-from ..facade import Provider
-from .call import InvokerCall
+from ..load_balancer import Provider
+from .request import InvokerCall
 
 
 class Hindrance(Enum):
--- a/limenotch/net/consumer.py
+++ b/limenotch/net/client_connection.py
@@ -14,12 +14,12 @@
 from .. import logs
 from ..config import host_port
 from . import http1
-from .ahead import ClientStream, Mode, ReadAhead
-from .answers import answer_of, passed_headers
-from .call import About, Call, Final, Verdict
-from .client_group import ClientGroup
-from .fields import budget_ms, check_once, name_in
+from .client_connections import ClientGroup
+from .header_fields import budget_ms, check_once, name_in
 from .pipe import BrokenError, Pipe
+from .read_ahead import ClientStream, Mode, ReadAhead
+from .request import About, Call, Final, Verdict
+from .responses import answer_of, passed_headers
 
 log = logs.get(__name__)
 
--- a/limenotch/net/client_group.py
+++ b/limenotch/net/client_connections.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, Protocol
 
 from .. import settings
-from ..facade import Facade
-from .calls import Calls
+from ..load_balancer import Facade
 from .pipe import Budget
+from .requests import Calls
 from .sockets import Sockets
 
 if TYPE_CHECKING:
-    from .consumer import Consumer
+    from .client_connection import Consumer
 
 
 class ClientGroup(Protocol):
--- a/limenotch/net/consumers.py
+++ b/limenotch/net/client_listener.py
@@ -13,12 +13,12 @@
 
 from .. import logs, settings
 from ..config import Address
-from ..facade import Facade
-from .ahead import ClientStream
-from .calls import Calls
-from .consumer import Consumer
-from .leaving import schedule
+from ..load_balancer import Facade
+from .client_connection import Consumer
 from .pipe import Budget
+from .read_ahead import ClientStream
+from .requests import Calls
+from .shutdown_schedule import schedule
 from .sockets import Listener, Sockets
 
 log = logs.get(__name__)
--- a/limenotch/net/directory.py
+++ b/limenotch/net/discovery/client.py
@@ -18,12 +18,13 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-from .. import logs, settings
-from ..config import Address, host_port
-from ..facade import Provider
-from . import discovery, documents, http1
-from .discovery import Connected, DiscoveryState, Due, Ended, Heard, Listed, Moved, Order, Resumed, Wanted
-from .listing import Listing, list_of, merged
+from ... import logs, settings
+from ...config import Address, host_port
+from ...load_balancer import Provider
+from .. import http1
+from . import json_stream, schedule
+from .endpoint_list import Listing, list_of, merged
+from .schedule import Connected, DiscoveryState, Due, Ended, Heard, Listed, Moved, Order, Resumed, Wanted
 from .watch import Predecessors, Spare, Watch
 
 log = logs.get(__name__)
@@ -156,7 +157,7 @@
         self._predecessors.close()
         self._spare.drop()
 
-    def _feed(self, event: discovery.Event) -> None:
+    def _feed(self, event: schedule.Event) -> None:
         for order in self._state.handle(monotonic(), event):
             if order is Order.OPEN:
                 self._watch = watch = Watch(self._at)
@@ -244,7 +245,7 @@
             self._asked = monotonic()
         host = (b"Host", host_port(watch.at).encode())
         await watch.wait(stream.write(http1.write_request(b"GET", b"/discovery/hosts?follow=1" + since, [host])))
-        answer = documents.ChunkStream()
+        answer = json_stream.ChunkStream()
         while not answer.done:
             begun, lines = answer.begun, answer.lines
             found = answer.feed(await watch.wait(stream.read_bytes(READ, partial=True)))
@@ -261,7 +262,7 @@
             if answer.begun and not begun or said:
                 self._advance(watch, Heard())
 
-    def _advance(self, watch: Watch, event: discovery.Event) -> None:
+    def _advance(self, watch: Watch, event: schedule.Event) -> None:
         """A call is further; that of a predecessor is no more than a sign of life."""
         if watch is self._watch:
             self._feed(event)
--- a/limenotch/net/listing.py
+++ b/limenotch/net/discovery/endpoint_list.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from .. import logs
-from ..config import ConfigError, address
-from ..facade import Provider, Status
+from ... import logs
+from ...config import ConfigError, address
+from ...load_balancer import Provider, Status
 
 log = logs.get(__name__)
 
--- a/limenotch/net/watch.py
+++ b/limenotch/net/discovery/watch.py
@@ -12,7 +12,7 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream
 
-from ..config import Address
+from ...config import Address
 
 T = TypeVar("T")
 
--- a/limenotch/net/connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -10,7 +10,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from .. import logs
-from ..facade import Provider
+from ..load_balancer import Provider
 from . import http1
 from .pipe import HOLD, BrokenError, Budget, Pipe
 
--- a/limenotch/net/providers.py
+++ b/limenotch/net/endpoint_pool.py
@@ -13,13 +13,13 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from .. import logs, settings
-from ..facade import Ending, Provider, Status
-from . import admission, http1
-from .call import InvokerCall
-from .calls import Calls
-from .connection import MAX_BUFFER, Connection
-from .outcomes import ending_of, report_of
+from ..load_balancer import Ending, Provider, Status
+from . import attempt_check, http1
+from .endpoint_connection import MAX_BUFFER, Connection
 from .pipe import BrokenError, Budget, Pipe
+from .request import InvokerCall
+from .requests import Calls
+from .response_outcome import ending_of, report_of
 from .sockets import Share
 
 log = logs.get(__name__)
@@ -235,7 +235,7 @@
         if invoker_call in self._cut:
             return False
         endpoint = self._usable(invoker_call.provider)
-        hindrance = admission.hindrance(invoker_call, endpoint, monotonic())
+        hindrance = attempt_check.hindrance(invoker_call, endpoint, monotonic())
         if hindrance is not None and self._trace:
             log.debug("not sent", call=invoker_call.call.number, provider=invoker_call.provider, reason=hindrance.value)
         return hindrance is None
--- a/limenotch/net/streams.py
+++ b/limenotch/net/peer_streams.py
@@ -17,7 +17,7 @@
 
 from .. import logs
 from ..config import Address, host_port
-from ..fleet.contract import Message
+from ..fleet.interfaces import Message
 from ..fleet.wire import MOST_FRAME, Fault, Frames, Hello, Wire, framed
 
 log = logs.get(__name__)
--- a/limenotch/net/others.py
+++ b/limenotch/net/peer_transport.py
@@ -17,7 +17,8 @@
 
 from .. import logs
 from ..config import Address, host_port
-from ..fleet.contract import (
+from ..fleet.hub import OFF, Asked, Hub
+from ..fleet.interfaces import (
     MOST_DATAGRAM,
     Action,
     Carrier,
@@ -34,10 +35,9 @@
     StoreFailed,
     TimerFired,
 )
-from ..fleet.hub import OFF, Asked, Hub
 from ..fleet.wire import MOST_FRAME, Fault, Hello, Wire
+from .peer_streams import Streams, family
 from .sockets import Listener
-from .streams import Streams, family
 
 log = logs.get(__name__)
 
--- a/limenotch/net/call.py
+++ b/limenotch/net/request.py
@@ -7,8 +7,8 @@
 from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
-from ..facade import NEVER_RAN, Ending, Hint, Provider
-from ..permits import Permits, Sent
+from ..load_balancer import NEVER_RAN, Ending, Hint, Provider
+from ..request_policy import Permits, Sent
 from .pipe import Pipe
 
 
--- a/limenotch/net/calls.py
+++ b/limenotch/net/requests.py
@@ -16,14 +16,14 @@
 
 from tornado.ioloop import IOLoop
 
-from .. import facade as house
+from .. import load_balancer as house
 from .. import logs
-from ..facade import Ending, Facade, Orders, time_left_ms
-from ..figures import Figures
-from ..permits import Sent
-from .call import NOTHING, About, Beside, Call, Final, Invoker, InvokerCall, Later, Verdict
-from .names import Names
+from ..load_balancer import Ending, Facade, Orders, time_left_ms
+from ..metrics import Figures
+from ..request_policy import Sent
 from .pipe import Pipe
+from .request import NOTHING, About, Beside, Call, Final, Invoker, InvokerCall, Later, Verdict
+from .request_ids import Names
 
 log = logs.get(__name__)
 
--- a/limenotch/net/outcomes.py
+++ b/limenotch/net/response_outcome.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..facade import Ending
+from ..load_balancer import Ending
 from . import http1
 
 # No busy share of its cores is more, noise included, and no endpoint of one process serves more a second.
--- a/limenotch/net/answers.py
+++ b/limenotch/net/responses.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from . import http1
-from .call import Final, Verdict
+from .request import Final, Verdict
 
 
 def answer_of(final: Final, close: bool) -> bytes:
--- a/tests/fleet/bindings_bugs.py
+++ b/tests/fleet/affinity_bugs.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from limenotch.fleet.bindings import clocks, full, held, names, peers, sights, table, values
-from limenotch.fleet.bindings.rows import GRAVE, NIL
+from limenotch.fleet.affinity import clocks, entries, eviction, last_seen, names, peers, table, values
+from limenotch.fleet.affinity.rows import GRAVE, NIL
 from limenotch.lab.fleet.bindings_drawings import outcome
 from limenotch.lab.fleet.bindings_storms import crowd, storm
 from limenotch.lab.fleet.scenario import load
@@ -46,14 +46,14 @@
 
 def covered_before_told(patch: pytest.MonkeyPatch) -> None:
     """The cover speaks of a second that is still to come."""
-    real = sights.Teller.batches
+    real = last_seen.Teller.batches
 
-    def batches(self: sights.Teller, now: float, *rest: Any) -> Any:
+    def batches(self: last_seen.Teller, now: float, *rest: Any) -> Any:
         out = real(self, now, *rest)
         self.covered = now + 1000.0
         return out
 
-    patch.setattr(sights.Teller, "batches", batches)
+    patch.setattr(last_seen.Teller, "batches", batches)
 
 
 def silent_one_not_waited_for(patch: pytest.MonkeyPatch) -> None:
@@ -94,7 +94,9 @@
 
 
 def half_open_push_out_open(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(full, "BY_WHAT", tuple(full.OPENED if each == full.OPENING else each for each in full.BY_WHAT))
+    patch.setattr(
+        eviction, "BY_WHAT", tuple(eviction.OPENED if each == eviction.OPENING else each for each in eviction.BY_WHAT)
+    )
 
 
 def providers_that_went_are_found(patch: pytest.MonkeyPatch) -> None:
@@ -110,7 +112,7 @@
 
 def sights_held_back_for_good(patch: pytest.MonkeyPatch) -> None:
     """What changes ages by less than the part that is told is not told when the others' age runs out either."""
-    patch.setattr(held.Held, "others_end", lambda self, row: float("inf"))
+    patch.setattr(entries.Held, "others_end", lambda self, row: float("inf"))
 
 
 BUGS: dict[Plant, tuple[Callable[[int], Any], int]] = {
--- a/tests/fleet/house.py
+++ b/tests/fleet/affinity_node.py
@@ -9,16 +9,16 @@
 from typing import Any
 
 from limenotch.config import parse
-from limenotch.facade import Ending, Facade, Provider, Status
-from limenotch.fleet.bindings.api import Bound, Kind
-from limenotch.fleet.contract import MemberChanged, Started, TimerFired
+from limenotch.fleet.affinity.api import Bound, Kind
 from limenotch.fleet.hub import Asked
+from limenotch.fleet.interfaces import MemberChanged, Started, TimerFired
 from limenotch.fleet.settings import Bindings as Table
-from limenotch.layers.base import Among
-from limenotch.layers.bindings import BindingsLayer, joined
-from limenotch.net.call import About, Final, InvokerCall, Verdict
-from limenotch.net.calls import Calls
+from limenotch.fleet_adapters.affinity import BindingsLayer, joined
+from limenotch.fleet_adapters.base import Among
+from limenotch.load_balancer import Ending, Facade, Provider, Status
 from limenotch.net.http1 import Message
+from limenotch.net.request import About, Final, InvokerCall, Verdict
+from limenotch.net.requests import Calls
 
 KEY = b"a key for tests, of 16 bytes"
 CLASSES: list[dict[str, Any]] = [
--- a/tests/fleet/bindings_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from limenotch.fleet.bindings import Bindings, Tuning
-from limenotch.fleet.bindings import messages as say
-from limenotch.fleet.bindings.api import Bound, Kind, Providers, State
-from limenotch.fleet.bindings.table import Shared
-from limenotch.fleet.bindings.tuning import Ages
-from limenotch.fleet.contract import Fenced, Heard, MemberChanged, Started, TimerFired
+from limenotch.fleet.affinity import Bindings, Tuning
+from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity.api import Bound, Kind, Providers, State
+from limenotch.fleet.affinity.table import Shared
+from limenotch.fleet.affinity.tuning import Ages
 from limenotch.fleet.hub import Asked, Hub
+from limenotch.fleet.interfaces import Fenced, Heard, MemberChanged, Started, TimerFired
 from limenotch.fleet.membership import Membership
 from limenotch.lab.fleet.members import TUNING
 from limenotch.lab.fleet.world import World, address
--- a/tests/fleet/said.py
+++ b/tests/fleet/fake_messages.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from limenotch.fleet.contract import Heard, Message
+from limenotch.fleet.interfaces import Heard, Message
 
 Answer = Callable[[float, Any], list[Any]]
 
--- a/tests/fleet/ones.py
+++ b/tests/fleet/fake_nodes.py
@@ -7,14 +7,12 @@
 from collections.abc import AsyncIterator, Callable, Coroutine
 from typing import Any
 
-from limenotch.fleet.contract import (
-    Leave,
-)
 from limenotch.fleet.hub import Hub
+from limenotch.fleet.interfaces import Leave
 from limenotch.fleet.wire import Hello, Wire, framed
-from limenotch.net.others import Others
+from limenotch.net.peer_transport import Others
 
-from .said import ALL, Book, Toy
+from .fake_messages import ALL, Book, Toy
 
 KEY = b"sixteen bytes ok"
 HOST = "127.0.0.1"
--- a/tests/fleet/toys.py
+++ b/tests/fleet/fake_parts.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from limenotch.fleet.contract import (
+from limenotch.fleet.interfaces import (
     Carrier,
     Heard,
     Leave,
--- a/tests/fleet/wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from limenotch.fleet.agreement import api as log
-from limenotch.fleet.contract import Heard, Note, SetTimer, Started, Tell, TimerFired
+from limenotch.fleet.consensus import api as log
+from limenotch.fleet.interfaces import Heard, Note, SetTimer, Started, Tell, TimerFired
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries
 
 QUICK = Tuning(
--- a/tests/fleet/log_bugs.py
+++ b/tests/fleet/log_bugs.py
@@ -8,8 +8,8 @@
 import msgspec
 import pytest
 
-from limenotch.fleet.agreement import lease, node, replicate, votes
-from limenotch.fleet.agreement.log import Log, pack
+from limenotch.fleet.consensus import elections, lease, node, replicate
+from limenotch.fleet.consensus.log import Log, pack
 from limenotch.store.records import Ballot
 
 Plant = Callable[[pytest.MonkeyPatch], None]
@@ -62,21 +62,21 @@
 
 
 def votes_twice(patch: pytest.MonkeyPatch) -> None:
-    real = votes.Elections.on_vote
+    real = elections.Elections.on_vote
 
-    def on_vote(self: votes.Elections, sender: str, message: Any) -> None:
+    def on_vote(self: elections.Elections, sender: str, message: Any) -> None:
         if message.epoch == self._node.epoch and self._node.role.value == "follower":
             self._node.vote = ""
         real(self, sender, message)
 
-    patch.setattr(votes.Elections, "on_vote", on_vote)
+    patch.setattr(elections.Elections, "on_vote", on_vote)
 
 
 def shorter_log_elected(patch: pytest.MonkeyPatch) -> None:
-    def able(self: votes.Elections, message: Any) -> bool:
+    def able(self: elections.Elections, message: Any) -> bool:
         return message.birth == self._node.birth and not self._node.ill
 
-    patch.setattr(votes.Elections, "_able", able)
+    patch.setattr(elections.Elections, "_able", able)
 
 
 def wiped_disk_counts(patch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/members.py
+++ b/tests/fleet/members.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from limenotch.fleet.contract import MemberChanged
+from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.membership import Membership, State
 from limenotch.lab.fleet.members import TUNING, maker
 from limenotch.lab.fleet.world import World
--- a/tests/fleet/rules_bugs.py
+++ b/tests/fleet/rules_bugs.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from limenotch.fleet.rules import book, core, kinds, leases
+from limenotch.fleet.rules import change_classification, core, leases, versioned_rules
 from limenotch.fleet.rules import messages as say
 
 Plant = Callable[[pytest.MonkeyPatch], None]
@@ -35,7 +35,9 @@
 
 
 def newest_alone_in_force(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(book.Book, "acting", lambda self, name: kinds.in_force(self.flat(self.newest), []))
+    patch.setattr(
+        versioned_rules.Book, "acting", lambda self, name: change_classification.in_force(self.flat(self.newest), [])
+    )
 
 
 def part_before_the_others_counted_up(patch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_bindings_core.py
+++ b/tests/fleet/test_affinity_core.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from limenotch.fleet.bindings import death_ms, forget_ms
-from limenotch.fleet.bindings.api import Kind, Providers, State
-from limenotch.fleet.bindings.messages import Sights
-from limenotch.fleet.contract import Heard, Leave, Tell
+from limenotch.fleet.affinity import death_ms, forget_ms
+from limenotch.fleet.affinity.api import Kind, Providers, State
+from limenotch.fleet.affinity.messages import Sights
+from limenotch.fleet.interfaces import Heard, Leave, Tell
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.members import TUNING
 from limenotch.lab.fleet.world import address
-from tests.fleet.bindings_worlds import QUICK, THERE, Fleet
+from tests.fleet.affinity_worlds import QUICK, THERE, Fleet
 
 IDLE = QUICK.sessions.open
 
--- a/tests/fleet/test_bindings_full.py
+++ b/tests/fleet/test_affinity_eviction.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from limenotch.fleet.bindings import Tuning
-from limenotch.fleet.bindings.api import Kind, Providers, State
-from limenotch.fleet.bindings.core import Bindings
-from limenotch.fleet.bindings.full import GOING, KEPT, OPENED, OPENING, Order, class_of
-from limenotch.fleet.bindings.rows import ENDED, GRAVE, NIL, STATE_AT, Rows
-from limenotch.fleet.bindings.tuning import Ages
-from limenotch.fleet.contract import Note, TimerFired
-from tests.fleet.bindings_worlds import THERE, alone
+from limenotch.fleet.affinity import Tuning
+from limenotch.fleet.affinity.api import Kind, Providers, State
+from limenotch.fleet.affinity.core import Bindings
+from limenotch.fleet.affinity.eviction import GOING, KEPT, OPENED, OPENING, Order, class_of
+from limenotch.fleet.affinity.rows import ENDED, GRAVE, NIL, STATE_AT, Rows
+from limenotch.fleet.affinity.tuning import Ages
+from limenotch.fleet.interfaces import Note, TimerFired
+from tests.fleet.affinity_worlds import THERE, alone
 
 SMALL = Tuning(most=16, most_opening=0.25, flow=Ages(opening=60_000))
 
--- a/tests/fleet/test_bindings_join.py
+++ b/tests/fleet/test_affinity_join.py
@@ -5,16 +5,16 @@
 import msgspec
 import pytest
 
-from limenotch.fleet.bindings import Tuning, pages, repair
-from limenotch.fleet.bindings import messages as say
-from limenotch.fleet.bindings.api import Kind, State
-from limenotch.fleet.bindings.sights import MOST_COUNT
-from limenotch.fleet.bindings.tuning import Ages
-from limenotch.fleet.contract import Heard, MemberChanged, Tell, TimerFired
+from limenotch.fleet.affinity import Tuning, pages, repair
+from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity.api import Kind, State
+from limenotch.fleet.affinity.last_seen import MOST_COUNT
+from limenotch.fleet.affinity.tuning import Ages
+from limenotch.fleet.interfaces import Heard, MemberChanged, Tell, TimerFired
 from limenotch.fleet.wire import MOST_FRAME
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.world import address
-from tests.fleet.bindings_worlds import QUICK, Fleet, alone
+from tests.fleet.affinity_worlds import QUICK, Fleet, alone
 
 S = Kind.SESSION
 LONG = Tuning(sessions=Ages(opening=1000, open=600_000), join_bytes_per_s=2_000_000)
--- a/tests/fleet/test_bindings_sights.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -7,17 +7,17 @@
 import msgspec
 import pytest
 
-from limenotch.fleet.bindings import Tuning
-from limenotch.fleet.bindings import messages as say
-from limenotch.fleet.bindings.api import Kind, State
-from limenotch.fleet.bindings.core import Bindings
-from limenotch.fleet.bindings.rows import NIL
-from limenotch.fleet.bindings.sights import pack, take
-from limenotch.fleet.bindings.spans import forget_ms, pace
-from limenotch.fleet.bindings.tuning import Ages
-from limenotch.fleet.contract import MOST_DATAGRAM, Fenced, Heard, MemberChanged, Started, Tell, TimerFired
+from limenotch.fleet.affinity import Tuning
+from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity.api import Kind, State
+from limenotch.fleet.affinity.core import Bindings
+from limenotch.fleet.affinity.expiry import forget_ms, pace
+from limenotch.fleet.affinity.last_seen import pack, take
+from limenotch.fleet.affinity.rows import NIL
+from limenotch.fleet.affinity.tuning import Ages
+from limenotch.fleet.interfaces import MOST_DATAGRAM, Fenced, Heard, MemberChanged, Started, Tell, TimerFired
 from limenotch.lab.fleet.world import address
-from tests.fleet.bindings_worlds import KEY, QUICK, alone, hear, rounds, sights
+from tests.fleet.affinity_worlds import KEY, QUICK, alone, hear, rounds, sights
 
 S = Kind.SESSION
 
--- a/tests/fleet/test_bindings_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -1,6 +1,6 @@
 """Bindings on processes: consumers call throughout and come back through other sidecars, and faults come between.
 
-Words of `ask`, and how each is judged: fleet/comers.py.
+Words of `ask`, and how each is judged: fleet/returning_clients.py.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from limenotch.lab.fleet.processes import NotReachedError, Processes
 from limenotch.lab.fleet.stage import Outcome, together
 from limenotch.net import http1
-from tests.helpers.peers import LOOK, answer_from
+from tests.helpers.http_peers import LOOK, answer_from
 
-from .comers import Bench, Comers
+from .returning_clients import Bench, Comers
 from .test_fleet_off import Sidecar, serving
 from .test_log_processes import AGREEMENT, MEMBERSHIP
 from .test_rules_processes import RULES
@@ -250,7 +250,7 @@
             names = [set(await each.end()) for each in (off, on)]
         found = [{name for name in each if "bindings" in name} for each in names]
         # Its table is read by the one reader of settings, whose type it is.
-        assert found[0] == {"limenotch.fleet.bindings", "limenotch.fleet.bindings.tuning"}
-        assert found[1] >= {"limenotch.layers.bindings", "limenotch.fleet.bindings.core"}
+        assert found[0] == {"limenotch.fleet.affinity", "limenotch.fleet.affinity.tuning"}
+        assert found[1] >= {"limenotch.fleet_adapters.affinity", "limenotch.fleet.affinity.core"}
 
     asyncio.run(case())
--- a/tests/fleet/test_bindings_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -7,14 +7,14 @@
 import pytest
 
 from limenotch import toml
-from limenotch.facade import NEVER_RAN, Ending, Status
-from limenotch.fleet.bindings.api import Kind, State
+from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.settings import Bindings as Table
-from limenotch.layers.bindings import joined
-from limenotch.net.call import Verdict
+from limenotch.fleet_adapters.affinity import joined
+from limenotch.load_balancer import NEVER_RAN, Ending, Status
+from limenotch.net.request import Verdict
 from limenotch.settings import parse as parse_settings
 
-from .house import ANSWER, CLASSES, FAR, NEAR, SERVED, SETTINGS, House, config, provider, run
+from .affinity_node import ANSWER, CLASSES, FAR, NEAR, SERVED, SETTINGS, House, config, provider, run
 
 # Keys
 
--- a/tests/fleet/test_bindings_rows.py
+++ b/tests/fleet/test_affinity_rows.py
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limenotch.fleet.bindings import Tuning
-from limenotch.fleet.bindings.api import Kind, State
-from limenotch.fleet.bindings.clocks import Clock
-from limenotch.fleet.bindings.rows import NIL, Rows
-from limenotch.fleet.bindings.wheel import SLOTS, Wheel
-from tests.fleet.bindings_worlds import alone
+from limenotch.fleet.affinity import Tuning
+from limenotch.fleet.affinity.api import Kind, State
+from limenotch.fleet.affinity.clocks import Clock
+from limenotch.fleet.affinity.rows import NIL, Rows
+from limenotch.fleet.affinity.timer_wheel import SLOTS, Wheel
+from tests.fleet.affinity_worlds import alone
 
 
 @pytest.mark.parametrize("spread", [1, 3, 1 << 120])
--- a/tests/fleet/test_bindings_storms.py
+++ b/tests/fleet/test_affinity_storms.py
@@ -10,7 +10,7 @@
 from limenotch.fleet import membership
 from limenotch.lab.fleet.bindings_run import QUICK, Run
 from limenotch.lab.fleet.bindings_storms import crowd, storm
-from tests.fleet.bindings_bugs import BUGS, Plant
+from tests.fleet.affinity_bugs import BUGS, Plant
 
 KINDS = 4
 
--- a/tests/fleet/test_bindings_table.py
+++ b/tests/fleet/test_affinity_table.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from limenotch.fleet.bindings import Tuning
-from limenotch.fleet.bindings.api import Kind, Providers, State, Window
-from limenotch.fleet.bindings.core import Bindings
-from limenotch.fleet.bindings.spans import Spans
-from limenotch.fleet.bindings.tuning import Ages
-from limenotch.fleet.contract import TimerFired
-from tests.fleet.bindings_worlds import QUICK, THERE, alone
+from limenotch.fleet.affinity import Tuning
+from limenotch.fleet.affinity.api import Kind, Providers, State, Window
+from limenotch.fleet.affinity.core import Bindings
+from limenotch.fleet.affinity.expiry import Spans
+from limenotch.fleet.affinity.tuning import Ages
+from limenotch.fleet.interfaces import TimerFired
+from tests.fleet.affinity_worlds import QUICK, THERE, alone
 
 S = Kind.SESSION
 
--- a/tests/fleet/test_bindings_values.py
+++ b/tests/fleet/test_affinity_values.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limenotch.fleet.bindings import values
-from limenotch.fleet.bindings.api import Kind, State
-from limenotch.fleet.bindings.rows import CHARGED, GRAVE, NIL, STATE, STATE_AT
-from limenotch.fleet.bindings.values import AFTER, Value, beats, merge
-from tests.fleet.bindings_worlds import alone
+from limenotch.fleet.affinity import values
+from limenotch.fleet.affinity.api import Kind, State
+from limenotch.fleet.affinity.rows import CHARGED, GRAVE, NIL, STATE, STATE_AT
+from limenotch.fleet.affinity.values import AFTER, Value, beats, merge
+from tests.fleet.affinity_worlds import alone
 
 PLACES = [("p1", "c1", "z1"), ("p2", "c1", "z1"), ("p3", "c2", "z2")]
 
--- a/tests/fleet/test_rules_kinds.py
+++ b/tests/fleet/test_change_classification.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from limenotch.fleet.rules import change_classification
 from limenotch.fleet.rules import document as doc
-from limenotch.fleet.rules import kinds
 
 NONE: dict[Any, st.SearchStrategy[Any]] = {}
 FIELDS: dict[Any, st.SearchStrategy[Any]] = {
@@ -53,25 +53,29 @@
 
 @settings(max_examples=150, deadline=None)
 @given(FLAT, FLAT, FLAT)
-def test_the_narrowest_is_a_meet(one: kinds.Flat, two: kinds.Flat, three: kinds.Flat) -> None:
-    both = kinds.meet(one, two)
-    assert both == kinds.meet(two, one)
-    assert kinds.meet(one, one) == one
-    assert kinds.meet(both, three) == kinds.meet(one, kinds.meet(two, three))
-    assert kinds.no_wider(both, one)
-    assert kinds.no_wider(both, two)
+def test_the_narrowest_is_a_meet(
+    one: change_classification.Flat, two: change_classification.Flat, three: change_classification.Flat
+) -> None:
+    both = change_classification.meet(one, two)
+    assert both == change_classification.meet(two, one)
+    assert change_classification.meet(one, one) == one
+    assert change_classification.meet(both, three) == change_classification.meet(
+        one, change_classification.meet(two, three)
+    )
+    assert change_classification.no_wider(both, one)
+    assert change_classification.no_wider(both, two)
 
 
 @settings(max_examples=100, deadline=None)
 @given(FLAT, FLAT, FLAT)
 def test_in_force_is_no_wider_than_any_and_switches_with_the_active(
-    active: kinds.Flat, one: kinds.Flat, two: kinds.Flat
+    active: change_classification.Flat, one: change_classification.Flat, two: change_classification.Flat
 ) -> None:
-    held = kinds.in_force(active, [one, two])
-    assert all(kinds.no_wider(held, flat) for flat in (active, one, two))
+    held = change_classification.in_force(active, [one, two])
+    assert all(change_classification.no_wider(held, flat) for flat in (active, one, two))
     assert held.get(("directory",)) == active.get(("directory",))
-    narrow = kinds.without_lease(held)
-    assert kinds.no_wider(narrow, held)
+    narrow = change_classification.without_lease(held)
+    assert change_classification.no_wider(narrow, held)
     assert not any(value for path, value in narrow.items() if path[-1] == "repeat")
 
 
@@ -112,8 +116,8 @@
     ],
 )
 def test_what_a_change_does(change: dict[str, Any], word: str) -> None:
-    found = kinds.diff(doc.flatten(base()), doc.flatten(doc.merge(base(), change)))
-    assert ", ".join(f"{kinds.text_of(path)} {one}" for path, one in found) == word
+    found = change_classification.diff(doc.flatten(base()), doc.flatten(doc.merge(base(), change)))
+    assert ", ".join(f"{change_classification.text_of(path)} {one}" for path, one in found) == word
 
 
 @pytest.mark.parametrize(
@@ -135,7 +139,7 @@
 
 def test_a_canary_carries_harmless_keys_and_narrower_limits_alone() -> None:
     def refused(change: dict[str, Any]) -> str | None:
-        return kinds.canary_refuses(doc.flatten(base()), doc.flatten(doc.merge(base(), change)))
+        return change_classification.canary_refuses(doc.flatten(base()), doc.flatten(doc.merge(base(), change)))
 
     assert refused({"settings": {"classes": {"pay": {"worth": 3}}, "permissions": {"max_attempts": 2}}}) is None
     assert "max_attempts" in str(refused({"settings": {"permissions": {"max_attempts": 4}}}))
--- a/tests/fleet/test_agreement.py
+++ b/tests/fleet/test_consensus.py
@@ -6,19 +6,12 @@
 
 import pytest
 
-from limenotch.fleet import contract
-from limenotch.fleet.agreement import (
-    Agreed,
-    Agreement,
-    Refused,
-    Tuning,
-    Unknown,
-    states,
-)
-from limenotch.fleet.agreement import messages as say
-from limenotch.fleet.agreement import node as node_module
-from limenotch.fleet.agreement.lease import Lease
-from limenotch.fleet.agreement.log import VOTERS, Voters, pack
+from limenotch.fleet import interfaces
+from limenotch.fleet.consensus import Agreed, Agreement, Refused, Tuning, Unknown, states
+from limenotch.fleet.consensus import messages as say
+from limenotch.fleet.consensus import node as node_module
+from limenotch.fleet.consensus.lease import Lease
+from limenotch.fleet.consensus.log import VOTERS, Voters, pack
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.log_run import QUICK, Run, storm
 from limenotch.store.records import Append, Ballot, Entry, Held, Snapshot
@@ -75,7 +68,7 @@
 
 def _fence(role: str) -> None:
     """Fenced, and told by its disk that it failed, in each role that this ends."""
-    for event in (contract.Fenced(), contract.StoreFailed(0, "full")):
+    for event in (interfaces.Fenced(), interfaces.StoreFailed(0, "full")):
         member = one_of_three()
         run_to(member, role)
         assert member.role.value == role
@@ -89,22 +82,22 @@
     log = [Entry(1, 1, VOTERS, pack(Voters(births)))]
     log += [Entry(2 + number, 2, "cmd", node_module.encode(f"i{number}", b"x")) for number in range(entries)]
     member = Agreement("a", ("a", "b", "c"), Held(Ballot(epoch, "?1"), None, log), QUICK, 1)
-    member.handle(0.0, contract.Started())
+    member.handle(0.0, interfaces.Started())
     return member
 
 
-def heard(sender: str, message: contract.Message) -> contract.Heard:
-    return contract.Heard((sender, 1), sender, message)
+def heard(sender: str, message: interfaces.Message) -> interfaces.Heard:
+    return interfaces.Heard((sender, 1), sender, message)
 
 
 def run_to(member: Agreement, role: str) -> list[Any]:
-    out = member.handle(500.0, contract.TimerFired(1))
+    out = member.handle(500.0, interfaces.TimerFired(1))
     if role == "pre-candidate":
         return out
     out = member.handle(501.0, heard("b", say.PreVoted(member.epoch + 1, True)))
     if role == "leader":
-        ticket = next(action.ticket for action in out if isinstance(action, contract.Store))
-        member.handle(502.0, contract.Stored(ticket))
+        ticket = next(action.ticket for action in out if isinstance(action, interfaces.Store))
+        member.handle(502.0, interfaces.Stored(ticket))
         out = member.handle(503.0, heard("b", say.Voted(member.epoch, True)))
     return out
 
@@ -115,7 +108,7 @@
     run_to(member, "leader")
     out = member.handle(504.0, heard("b", say.Ack(4, True, 5, 5, 1, "2")))
     assert member.agreed == 0 and not any(isinstance(action, Agreed) for action in out)
-    member.handle(505.0, contract.Stored(member._node.ticket))
+    member.handle(505.0, interfaces.Stored(member._node.ticket))
     out = member.handle(506.0, heard("b", say.Ack(4, True, 6, 6, 1, "2")))
     assert member.agreed == 6
     assert [action.id for action in out if isinstance(action, Agreed)] == ["i0", "i1", "i2", "i3"]
@@ -126,10 +119,10 @@
     vote = say.Vote(9, 1, 1, "1")
     assert not _told(member.handle(100.0, heard("b", vote)))  # started just now
     out = member.handle(250.0, heard("b", vote))
-    ticket = max(action.ticket for action in out if isinstance(action, contract.Store))
+    ticket = max(action.ticket for action in out if isinstance(action, interfaces.Store))
     assert not _told(out)
-    assert _told(member.handle(251.0, contract.Stored(ticket - 1))) == []
-    assert _told(member.handle(252.0, contract.Stored(ticket))) == [say.Voted(9, True)]
+    assert _told(member.handle(251.0, interfaces.Stored(ticket - 1))) == []
+    assert _told(member.handle(252.0, interfaces.Stored(ticket))) == [say.Voted(9, True)]
     assert _told(member.handle(253.0, heard("c", vote))) == [say.Voted(9, False)]
     stranger = one_of_three()
     assert _told(stranger.handle(250.0, heard("b", say.Vote(9, 1, 1, "another birth")))) == [say.Voted(9, False)]
@@ -137,7 +130,9 @@
 
 def _told(out: list[Any]) -> list[Any]:
     return [
-        action.message for action in out if isinstance(action, contract.Tell) and isinstance(action.message, say.Voted)
+        action.message
+        for action in out
+        if isinstance(action, interfaces.Tell) and isinstance(action.message, say.Voted)
     ]
 
 
@@ -265,14 +260,14 @@
 
 def test_bad_messages_change_nothing_and_bad_events_raise() -> None:
     member = one_of_three()
-    member.handle(1.0, heard("x", contract.Message()))
+    member.handle(1.0, heard("x", interfaces.Message()))
     member.handle(1.0, heard("b", say.Chunk(3, 50, 3, 4, 0, b"nope", (), 1)))
     member.handle(1.0, heard("b", say.Append(2, 0, 0, (), 9, 1)))
     assert member.counts["no message of agreement"] == 1 and member.agreed == 0
     with pytest.raises(TypeError):
         member.handle(2.0, "event")
     with pytest.raises(ValueError, match="runs back"):
-        member.handle(0.5, contract.Fenced())
+        member.handle(0.5, interfaces.Fenced())
     with pytest.raises(ValueError, match="names"):
         Agreement("a", ("a", "a"), Held())
 
@@ -281,12 +276,12 @@
     member = one_of_three()
     entry = Entry(2, 5, "cmd", node_module.encode("", b"x"))
     member.handle(1.0, heard("b", say.Append(5, 1, 1, (entry,), 0, 1)))
-    member.handle(2.0, contract.StoreFailed(1, "torn"))
-    member.handle(2.0, contract.StoreFailed(2, "torn"))
-    out = member.handle(150.0, contract.TimerFired(1))
-    store = next(action for action in out if isinstance(action, contract.Store))
+    member.handle(2.0, interfaces.StoreFailed(1, "torn"))
+    member.handle(2.0, interfaces.StoreFailed(2, "torn"))
+    out = member.handle(150.0, interfaces.TimerFired(1))
+    store = next(action for action in out if isinstance(action, interfaces.Store))
     assert store.records == (Ballot(5, "?1"), Append((entry,)))
-    out = member.handle(151.0, contract.Stored(store.ticket))
+    out = member.handle(151.0, interfaces.Stored(store.ticket))
     assert any(getattr(getattr(action, "message", None), "match", 0) == 2 for action in out)
     assert not any(isinstance(record, Snapshot) for record in store.records)
 
--- a/tests/fleet/test_drawing.py
+++ b/tests/fleet/test_drawing.py
@@ -30,7 +30,7 @@
 from limenotch.lab.fleet.scenario import check, load, play
 from limenotch.lab.fleet.world import World
 
-from .toys import listeners
+from .fake_parts import listeners
 
 names = st.lists(st.sampled_from(["a", "b", "c", "n12", "east-1"]), min_size=2, max_size=5, unique=True)
 figures = st.integers(0, 999_999).map(lambda number: number / 1000)
--- a/tests/fleet/test_rules_lists.py
+++ b/tests/fleet/test_endpoint_lists.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from limenotch.fleet.agreement import api as log
-from limenotch.fleet.contract import Heard, MemberChanged, Started, Tell
+from limenotch.fleet.consensus import api as log
 from limenotch.fleet.hub import Asked
-from limenotch.fleet.rules import arrivals, drains, listing
+from limenotch.fleet.interfaces import Heard, MemberChanged, Started, Tell
+from limenotch.fleet.rules import drain_notices, endpoint_additions, endpoint_list_messages
 from limenotch.fleet.rules.api import Voters
-from limenotch.fleet.rules.listing import Agree, Arrived, DirectorySilent, Know, PeerDrain, Pull, Word
-from limenotch.fleet.rules.lists import AGAIN, AGAIN_MS, Lists
+from limenotch.fleet.rules.endpoint_list_messages import Agree, Arrived, DirectorySilent, Know, PeerDrain, Pull, Word
+from limenotch.fleet.rules.endpoint_lists import AGAIN, AGAIN_MS, Lists
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.lists_drawings import Run, ask, event_of, named, outcome
 from limenotch.lab.fleet.scenario import load
@@ -66,9 +66,9 @@
     return Word(begun, directory, index, serial, live, names, whole)
 
 
-def asked(words: str, at: float) -> listing.Listed:
+def asked(words: str, at: float) -> endpoint_list_messages.Listed:
     event = event_of(words)
-    assert isinstance(event, listing.Listed)
+    assert isinstance(event, endpoint_list_messages.Listed)
     return event._replace(asked_ms=at)
 
 
@@ -181,7 +181,7 @@
     heard(lists, word(9, *((f"x{number}", "gone") for number in range(5)), ("y", "odd")))
     heard(lists, word(9, ("z" * 100, "gone"), serial=2))
     heard(lists, word(9, U), "nobody")
-    heard(lists, listing.Know("d1"))
+    heard(lists, endpoint_list_messages.Know("d1"))
     assert len(lists.drains.claims) == 3
     assert lists.counts == {"too many drains": 2, "bad drain": 1, "bad word": 1, "word of nobody": 1}
 
@@ -206,10 +206,10 @@
 def test_a_quorum_of_voters_must_hold_it_from_the_same_directory() -> None:
     lists = leader()
     assert heard(lists, Know("d2", (named("u"),))) == []
-    assert heard(lists, Know("d1", (listing.Named("u", "x"),))) == [], "at another address"
+    assert heard(lists, Know("d1", (endpoint_list_messages.Named("u", "x"),))) == [], "at another address"
     assert heard(lists, Know("d1", (named("u"),)), "e") == [], "no voter"
     (proposed,) = heard(lists, Know("d1", (named("u"),)))
-    assert listing.agree_of(proposed.data) == Agree("d1", (named("u"),))
+    assert endpoint_list_messages.agree_of(proposed.data) == Agree("d1", (named("u"),))
     assert heard(lists, Know("d1", (named("u"),)), "c") == [], "it is on its way"
 
 
@@ -224,8 +224,8 @@
     lists = leader()
     lists.handle(0.0, event_of("whole 5 v"))
     heard(lists, Know("d1", (named("w"),)))
-    assert heard(lists, Know("d1", (named("w"),)), "c", now=arrivals.LATELY_MS + 1) == []
-    lists.handle(9000.0, log.Agreed(1, 1, listing.encode(Agree("d1", (named("u"), named("v")))), ""))
+    assert heard(lists, Know("d1", (named("w"),)), "c", now=endpoint_additions.LATELY_MS + 1) == []
+    lists.handle(9000.0, log.Agreed(1, 1, endpoint_list_messages.encode(Agree("d1", (named("u"), named("v")))), ""))
     told = lists.handle(9001.0, log.LeaderChanged("b", 2))
     (know,) = [one.message for one in told if isinstance(one, Tell) and isinstance(one.message, Know)]
     assert know == Know("d1", (), ("u",)), "the own directory has not that one"
@@ -233,11 +233,11 @@
 
 def test_agreed_ones_serve_where_the_directory_is_silent() -> None:
     lists = held()
-    entry = listing.encode(Agree("d1", (named("u"), named("w"))))
+    entry = endpoint_list_messages.encode(Agree("d1", (named("u"), named("w"))))
     assert Arrived((named("w"),)) not in lists.handle(1.0, log.Agreed(1, 1, entry, "")), "the own one answers"
-    lists.handle(1.0, log.Agreed(2, 1, listing.encode(Agree("d2", (named("x"),))), ""))
+    lists.handle(1.0, log.Agreed(2, 1, endpoint_list_messages.encode(Agree("d2", (named("x"),))), ""))
     assert Arrived((named("w"),)) in lists.handle(2.0, DirectorySilent("d1"))
-    gone = listing.encode(Agree("d1", (), ("w",)))
+    gone = endpoint_list_messages.encode(Agree("d1", (), ("w",)))
     assert Arrived(()) in lists.handle(3.0, log.Agreed(3, 1, gone, ""))
     other = Lists("z", 1, "d1", ("a",), state=lists.state())
     assert Arrived((named("u"),)) in other.handle(0.0, DirectorySilent("d1"))
@@ -368,24 +368,24 @@
 
 
 def plant(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    listed, member_ = drains.Drains.listed, drains.Drains.member
+    listed, member_ = drain_notices.Drains.listed, drain_notices.Drains.member
 
-    def any_list(self: drains.Drains, directory: str, index: int, ready: set[str], asked: float) -> None:
+    def any_list(self: drain_notices.Drains, directory: str, index: int, ready: set[str], asked: float) -> None:
         listed(self, directory, index, ready, asked if asked == -float("inf") else float("inf"))
 
-    def forgets(self: drains.Drains, name: str, state: str, life: int) -> bool:
+    def forgets(self: drain_notices.Drains, name: str, state: str, life: int) -> bool:
         if state == "dead":
             for provider in [one for one, told in self.claims.items() if name in told]:
                 self._end(provider, name)
         return member_(self, name, state, life)
 
     if name == "a list asked for before ends a drain":
-        monkeypatch.setattr(drains.Drains, "listed", any_list)
+        monkeypatch.setattr(drain_notices.Drains, "listed", any_list)
     elif name == "a drain ends with its teller":
-        monkeypatch.setattr(drains.Drains, "member", forgets)
+        monkeypatch.setattr(drain_notices.Drains, "member", forgets)
     else:
-        monkeypatch.setattr("limenotch.fleet.rules.lists.AGAIN", 0)
-        monkeypatch.setattr("limenotch.fleet.rules.lists.SILENT_MS", 1e9)
+        monkeypatch.setattr("limenotch.fleet.rules.endpoint_lists.AGAIN", 0)
+        monkeypatch.setattr("limenotch.fleet.rules.endpoint_lists.SILENT_MS", 1e9)
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_lists_processes.py
+++ b/tests/fleet/test_endpoint_lists_processes.py
@@ -21,7 +21,7 @@
 
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.net import http1
-from tests.helpers.peers import LOOK, SETTINGS, ask, renamed, whole
+from tests.helpers.http_peers import LOOK, SETTINGS, ask, renamed, whole
 
 ROOT = Path(__file__).parent.parent.parent
 BESIDE = """
--- a/tests/fleet/test_explore.py
+++ b/tests/fleet/test_explore.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from limenotch.fleet.contract import Carrier, Heard, Note, Started, Tell
+from limenotch.fleet.interfaces import Carrier, Heard, Note, Started, Tell
 from limenotch.lab.fleet.explore import Bounds, Explored, Explorer, View
 
-from .toys import Beat, Voter
+from .fake_parts import Beat, Voter
 
 NODES = ("a", "b", "c")
 
--- a/tests/fleet/test_explore_agreement.py
+++ b/tests/fleet/test_explore_consensus.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limenotch.fleet.contract import Started, TimerFired
+from limenotch.fleet.interfaces import Started, TimerFired
 from limenotch.lab.fleet.explore import Bounds, Explored, Explorer, View
 from limenotch.lab.fleet.explore_log import Check, begun, digest, maker
 
--- a/tests/fleet/test_together.py
+++ b/tests/fleet/test_fleet_node.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from limenotch.lab.emulate.sidecars import free_port
-from tests.helpers.peers import LOOK, ask
+from tests.helpers.http_peers import LOOK, ask
 
 from .test_fleet_off import Sidecar, of_the_fleet, serving
 
--- a/tests/fleet/test_fleet_off.py
+++ b/tests/fleet/test_fleet_off.py
@@ -19,7 +19,7 @@
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.net.sockets import OPERATORS, Sockets
 from limenotch.settings import Descriptors
-from tests.helpers.peers import LOOK, SETTINGS, answering, ask, whole
+from tests.helpers.http_peers import LOOK, SETTINGS, answering, ask, whole
 
 ROOT = Path(__file__).parent.parent.parent
 KEY = "sixteen bytes ok"
@@ -36,15 +36,15 @@
 FLEET = (
     "limenotch.fleet",
     "limenotch.store",
-    "limenotch.net.others",
-    "limenotch.net.streams",
-    "limenotch.net.kept",
-    "limenotch.net.promised",
-    "limenotch.net.asking",
-    "limenotch.net.ruled",
-    "limenotch.net.paid",
-    "limenotch.layers",
-    "limenotch.together",
+    "limenotch.net.peer_transport",
+    "limenotch.net.peer_streams",
+    "limenotch.net.log_storage",
+    "limenotch.net.admin.log",
+    "limenotch.net.admin.queries",
+    "limenotch.net.admin.rules",
+    "limenotch.net.admin.wallet",
+    "limenotch.fleet_adapters",
+    "limenotch.fleet_node",
 )
 
 
@@ -180,7 +180,7 @@
         assert on.consumers.limit + on.providers.limit == left
 
 
-@pytest.mark.parametrize("name", ["limenotch.settings", "limenotch.program", "limenotch.cli.serve"])
+@pytest.mark.parametrize("name", ["limenotch.settings", "limenotch.app", "limenotch.cli.serve"])
 def test_what_is_imported_by_the_name_alone(name: str) -> None:
     async def case() -> bytes:
         code = f"import sys, json, {name}; print(json.dumps(sorted(sys.modules)))"
--- a/tests/fleet/test_fleet_settings.py
+++ b/tests/fleet/test_fleet_settings.py
@@ -136,7 +136,7 @@
 
 
 def test_check_config_shows_the_table_and_finds_its_faults(tmp_path: Path, key: Path) -> None:
-    from tests.helpers.peers import SETTINGS
+    from tests.helpers.http_peers import SETTINGS
 
     (tmp_path / "c.json").write_text(
         json.dumps({"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS})
--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from limenotch.fleet import above
 from limenotch.fleet import hub as hubs
-from limenotch.fleet.agreement import (
+from limenotch.fleet import log_multiplexer
+from limenotch.fleet.consensus import (
     Agreed,
     ChangeVoters,
     Compact,
@@ -23,7 +23,8 @@
     Refused,
     WantSnapshot,
 )
-from limenotch.fleet.contract import (
+from limenotch.fleet.hub import Asked, Hub
+from limenotch.fleet.interfaces import (
     Carrier,
     Fenced,
     Heard,
@@ -39,9 +40,8 @@
     Tell,
     TimerFired,
 )
-from limenotch.fleet.hub import Asked, Hub
 
-from .said import Answer, Block, Book, Line, Probe, Toy
+from .fake_messages import Answer, Block, Book, Line, Probe, Toy
 
 B = ("127.0.0.1", 2)
 DEAD = MemberChanged("b", "dead", B, 0, 1)
@@ -174,7 +174,11 @@
 
 def with_log(log: Answer, *layers: Answer) -> tuple[Hub, Toy, list[Layer]]:
     of_log, above = Toy(log), [Layer(answer) for answer in layers]
-    return Hub([("mb.", Toy()), ("ag.", of_log), *zip(("ru.", "pr."), above, strict=False)]), of_log, above
+    return (
+        Hub([("mb.", Toy()), ("ag.", of_log), *zip(("ru.", "pr."), above, strict=False)]),
+        of_log,
+        above,
+    )
 
 
 def on(kind: type, *actions: Any) -> Answer:
@@ -229,14 +233,14 @@
     rules.kept, promises.kept = b"R", b"P"
     hub.handle(0.0, Started())
     (compact,) = [told for told in of_log.told if isinstance(told, Compact)]
-    assert compact.index == 5 and above.parted(compact.state) == {"ru.": b"R", "pr.": b"P"}
+    assert compact.index == 5 and log_multiplexer.parted(compact.state) == {"ru.": b"R", "pr.": b"P"}
     of_log.answer = on(Leave, Install(9, compact.state))
     hub.handle(1.0, Leave())
     assert Install(9, b"R") in rules.told and Install(9, b"P") in promises.told
-    assert above.parted(None) == {} and above.unmarked(b"none") == ("", b"none")
+    assert log_multiplexer.parted(None) == {} and log_multiplexer.unmarked(b"none") == ("", b"none")
 
 
-@pytest.mark.parametrize("before", [Agreed(1, 1, b"zz.x", ""), Install(1, above.joined({"zz.": b"Z"}))])
+@pytest.mark.parametrize("before", [Agreed(1, 1, b"zz.x", ""), Install(1, log_multiplexer.joined({"zz.": b"Z"}))])
 def test_no_snapshot_is_made_where_a_layer_is_missing_or_off(before: Any) -> None:
     hub, of_log, _ = with_log(on(Started, before, WantSnapshot(1)), on(int), on(int))
     (note,) = hub.handle(0.0, Started())
--- a/tests/fleet/test_log_processes.py
+++ b/tests/fleet/test_log_processes.py
@@ -1,10 +1,10 @@
 """The log on processes: operators promise and read throughout, consumers call, and faults come between.
 
-Of each run three verdicts: what operators were told and find at the end (`helpers/promised.py`), the rules for calls,
-and that nothing crashed. `a` leads when a drawing begins: it founds the group as the first voter by name. Words of
-`ask`: `keep X` (told 200), `no X` (not told 200), `in time X` (asked until told 200), `read X` (found), `leads` (a
-leader is known here), `tear` (bytes of a record without its end are put behind the log of a process that is gone),
-`put X for Y` (X votes instead of Y).
+Of each run three verdicts: what operators were told and find at the end (`helpers/log_operators.py`), the rules for
+calls, and that nothing crashed. `a` leads when a drawing begins: it founds the group as the first voter by name.
+Words of `ask`: `keep X` (told 200), `no X` (not told 200), `in time X` (asked until told 200), `read X` (found),
+`leads` (a leader is known here), `tear` (bytes of a record without its end are put behind the log of a process that
+is gone), `put X for Y` (X votes instead of Y).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from limenotch.lab.fleet import drawing, weather
 from limenotch.lab.fleet.processes import NodeProcess, Processes
 from limenotch.lab.fleet.stage import Outcome, Stage, together
-from tests.helpers.promised import Operators, call
+from tests.helpers.log_operators import Operators, call
 
 from .test_processes import TRAFFIC
 
--- a/tests/fleet/test_kept.py
+++ b/tests/fleet/test_log_storage.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from limenotch.net.kept import Memory
+from limenotch.net.log_storage import Memory
 from limenotch.store.files import RealFiles
 from limenotch.store.records import Append, Ballot, Entry, Snapshot
-from tests.helpers.peers import LOOK, ask
+from tests.helpers.http_peers import LOOK, ask
 
 from .test_fleet_off import Sidecar, serving
 
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from limenotch.fleet.contract import (
+from limenotch.fleet.interfaces import (
     MOST_DATAGRAM,
     Heard,
     Leave,
@@ -24,8 +24,8 @@
     TimerFired,
 )
 from limenotch.fleet.membership import Membership, State, Tuning
-from limenotch.fleet.membership.agenda import Agenda
-from limenotch.fleet.membership.ground import MOST_TOLD_OFF
+from limenotch.fleet.membership.context import MOST_TOLD_OFF
+from limenotch.fleet.membership.dissemination import Broadcasts
 from limenotch.fleet.membership.health import ANSWERED, UNHEARD, Health
 from limenotch.fleet.membership.messages import (
     LONGEST_HOST,
@@ -39,10 +39,10 @@
     Ping,
     PingReq,
 )
-from limenotch.fleet.membership.news import Broadcasts
 from limenotch.fleet.membership.states import FINAL, TABLE, Needs, Standing, wins
 from limenotch.fleet.membership.suspicion import Suspicion
 from limenotch.fleet.membership.table import Came, Table
+from limenotch.fleet.membership.timer_queue import Agenda
 
 STANDINGS: list[Standing] = list(product(range(2), State, range(3)))
 AT = ("h", 1)
--- a/tests/fleet/test_membership_runs.py
+++ b/tests/fleet/test_membership_runs.py
@@ -10,14 +10,14 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from limenotch.fleet.contract import Fenced, MemberChanged, Started
+from limenotch.fleet.interfaces import Fenced, MemberChanged, Started
 from limenotch.fleet.membership import Tuning
 from limenotch.fleet.membership import states as table_of_states
 from limenotch.fleet.membership.core import Membership
-from limenotch.fleet.membership.holding import Holder
+from limenotch.fleet.membership.member_states import Holder
 from limenotch.fleet.membership.messages import MOST_LIFE
-from limenotch.fleet.membership.own import Own
 from limenotch.fleet.membership.probing import Prober
+from limenotch.fleet.membership.self_member import Own
 from limenotch.fleet.membership.states import Needs, State
 from limenotch.fleet.membership.suspicion import Suspicion
 from limenotch.lab.fleet.faults import parse
--- a/tests/fleet/test_streams.py
+++ b/tests/fleet/test_peer_streams.py
@@ -8,19 +8,17 @@
 
 import pytest
 
-from limenotch.fleet.contract import (
-    Tell,
-)
+from limenotch.fleet.interfaces import Tell
 from limenotch.fleet.wire import Fault, Hello, Wire, framed
-from limenotch.net import streams
+from limenotch.net import peer_streams
 
-from .ones import HELLO, HOST, KEY, One, run, several, until
-from .said import ALL, Block, Line
+from .fake_messages import ALL, Block, Line
+from .fake_nodes import HELLO, HOST, KEY, One, run, several, until
 
 
 def test_a_peer_gone_and_back_is_spoken_with_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "FIRST_WAIT_S", 0.01)
-    monkeypatch.setattr(streams, "MOST_WAIT_S", 0.04)
+    monkeypatch.setattr(peer_streams, "FIRST_WAIT_S", 0.01)
+    monkeypatch.setattr(peer_streams, "MOST_WAIT_S", 0.04)
 
     async def case() -> None:
         a, b = One("a"), One("b")
@@ -44,8 +42,8 @@
 
 
 def test_a_peer_that_ends_each_stream_is_asked_ever_more_seldom(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "FIRST_WAIT_S", 0.01)
-    monkeypatch.setattr(streams, "MOST_WAIT_S", 0.08)
+    monkeypatch.setattr(peer_streams, "FIRST_WAIT_S", 0.01)
+    monkeypatch.setattr(peer_streams, "MOST_WAIT_S", 0.08)
 
     async def case() -> None:
         a, times = One("a"), []
@@ -69,9 +67,9 @@
 
 
 def test_old_messages_are_not_sent_and_unused_streams_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "FIRST_WAIT_S", 0.02)
-    monkeypatch.setattr(streams, "IDLE_S", 1.0)
-    monkeypatch.setattr(streams, "STALE_S", 0.01)
+    monkeypatch.setattr(peer_streams, "FIRST_WAIT_S", 0.02)
+    monkeypatch.setattr(peer_streams, "IDLE_S", 1.0)
+    monkeypatch.setattr(peer_streams, "STALE_S", 0.01)
 
     async def case() -> None:
         a, b = One("a"), One("b")
@@ -93,8 +91,8 @@
 
 
 def test_a_silent_peer_s_queue_is_bounded_and_its_stream_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "STALL_S", 0.2)
-    monkeypatch.setattr(streams, "MOST_BYTES", 3_000_000)
+    monkeypatch.setattr(peer_streams, "STALL_S", 0.2)
+    monkeypatch.setattr(peer_streams, "MOST_BYTES", 3_000_000)
 
     async def case() -> None:
         a, silent = One("a"), socket.create_server((HOST, 0))
@@ -103,8 +101,8 @@
             name = "%s:%d" % silent.getsockname()  # noqa: UP031
             for _ in range(3000):
                 a.act(Tell("s", Line("x")))
-            assert a.streams["out"][name]["messages"] == streams.MOST_QUEUED
-            assert a.streams["dropped_full"] == 3000 - streams.MOST_QUEUED
+            assert a.streams["out"][name]["messages"] == peer_streams.MOST_QUEUED
+            assert a.streams["dropped_full"] == 3000 - peer_streams.MOST_QUEUED
             for _ in range(40):
                 a.act(Tell("s", Block(bytes(500_000))))
                 assert a.streams["out"][name]["bytes"] <= 3_000_000
@@ -206,7 +204,7 @@
 def test_a_stream_with_garbage_is_ended_and_counted(
     sent: bytes, fault: Fault | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(streams, "HELLO_S", 60.0)  # it's not for its silence
+    monkeypatch.setattr(peer_streams, "HELLO_S", 60.0)  # it's not for its silence
 
     async def case() -> None:
         b = One("b")
@@ -223,7 +221,7 @@
 
 
 def test_who_says_nothing_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streams, "HELLO_S", 0.02)
+    monkeypatch.setattr(peer_streams, "HELLO_S", 0.02)
 
     async def case() -> None:
         b = One("b")
--- a/tests/fleet/test_others.py
+++ b/tests/fleet/test_peer_transport.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from limenotch.fleet.contract import (
+from limenotch.fleet.interfaces import (
     Carrier,
     Fenced,
     Heard,
@@ -27,10 +27,10 @@
     TimerFired,
 )
 from limenotch.fleet.wire import Fault, Hello, Wire, framed
-from limenotch.net import others as module
+from limenotch.net import peer_transport as module
 
-from .ones import HELLO, HOST, KEY, One, run, several, until
-from .said import ALL, Block, Line, Probe
+from .fake_messages import ALL, Block, Line, Probe
+from .fake_nodes import HELLO, HOST, KEY, One, run, several, until
 
 
 def test_datagrams_and_streams_are_carried_in_order_and_whole() -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from limenotch.fleet.contract import Carrier
+from limenotch.fleet.interfaces import Carrier
 from limenotch.lab import planning, scenario
 from limenotch.lab.fleet import drills
 from limenotch.lab.fleet import node as node_module
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from limenotch.fleet.contract import Carrier
+from limenotch.fleet.interfaces import Carrier
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.lab.emulate.wire import reset
 from limenotch.lab.fleet import relay as relay_module
--- a/tests/fleet/test_promises.py
+++ b/tests/fleet/test_replicated_notes.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
-from limenotch.fleet import promises as module
-from limenotch.fleet.agreement import (
+from limenotch.fleet import replicated_notes as module
+from limenotch.fleet.consensus import (
     Agreed,
     ChangeVoters,
     Install,
@@ -19,10 +19,10 @@
     Refused,
     Unknown,
 )
-from limenotch.fleet.contract import SetTimer, Started, TimerFired
-from limenotch.fleet.promises import Answer, Ask, Promises
+from limenotch.fleet.interfaces import SetTimer, Started, TimerFired
+from limenotch.fleet.replicated_notes import Answer, Ask, Promises
 from limenotch.lab.fleet.processes import Processes
-from tests.helpers.promised import Operators, Told
+from tests.helpers.log_operators import Operators, Told
 
 
 def entry(index: int, ident: str, words: bytes = b"w") -> Agreed:
--- a/tests/fleet/test_rules_core.py
+++ b/tests/fleet/test_rules_core.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limenotch.fleet.contract import Fenced, Heard, Started
+from limenotch.fleet.interfaces import Fenced, Heard, Started
 from limenotch.fleet.rules import Rules, Tuning, api
 from limenotch.fleet.rules import messages as say
 from limenotch.fleet.rules.canary import Tuning as Canary
--- a/tests/fleet/test_rules_late.py
+++ b/tests/fleet/test_rules_late.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from limenotch.acting import Acting
 from limenotch.config import parse
+from limenotch.configuration_applier import Acting
 from limenotch.fleet.hub import Asked
 from limenotch.fleet.rules.api import Counted
 from limenotch.fleet.rules.tuning import Tuning
-from limenotch.layers.base import Among
-from limenotch.layers.rules import RulesLayer
-from limenotch.net.call import Call, Final, Verdict
-from tests.test_acting import RAW, Deeds
+from limenotch.fleet_adapters.base import Among
+from limenotch.fleet_adapters.rules import RulesLayer
+from limenotch.net.request import Call, Final, Verdict
+from tests.test_configuration_applier import RAW, Deeds
 
 
 def call(kind: str, spent_s: float, verdict: Verdict | None) -> Call:
--- a/tests/fleet/test_rules_processes.py
+++ b/tests/fleet/test_rules_processes.py
@@ -18,7 +18,7 @@
 from limenotch.lab.fleet.processes import NodeProcess, Processes
 from limenotch.lab.fleet.stage import Outcome, Stage, together
 from limenotch.lab.model.rules import COLD
-from tests.helpers.promised import call
+from tests.helpers.log_operators import call
 
 from .test_log_processes import AGREEMENT, MEMBERSHIP, leader
 from .test_processes import TRAFFIC
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -16,7 +16,7 @@
 from limenotch.store.log import BALLOTS, Store
 from limenotch.store.records import Append, Ballot, Entry, Held, Record, Snapshot
 
-from .disks import Disk, entries, histories, same, states
+from .fake_disk import Disk, entries, histories, same, states
 
 
 @settings(max_examples=60)
--- a/tests/fleet/test_store_crash.py
+++ b/tests/fleet/test_store_crash.py
@@ -15,7 +15,7 @@
 from limenotch.store.records import Held, Record, Snapshot
 from limenotch.store.segments import segment_name
 
-from .disks import Disk, FellError, File, entries, histories, same, states
+from .fake_disk import Disk, FellError, File, entries, histories, same, states
 
 SMALL = 300  # bytes of a segment: a few batches
 
--- a/tests/fleet/test_store_thread.py
+++ b/tests/fleet/test_store_thread.py
@@ -17,7 +17,7 @@
 from limenotch.store.thread import StoreThread, size
 
 from ..helpers.processes import printed_by
-from .disks import Disk, entries
+from .fake_disk import Disk, entries
 
 WAIT_S = 10.0  # for what must happen; nothing waits so long unless it is broken
 
--- a/tests/fleet/test_rules_book.py
+++ b/tests/fleet/test_versioned_rules.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from limenotch.fleet.rules import document as doc
-from limenotch.fleet.rules.book import Applied, Book
 from limenotch.fleet.rules.entries import Activate, EndTry, Out, Put, Try
+from limenotch.fleet.rules.versioned_rules import Applied, Book
 from limenotch.lab.fleet.rules_run import FIRST
 
 
--- a/tests/fleet/test_wallet_purse.py
+++ b/tests/fleet/test_wallet_allocations.py
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 
 from limenotch.fleet.wallet import Tuning
+from limenotch.fleet.wallet.allocations import Held, Purse
 from limenotch.fleet.wallet.api import Reservation, Turned
-from limenotch.fleet.wallet.book import Book
 from limenotch.fleet.wallet.entries import Credit
-from limenotch.fleet.wallet.purse import Held, Purse
+from limenotch.fleet.wallet.ledger import Book
 
 TUNING = Tuning(cost={"call": 1, "dear": 8, "free": 0}, other_cost=2, retry_after_ms=500, record_ms=40)
 OWN = ("a", 1)
--- a/tests/fleet/test_wallet_whatever.py
+++ b/tests/fleet/test_wallet_any_order.py
@@ -9,12 +9,12 @@
 import msgspec
 import pytest
 
-from limenotch.fleet.agreement import api as log
-from limenotch.fleet.contract import Fenced
+from limenotch.fleet.consensus import api as log
+from limenotch.fleet.interfaces import Fenced
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries
-from limenotch.fleet.wallet.book import Book, Slice
-from limenotch.fleet.wallet.witness import Memory
-from tests.fleet.wallets import QUICK, Group
+from limenotch.fleet.wallet.ledger import Book, Slice
+from limenotch.fleet.wallet.spend_witness import Memory
+from tests.fleet.fake_wallets import QUICK, Group
 
 SEEDS = range(20)
 LEADERS = (entries.Grant, entries.Expire)
--- a/tests/fleet/test_wallet_core.py
+++ b/tests/fleet/test_wallet_core.py
@@ -5,12 +5,12 @@
 import msgspec
 import pytest
 
-from limenotch.fleet.agreement import api as log
-from limenotch.fleet.contract import Heard, Leave, MemberChanged, Started
+from limenotch.fleet.consensus import api as log
+from limenotch.fleet.interfaces import Heard, Leave, MemberChanged, Started
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries
 from limenotch.fleet.wallet import messages as say
 from limenotch.fleet.wallet.entries import Credit
-from tests.fleet.wallets import QUICK, Group, ready
+from tests.fleet.fake_wallets import QUICK, Group, ready
 
 ADVANCE = msgspec.structs.replace(QUICK, without_lease="advance", advance=5)
 
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from limenotch.fleet.agreement import api as log
-from limenotch.fleet.contract import Fenced, Leave
+from limenotch.fleet.consensus import api as log
+from limenotch.fleet.interfaces import Fenced, Leave
 from limenotch.fleet.wallet import Tuning, api, entries
 from limenotch.fleet.wallet import messages as say
 from limenotch.fleet.wallet.lease import MOST_WAITING, Granter, Holder
-from tests.fleet.wallets import QUICK, Group, ready
+from tests.fleet.fake_wallets import QUICK, Group, ready
 
 TUNING = Tuning(lease_ms=1000, drift=0.1, most_holders=2)
 
--- a/tests/fleet/test_wallet_book.py
+++ b/tests/fleet/test_wallet_ledger.py
@@ -9,8 +9,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from limenotch.fleet.wallet import entries
-from limenotch.fleet.wallet.book import MOST_ADVANCED, MOST_CREDIT, Applied, Book
 from limenotch.fleet.wallet.entries import Advance, Credit, Entry, Expire, Grant, Settle
+from limenotch.fleet.wallet.ledger import MOST_ADVANCED, MOST_CREDIT, Applied, Book
 
 WITNESSES = (("a", 1), ("b", 1), ("c", 1))
 
--- a/tests/fleet/test_wallet_processes.py
+++ b/tests/fleet/test_wallet_processes.py
@@ -1,10 +1,10 @@
 """Wallets on processes: credit is spent by all and never overspent, while consumers call and faults come between.
 
-Of each run four verdicts: the drawing's words, the rules for calls, the checker of `helpers/paying.py`, and what the
-test itself looks for in consumers' answers. `ann` and `bob` pay, `cid` does not; bob has credit for all of the run and
-notices nothing of ann's. Words of `ask`: `pay T N I` (N units under the id I, told 200 and added), `again T N I`
-(told 200, counted before), `other T N I` (409), `late T N I` (not told 200), `dry T` (all is spent), `spends T` (this
-node has served T since), `leased`.
+Of each run four verdicts: the drawing's words, the rules for calls, the checker of `helpers/wallet_clients.py`, and
+what the test itself looks for in consumers' answers. `ann` and `bob` pay, `cid` does not; bob has credit for all of
+the run and notices nothing of ann's. Words of `ask`: `pay T N I` (N units under the id I, told 200 and added), `again
+T N I` (told 200, counted before), `other T N I` (409), `late T N I` (not told 200), `dry T` (all is spent), `spends
+T` (this node has served T since), `leased`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from limenotch.lab.fleet import drawing, weather
 from limenotch.lab.fleet.processes import NodeProcess, NotReachedError, Processes
 from limenotch.lab.fleet.stage import Outcome, together
-from tests.helpers.paying import COST, Answered, Paying, Reading
+from tests.helpers.wallet_clients import COST, Answered, Paying, Reading
 
 from .test_log_processes import AGREEMENT, MEMBERSHIP, leader
 from .test_processes import TRAFFIC
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -16,11 +16,11 @@
 from limenotch.fleet.wallet import Wallet
 from limenotch.fleet.wallet.api import Reservation, Turned
 from limenotch.fleet.wallet.tuning import Tuning
-from limenotch.layers.wallet import Till
+from limenotch.fleet_adapters.wallet import Till
 from limenotch.net import http1
-from limenotch.net.call import Final, Verdict
+from limenotch.net.request import Final, Verdict
 from limenotch.settings import parse
-from tests.helpers.peers import DELIVER, LOOK, SETTINGS, Handler, answering, ask, renamed, whole
+from tests.helpers.http_peers import DELIVER, LOOK, SETTINGS, Handler, answering, ask, renamed, whole
 from tests.helpers.processes import free_port, run, with_sidecar
 
 from .test_fleet_off import serving
@@ -245,8 +245,8 @@
 
         target = {
             "the part": "limenotch.fleet.wallet.core.Wallet.handle",
-            "the purse": "limenotch.fleet.wallet.purse.Purse.reserve",
-            "the log": "limenotch.fleet.agreement.Agreement.handle",
+            "the purse": "limenotch.fleet.wallet.allocations.Purse.reserve",
+            "the log": "limenotch.fleet.consensus.Agreement.handle",
         }
         monkeypatch.setattr(target[what], fault)
         async with asyncio.timeout(20):
@@ -377,8 +377,8 @@
         for table in (voter, voter + '[fleet.wallet]\ntenants = ["acme"]\nother_cost = 0\n'):
             async with serving(tmp_path, "n", table) as sidecar:
                 modules = await sidecar.end()
-            found.append({name for name in modules if "wallet" in name or name == "limenotch.net.paid"})
+            found.append({name for name in modules if "wallet" in name or name == "limenotch.net.admin.wallet"})
         assert found[0] == {"limenotch.fleet.wallet", "limenotch.fleet.wallet.tuning"}  # what settings are read by
-        assert found[1] >= {Wallet.__module__, "limenotch.layers.wallet", "limenotch.net.paid"}
+        assert found[1] >= {Wallet.__module__, "limenotch.fleet_adapters.wallet", "limenotch.net.admin.wallet"}
 
     asyncio.run(case())
--- a/tests/fleet/test_wallet_granting.py
+++ b/tests/fleet/test_wallet_quota_grants.py
@@ -7,14 +7,14 @@
 import msgspec
 import pytest
 
-from limenotch.fleet.agreement import api as log
-from limenotch.fleet.contract import Tell
+from limenotch.fleet.consensus import api as log
+from limenotch.fleet.interfaces import Tell
 from limenotch.fleet.wallet import Tuning, api, entries
 from limenotch.fleet.wallet import messages as say
-from limenotch.fleet.wallet.book import Book
 from limenotch.fleet.wallet.entries import Credit, Entry, Grant, Settle
-from limenotch.fleet.wallet.granting import MOST_SLICES, Granting
-from tests.fleet.wallets import QUICK, Group, ready
+from limenotch.fleet.wallet.ledger import Book
+from limenotch.fleet.wallet.quota_grants import MOST_SLICES, Granting
+from tests.fleet.fake_wallets import QUICK, Group, ready
 
 TUNING = Tuning(lease_ms=600, slice_ms=400, record_ms=40, idle_ms=400)
 
--- a/tests/fleet/test_wallet_witness.py
+++ b/tests/fleet/test_wallet_spend_witness.py
@@ -5,12 +5,12 @@
 import hypothesis.strategies as some
 from hypothesis import given, settings
 
-from limenotch.fleet.contract import MemberChanged
+from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.wallet import messages as say
-from limenotch.fleet.wallet.book import Book, Owner, Slice
 from limenotch.fleet.wallet.entries import Credit, Expire, Grant, Settle
-from limenotch.fleet.wallet.witness import Gone, Memory
-from tests.fleet.wallets import QUICK, Group, ready
+from limenotch.fleet.wallet.ledger import Book, Owner, Slice
+from limenotch.fleet.wallet.spend_witness import Gone, Memory
+from tests.fleet.fake_wallets import QUICK, Group, ready
 
 WITNESSES: tuple[Owner, ...] = (("a", 1), ("b", 1), ("c", 1))
 HOLDER = ("h", 1)
--- a/tests/fleet/test_wallet_storms.py
+++ b/tests/fleet/test_wallet_storms.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limenotch.fleet import agreement
+from limenotch.fleet import consensus
 from limenotch.fleet.membership import Tuning as Members
 from limenotch.fleet.wallet.tuning import Tuning
 from limenotch.lab.fleet.wallet_run import Run
@@ -41,7 +41,7 @@
         names,
         tuple(names[:5]),
         Tuning(),
-        log_tuning=agreement.Tuning(),
+        log_tuning=consensus.Tuning(),
         members=Members(),
         watched=(*names[:2], names[-1]),
     )
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from limenotch.fleet.contract import Message
+from limenotch.fleet.interfaces import Message
 from limenotch.fleet.wire import DIGEST, MOST_FRAME, MOST_NAME, Fault, Frames, Hello, Wire, framed
 
-from .said import ALL, Block, Line, Probe
+from .fake_messages import ALL, Block, Line, Probe
 
 KEY = b"sixteen bytes ok"
 
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limenotch.fleet.contract import (
+from limenotch.fleet.interfaces import (
     Carrier,
     Heard,
     Leave,
@@ -25,7 +25,7 @@
 from limenotch.lab.fleet.world import MOST_BUFFERED, World, address
 from limenotch.store.records import Held
 
-from .toys import Beat, Keeper, Listener, Put, listeners
+from .fake_parts import Beat, Keeper, Listener, Put, listeners
 
 NODES = ("a", "b", "c")
 
--- a/tests/fleet/wallet_bugs.py
+++ b/tests/fleet/wallet_bugs.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from limenotch.fleet import leasing
-from limenotch.fleet.wallet import book, entries, granting, lease, purse, witness
+from limenotch.fleet import leases
+from limenotch.fleet.wallet import allocations, entries, lease, ledger, quota_grants, spend_witness
 from limenotch.lab.fleet.wallet_run import Run
 from limenotch.lab.fleet.wallet_storm import aside, storm
 
@@ -18,31 +18,31 @@
 
 def lease_kept_over_a_pause(patch: pytest.MonkeyPatch) -> None:
     """Counted from when the answer is handled, not from when it was asked for."""
-    real = leasing.Held.take
+    real = leases.Held.take
 
-    def take(self: leasing.Held, now: float, serial: int, lease_ms: float) -> bool:
+    def take(self: leases.Held, now: float, serial: int, lease_ms: float) -> bool:
         if serial in self._asked:
             self._asked[serial] = now
         return real(self, now, serial, lease_ms)
 
-    patch.setattr(leasing.Held, "take", take)
+    patch.setattr(leases.Held, "take", take)
 
 
 def lease_not_looked_at(patch: pytest.MonkeyPatch) -> None:
     """Once it was had; for each call, that is: the part still asks in time."""
-    real = purse.Purse.reserve
+    real = allocations.Purse.reserve
 
-    def reserve(self: purse.Purse, now: float, tenant: str, kind: str, paid: bool = False) -> Any:
+    def reserve(self: allocations.Purse, now: float, tenant: str, kind: str, paid: bool = False) -> Any:
         return real(self, min(now, self.until - 1), tenant, kind, paid)
 
-    patch.setattr(purse.Purse, "reserve", reserve)
+    patch.setattr(allocations.Purse, "reserve", reserve)
 
 
 def credit_counted_twice_after_a_lost_answer(patch: pytest.MonkeyPatch) -> None:
     """The ids are forgotten, all but the last."""
-    real = book.Book._credit
+    real = ledger.Book._credit
 
-    def credit(self: book.Book, entry: entries.Credit) -> book.Applied:
+    def credit(self: ledger.Book, entry: entries.Credit) -> ledger.Applied:
         if (
             (wallet := self.wallets.get(entry.tenant)) is not None
             and entry.id in wallet.ids
@@ -51,56 +51,56 @@
             del wallet.ids[entry.id]
         return real(self, entry)
 
-    patch.setattr(book.Book, "_credit", credit)
+    patch.setattr(ledger.Book, "_credit", credit)
 
 
 def expired_without_the_witnesses(patch: pytest.MonkeyPatch) -> None:
     """What its holder had settled counts."""
 
-    def ends(self: witness.Gone, epoch: int, lost: Any) -> list[entries.Expire]:
+    def ends(self: spend_witness.Gone, epoch: int, lost: Any) -> list[entries.Expire]:
         return [
             entries.Expire(tenant, *self.owner, serial, one.spent, epoch)
             for (tenant, serial), one in self.slices.items()
         ]
 
-    patch.setattr(witness.Gone, "ends", ends)
+    patch.setattr(spend_witness.Gone, "ends", ends)
 
 
 def lowest_mark_told(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(witness, "max", min, raising=False)
+    patch.setattr(spend_witness, "max", min, raising=False)
 
 
 def mark_opened_by_one_witness(patch: pytest.MonkeyPatch) -> None:
-    real = purse.Held.acked
+    real = allocations.Held.acked
 
-    def acked(self: purse.Held, name: Any, mark: int) -> bool:
+    def acked(self: allocations.Held, name: Any, mark: int) -> bool:
         self.quorum = 1
         return real(self, name, mark)
 
-    patch.setattr(purse.Held, "acked", acked)
+    patch.setattr(allocations.Held, "acked", acked)
 
 
 def marks_forgotten_in_an_election(patch: pytest.MonkeyPatch) -> None:
     """By a witness that begins to lead."""
     forgets: dict[int, Callable[[], None]] = {}
-    real = granting.Granting.begin
+    real = quota_grants.Granting.begin
 
-    def begin(self: granting.Granting, now: float, epoch: int) -> None:
+    def begin(self: quota_grants.Granting, now: float, epoch: int) -> None:
         real(self, now, epoch)
         forgets[id(self._book)]()
 
-    made = witness.Memory.__init__
+    made = spend_witness.Memory.__init__
 
-    def init(self: witness.Memory, of: book.Book, most_early: int) -> None:
+    def init(self: spend_witness.Memory, of: ledger.Book, most_early: int) -> None:
         made(self, of, most_early)
         forgets[id(of)] = self._marks.clear
 
-    patch.setattr(witness.Memory, "__init__", init)
-    patch.setattr(granting.Granting, "begin", begin)
+    patch.setattr(spend_witness.Memory, "__init__", init)
+    patch.setattr(quota_grants.Granting, "begin", begin)
 
 
 def recall_that_forgets_what_is_reserved(patch: pytest.MonkeyPatch) -> None:
-    def narrow(self: purse.Held, keep: int) -> int:
+    def narrow(self: allocations.Held, keep: int) -> int:
         kept = min(keep, self.free)
         self.top = self.spent + kept
         self.narrowed = True
@@ -108,19 +108,19 @@
         self.fit()
         return kept
 
-    patch.setattr(purse.Held, "narrow", narrow)
+    patch.setattr(allocations.Held, "narrow", narrow)
 
 
 def new_leader_expires_at_once(patch: pytest.MonkeyPatch) -> None:
     """It knows no leases, and takes that for there being none."""
-    real = granting.Granting.begin
+    real = quota_grants.Granting.begin
 
-    def begin(self: granting.Granting, now: float, epoch: int) -> None:
+    def begin(self: quota_grants.Granting, now: float, epoch: int) -> None:
         real(self, now, epoch)
         self._gone_at = now
 
-    patch.setattr(granting.Granting, "begin", begin)
-    patch.setattr(leasing.Reign, "settled", lambda self, now: now >= self.since)
+    patch.setattr(quota_grants.Granting, "begin", begin)
+    patch.setattr(leases.Reign, "settled", lambda self, now: now >= self.since)
 
 
 def expired_during_a_lease(patch: pytest.MonkeyPatch) -> None:
@@ -139,10 +139,10 @@
 def closing_slice_takes_calls(patch: pytest.MonkeyPatch) -> None:
     """What is given back of it is reserved again."""
 
-    def fit(self: purse.Held) -> None:
+    def fit(self: allocations.Held) -> None:
         self.room = max(0, min(self.open, self.size) - self.spent - self.reserved)
 
-    patch.setattr(purse.Held, "fit", fit)
+    patch.setattr(allocations.Held, "fit", fit)
 
 
 # The storm, and the first of its seeds that finds it: one more than that many were needed.
--- a/tests/frozen/answers.py
+++ b/tests/frozen/answers.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tests.fleet.test_fleet_off import serving
-from tests.helpers.peers import LOOK, ask
+from tests.helpers.http_peers import LOOK, ask
 
 TABLE = """
 folder = "{folder}/data"
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -8,37 +8,37 @@
 from pathlib import Path
 from typing import Any, get_args
 
-from limenotch.bans import read as read_bans
-from limenotch.bans import written as written_bans
+from limenotch.balancing.settings import read_settings
+from limenotch.balancing.simulator_adapter import Link
 from limenotch.cli import USAGE, check_config
 from limenotch.cli import serve as serve_command
-from limenotch.facade import Ending, Facade, Invoke, Provider
-from limenotch.figures import Figures
-from limenotch.fleet.agreement import log as agreement_log
-from limenotch.fleet.agreement import messages as agreement_messages
-from limenotch.fleet.bindings import messages as bindings_messages
-from limenotch.fleet.contract import Message
+from limenotch.fleet.affinity import messages as bindings_messages
+from limenotch.fleet.consensus import log as agreement_log
+from limenotch.fleet.consensus import messages as agreement_messages
+from limenotch.fleet.interfaces import Message
 from limenotch.fleet.membership import messages as membership_messages
-from limenotch.fleet.rules import book as rules_book
+from limenotch.fleet.rules import endpoint_list_messages as rules_listing
 from limenotch.fleet.rules import entries as rules_entries
-from limenotch.fleet.rules import listing as rules_listing
 from limenotch.fleet.rules import messages as rules_messages
+from limenotch.fleet.rules import versioned_rules as rules_book
 from limenotch.fleet.settings import parse_with
-from limenotch.fleet.wallet import book as wallet_book
 from limenotch.fleet.wallet import entries as wallet_entries
+from limenotch.fleet.wallet import ledger as wallet_book
 from limenotch.fleet.wallet import messages as wallet_messages
 from limenotch.fleet.wire import Wire, tag_of
-from limenotch.layers.base import messages_of
-from limenotch.net import operators, paid, promised, ruled
-from limenotch.net.listing import list_of
+from limenotch.fleet_adapters.base import messages_of
+from limenotch.fleet_node import PATH
+from limenotch.load_balancer import Ending, Facade, Invoke, Provider
+from limenotch.metrics import Figures
+from limenotch.net.admin import log, rules, server, wallet
+from limenotch.net.discovery.endpoint_list import list_of
+from limenotch.operator_ejections import read as read_bans
+from limenotch.operator_ejections import written as written_bans
 from limenotch.settings import Settings, effective
 from limenotch.store import records
 from limenotch.store.files import RealFiles
 from limenotch.store.log import Store
 from limenotch.store.records import Append, Ballot, Entry, Snapshot
-from limenotch.together import PATH
-from switchthread.benchlink import Link
-from switchthread.settings import read_settings
 
 __all__ = [
     "USAGE", "Append", "Ballot", "Ending", "Entry", "Facade", "Invoke", "Link", "RealFiles", "Settings", "Snapshot",
@@ -218,8 +218,8 @@
 
 def paths() -> list[str]:
     """What operators may ask for."""
-    return sorted([operators.HEALTH, operators.STATS, operators.ENDPOINTS, PATH, paid.WALLETS, promised.PROMISES,
-                   promised.VOTERS, ruled.RULES])  # fmt: skip
+    return sorted([server.HEALTH, server.STATS, server.ENDPOINTS, PATH, wallet.WALLETS, log.PROMISES,
+                   log.VOTERS, rules.RULES])  # fmt: skip
 
 
 _key_file: Path | None = None
--- a/tests/helpers/connections.py
+++ b/tests/helpers/connections.py
@@ -8,16 +8,16 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from limenotch.facade import Facade
-from limenotch.net.calls import Calls
-from limenotch.net.consumer import Consumer
-from limenotch.net.consumers import Consumers
+from limenotch.balancing.settings import read_settings
+from limenotch.load_balancer import Facade
+from limenotch.net.client_connection import Consumer
+from limenotch.net.client_listener import Consumers
 from limenotch.net.pipe import Budget
+from limenotch.net.requests import Calls
 from limenotch.net.sockets import Sockets
 from limenotch.settings import Consumers as Tuning
-from switchthread.settings import read_settings
 
-from .peers import SETTINGS
+from .http_peers import SETTINGS
 from .processes import free_port
 
 UP = b"GET /up HTTP/1.1\r\nHost: s\r\n\r\n"
--- a/tests/helpers/discovery_peer.py
+++ b/tests/helpers/discovery_peer.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from limenotch import settings
-from limenotch.facade import Provider
-from limenotch.net.directory import Directory
+from limenotch.load_balancer import Provider
+from limenotch.net.discovery.client import Directory
 
-from .peers import Reader, Writer
+from .http_peers import Reader, Writer
 from .processes import run
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/helpers/discovery_service.py
+++ b/tests/helpers/discovery_service.py
@@ -15,7 +15,7 @@
 
 from limenotch.config import host_port
 
-from .peers import Reader, Writer
+from .http_peers import Reader, Writer
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
--- a/tests/helpers/processes.py
+++ b/tests/helpers/processes.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 from typing import Any
 
-from limenotch import config, program
+from limenotch import app, config
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.settings import Settings
 
-from .peers import GET_HEALTH, SETTINGS, Handler, ask
+from .http_peers import GET_HEALTH, SETTINGS, Handler, ask
 
 __all__ = ["ROOT", "Processes", "begun", "finished", "free_port", "printed_by", "run", "with_sidecar"]
 
@@ -55,7 +55,7 @@
         "settings": SETTINGS,
         **(more or {}),
     }
-    serving = asyncio.create_task(program.serve(config.parse(raw, environ or {}), tuning))
+    serving = asyncio.create_task(app.serve(config.parse(raw, environ or {}), tuning))
     while True:
         try:
             ready = await ask(port, b"GET /up HTTP/1.1\r\n\r\n")
--- a/tests/helpers/scripted.py
+++ b/tests/helpers/scripted.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, cast
 
-from limenotch.facade import Ending, Facade, Hint, Order, Orders
-from limenotch.net.call import About, Beside, Call, Final, InvokerCall
-from limenotch.net.calls import Calls
-from limenotch.permits import Permits
+from limenotch.load_balancer import Ending, Facade, Hint, Order, Orders
+from limenotch.net.request import About, Beside, Call, Final, InvokerCall
+from limenotch.net.requests import Calls
+from limenotch.request_policy import Permits
 
 
 class Script:
--- a/tests/helpers/cold_circumstances.py
+++ b/tests/helpers/slow_start_circumstances.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from switchthread.types import DedupScope, Effect, TrafficClass
+from limenotch.balancing.types import DedupScope, Effect, TrafficClass
 
 COLD_AT = 5000.0  # until then all is warm and the balancers learn
 REPORT_MS = 400.0  # between two reports of an endpoint
--- a/tests/helpers/cold_fleet.py
+++ b/tests/helpers/slow_start_fleet.py
@@ -14,9 +14,9 @@
 from math import exp, sqrt
 from random import Random
 
-from switchthread import Balancer, types
-from switchthread.actions import CancelAttempt, RejectRequest, SendAttempt, SetTimer
-from switchthread.events import (
+from limenotch.balancing import Balancer, types
+from limenotch.balancing.actions import CancelAttempt, RejectRequest, SendAttempt, SetTimer
+from limenotch.balancing.events import (
     AttemptFinished,
     Event,
     MembershipKind,
@@ -25,9 +25,9 @@
     SettingsChanged,
     TimerFired,
 )
-from switchthread.types import BalancerSettings, Outcome, SlowStart
+from limenotch.balancing.types import BalancerSettings, Outcome, SlowStart
 
-from .cold_circumstances import COLD_AT, REPORT_MS, TIER, Circumstance
+from .slow_start_circumstances import COLD_AT, REPORT_MS, TIER, Circumstance
 
 
 class Endpoint:
--- a/tests/helpers/soak.py
+++ b/tests/helpers/soak.py
@@ -21,7 +21,7 @@
 from limenotch.net import http1
 
 from .discovery_service import Address, DiscoveryService
-from .peers import Reader, Writer
+from .http_peers import Reader, Writer
 from .processes import Processes, free_port
 
 GRACE_S = 0.3  # of a drain, on real sockets
--- a/tests/helpers/paying.py
+++ b/tests/helpers/wallet_clients.py
@@ -23,7 +23,7 @@
 from limenotch.lab.model.clients import Request
 from limenotch.net import http1
 
-from .promised import call
+from .log_operators import call
 
 PATH = "/fleet/wallets/"
 READ_S = 0.05  # between two readings
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -11,7 +11,7 @@
 import numpy as np
 import pytest
 
-import switchthread
+import limenotch.balancing
 from limenotch.cli import main
 from limenotch.lab import compare as module
 from limenotch.lab import experiment
@@ -128,9 +128,9 @@
 
 
 def test_the_command(two: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    text = (Path(switchthread.__file__).parent / "shares.py").read_text()
+    text = (Path(limenotch.balancing.__file__).parent / "weights.py").read_text()
     assert "FLOOR = 0.02" in text
-    worse = tmp_path / "shares.py"
+    worse = tmp_path / "weights.py"
     worse.write_text(text.replace("FLOOR = 0.02", "FLOOR = 5.0"))
     line = [
         "lab",
--- a/tests/lab/test_emulate.py
+++ b/tests/lab/test_emulate.py
@@ -31,7 +31,8 @@
 from limenotch.lab.model.network import Network
 from limenotch.lab.model.rules import Rules
 from limenotch.lab.record import Record
-from limenotch.net import documents, http1
+from limenotch.net import http1
+from limenotch.net.discovery import json_stream
 
 from ..helpers.processes import begun, finished, run
 
@@ -233,7 +234,7 @@
         assert port == await hosted.watcher((0, 0))
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /discovery/hosts?follow=1 HTTP/1.1\r\n\r\n")
-        stream = documents.ChunkStream()
+        stream = json_stream.ChunkStream()
 
         async def line() -> dict[str, Any]:
             while True:
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -8,11 +8,11 @@
 import pytest
 
 from limenotch import toml
+from limenotch.balancing.settings import read_settings
 from limenotch.cli import main
 from limenotch.lab import planning, scenario
 from limenotch.lab.model.chance import Seeds
 from limenotch.lab.model.faults import Script
-from switchthread.settings import read_settings
 
 SMALL = """
 name = "small"
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-import switchthread
+import limenotch.balancing
 from limenotch import toml
 from limenotch.cli import main
 from limenotch.lab import planning, policy, scenario
@@ -198,23 +198,23 @@
 PLANTED = {
     # The module's text, with a fault planted in one place each: file, what stands there, what shall.
     ONE_ANSWER: (
-        "decide.py",
-        "acts.append(face.Refuse(call.name, wait) if harmless else face.Fail(call.name))",
-        "acts += [face.Refuse(call.name, wait)] if harmless else []",
+        "balancer.py",
+        "acts.append(RejectRequest(call.name, wait) if harmless else FailRequest(call.name))",
+        "acts += [RejectRequest(call.name, wait)] if harmless else []",
     ),
     REPEATS: (
-        "placement.py",
+        "endpoint_selection.py",
         "    if not earlier or call.cls.effect is Effect.IDEMPOTENT and not books.set.narrow:",
         "    if True:",
     ),
-    COLD: ("records.py", "        if self.since <= 0 or age >= cold.warm_ms:", "        if True:"),
+    COLD: ("endpoint_statistics.py", "        if self.since <= 0 or age >= cold.warm_ms:", "        if True:"),
 }
 
 
 @pytest.mark.parametrize("rule", PLANTED)
 def test_a_policy_that_breaks_a_rule_is_caught(rule: str, tmp_path: Path) -> None:
     file, old, new = PLANTED[rule]
-    text = (Path(switchthread.__file__).parent / file).read_text()
+    text = (Path(limenotch.balancing.__file__).parent / file).read_text()
     assert old in text
     variant = tmp_path / file
     variant.write_text(text.replace(old, new))
@@ -233,12 +233,12 @@
 
 
 def test_policies_that_cannot_be_used(tmp_path: Path) -> None:
-    bad = tmp_path / "decide.py"
+    bad = tmp_path / "balancer.py"
     bad.write_text("def broken(:")
     for spec, says in ((str(bad), "SyntaxError"), ("nowhere.py", "No such file"), ("git:no-such-revision", "git:no-")):
         with pytest.raises(toml.FaultError, match=says):
             policy.load(spec)
     same = tmp_path / "same.py"
-    same.write_text((Path(switchthread.__file__).parent / "decide.py").read_text())
-    assert policy.load(str(same)).face is not policy.load("installed").face
+    same.write_text((Path(limenotch.balancing.__file__).parent / "balancer.py").read_text())
+    assert policy.load(str(same)).types is not policy.load("installed").types
     assert policy.digest(str(same)) == policy.digest("installed")
--- a/tests/referee.py
+++ b/tests/referee.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from switchthread.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
-from switchthread.decide import Balancer
-from switchthread.events import (
+from limenotch.balancing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
+from limenotch.balancing.balancer import Balancer
+from limenotch.balancing.events import (
     AttemptFinished,
     BalancerStarted,
     ClientDisconnected,
@@ -19,7 +19,7 @@
     SettingsChanged,
     TimerFired,
 )
-from switchthread.types import (
+from limenotch.balancing.types import (
     NEVER_RAN,
     BalancerSettings,
     DedupScope,
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -18,7 +18,7 @@
 
 
 def test_the_code_named_is_there() -> None:
-    named = re.findall(r"`((?:limenotch|switchthread|deploy)/[\w/.-]+)`(?: \(((?:`\w+`(?:, )?)+)\))?", PAGE)
+    named = re.findall(r"`((?:limenotch|deploy)/[\w/.-]+)`(?: \(((?:`\w+`(?:, )?)+)\))?", PAGE)
     assert named
     for path, names in named:
         assert (ROOT / path).exists(), path
