--- a/tests/test_operators.py
+++ b/tests/test_admin_server.py
@@ -13,15 +13,11 @@
 
 import pytest
 
-from limenotch import bans as bans_module
-from limenotch.bans import FILE, LOCK, Bans, read, written
-from limenotch.figures import Figures
-from limenotch.net import http1
-from limenotch.net.operators import Operators
-from limenotch.net.sockets import OPERATORS as MOST
-from switchthread import Balancer
-from switchthread.actions import FailRequest, SendAttempt
-from switchthread.events import (
+from limenotch import operator_ejections as bans_module
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import FailRequest, SendAttempt
+from limenotch.balancing.endpoint_statistics import Server
+from limenotch.balancing.events import (
     AttemptFinished,
     MembershipKind,
     MembershipUpdate,
@@ -29,8 +25,7 @@
     RequestArrived,
     SettingsChanged,
 )
-from switchthread.records import Server
-from switchthread.types import (
+from limenotch.balancing.types import (
     BalancerSettings,
     DedupScope,
     Effect,
@@ -40,8 +35,13 @@
     SlowStart,
     TrafficClass,
 )
+from limenotch.metrics import Figures
+from limenotch.net import http1
+from limenotch.net.admin.server import Operators
+from limenotch.net.sockets import OPERATORS as MOST
+from limenotch.operator_ejections import FILE, LOCK, Bans, read, written
 
-from .helpers.peers import DELIVER, GET_HEALTH, LOOK, SETTINGS, answering, ask, renamed, whole
+from .helpers.http_peers import DELIVER, GET_HEALTH, LOOK, SETTINGS, answering, ask, renamed, whole
 from .helpers.processes import free_port, run, with_sidecar
 
 GET_STATS = b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n"
@@ -128,7 +128,7 @@
 
 
 def test_a_slow_caller_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("limenotch.net.operators.HEAD_S", 0.1)
+    monkeypatch.setattr("limenotch.net.admin.server.HEAD_S", 0.1)
 
     async def use(port: int, admin: int) -> None:
         assert (await ask(admin, b"GET /healthch")).status == 408
--- a/tests/test_entry.py
+++ b/tests/test_admission.py
@@ -9,11 +9,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchthread.actions import RejectRequest
-from switchthread.entry import FEW, Entry
-from switchthread.types import Outcome
+from limenotch.balancing.actions import RejectRequest
+from limenotch.balancing.admission import FEW, Entry
+from limenotch.balancing.types import Outcome
 from tests.referee import READ, Referee, fleet, settings
-from tests.test_decisions import steady
+from tests.test_balancer import steady
 from tests.test_zones import Desk
 
 
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -16,15 +16,15 @@
 import pytest
 from tornado.iostream import IOStream
 
-from limenotch.facade import Ending, Provider, Status
-from limenotch.net import http1, providers
-from limenotch.net.call import Call, InvokerCall
-from limenotch.net.providers import Providers
-from limenotch.permits import Permits
+from limenotch.balancing.types import DedupScope, Effect, TrafficClass
+from limenotch.load_balancer import Ending, Provider, Status
+from limenotch.net import endpoint_pool, http1
+from limenotch.net.endpoint_pool import Providers
+from limenotch.net.request import Call, InvokerCall
+from limenotch.request_policy import Permits
 from limenotch.settings import Providers as ProviderTuning
-from switchthread.types import DedupScope, Effect, TrafficClass
 
-from .helpers.peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, whole
+from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, whole
 from .helpers.processes import run, with_sidecar
 from .test_sidecar import Heard, unlimited
 
@@ -236,7 +236,7 @@
                         return self
                     await asyncio.sleep(0)
 
-        monkeypatch.setattr(providers, "IOStream", Spoken)
+        monkeypatch.setattr(endpoint_pool, "IOStream", Spoken)
 
         async def handler(reader: Reader, writer: Writer) -> None:
             writer.write(REJECTED)
@@ -279,7 +279,7 @@
     async def case() -> None:
         pool = Pool()
         Halting.taken = 0
-        monkeypatch.setattr(providers, "IOStream", Halting)
+        monkeypatch.setattr(endpoint_pool, "IOStream", Halting)
 
         async def handler(reader: Reader, writer: Writer) -> None:
             assert len(await reader.readexactly(10)) == 10
--- a/tests/test_decisions.py
+++ b/tests/test_balancer.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from switchthread.actions import RejectRequest
-from switchthread.copies import gate
-from switchthread.placement import draw
-from switchthread.records import Call, Usual
-from switchthread.shares import reshare
-from switchthread.types import Outcome
+from limenotch.balancing.actions import RejectRequest
+from limenotch.balancing.endpoint_selection import draw
+from limenotch.balancing.endpoint_statistics import Call, Usual
+from limenotch.balancing.hedging import gate
+from limenotch.balancing.types import Outcome
+from limenotch.balancing.weights import reshare
 
 from .referee import READ, WRITE, ZONAL, Referee, fleet, sends, settings
 
--- a/tests/test_rules.py
+++ b/tests/test_balancing_rules.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchthread.actions import CancelAttempt, FailRequest, RejectRequest, SetTimer, Subscribe
-from switchthread.events import (
+from limenotch.balancing.actions import CancelAttempt, FailRequest, RejectRequest, SetTimer, Subscribe
+from limenotch.balancing.events import (
     AttemptFinished,
     ClientDisconnected,
     MembershipKind,
@@ -17,7 +17,7 @@
     ResponseStarted,
     TimerFired,
 )
-from switchthread.types import Endpoint, EndpointState, Outcome
+from limenotch.balancing.types import Endpoint, EndpointState, Outcome
 
 from .referee import Referee, fleet, sends, settings
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_disconnects.py
@@ -11,13 +11,13 @@
 import pytest
 
 from limenotch.net import http1
-from limenotch.net.ahead import AHEAD
 from limenotch.net.pipe import HOLD
+from limenotch.net.read_ahead import AHEAD
 
 from .helpers.connections import Connections, until, with_connections
-from .helpers.peers import DELIVER, LOOK, Reader, Writer, answer_from, answering, ask, whole
+from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, answer_from, answering, ask, whole
 from .helpers.processes import free_port, run, with_sidecar
-from .test_operators import conserved
+from .test_admin_server import conserved
 
 NEXT = LOOK.replace(b"Id: 1", b"Id: 2")
 LONG = DELIVER.replace(b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * HOLD)) + bytes(3 * HOLD)
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -9,15 +9,15 @@
 import pytest
 from tornado.ioloop import IOLoop
 
-from limenotch.net import consumer as module
+from limenotch.net import client_connection as module
 from limenotch.net import http1
-from limenotch.net.consumer import Consumer
-from limenotch.net.consumers import Consumers
+from limenotch.net.client_connection import Consumer
+from limenotch.net.client_listener import Consumers
 from limenotch.net.pipe import HOLD, Pipe
 from limenotch.settings import Consumers as Tuning
 
 from .helpers.connections import UP, Connections, received, until, with_connections
-from .helpers.peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answering, ask, whole
+from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answering, ask, whole
 from .helpers.processes import run, with_sidecar
 
 PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only the test ends anything
--- a/tests/test_acting.py
+++ b/tests/test_configuration_applier.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from limenotch.acting import NEVER, Acting
 from limenotch.config import Config, parse
+from limenotch.configuration_applier import NEVER, Acting
 
-from .helpers.peers import SETTINGS
+from .helpers.http_peers import SETTINGS
 
 RAW = {
     "listen": "127.0.0.1:5000",
--- a/tests/test_module.py
+++ b/tests/test_decision_modules.py
@@ -11,7 +11,10 @@
 ROOT = Path(__file__).parent.parent
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 # What they may read of the package, besides one another.
-BESIDE = {"actions", "books", "events", "flow", "ready", "records", "roster", "types"}
+BESIDE = {
+    "actions", "available_endpoints", "balancer_state", "endpoint_registry", "endpoint_statistics", "events", "rates",
+    "types",
+}  # fmt: skip
 STANDARD = {"__future__", "bisect", "collections.abc", "math", "typing"}
 
 
@@ -42,7 +45,7 @@
 
 
 def test_first_lines_name_the_events() -> None:
-    assert "events.py" in "\n".join(lines("switchthread/decide.py")[:2])
+    assert "events.py" in "\n".join(lines("limenotch/balancing/balancer.py")[:2])
 
 
 @pytest.mark.parametrize("name", POLICY)
@@ -58,6 +61,6 @@
 
 def test_what_keeps_books_decides_nothing() -> None:
     """Files beside the policy import none of it, but for the door's type that the books hold."""
-    deciding = {Path(name).stem for name in POLICY} - {"entry"}
+    deciding = {Path(name).stem for name in POLICY} - {"admission"}
     for beside in sorted(BESIDE):
-        assert not imports(f"switchthread/{beside}.py") & deciding
+        assert not imports(f"limenotch/balancing/{beside}.py") & deciding
--- a/tests/test_directory.py
+++ b/tests/test_discovery_client.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from limenotch import config, program, settings
-from limenotch.facade import Provider, Status
-from limenotch.net import discovery
-from limenotch.net.directory import Directory
-from limenotch.net.listing import Listing, list_of, merged
+from limenotch import app, config, settings
+from limenotch.load_balancer import Provider, Status
+from limenotch.net.discovery import schedule
+from limenotch.net.discovery.client import Directory
+from limenotch.net.discovery.endpoint_list import Listing, list_of, merged
 
-from .helpers.peers import SETTINGS, Handler, Reader, Writer
+from .helpers.http_peers import SETTINGS, Handler, Reader, Writer
 from .helpers.processes import free_port, run
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -88,8 +88,8 @@
 
 
 def test_a_move_is_tried_again_before_the_module_hears_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "MOVED_S", 2.0)
-    monkeypatch.setattr(discovery, "WAITS_S", (0.01, 0.01, 0.01))
+    monkeypatch.setattr(schedule, "MOVED_S", 2.0)
+    monkeypatch.setattr(schedule, "WAITS_S", (0.01, 0.01, 0.01))
 
     async def case() -> None:
         broken, asked = asyncio.Queue[None](), 0
@@ -181,7 +181,7 @@
         path.write_text(json.dumps(raw))
         monkeypatch.setenv("LB_CONFIG", str(path))
         monkeypatch.setenv("LB_DISCOVERY", first)
-        serving = asyncio.create_task(program.serve(config.load(os.environ)))
+        serving = asyncio.create_task(app.serve(config.load(os.environ)))
         await asked.get()
         path.write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)
--- a/tests/test_discovery_seed.py
+++ b/tests/test_discovery_seed.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from limenotch import config, program
+from limenotch import app, config
 
-from .helpers.peers import SETTINGS
+from .helpers.http_peers import SETTINGS
 
 
 class StoppedError(Exception):
@@ -25,10 +25,10 @@
         drawn.extend(one.random() for one in arguments if isinstance(one, Random))
         raise StoppedError
 
-    monkeypatch.setattr(program, "Directory", directory)
+    monkeypatch.setattr(app, "Directory", directory)
     raw = {"name": "n1", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:1", "seed": "1f", "settings": SETTINGS}
     with pytest.raises(StoppedError):
-        asyncio.run(program.serve(config.parse({**raw, **changes}, {})))
+        asyncio.run(app.serve(config.parse({**raw, **changes}, {})))
     (first,) = drawn
     return first
 
--- a/tests/test_discovery_states.py
+++ b/tests/test_discovery_states.py
@@ -11,8 +11,12 @@
 from hypothesis import strategies as st
 
 from limenotch import settings
-from limenotch.net import discovery
-from limenotch.net.discovery import (
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import SetTimer
+from limenotch.balancing.events import MembershipKind, MembershipUpdate
+from limenotch.balancing.types import BalancerSettings, Effect, TrafficClass
+from limenotch.net.discovery import schedule
+from limenotch.net.discovery.schedule import (
     Connected,
     DiscoveryState,
     Due,
@@ -26,10 +30,6 @@
     State,
     Wanted,
 )
-from switchthread import Balancer
-from switchthread.actions import SetTimer
-from switchthread.events import MembershipKind, MembershipUpdate
-from switchthread.types import BalancerSettings, Effect, TrafficClass
 
 SILENCE_S = 3.0
 TOLD_S, MOVED_TOLD_S = 6.0, 4.0  # the terms: after discovery had it and could be reached; after a new configuration
@@ -164,8 +164,8 @@
     """
     play = played(fates, back, answer_s, seed, pushed)
     reach = max(back, play.word)
-    assert play.held is not None and play.held <= reach + discovery.ASK_AGAIN_S + answer_s + EPSILON
-    assert discovery.ASK_AGAIN_S + answer_s <= TOLD_S
+    assert play.held is not None and play.held <= reach + schedule.ASK_AGAIN_S + answer_s + EPSILON
+    assert schedule.ASK_AGAIN_S + answer_s <= TOLD_S
 
 
 @given(
@@ -187,7 +187,7 @@
     play.put(0.0, Wanted())
     play.run(60.0)
     lost_at = play.opened[1]
-    assert lost_at <= last_word + silence_s + discovery.WAITS_S[0]
+    assert lost_at <= last_word + silence_s + schedule.WAITS_S[0]
     assert play.opened[2] + answer_s <= last_word + TOLD_S + EPSILON
 
 
@@ -230,11 +230,11 @@
 def test_failures_of_a_move_are_told_only_when_its_time_is_over() -> None:
     play = Play(DiscoveryState(SILENCE_S, Random(2)), [((0.0, Ended()),)], 100.0, 0.0)
     play.put(0.0, Moved())
-    play.run(discovery.MOVED_S)
+    play.run(schedule.MOVED_S)
     # Some tries within the time that there is, and no more: each refused call costs a full discovery time that others
     # need. On the bench 16 callers that came back within 0.25 s let it answer one in 0.9 s, in place of one in 0.35 s.
     assert play.told == 0 and 3 <= play.failed <= 8
-    play.run(discovery.MOVED_S + discovery.WAITS_S[-1])
+    play.run(schedule.MOVED_S + schedule.WAITS_S[-1])
     assert play.told == 1
 
 
@@ -250,10 +250,10 @@
     play = played([()], 0.0, answer_s, seed, moves=tuple(moves))
     last = next(at for at in play.opened if at >= moves[-1])
     opened = [at for at in play.opened if moves[0] <= at <= last]
-    assert opened[0] == moves[0] and last <= moves[-1] + discovery.MOVED_SETTLE_S
+    assert opened[0] == moves[0] and last <= moves[-1] + schedule.MOVED_SETTLE_S
     assert last + answer_s <= moves[-1] + MOVED_TOLD_S
     apart = [later - earlier for earlier, later in pairwise(opened)]
-    assert all(gap >= discovery.MOVED_SETTLE_S - EPSILON for gap in apart)
+    assert all(gap >= schedule.MOVED_SETTLE_S - EPSILON for gap in apart)
 
 
 @given(
@@ -284,7 +284,7 @@
                 calling = False
         assert machine.calling == calling
         assert (machine.state is State.IDLE) == (machine.due is None)
-        assert machine.due is None or machine.due <= now + max(SILENCE_S, discovery.ASK_AGAIN_S)
+        assert machine.due is None or machine.due <= now + max(SILENCE_S, schedule.ASK_AGAIN_S)
 
 
 def test_a_watch_goes_from_state_to_state() -> None:
@@ -294,7 +294,7 @@
         return machine.handle(now, event), machine.state, machine.due
 
     assert after(0.0, Heard()) == ([], State.IDLE, None)
-    up, listed = 1.0 + discovery.LIST_S, 1.0 + discovery.LIST_S
+    up, listed = 1.0 + schedule.LIST_S, 1.0 + schedule.LIST_S
     assert after(1.0, Wanted()) == ([Order.OPEN], State.CONNECTING, up)
     assert after(1.0, Wanted()) == ([], State.CONNECTING, up)
     assert after(1.1, Connected()) == ([], State.ASKED, listed)
@@ -346,8 +346,8 @@
     """On real days whoever had a list lately came first to a full discovery, and others were over the 6 s."""
     for later_s, earlier_s in ((5.5, 4.0), (4.0, 2.0), (2.0, 0.5)):
         assert refused_waits(later_s)[-1] < refused_waits(earlier_s)[-1]
-    assert 1.5 <= sum(refused_waits(0.5)) / 200 <= refused_waits(0.5)[-1] <= discovery.MOST_REFUSED_S
-    assert refused_waits(5.5)[-1] <= discovery.REFUSED_S + discovery.REFUSED_PART  # a second is left at most
+    assert 1.5 <= sum(refused_waits(0.5)) / 200 <= refused_waits(0.5)[-1] <= schedule.MOST_REFUSED_S
+    assert refused_waits(5.5)[-1] <= schedule.REFUSED_S + schedule.REFUSED_PART  # a second is left at most
     assert 0.9 <= refused_waits(30.0)[-1] <= 1.0  # over the time anyway: as after any second failure
 
 
@@ -356,15 +356,15 @@
     """In no tenth of the span that their waits have there are more than twice their even part."""
     found = waits(failures)
     span = found[-1] - found[0]
-    assert len(set(found)) == 200 and span >= 0.7 * discovery.WAITS_S[min(failures, 3) - 1]
+    assert len(set(found)) == 200 and span >= 0.7 * schedule.WAITS_S[min(failures, 3) - 1]
     assert max(sum(at <= wait < at + span / 10 for wait in found) for at in found) <= 40
 
 
 def test_while_nothing_answers_the_pace_falls_and_no_call_is_late() -> None:
     assert sum(waits(30)) / 200 >= 1.0 and waits(30)[-1] <= 2.0  # refused at once
     jammed = waits(30, taken=2.0)
-    assert sum(jammed) / 200 >= 0.75 and jammed[-1] <= discovery.ASK_AGAIN_S - 2.0
-    assert waits(30, taken=3.0)[-1] <= discovery.ASK_AGAIN_S - 3.0  # as long as a call may hang
+    assert sum(jammed) / 200 >= 0.75 and jammed[-1] <= schedule.ASK_AGAIN_S - 2.0
+    assert waits(30, taken=3.0)[-1] <= schedule.ASK_AGAIN_S - 3.0  # as long as a call may hang
 
 
 @pytest.mark.parametrize("failures", [2, 3, 30])
@@ -372,7 +372,7 @@
     # Guards drains: on the bench the last lists came 5.9 to 7.1 s after discovery's return, with one wait for both.
     refused, queued = waits(failures), waits(failures, taken=2.0)
     assert queued[-1] > 1.4 * refused[-1] and sum(queued) > 1.4 * sum(refused)
-    assert max(2.0 + wait for wait in queued) <= discovery.ASK_AGAIN_S
+    assert max(2.0 + wait for wait in queued) <= schedule.ASK_AGAIN_S
 
 
 def test_where_lists_are_pushed_the_agent_is_asked_again_within_the_least_grace() -> None:
--- a/tests/test_drain_at_size.py
+++ b/tests/test_drain_at_size.py
@@ -29,7 +29,7 @@
 from limenotch.config import host_port
 
 from .helpers.discovery_service import Address, DiscoveryService
-from .helpers.peers import LOOK, SETTINGS, answering, ask, renamed, whole
+from .helpers.http_peers import LOOK, SETTINGS, answering, ask, renamed, whole
 from .helpers.processes import Processes, free_port, run
 
 GRACE_S = 0.3  # of a drain, with the slack of real sockets
--- a/tests/test_starts.py
+++ b/tests/test_endpoint_ages.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from limenotch import starts
-from limenotch.facade import Facade, Provider, Status
-from limenotch.starts import Starts
-from switchthread import Balancer
-from switchthread.events import MembershipKind, MembershipUpdate, OperatorEjection
-from switchthread.settings import read_settings
-from switchthread.types import BalancerSettings, Effect, Endpoint, SlowStart, TrafficClass
+from limenotch import endpoint_ages
+from limenotch.balancing import Balancer
+from limenotch.balancing.events import MembershipKind, MembershipUpdate, OperatorEjection
+from limenotch.balancing.settings import read_settings
+from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, SlowStart, TrafficClass
+from limenotch.endpoint_ages import Starts
+from limenotch.load_balancer import Facade, Provider, Status
 
-from .helpers.peers import SETTINGS
+from .helpers.http_peers import SETTINGS
 
 UNIX = 1_800_000_000_000.0  # when the process began
 HOUR = 3_600_000.0
@@ -88,7 +88,7 @@
 
 
 def test_of_those_that_have_left_the_oldest_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(starts, "MOST_GONE", 2)
+    monkeypatch.setattr(endpoint_ages, "MOST_GONE", 2)
     clocks = Clocks()
     for name in "abc":
         clocks.age(name, UNIX - 7000)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,10 +4,9 @@
 
 from random import Random
 
-from limenotch.settings import Directory
-from switchthread import Balancer
-from switchthread.actions import SendAttempt, SetTimer
-from switchthread.events import (
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import SendAttempt, SetTimer
+from limenotch.balancing.events import (
     AttemptFinished,
     BalancerStarted,
     Event,
@@ -16,8 +15,17 @@
     RequestArrived,
     TimerFired,
 )
-from switchthread.shares import reshare
-from switchthread.types import BalancerSettings, Effect, Endpoint, EndpointState, Outcome, SlowStart, TrafficClass
+from limenotch.balancing.types import (
+    BalancerSettings,
+    Effect,
+    Endpoint,
+    EndpointState,
+    Outcome,
+    SlowStart,
+    TrafficClass,
+)
+from limenotch.balancing.weights import reshare
+from limenotch.settings import Directory
 
 LOOK = TrafficClass("look", Effect.IDEMPOTENT, 2000.0, 5000.0, late_worth=0.5)
 COLD = SlowStart(0.12, 24_000.0, 4.0, 3000.0)
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from limenotch.facade import Ending, Facade, Hint, Invoke, Provider, Status
-from switchthread.actions import RejectRequest, SendAttempt
-from switchthread.events import MembershipKind, RequestArrived
-from switchthread.types import DedupScope, Effect, Endpoint, EndpointState, Outcome, PriorExecution, TrafficClass
+from limenotch.balancing.actions import RejectRequest, SendAttempt
+from limenotch.balancing.events import MembershipKind, RequestArrived
+from limenotch.balancing.types import DedupScope, Effect, Endpoint, EndpointState, Outcome, PriorExecution, TrafficClass
+from limenotch.load_balancer import Ending, Facade, Hint, Invoke, Provider, Status
 
 from .referee import PAY, READ, WRITE, ZONAL, Held, Referee, fleet, sends, settings
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -9,7 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from limenotch.net import documents, http1
+from limenotch.net import http1
+from limenotch.net.discovery import json_stream
 from limenotch.net.http1 import MalformedError, Message, RequestParser, ResponseParser
 
 BODIES = st.binary(max_size=300)
@@ -118,7 +119,7 @@
         except MalformedError as error:
             assert error.status in (400, 413, 431)
     try:
-        documents.ChunkStream().feed(b"".join(pieces))
+        json_stream.ChunkStream().feed(b"".join(pieces))
     except MalformedError:
         pass
 
@@ -209,7 +210,7 @@
 ) -> None:
     body = b"".join(json.dumps(one, indent=indent).encode() + end for one, indent, end in told)
     wire = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body)
-    stream, found = documents.ChunkStream(), []
+    stream, found = json_stream.ChunkStream(), []
     edges = [0, *sorted(cut % (len(wire) + 1) for cut in cuts), len(wire)]
     for start, end in zip(edges, edges[1:], strict=False):
         found += stream.feed(wire[start:end])
@@ -218,9 +219,9 @@
 
 
 def test_documents_that_are_spoilt_hide_no_later_one() -> None:
-    stream = documents.Documents()
+    stream = json_stream.Documents()
     assert stream.feed(b'not json\n{"a":"{\n}\n') == [b"not json", b'{"a":"{', b"}"]
     assert stream.feed(b'{\n "a": 1}') == [b'{\n "a": 1}'] and stream.begun == 0  # at once, with no end of its line
     with pytest.raises(MalformedError):
-        for _ in range(documents.MOST // 1000 + 1):
+        for _ in range(json_stream.MOST // 1000 + 1):
             stream.feed(b"[" + b" " * 998 + b"1\n")
--- a/tests/test_large_lists.py
+++ b/tests/test_large_endpoint_lists.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from switchthread import Balancer
-from switchthread.actions import SendAttempt
-from switchthread.events import Event, MembershipKind, MembershipUpdate, RequestArrived
-from switchthread.placement import draw
-from switchthread.ready import Ready
-from switchthread.records import Call, Mean, Server, Usual
-from switchthread.types import BalancerSettings, Effect, Endpoint, EndpointState, SlowStart, TrafficClass
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import SendAttempt
+from limenotch.balancing.available_endpoints import Ready
+from limenotch.balancing.endpoint_selection import draw
+from limenotch.balancing.endpoint_statistics import Call, Mean, Server, Usual
+from limenotch.balancing.events import Event, MembershipKind, MembershipUpdate, RequestArrived
+from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, EndpointState, SlowStart, TrafficClass
 
 SMALL, LARGE = 200, 3200
 COLD = SlowStart(0.25, 8000.0, 2.0, 1000.0)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -16,11 +16,11 @@
 
 import pytest
 
-from limenotch import config, program
-from limenotch.net.directory import Directory
-from limenotch.net.discovery import ASK_AGAIN_S
+from limenotch import app, config
+from limenotch.net.discovery.client import Directory
+from limenotch.net.discovery.schedule import ASK_AGAIN_S
 
-from .helpers.peers import LOOK, SETTINGS, Handler, Reader, Writer, answering, ask, whole
+from .helpers.http_peers import LOOK, SETTINGS, Handler, Reader, Writer, answering, ask, whole
 from .helpers.processes import free_port, run
 
 UP = b"GET /up HTTP/1.1\r\nHost: o\r\n\r\n"
@@ -84,7 +84,7 @@
         "settings": settings,
         "known": {"index": 3, "snapshot": True, "endpoints": known},
     }
-    task = asyncio.create_task(program.serve(config.parse(raw, {})))
+    task = asyncio.create_task(app.serve(config.parse(raw, {})))
     try:
         await listening(port)
         yield port
@@ -112,7 +112,7 @@
     whole_list: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against serving from the list known before: what the agent has counts as told from the first moment on.
-    monkeypatch.setattr(program, "AGENT_S", 1000.0)
+    monkeypatch.setattr(app, "AGENT_S", 1000.0)
 
     async def case() -> None:
         agent = Agent()
@@ -138,7 +138,7 @@
 def test_where_the_agent_is_silent_a_process_serves_from_what_it_knew(
     failing: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(program, "AGENT_S", 0.2)
+    monkeypatch.setattr(app, "AGENT_S", 0.2)
 
     async def case() -> None:
         agent = Agent(failing)
@@ -154,7 +154,7 @@
 
 def test_the_agent_is_waited_for_no_longer_than_a_start_may_take() -> None:
     """Nine of ten restarted processes are ready within 6 s, of which starting takes its own part."""
-    assert program.AGENT_S <= 3.0
+    assert app.AGENT_S <= 3.0
 
 
 @pytest.mark.parametrize(("mode", "pushed"), [("push", True), ("ask", False), (None, False)])
@@ -163,7 +163,7 @@
     if mode is None:
         del settings["registry_mode"]
     raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}
-    assert program.pushed(config.parse(raw, {})) is pushed
+    assert app.pushed(config.parse(raw, {})) is pushed
 
 
 def test_a_reload_may_say_that_lists_are_pushed_and_move_discovery_under_open_calls(
@@ -193,7 +193,7 @@
         }
         path.write_text(json.dumps(raw))
         monkeypatch.setenv("LB_CONFIG", str(path))
-        task = asyncio.create_task(program.serve(config.load(os.environ)))
+        task = asyncio.create_task(app.serve(config.load(os.environ)))
         await first.calls.get()
         await listening(port)
         call = asyncio.create_task(ask(port, LOOK))
--- a/tests/test_beside.py
+++ b/tests/test_request_interceptors.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from limenotch.facade import Abandon, Ending, GiveUp, Hint, Invoke, Order, Reject
-from limenotch.net.call import Call, Final, InvokerCall, Later, Verdict
-from limenotch.net.calls import Calls
+from limenotch.load_balancer import Abandon, Ending, GiveUp, Hint, Invoke, Order, Reject
+from limenotch.net.request import Call, Final, InvokerCall, Later, Verdict
+from limenotch.net.requests import Calls
 
 from .helpers.scripted import Hand, Script, calls_of, take
 
--- a/tests/test_calls.py
+++ b/tests/test_requests.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from limenotch.facade import Ending, Invoke, Order, Orders
-from limenotch.net.call import Call, Final, Verdict
-from limenotch.net.calls import Calls
+from limenotch.load_balancer import Ending, Invoke, Order, Orders
+from limenotch.net.request import Call, Final, Verdict
+from limenotch.net.requests import Calls
 
 from .helpers.scripted import Hand, Script, calls_of, take
 
--- a/tests/test_narrow.py
+++ b/tests/test_restricted_mode.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from limenotch.facade import Ending, Facade, GiveUp, Invoke, Order, Provider, Reject, Status, Wake
-from switchthread.actions import RejectRequest
-from switchthread.types import DedupScope, Effect, Outcome, TrafficClass
+from limenotch.balancing.actions import RejectRequest
+from limenotch.balancing.types import DedupScope, Effect, Outcome, TrafficClass
+from limenotch.load_balancer import Ending, Facade, GiveUp, Invoke, Order, Provider, Reject, Status, Wake
 
 from .referee import READ, WRITE, Referee, fleet, sends, settings
 
--- a/tests/test_repeats.py
+++ b/tests/test_retry_policy.py
@@ -9,13 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limenotch.facade import NEVER_RAN, Ending, Provider, Status
-from limenotch.net.admission import Hindrance, hindrance
-from limenotch.net.call import Call, InvokerCall
-from limenotch.net.names import MOST_REMEMBERED, Names
-from limenotch.permits import ARRIVAL_MS, Permits, Sent
-from switchthread.repeats import may_repeat
-from switchthread.types import DedupScope, Effect, PriorAttempt, TrafficClass
+from limenotch.balancing.retry_policy import may_repeat
+from limenotch.balancing.types import DedupScope, Effect, PriorAttempt, TrafficClass
+from limenotch.load_balancer import NEVER_RAN, Ending, Provider, Status
+from limenotch.net.attempt_check import Hindrance, hindrance
+from limenotch.net.request import Call, InvokerCall
+from limenotch.net.request_ids import MOST_REMEMBERED, Names
+from limenotch.request_policy import ARRIVAL_MS, Permits, Sent
 
 EFFECTS = st.builds(
     lambda effect, scope, window: TrafficClass("c", effect, 100.0, 1000.0, scope=scope, window_ms=window),
--- a/tests/test_repeats_played.py
+++ b/tests/test_retry_policy_random_events.py
@@ -9,11 +9,11 @@
 from hypothesis import settings as drawn
 from hypothesis import strategies as st
 
-from switchthread.actions import FailRequest, RejectRequest
-from switchthread.types import DedupScope, Outcome, TrafficClass
+from limenotch.balancing.actions import FailRequest, RejectRequest
+from limenotch.balancing.types import DedupScope, Outcome, TrafficClass
 
 from .referee import PAY, READ, WRITE, Referee, fleet, settings
-from .test_rules import STEPS, play
+from .test_balancing_rules import STEPS, play
 
 LONG = replace(WRITE, name="long", scope=DedupScope.ALL, window_ms=10_000.0)  # outlasts its client's patience
 SHORT = replace(WRITE, name="short", scope=DedupScope.ALL, window_ms=300.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -92,7 +92,7 @@
 def test_serve_imports_nothing_of_the_laboratory() -> None:
     """Guards the memory and the start of every sidecar."""
     code = (
-        "import sys, limenotch.cli.serve, limenotch.program; "
+        "import sys, limenotch.cli.serve, limenotch.app; "
         "print([m for m in sys.modules if m.split('.')[0] in ('numpy', 'scipy', 'rich', 'hdrh', 'matplotlib', "
         "'jinja2') or m.startswith('limenotch.lab')])"
     )
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,16 +14,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from limenotch.balancing.settings import read_settings
 from limenotch.net import http1
-from limenotch.net.consumers import Consumers
-from limenotch.net.leaving import KILL_AFTER_S, KILL_MOST_S, Schedule, schedule
+from limenotch.net.client_listener import Consumers
 from limenotch.net.pipe import HOLD
+from limenotch.net.shutdown_schedule import KILL_AFTER_S, KILL_MOST_S, Schedule, schedule
 from limenotch.settings import Consumers as Tuning
 from limenotch.settings import Settings
-from switchthread.settings import read_settings
 
 from .helpers.connections import UP, Connections, received, until, with_connections
-from .helpers.peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
+from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
 from .helpers.processes import run, with_sidecar
 
 PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only leaving ends anything
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -11,22 +11,22 @@
 
 import pytest
 
-from limenotch.facade import Ending, Facade, Provider, Status
+from limenotch.balancing.settings import read_settings
+from limenotch.load_balancer import Ending, Facade, Provider, Status
 from limenotch.net import http1
-from limenotch.net.call import Call, Final, InvokerCall, Verdict
-from limenotch.net.calls import Calls
-from limenotch.net.connection import Connection
-from limenotch.net.consumers import Consumers
-from limenotch.net.fields import budget_ms
-from limenotch.net.outcomes import ending_of, report_of
-from limenotch.net.providers import Providers
+from limenotch.net.client_listener import Consumers
+from limenotch.net.endpoint_connection import Connection
+from limenotch.net.endpoint_pool import Providers
+from limenotch.net.header_fields import budget_ms
+from limenotch.net.request import Call, Final, InvokerCall, Verdict
+from limenotch.net.requests import Calls
+from limenotch.net.response_outcome import ending_of, report_of
 from limenotch.net.sockets import OPERATORS, Share, Sockets
 from limenotch.settings import Consumers as ConsumerTuning
 from limenotch.settings import Descriptors, Settings
 from limenotch.settings import Providers as ProviderTuning
-from switchthread.settings import read_settings
 
-from .helpers.peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
+from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
 from .helpers.processes import free_port, run, with_sidecar
 
 REJECTED = whole(503, (b"X-Rejected", b"1"))
--- a/tests/test_wire.py
+++ b/tests/test_simulator_adapter.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from switchthread.settings import read_settings
+from limenotch.balancing.settings import read_settings
 
 from .helpers.processes import ROOT, finished
 
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -4,10 +4,17 @@
 
 import heapq
 
-from switchthread import Balancer
-from switchthread.actions import FailRequest, RejectRequest, SendAttempt, SetTimer
-from switchthread.events import AttemptFinished, Event, MembershipKind, MembershipUpdate, RequestArrived, TimerFired
-from switchthread.types import BalancerSettings, Effect, Endpoint, Outcome, SlowStart, TrafficClass
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import FailRequest, RejectRequest, SendAttempt, SetTimer
+from limenotch.balancing.events import (
+    AttemptFinished,
+    Event,
+    MembershipKind,
+    MembershipUpdate,
+    RequestArrived,
+    TimerFired,
+)
+from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, SlowStart, TrafficClass
 
 AIM, END, WARM = 2000.0, 5000.0, 24_000.0
 SETTINGS = BalancerSettings(
--- a/tests/test_cold_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from switchthread import Balancer
-from switchthread.actions import Action, SendAttempt
-from switchthread.events import (
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import Action, SendAttempt
+from limenotch.balancing.endpoint_statistics import Mean, Server
+from limenotch.balancing.events import (
     AttemptFinished,
     MembershipKind,
     MembershipUpdate,
@@ -14,8 +15,7 @@
     SettingsChanged,
     TimerFired,
 )
-from switchthread.records import Mean, Server
-from switchthread.types import (
+from limenotch.balancing.types import (
     BalancerSettings,
     DedupScope,
     Effect,
@@ -25,8 +25,8 @@
     SlowStart,
     TrafficClass,
 )
-from tests.helpers.cold_circumstances import CIRCUMSTANCES, LOOK, Circumstance
-from tests.helpers.cold_fleet import play
+from tests.helpers.slow_start_circumstances import CIRCUMSTANCES, LOOK, Circumstance
+from tests.helpers.slow_start_fleet import play
 
 BY_NAME = {case.name: case for case in CIRCUMSTANCES}
 # Each of these seeds went over before the rate shown took the place of demand.
--- a/tests/test_few.py
+++ b/tests/test_small_tiers.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from switchthread import Balancer
-from switchthread.actions import SendAttempt
-from switchthread.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived
-from switchthread.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
-from switchthread.verdicts import quiet
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import SendAttempt
+from limenotch.balancing.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived
+from limenotch.balancing.outlier_detection import quiet
+from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 
 LOOK = TrafficClass("look", Effect.IDEMPOTENT, 750.0, 2000.0)
 PACK = TrafficClass("pack", Effect.IDEMPOTENT, 2500.0, 6000.0)
--- a/tests/test_stale_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -4,11 +4,17 @@
 
 import pytest
 
-from switchthread import Balancer
-from switchthread.actions import SendAttempt
-from switchthread.events import AttemptFinished, BalancerStarted, MembershipKind, MembershipUpdate, RequestArrived
-from switchthread.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
-from switchthread.verdicts import REST, RESTING
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import SendAttempt
+from limenotch.balancing.events import (
+    AttemptFinished,
+    BalancerStarted,
+    MembershipKind,
+    MembershipUpdate,
+    RequestArrived,
+)
+from limenotch.balancing.outlier_detection import REST, RESTING
+from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 
 SAFE = TrafficClass("look", Effect.IDEMPOTENT, 400.0, 900.0)
 ONCE = TrafficClass("file", Effect.AT_MOST_ONCE, 400.0, 900.0)
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -20,7 +20,7 @@
 from limenotch.lab.fleet.node import FAULTS
 
 from .helpers.discovery_service import DiscoveryService
-from .helpers.peers import LOOK, SETTINGS, ask, renamed
+from .helpers.http_peers import LOOK, SETTINGS, ask, renamed
 from .helpers.processes import Processes, free_port, run
 from .test_drain_at_size import Servers
 
--- a/tests/test_long_requests.py
+++ b/tests/test_streamed_requests.py
@@ -8,33 +8,24 @@
 
 import pytest
 
-from limenotch.facade import Ending, Facade, Invoke, Provider, Status
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import RejectRequest, SendAttempt
+from limenotch.balancing.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived, UploadFinished
+from limenotch.balancing.settings import read_settings
+from limenotch.balancing.types import BalancerSettings, Endpoint, Outcome
+from limenotch.load_balancer import Ending, Facade, Invoke, Provider, Status
 from limenotch.net import http1
-from limenotch.net.call import Final, InvokerCall
-from limenotch.net.calls import Calls
 from limenotch.net.pipe import HOLD, Budget, Pipe
+from limenotch.net.request import Final, InvokerCall
+from limenotch.net.requests import Calls
 from limenotch.settings import Consumers as ConsumerTuning
 from limenotch.settings import Providers as ProviderTuning
 from limenotch.settings import Settings
-from switchthread import Balancer
-from switchthread.actions import RejectRequest, SendAttempt
-from switchthread.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived, UploadFinished
-from switchthread.settings import read_settings
-from switchthread.types import BalancerSettings, Endpoint, Outcome
-
-from .helpers.peers import (
-    SETTINGS,
-    Handler,
-    Reader,
-    Writer,
-    answer_from,
-    ask,
-    renamed,
-    whole,
-)
+
+from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, answer_from, ask, renamed, whole
 from .helpers.processes import free_port, run, with_sidecar
-from .test_long import BODY, OK, POST, in_chunks, read_all
-from .test_operators import CLASSES, conserved
+from .test_admin_server import CLASSES, conserved
+from .test_streamed_responses import BODY, OK, POST, in_chunks, read_all
 
 
 def long_request(framing: str) -> bytes:
@@ -173,7 +164,7 @@
 
 
 def test_many_long_bodies_at_once_in_a_budget_of_next_to_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("limenotch.program.buffered", lambda *_: 1000)
+    monkeypatch.setattr("limenotch.app.buffered", lambda *_: 1000)
     got: list[bytes] = []
     long = OK + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY
 
--- a/tests/test_long.py
+++ b/tests/test_streamed_responses.py
@@ -14,18 +14,9 @@
 from limenotch.settings import Consumers as ConsumerTuning
 from limenotch.settings import Settings
 
-from .helpers.peers import (
-    GET_HEALTH,
-    LOOK,
-    Handler,
-    Reader,
-    Writer,
-    answering,
-    ask,
-    whole,
-)
+from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, answering, ask, whole
 from .helpers.processes import free_port, run, with_sidecar
-from .test_operators import conserved
+from .test_admin_server import conserved
 
 BODY = bytes(range(256)) * 2048  # 512 KiB
 POST = LOOK.replace(b"GET", b"POST").replace(b"look", b"deliver").replace(b"\r\n\r\n", b"\r\nIdempotency-Key: k\r\n")
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -14,20 +14,26 @@
 
 import pytest
 
-from limenotch.facade import Facade, Provider, Status
+from limenotch.balancing import Balancer
+from limenotch.balancing.actions import SendAttempt
+from limenotch.balancing.events import (
+    AttemptFinished,
+    MembershipKind,
+    MembershipUpdate,
+    RequestArrived,
+    SettingsChanged,
+)
+from limenotch.balancing.learned_state import learn, told_by
+from limenotch.balancing.settings import read_settings
+from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, SlowStart, TrafficClass
+from limenotch.load_balancer import Facade, Provider, Status
 from limenotch.net import http1, successor
-from limenotch.net.consumers import BACKLOG
+from limenotch.net.client_listener import BACKLOG
 from limenotch.net.successor import Successor
-from switchthread import Balancer
-from switchthread.actions import SendAttempt
-from switchthread.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived, SettingsChanged
-from switchthread.knowledge import learn, told_by
-from switchthread.settings import read_settings
-from switchthread.types import BalancerSettings, Effect, Endpoint, Outcome, SlowStart, TrafficClass
-
-from .helpers.peers import LOOK, SETTINGS, Reader, Writer, answer_from, ask, whole
+
+from .helpers.http_peers import LOOK, SETTINGS, Reader, Writer, answer_from, ask, whole
 from .helpers.processes import Processes, free_port, run
-from .test_operators import GET_STATS, figures_of, post
+from .test_admin_server import GET_STATS, figures_of, post
 
 AT = ("127.0.0.1", 1)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from switchthread.types import DedupScope, Effect, Endpoint, Outcome, TrafficClass
+from limenotch.balancing.types import DedupScope, Effect, Endpoint, Outcome, TrafficClass
 from tests.referee import Held, Referee, settings
 
 BOOK = TrafficClass("book", Effect.AT_MOST_ONCE, 1000.0, 2500.0, worth=10.0)
