--- a/limenotch/config.py
+++ b/limenotch/config.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from limenotch.balancing.settings import read_settings
-from limenotch.balancing.types import BalancerSettings
+from .balancing.settings import read_settings
+from .balancing.types import BalancerSettings
 
 Address = tuple[str, int]
 
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from limenotch.balancing.types import Effect
+from ..balancing.types import Effect
 
 from ..config import Config
 from ..fleet.affinity import messages
--- a/limenotch/load_balancer.py
+++ b/limenotch/load_balancer.py
@@ -14,9 +14,8 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from limenotch.balancing import Balancer
-from limenotch.balancing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer
-from limenotch.balancing.events import (
+from .balancing import Balancer, actions
+from .balancing.events import (
     AttemptFinished,
     BalancerStarted,
     ClientDisconnected,
@@ -29,8 +28,8 @@
     TimerFired,
     UploadFinished,
 )
-from limenotch.balancing.learned_state import learn, told_by
-from limenotch.balancing.types import BalancerSettings, Endpoint, EndpointState, Outcome, PriorExecution
+from .balancing.learned_state import learn, told_by
+from .balancing.types import BalancerSettings, Endpoint, EndpointState, Outcome, PriorExecution
 
 from .endpoint_ages import Starts
 from .request_policy import Permits
@@ -403,15 +402,15 @@
         return [_order(action, now) for action in acts]
 
 
-def _order(action: Action, now: float) -> Order:
-    if isinstance(action, SendAttempt):
+def _order(action: actions.Action, now: float) -> Order:
+    if isinstance(action, actions.SendAttempt):
         return Invoke(int(action.call), action.upstream, action.timeout_ms)
-    if isinstance(action, SetTimer):
+    if isinstance(action, actions.SetTimer):
         return Wake(max(action.at_ms - now, 0.0), action.token)
-    if isinstance(action, CancelAttempt):
+    if isinstance(action, actions.CancelAttempt):
         return Abandon(int(action.call), action.attempt)
-    if isinstance(action, RejectRequest):
+    if isinstance(action, actions.RejectRequest):
         return Reject(int(action.call), action.retry_after_ms)
-    if isinstance(action, FailRequest):
+    if isinstance(action, actions.FailRequest):
         return GiveUp(int(action.call))
     return Watch()
--- a/limenotch/request_policy.py
+++ b/limenotch/request_policy.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from limenotch.balancing.retry_policy import may_repeat
-from limenotch.balancing.types import Effect, PriorAttempt, TrafficClass
+from .balancing.retry_policy import may_repeat
+from .balancing.types import Effect, PriorAttempt, TrafficClass
 
 # A request counts at its endpoint with its last byte: what the way there and a busy core may take until then.
 ARRIVAL_MS = 20.0
