--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -30,7 +30,7 @@
 from limenotch.fleet.affinity.api import Kind, Providers, State
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.tuning import Ages, Tuning
-from limenotch.fleet.interfaces import Heard, MemberChanged, SetTimer, Started, Tell, TimerFired
+from limenotch.fleet.interfaces import MemberChanged, MessageReceived, SendToMember, SetTimer, Started, TimerFired
 from limenotch.lab.fleet.bindings_run import PREFIX, Run
 from limenotch.lab.fleet.bindings_storms import Consumer
 
@@ -70,12 +70,12 @@
         began = process_time()
         if isinstance(event, bytes):
             frm, event = event[:1].decode(), self._decoder.decode(event[1:])
-            event = Heard((frm, 1), frm, event)
+            event = MessageReceived((frm, 1), frm, event)
         actions = self.parts[name].handle(self.now, event)
         out = [
             (action.to, name.encode() + self._encoder.encode(action.message))
             for action in actions
-            if isinstance(action, Tell)
+            if isinstance(action, SendToMember)
         ]
         spent = process_time() - began
         self.cpu[name] += spent
--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from limenotch.fleet import consensus
-from limenotch.fleet.hub import LOG, Asked, Hub
+from limenotch.fleet.hub import LOG, ComponentEvent, ComponentHub
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.fleet.rules import Rules
 from limenotch.fleet.rules.api import InForce, Narrow
@@ -22,17 +22,17 @@
 from limenotch.lab.fleet.lists_drawings import event_of
 from limenotch.lab.fleet.rules_run import FIRST, settings_check
 from limenotch.lab.fleet.world import World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 LAYERS = ("mb.", LOG, "ru.", "li.")
 SETTLE_MS = 20_000.0
 
 
-def hub_of(names: list[str], name: str, seed: int, life: int, held: Held) -> Hub:
+def hub_of(names: list[str], name: str, seed: int, life: int, held: StoredLog) -> ComponentHub:
     voters = tuple(names[:3])
     members = Membership(name, address(name), life, [address(one) for one in names[:2]], Tuning(), seed)
     log = consensus.Agreement(name, voters, held, consensus.Tuning(), seed)
-    hub = Hub(
+    hub = ComponentHub(
         [
             ("mb.", members),
             (LOG, log),
@@ -66,7 +66,9 @@
         world = World(names, partial(hub_of, names), 1)
         world.run(SETTLE_MS / 2)
         for name in names:
-            world.poke(name, Asked("li.", event_of("whole 5 " + " ".join(f"p{number}" for number in range(20)))))
+            world.poke(
+                name, ComponentEvent("li.", event_of("whole 5 " + " ".join(f"p{number}" for number in range(20))))
+            )
         world.run(SETTLE_MS)
         before = {name: spent(world, name) for name in names}
         world.run(SETTLE_MS + given.seconds * 1000.0)
--- a/benchmarks/fleet_wire.py
+++ b/benchmarks/fleet_wire.py
@@ -15,7 +15,7 @@
 
 from limenotch.fleet.interfaces import Message
 from limenotch.fleet.membership.messages import Claim, Me, Ping, Spoken
-from limenotch.fleet.wire import DIGEST, Wire
+from limenotch.fleet.wire import DIGEST, FrameCodec
 
 KEY = b"of a benchmark only"
 ME = Me(("10.0.0.1", 7400), 1_790_000_000_000_000, 3)
@@ -35,7 +35,7 @@
 
 def main() -> None:
     rounds = int(sys.argv[1]) if len(sys.argv) > 1 else 20_000
-    wire = Wire(KEY, "tier-front", get_args(Spoken))
+    wire = FrameCodec(KEY, "tier-front", get_args(Spoken))
     probes: list[tuple[str, Message]] = [
         ("bare", Ping(12345, "sidecar-2", ME)),
         ("with 10 news", Ping(12345, "sidecar-2", ME, NEWS)),
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,7 +23,7 @@
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.lab.fleet.faults import Chance
 from limenotch.lab.fleet.world import World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 LOSS_MS, KILL_MS, SPAN_MS = 4000.0, 8000.0, 8000.0
 
@@ -43,7 +43,7 @@
     def one(self, count: int, loss: float, seed: int, tuning: Tuning) -> None:
         names = [f"m{number}" for number in range(count)]
 
-        def make(name: str, seed: int, life: int, held: Held) -> Membership:
+        def make(name: str, seed: int, life: int, held: StoredLog) -> Membership:
             return Membership(name, address(name), life, [address(one) for one in names[:2]], tuning, seed)
 
         began = process_time()
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -17,7 +17,7 @@
 
 from limenotch.store.files import RealFiles
 from limenotch.store.log import Store
-from limenotch.store.records import Append, Entry, Record
+from limenotch.store.records import Append, LogEntry, Record
 
 BATCHES = (1, 8, 64, 512)
 FOR_S = 3.0
@@ -25,7 +25,7 @@
 
 
 def record(index: int) -> Record:
-    return Append((Entry(index, 1, "command", DATA),))
+    return Append((LogEntry(index, 1, "command", DATA),))
 
 
 def at(spent: list[float], part: float) -> float:
--- a/benchmarks/wallet_cost.py
+++ b/benchmarks/wallet_cost.py
@@ -29,14 +29,14 @@
 from limenotch.fleet_adapters.wallet import Till
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.lab.fleet.processes import NodeProcess, Processes, fleet_table
-from limenotch.net.request import Final, Verdict
+from limenotch.net.request import FinalResponse, Verdict
 
 from .replicated_notes import SETTINGS, TURN, listed, provider, turn
 
 ROUND = 20_000  # calls of the purse alone
 ROUNDS = 9
 CREDIT = 100_000_000
-SERVED = Final(Verdict.SERVED)
+SERVED = FinalResponse(Verdict.SERVED)
 
 
 def a_purse() -> Purse:
--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -15,22 +15,22 @@
 
 from . import logs
 from .config import Config, ConfigError, host_port, load
-from .load_balancer import Facade, Provider
-from .metrics import Figures
-from .net.admin.server import Operators
-from .net.client_listener import Consumers
-from .net.discovery.client import Directory
-from .net.endpoint_pool import Providers
-from .net.pipe import Budget
-from .net.requests import Calls
-from .net.sockets import Sockets
-from .net.successor import Inheritance, Successor
-from .operator_ejections import LOOK_S, Bans
+from .load_balancer import DiscoveredEndpoint, LoadBalancer
+from .metrics import Metrics
+from .net.admin.server import AdminServer
+from .net.client_listener import ClientListener
+from .net.discovery.client import DiscoveryClient
+from .net.endpoint_pool import EndpointPool
+from .net.pipe import BufferBudget
+from .net.requests import RequestManager
+from .net.sockets import DescriptorLimits
+from .net.successor import InheritedState, Successor
+from .operator_ejections import LOOK_S, OperatorEjections
 from .settings import Settings
 
 if TYPE_CHECKING:
-    from .configuration_applier import Acting
-    from .fleet_node import Together
+    from .configuration_applier import ConfigurationApplier
+    from .fleet_node import FleetNode
 
 log = logs.get(__name__)
 
@@ -42,23 +42,23 @@
 async def serve(config: Config, settings: Settings = Settings()) -> None:  # noqa: B008 (frozen)
     """Serve until SIGTERM or SIGINT, then finish what was taken. Raises OSError if it can't listen."""
     held, serving = config, False
-    facade = Facade(config.settings, config.seed, config.zones, config.kinds)
+    facade = LoadBalancer(config.settings, config.seed, config.zones, config.kinds)
     others = among_others(config, settings)
-    sockets = Sockets(config.sockets, settings.descriptors, others.descriptors if others is not None else 0)
-    figures = Figures()
+    sockets = DescriptorLimits(config.sockets, settings.descriptors, others.descriptors if others is not None else 0)
+    figures = Metrics()
     figures.know(cls.name for cls in config.settings.classes)
-    calls = Calls(facade, config.max_open, figures)
-    budget = Budget(buffered(config.memory_mb, 1))
-    providers = Providers(calls, sockets.providers, config.connect_ms, config.idle_ms, settings.providers, budget)
+    calls = RequestManager(facade, config.max_open, figures)
+    budget = BufferBudget(buffered(config.memory_mb, 1))
+    providers = EndpointPool(calls, sockets.providers, config.connect_ms, config.idle_ms, settings.providers, budget)
     listed = asyncio.Event()
 
-    def use(entries: list[Provider], whole: bool) -> None:
+    def use(entries: list[DiscoveredEndpoint], whole: bool) -> None:
         # The pool first: what the facade orders may go to a provider that is new.
         providers.listed(entries, whole)
         listed.set()
         calls.carry_out(facade.heard(entries, whole, directory.unheard_ms()))
 
-    def heard(entries: list[Provider], whole: bool) -> None:
+    def heard(entries: list[DiscoveredEndpoint], whole: bool) -> None:
         if others is not None:
             others.listed(entries, whole)
             entries = others.over(entries, whole)
@@ -71,12 +71,12 @@
 
     # Of its own by seed and name: where the system's random numbers are alike everywhere, all would ask in step.
     random = Random(f"{config.seed:x}/{config.name}/{host_port(config.listen)}")
-    directory = Directory(config.directory, heard, broken, settings.directory, pushed(config), random)
+    directory = DiscoveryClient(config.directory, heard, broken, settings.directory, pushed(config), random)
     calls.invoker, calls.watch = providers, directory.watch
     if others is not None:
         calls.beside = others.beside
         others.lists(use, directory.where)
-    consumers = Consumers(calls, facade, sockets, listed.is_set, settings.consumers, budget)
+    consumers = ClientListener(calls, facade, sockets, listed.is_set, settings.consumers, budget)
     if others is not None:
         consumers.gone = others.gone
 
@@ -87,7 +87,7 @@
             others.banned(name, out, at_ms)
         calls.carry_out(facade.ban(name, out, at_ms))
 
-    bans = Bans(config.kept, banned)
+    bans = OperatorEjections(config.kept, banned)
 
     async def ban(name: str, out: bool) -> bool | None:
         if not providers.knows(name) and name not in bans.out:
@@ -104,7 +104,7 @@
         )
 
     extra = others.paths if others is not None else {}
-    operators = Operators(lambda: serving and consumers.ready() and not consumers.leaving, stats, ban, extra)
+    operators = AdminServer(lambda: serving and consumers.ready() and not consumers.leaving, stats, ban, extra)
 
     def limit(processes: int) -> None:
         """Of this sidecar, those alive: all of them are held to one sidecar's limits."""
@@ -192,13 +192,13 @@
         others.close()
 
 
-def among_others(config: Config, settings: Settings) -> Together | None:
+def among_others(config: Config, settings: Settings) -> FleetNode | None:
     """The fleet's side, off without its table: nothing of it is imported then."""
     if settings.fleet is None:
         return None
-    from .fleet_node import Together
+    from .fleet_node import FleetNode
 
-    return Together(settings.fleet, config.name)
+    return FleetNode(settings.fleet, config.name)
 
 
 class Following:
@@ -206,11 +206,11 @@
 
     def __init__(
         self,
-        figures: Figures,
-        providers: Providers,
-        calls: Calls,
-        facade: Facade,
-        directory: Directory,
+        figures: Metrics,
+        providers: EndpointPool,
+        calls: RequestManager,
+        facade: LoadBalancer,
+        directory: DiscoveryClient,
         banned: Callable[[str, bool, float], None],
     ) -> None:
         self._figures, self._providers, self._calls = figures, providers, calls
@@ -247,14 +247,14 @@
         self._calls.carry_out(self._facade.lease(until, cold_parts, refusing))
 
 
-def follow(others: Together, config: Config, parts: Following) -> Acting | None:
+def follow(others: FleetNode, config: Config, parts: Following) -> ConfigurationApplier | None:
     """Where `[fleet.rules]` is set, what is agreed on takes the place of the file's rules."""
     if not others.ruled:
         return None
-    from .configuration_applier import Acting
+    from .configuration_applier import ConfigurationApplier
 
     parts.now, parts.ruled = others.now, True
-    acting = Acting(config, parts)
+    acting = ConfigurationApplier(config, parts)
     others.follow(acting, parts.counted)
     return acting
 
@@ -269,7 +269,7 @@
     return int(memory_mb * 1e6 / 8 / processes)
 
 
-def take_over(inherited: Inheritance, directory: Directory, facade: Facade) -> None:
+def take_over(inherited: InheritedState, directory: DiscoveryClient, facade: LoadBalancer) -> None:
     """What the process before knew, as far as it is sound: a fault costs its knowledge, not the start."""
     told = inherited.told
     try:
--- a/limenotch/balancing/admission.py
+++ b/limenotch/balancing/admission.py
@@ -11,12 +11,12 @@
 from math import inf, sqrt
 from typing import TYPE_CHECKING
 
-from .endpoint_statistics import RATED, Call
+from .endpoint_statistics import RATE_SPAN_MS, Request
 from .events import RequestArrived
-from .rates import Flow
+from .rates import ArrivalRates
 
 if TYPE_CHECKING:
-    from .balancer_state import Books
+    from .balancer_state import BalancerState
 
 FEW = 3.0  # the least bound: before a pace is shown there is room for some calls at once
 FILL = 0.3  # of the time between an idle answer and the shortest aim that the wait may use
@@ -29,7 +29,7 @@
 RUSH = 1.4  # ... and from which it is tight
 
 
-class Entry(Flow):
+class AdmissionControl(ArrivalRates):
     """Feed it arrivals, answers in time and windows; ask it of each call."""
 
     limit = inf  # calls held
@@ -49,14 +49,14 @@
         """
         above = self.came(now, value)
         # Of n calls in a second some square root of n more or less come by chance: of twenty that is a rush.
-        came = self.coming.now(now) * RATED
-        rush = (came - sqrt(came)) / max(self.answered.now(now) * RATED, 1e-9)
+        came = self.coming.now(now) * RATE_SPAN_MS
+        rush = (came - sqrt(came)) / max(self.answered.now(now) * RATE_SPAN_MS, 1e-9)
         roots = WIDE - (WIDE - NARROW) * min(max((rush - CALM) / (RUSH - CALM), 0.0), 1.0)
         bound = self.limit * live
         return held >= bound + (roots + APART * (1 - 2 * above)) * sqrt(bound)
 
 
-def rebound(books: Books) -> None:
+def update_admission_limit(books: BalancerState) -> None:
     """At each window's end. Where nothing is turned away nothing is bound: the copies' gate reads it."""
     # Before two means are known a just started balancer takes its first calls for a jam.
     known = len(books.tier.lows) > 1 and not books.set.layer
@@ -68,7 +68,7 @@
     )
 
 
-def refused(books: Books, now: float, call: Call, event: RequestArrived) -> bool:
+def is_rejected(books: BalancerState, now: float, call: Request, event: RequestArrived) -> bool:
     worth = books.worth(now, call, event)
     # Calls that hang at a silent upstream are no load on the others; the mean smooths what chance brings.
     held = (books.out + books.held) / 2 - sum(s.out for s in books.silent)
--- a/limenotch/balancing/available_endpoints.py
+++ b/limenotch/balancing/available_endpoints.py
@@ -12,37 +12,37 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from .endpoint_statistics import Mean, Server
+from .endpoint_statistics import EndpointStatistics, LatencyProfile
 from .types import BalancerSettings, DedupScope, SlowStart
 
-Place = tuple[int, str]
+RingPosition = tuple[int, str]
 
 
-def place_of(name: str) -> Place:
+def ring_position(name: str) -> RingPosition:
     """Where an endpoint stands in an order that all balancers agree on, far from those with a similar name."""
     return crc32(name.encode()), name
 
 
-class Ordered:
+class SortedEndpoints:
     """Endpoints sorted by their places."""
 
     def __init__(self) -> None:
-        self.servers: list[Server] = []
-        self._places: list[Place] = []
+        self.servers: list[EndpointStatistics] = []
+        self._places: list[RingPosition] = []
 
-    def add(self, server: Server) -> None:
-        place = place_of(server.at.name)
+    def add(self, server: EndpointStatistics) -> None:
+        place = ring_position(server.at.name)
         index = bisect_left(self._places, place)
         self._places.insert(index, place)
         self.servers.insert(index, server)
 
-    def remove(self, server: Server) -> None:
-        index = bisect_left(self._places, place_of(server.at.name))
+    def remove(self, server: EndpointStatistics) -> None:
+        index = bisect_left(self._places, ring_position(server.at.name))
         del self._places[index], self.servers[index]
 
 
 @dataclass(slots=True)
-class Weights:
+class WeightSums:
     """Of the endpoints of one zone and kind; the capacity of a cold one grows evenly with its age."""
 
     warm: float = 0.0
@@ -58,33 +58,33 @@
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class CountedEndpoint:
     """One endpoint as it was counted, so that the same is taken off again."""
 
-    server: Server
+    server: EndpointStatistics
     zone: int
-    like: Mean
+    like: LatencyProfile
     weight: float
-    groups: tuple[Ordered, ...]
+    groups: tuple[SortedEndpoints, ...]
     started: float | None = None  # of a cold one
 
-    def __lt__(self, other: Entry) -> bool:
+    def __lt__(self, other: CountedEndpoint) -> bool:
         return self.server.at.name < other.server.at.name
 
 
-class Ready:
+class AvailableEndpoints:
     """Owns the order of the endpoints that may be sent to."""
 
     def __init__(self, settings: BalancerSettings) -> None:
         """For as long as the settings tell the same zone and the same start."""
         self._cold = settings.cold
         self._zone = settings.zone if settings.crossing_cost > 0 else None
-        self._entries: dict[Server, Entry] = {}
-        self._warming: list[tuple[float, Entry]] = []  # a heap: when each cold one is warm
-        self._weights: dict[tuple[int, Mean], Weights] = {}
-        self._scopes: dict[tuple[DedupScope, Hashable], Ordered] = {}
+        self._entries: dict[EndpointStatistics, CountedEndpoint] = {}
+        self._warming: list[tuple[float, CountedEndpoint]] = []  # a heap: when each cold one is warm
+        self._weights: dict[tuple[int, LatencyProfile], WeightSums] = {}
+        self._scopes: dict[tuple[DedupScope, Hashable], SortedEndpoints] = {}
         self._zones: dict[int, int] = {}  # how many in each
-        self._own, self._others = Ordered(), Ordered()
+        self._own, self._others = SortedEndpoints(), SortedEndpoints()
         self.weight = 0.0
         self.warm_weight = 0.0
         self.warm = 0  # how many
@@ -92,11 +92,11 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def __contains__(self, server: Server) -> bool:
+    def __contains__(self, server: EndpointStatistics) -> bool:
         return server in self._entries
 
     @property
-    def order(self) -> tuple[list[Server], list[Server]]:
+    def order(self) -> tuple[list[EndpointStatistics], list[EndpointStatistics]]:
         """Those of the own zone, and the others; all are others where crossing costs nothing."""
         return self._own.servers, self._others.servers
 
@@ -105,12 +105,12 @@
         """How many zones there are."""
         return len(self._zones)
 
-    def members(self, scope: DedupScope, key: Hashable) -> list[Server]:
+    def members(self, scope: DedupScope, key: Hashable) -> list[EndpointStatistics]:
         """Those that drop each other's repeats."""
         found = self._scopes.get((scope, key))
         return found.servers if found is not None else []
 
-    def able(self, now: float) -> dict[tuple[int, Mean], float]:
+    def able(self, now: float) -> dict[tuple[int, LatencyProfile], float]:
         """By zone and kind, what all can do by the list alone, in weights of warm ones."""
         self.warm_up(now)
         return {key: weights.able(now, self._cold) for key, weights in self._weights.items()}
@@ -128,33 +128,35 @@
             entry.started = None
             self._count_warm(entry, 1)
 
-    def is_warm(self, server: Server) -> bool:
+    def is_warm(self, server: EndpointStatistics) -> bool:
         """By the latest `warm_up`."""
         entry = self._entries.get(server)
         return entry is not None and entry.started is None
 
-    def update(self, now: float, changed: Iterable[Server], left: Iterable[Server]) -> None:
+    def update(
+        self, now: float, changed: Iterable[EndpointStatistics], left: Iterable[EndpointStatistics]
+    ) -> None:
         """`changed` may be sent to, as they are now; `left` may no more, or are other processes now."""
         for server in left:
             self.remove(server)
         for server in sorted(
-            changed, key=lambda server: place_of(server.at.name)
+            changed, key=lambda server: ring_position(server.at.name)
         ):  # a whole list is appended
             self.remove(server)
             self.add(now, server)
 
-    def add(self, now: float, server: Server) -> None:
+    def add(self, now: float, server: EndpointStatistics) -> None:
         at = server.at
         own = self._own if at.zone == self._zone else self._others
         keys = ((DedupScope.ZONE, at.zone), (DedupScope.CELL, at.cell))
-        groups = (own, *(self._scopes.setdefault(key, Ordered()) for key in keys))
-        entry = Entry(server, at.zone, server.like, server.weight, groups)
+        groups = (own, *(self._scopes.setdefault(key, SortedEndpoints()) for key in keys))
+        entry = CountedEndpoint(server, at.zone, server.like, server.weight, groups)
         for ordered in groups:
             ordered.add(server)
         self._entries[server] = entry
         self._zones[at.zone] = self._zones.get(at.zone, 0) + 1
         self.weight += entry.weight
-        weights = self._weights.setdefault((entry.zone, entry.like), Weights())
+        weights = self._weights.setdefault((entry.zone, entry.like), WeightSums())
         if server.capacity(now, self._cold) < 1.0:
             entry.started = min(server.since, now)
             weights.cold += entry.weight
@@ -164,7 +166,7 @@
             weights.warm += entry.weight
             self._count_warm(entry, 1)
 
-    def remove(self, server: Server) -> None:
+    def remove(self, server: EndpointStatistics) -> None:
         """Nothing for one that is not here."""
         entry = self._entries.pop(server, None)
         if entry is None:
@@ -183,6 +185,6 @@
             weights.cold -= entry.weight
             weights.cold_started -= entry.weight * entry.started
 
-    def _count_warm(self, entry: Entry, count: int) -> None:
+    def _count_warm(self, entry: CountedEndpoint, count: int) -> None:
         self.warm += count
         self.warm_weight += count * entry.weight
--- a/limenotch/balancing/balancer.py
+++ b/limenotch/balancing/balancer.py
@@ -8,10 +8,10 @@
 from __future__ import annotations
 
 from .actions import Action, CancelAttempt, FailRequest, RejectRequest, Subscribe
-from .admission import rebound, refused
-from .balancer_state import BURST, Books
-from .endpoint_selection import choose
-from .endpoint_statistics import Call
+from .admission import is_rejected, update_admission_limit
+from .balancer_state import BURST, BalancerState
+from .endpoint_selection import choose_endpoints
+from .endpoint_statistics import Request
 from .events import (
     AttemptFinished,
     BalancerStarted,
@@ -26,16 +26,16 @@
     TimerFired,
     UploadFinished,
 )
-from .hedging import RETRIES, at_once, overdue, patience
-from .outlier_detection import rest, tired
+from .hedging import RETRIES, handle_overdue_attempt, hedge_delay, should_hedge_at_once
+from .outlier_detection import eject, record_answer
 from .retry_policy import may_repeat
 from .types import Effect, Outcome
-from .weights import due, reshare
+from .weights import update_weights, weights_due
 
 ASK_MS = 1000.0  # window by which asking again is timed at most: of 6 s, all that there is, a third is waited
 
 
-class Balancer(Books):
+class Balancer(BalancerState):
     """Feed it events in order; carry out the actions it returns in order."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
@@ -61,13 +61,13 @@
             self.uploaded(now_ms, event)
         elif isinstance(event, (OperatorEjection, SettingsChanged)):
             self.hear(now_ms, event)
-            reshare(self, now_ms)
+            update_weights(self, now_ms)
         elif isinstance(event, BalancerStarted):
             acts += [Subscribe()] if self.set.must_ask else []
         else:
             raise TypeError(f"not an event of events.py: {event!r}")
-        if due(self, now_ms):
-            reshare(self, now_ms)
+        if weights_due(self, now_ms):
+            update_weights(self, now_ms)
         return acts
 
     # The list of upstreams
@@ -84,23 +84,23 @@
 
     def _renew(self, now: float) -> None:
         if self.end_window(now):
-            rebound(self)
-        reshare(self, now)
+            update_admission_limit(self)
+        update_weights(self, now)
 
     # Calls
 
     def _arrival(self, now: float, event: RequestArrived, acts: list[Action]) -> None:
         call = self.take(now, event)
-        if call.end <= now or (not self.set.layer and refused(self, now, call, event)):
+        if call.end <= now or (not self.set.layer and is_rejected(self, now, call, event)):
             self._finish(now, call, acts)
         else:
             # Refused calls earn no copies: in incident i4bceea they paid for a third more at a full entry.
             self.budget = min(self.budget + RETRIES, BURST)
             self._place(now, call, acts)
 
-    def _place(self, now: float, call: Call, acts: list[Action]) -> None:
+    def _place(self, now: float, call: Request, acts: list[Action]) -> None:
         """First landing of a call, or the next attempt after the earlier ones ended."""
-        one, two = choose(self, now, call)
+        one, two = choose_endpoints(self, now, call)
         if one is None:
             # Nothing to send to now: while it can be in time hold the call, or a silent list would lose it.
             rest = any(s.at_rest(now) for s in self.table[0])
@@ -110,10 +110,10 @@
                 self.wake(now + self.window / 8, call, acts)
             return
         self.send(now, call, one, acts)
-        if at_once(self, now, call, one, two) and two:
+        if should_hedge_at_once(self, now, call, one, two) and two:
             self.send(now, call, two, acts, copy=1)
         elif call.cls.effect is not Effect.AT_MOST_ONCE:
-            self.wake(now + patience(self, call, one), call, acts)
+            self.wake(now + hedge_delay(self, call, one), call, acts)
 
     def _finished(self, now: float, event: AttemptFinished, acts: list[Action]) -> None:
         ended = self.ended(now, event)
@@ -122,9 +122,9 @@
         call, attempt = ended
         self.reported(now, attempt.server, event)
         if event.outcome in (Outcome.OK, Outcome.TIMEOUT) and not attempt.server.quiet:
-            tired(self, now, attempt.server, event.outcome is Outcome.OK and now <= call.aim)
+            record_answer(self, now, attempt.server, event.outcome is Outcome.OK and now <= call.aim)
         elif event.outcome is Outcome.REFUSED and self.failures:  # the list may lack that it drains
-            rest(self, now, attempt.server, doubted=True)
+            eject(self, now, attempt.server, doubted=True)
         self.learn(now, call, attempt.server, event)
         if event.closed or event.outcome is Outcome.OK:
             self._close(call, acts)
@@ -132,7 +132,7 @@
             call.most *= not (call.once and event.spent)  # what is gone of it can't go out again
             self._further(now, call, acts)
 
-    def _further(self, now: float, call: Call, acts: list[Action]) -> None:
+    def _further(self, now: float, call: Request, acts: list[Action]) -> None:
         left = call.end - now - call.usual.mean * self.tier.low
         if left > 0 and len(call.tries) < call.most and self.budget >= 1 and not call.streaming:
             self.budget -= 1
@@ -140,7 +140,7 @@
         else:
             self._finish(now, call, acts)
 
-    def _finish(self, now: float, call: Call, acts: list[Action]) -> None:
+    def _finish(self, now: float, call: Request, acts: list[Action]) -> None:
         """Final answer without success: a refusal where a repeat is harmless, else a failure."""
         begun = call.begun()
         last = call.aim - call.cls.aim_ms + call.cls.deadline_ms  # until then its client may come again
@@ -149,12 +149,12 @@
         acts.append(RejectRequest(call.name, wait) if harmless else FailRequest(call.name))
         self._close(call, acts)
 
-    def _close(self, call: Call, acts: list[Action]) -> None:
+    def _close(self, call: Request, acts: list[Action]) -> None:
         call.done = True
         self._cancel(call, -1, acts)
         self.forget(call)
 
-    def _cancel(self, call: Call, but: int, acts: list[Action]) -> None:
+    def _cancel(self, call: Request, but: int, acts: list[Action]) -> None:
         if self.set.may_cancel:
             acts += [CancelAttempt(call.name, n) for n, t in enumerate(call.tries) if t.open and n != but]
 
@@ -167,4 +167,4 @@
         elif not call.tries and not call.done:
             self._place(now, call, acts)
         elif not (call.done or call.streaming) and sum(t.open for t in call.tries) == 1:
-            overdue(self, now, call, acts)
+            handle_overdue_attempt(self, now, call, acts)
--- a/limenotch/balancing/balancer_state.py
+++ b/limenotch/balancing/balancer_state.py
@@ -12,10 +12,10 @@
 from random import Random
 
 from .actions import Action, SendAttempt, SetTimer
-from .admission import Entry
-from .available_endpoints import Ready
-from .endpoint_registry import Changes, Roster
-from .endpoint_statistics import Attempt, Call, Mean, Server, Usual
+from .admission import AdmissionControl
+from .available_endpoints import AvailableEndpoints
+from .endpoint_registry import EndpointRegistry, RegistryChanges
+from .endpoint_statistics import Attempt, ClassLatency, EndpointStatistics, LatencyProfile, Request
 from .events import AttemptFinished, OperatorEjection, RequestArrived, SettingsChanged, UploadFinished
 from .types import NEVER_RAN, BalancerSettings, DedupScope, Outcome, Tenant
 
@@ -31,33 +31,40 @@
 
 HEARD = (Outcome.OK, Outcome.ERROR, Outcome.REFUSED, Outcome.RESET)  # its machine is there
 FORGET = 10.0  # times the memory without a word of an upstream, after which what it has shown is forgotten
-Table = tuple[list[Server], list[float]]  # upstreams, and sums of their shares up to each
+SelectionTable = tuple[
+    list[EndpointStatistics], list[float]
+]  # upstreams, and sums of their shares up to each
 
 
-def drawable(servers: list[Server]) -> Table:
+def selection_table(servers: list[EndpointStatistics]) -> SelectionTable:
     return servers, list(accumulate(s.share for s in servers))
 
 
-class Books:
+class BalancerState:
     """Written by events as they come; every decision reads them."""
 
     def __init__(self, settings: BalancerSettings, seed: int) -> None:
         self.random = Random(seed)
-        self.roster = Roster(self.random)
-        self.ready = Ready(settings)
+        self.roster = EndpointRegistry(self.random)
+        self.ready = AvailableEndpoints(settings)
         self.known: dict[
-            Server, None
+            EndpointStatistics, None
         ] = {}  # those that have been sent to and may have shown something, in order
-        self.roomy: list[Server] = []  # those that have room for cold starts, by the latest shares
+        self.roomy: list[
+            EndpointStatistics
+        ] = []  # those that have room for cold starts, by the latest shares
         self.shared_at, self.stale = (
             -inf,
             False,
         )  # when shares were taken last; whether the list has changed since
-        self.table, self.home = drawable([]), drawable([])  # those drawn from, and of them the own zone's
-        self.groups: dict[tuple[DedupScope, Hashable], Table] = {}
-        self.tier = Mean()
-        self.calls: dict[str, Call] = {}
-        self.timers: dict[int, Call | None] = {}
+        self.table, self.home = (
+            selection_table([]),
+            selection_table([]),
+        )  # those drawn from, and of them the own zone's
+        self.groups: dict[tuple[DedupScope, Hashable], SelectionTable] = {}
+        self.tier = LatencyProfile()
+        self.calls: dict[str, Request] = {}
+        self.timers: dict[int, Request | None] = {}
         self.token, self.failures, self.now, self.began, self.due = 0, 0, -inf, -1.0, -inf  # window's ends
         self.budget, self.out, self.held, self.arrived = BURST, 0, 0.0, 0
         self.good = self.bad = self.room = self.demand = 0.0
@@ -66,9 +73,9 @@
         self.copyable = self.copied = self.came = 0.0
         self.fair = self.best = self.live = 1.0
         self.typical = 0.0  # mean latency over all classes
-        self.silent: set[Server] = set()
-        self.entry = Entry()
-        self.usual: dict[str, Usual] = {}  # of each class
+        self.silent: set[EndpointStatistics] = set()
+        self.entry = AdmissionControl()
+        self.usual: dict[str, ClassLatency] = {}  # of each class
         self.quota: dict[str, tuple[float, float]] = {}  # of each tenant: calls saved up, and when
         self.adopt(settings)
 
@@ -78,7 +85,7 @@
         self.roster.turn = settings.rank * TURN % 1
         self.memory, self.window = MEMORY * max(aims), WINDOW * sum(aims) / len(aims)
         self.reports = REPORTS * max(aims)
-        self.usual = {c.name: self.usual.get(c.name) or Usual() for c in settings.classes}
+        self.usual = {c.name: self.usual.get(c.name) or ClassLatency() for c in settings.classes}
         self.quota = {t.name: self.quota.get(t.name, (BURST, 0.0)) for t in settings.tenants}
 
     # The list, and the time
@@ -89,10 +96,10 @@
             self.relist(now, self.roster.ban(now, event))
             return
         self.adopt(event.settings)
-        self.ready = Ready(event.settings)
-        self.relist(now, Changes(list(self.roster.servers.values()), []))
+        self.ready = AvailableEndpoints(event.settings)
+        self.relist(now, RegistryChanges(list(self.roster.servers.values()), []))
 
-    def relist(self, now: float, changes: Changes) -> None:
+    def relist(self, now: float, changes: RegistryChanges) -> None:
         """Who may be sent to has changed. The cost follows what changed: a list may hold thousands."""
         for server in changes.left:
             server.ready = False
@@ -104,11 +111,11 @@
         self.ready.update(now, ready, [*changes.left, *(s for s in changes.changed if not s.ready)])
 
     @property
-    def order(self) -> tuple[list[Server], list[Server]]:
+    def order(self) -> tuple[list[EndpointStatistics], list[EndpointStatistics]]:
         """Those ready: own zone, others."""
         return self.ready.order
 
-    def nearness(self, server: Server) -> float:
+    def nearness(self, server: EndpointStatistics) -> float:
         """How much more than an equal part is ours where calls stay in their zone: most goes to the balancers there.
 
         With balancers spread evenly over zones the parts add up to one; with all in one zone to more.
@@ -123,7 +130,7 @@
         """How many of those listed are sent nothing, or one call at a time to see whether they are back."""
         return len(self.roster.servers) - len(self.ready) + sum(s.ready for s in self.silent)
 
-    def refresh(self, now: float) -> list[Server]:
+    def refresh(self, now: float) -> list[EndpointStatistics]:
         """Those of `known` that may be sent to; what was shown too long ago is forgotten."""
         for server in [s for s in self.known if self._forgotten(now, s)]:
             server.forget()
@@ -131,7 +138,7 @@
         self.silent = {s for s in self.silent if self.roster.servers.get(s.at.name) is s}
         return [server for server in self.known if server.ready]
 
-    def _forgotten(self, now: float, server: Server) -> bool:
+    def _forgotten(self, now: float, server: EndpointStatistics) -> bool:
         latest = max(server.stamp, server.told_at, server.heard)
         return not (server.out or server.quiet or server.rests) and now - latest > FORGET * self.memory
 
@@ -178,27 +185,27 @@
         for s in self.known:
             s.answers = 0
 
-    def wake(self, at: float, call: Call | None, acts: list[Action]) -> None:
+    def wake(self, at: float, call: Request | None, acts: list[Action]) -> None:
         """A timer for a call, or for the list."""
         self.token += 1
         self.timers[self.token] = call
         acts.append(SetTimer(at, self.token))
 
-    def named(self, name: str) -> Server | None:
+    def named(self, name: str) -> EndpointStatistics | None:
         """One that may be sent to, whether or not this balancer draws from it."""
         server = self.roster.servers.get(name)
         return server if server and server.ready else None
 
     # Calls and attempts
 
-    def take(self, now: float, event: RequestArrived) -> Call:
+    def take(self, now: float, event: RequestArrived) -> Request:
         """A record for a call that came. Raises ValueError if its class is none of the settings."""
         if not 0 <= event.traffic_class < len(self.set.classes):
             raise ValueError(f"traffic_class: {event.traffic_class} is no class of the settings")
         cls = self.set.classes[event.traffic_class].as_keyed(event.keyed)
         useful = min(event.budget_ms, cls.aim_ms) if cls.late_worth <= 0 else event.budget_ms
         usual, most, aim = self.usual[cls.name], self.set.max_attempts, now + cls.aim_ms
-        call = Call(
+        call = Request(
             event.call,
             cls,
             usual,
@@ -215,7 +222,7 @@
         self.held += (self.out - self.held) / 20
         return call
 
-    def worth(self, now: float, call: Call, event: RequestArrived) -> float:
+    def worth(self, now: float, call: Request, event: RequestArrived) -> float:
         """What an answer to it earns, by its class and by what its tenant has used of its quota."""
         if event.tenant >= len(self.set.tenants):
             return call.cls.worth
@@ -230,7 +237,9 @@
         self.quota[tenant.name] = (max(saved - 1, min(saved, 0.0)), now)
         return saved < 1 and rate > 0
 
-    def send(self, now: float, call: Call, server: Server, acts: list[Action], copy: int = 0) -> None:
+    def send(
+        self, now: float, call: Request, server: EndpointStatistics, acts: list[Action], copy: int = 0
+    ) -> None:
         self.known[server] = None
         call.tries.append(Attempt(server, now, rate=1 / call.usual.mean if call.usual.mean else 0.0))
         if not call.once:
@@ -255,7 +264,7 @@
             call.end, call.aim = now + event.budget_ms, now + call.cls.aim_ms
             self._count(call.tries[-1], now)
 
-    def ended(self, now: float, event: AttemptFinished) -> tuple[Call, Attempt] | None:
+    def ended(self, now: float, event: AttemptFinished) -> tuple[Request, Attempt] | None:
         """The attempt that has ended and its call; None for one that is not known to be out."""
         call = self.calls.get(event.call)
         if call is None or not 0 <= event.attempt < len(call.tries) or not call.tries[event.attempt].open:
@@ -271,14 +280,14 @@
             self.forget(call)
         return call, attempt
 
-    def forget(self, call: Call) -> None:
+    def forget(self, call: Request) -> None:
         """One with its final answer, once no attempt of it is out."""
         if not any(t.open for t in call.tries):
             self.calls.pop(call.name, None)
 
     # Evidence
 
-    def reported(self, now: float, server: Server, event: AttemptFinished) -> None:
+    def reported(self, now: float, server: EndpointStatistics, event: AttemptFinished) -> None:
         """What the upstream says of itself; most answers repeat its last report."""
         server.fade(now, self.memory)
         if event.utilisation is None:
@@ -292,7 +301,7 @@
                 for mean in (server.like, self.tier):
                     mean.done, mean.busy = mean.done + per_s, mean.busy + util * server.weight
 
-    def learn(self, now: float, call: Call, server: Server, event: AttemptFinished) -> None:
+    def learn(self, now: float, call: Request, server: EndpointStatistics, event: AttemptFinished) -> None:
         """What the attempt's end shows: in time or a miss, and how slow."""
         ok = event.outcome is Outcome.OK
         if ok and now <= call.aim:
--- a/limenotch/balancing/endpoint_selection.py
+++ b/limenotch/balancing/endpoint_selection.py
@@ -8,12 +8,12 @@
 from bisect import bisect
 from math import exp, inf
 
-from .balancer_state import Books, Table, drawable
-from .endpoint_statistics import Call, Server
-from .outlier_detection import crowded, quiet
-from .retry_policy import group, may_repeat
+from .balancer_state import BalancerState, SelectionTable, selection_table
+from .endpoint_statistics import EndpointStatistics, Request
+from .outlier_detection import check_unresponsive, is_crowded
+from .retry_policy import dedup_group, may_repeat
 from .types import DedupScope, Effect
-from .weights import reshare, share_all
+from .weights import update_all_weights, update_weights
 
 DRAWS = 4  # tries at one that may be sent to: more would bend the shares of those left
 SHORT = 2.0  # service times: a wait by which the better of two drawn upstreams is told
@@ -24,52 +24,67 @@
 CROSSINGS = 1.5  # prices of a crossing that a better chance to be in time must outweigh
 
 
-def choose(books: Books, now: float, call: Call) -> tuple[Server | None, Server | None]:
+def choose_endpoints(
+    books: BalancerState, now: float, call: Request
+) -> tuple[EndpointStatistics | None, EndpointStatistics | None]:
     """Where the next attempt goes, and where a copy of an urgent call could go; None for nobody."""
     kept = call.prefer and not call.tries and books.named(call.prefer)
-    if kept and not (quiet(books, now, kept) or crowded(books, kept)) and warm_enough(books, kept, now):
+    if (
+        kept
+        and not (check_unresponsive(books, now, kept) or is_crowded(books, kept))
+        and within_slow_start(books, kept, now)
+    ):
         return kept, None
     last = call.tries[-1].server if call.tries else None
-    one = draw(books, now, call, last) or draw(books, now, call, None, any_=True)
+    one = draw_endpoint(books, now, call, last) or draw_endpoint(books, now, call, None, any_=True)
     if one is None and books.stale:  # all that were drawn from may be gone
-        reshare(books, now)
-        one = draw(books, now, call, last) or draw(books, now, call, None, any_=True)
+        update_weights(books, now)
+        one = draw_endpoint(books, now, call, last) or draw_endpoint(books, now, call, None, any_=True)
     if one is None:
         return None, None
     urgent = call.cls.late_worth < LAX
-    two = draw(books, now, call, one) if not call.tries and (urgent or not call.cls.free) else None
+    two = draw_endpoint(books, now, call, one) if not call.tries and (urgent or not call.cls.free) else None
     if not books.tier.done:
-        more = [draw(books, now, call, last, home=n % 3 == 0) for n in range(CHOICES)]
+        more = [draw_endpoint(books, now, call, last, home=n % 3 == 0) for n in range(CHOICES)]
         drawn = [one, *filter(None, [two, *more])]
-        drawn.sort(key=lambda server: price(books, now, call, server))
+        drawn.sort(key=lambda server: expected_cost(books, now, call, server))
         one, two = drawn[0], next((s for s in drawn if two and s is not drawn[0]), None)
-    elif two and (odds(books, two) > odds(books, one) if urgent else two.ok > one.ok + STEADY):
+    elif two and (
+        short_wait_probability(books, two) > short_wait_probability(books, one)
+        if urgent
+        else two.ok > one.ok + STEADY
+    ):
         one, two = two, one
     return one, two if urgent else None
 
 
-def draw(
-    books: Books, now: float, call: Call, avoid: Server | None, any_: bool = False, home: bool = False
-) -> Server | None:
+def draw_endpoint(
+    books: BalancerState,
+    now: float,
+    call: Request,
+    avoid: EndpointStatistics | None,
+    any_: bool = False,
+    home: bool = False,
+) -> EndpointStatistics | None:
     """An upstream by share, of the group that an attempt which may have run binds the call to."""
-    servers, sums = reach(books, now, call, home)
+    servers, sums = allowed_candidates(books, now, call, home)
     for _ in range(DRAWS):
         if not sums or sums[-1] <= 0:
             return None
         server = servers[bisect(sums, books.random.random() * sums[-1], 0, len(sums) - 1)]
         if not server.ready:  # it drains since the shares were taken
-            servers, sums = drawable([s for s in servers if s.ready])
+            servers, sums = selection_table([s for s in servers if s.ready])
             if not sums or sums[-1] <= 0:
                 return None
             server = servers[bisect(sums, books.random.random() * sums[-1], 0, len(sums) - 1)]
-        if not any_ and (quiet(books, now, server) and server.out or crowded(books, server)):
-            servers, sums = drawable([s for s in servers if s is not server])
-        elif server is not avoid and warm_enough(books, server, now):
+        if not any_ and (check_unresponsive(books, now, server) and server.out or is_crowded(books, server)):
+            servers, sums = selection_table([s for s in servers if s is not server])
+        elif server is not avoid and within_slow_start(books, server, now):
             return server
     return None
 
 
-def reach(books: Books, now: float, call: Call, home: bool = False) -> Table:
+def allowed_candidates(books: BalancerState, now: float, call: Request, home: bool = False) -> SelectionTable:
     """Those that the rule on repeats leaves to the next attempt."""
     earlier = call.earlier() if call.tries or call.bound else []
     if not earlier or call.cls.effect is Effect.IDEMPOTENT and not books.set.narrow:
@@ -79,22 +94,22 @@
         return [], []
     if scope is DedupScope.ALL:
         return books.table
-    key = (scope, group(scope, first.zone, first.cell))
+    key = (scope, dedup_group(scope, first.zone, first.cell))
     if key not in books.groups:
         members = list(books.ready.members(*key))
-        share_all(books, members, now)
-        books.groups[key] = drawable(members)
+        update_all_weights(books, members, now)
+        books.groups[key] = selection_table(members)
     return books.groups[key]
 
 
-def warm_enough(books: Books, server: Server, now: float) -> bool:
+def within_slow_start(books: BalancerState, server: EndpointStatistics, now: float) -> bool:
     """A cold upstream gets no more than this balancer's part of what all may send it."""
     if server.capacity(now, books.set.cold) >= 1.0:
         return True
     return books.set.shares_cold != inf and server.earn(now, books.set.cold.fall_ms) >= 1.0
 
 
-def load_at(books: Books, server: Server) -> float:
+def estimated_load(books: BalancerState, server: EndpointStatistics) -> float:
     """Utilisation, from a fresh report or else from latency; our own unanswered attempts make it current."""
     load = 1 - server.like.low / max(server.slow, server.like.low)
     if server.util is not None:
@@ -103,13 +118,13 @@
     return 1 - (1 - min(load, 0.99)) * (usual_out + 1) / (max(server.out, usual_out) + 1)
 
 
-def odds(books: Books, server: Server) -> float:
+def short_wait_probability(books: BalancerState, server: EndpointStatistics) -> float:
     """Chance of a short wait: over a long one a trace of errors would outweigh any queue."""
-    load = load_at(books, server)
+    load = estimated_load(books, server)
     return server.ok * (1 - load * exp(-(1 - load) * SHORT))
 
 
-def price(books: Books, now: float, call: Call, server: Server) -> float:
+def expected_cost(books: BalancerState, now: float, call: Request, server: EndpointStatistics) -> float:
     """Chance to miss the aim there, by our calls out against its share, and the price of crossing."""
     count = len(books.table[0])
     queue = (server.out + 1) * books.table[1][-1] / count / server.share / (books.held / count + 1)
--- a/limenotch/balancing/endpoint_statistics.py
+++ b/limenotch/balancing/endpoint_statistics.py
@@ -10,11 +10,11 @@
 
 from .types import Endpoint, PriorAttempt, PriorExecution, SlowStart, TrafficClass
 
-RATED = 1000.0  # ms over which a rate looks back: shorter ones take chance for a rush
+RATE_SPAN_MS = 1000.0  # ms over which a rate looks back: shorter ones take chance for a rush
 
 
 @dataclass(slots=True, eq=False)
-class Usual:
+class ClassLatency:
     """Mean latency of one class, in ms, over its latest hundred answers or so."""
 
     mean: float = 0.0
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Mean:
+class LatencyProfile:
     """Recent and lowest mean latency, as multiples of each class's usual, of upstreams that are alike."""
 
     now: float = 1.0
@@ -51,25 +51,25 @@
 
 
 @dataclass(slots=True)
-class Rate:
+class FadingRate:
     """Events a ms, each counted with a weight that fades over `RATED` ms."""
 
     per_ms: float = 0.0
     at: float = 0.0
 
     def add(self, now: float) -> None:
-        self.per_ms, self.at = self.now(now) + 1 / RATED, now
+        self.per_ms, self.at = self.now(now) + 1 / RATE_SPAN_MS, now
 
     def now(self, now: float) -> float:
-        return self.per_ms * exp((self.at - now) / RATED)
+        return self.per_ms * exp((self.at - now) / RATE_SPAN_MS)
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class EndpointStatistics:
     """What this balancer knows of one upstream. Sums fade with age, counted from `stamp`."""
 
     at: Endpoint
-    like: Mean  # of its kind
+    like: LatencyProfile  # of its kind
     stamp: float
     credit_at: float
     weight: float = 1.0
@@ -144,7 +144,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    server: Server
+    server: EndpointStatistics
     sent: float
     open: bool = True
     ran: bool = True  # may have run, for all that is known
@@ -153,10 +153,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class Request:
     name: str
     cls: TrafficClass  # this and `most` as they were when it came
-    usual: Usual  # of its class
+    usual: ClassLatency  # of its class
     most: int  # attempts
     end: float  # an answer after this is worth nothing
     aim: float  # and after this less
--- a/limenotch/balancing/hedging.py
+++ b/limenotch/balancing/hedging.py
@@ -9,17 +9,19 @@
 from math import exp
 
 from .actions import Action
-from .balancer_state import BURST, Books
-from .endpoint_selection import LAX, draw, load_at, odds, reach
-from .endpoint_statistics import Call, Server
-from .outlier_detection import OVERDUE, quiet
+from .balancer_state import BURST, BalancerState
+from .endpoint_selection import LAX, allowed_candidates, draw_endpoint, estimated_load, short_wait_probability
+from .endpoint_statistics import EndpointStatistics, Request
+from .outlier_detection import OVERDUE, check_unresponsive
 from .types import Effect
 
 RETRIES = 0.2  # copies and retries allowed for each recent call: they can't multiply down the tiers
 URGENT = 10.0  # waits of this many service times hold for any upstream under two thirds load: no copy
 
 
-def at_once(books: Books, now: float, call: Call, one: Server, two: Server | None) -> bool:
+def should_hedge_at_once(
+    books: BalancerState, now: float, call: Request, one: EndpointStatistics, two: EndpointStatistics | None
+) -> bool:
     """Whether a call that has just been sent to `one` gets a copy at `two` in the same moment."""
     repeat = call.cls.effect is not Effect.AT_MOST_ONCE and books.set.may_copy
     repeat = repeat and call.end - now <= call.usual.mean * one.like.low * URGENT
@@ -27,17 +29,19 @@
     return (
         repeat
         and two is not None
-        and allowed(books, now, call, two)
-        and gate(books, now, call, one, two, books.copyable / books.came)
+        and hedge_allowed(books, now, call, two)
+        and hedge_pays_off(books, now, call, one, two, books.copyable / books.came)
     )
 
 
-def patience(books: Books, call: Call, server: Server) -> float:
+def hedge_delay(books: BalancerState, call: Request, server: EndpointStatistics) -> float:
     """How long a lone attempt may be out before the gate is asked again."""
     return max(OVERDUE * call.usual.mean * server.slow, books.window / 8)
 
 
-def miss(books: Books, now: float, call: Call, server: Server, load: float) -> float:
+def miss_probability(
+    books: BalancerState, now: float, call: Request, server: EndpointStatistics, load: float
+) -> float:
     """Chance that the wait exceeds the limit t = time left less v, or that the call fails there."""
     service = max(call.usual.mean * server.like.low, 1e-3)  # v, at an idle upstream of this kind
     limit = call.end - now - service
@@ -46,39 +50,54 @@
     return 1 - server.ok * (1 - load * exp(-(1 - load) * limit / service))
 
 
-def gate(books: Books, now: float, call: Call, one: Server, two: Server, part: float) -> bool:
+def hedge_pays_off(
+    books: BalancerState,
+    now: float,
+    call: Request,
+    one: EndpointStatistics,
+    two: EndpointStatistics,
+    part: float,
+) -> bool:
     """Formula (1), P = p_urgent * p_lax, with copies for `part` of the calls against without."""
     copied, shared = books.copied / max(books.came, 1), 1 - books.copyable / max(books.came, 1)
     # A tier that has never been idle shows no low mean: how full the entry is then tells its load.
     full = (books.out - 1) / books.entry.limit
-    loads = [max(load_at(books, s), full) / (1 + copied) for s in (one, two)]
+    loads = [max(estimated_load(books, s), full) / (1 + copied) for s in (one, two)]
     pair = list(zip((one, two), loads, strict=True))
-    plain = [miss(books, now, call, s, load) for s, load in pair]
-    raised = [miss(books, now, call, s, load * (1 + part)) for s, load in pair]
+    plain = [miss_probability(books, now, call, s, load) for s, load in pair]
+    raised = [miss_probability(books, now, call, s, load * (1 + part)) for s, load in pair]
     lax = (2 - sum(raised)) / max(2 - sum(plain), 1e-9) if shared > 0.01 else 1.0
     return (1 - raised[0] * raised[1]) * lax > 1 - plain[0]
 
 
-def allowed(books: Books, now: float, call: Call, server: Server, unbudgeted: bool = False) -> bool:
+def hedge_allowed(
+    books: BalancerState, now: float, call: Request, server: EndpointStatistics, unbudgeted: bool = False
+) -> bool:
     spent = books.budget < BURST / 2 and not unbudgeted
     if call.once or not books.set.may_copy or len(call.tries) >= call.most or spent:
         return False
     # A drawn second may lie outside the group that drops the call's repeats, also in a large group.
-    return server in reach(books, now, call)[0]
+    return server in allowed_candidates(books, now, call)[0]
 
 
-def overdue(books: Books, now: float, call: Call, acts: list[Action]) -> None:
+def handle_overdue_attempt(books: BalancerState, now: float, call: Request, acts: list[Action]) -> None:
     """A lone attempt is out for longer than expected: it is worth asking the gate again."""
     lone = next(t for t in call.tries if t.open)
-    two = draw(books, now, call, lone.server)
-    if quiet(books, now, lone.server) and two is not None and allowed(books, now, call, two, unbudgeted=True):
+    two = draw_endpoint(books, now, call, lone.server)
+    if (
+        check_unresponsive(books, now, lone.server)
+        and two is not None
+        and hedge_allowed(books, now, call, two, unbudgeted=True)
+    ):
         books.send(now, call, two, acts)
         return
     if now < call.end:
-        books.wake(now + patience(books, call, lone.server), call, acts)
+        books.wake(now + hedge_delay(books, call, lone.server), call, acts)
     urgent = call.cls.late_worth < LAX and call.end - now <= call.usual.mean * lone.server.like.low * URGENT
-    if two is None or not urgent or not allowed(books, now, call, two):
+    if two is None or not urgent or not hedge_allowed(books, now, call, two):
         return
     # A call may be late because it is costly, and a copy as costly: only its server's other calls tell.
-    if odds(books, two) > odds(books, lone.server) and gate(books, now, call, lone.server, two, RETRIES):
+    if short_wait_probability(books, two) > short_wait_probability(books, lone.server) and hedge_pays_off(
+        books, now, call, lone.server, two, RETRIES
+    ):
         books.send(now, call, two, acts, copy=1)
--- a/limenotch/balancing/learned_state.py
+++ b/limenotch/balancing/learned_state.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .balancer import Balancer
-from .endpoint_statistics import Mean, Server
+from .endpoint_statistics import EndpointStatistics, LatencyProfile
 
 VERSION = 2
 ENTRY = ("flow", "pace")
@@ -19,7 +19,7 @@
 LOWS = 64  # of a mean, at most
 
 
-def told_by(balancer: Balancer) -> dict[str, Any]:
+def export_state(balancer: Balancer) -> dict[str, Any]:
     """JSON of this module's own; `learn` of the same version reads it."""
     return {
         "version": VERSION,
@@ -35,7 +35,7 @@
     }
 
 
-def learn(balancer: Balancer, told: Any) -> None:
+def import_state(balancer: Balancer, told: Any) -> None:
     """To be called once the balancer has its list. Raises ValueError, with nothing taken, on what is not sound."""
     if not isinstance(told, dict) or told.get("version") is True or told.get("version") != VERSION:
         raise ValueError("knowledge: of another version")
@@ -54,7 +54,7 @@
             balancer.usual[name].mean, balancer.usual[name].answers = mean, int(answers)
     _fill(balancer.tier, tier)
     for kind, taken in kinds.items():
-        _fill(balancer.roster.kinds.setdefault(kind, Mean()), taken)
+        _fill(balancer.roster.kinds.setdefault(kind, LatencyProfile()), taken)
     for name, (started, *row) in servers.items():
         server = balancer.roster.servers.get(name)
         if server is not None and server.at.started_ms == started:  # else it has restarted since
@@ -64,12 +64,12 @@
         server.credit = 0.0
 
 
-def _know(server: Server, row: list[float]) -> None:
+def _know(server: EndpointStatistics, row: list[float]) -> None:
     for field, value in zip(SERVER, row, strict=True):
         setattr(server, field, value)
 
 
-def _mean(mean: Mean) -> list[Any]:
+def _mean(mean: LatencyProfile) -> list[Any]:
     return [*(getattr(mean, name) for name in MEAN), mean.lows]
 
 
@@ -79,7 +79,7 @@
     return _numbers(told[:-1], len(MEAN)), _numbers(told[-1], len(told[-1]))
 
 
-def _fill(mean: Mean, taken: tuple[list[float], list[float]]) -> None:
+def _fill(mean: LatencyProfile, taken: tuple[list[float], list[float]]) -> None:
     for name, value in zip(MEAN, taken[0], strict=True):
         setattr(mean, name, value)
     mean.lows = list(taken[1])
--- a/limenotch/balancing/outlier_detection.py
+++ b/limenotch/balancing/outlier_detection.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from .balancer_state import Books
-from .endpoint_statistics import Server
-from .weights import reshare
+from .balancer_state import BalancerState
+from .endpoint_statistics import EndpointStatistics
+from .weights import update_weights
 
 OVERDUE = 2.0  # of its expected time out, a lone attempt asks the gate again
 QUIET = 8.0  # answers overdue by the usual of their classes, with none given, after which it counts as silent
@@ -15,33 +15,33 @@
 RESTING = 0.5  # part of those drawn from that may rest at once: more would be an outage of our making
 
 
-def crowded(books: Books, server: Server) -> bool:
+def is_crowded(books: BalancerState, server: EndpointStatistics) -> bool:
     """Whether it holds far more of our calls than the others: it jams before its mean shows it."""
     others = len(books.table[0]) - 1
     return others > 0 and server.out >= CROWD * (FREE + (books.out - server.out) / others)
 
 
-def quiet(books: Books, now: float, server: Server) -> bool:
+def check_unresponsive(books: BalancerState, now: float, server: EndpointStatistics) -> bool:
     """Whether it has gone silent: its machine may be gone though its connections stay open."""
     slow, wait = server.slow / server.capacity(now, books.set.cold), now - server.heard
     if not server.quiet and wait * server.owed > max(OVERDUE * server.out, QUIET) * slow:
         server.quiet = True
         books.silent.add(server)
-        reshare(books, now)
+        update_weights(books, now)
     return server.quiet
 
 
-def tired(books: Books, now: float, server: Server, in_time: bool) -> None:
+def record_answer(books: BalancerState, now: float, server: EndpointStatistics, in_time: bool) -> None:
     """One that misses call after call is choked or worse: it gets idle time, the entry less meanwhile."""
     server.row = 0 if in_time else server.row + 1
     if server.row >= ROW and not server.at_rest(now) and not books.set.layer:  # it alone refuses
-        rest(books, now, server)
+        eject(books, now, server)
 
 
-def rest(books: Books, now: float, server: Server, doubted: bool = False) -> None:
+def eject(books: BalancerState, now: float, server: EndpointStatistics, doubted: bool = False) -> None:
     """It is sent nothing for a while, unless too many are; up to the next list if its drain may be untold."""
     if server.at_rest(now) or sum(s.at_rest(now) for s in books.table[0]) < RESTING * len(books.table[0]):
         server.rests, server.row, server.doubted = now + REST, 0, False
         if doubted:
             books.roster.doubt(server)
-        reshare(books, now)
+        update_weights(books, now)
--- a/limenotch/balancing/rates.py
+++ b/limenotch/balancing/rates.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from .endpoint_statistics import Rate
+from .endpoint_statistics import FadingRate
 
 TRUST = 5.0  # in time for each miss, under which the pace shown falls fast: a lull holds it, a jam not
 FADE = 0.7  # of the values of calls that came, at each window's end
 
 
-class Flow:
+class ArrivalRates:
     """Counts only; nothing is decided here."""
 
     def __init__(self) -> None:
         self.flow = self.pace = (
             0.0  # answers in time: of the last windows, and the most that was shown, fading
         )
-        self.coming, self.answered = Rate(), Rate()
+        self.coming, self.answered = FadingRate(), FadingRate()
         self._served = 0
         self._values: dict[float, float] = {}  # of the calls that came, and how many
 
--- a/limenotch/balancing/retry_policy.py
+++ b/limenotch/balancing/retry_policy.py
@@ -10,7 +10,7 @@
 from .types import DedupScope, Effect, PriorAttempt, TrafficClass
 
 
-def group(scope: DedupScope, zone: Hashable, cell: Hashable) -> Hashable:
+def dedup_group(scope: DedupScope, zone: Hashable, cell: Hashable) -> Hashable:
     """A name for the upstreams that drop each other's repeats."""
     return {DedupScope.ALL: None, DedupScope.ZONE: zone, DedupScope.CELL: cell}[scope]
 
@@ -26,7 +26,8 @@
     ran = [one for one in earlier if one.ran]
     if not ran or cls.effect is not Effect.DEDUPLICATED:
         return not ran or cls.effect is Effect.IDEMPOTENT
-    there = group(cls.scope, zone, cell)
+    there = dedup_group(cls.scope, zone, cell)
     return all(
-        at_ms < one.sent_ms + cls.window_ms and group(cls.scope, one.zone, one.cell) == there for one in ran
+        at_ms < one.sent_ms + cls.window_ms and dedup_group(cls.scope, one.zone, one.cell) == there
+        for one in ran
     )
--- a/limenotch/balancing/simulator_adapter.py
+++ b/limenotch/balancing/simulator_adapter.py
@@ -130,7 +130,7 @@
     return f"WATCH balancer_id={at} active=1"
 
 
-class Link:
+class SimulatorAdapter:
     """Reads batches, hands events to their instances, writes replies."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
@@ -211,7 +211,7 @@
 
 
 def main() -> int:
-    link = Link(sys.stdin, sys.stdout)
+    link = SimulatorAdapter(sys.stdin, sys.stdout)
     try:
         link.run()
     except WireError as error:
--- a/limenotch/configuration_applier.py
+++ b/limenotch/configuration_applier.py
@@ -19,7 +19,7 @@
 Document = Mapping[str, Any]
 
 
-class Parts(Protocol):
+class ConfigurationTarget(Protocol):
     """What of the program follows the rules."""
 
     def adopt(self, config: Config) -> None:
@@ -32,10 +32,10 @@
         """Until when the rules hold, by the host's monotonic clock in ms."""
 
 
-class Acting:
+class ConfigurationApplier:
     """Owns what is in force of the agreed rules. `held` is the configuration of this sidecar's own file."""
 
-    def __init__(self, held: Config, parts: Parts) -> None:
+    def __init__(self, held: Config, parts: ConfigurationTarget) -> None:
         self._held, self._parts = held, parts
         self._refusing = False  # without a lease no call is taken, rather than taken under the narrow rules
         self._document: Document | None = None  # as put in force last
--- a/limenotch/endpoint_ages.py
+++ b/limenotch/endpoint_ages.py
@@ -25,7 +25,7 @@
 MOST_GONE = 10_000  # endpoints that are no longer listed but may come back, as the same process; the oldest go first
 
 
-class Entry(Protocol):
+class ListedEndpoint(Protocol):
     """What is needed of a line of the list."""
 
     @property
@@ -42,7 +42,7 @@
     at_ms: float  # by the clock of this process
 
 
-class Starts:
+class EndpointAges:
     """Owns the starts of all endpoints that were listed. Times in ms."""
 
     def __init__(self, clock: Callable[[], float], wall: Callable[[], float]) -> None:
@@ -51,7 +51,7 @@
         self._listed: dict[str, Start] = {}
         self._gone: dict[str, Start] = {}
 
-    def heard(self, entries: Iterable[Entry], whole: bool, unheard_ms: float = math.inf) -> list[float]:
+    def heard(self, entries: Iterable[ListedEndpoint], whole: bool, unheard_ms: float = math.inf) -> list[float]:
         """The start of each entry by `clock`, 0 for those that started long ago.
 
         `unheard_ms`: how long before this list discovery had its last word; infinite if it had none.
@@ -74,7 +74,7 @@
             self._gone.pop(name, None)
         return starts
 
-    def _known(self, entry: Entry) -> Start | None:
+    def _known(self, entry: ListedEndpoint) -> Start | None:
         start = self._listed.get(entry.name) or self._gone.get(entry.name)
         return start if start is not None and start.since_ms == entry.since_ms else None
 
--- a/limenotch/fleet/affinity/api.py
+++ b/limenotch/fleet/affinity/api.py
@@ -1,7 +1,7 @@
 """What the host says to the bindings and hears of them, besides contract.py.
 
-The host calls `Table` itself, for each call, with the same clock as `handle`; nothing there waits or speaks. What is to
-be told of it goes out with the part's own timers.
+The host calls `SelectionTable` itself, for each call, with the same clock as `handle`; nothing there waits or speaks.
+What is to be told of it goes out with the part's own timers.
 """
 
 from __future__ import annotations
--- a/limenotch/fleet/affinity/context.py
+++ b/limenotch/fleet/affinity/context.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from ..interfaces import Carrier, Message, Note, Tell
+from ..interfaces import Carrier, Message, Note, SendToMember
 from .clocks import INFINITE
 from .entries import Noted
 from .expiry import pace
@@ -36,7 +36,7 @@
         return self._serial
 
     def say(self, peer: Peer, message: Message, carrier: Carrier = Carrier.STREAM) -> None:
-        self.out.append(Tell(peer.name, message, carrier))
+        self.out.append(SendToMember(peer.name, message, carrier))
 
     def all(self, message: Message) -> None:
         for peer in self.peers.live():
--- a/limenotch/fleet/affinity/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -60,9 +60,9 @@
         self._fencing = self._full = False
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: self._started,
-            interfaces.Heard: self._heard,
+            interfaces.MessageReceived: self._heard,
             interfaces.TimerFired: self._fired,
-            interfaces.Leave: lambda event: self._tell(1 << 20),
+            interfaces.ShutdownStarted: lambda event: self._tell(1 << 20),
             interfaces.MemberChanged: self._member,
             interfaces.Fenced: lambda event: self._fenced(),
             Providers: self._providers,
@@ -175,7 +175,7 @@
         self._full = table.full
         self._arm(now + (SOON_MS if behind or ground.teller.behind else tuning.batch_ms * ground.scale))
 
-    def _heard(self, event: interfaces.Heard) -> None:
+    def _heard(self, event: interfaces.MessageReceived) -> None:
         ground, message = self.ground, event.message
         if not isinstance(message, say.BINDINGS) or not self._begun:
             ground.table.count("no message of bindings")
--- a/limenotch/fleet/consensus/__init__.py
+++ b/limenotch/fleet/consensus/__init__.py
@@ -14,37 +14,37 @@
 """
 
 from .api import (
-    Agreed,
     ChangeVoters,
-    Compact,
-    Install,
+    EntryCommitted,
     LeaderChanged,
-    Promised,
+    OutcomeUnknown,
+    ProposalCommitted,
+    ProposalRejected,
     Propose,
-    ReadAt,
+    ReadIndex,
     ReadReady,
-    Refused,
-    Unknown,
-    WantSnapshot,
+    SnapshotInstalled,
+    SnapshotRequested,
+    SnapshotState,
 )
 from .core import Agreement
 from .states import Role
 from .tuning import Tuning
 
 __all__ = [
-    "Agreed",
+    "EntryCommitted",
     "Agreement",
     "ChangeVoters",
-    "Compact",
-    "Install",
+    "SnapshotState",
+    "SnapshotInstalled",
     "LeaderChanged",
-    "Promised",
+    "ProposalCommitted",
     "Propose",
-    "ReadAt",
+    "ReadIndex",
     "ReadReady",
-    "Refused",
+    "ProposalRejected",
     "Role",
     "Tuning",
-    "Unknown",
-    "WantSnapshot",
+    "OutcomeUnknown",
+    "SnapshotRequested",
 ]
--- a/limenotch/fleet/consensus/api.py
+++ b/limenotch/fleet/consensus/api.py
@@ -1,8 +1,8 @@
 """What the layers above say to the log, and hear of it, besides the events and actions of contract.py.
 
 A ticket is the asker's own number. Each Propose, ReadAt and ChangeVoters gets exactly one of Promised, ReadReady,
-Refused, Unknown in a process's life. `Refused`: it is surely not agreed and never will be from this asking. `Unknown`:
-it may or may not be; propose again with the same id, which counts once, to know.
+Refused, Unknown in a process's life. `ProposalRejected`: it is surely not agreed and never will be from this asking.
+`OutcomeUnknown`: it may or may not be; propose again with the same id, which counts once, to know.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     id: str = ""
 
 
-class ReadAt(NamedTuple):
+class ReadIndex(NamedTuple):
     """Asks for an index such that who has applied it sees all that was promised before the question."""
 
     ticket: int
@@ -34,7 +34,7 @@
     remove: str = ""
 
 
-class Compact(NamedTuple):
+class SnapshotState(NamedTuple):
     """The answer to WantSnapshot: the state of the layers above right after `index`."""
 
     index: int  # type: ignore[assignment]
@@ -44,7 +44,7 @@
 # Actions
 
 
-class Agreed(NamedTuple):
+class EntryCommitted(NamedTuple):
     """In order, each once in a process's life, from the snapshot found at the start on."""
 
     index: int  # type: ignore[assignment]
@@ -53,27 +53,27 @@
     id: str
 
 
-class Install(NamedTuple):
+class SnapshotInstalled(NamedTuple):
     """Forget what was Agreed: this is the state after `index`."""
 
     index: int  # type: ignore[assignment]
     state: bytes
 
 
-class Promised(NamedTuple):
+class ProposalCommitted(NamedTuple):
     """On a quorum's disks. For an id seen before: the index where it was agreed first."""
 
     ticket: int
     index: int  # type: ignore[assignment]
 
 
-class Refused(NamedTuple):
+class ProposalRejected(NamedTuple):
     ticket: int
     why: str
     leader: str | None
 
 
-class Unknown(NamedTuple):
+class OutcomeUnknown(NamedTuple):
     ticket: int
 
 
@@ -89,7 +89,7 @@
     epoch: int
 
 
-class WantSnapshot(NamedTuple):
+class SnapshotRequested(NamedTuple):
     """Answer with Compact(index, state) of exactly this moment: what was Agreed up to `index`, nothing after."""
 
     index: int  # type: ignore[assignment]
--- a/limenotch/fleet/consensus/client_requests.py
+++ b/limenotch/fleet/consensus/client_requests.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ...store.records import Entry
+from ...store.records import LogEntry
 from ..interfaces import Carrier
 from . import api
 from . import messages as say
@@ -66,22 +66,22 @@
                 self._leading.inform(asker.name)
             node.tell(asker.name, say.Answer(kind, asker.ticket, asker.life, index, why, hint), Carrier.STREAM)
         elif kind == "promised":
-            node.out.append(api.Promised(asker.ticket, index))
+            node.out.append(api.ProposalCommitted(asker.ticket, index))
         elif kind == "read":
             if index <= node.applied:
                 node.out.append(api.ReadReady(asker.ticket, index))
             else:
                 self._ready.append((asker.ticket, index))
         elif kind == "refused":
-            node.out.append(api.Refused(asker.ticket, why, node.leader))
+            node.out.append(api.ProposalRejected(asker.ticket, why, node.leader))
         else:
-            node.out.append(api.Unknown(asker.ticket))
+            node.out.append(api.OutcomeUnknown(asker.ticket))
 
     def on_answer(self, message: say.Answer) -> None:
         node = self._node
         if message.life == node.life and self._forwarded.pop(message.ticket, None) is not None:
             if message.kind == "refused":
-                node.out.append(api.Refused(message.ticket, message.why, message.leader or None))
+                node.out.append(api.ProposalRejected(message.ticket, message.why, message.leader or None))
             else:
                 self.answer(Asker(message.ticket), message.kind, message.index)
 
@@ -133,7 +133,7 @@
             index = node.log.last + 1
             if ident:
                 self._by_id[ident] = index
-            node.append((Entry(index, node.epoch, COMMAND, encode(ident, data)),))
+            node.append((LogEntry(index, node.epoch, COMMAND, encode(ident, data)),))
             self._leading.send_all()
         self._by_index.setdefault(index, []).append(asker)
         self._waiting += 1
@@ -185,7 +185,7 @@
         else:
             self.answer(Asker(ticket), "unknown")
 
-    def agreed(self, done: list[tuple[Entry, str, int]]) -> None:
+    def agreed(self, done: list[tuple[LogEntry, str, int]]) -> None:
         for entry, ident, first in done:
             if ident:
                 self._by_id.pop(ident, None)
--- a/limenotch/fleet/consensus/core.py
+++ b/limenotch/fleet/consensus/core.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ...store.records import Held
+from ...store.records import StoredLog
 from .. import interfaces
 from . import api
 from . import messages as say
@@ -38,7 +38,7 @@
     """
 
     def __init__(
-        self, name: str, voters: tuple[str, ...], held: Held, tuning: Tuning | None = None, seed: int = 0
+        self, name: str, voters: tuple[str, ...], held: StoredLog, tuning: Tuning | None = None, seed: int = 0
     ) -> None:
         """Raises ValueError on names that can't be, msgspec.DecodeError on a store of another make."""
         if not name or any(MARK in one or not one for one in (name, *voters)) or len(set(voters)) != len(voters):
@@ -57,17 +57,17 @@
         node.lost = self._lost
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: self._started,
-            interfaces.Heard: self._heard,
+            interfaces.MessageReceived: self._heard,
             interfaces.TimerFired: lambda event: node.fired(),
-            interfaces.Leave: self._leave,
+            interfaces.ShutdownStarted: self._leave,
             interfaces.Stored: lambda event: node.stored(event.ticket),
             interfaces.StoreFailed: lambda event: node.failed(event.ticket, event.why),
             interfaces.MemberChanged: self._member,
             interfaces.Fenced: self._fenced,
             api.Propose: lambda event: self._asks.propose(Asker(event.ticket), event.data, event.id),
-            api.ReadAt: lambda event: self._asks.read(Asker(event.ticket)),
+            api.ReadIndex: lambda event: self._asks.read(Asker(event.ticket)),
             api.ChangeVoters: lambda event: self._changing.ask(Asker(event.ticket), event.add, event.remove),
-            api.Compact: lambda event: node.compact(event.index, event.state),
+            api.SnapshotState: lambda event: node.compact(event.index, event.state),
         }
         following, elections, leading = self._following, self._elections, self._leading
         self._messages: dict[type, Callable[[str, Any], None]] = {
@@ -213,7 +213,7 @@
         else:
             node.wait()
 
-    def _heard(self, event: interfaces.Heard) -> None:
+    def _heard(self, event: interfaces.MessageReceived) -> None:
         do = self._messages.get(type(event.message))
         if do is None:
             self._node.count("no message of agreement")
@@ -222,7 +222,7 @@
         else:
             do(event.sender, event.message)
 
-    def _leave(self, event: interfaces.Leave) -> None:
+    def _leave(self, event: interfaces.ShutdownStarted) -> None:
         self._asks.leaving = True
         if self._node.leads and len(self._node.log.voters.births) > 1:
             self._leading.hand_over()
--- a/limenotch/fleet/consensus/elections.py
+++ b/limenotch/fleet/consensus/elections.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Callable
 
-from ...store.records import Entry
+from ...store.records import LogEntry
 from . import messages as say
 from .log import VOTERS, Voters, pack
 from .node import Node
@@ -64,7 +64,7 @@
         births[node.name] = node.birth
         if self.founder and not node.ill and all(births.values()):
             node.cast(max(self._latest, node.epoch) + 1, node.name)
-            node.append((Entry(1, node.epoch, VOTERS, pack(Voters(births))),))
+            node.append((LogEntry(1, node.epoch, VOTERS, pack(Voters(births))),))
             node.become(Cause.FOUNDS)
             self._won()
 
--- a/limenotch/fleet/consensus/log.py
+++ b/limenotch/fleet/consensus/log.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ...store.records import Entry, Held, Snapshot
+from ...store.records import LogEntry, Snapshot, StoredLog
 
 COMMAND, VOTERS, EMPTY = "cmd", "voters", "none"
 
@@ -56,11 +56,11 @@
 
 
 class Log:
-    def __init__(self, held: Held) -> None:
+    def __init__(self, held: StoredLog) -> None:
         self.snapshot = held.snapshot
         self.base = held.base
         self.base_epoch = held.snapshot.epoch if held.snapshot else 0
-        self.entries: list[Entry] = list(held.entries)
+        self.entries: list[LogEntry] = list(held.entries)
         self.bytes = sum(len(entry.data) for entry in self.entries)
         self.stored = self.last
         under = unpack(held.snapshot).voters if held.snapshot else NOBODY
@@ -100,12 +100,12 @@
             return self.base_epoch
         return self.entries[index - self.base - 1].epoch if self.base < index <= self.last else None
 
-    def get(self, index: int) -> Entry:
+    def get(self, index: int) -> LogEntry:
         return self.entries[index - self.base - 1]
 
-    def part(self, first: int, upto: int, most: int, most_bytes: int) -> tuple[Entry, ...]:
+    def part(self, first: int, upto: int, most: int, most_bytes: int) -> tuple[LogEntry, ...]:
         """From `first` on; at least one where there is one."""
-        chosen: list[Entry] = []
+        chosen: list[LogEntry] = []
         size = 0
         for entry in self.entries[first - self.base - 1 : min(upto - self.base, first - self.base - 1 + most)]:
             size += len(entry.data)
@@ -114,14 +114,14 @@
             chosen.append(entry)
         return tuple(chosen)
 
-    def conflict(self, entries: tuple[Entry, ...]) -> int:
+    def conflict(self, entries: tuple[LogEntry, ...]) -> int:
         """The place among `entries` of the first that is not held here; their number where all are."""
         for place, entry in enumerate(entries):
             if entry.index > self.base and self.epoch_of(entry.index) != entry.epoch:
                 return place
         return len(entries)
 
-    def append(self, entries: tuple[Entry, ...]) -> None:
+    def append(self, entries: tuple[LogEntry, ...]) -> None:
         """Replaces all from the first one's index on."""
         first = entries[0].index
         gone = self.entries[first - self.base - 1 :]
@@ -154,5 +154,5 @@
         self.entries, self.bytes, self.stored = [], 0, 0
         self._voters = [(self.base, voters)]
 
-    def _learn(self, entries: list[Entry] | tuple[Entry, ...]) -> None:
+    def _learn(self, entries: list[LogEntry] | tuple[LogEntry, ...]) -> None:
         self._voters += [(entry.index, _voters.decode(entry.data)) for entry in entries if entry.kind == VOTERS]
--- a/limenotch/fleet/consensus/messages.py
+++ b/limenotch/fleet/consensus/messages.py
@@ -16,7 +16,7 @@
 
 from __future__ import annotations
 
-from ...store.records import Entry
+from ...store.records import LogEntry
 from ..interfaces import Message
 
 
@@ -70,7 +70,7 @@
     epoch: int
     prev: int
     prev_epoch: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
     commit: int
     round: int
 
--- a/limenotch/fleet/consensus/node.py
+++ b/limenotch/fleet/consensus/node.py
@@ -17,8 +17,8 @@
 from random import Random
 from typing import Any
 
-from ...store.records import Append, Ballot, Entry, Held, Snapshot
-from ..interfaces import Carrier, Message, Note, SetTimer, Store, Tell
+from ...store.records import Append, LogEntry, Snapshot, StoredLog, TermVote
+from ..interfaces import Carrier, Message, Note, SendToMember, SetTimer, Store
 from . import api
 from .log import COMMAND, NOBODY, Log, State, Voters, pack, unpack
 from .states import Cause, Role, next_role
@@ -38,13 +38,13 @@
 
 
 class Node:
-    def __init__(self, name: str, named: tuple[str, ...], held: Held, tuning: Tuning, seed: int) -> None:
+    def __init__(self, name: str, named: tuple[str, ...], held: StoredLog, tuning: Tuning, seed: int) -> None:
         self.name, self.named, self.tuning = name, named, tuning
         self.random = Random(seed)
         self.life = self.random.getrandbits(48)
         self.log = Log(held)
         vote, mark, birth = held.ballot.vote.partition(MARK)
-        self.newborn = held == Held(entries=[])
+        self.newborn = held == StoredLog(entries=[])
         self.birth = f"{self.random.getrandbits(48):x}" if self.newborn else birth
         self.epoch, self.vote = held.ballot.epoch, vote
         self.on_disk: tuple[int, str] | None = None if self.newborn else (self.epoch, self.vote)
@@ -92,7 +92,7 @@
     # Actions
 
     def tell(self, to: str, message: Message, carrier: Carrier = Carrier.DATAGRAM) -> None:
-        self.out.append(Tell(to, message, carrier))
+        self.out.append(SendToMember(to, message, carrier))
 
     def note(self, text: str, **fields: Any) -> None:
         self.out.append(Note(text, fields))
@@ -160,7 +160,7 @@
         self.epoch, self.vote = epoch, vote
         self._store(self._ballot())
 
-    def append(self, entries: tuple[Entry, ...]) -> None:
+    def append(self, entries: tuple[LogEntry, ...]) -> None:
         self.log.append(entries)
         for write in self.writes:
             write.last = min(write.last, entries[0].index - 1)
@@ -217,8 +217,8 @@
             return "log full"
         return "disk slow" if len(self.writes) >= MOST_TICKETS else ""
 
-    def _ballot(self) -> Ballot:
-        return Ballot(self.epoch, f"{self.vote}{MARK}{self.birth}" if self.birth else self.vote)
+    def _ballot(self) -> TermVote:
+        return TermVote(self.epoch, f"{self.vote}{MARK}{self.birth}" if self.birth else self.vote)
 
     def _store_all(self) -> None:
         log = self.log
@@ -241,9 +241,9 @@
 
     # What is agreed
 
-    def apply(self) -> list[tuple[Entry, str, int]]:
+    def apply(self) -> list[tuple[LogEntry, str, int]]:
         """Tells the layers above what was agreed since; gives commands with their id and the index that counts."""
-        done: list[tuple[Entry, str, int]] = []
+        done: list[tuple[LogEntry, str, int]] = []
         while self.applied < self.commit:
             self.applied += 1
             entry = self.log.get(self.applied)
@@ -253,7 +253,7 @@
             ident, data = decode(entry.data)
             first = self.ids.get(ident) if ident else None
             if first is None:
-                self.out.append(api.Agreed(entry.index, entry.epoch, data, ident))
+                self.out.append(api.EntryCommitted(entry.index, entry.epoch, data, ident))
                 if ident and self.tuning.most_ids:
                     self.ids[ident] = entry.index
                     if len(self.ids) > self.tuning.most_ids:
@@ -288,7 +288,7 @@
         self.ids = dict(state.ids)
         self.commit = max(self.commit, snapshot.index)
         self.applied = snapshot.index
-        self.out.append(api.Install(snapshot.index, state.state))
+        self.out.append(api.SnapshotInstalled(snapshot.index, state.state))
 
     def _want(self) -> None:
         log, tuning = self.log, self.tuning
@@ -297,7 +297,7 @@
             epoch = log.epoch_of(self.applied)
             assert epoch is not None
             self.frozen = (self.applied, epoch, list(self.ids.items()), log.voters_as_of(self.applied))
-            self.out.append(api.WantSnapshot(self.applied))
+            self.out.append(api.SnapshotRequested(self.applied))
 
 
 def encode(ident: str, data: bytes) -> bytes:
--- a/limenotch/fleet/consensus/replicate.py
+++ b/limenotch/fleet/consensus/replicate.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ...store.records import Entry
+from ...store.records import LogEntry
 from ..interfaces import Carrier
 from . import messages as say
 from .lease import Lease
@@ -72,7 +72,7 @@
             self.first = node.log.last
         else:
             self.first = node.log.last + 1
-            node.append((Entry(self.first, node.epoch, EMPTY),))
+            node.append((LogEntry(self.first, node.epoch, EMPTY),))
         self.beat()
 
     @property
@@ -95,7 +95,7 @@
     def change(self, voters: Voters) -> int:
         node = self._node
         index = node.log.last + 1
-        node.append((Entry(index, node.epoch, VOTERS, pack(voters)),))
+        node.append((LogEntry(index, node.epoch, VOTERS, pack(voters)),))
         for name in node.others():
             self.peers.setdefault(name, Peer(index, node.now))
         self.send_all()
@@ -189,7 +189,7 @@
         if beat and not sent:
             self._append(name, max(peer.held, log.base), ())
 
-    def _append(self, name: str, prev: int, entries: tuple[Entry, ...]) -> None:
+    def _append(self, name: str, prev: int, entries: tuple[LogEntry, ...]) -> None:
         node = self._node
         epoch = node.log.epoch_of(prev) or 0
         carrier = Carrier.STREAM if entries else Carrier.DATAGRAM
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -31,26 +31,26 @@
     Address,
     Event,
     Fenced,
-    Heard,
-    Leave,
     MemberChanged,
+    MessageReceived,
     Note,
     Part,
-    Send,
+    SendToAddress,
+    SendToMember,
     SetTimer,
+    ShutdownStarted,
     Started,
     Store,
     Stored,
     StoreFailed,
-    Tell,
     TimerFired,
 )
 from .wire import tag_of
 
 OFF = "fleet off: fault"  # the note's text
 LOG = "ag."
-ASKS = (api.Propose, api.ReadAt, api.ChangeVoters)
-ENDS = (api.Promised, api.Refused, api.Unknown, api.ReadReady)
+ASKS = (api.Propose, api.ReadIndex, api.ChangeVoters)
+ENDS = (api.ProposalCommitted, api.ProposalRejected, api.OutcomeUnknown, api.ReadReady)
 
 Faulty = Callable[[str, Any, Exception], None]  # the part's prefix, the event, what it raised
 
@@ -61,14 +61,14 @@
     def address_of(self, name: str) -> Address | None: ...
 
 
-class Asked(NamedTuple):
+class ComponentEvent(NamedTuple):
     """An event for one part, from its host."""
 
     part: str  # its prefix
     event: Any
 
 
-class Hub:
+class ComponentHub:
     """A part made of parts."""
 
     def __init__(
@@ -106,7 +106,7 @@
         """Prefixes of the states that the snapshot found at the start had."""
         self._whole = self._whole and all(prefix in self._places for prefix in states)
 
-    def handle(self, now: float, event: Event | Asked) -> list[Action]:
+    def handle(self, now: float, event: Event | ComponentEvent) -> list[Action]:
         """Send, SetTimer, Store and Note only: the rest stays in here. Raises TypeError on what is no event."""
         out: list[Action] = []
         self._begun = self._begun or isinstance(event, Started)
@@ -116,8 +116,8 @@
                 self._tell(now, *self._asking.popleft(), out)
         return out
 
-    def _route(self, event: Event | Asked) -> Iterable[tuple[int, Event]]:
-        if isinstance(event, Heard):
+    def _route(self, event: Event | ComponentEvent) -> Iterable[tuple[int, Event]]:
+        if isinstance(event, MessageReceived):
             tag = tag_of(event.message)
             place = self._places.get(tag[: tag.find(".") + 1])
             if place is None or place in self._off:
@@ -133,9 +133,9 @@
         if isinstance(event, StoreFailed):
             ticket, place = self._back(event.ticket)
             return ((place, StoreFailed(ticket, event.why)),)
-        if isinstance(event, (Started, Leave)):
+        if isinstance(event, (Started, ShutdownStarted)):
             return [(place, event) for place in range(len(self._parts))]
-        if isinstance(event, Asked) and event.part in self._places:
+        if isinstance(event, ComponentEvent) and event.part in self._places:
             return ((self._places[event.part], event.event),)
         raise TypeError(f"no event of the hub: {event!r}")
 
@@ -152,17 +152,17 @@
             self._stop(number, event, error, out)
 
     def _carry(self, now: float, number: int, action: Any, out: list[Action]) -> None:
-        if isinstance(action, Tell):
+        if isinstance(action, SendToMember):
             at = self._names.address_of(action.to) if self._names is not None else None
             if at is None:
                 self.untold += 1
             else:
-                out.append(Send(at, action.message, action.carrier))
+                out.append(SendToAddress(at, action.message, action.carrier))
         elif isinstance(action, SetTimer):
             out.append(SetTimer(action.at_ms, self._forth(action.token, number)))
         elif isinstance(action, Store):
             out.append(Store(self._forth(action.ticket, number), action.records))
-        elif isinstance(action, (Send, Note)):
+        elif isinstance(action, (SendToAddress, Note)):
             out.append(action)
         elif isinstance(action, (MemberChanged, Fenced)) and number == 0:
             for other in range(1, len(self._parts)):
@@ -182,12 +182,12 @@
         log = self._places.get(LOG)
         if log is None or log in self._off or log > number:
             why = "no log" if log is None or log > number else "the log is off"
-            self._asking.append((number, api.Refused(action.ticket, why, None)))
+            self._asking.append((number, api.ProposalRejected(action.ticket, why, None)))
             return
         prefix, ticket = self._prefixes[number], self._forth(action.ticket, number)
         if isinstance(action, api.Propose):
             ident = prefix + action.id if action.id else ""
-            action = api.Propose(ticket, log_multiplexer.marked(prefix, action.data), ident)
+            action = api.Propose(ticket, log_multiplexer.add_prefix(prefix, action.data), ident)
         else:
             action = action._replace(ticket=ticket)
         self._asking.append((log, action))
@@ -197,15 +197,15 @@
         if isinstance(action, ENDS):
             ticket, number = self._back(action.ticket)
             self._tell(now, number, action._replace(ticket=ticket), out)
-        elif isinstance(action, api.Agreed):
-            prefix, data = log_multiplexer.unmarked(action.data)
+        elif isinstance(action, api.EntryCommitted):
+            prefix, data = log_multiplexer.split_prefix(action.data)
             number = self._places.get(prefix, log)
             if number > log:
                 self._tell(now, number, action._replace(data=data, id=action.id.removeprefix(prefix)), out)
             else:
                 self._whole = False
-        elif isinstance(action, api.Install):
-            states = log_multiplexer.parted(action.state)
+        elif isinstance(action, api.SnapshotInstalled):
+            states = log_multiplexer.split_states(action.state)
             self.found(states)
             for number in layers:
                 if (state := states.get(self._prefixes[number])) is not None:
@@ -213,14 +213,15 @@
         elif isinstance(action, api.LeaderChanged):
             for number in layers:
                 self._tell(now, number, action, out)
-        elif isinstance(action, api.WantSnapshot):
+        elif isinstance(action, api.SnapshotRequested):
             if not self._whole or self._off:
                 out.append(Note("no snapshot: entries of a part that is not here"))
                 return
             states = {
-                self._prefixes[number]: cast(log_multiplexer.Above, self._parts[number]).state() for number in layers
+                self._prefixes[number]: cast(log_multiplexer.ReplicatedComponent, self._parts[number]).state()
+                for number in layers
             }
-            self._asking.append((log, api.Compact(action.index, log_multiplexer.joined(states))))
+            self._asking.append((log, api.SnapshotState(action.index, log_multiplexer.join_states(states))))
         else:
             raise TypeError(f"no action of {LOG}: {action!r}")
 
--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -38,7 +38,7 @@
     """The process begins. Told once, first."""
 
 
-class Heard(NamedTuple):
+class MessageReceived(NamedTuple):
     """A message came whose digest and version were sound. `sender` is the name its frame bears."""
 
     at: Address
@@ -53,7 +53,7 @@
     token: int
 
 
-class Leave(NamedTuple):
+class ShutdownStarted(NamedTuple):
     """The process is about to end in order (SIGTERM)."""
 
 
@@ -90,7 +90,7 @@
 # Actions
 
 
-class Send(NamedTuple):
+class SendToAddress(NamedTuple):
     """To an address; membership's, which knows addresses before names."""
 
     at: Address
@@ -98,7 +98,7 @@
     carrier: Carrier = Carrier.DATAGRAM
 
 
-class Tell(NamedTuple):
+class SendToMember(NamedTuple):
     """To a member by name; dropped where membership knows no address."""
 
     to: str
@@ -128,8 +128,8 @@
     fields: Mapping[str, Any] = {}
 
 
-Event = Union[Started, Heard, TimerFired, Leave, Stored, StoreFailed, MemberChanged, Fenced]
-Action = Union[Send, Tell, SetTimer, Store, Note, MemberChanged, Fenced]
+Event = Union[Started, MessageReceived, TimerFired, ShutdownStarted, Stored, StoreFailed, MemberChanged, Fenced]
+Action = Union[SendToAddress, SendToMember, SetTimer, Store, Note, MemberChanged, Fenced]
 
 
 class Part(Protocol):
--- a/limenotch/fleet/log_multiplexer.py
+++ b/limenotch/fleet/log_multiplexer.py
@@ -16,7 +16,7 @@
 _states: msgspec.msgpack.Decoder[dict[str, bytes]] = msgspec.msgpack.Decoder(dict[str, bytes])
 
 
-class Above(Part, Protocol):
+class ReplicatedComponent(Part, Protocol):
     """A layer above the log. Its events are besides the usual ones what `agreement.api` calls actions, but for
     WantSnapshot: that is answered for it by `state`. Its actions may be the events there, but for Compact."""
 
@@ -25,20 +25,20 @@
         ...
 
 
-def marked(prefix: str, data: bytes) -> bytes:
+def add_prefix(prefix: str, data: bytes) -> bytes:
     return prefix.encode() + data
 
 
-def unmarked(data: bytes) -> tuple[str, bytes]:
+def split_prefix(data: bytes) -> tuple[str, bytes]:
     """Prefix and the layer's own data; an empty prefix where there is none."""
     head, dot, rest = data.partition(b".")
     return (head.decode("latin-1") + ".", rest) if dot else ("", data)
 
 
-def joined(states: Mapping[str, bytes]) -> bytes:
+def join_states(states: Mapping[str, bytes]) -> bytes:
     return msgspec.msgpack.encode(dict(states))
 
 
-def parted(state: bytes | None) -> dict[str, bytes]:
+def split_states(state: bytes | None) -> dict[str, bytes]:
     """Raises msgspec.DecodeError on what no hub has joined."""
     return _states.decode(state) if state else {}
--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from ..interfaces import Action, Address, Carrier, Fenced, MemberChanged, Message, Note, Send
+from ..interfaces import Action, Address, Carrier, Fenced, MemberChanged, Message, Note, SendToAddress
 from .dissemination import Broadcasts
 from .health import Health
 from .messages import Claim, Me
@@ -77,7 +77,7 @@
         return self.where(name, self.table[name].at)
 
     def say(self, at: Address, message: Message, carrier: Carrier = Carrier.DATAGRAM) -> None:
-        self.acts.append(Send(at, message, carrier))
+        self.acts.append(SendToAddress(at, message, carrier))
 
     def own_claim(self, state: State = State.ALIVE) -> Claim:
         return Claim(self.name, CODES.index(state), self.at, self.life, self.incarnation)
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-from ..interfaces import Action, Address, Carrier, Heard, Leave, SetTimer, Started, TimerFired
+from ..interfaces import Action, Address, Carrier, MessageReceived, SetTimer, ShutdownStarted, Started, TimerFired
 from .context import Ground, Phase
 from .member_states import Holder
 from .messages import ALIVE, MOST_NEWS, Ack, Answer, Ask, Claim, Me, Nack, News, Ping, PingReq, Spoken, sound, sound_me
@@ -131,7 +131,7 @@
         self._now = now
         if isinstance(event, Started):
             self.own.begin(now)
-        elif not isinstance(event, (Heard, TimerFired, Leave)):
+        elif not isinstance(event, (MessageReceived, TimerFired, ShutdownStarted)):
             raise TypeError(f"no event of membership: {event!r}")
         elif ground.phase is Phase.GONE or not started:
             return []
@@ -139,9 +139,9 @@
             first = ground.agenda.first()
             if first is not None and now - first > ground.tuning.timeout_ms:
                 self._woke(now, now - first)
-            if isinstance(event, Heard):
+            if isinstance(event, MessageReceived):
                 self._heard(now, event)
-            elif isinstance(event, Leave):
+            elif isinstance(event, ShutdownStarted):
                 self._leave(now)
             else:
                 ground.agenda.fired(now)
@@ -274,7 +274,7 @@
 
     # What is heard
 
-    def _heard(self, now: float, event: Heard) -> None:
+    def _heard(self, now: float, event: MessageReceived) -> None:
         ground, message = self.ground, event.message
         if not isinstance(message, Spoken):
             ground.count("not of membership")
@@ -296,7 +296,7 @@
             self.holder.hear(now, claim)
         self._answer(now, event, message)
 
-    def _heard_before(self, now: float, event: Heard, message: Spoken, claims: tuple[Claim, ...]) -> None:
+    def _heard_before(self, now: float, event: MessageReceived, message: Spoken, claims: tuple[Claim, ...]) -> None:
         """Joining: only what a table says of the own name matters, until it is settled."""
         if isinstance(message, Ask):
             self._answer(now, event, message)
@@ -329,7 +329,7 @@
         if me.inside and (held is None or (held.life, held.incarnation, held.at) != (me.life, me.incarnation, me.at)):
             self.holder.hear(now, Claim(name, ALIVE, me.at, me.life, me.incarnation))
 
-    def _answer(self, now: float, event: Heard, message: Spoken) -> None:
+    def _answer(self, now: float, event: MessageReceived, message: Spoken) -> None:
         ground = self.ground
         at = ground.where(event.sender, message.me.at) if message.me.inside else message.me.at
         against = ground.against(event.sender, message.me, now) if message.me.inside else None
--- a/limenotch/fleet/replicated_notes.py
+++ b/limenotch/fleet/replicated_notes.py
@@ -64,7 +64,7 @@
     return blake2b(words, digest_size=16).hexdigest()
 
 
-class Promises:
+class ReplicatedNotes:
     def __init__(self, state: bytes | None = None, index: int = 0) -> None:
         """`state`: of the snapshot found at the start, which was made after `index`. Raises msgspec.DecodeError."""
         self._kept: dict[str, tuple[int, bytes]] = _table.decode(state) if state else {}
@@ -88,17 +88,17 @@
         self._now, self._out = now, []
         if isinstance(event, Ask):
             self._ask(event)
-        elif isinstance(event, api.Agreed):
+        elif isinstance(event, api.EntryCommitted):
             self._agreed(event)
-        elif isinstance(event, api.Install):
+        elif isinstance(event, api.SnapshotInstalled):
             self._kept, self._applied = _table.decode(event.state), event.index
-        elif isinstance(event, api.Promised):
+        elif isinstance(event, api.ProposalCommitted):
             self._promised(event)
         elif isinstance(event, api.ReadReady):
             self._ready(event)
-        elif isinstance(event, api.Refused):
+        elif isinstance(event, api.ProposalRejected):
             self._end(event.ticket, "refused", event.why + (f"; {event.leader} leads" if event.leader else ""))
-        elif isinstance(event, api.Unknown):
+        elif isinstance(event, api.OutcomeUnknown):
             self._end(event.ticket, "unknown", "perhaps: ask again with the same id")
         elif not isinstance(event, _HEEDLESS):
             raise TypeError(f"no event of promises: {event!r}")
@@ -119,12 +119,12 @@
         elif ask.what == "voters":
             self._out.append(api.ChangeVoters(ask.ticket, ask.id, ask.other))
         elif ask.what in ("read", "list"):
-            self._out.append(api.ReadAt(ask.ticket))
+            self._out.append(api.ReadIndex(ask.ticket))
         else:
             raise TypeError(f"nothing to ask: {ask!r}")
         self._asked[ask.ticket] = ask
 
-    def _agreed(self, event: api.Agreed) -> None:
+    def _agreed(self, event: api.EntryCommitted) -> None:
         self._applied = event.index
         try:
             ident, words = _entry.decode(event.data)
@@ -134,7 +134,7 @@
         if ident not in self._kept and len(self._kept) < MOST:
             self._kept[ident] = (event.index, words)
 
-    def _promised(self, event: api.Promised) -> None:
+    def _promised(self, event: api.ProposalCommitted) -> None:
         ask = self._asked.pop(event.ticket, None)
         if ask is None:
             return
@@ -183,7 +183,7 @@
 
 _HEEDLESS = (
     interfaces.Started,
-    interfaces.Leave,
+    interfaces.ShutdownStarted,
     interfaces.TimerFired,
     interfaces.MemberChanged,
     interfaces.Fenced,
--- a/limenotch/fleet/rules/changes.py
+++ b/limenotch/fleet/rules/changes.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..interfaces import Tell
+from ..interfaces import SendToMember
 from . import change_classification, entries
 from . import document as doc
 from .api import Answer, Ask
@@ -78,7 +78,7 @@
         if leader == self.name:
             self.suggested(now, self.name, suggest)
         else:
-            self.out.append(Tell(leader, suggest))
+            self.out.append(SendToMember(leader, suggest))
 
     def answer(self, ident: str, ok: bool, text: str, version: int) -> None:
         asked = self.asked.pop(ident, None)
@@ -113,7 +113,7 @@
         self.looking[suggest.id] = Looking(
             sender, suggest, data, now + self.tuning.check_ms, set(reach), len(self.voters) // 2 + 1
         )
-        self.out += [Tell(voter, Look(suggest.id, data)) for voter in reach]
+        self.out += [SendToMember(voter, Look(suggest.id, data)) for voter in reach]
         self._seen(suggest.id)
 
     def _whole(self, suggest: Suggest) -> Document:
@@ -139,7 +139,7 @@
             fault = self.fault(doc.decode(look.document)) or ""
         except ValueError as error:
             fault = str(error)
-        self.out.append(Tell(sender, Looked(look.id, fault)))
+        self.out.append(SendToMember(sender, Looked(look.id, fault)))
 
     def looked(self, sender: str, looked: Looked) -> None:
         looking = self.looking.get(looked.id)
@@ -172,7 +172,7 @@
         if sender == self.name:
             self.answer(ident, False, why, self.book.newest)
         else:
-            self.out.append(Tell(sender, Verdict(ident, why, self.book.newest)))
+            self.out.append(SendToMember(sender, Verdict(ident, why, self.book.newest)))
 
     # In the course of time
 
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -24,7 +24,7 @@
 
 from .. import interfaces
 from ..consensus import api as log
-from ..interfaces import Carrier, Note, SetTimer, Tell
+from ..interfaces import Carrier, Note, SendToMember, SetTimer
 from ..leases import NEVER
 from . import entries
 from . import messages as say
@@ -85,20 +85,20 @@
         self.changes = Changes(name, self.book, check, self.tuning, self._reach, tuple(voters), self._propose)
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: lambda event: setattr(self, "_begun", True),
-            interfaces.Heard: self._heard,
+            interfaces.MessageReceived: self._heard,
             interfaces.TimerFired: self._fired,
-            interfaces.Leave: lambda event: None,
+            interfaces.ShutdownStarted: lambda event: None,
             interfaces.MemberChanged: self._member,
             interfaces.Fenced: lambda event: self._fenced(),
             Ask: self._ask,
             Counted: self._counted,
             Voters: lambda event: setattr(self.changes, "voters", event.names),
-            log.Agreed: self._agreed,
-            log.Install: self._install,
+            log.EntryCommitted: self._agreed,
+            log.SnapshotInstalled: self._install,
             log.LeaderChanged: self._led,
-            log.Promised: lambda event: self._ended(event.ticket, None),
-            log.Refused: lambda event: self._ended(event.ticket, event.why),
-            log.Unknown: lambda event: self._ended(event.ticket, "unknown"),
+            log.ProposalCommitted: lambda event: self._ended(event.ticket, None),
+            log.ProposalRejected: lambda event: self._ended(event.ticket, event.why),
+            log.OutcomeUnknown: lambda event: self._ended(event.ticket, "unknown"),
             log.ReadReady: self._ready,
         }
         self._messages: dict[type, Callable[[str, Any], None]] = {
@@ -139,7 +139,7 @@
         if self._now >= self._armed:
             self._armed = NEVER
 
-    def _heard(self, event: interfaces.Heard) -> None:
+    def _heard(self, event: interfaces.MessageReceived) -> None:
         do = self._messages.get(type(event.message))
         if do is None:
             self._count("no message of rules")
@@ -174,7 +174,7 @@
         elif what in ("Put", "Try") and why is not None and why != "unknown":
             self.changes.refused(ident, why)
 
-    def _agreed(self, event: log.Agreed) -> None:
+    def _agreed(self, event: log.EntryCommitted) -> None:
         entry = entries.decode(event.data)
         if entry is None:
             self._count("no entry of rules")
@@ -192,7 +192,7 @@
         if self.book.newest != newest or self.book.active != active:
             self._ask_at = min(self._ask_at, self._now)
 
-    def _install(self, event: log.Install) -> None:
+    def _install(self, event: log.SnapshotInstalled) -> None:
         self.book.install(event.state)
         self._acts = None
         self._out.append(Note(f"holds {self.book.newest}"))
@@ -234,7 +234,7 @@
         if self.leads:
             self._asked(self.name, ask)
         else:
-            self._out.append(Tell(self.leader, ask, Carrier.DATAGRAM))
+            self._out.append(SendToMember(self.leader, ask, Carrier.DATAGRAM))
 
     def _granted(self, sender: str, grant: say.Grant) -> None:
         self._bans(self.telling.heard(grant.bans))
@@ -272,7 +272,7 @@
             if isinstance(answer, say.Grant):
                 self._granted(name, answer)
         elif answer is not None:
-            self._out.append(Tell(name, answer, Carrier.DATAGRAM))
+            self._out.append(SendToMember(name, answer, Carrier.DATAGRAM))
 
     def _activate(self) -> None:
         book = self.book
@@ -334,7 +334,7 @@
             if self.leads:
                 self._count_canary(self.name, count)
             else:
-                self._out.append(Tell(self.leader, count, Carrier.DATAGRAM))
+                self._out.append(SendToMember(self.leader, count, Carrier.DATAGRAM))
 
     def _count_canary(self, sender: str, count: say.Count) -> None:
         trial = self.book.trial
@@ -361,7 +361,7 @@
             self._ticket += 1
             self._reads[self._ticket] = (self.epoch, self._waiting)
             self._waiting = {}
-            self._out.append(log.ReadAt(self._ticket))
+            self._out.append(log.ReadIndex(self._ticket))
         self._activate()
 
     def _tell(self) -> None:
--- a/limenotch/fleet/rules/ejection_gossip.py
+++ b/limenotch/fleet/rules/ejection_gossip.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..interfaces import Carrier, MemberChanged, Note, Tell
+from ..interfaces import Carrier, MemberChanged, Note, SendToMember
 from . import entries
 from . import messages as say
 from .versioned_rules import Book
@@ -63,7 +63,7 @@
             if propose is not None and ident not in under_way:
                 propose(entries.Out(ident, upstream), ident, after)
             out += [
-                Tell(name, say.Told(upstream, after), Carrier.DATAGRAM)
+                SendToMember(name, say.Told(upstream, after), Carrier.DATAGRAM)
                 for name, (state, _) in self.members.items()
                 if name != self.name and state not in GONE
             ]
@@ -82,7 +82,7 @@
         if many >= EXCHANGES:
             return []
         self._exchanged = (since, many + 1)
-        return [Tell(event.name, say.Bans(self._all(), True))]
+        return [SendToMember(event.name, say.Bans(self._all(), True))]
 
     def exchanged(self, sender: str, bans: say.Bans) -> list[Any]:
         if len(bans.bans) > self._most:
@@ -90,7 +90,7 @@
             return []
         out = self.heard(bans.bans)
         if bans.wanted:
-            out.append(Tell(sender, say.Bans(self._all())))
+            out.append(SendToMember(sender, say.Bans(self._all())))
         return out
 
     def _all(self) -> tuple[tuple[str, int], ...]:
--- a/limenotch/fleet/rules/endpoint_additions.py
+++ b/limenotch/fleet/rules/endpoint_additions.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ..consensus import api as log
-from ..interfaces import Tell
+from ..interfaces import SendToMember
 from .endpoint_list_messages import MOST_ENTRIES, Agree, Held, Know, Named, agree_of, encode, held_of
 
 AGAIN_MS = 1000.0
@@ -39,7 +39,7 @@
 
     # The log
 
-    def apply(self, event: log.Agreed) -> None:
+    def apply(self, event: log.EntryCommitted) -> None:
         agree = agree_of(event.data)
         if agree is None:
             self._count("no entry of lists")
@@ -88,7 +88,7 @@
             if self.leader == self.name:
                 self.heard(now, self.name, know)
             else:
-                out.append(Tell(self.leader, know))
+                out.append(SendToMember(self.leader, know))
         return out
 
     # The leader's
--- a/limenotch/fleet/rules/endpoint_lists.py
+++ b/limenotch/fleet/rules/endpoint_lists.py
@@ -20,7 +20,7 @@
 
 from .. import interfaces
 from ..consensus import api as log
-from ..interfaces import Carrier, Note, SetTimer, Tell
+from ..interfaces import Carrier, Note, SendToMember, SetTimer
 from .api import Voters
 from .drain_notices import Drains
 from .endpoint_additions import NEVER, Arrivals
@@ -82,17 +82,17 @@
         self._events: dict[type, Callable[[Any], None]] = {
             Listed: self._listed,
             DirectorySilent: self._silent,
-            interfaces.Heard: self._heard,
+            interfaces.MessageReceived: self._heard,
             interfaces.MemberChanged: self._member,
             interfaces.TimerFired: self._fired,
             Voters: lambda event: self.arrivals.voted(self._now, event.names),
-            log.Agreed: lambda event: self.arrivals.apply(event),
-            log.Install: lambda event: self.arrivals.install(event.state),
+            log.EntryCommitted: lambda event: self.arrivals.apply(event),
+            log.SnapshotInstalled: lambda event: self.arrivals.install(event.state),
             log.LeaderChanged: lambda event: self.arrivals.led(self._now, event.name),
-            log.Promised: lambda event: self.arrivals.ended(event.ticket),
-            log.Refused: lambda event: self.arrivals.ended(event.ticket),
-            log.Unknown: lambda event: self.arrivals.ended(event.ticket),
-            **dict.fromkeys((interfaces.Started, interfaces.Leave, interfaces.Fenced), lambda event: None),
+            log.ProposalCommitted: lambda event: self.arrivals.ended(event.ticket),
+            log.ProposalRejected: lambda event: self.arrivals.ended(event.ticket),
+            log.OutcomeUnknown: lambda event: self.arrivals.ended(event.ticket),
+            **dict.fromkeys((interfaces.Started, interfaces.ShutdownStarted, interfaces.Fenced), lambda event: None),
         }
 
     def handle(self, now: float, event: Any) -> list[Any]:
@@ -216,7 +216,7 @@
         names = [(name, self.own.get(name, READY)) for name in self._fresh]
         if names or self._state_again:
             for word in self._words(names):
-                self._out += [Tell(other, word, Carrier.DATAGRAM) for other in self._others()]
+                self._out += [SendToMember(other, word, Carrier.DATAGRAM) for other in self._others()]
         self._fresh = {name: left - 1 for name, left in self._fresh.items() if left > 1}
         self._state_again = max(0, self._state_again - 1)
         self._again_at = self._now + AGAIN_MS if self._fresh or self._state_again else NEVER
@@ -242,7 +242,7 @@
         self._said.update(name for name, _ in restricted)
         self._serial += 1
         word = Word(self.begun, self.directory, self.index, self._serial, self.live, tuple(restricted), True)
-        self._out.append(Tell(sender, word))
+        self._out.append(SendToMember(sender, word))
 
     # From the others
 
@@ -251,17 +251,17 @@
             since, many = self._pulls if self._now - self._pulls[0] < PULL_MS else (self._now, 0)
             if many < PULLED:
                 self._pulls = (since, many + 1)
-                self._out.append(Tell(event.name, Pull()))
+                self._out.append(SendToMember(event.name, Pull()))
 
     def _pull(self) -> None:
         """Of the next member."""
         others = self._others()
         if others:
             self._turn += 1
-            self._out.append(Tell(others[self._turn % len(others)], Pull()))
+            self._out.append(SendToMember(others[self._turn % len(others)], Pull()))
         self._pull_at = self._now + SILENT_MS
 
-    def _heard(self, event: interfaces.Heard) -> None:
+    def _heard(self, event: interfaces.MessageReceived) -> None:
         message, sender = event.message, event.sender
         if isinstance(message, Word):
             if len(message.names) > MOST_NAMES or any(_long(name) for name, _ in message.names):
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -26,7 +26,7 @@
 
 from .. import interfaces
 from ..consensus import api as log
-from ..interfaces import Carrier, Heard, Note, SetTimer, Tell
+from ..interfaces import Carrier, MessageReceived, Note, SendToMember, SetTimer
 from ..leases import NEVER
 from . import entries
 from . import messages as say
@@ -78,20 +78,20 @@
         self._reads: dict[int, tuple[int, dict[tuple[str, int], say.AskLease]]] = {}  # ticket: epoch, the asks before
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: lambda event: None,
-            interfaces.Heard: self._heard,
+            interfaces.MessageReceived: self._heard,
             interfaces.TimerFired: self._fired,
-            interfaces.Leave: lambda event: self._leave(),
+            interfaces.ShutdownStarted: lambda event: self._leave(),
             interfaces.MemberChanged: self._member,
             interfaces.Fenced: lambda event: self._fenced(),
             Look: lambda event: None,
             Ask: lambda event: self.asks.ask(self._now, event),
             Witnesses: lambda event: setattr(self.granting, "voters", event.names),
-            log.Agreed: self._agreed,
-            log.Install: self._install,
+            log.EntryCommitted: self._agreed,
+            log.SnapshotInstalled: self._install,
             log.LeaderChanged: self._led,
-            log.Promised: lambda event: self._ended(event.ticket, "promised", "", event.index),
-            log.Refused: lambda event: self._ended(event.ticket, "refused", event.why),
-            log.Unknown: lambda event: self._ended(event.ticket, "unknown", "ask again with the same id"),
+            log.ProposalCommitted: lambda event: self._ended(event.ticket, "promised", "", event.index),
+            log.ProposalRejected: lambda event: self._ended(event.ticket, "refused", event.why),
+            log.OutcomeUnknown: lambda event: self._ended(event.ticket, "unknown", "ask again with the same id"),
             log.ReadReady: self._ready,
         }
         self._messages: dict[type, Callable[[str, Any], None]] = {
@@ -133,7 +133,7 @@
         if self._now >= self._armed:
             self._armed = NEVER
 
-    def _heard(self, event: Heard) -> None:
+    def _heard(self, event: MessageReceived) -> None:
         do = self._messages.get(type(event.message))
         if do is None:
             self._count("no message of the wallet")
@@ -184,7 +184,7 @@
         elif self._reads.pop(ticket, None) is None:
             self.asks.ended(ticket, word, why)
 
-    def _agreed(self, event: log.Agreed) -> None:
+    def _agreed(self, event: log.EntryCommitted) -> None:
         told = entries.decode(event.data)
         if told is None:
             self._count("no entry of the wallet")
@@ -222,7 +222,7 @@
                         self.holding.ended(entry.tenant, entry.serial)
         self.granting.changed(entry.tenant)
 
-    def _install(self, event: log.Install) -> None:
+    def _install(self, event: log.SnapshotInstalled) -> None:
         self.book.install(event.state)
         self.memory.installed()
         self.holding.installed(self._now)
@@ -245,7 +245,9 @@
         if self.leader is None:
             self._ask_at = NEVER
             return
-        self._out.append(Tell(self.leader, say.AskLease(self.lease.ask(self._now), self.life), Carrier.DATAGRAM))
+        self._out.append(
+            SendToMember(self.leader, say.AskLease(self.lease.ask(self._now), self.life), Carrier.DATAGRAM)
+        )
         self._ask_at = self._now + self.tuning.lease_ms / 3
 
     def _asked(self, sender: str, ask: say.AskLease) -> None:
@@ -266,7 +268,7 @@
         for (name, _), ask in asks.items():
             lease = self.granting.lease(self._now, name, ask)
             if lease is not None:
-                self._out.append(Tell(name, lease, Carrier.DATAGRAM))
+                self._out.append(SendToMember(name, lease, Carrier.DATAGRAM))
 
     def _leased(self, sender: str, lease: say.Lease) -> None:
         if lease.life == self.life:
@@ -279,7 +281,7 @@
         held = tuple(one for one in mark.marks[: say.MOST] if self.memory.tell(one[0], owner, one[1], one[2]))
         if held:
             carrier = say.carrier([one[0] for one in held])
-            self._out.append(Tell(sender, say.Held(self.life, mark.life, held), carrier))
+            self._out.append(SendToMember(sender, say.Held(self.life, mark.life, held), carrier))
 
     def _held(self, sender: str, held: say.Held) -> None:
         if held.holder == self.life:
@@ -293,7 +295,7 @@
         marks = tuple(
             self.memory.mark(tenant, (asked.name, asked.life), serial) for tenant, serial in asked.slices[: say.MOST]
         )
-        self._out.append(Tell(sender, say.Told(asked.number, asked.asker, self.life, marks), Carrier.STREAM))
+        self._out.append(SendToMember(sender, say.Told(asked.number, asked.asker, self.life, marks), Carrier.STREAM))
 
     # After each event
 
@@ -311,7 +313,7 @@
             ticket = self._number()
             self._reads[ticket] = (self.epoch, self._waiting)
             self._waiting = {}
-            self._out.append(log.ReadAt(ticket))
+            self._out.append(log.ReadIndex(ticket))
         self.granting.tick(now)
         self.asks.tick(now)
 
@@ -319,20 +321,20 @@
         if self.leader is not None:
             for want in self.holding.wants(again):
                 carrier = say.carrier([one[0] for one in want.wants])
-                self._out.append(Tell(self.leader, want, carrier))
+                self._out.append(SendToMember(self.leader, want, carrier))
 
     def _to_oneself(self) -> None:
         """What this process says to itself as leader, holder and witness never leaves it."""
         own: deque[Any] = deque()
 
         def sort() -> None:
-            kept = [one for one in self._out if not (isinstance(one, Tell) and one.to == self.name)]
-            own.extend(one.message for one in self._out if isinstance(one, Tell) and one.to == self.name)
+            kept = [one for one in self._out if not (isinstance(one, SendToMember) and one.to == self.name)]
+            own.extend(one.message for one in self._out if isinstance(one, SendToMember) and one.to == self.name)
             self._out[:] = kept
 
         sort()
         while own:
-            self._heard(Heard(OWN_AT, self.name, own.popleft()))
+            self._heard(MessageReceived(OWN_AT, self.name, own.popleft()))
             self._tick()
             sort()
 
--- a/limenotch/fleet/wallet/operator_requests.py
+++ b/limenotch/fleet/wallet/operator_requests.py
@@ -51,7 +51,7 @@
             # Without an id of the log's: which of two asks counted shows by where each stands.
             self.out.append(log.Propose(ticket, entries.encode((credit,))))
         else:
-            self.out.append(log.ReadAt(ticket))
+            self.out.append(log.ReadIndex(ticket))
 
     def _fault(self, ask: Ask) -> str:
         if len(self._open) >= self._tuning.most_asks:
--- a/limenotch/fleet/wallet/quota_grants.py
+++ b/limenotch/fleet/wallet/quota_grants.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..interfaces import Carrier, Tell
+from ..interfaces import Carrier, SendToMember
 from ..leases import NEVER
 from . import entries
 from . import messages as say
@@ -156,7 +156,7 @@
         for (name, life), recalls in self._recalls.items():
             for at in range(0, len(recalls), say.MOST):
                 part = tuple(recalls[at : at + say.MOST])
-                self.out.append(Tell(name, say.Recall(life, part), say.carrier([recall[0] for recall in part])))
+                self.out.append(SendToMember(name, say.Recall(life, part), say.carrier([recall[0] for recall in part])))
         self._recalls.clear()
         if now >= self._gone_at:
             self._look(now)
@@ -315,7 +315,9 @@
             self._resolve(now, gone)
 
     def _ask(self, name: str, gone: Gone) -> None:
-        self.out.append(Tell(name, say.Question(gone.number, self._own[1], *gone.owner, gone.keys), Carrier.STREAM))
+        self.out.append(
+            SendToMember(name, say.Question(gone.number, self._own[1], *gone.owner, gone.keys), Carrier.STREAM)
+        )
 
     def told(self, now: float, name: str, told: say.Told) -> None:
         gone = next((gone for gone in self._gone.values() if gone.number == told.number), None)
--- a/limenotch/fleet/wallet/quota_holder.py
+++ b/limenotch/fleet/wallet/quota_holder.py
@@ -15,7 +15,7 @@
 from math import ceil
 from typing import Any
 
-from ..interfaces import Note, Tell
+from ..interfaces import Note, SendToMember
 from ..leases import NEVER
 from . import entries
 from . import messages as say
@@ -266,7 +266,9 @@
         for (name, _), of in marks.items():
             for at in range(0, len(of), say.MOST):
                 part = tuple(of[at : at + say.MOST])
-                self.out.append(Tell(name, say.Mark(self._owner[1], part), say.carrier([mark[0] for mark in part])))
+                self.out.append(
+                    SendToMember(name, say.Mark(self._owner[1], part), say.carrier([mark[0] for mark in part]))
+                )
         if self._unheld and self._again_at == NEVER:
             self._again_at = now + self._tuning.record_ms
 
--- a/limenotch/fleet/wire.py
+++ b/limenotch/fleet/wire.py
@@ -32,7 +32,7 @@
 LEAST_KEY, MOST_KEY = 16, 64  # bytes; more BLAKE2b does not take
 
 
-class Fault(Enum):
+class FrameFault(Enum):
     """Why a frame was dropped; in the order in which it is looked at."""
 
     TOO_LONG = "too long"
@@ -62,7 +62,7 @@
     message: msgspec.Raw
 
 
-class Wire:
+class FrameCodec:
     """Of one key, one group and the kinds of messages known. Counts what it drops, by fault."""
 
     def __init__(
@@ -84,54 +84,54 @@
         self._encode = msgspec.msgpack.Encoder().encode
         self._head: Any = msgspec.msgpack.Decoder(_Head).decode
         self._message: Any = msgspec.msgpack.Decoder(Union[tuple(kinds)]).decode
-        self.faults = dict.fromkeys(Fault, 0)
+        self.faults = dict.fromkeys(FrameFault, 0)
 
     def encode(self, sender: str, message: Message) -> bytes:
         """Of any length: what a carrier takes is for it to see. Raises ValueError on a name out of bounds."""
         body = self._version + self._encode((self.group, _name(sender), message))
         return self._digest(body) + body
 
-    def decode(self, frame: bytes, most: int = MOST_FRAME) -> tuple[str, Message] | Fault:
+    def decode(self, frame: bytes, most: int = MOST_FRAME) -> tuple[str, Message] | FrameFault:
         """The sender and what it says, or why that is dropped, which is counted here."""
         found = self._decode(frame, most)
-        if isinstance(found, Fault):
+        if isinstance(found, FrameFault):
             self.count(found)
         return found
 
-    def count(self, fault: Fault) -> None:
+    def count(self, fault: FrameFault) -> None:
         """Also what carriers drop before there is a whole frame."""
         self.faults[fault] += 1
 
-    def _decode(self, frame: bytes, most: int) -> tuple[str, Message] | Fault:
+    def _decode(self, frame: bytes, most: int) -> tuple[str, Message] | FrameFault:
         if len(frame) > most:
-            return Fault.TOO_LONG
+            return FrameFault.TOO_LONG
         if len(frame) <= DIGEST:
-            return Fault.SHORT
+            return FrameFault.SHORT
         body = frame[DIGEST:]
         if not compare_digest(self._digest(body), frame[:DIGEST]):
-            return Fault.DIGEST
+            return FrameFault.DIGEST
         if not self._least <= body[0] <= self._most:
-            return Fault.VERSION
+            return FrameFault.VERSION
         try:
             head = self._head(body[1:])
             if head.group != self.group:
-                return Fault.GROUP
+                return FrameFault.GROUP
         except (msgspec.DecodeError, RecursionError):  # what is no UTF-8 is a DecodeError too
-            return Fault.MALFORMED
+            return FrameFault.MALFORMED
         try:
             message: Message = self._message(head.message)
         except (msgspec.DecodeError, RecursionError):
             return self._why(head.message)
         return head.sender, message
 
-    def _why(self, message: msgspec.Raw) -> Fault:
+    def _why(self, message: msgspec.Raw) -> FrameFault:
         """Whether what does not decode is a kind of a newer program."""
         try:
             plain = msgspec.msgpack.decode(message)
         except (msgspec.DecodeError, RecursionError, TypeError, ValueError):
-            return Fault.MALFORMED
+            return FrameFault.MALFORMED
         newer = isinstance(plain, list) and plain and isinstance(plain[0], str) and plain[0] not in self._tags
-        return Fault.KIND if newer else Fault.MALFORMED
+        return FrameFault.KIND if newer else FrameFault.MALFORMED
 
     def _digest(self, body: bytes) -> bytes:
         digest = self._keyed.copy()
@@ -145,12 +145,12 @@
     return name
 
 
-def framed(frame: bytes) -> bytes:
+def with_length(frame: bytes) -> bytes:
     """As it goes on a stream."""
     return len(frame).to_bytes(LENGTH, "big") + frame
 
 
-class Frames:
+class FrameReader:
     """Cuts what a stream brings into frames. Holds one unfinished frame at most."""
 
     def __init__(self, most: int = MOST_FRAME) -> None:
@@ -161,15 +161,15 @@
     def feed(self, data: bytes) -> None:
         self._held += data
 
-    def take(self) -> bytes | Fault | None:
+    def take(self) -> bytes | FrameFault | None:
         """The next whole frame, None if there is none yet. After a fault no further frame can be found."""
         if len(self._held) < LENGTH:
             return None
         length = int.from_bytes(self._held[:LENGTH], "big")
         if length > self.most:
-            return Fault.TOO_LONG
+            return FrameFault.TOO_LONG
         if length <= DIGEST:
-            return Fault.SHORT
+            return FrameFault.SHORT
         if len(self._held) < LENGTH + length:
             return None
         frame = bytes(self._held[LENGTH : LENGTH + length])
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -24,17 +24,16 @@
 from typing import Any
 
 from ..balancing.types import Effect
-
 from ..config import Config
 from ..fleet.affinity import messages
 from ..fleet.affinity.api import Kind, Providers, State, Window
 from ..fleet.affinity.core import Bindings
 from ..fleet.affinity.tuning import Tuning
-from ..fleet.hub import Asked
+from ..fleet.hub import ComponentEvent
 from ..fleet.interfaces import Part, Started
-from ..load_balancer import NEVER_RAN, Ending, Hint, Provider, Status
-from ..net.request import Call, Final, InvokerCall, Verdict
-from .base import Among, Layer, messages_of
+from ..load_balancer import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, PlacementHint
+from ..net.request import Attempt, FinalResponse, Request, Verdict
+from .base import FleetAdapter, NodeContext, message_types
 
 PREFIX = "bi."
 MOST_EARLY = 10_000  # bindings of calls that came before this process was among the others
@@ -81,7 +80,7 @@
 class Begun:
     """The part, told at its beginning what the host knew before."""
 
-    def __init__(self, layer: BindingsLayer, bindings: Bindings) -> None:
+    def __init__(self, layer: AffinityAdapter, bindings: Bindings) -> None:
         self._layer, self._bindings = layer, bindings
 
     def handle(self, now: float, event: Any) -> list[Any]:
@@ -93,11 +92,11 @@
         return actions
 
 
-class BindingsLayer(Layer):
+class AffinityAdapter(FleetAdapter):
     name, prefix, above = "bindings", PREFIX, False
-    messages = messages_of(messages)
+    messages = message_types(messages)
 
-    def __init__(self, among: Among, tuning: Tuning) -> None:
+    def __init__(self, among: NodeContext, tuning: Tuning) -> None:
         super().__init__()
         self._among, self._tuning = among, tuning
         self._bindings = Bindings(among.name, among.life, among.key, tuning, int.from_bytes(os.urandom(8), "big"))
@@ -105,7 +104,7 @@
         self._header = tuning.session.lower().encode("latin-1")
         self._windows: dict[str, float] = {}  # of keyed classes
         self._classes: set[str] = set()  # a class that no longer is has bindings of before
-        self._listed: dict[str, Provider] = {}
+        self._listed: dict[str, DiscoveredEndpoint] = {}
         self._out: set[str] = set()
         self._there: dict[str, tuple[str, str]] = {}
         self._early: dict[tuple[Kind, bytes], tuple[str, State, bool]] | None = {}  # None: the part has begun
@@ -140,12 +139,12 @@
         if windows != self._windows:
             self._windows = windows
             self._classes |= windows.keys()
-            self._among.tell(Asked(PREFIX, Window(max(windows.values(), default=0.0))))
+            self._among.tell(ComponentEvent(PREFIX, Window(max(windows.values(), default=0.0))))
 
-    def listed(self, providers: Iterable[Provider], whole: bool) -> None:
+    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         held = {} if whole else self._listed
         held.update((provider.name, provider) for provider in providers)
-        self._listed = {name: each for name, each in held.items() if each.status is not Status.TERMINATED}
+        self._listed = {name: each for name, each in held.items() if each.status is not DiscoveryStatus.TERMINATED}
         self._tell()
 
     def banned(self, name: str, out: bool, at_ms: float) -> None:
@@ -164,7 +163,7 @@
         }
         if there != self._there:
             self._there = there
-            self._among.tell(Asked(PREFIX, Providers(there)))
+            self._among.tell(ComponentEvent(PREFIX, Providers(there)))
 
     def gone(self, origin: str) -> None:
         kept = self._conns.pop(origin, None)
@@ -186,7 +185,7 @@
 
     # Calls
 
-    def taken(self, call: Call) -> Final | None:
+    def taken(self, call: Request) -> FinalResponse | None:
         about, mine = call.about, Mine()
         if self._tuning.keys and about.key and call.kind in self._classes:
             mine.key = joined(call.kind.encode(), call.tenant.encode(), about.key)
@@ -214,17 +213,17 @@
             self._mine[call.number] = mine
         return None
 
-    def _keyed(self, call: Call, mine: Mine) -> Final | None:
+    def _keyed(self, call: Request, mine: Mine) -> FinalResponse | None:
         self.counts["keyed"] += 1
         bound = self._table.find(self._among.now(), Kind.KEY, mine.key)
         if bound is None and call.about.resent and not self._table.whole:
             self.counts["unsure"] += 1
-            return Final(Verdict.REJECTED)
+            return FinalResponse(Verdict.REJECTED)
         if bound is not None:
             self.counts["repeats"] += 1
             call.paid = call.paid or bound.charged
             # The window counts from the first of them, wherever its latest repeat was seen.
-            call.hint = Hint(ran=True, zone=bound.zone, group=_group(bound.cell), ago_ms=bound.made_ms)
+            call.hint = PlacementHint(ran=True, zone=bound.zone, group=_group(bound.cell), ago_ms=bound.made_ms)
             mine.hinted = True
         else:
             mine.changes = self._table.changes
@@ -234,12 +233,12 @@
         use.calls += 1
         return None
 
-    def _prefer(self, call: Call, kind: Kind, key: bytes) -> None:
+    def _prefer(self, call: Request, kind: Kind, key: bytes) -> None:
         bound = self._table.find(self._among.now(), kind, key)
         if bound is not None:
-            call.hint = Hint(prefer=bound.provider)
+            call.hint = PlacementHint(prefer=bound.provider)
 
-    def sent(self, invoker_call: InvokerCall) -> None:
+    def sent(self, invoker_call: Attempt) -> None:
         mine = self._mine.get(invoker_call.call.number)
         if mine is None:
             return
@@ -258,13 +257,13 @@
             self.counts["unbound"] += 1
             use.ours = False
 
-    def ended(self, invoker_call: InvokerCall, ending: Ending) -> None:
+    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         call = invoker_call.call
         mine = self._mine.get(call.number)
         if mine is None:
             return
         mine.out -= 1
-        if ending is Ending.SERVED and not mine.served:
+        if ending is AttemptEnding.SERVED and not mine.served:
             mine.served = invoker_call.provider
         if mine.key:
             use = self._uses[mine.key]
@@ -276,7 +275,7 @@
                 self._undo(mine.key)
         self._over(call.number, mine)
 
-    def closed(self, call: Call) -> None:
+    def closed(self, call: Request) -> None:
         mine = self._mine.get(call.number)
         if mine is None:
             return
--- a/limenotch/fleet_adapters/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -7,28 +7,28 @@
 from typing import Any, NamedTuple
 
 from ..config import Config
-from ..fleet.hub import Asked
+from ..fleet.hub import ComponentEvent
 from ..fleet.interfaces import Message, Part
-from ..load_balancer import Provider
-from ..net.admin.queries import says
-from ..net.admin.server import Extra
-from ..net.request import Beside
+from ..load_balancer import DiscoveredEndpoint
+from ..net.admin.queries import json_response
+from ..net.admin.server import RequestHandler
+from ..net.request import RequestInterceptor
 
 SPARE_S = 1.0  # for an answer that comes by the log's own bounds
 
 
-class Among(NamedTuple):
+class NodeContext(NamedTuple):
     """Who this process is among the others, and the way to its parts."""
 
     name: str
     life: int
     voters: tuple[str, ...]  # as the settings have them
     key: bytes
-    tell: Callable[[Asked], None]  # raises nothing
+    tell: Callable[[ComponentEvent], None]  # raises nothing
     now: Callable[[], float]  # the clock that parts are told, ms
 
 
-class Layer:
+class FleetAdapter:
     """One that does nothing; layers say what they do more. Made before the fleet begins, on the loop's thread."""
 
     name = ""  # among the parts that `GET /fleet` tells of
@@ -38,8 +38,8 @@
 
     def __init__(self) -> None:
         self.hears: dict[type, Callable[[Any], None]] = {}  # actions of its part that are for the host
-        self.paths: dict[str, Extra] = {}  # at the operators' address
-        self.beside: Beside | None = None  # who has a say in calls
+        self.paths: dict[str, RequestHandler] = {}  # at the operators' address
+        self.beside: RequestInterceptor | None = None  # who has a say in calls
 
     def part(self, state: bytes | None, index: int) -> Part | None:
         """Its decisions, from the state that the log was found with; None: it has nothing to do here.
@@ -61,7 +61,7 @@
     def voted(self, voters: tuple[str, ...]) -> None:
         """Who votes on the log, when that has changed."""
 
-    def listed(self, providers: Iterable[Provider], whole: bool) -> None:
+    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         """This sidecar's own directory told its whole list, or what changed."""
 
     def banned(self, name: str, out: bool, at_ms: float) -> None:
@@ -75,10 +75,10 @@
 
     def refuse(self, why: str) -> bytes:
         """What its paths are answered where its part is not there."""
-        return says(503, {"ok": False, "text": why})
+        return json_response(503, {"ok": False, "text": why})
 
 
-def messages_of(module: ModuleType) -> tuple[type[Message], ...]:
+def message_types(module: ModuleType) -> tuple[type[Message], ...]:
     return tuple(
         kind
         for kind in vars(module).values()
--- a/limenotch/fleet_adapters/endpoint_lists.py
+++ b/limenotch/fleet_adapters/endpoint_lists.py
@@ -11,39 +11,43 @@
 from typing import Any
 
 from ..config import Address, ConfigError, address, host_port
-from ..fleet.hub import Asked
+from ..fleet.hub import ComponentEvent
 from ..fleet.rules import endpoint_list_messages
 from ..fleet.rules.api import Voters
 from ..fleet.rules.endpoint_list_messages import Arrived, DirectorySilent, Listed, Named, PeerDrain
 from ..fleet.rules.endpoint_lists import Lists
-from ..load_balancer import Provider, Status
-from .base import Among, Layer, messages_of
+from ..load_balancer import DiscoveredEndpoint, DiscoveryStatus
+from .base import FleetAdapter, NodeContext, message_types
 
 PREFIX = "li."
-STAGES = {Status.IN_SERVICE: "ready", Status.TERMINATING: "draining", Status.TERMINATED: "gone"}
-OVER = {"draining": Status.TERMINATING, "gone": Status.TERMINATED}
+STAGES = {
+    DiscoveryStatus.IN_SERVICE: "ready",
+    DiscoveryStatus.TERMINATING: "draining",
+    DiscoveryStatus.TERMINATED: "gone",
+}
+OVER = {"draining": DiscoveryStatus.TERMINATING, "gone": DiscoveryStatus.TERMINATED}
 ORDER = list(STAGES)  # each restricts more than the one before
 
-Use = Callable[[list[Provider], bool], None]
+Use = Callable[[list[DiscoveredEndpoint], bool], None]
 # Where the own directory is, up to which index it told, whether that came on a watch that stands, and how long ago that
 # watch was asked for, in ms.
 Where = Callable[[], tuple[Address, int, bool, float]]
 
 
-class ListsLayer(Layer):
+class EndpointListsAdapter(FleetAdapter):
     name, prefix = "lists", PREFIX
-    messages = messages_of(endpoint_list_messages)
+    messages = message_types(endpoint_list_messages)
 
-    def __init__(self, among: Among) -> None:
+    def __init__(self, among: NodeContext) -> None:
         super().__init__()
         self._among = among
         self._lists: Lists | None = None
         self._where: Where = lambda: (("", 0), 0, False, 0.0)
         self._use: Use = lambda entries, whole: None
-        self._own: dict[str, Provider] = {}
+        self._own: dict[str, DiscoveredEndpoint] = {}
         self._drained: dict[str, str] = {}
-        self._arrived: dict[str, Provider] = {}
-        self._told: dict[str, Provider] = {}  # as the program has them
+        self._arrived: dict[str, DiscoveredEndpoint] = {}
+        self._told: dict[str, DiscoveredEndpoint] = {}  # as the program has them
         self._silent = False
         self.hears = {PeerDrain: self._drains, Arrived: self._arrives}
 
@@ -67,34 +71,34 @@
             self._tell(self._own.values(), whole=True)
 
     def voted(self, voters: tuple[str, ...]) -> None:
-        self._among.tell(Asked(PREFIX, Voters(voters)))
+        self._among.tell(ComponentEvent(PREFIX, Voters(voters)))
 
-    def listed(self, providers: Iterable[Provider], whole: bool) -> None:
+    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         if self._lists is not None:
             self._tell(providers, whole)
         elif self._where()[2]:
             self._silent = False
 
-    def _tell(self, providers: Iterable[Provider], whole: bool) -> None:
+    def _tell(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         (at, index, live, ago_ms), told = self._where(), list(providers)
         if live:  # else it is a list of an earlier time, which is no word of the directory's
             self._silent = False
             ready = tuple(_named(p) for p in told if p.takes_new)
             stages = {p.name: STAGES[p.status] for p in told}
             asked = self._among.now() - ago_ms
-            self._among.tell(Asked(PREFIX, Listed(host_port(at), index, whole, stages, ready, asked)))
+            self._among.tell(ComponentEvent(PREFIX, Listed(host_port(at), index, whole, stages, ready, asked)))
 
     def silent(self) -> None:
         """The own directory's watch ended."""
         self._silent = True
         if self._lists is not None:
-            self._among.tell(Asked(PREFIX, DirectorySilent(host_port(self._where()[0]))))
+            self._among.tell(ComponentEvent(PREFIX, DirectorySilent(host_port(self._where()[0]))))
 
-    def over(self, entries: list[Provider], whole: bool) -> list[Provider]:
+    def over(self, entries: list[DiscoveredEndpoint], whole: bool) -> list[DiscoveredEndpoint]:
         """What of the own directory's list is to be told the program instead."""
         self._own = {} if whole else self._own
         for provider in entries:
-            if provider.status is Status.TERMINATED:
+            if provider.status is DiscoveryStatus.TERMINATED:
                 self._own.pop(provider.name, None)
             else:
                 self._own[provider.name] = provider
@@ -102,7 +106,7 @@
         if whole:
             self._told = {}
         elif self._arrived:
-            out = [p for p in out if p.status is not Status.TERMINATED or p.name not in self._arrived]
+            out = [p for p in out if p.status is not DiscoveryStatus.TERMINATED or p.name not in self._arrived]
         self._remember(out)
         if whole:
             kept = [self._under(p) for name, p in self._arrived.items() if name not in self._own]
@@ -110,13 +114,13 @@
             out += kept
         return out
 
-    def _under(self, provider: Provider) -> Provider:
+    def _under(self, provider: DiscoveredEndpoint) -> DiscoveredEndpoint:
         status = OVER.get(self._drained.get(provider.name, ""), provider.status)
         return provider if ORDER.index(status) <= ORDER.index(provider.status) else provider._replace(status=status)
 
-    def _remember(self, entries: Iterable[Provider]) -> None:
+    def _remember(self, entries: Iterable[DiscoveredEndpoint]) -> None:
         for provider in entries:
-            if provider.status is Status.TERMINATED:
+            if provider.status is DiscoveryStatus.TERMINATED:
                 self._told.pop(provider.name, None)
             else:
                 self._told[provider.name] = provider
@@ -144,19 +148,19 @@
         return self._lists.figures() if self._lists is not None else {"state": "none"}
 
 
-def _gone(provider: Provider) -> Provider:
-    return provider._replace(status=Status.TERMINATED)
+def _gone(provider: DiscoveredEndpoint) -> DiscoveredEndpoint:
+    return provider._replace(status=DiscoveryStatus.TERMINATED)
 
 
-def _named(p: Provider) -> Named:
+def _named(p: DiscoveredEndpoint) -> Named:
     return Named(p.name, host_port(p.address), p.zone, p.kind, p.group, p.weight, p.since_ms)
 
 
-def _provider(named: Named) -> Provider | None:
+def _provider(named: Named) -> DiscoveredEndpoint | None:
     try:
         at = address(named.address, "")
     except ConfigError:
         return None
-    return Provider(
-        named.name, at, Status.IN_SERVICE, named.zone, named.kind, named.group, named.weight, named.since_ms
+    return DiscoveredEndpoint(
+        named.name, at, DiscoveryStatus.IN_SERVICE, named.zone, named.kind, named.group, named.weight, named.since_ms
     )
--- a/limenotch/fleet_adapters/replicated_notes.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -5,23 +5,23 @@
 from typing import Any
 
 from ..fleet.consensus.tuning import Tuning
-from ..fleet.replicated_notes import LATE_MS, Answer, Promises
-from ..net.admin.log import PREFIX, Promised, refused
-from .base import SPARE_S, Among, Layer
+from ..fleet.replicated_notes import LATE_MS, Answer, ReplicatedNotes
+from ..net.admin.log import PREFIX, LogQueries, refused
+from .base import SPARE_S, FleetAdapter, NodeContext
 
 
-class PromisesLayer(Layer):
+class ReplicatedNotesAdapter(FleetAdapter):
     name, prefix = "promises", PREFIX
 
-    def __init__(self, among: Among, tuning: Tuning) -> None:
+    def __init__(self, among: NodeContext, tuning: Tuning) -> None:
         super().__init__()
-        self._promises = Promises()
-        self._promised = Promised(among.tell, (tuning.ask_ms + LATE_MS) / 1000.0 + SPARE_S)
+        self._promises = ReplicatedNotes()
+        self._promised = LogQueries(among.tell, (tuning.ask_ms + LATE_MS) / 1000.0 + SPARE_S)
         self.hears = {Answer: self._promised.heed}
         self.paths = self._promised.paths
 
-    def part(self, state: bytes | None, index: int) -> Promises:
-        self._promises = Promises(state, index)
+    def part(self, state: bytes | None, index: int) -> ReplicatedNotes:
+        self._promises = ReplicatedNotes(state, index)
         return self._promises
 
     def figures(self) -> dict[str, Any]:
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -9,15 +9,15 @@
 
 from tornado.ioloop import PeriodicCallback
 
-from ..configuration_applier import Acting
-from ..fleet.hub import Asked
+from ..configuration_applier import ConfigurationApplier
+from ..fleet.hub import ComponentEvent
 from ..fleet.rules import Rules, messages
 from ..fleet.rules.api import Answer, Counted, InForce, Narrow, Voters
 from ..fleet.rules.tuning import Tuning
-from ..load_balancer import Ending
-from ..net.admin.rules import PREFIX, RULES, Ruled
-from ..net.request import Call, Final, InvokerCall, Verdict
-from .base import SPARE_S, Among, Layer, messages_of
+from ..load_balancer import AttemptEnding
+from ..net.admin.rules import PREFIX, RULES, RulesQueries
+from ..net.request import Attempt, FinalResponse, Request, Verdict
+from .base import SPARE_S, FleetAdapter, NodeContext, message_types
 
 COUNT_S = 1.0  # between two words of what calls came to
 
@@ -29,41 +29,41 @@
         self.count = 0
         self.aim_ms: Callable[[str], float] = lambda name: math.inf
 
-    def taken(self, call: Call) -> Final | None:
+    def taken(self, call: Request) -> FinalResponse | None:
         return None
 
-    def sent(self, invoker_call: InvokerCall) -> None:
+    def sent(self, invoker_call: Attempt) -> None:
         """Nothing to see yet."""
 
-    def ended(self, invoker_call: InvokerCall, ending: Ending) -> None:
+    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         """One attempt says nothing of its call."""
 
-    def closed(self, call: Call) -> None:
+    def closed(self, call: Request) -> None:
         if call.final is not None and call.final.verdict is Verdict.SERVED:
             spent_s = monotonic() - (call.end - call.left_s)
             self.count += spent_s * 1000.0 > self.aim_ms(call.kind)
 
 
-class RulesLayer(Layer):
+class RulesAdapter(FleetAdapter):
     name, prefix = "rules", PREFIX
-    messages = messages_of(messages)
+    messages = message_types(messages)
 
-    def __init__(self, among: Among, tuning: Tuning) -> None:
+    def __init__(self, among: NodeContext, tuning: Tuning) -> None:
         super().__init__()
         self._among, self._tuning = among, tuning
         self._voters = among.voters
-        self._acting: Acting | None = None
+        self._acting: ConfigurationApplier | None = None
         self._rules: Rules | None = None
         self._counted: Callable[[], tuple[int, int]] = lambda: (0, 0)
         self._before = (0, 0)
         self._late = Late()
         self.beside = self._late
         self._counting = PeriodicCallback(self._count, COUNT_S * 1000.0)
-        ruled = Ruled(among.tell, tuning.ask_ms / 1000.0 + SPARE_S, self.figures)
+        ruled = RulesQueries(among.tell, tuning.ask_ms / 1000.0 + SPARE_S, self.figures)
         self.hears = {Answer: ruled.heed, InForce: self._in_force, Narrow: self._narrow}
         self.paths = {RULES: ruled.answer}
 
-    def follow(self, acting: Acting, counted: Callable[[], tuple[int, int]]) -> None:
+    def follow(self, acting: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
         """Put what is agreed on in force there. `counted`: calls taken so far, and those of them rejected or failed: by
         these, and by late answers, a canary is judged.
         """
@@ -93,11 +93,11 @@
     def _count(self) -> None:
         (taken, bad), (taken_before, bad_before) = self._count_all(), self._before
         self._before = taken, bad
-        self._among.tell(Asked(PREFIX, Counted(taken - taken_before, bad - bad_before)))
+        self._among.tell(ComponentEvent(PREFIX, Counted(taken - taken_before, bad - bad_before)))
 
     def voted(self, voters: tuple[str, ...]) -> None:
         """Who votes on the log checks changes."""
-        self._among.tell(Asked(PREFIX, Voters(voters)))
+        self._among.tell(ComponentEvent(PREFIX, Voters(voters)))
 
     def _in_force(self, said: InForce) -> None:
         if self._acting is not None:
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -15,14 +15,14 @@
 from typing import Any, Protocol
 
 from .. import logs
-from ..fleet.hub import LOG, Asked
+from ..fleet.hub import LOG, ComponentEvent
 from ..fleet.wallet import Wallet, messages
 from ..fleet.wallet.api import Answer, Look, Purse, Reservation, Turned, Witnesses
 from ..fleet.wallet.tuning import Tuning
-from ..load_balancer import Ending
-from ..net.admin.wallet import PREFIX, Paid
-from ..net.request import Call, Final, InvokerCall, Later, Verdict
-from .base import SPARE_S, Among, Layer, messages_of
+from ..load_balancer import AttemptEnding
+from ..net.admin.wallet import PREFIX, WalletQueries
+from ..net.request import Attempt, FinalResponse, Request, RetryLater, Verdict
+from .base import SPARE_S, FleetAdapter, NodeContext, message_types
 
 log = logs.get(__name__)
 
@@ -64,7 +64,7 @@
     def pays(self, tenant: str) -> bool:
         return "*" in self._tenants or tenant in self._tenants
 
-    def taken(self, call: Call) -> Final | Later | None:
+    def taken(self, call: Request) -> FinalResponse | RetryLater | None:
         purse = self.purse
         if purse is None or self.fault or (self._parts.off and self.off):
             return self._without(call)
@@ -76,22 +76,24 @@
             self._faulty(error)
             return self._without(call)
         if isinstance(said, Turned):
-            final = Final(Verdict.REJECTED, retry_after_ms=said.retry_after_ms, paused=True)
+            final = FinalResponse(Verdict.REJECTED, retry_after_ms=said.retry_after_ms, paused=True)
             if said.coming and call.waited_ms < HOLDS * self._tuning.record_ms:
-                return Later(self._tuning.record_ms / ASKS, final)  # its first call here in a while: not turned away
+                return RetryLater(
+                    self._tuning.record_ms / ASKS, final
+                )  # its first call here in a while: not turned away
             self.counts["turned"] += 1
             return final
         if said.cost:
             self._open[call.number] = said
         return None
 
-    def sent(self, invoker_call: InvokerCall) -> None:
+    def sent(self, invoker_call: Attempt) -> None:
         pass
 
-    def ended(self, invoker_call: InvokerCall, ending: Ending) -> None:
+    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         pass
 
-    def closed(self, call: Call) -> None:
+    def closed(self, call: Request) -> None:
         reservation = self._open.pop(call.number, None)
         purse = self.purse
         if reservation is None or purse is None:
@@ -108,13 +110,13 @@
         except Exception as error:
             self._faulty(error)
 
-    def _without(self, call: Call) -> Final | None:
+    def _without(self, call: Request) -> FinalResponse | None:
         """Nobody can say what there is to spend."""
         tuning = self._tuning
         if call.paid or not self.pays(call.tenant) or not tuning.cost.get(call.kind, tuning.other_cost):
             return None
         self.counts["turned_without"] += 1
-        return Final(Verdict.REJECTED, retry_after_ms=tuning.retry_after_ms, paused=True)
+        return FinalResponse(Verdict.REJECTED, retry_after_ms=tuning.retry_after_ms, paused=True)
 
     def _see(self) -> None:
         self._looking = True
@@ -134,16 +136,16 @@
         return {"reserved": len(self._open), **self.counts}
 
 
-class WalletLayer(Layer):
+class WalletAdapter(FleetAdapter):
     name, prefix = "wallet", PREFIX
-    messages = messages_of(messages)
+    messages = message_types(messages)
 
-    def __init__(self, among: Among, tuning: Tuning, parts: Parts) -> None:
+    def __init__(self, among: NodeContext, tuning: Tuning, parts: Parts) -> None:
         super().__init__()
         self._among, self._tuning = among, tuning
         self._wallet: Wallet | None = None
         self._till = Till(tuning, self._look, parts)
-        paid = Paid(among.tell, tuning.ask_ms / 1000.0 + SPARE_S, self._till.pays)
+        paid = WalletQueries(among.tell, tuning.ask_ms / 1000.0 + SPARE_S, self._till.pays)
         self.hears = {Answer: paid.heed}
         self.paths = paid.paths
         self.beside = self._till
@@ -157,10 +159,10 @@
         self._till.purse = self._wallet.purse if self._wallet is not None else None
 
     def _look(self) -> None:
-        self._among.tell(Asked(PREFIX, Look()))
+        self._among.tell(ComponentEvent(PREFIX, Look()))
 
     def voted(self, voters: tuple[str, ...]) -> None:
-        self._among.tell(Asked(PREFIX, Witnesses(voters)))
+        self._among.tell(ComponentEvent(PREFIX, Witnesses(voters)))
 
     def figures(self) -> dict[str, Any]:
         wallet = self._wallet
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -19,27 +19,27 @@
 
 from . import logs, toml
 from .config import Address, Config, host_port
-from .configuration_applier import Acting
+from .configuration_applier import ConfigurationApplier
 from .fleet import log_multiplexer
 from .fleet.consensus import Agreement
 from .fleet.consensus import messages as of_the_log
-from .fleet.hub import LOG, Hub
+from .fleet.hub import LOG, ComponentHub
 from .fleet.membership import Membership
 from .fleet.membership.messages import Spoken
 from .fleet.settings import Fleet, Placed, place
-from .fleet.wire import Wire
-from .fleet_adapters.base import Among, Layer, messages_of
-from .fleet_adapters.endpoint_lists import ListsLayer, Use, Where
-from .fleet_adapters.replicated_notes import PromisesLayer
-from .fleet_adapters.rules import RulesLayer
-from .load_balancer import Provider
+from .fleet.wire import FrameCodec
+from .fleet_adapters.base import FleetAdapter, NodeContext, message_types
+from .fleet_adapters.endpoint_lists import EndpointListsAdapter, Use, Where
+from .fleet_adapters.replicated_notes import ReplicatedNotesAdapter
+from .fleet_adapters.rules import RulesAdapter
+from .load_balancer import DiscoveredEndpoint
 from .net import http1
-from .net.admin.queries import says
-from .net.admin.server import Extra
-from .net.log_storage import Folder, Memory, UnreadableError
-from .net.peer_transport import Disk, Others
-from .net.request import Beside
-from .store.records import Held
+from .net.admin.queries import json_response
+from .net.admin.server import RequestHandler
+from .net.log_storage import FolderStorage, MemoryStorage, UnreadableError
+from .net.peer_transport import Disk, PeerTransport
+from .net.request import RequestInterceptor
+from .store.records import StoredLog
 
 log = logs.get(__name__)
 
@@ -62,7 +62,7 @@
     ]
 
 
-class Together:
+class FleetNode:
     """One process among others. Made on the loop's thread."""
 
     def __init__(self, table: Fleet, sidecar: str) -> None:
@@ -75,14 +75,20 @@
         self._membership = Membership(
             placed.name, placed.at, self.life, placed.seeds, table.membership, _seed(), placed.addresses
         )
-        self._hub = Hub([("mb.", self._membership)], self._membership)
-        self._among = Among(placed.name, self.life, table.voters, placed.key, self._tell, self.now)
-        self._rules = RulesLayer(self._among, table.rules) if table.rules is not None else None
-        self._lists = ListsLayer(self._among) if table.rules is not None else None
+        self._hub = ComponentHub([("mb.", self._membership)], self._membership)
+        self._among = NodeContext(placed.name, self.life, table.voters, placed.key, self._tell, self.now)
+        self._rules = RulesAdapter(self._among, table.rules) if table.rules is not None else None
+        self._lists = EndpointListsAdapter(self._among) if table.rules is not None else None
         self._layers = self._made(table)
-        messages = (*get_args(Spoken), *messages_of(of_the_log), *(m for layer in self._layers for m in layer.messages))
-        wire = Wire(placed.key, placed.group, messages)
-        self._others = Others(placed.listen, placed.name, self.life, self._hub, wire, table.streams, at=placed.at)
+        messages = (
+            *get_args(Spoken),
+            *message_types(of_the_log),
+            *(m for layer in self._layers for m in layer.messages),
+        )
+        wire = FrameCodec(placed.key, placed.group, messages)
+        self._others = PeerTransport(
+            placed.listen, placed.name, self.life, self._hub, wire, table.streams, at=placed.at
+        )
         self._disk = _disk(placed)
         self._agreement: Agreement | None = None
         self._why = "the log is not read yet" if self._disk is not None else "no log: fleet.voters has none"
@@ -90,7 +96,7 @@
         self._looking = PeriodicCallback(self._look, LOOK_S * 1000.0)
         self._end: asyncio.TimerHandle | None = None
         self.descriptors = table.descriptors
-        self.paths: dict[str, Extra] = {PATH: self._answer}
+        self.paths: dict[str, RequestHandler] = {PATH: self._answer}
         for layer in self._layers:
             for kind, told in layer.hears.items():
                 self._hub.hears(kind, told)
@@ -99,21 +105,21 @@
                 self._hub.add(layer.prefix, part)
                 layer.began()
 
-    def _made(self, table: Fleet) -> list[Layer]:
+    def _made(self, table: Fleet) -> list[FleetAdapter]:
         """Those that the table has, in the order in which they hear of what all are told."""
-        layers: list[Layer] = []
+        layers: list[FleetAdapter] = []
         if table.bindings is not None:
-            from .fleet_adapters.affinity import BindingsLayer
+            from .fleet_adapters.affinity import AffinityAdapter
 
-            layers.append(BindingsLayer(self._among, table.bindings))
+            layers.append(AffinityAdapter(self._among, table.bindings))
         if table.voters:
-            layers.append(PromisesLayer(self._among, table.agreement))
+            layers.append(ReplicatedNotesAdapter(self._among, table.agreement))
         if self._rules is not None:
             layers.append(self._rules)
         if table.wallet is not None:
-            from .fleet_adapters.wallet import WalletLayer
+            from .fleet_adapters.wallet import WalletAdapter
 
-            layers.append(WalletLayer(self._among, table.wallet, self._hub))
+            layers.append(WalletAdapter(self._among, table.wallet, self._hub))
         if self._lists is not None:
             layers.append(self._lists)
         return layers
@@ -132,7 +138,7 @@
         """Whether this sidecar's rules are those that many agree on."""
         return self._rules is not None
 
-    def follow(self, acting: Acting, counted: Callable[[], tuple[int, int]]) -> None:
+    def follow(self, acting: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
         """Put what is agreed on in force there. To be called before `start`; without `[fleet.rules]` nothing is."""
         if self._rules is not None:
             self._rules.follow(acting, counted)
@@ -142,7 +148,7 @@
         if self._lists is not None:
             self._lists.follow(use, where)
 
-    def over(self, entries: list[Provider], whole: bool) -> list[Provider]:
+    def over(self, entries: list[DiscoveredEndpoint], whole: bool) -> list[DiscoveredEndpoint]:
         """What of the directory's word the program is to use instead, as others said more."""
         return self._lists.over(entries, whole) if self._lists is not None else entries
 
@@ -152,11 +158,11 @@
             self._lists.silent()
 
     @property
-    def beside(self) -> tuple[Beside, ...]:
+    def beside(self) -> tuple[RequestInterceptor, ...]:
         """Who has a say in calls."""
         return tuple(layer.beside for layer in self._layers if layer.beside is not None)
 
-    def listed(self, providers: Iterable[Provider], whole: bool) -> None:
+    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         """This sidecar's own directory told its whole list, or what changed."""
         for layer in self._layers:
             layer.listed(providers, whole)
@@ -185,9 +191,9 @@
         disk, placed = self._disk, self._placed
         assert disk is not None
         try:
-            held = await disk.open() if isinstance(disk, Folder) else Held(entries=[])
+            held = await disk.open() if isinstance(disk, FolderStorage) else StoredLog(entries=[])
             agreement = Agreement(placed.name, placed.table.voters, held, placed.table.agreement, _seed())
-            states = log_multiplexer.parted(agreement.state)
+            states = log_multiplexer.split_states(agreement.state)
             parts = [
                 (layer, layer.part(states.get(layer.prefix), agreement.index)) for layer in self._layers if layer.above
             ]
@@ -254,7 +260,7 @@
             return {"role": "none", "why": self._why}
         return {**self._agreement.figures(), "store": self._disk.state() if self._disk is not None else ""}
 
-    def _through(self, layer: Layer, answer: Extra) -> Extra:
+    def _through(self, layer: FleetAdapter, answer: RequestHandler) -> RequestHandler:
         async def through(request: http1.Message) -> bytes:
             return layer.refuse(self._why) if layer.above and self._why else await answer(request)
 
@@ -263,22 +269,22 @@
     async def _answer(self, request: http1.Message) -> bytes:
         if request.method != b"GET":
             return http1.write_response(405, [(b"Allow", b"GET")], b"", close=True)
-        return says(200, self.state())
+        return json_response(200, self.state())
 
 
 def _seed() -> int:
     return int.from_bytes(os.urandom(8), "big")
 
 
-def _disk(placed: Placed) -> Folder | Memory | None:
+def _disk(placed: Placed) -> FolderStorage | MemoryStorage | None:
     """None: no voters, so no log. Raises toml.FaultError where a library is not there."""
     table = placed.table
     if not table.voters:
         return None
     if table.folder is None:
         log.info("fleet: no folder, what is agreed is held in memory only")
-        return Memory(placed.name)
+        return MemoryStorage(placed.name)
     try:
-        return Folder(Path(table.folder))
+        return FolderStorage(Path(table.folder))
     except ImportError as error:
         raise toml.FaultError(f"fleet.folder: needs the library {error}: pip install 'limenotch[fleet]'") from None
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -21,14 +21,14 @@
 from limenotch.fleet.affinity.api import Bound, Kind, Providers, State, Window
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.tuning import Ages, Tuning
-from limenotch.fleet.hub import Asked, Hub
+from limenotch.fleet.hub import ComponentEvent, ComponentHub
 from limenotch.fleet.interfaces import Started
 from limenotch.fleet.membership import Membership
 from limenotch.lab.fleet.bindings_run import PREFIX, SECRET
 from limenotch.lab.fleet.drawing import Scenario
 from limenotch.lab.fleet.scenario import Outcome, check, play
 from limenotch.lab.fleet.world import Seen, World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 AGES = Ages(opening=400, open=1000, closing=300, lingering=200, longest=20_000)
 TUNING = Tuning(
@@ -61,13 +61,13 @@
 
     def __init__(self, members: Membership, bindings: Bindings) -> None:
         self.membership, self.bindings = members, bindings
-        self.hub = Hub([("mb.", members), (PREFIX, bindings)], members)
+        self.hub = ComponentHub([("mb.", members), (PREFIX, bindings)], members)
 
     def handle(self, now: float, event: Any) -> list[Any]:
         out: list[Any] = self.hub.handle(now, event)
         if isinstance(event, Started):
             for told in (Window(WINDOW_MS), Providers(THERE)):
-                out += self.hub.handle(now, Asked(PREFIX, told))
+                out += self.hub.handle(now, ComponentEvent(PREFIX, told))
         return out
 
 
@@ -129,7 +129,7 @@
             there.pop(about[0], None)
             if word == "back":
                 there[about[0]] = THERE[about[0]]
-            world.poke(name, Asked(PREFIX, Providers(dict(there))))
+            world.poke(name, ComponentEvent(PREFIX, Providers(dict(there))))
             return
         if node.part is None or node.paused:
             return
@@ -164,7 +164,7 @@
     prober = Prober(scenario)
     seeds = [address(name) for name in scenario.nodes[:2]]
 
-    def make(name: str, seed: int, life: int, held: Held) -> Told:
+    def make(name: str, seed: int, life: int, held: StoredLog) -> Told:
         members = Membership(name, address(name), life, seeds, MEMBERS, seed)
         return Told(members, Bindings(name, life, SECRET, tuning, seed))
 
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -15,14 +15,14 @@
 from limenotch.fleet.affinity.api import Bound, Kind, Providers, State, Window
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.tuning import Ages, Tuning
-from limenotch.fleet.hub import Asked, Hub
+from limenotch.fleet.hub import ComponentEvent, ComponentHub
 from limenotch.fleet.interfaces import Fenced, MemberChanged
 from limenotch.fleet.membership import Membership
 from limenotch.fleet.wire import tag_of
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.checks_bindings import LOSSY_MS, Checker, Key, Stated
 from limenotch.lab.fleet.world import World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 PREFIX = tag_of(say.Sights).partition(".")[0] + "."
 SECRET = b"of the laboratory"
@@ -100,7 +100,7 @@
 
 
 class Member(NamedTuple):
-    hub: Hub
+    hub: ComponentHub
     membership: Membership
     bindings: Bindings
 
@@ -129,13 +129,13 @@
         self._seeing: Key | None = None
         self.world = World(self.names, self.make, seed, delay_ms=delay_ms, **weather)
 
-    def make(self, name: str, seed: int, life: int, held: Held) -> Member:
+    def make(self, name: str, seed: int, life: int, held: StoredLog) -> Member:
         members = Membership(name, address(name), life, [address(one) for one in self.names[:2]], self.members, seed)
         bindings = Bindings(name, life, SECRET, self.tuning, seed)
         bindings.watch = lambda why, mark: self._ended(name, bindings, why, mark)
         self.checker.began(self.world.now, name, life)
         recorded = Recorded(self, name, bindings)
-        hub = Hub([("mb.", members), (PREFIX, recorded)], members)
+        hub = ComponentHub([("mb.", members), (PREFIX, recorded)], members)
         self.world.kernel.at(self.world.now, self._settings, name)
         return Member(hub, members, bindings)
 
@@ -152,7 +152,7 @@
             self.checker.dropped(self.world.now, name, key, why)
 
     def tell(self, name: str, event: Any) -> None:
-        self.world.poke(name, Asked(PREFIX, event))
+        self.world.poke(name, ComponentEvent(PREFIX, event))
 
     def bindings(self, name: str) -> Bindings | None:
         """None if no process runs there that could be asked now."""
--- a/limenotch/lab/fleet/checks_log.py
+++ b/limenotch/lab/fleet/checks_log.py
@@ -21,15 +21,15 @@
 
 import msgspec
 
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 
 class Checker:
     """`saw` is told all that is asked of and done by every node; `broken` tells what was wrong, once each."""
 
-    def __init__(self, disks: Callable[[], Mapping[str, Held]]) -> None:
+    def __init__(self, disks: Callable[[], Mapping[str, StoredLog]]) -> None:
         self._disks = disks
-        self._lost_disks: list[Held] = []
+        self._lost_disks: list[StoredLog] = []
         self._broken: dict[str, None] = {}
         self._leaders: dict[int, str] = {}
         self._votes: dict[tuple[str, str, int], str] = {}
@@ -54,8 +54,8 @@
         """A life begins with the snapshot's state: index to id."""
         self._agreed[node], self._last[node] = dict(held), index
 
-    def wiped(self, held: Held) -> None:
-        self._lost_disks.append(Held(held.ballot, held.snapshot, list(held.entries)))
+    def wiped(self, held: StoredLog) -> None:
+        self._lost_disks.append(StoredLog(held.ballot, held.snapshot, list(held.entries)))
 
     def saw(self, at: float, node: str, what: Any) -> None:
         look = getattr(self, "_see_" + type(what).__name__.lower(), None)
@@ -158,7 +158,7 @@
     return set(msgspec.msgpack.decode(entry.data)[0])
 
 
-def _holds(held: Held, index: int, ident: str) -> bool:
+def _holds(held: StoredLog, index: int, ident: str) -> bool:
     if held.snapshot is not None and held.snapshot.index >= index:
         return True
     place = index - held.base - 1
--- a/limenotch/lab/fleet/disk.py
+++ b/limenotch/lab/fleet/disk.py
@@ -14,7 +14,7 @@
 from limenotch.fleet.interfaces import Stored, StoreFailed
 from limenotch.lab.fleet.faults import Disk
 from limenotch.lab.simulate.kernel import Kernel
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 REFUSING = ("full", "read-only", "torn")
 
@@ -23,7 +23,7 @@
     """`answer` is given a Stored or StoreFailed for each ticket, in order. `state` may be changed at any time."""
 
     def __init__(self, kernel: Kernel, answer: Callable[[Any], None], fsync_ms: float, seed: str) -> None:
-        self.held = Held(entries=[])
+        self.held = StoredLog(entries=[])
         self.state = Disk("", "ok")
         self.fsyncs = 0
         self._kernel = kernel
@@ -39,9 +39,9 @@
         if not self._writing:
             self._write()
 
-    def copy(self) -> Held:
+    def copy(self) -> StoredLog:
         """What a process that starts now finds. Its own to change."""
-        return Held(self.held.ballot, self.held.snapshot, list(self.held.entries))
+        return StoredLog(self.held.ballot, self.held.snapshot, list(self.held.entries))
 
     def fall(self, *, keep: bool = True) -> None:
         """The process ends at once; without `keep` the disk is gone too."""
@@ -50,7 +50,7 @@
             self._some(self._writing, all_too=True)
         self._waiting, self._writing = [], []
         if not keep:
-            self.held = Held(entries=[])
+            self.held = StoredLog(entries=[])
 
     def _write(self) -> None:
         self._writing, self._waiting = self._waiting, []
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -18,9 +18,20 @@
 
 from msgspec.msgpack import Encoder
 
-from limenotch.fleet.interfaces import Carrier, Heard, Note, Send, SetTimer, Started, Store, Stored, Tell, TimerFired
+from limenotch.fleet.interfaces import (
+    Carrier,
+    MessageReceived,
+    Note,
+    SendToAddress,
+    SendToMember,
+    SetTimer,
+    Started,
+    Store,
+    Stored,
+    TimerFired,
+)
 from limenotch.lab.fleet.world import Make, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 _ENCODER = Encoder()
 
@@ -46,7 +57,7 @@
 
     parts: Mapping[str, Any]
     notes: frozenset[tuple[str, str]]
-    disks: Mapping[str, Held]
+    disks: Mapping[str, StoredLog]
 
 
 @dataclass(frozen=True)
@@ -78,7 +89,7 @@
     life: int = 0
     now: float = 0.0
     timers: tuple[tuple[float, int], ...] = ()
-    held: Held = field(default_factory=lambda: Held(entries=[]))
+    held: StoredLog = field(default_factory=lambda: StoredLog(entries=[]))
     waiting: tuple[tuple[int, tuple[Any, ...]], ...] = ()
 
 
@@ -114,7 +125,7 @@
         seed: int = 0,
         asks: Sequence[tuple[str, Any]] = (),
         clocks: str = "free",
-        disks: Mapping[str, Held] | None = None,
+        disks: Mapping[str, StoredLog] | None = None,
     ) -> None:
         if clocks not in ("free", "one"):
             raise ValueError(f"clocks: {clocks!r} is neither 'free' nor 'one'")
@@ -129,7 +140,7 @@
         self.disks = dict(disks or {})
 
     def run(self) -> Explored:
-        nodes = {name: _Node(held=self.disks.get(name, Held(entries=[]))) for name in self.names}
+        nodes = {name: _Node(held=self.disks.get(name, StoredLog(entries=[]))) for name in self.names}
         first = _State(
             nodes,
             (),
@@ -248,7 +259,7 @@
             without = state.flying[:number] + state.flying[number + 1 :]
             said = f"{_brief(one.message)} {one.frm} > {one.to}"
             carrier = Carrier.STREAM if one.stream else Carrier.DATAGRAM
-            heard = Heard(address(one.frm), one.frm, one.message, carrier)
+            heard = MessageReceived(address(one.frm), one.frm, one.message, carrier)
             up = state.nodes[one.to].part is not None
             if up or one.stream:
                 yield self._told(replace(state, flying=without), state, one.to, heard, f"deliver {said}")
@@ -271,7 +282,7 @@
 
     def _start(self, state: _State, name: str, choice: str) -> _State:
         node = state.nodes[name]
-        held = Held(node.held.ballot, node.held.snapshot, list(node.held.entries))
+        held = StoredLog(node.held.ballot, node.held.snapshot, list(node.held.entries))
         part = self.make(name, self.seed, node.life + 1, held)
         after = replace(state, nodes={**state.nodes, name: replace(node, part=part, life=node.life + 1)})
         return self._told(after, state, name, Started(), choice)
@@ -284,8 +295,8 @@
         timers, waiting = list(node.timers), list(node.waiting)
         flying, noted = list(after.flying), []
         for action in part.handle(node.now, event):
-            if isinstance(action, (Send, Tell)):
-                to = action.at[0] if isinstance(action, Send) else action.to
+            if isinstance(action, (SendToAddress, SendToMember)):
+                to = action.at[0] if isinstance(action, SendToAddress) else action.to
                 if to in after.nodes:
                     flying.append(
                         _Flight(
@@ -335,8 +346,8 @@
         return Explored(why, tuple(step.choice for step in steps[1:]), "\n".join(out) + "\n", states, False)
 
 
-def _with(held: Held, records: tuple[Any, ...]) -> Held:
-    grown = Held(held.ballot, held.snapshot, list(held.entries))
+def _with(held: StoredLog, records: tuple[Any, ...]) -> StoredLog:
+    grown = StoredLog(held.ballot, held.snapshot, list(held.entries))
     for record in records:
         grown.apply(record)
     return grown
--- a/limenotch/lab/fleet/explore_log.py
+++ b/limenotch/lab/fleet/explore_log.py
@@ -13,10 +13,10 @@
 from limenotch.fleet.consensus import api
 from limenotch.fleet.consensus.log import VOTERS, Voters, pack
 from limenotch.fleet.consensus.states import Role
-from limenotch.fleet.interfaces import Note, SetTimer, Store, Tell
+from limenotch.fleet.interfaces import Note, SendToMember, SetTimer, Store
 from limenotch.lab.fleet.explore import View
 from limenotch.lab.fleet.world import Make
-from limenotch.store.records import Ballot, Entry, Held
+from limenotch.store.records import LogEntry, StoredLog, TermVote
 
 TUNING = consensus.Tuning(
     heartbeat_ms=50, election_least_ms=200, election_most_ms=400, learner_ms=300, retry_ms=100, ask_ms=1000
@@ -31,8 +31,8 @@
     `deepcopy` leaves where they are.
     """
 
-    def __init__(self, name: str, names: Sequence[str], held: Held, seed: int) -> None:
-        self._made = (name, tuple(names), Held(held.ballot, held.snapshot, list(held.entries)), seed)
+    def __init__(self, name: str, names: Sequence[str], held: StoredLog, seed: int) -> None:
+        self._made = (name, tuple(names), StoredLog(held.ballot, held.snapshot, list(held.entries)), seed)
         self._past: tuple[tuple[float, Any], ...] = ()
         self.agreement = consensus.Agreement(name, tuple(names), held, TUNING, seed)
         self.told: tuple[tuple[int, int, str], ...] = ()  # agreed: index, epoch, id
@@ -40,7 +40,7 @@
 
     def __deepcopy__(self, memo: dict[int, Any]) -> Member:
         name, names, held, seed = self._made
-        copy = Member(name, names, Held(held.ballot, held.snapshot, list(held.entries)), seed)
+        copy = Member(name, names, StoredLog(held.ballot, held.snapshot, list(held.entries)), seed)
         for now, event in self._past:
             copy.handle(now, event)
         return copy
@@ -49,24 +49,24 @@
         self._past += ((now, event),)
         out = []
         for action in self.agreement.handle(now, event):
-            if isinstance(action, api.Agreed):
+            if isinstance(action, api.EntryCommitted):
                 self.told += ((action.index, action.epoch, action.id),)
-            elif isinstance(action, api.Promised):
+            elif isinstance(action, api.ProposalCommitted):
                 self.promised |= {action.index}
-            elif isinstance(action, (Tell, SetTimer, Store, Note)):
+            elif isinstance(action, (SendToMember, SetTimer, Store, Note)):
                 out.append(action)
         return out
 
 
-def begun(names: Sequence[str]) -> dict[str, Held]:
+def begun(names: Sequence[str]) -> dict[str, StoredLog]:
     """What each disk holds of a group that was founded: its first line, agreed in epoch 1."""
     births = Voters({name: f"{name}1" for name in names})
-    entry = Entry(1, 1, VOTERS, pack(births))
-    return {name: Held(Ballot(1, f"{names[0]}?{birth}"), None, [entry]) for name, birth in births.births.items()}
+    entry = LogEntry(1, 1, VOTERS, pack(births))
+    return {name: StoredLog(TermVote(1, f"{names[0]}?{birth}"), None, [entry]) for name, birth in births.births.items()}
 
 
 def maker(names: Sequence[str]) -> Make:
-    def make(name: str, seed: int, life: int, held: Held) -> Member:
+    def make(name: str, seed: int, life: int, held: StoredLog) -> Member:
         return Member(name, names, held, seed + 100 * life + names.index(name))
 
     return make
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from limenotch.fleet import consensus
-from limenotch.fleet.hub import LOG, Asked, Hub
-from limenotch.fleet.log_multiplexer import parted
+from limenotch.fleet.hub import LOG, ComponentEvent, ComponentHub
+from limenotch.fleet.log_multiplexer import split_states
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.fleet.rules.endpoint_list_messages import Arrived, DirectorySilent, Listed, Named, PeerDrain
 from limenotch.fleet.rules.endpoint_lists import Lists
@@ -19,7 +19,7 @@
 from limenotch.lab.fleet.rules_run import LOG as OF_THE_LOG
 from limenotch.lab.fleet.scenario import Outcome, check, play
 from limenotch.lab.fleet.world import World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 PREFIX = "li."
 STAGES = {"-": "draining", "~": "gone"}
@@ -47,7 +47,7 @@
 
 
 def ask(world: World, node: str, words: str) -> None:
-    world.poke(node, Asked(PREFIX, event_of(words)))
+    world.poke(node, ComponentEvent(PREFIX, event_of(words)))
 
 
 class Run:
@@ -58,12 +58,12 @@
         self.made: dict[str, Lists] = {}
         self.uses: dict[str, tuple[dict[str, str], set[str]]] = {}
 
-    def make(self, name: str, seed: int, life: int, held: Held) -> Hub:
+    def make(self, name: str, seed: int, life: int, held: StoredLog) -> ComponentHub:
         members = Membership(name, address(name), life, [address(one) for one in self.nodes[:3]], MEMBERS, seed)
         log = consensus.Agreement(name, self.voters, held, OF_THE_LOG, seed)
-        states = parted(log.state)
+        states = split_states(log.state)
         lists = self.made[name] = Lists(name, life, "d1", self.voters, state=states.get(PREFIX))
-        hub = Hub([("mb.", members), (LOG, log), (PREFIX, lists)], members)
+        hub = ComponentHub([("mb.", members), (LOG, log), (PREFIX, lists)], members)
         hub.found(states)
         self.uses[name] = ({}, set())
 
--- a/limenotch/lab/fleet/log_drawings.py
+++ b/limenotch/lab/fleet/log_drawings.py
@@ -13,7 +13,7 @@
 from limenotch.lab.fleet.drawing import Scenario
 from limenotch.lab.fleet.scenario import Outcome, check, play
 from limenotch.lab.fleet.world import World
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 MANY = 300
 TUNING = consensus.Tuning(snapshot_entries=100, tail_entries=10)
@@ -22,7 +22,7 @@
 class Told:
     """Agreement with a counter above it, whose answers are notes."""
 
-    def __init__(self, name: str, voters: tuple[str, ...], seed: int, held: Held) -> None:
+    def __init__(self, name: str, voters: tuple[str, ...], seed: int, held: StoredLog) -> None:
         self.agreement = consensus.Agreement(name, voters, held, TUNING, seed)
         self.words: dict[int, str] = {}
         state = self.agreement.state
@@ -32,17 +32,17 @@
         out: list[Any] = []
         for action in self.agreement.handle(now, event):
             word = self.words.get(getattr(action, "ticket", 0), "")
-            if isinstance(action, api.Agreed):
+            if isinstance(action, api.EntryCommitted):
                 self.count += 1
-            elif isinstance(action, api.Install):
+            elif isinstance(action, api.SnapshotInstalled):
                 self.count = msgspec.msgpack.decode(action.state, type=int)
-            elif isinstance(action, api.WantSnapshot):
-                out += self.handle(now, api.Compact(action.index, msgspec.msgpack.encode(self.count)))
-            elif isinstance(action, api.Promised):
+            elif isinstance(action, api.SnapshotRequested):
+                out += self.handle(now, api.SnapshotState(action.index, msgspec.msgpack.encode(self.count)))
+            elif isinstance(action, api.ProposalCommitted):
                 out += [Note(f"promised {word}")] if word else []
-            elif isinstance(action, api.Refused):
+            elif isinstance(action, api.ProposalRejected):
                 out.append(Note(f"refused {word}: {action.why}"))
-            elif isinstance(action, api.Unknown):
+            elif isinstance(action, api.OutcomeUnknown):
                 out.append(Note(f"unknown {word}"))
             elif not isinstance(action, (api.LeaderChanged, api.ReadReady)):
                 out.append(action)
@@ -70,7 +70,7 @@
     """The first three nodes are the voters named. AssertionError where it did not come out, if `exact`."""
     voters = scenario.nodes[:3]
 
-    def make(name: str, seed: int, life: int, held: Held) -> Told:
+    def make(name: str, seed: int, life: int, held: StoredLog) -> Told:
         return Told(name, tuple(voters), seed, held)
 
     return (check if exact else play)(scenario, make, ask)
--- a/limenotch/lab/fleet/log_run.py
+++ b/limenotch/lab/fleet/log_run.py
@@ -17,17 +17,17 @@
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.checks_log import Checker
 from limenotch.lab.fleet.world import World
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 TELLS = (
-    api.Agreed,
-    api.Install,
-    api.Promised,
-    api.Refused,
-    api.Unknown,
+    api.EntryCommitted,
+    api.SnapshotInstalled,
+    api.ProposalCommitted,
+    api.ProposalRejected,
+    api.OutcomeUnknown,
     api.ReadReady,
     api.LeaderChanged,
-    api.WantSnapshot,
+    api.SnapshotRequested,
 )
 QUICK = consensus.Tuning(
     heartbeat_ms=50,
@@ -48,7 +48,7 @@
 class Member:
     """A part for the world: agreement, and a table above it."""
 
-    def __init__(self, run: Run, name: str, seed: int, held: Held) -> None:
+    def __init__(self, run: Run, name: str, seed: int, held: StoredLog) -> None:
         self.agreement = consensus.Agreement(name, run.voters, held, run.tuning, seed)
         self._run, self._name = run, name
         state = self.agreement.state
@@ -69,13 +69,13 @@
 
     def _above(self, now: float, action: Any) -> list[Any]:
         run, name = self._run, self._name
-        if isinstance(action, api.WantSnapshot):
-            return self.handle(now, api.Compact(action.index, msgspec.msgpack.encode(self.table) + b""))
-        if isinstance(action, api.Install):
+        if isinstance(action, api.SnapshotRequested):
+            return self.handle(now, api.SnapshotState(action.index, msgspec.msgpack.encode(self.table) + b""))
+        if isinstance(action, api.SnapshotInstalled):
             self.table = msgspec.msgpack.decode(action.state, type=Table)
             run.checker.installed(name, action.index, self.table)
         else:
-            if isinstance(action, api.Agreed):
+            if isinstance(action, api.EntryCommitted):
                 self.table[action.index] = action.id
             run.checker.saw(run.world.now, name, action)
         run.told(name, action)
@@ -103,7 +103,7 @@
         self.on_told: Callable[[str, Any], None] | None = None
 
     def told(self, name: str, action: Any) -> None:
-        if isinstance(action, api.Promised) and action.ticket in self.asked:
+        if isinstance(action, api.ProposalCommitted) and action.ticket in self.asked:
             self.spans.append(self.world.now - self.asked.pop(action.ticket))
         if self.on_told is not None:
             self.on_told(name, action)
@@ -116,7 +116,7 @@
 
     def read(self, name: str) -> int:
         self.ticket += 1
-        self.world.poke(name, api.ReadAt(self.ticket))
+        self.world.poke(name, api.ReadIndex(self.ticket))
         return self.ticket
 
     def change(self, name: str, add: str = "", remove: str = "") -> int:
--- a/limenotch/lab/fleet/members.py
+++ b/limenotch/lab/fleet/members.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from ...fleet.interfaces import Heard
+from ...fleet.interfaces import MessageReceived
 from ...fleet.membership import Membership, Tuning
-from ...store.records import Held
+from ...store.records import StoredLog
 from .drawing import Scenario
 from .world import Make, World, address
 
@@ -25,7 +25,7 @@
         self.part, self.names = part, names
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             event = event._replace(sender=self.names.get(event.sender, event.sender))
         return self.part.handle(now, event)
 
@@ -38,7 +38,7 @@
 ) -> Make:
     known, named = [address(seed) for seed in seeds], dict(names or {})
 
-    def make(name: str, seed: int, life: int, held: Held) -> Named:
+    def make(name: str, seed: int, life: int, held: StoredLog) -> Named:
         life = 1 if lives == "same" else life
         return Named(Membership(named.get(name, name), address(name), life, known, tuning, seed), named)
 
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -14,7 +14,17 @@
 from limenotch.balancing.settings import read_settings
 from limenotch.fleet import consensus
 from limenotch.fleet.consensus import api as log
-from limenotch.fleet.interfaces import Fenced, Heard, Leave, MemberChanged, Note, SetTimer, Started, Tell, TimerFired
+from limenotch.fleet.interfaces import (
+    Fenced,
+    MemberChanged,
+    MessageReceived,
+    Note,
+    SendToMember,
+    SetTimer,
+    ShutdownStarted,
+    Started,
+    TimerFired,
+)
 from limenotch.fleet.rules import Rules, Tuning, api
 from limenotch.fleet.rules.changes import Check
 from limenotch.fleet.rules.document import Document
@@ -22,9 +32,17 @@
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.checks_rules import Checker
 from limenotch.lab.fleet.world import World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
-TO_RULES = (log.Agreed, log.Install, log.Promised, log.Refused, log.Unknown, log.ReadReady, log.LeaderChanged)
+TO_RULES = (
+    log.EntryCommitted,
+    log.SnapshotInstalled,
+    log.ProposalCommitted,
+    log.ProposalRejected,
+    log.OutcomeUnknown,
+    log.ReadReady,
+    log.LeaderChanged,
+)
 TOKEN = 1000  # the rules' timers begin here
 LOG = consensus.Tuning(
     heartbeat_ms=50,
@@ -67,7 +85,7 @@
 
 
 class Member:
-    def __init__(self, run: Run, name: str, seed: int, life: int, held: Held) -> None:
+    def __init__(self, run: Run, name: str, seed: int, life: int, held: StoredLog) -> None:
         self.run, self.name = run, name
         self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
         self.rules = Rules(
@@ -80,10 +98,10 @@
         """
         out: list[Any] = []
         waiting: deque[tuple[bool, Any]] = deque()  # for the rules or the log, event
-        mine = isinstance(event, Heard) and isinstance(event.message, RULES)
+        mine = isinstance(event, MessageReceived) and isinstance(event.message, RULES)
         if isinstance(event, TimerFired) and event.token >= TOKEN:
             mine, event = True, TimerFired(event.token - TOKEN)
-        both = isinstance(event, (Started, Fenced, Leave))
+        both = isinstance(event, (Started, Fenced, ShutdownStarted))
         if both or mine or isinstance(event, (api.Ask, api.Counted, api.Voters)):
             waiting.append((True, event))
         if isinstance(event, Started):
@@ -99,10 +117,10 @@
                     book = self.rules.book
                     self.run.checker.agreed(book.newest, book.document(book.newest))
                 continue
-            if isinstance(event, log.WantSnapshot):  # all that was agreed before it has been applied by now
-                event = log.Compact(event.index, self.rules.state())
+            if isinstance(event, log.SnapshotRequested):  # all that was agreed before it has been applied by now
+                event = log.SnapshotState(event.index, self.rules.state())
             for action in self.agreement.handle(now, event):
-                if isinstance(action, log.WantSnapshot):
+                if isinstance(action, log.SnapshotRequested):
                     waiting.append((False, action))
                 elif isinstance(action, TO_RULES):
                     waiting.append((True, action))
@@ -123,9 +141,9 @@
             out.append(Note(yes if action.ok else f"no: {action.text}"))
         elif isinstance(action, SetTimer):
             out.append(SetTimer(action.at_ms, action.token + TOKEN))
-        elif isinstance(action, (log.Propose, log.ReadAt)):
+        elif isinstance(action, (log.Propose, log.ReadIndex)):
             waiting.append((False, action))
-        elif isinstance(action, (Tell, Note)):
+        elif isinstance(action, (SendToMember, Note)):
             out.append(action)
         else:
             raise TypeError(f"no action of rules: {action!r}")
@@ -154,7 +172,7 @@
         if seed is not None:
             self.world = World(self.names, self.make, seed, **weather)
 
-    def make(self, name: str, seed: int, life: int, held: Held) -> Member:
+    def make(self, name: str, seed: int, life: int, held: StoredLog) -> Member:
         return Member(self, name, seed, life, held)
 
     def rules(self, name: str) -> Rules | None:
