--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -12,9 +12,9 @@
 
 from limenotch.fleet import consensus
 from limenotch.fleet.consensus import api as log
-from limenotch.fleet.hub import Asked, Hub
+from limenotch.fleet.hub import ComponentEvent, ComponentHub
 from limenotch.fleet.interfaces import Note, Started
-from limenotch.fleet.log_multiplexer import parted
+from limenotch.fleet.log_multiplexer import split_states
 from limenotch.fleet.membership import Membership
 from limenotch.fleet.membership import Tuning as Members
 from limenotch.fleet.wallet import api, entries
@@ -24,7 +24,7 @@
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.checks_wallet import Checker, Claim, Kept, Key, Part
 from limenotch.lab.fleet.world import World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 PREFIX = "wa."
 LOG = consensus.Tuning(
@@ -111,7 +111,7 @@
 
     def handle(self, now: float, event: Any) -> list[Any]:
         out = self.wallet.handle(now, event)
-        if isinstance(event, (log.Agreed, log.Install)):
+        if isinstance(event, (log.EntryCommitted, log.SnapshotInstalled)):
             self.member.agreed(event)
         return out
 
@@ -119,15 +119,15 @@
 class Member:
     """A part for the world. Hosts the purse as the program does: calls first, `Look` when it wants something."""
 
-    def __init__(self, run: Run, name: str, seed: int, life: int, held: Held) -> None:
+    def __init__(self, run: Run, name: str, seed: int, life: int, held: StoredLog) -> None:
         self.run, self.name, self.life = run, name, life
         seeds = [address(one) for one in run.names[:2]]
         self.membership = Membership(name, address(name), life, seeds, run.members, seed)
         self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
-        state = parted(self.agreement.state).get(PREFIX)
+        state = split_states(self.agreement.state).get(PREFIX)
         self.wallet = Wallet(name, life, run.tuning, run.voters, state)
         self.purse = self.wallet.purse
-        self.hub = Hub(
+        self.hub = ComponentHub(
             [("mb.", self.membership), ("ag.", self.agreement), (PREFIX, Watched(self, self.wallet))], self.membership
         )
         self.hub.hears(api.Answer, self._answered)
@@ -137,10 +137,10 @@
         self._wanted = False
         run.checker.started(name, life)
 
-    def agreed(self, event: log.Agreed | log.Install) -> None:
+    def agreed(self, event: log.EntryCommitted | log.SnapshotInstalled) -> None:
         run = self.run
         if run.watched is None or self.name in run.watched:
-            claims = claims_of(event.data) if isinstance(event, log.Agreed) else {}
+            claims = claims_of(event.data) if isinstance(event, log.EntryCommitted) else {}
             run.checker.agreed(run.now(), self.name, event.index, kept_of(self.wallet.book), claims)
 
     def handle(self, now: float, event: Any) -> list[Any]:
@@ -154,14 +154,14 @@
             self._over(now, event)
         else:
             if isinstance(event, (api.Ask, api.Look, api.Witnesses)):
-                event = Asked(PREFIX, event)
+                event = ComponentEvent(PREFIX, event)
             out = self.hub.handle(now, event)
             if isinstance(event, Started):
-                out += self.hub.handle(now, Asked(PREFIX, api.Witnesses(self.run.voters)))
+                out += self.hub.handle(now, ComponentEvent(PREFIX, api.Witnesses(self.run.voters)))
         # Once each time that it turns true.
         wants = self.purse.wants()
         if wants and not self._wanted:
-            out += self.hub.handle(now, Asked(PREFIX, api.Look()))
+            out += self.hub.handle(now, ComponentEvent(PREFIX, api.Look()))
             wants = self.purse.wants()
         self._wanted = wants
         out, self._notes = self._notes + out, []
@@ -233,7 +233,7 @@
     def begin(self, seed: int, **weather: Any) -> None:
         self.world = World(self.names, self.make, seed, **weather)
 
-    def make(self, name: str, seed: int, life: int, held: Held) -> Member:
+    def make(self, name: str, seed: int, life: int, held: StoredLog) -> Member:
         return Member(self, name, seed, life, held)
 
     def now(self) -> float:
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -1,8 +1,9 @@
 """Many members in simulated time: hosts anything with `handle(now, event)`, one a node, under faults.
 
 `make(name, seed, life, held)` gives a node's part at each of its starts; `held` is what its disk holds, its own copy.
-Addresses are `address(name)`; both `Send` to one and `Tell` to a name arrive. Same arguments, same history: `digest()`.
-What this shows and what it can't: docs/fleet/lab.md. Times are the world's ms, but for `now` in `handle`.
+Addresses are `address(name)`; both `SendToAddress` to one and `SendToMember` to a name arrive. Same arguments, same
+history: `digest()`. What this shows and what it can't: docs/fleet/lab.md. Times are the world's ms, but for `now` in
+`handle`.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
     Address,
     Carrier,
     Fenced,
-    Heard,
-    Leave,
     MemberChanged,
     Message,
+    MessageReceived,
     Note,
-    Send,
+    SendToAddress,
+    SendToMember,
     SetTimer,
+    ShutdownStarted,
     Started,
     Store,
-    Tell,
     TimerFired,
 )
 from limenotch.lab.fleet.disk import SimulatedDisk
@@ -36,9 +37,9 @@
 from limenotch.lab.fleet.streams import Streams
 from limenotch.lab.fleet.weather import Weather
 from limenotch.lab.simulate.kernel import Kernel
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
-Make = Callable[[str, int, int, Held], Any]  # name, seed, life, held: a part
+Make = Callable[[str, int, int, StoredLog], Any]  # name, seed, life, held: a part
 PORT = 7000
 _MASK = (1 << 64) - 1
 MOST_BUFFERED = 256  # datagrams that wait in a paused process's socket; later ones are dropped
@@ -142,8 +143,8 @@
         self._history = 0
         self._streams = Streams(self.kernel, self.weather, self._arrive, self._count, patience_ms)
         self._acts: dict[type, Callable[[Node, Any], None]] = {
-            Send: self._send,
-            Tell: self._tell,
+            SendToAddress: self._send,
+            SendToMember: self._tell,
             SetTimer: self._set,
             Note: self._note,
             Store: self._store,
@@ -266,7 +267,7 @@
             if what == "leave" and node.part is not None:
                 if node.paused:
                     self._woken(node)
-                self._handle(node, Leave())
+                self._handle(node, ShutdownStarted())
             self._end(node, what)
 
     def _start(self, node: Node) -> None:
@@ -317,14 +318,14 @@
             if self.watch is not None:
                 self.watch(self.kernel.now, node.name, action)
 
-    def _send(self, node: Node, action: Send) -> None:
+    def _send(self, node: Node, action: SendToAddress) -> None:
         to = self.nodes.get(action.at[0])
         if to is None or to.address != action.at:
             self._count("no such address")
             return
         self._carry(node, to, action.message, action.carrier)
 
-    def _tell(self, node: Node, action: Tell) -> None:
+    def _tell(self, node: Node, action: SendToMember) -> None:
         to = self.nodes.get(action.to)
         if to is None:
             self._count("no such name")
@@ -343,7 +344,7 @@
         both[0] += 1
         both[1] += size
         self._history ^= crc32(encoded)
-        heard = Heard(node.address, frm, message, carrier)
+        heard = MessageReceived(node.address, frm, message, carrier)
         if carrier is Carrier.STREAM:
             self._streams.send(frm, to, heard)
             return
@@ -356,7 +357,7 @@
         for delay in fates:
             kernel.at(kernel.now + delay, self._arrive, to, heard)
 
-    def _arrive(self, to: Node, heard: Heard) -> None:
+    def _arrive(self, to: Node, heard: MessageReceived) -> None:
         if to.part is None:
             self._count("no process")
         elif not to.paused:
--- a/limenotch/lab/simulate/sidecar.py
+++ b/limenotch/lab/simulate/sidecar.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING, Any, cast
 
-from limenotch.balancing.learned_state import learn, told_by
+from limenotch.balancing.learned_state import export_state, import_state
 
 from ... import settings
-from ...load_balancer import time_left_ms
+from ...load_balancer import usable_budget_ms
 from ..model.directory import Broken, Tell
 from ..model.fleet import Site
 from ..model.provider import Provider
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from .world import World
 
-IDLE_PART = settings.Providers().idle_part  # the program's own
+IDLE_PART = settings.EndpointSettings().idle_part  # the program's own
 
 Answer = Callable[[str, float], None]  # verdict, and when to come back
 
@@ -183,7 +183,7 @@
         self.heard(Tell(self.key, True, tuple(replace(entry, stage=old._stage[entry.name]) for entry in entries)))
         for name in sorted(self._banned):
             self._handle(self._decisions.events.OperatorEjection(name, True, 0.0))
-        learn(cast(Any, self.decide), told_by(cast(Any, old.decide)))
+        import_state(cast(Any, self.decide), export_state(cast(Any, old.decide)))
 
     def _close_idle(self, name: str) -> None:
         process = self.world.find(self.tier, name)[1]
@@ -209,7 +209,7 @@
         self.calls[number] = call
         spec = world.plan.classes[cls]
         world.rules.taken(world.kernel.now, number, spec.effect, spec.scope, spec.window_ms, end, self._allowed)
-        left = time_left_ms(min(budget_ms, spec.deadline_ms))
+        left = usable_budget_ms(min(budget_ms, spec.deadline_ms))
         self._handle(self._decisions.events.RequestArrived(str(number), cls, left, account, again))
         return call
 
--- a/limenotch/load_balancer.py
+++ b/limenotch/load_balancer.py
@@ -28,22 +28,21 @@
     TimerFired,
     UploadFinished,
 )
-from .balancing.learned_state import learn, told_by
+from .balancing.learned_state import export_state, import_state
 from .balancing.types import BalancerSettings, Endpoint, EndpointState, Outcome, PriorExecution
-
-from .endpoint_ages import Starts
-from .request_policy import Permits
+from .endpoint_ages import EndpointAges
+from .request_policy import RequestPolicy
 
 # The answer must be with the consumer when its budget ends: what the way there and a busy core may take.
 MARGIN_MS = 20.0
 
 
-def time_left_ms(budget_ms: float) -> float:
+def usable_budget_ms(budget_ms: float) -> float:
     """How long a call that has just arrived may stay open."""
     return budget_ms - min(MARGIN_MS, budget_ms / 4)
 
 
-class Status(Enum):
+class DiscoveryStatus(Enum):
     """What the directory says of a provider."""
 
     IN_SERVICE = "in_service"
@@ -51,12 +50,12 @@
     TERMINATED = "terminated"
 
 
-class Provider(NamedTuple):
+class DiscoveredEndpoint(NamedTuple):
     """One entry of the directory."""
 
     name: str
     address: tuple[str, int]
-    status: Status
+    status: DiscoveryStatus
     zone: str = ""
     kind: str = ""
     group: int = 0
@@ -65,10 +64,10 @@
 
     @property
     def takes_new(self) -> bool:
-        return self.status is Status.IN_SERVICE
+        return self.status is DiscoveryStatus.IN_SERVICE
 
 
-class Ending(Enum):
+class AttemptEnding(Enum):
     """How an invoker call ended."""
 
     SERVED = "served"
@@ -82,10 +81,10 @@
 
 
 # The endings that show that an attempt never ran. All others leave it open.
-NEVER_RAN = frozenset({Ending.TURNED_AWAY, Ending.CONNECT_FAILED, Ending.NOT_SENT})
+NEVER_RAN = frozenset({AttemptEnding.TURNED_AWAY, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT})
 
 
-class Hint(NamedTuple):
+class PlacementHint(NamedTuple):
     """Where a call belongs, by what was done for it elsewhere."""
 
     prefer: str = ""  # the provider that it stays with while that one may take work
@@ -95,7 +94,7 @@
     ago_ms: float = 0.0  # ... and so long ago it did
 
 
-class Invoke(NamedTuple):
+class StartAttempt(NamedTuple):
     """Make an invoker call. Those of one call are numbered from 0 in the order they are given."""
 
     call: int
@@ -103,56 +102,56 @@
     wait_ms: float
 
 
-class Abandon(NamedTuple):
+class CancelAttempt(NamedTuple):
     call: int
     number: int
 
 
-class Reject(NamedTuple):
+class RejectRequest(NamedTuple):
     """Final answer: a rejection; trying again is harmless, best after `retry_after_ms`."""
 
     call: int
     retry_after_ms: float
 
 
-class GiveUp(NamedTuple):
+class FailRequest(NamedTuple):
     """Final answer: a failure."""
 
     call: int
 
 
-class Wake(NamedTuple):
+class ScheduleTimer(NamedTuple):
     """Come back with `tick(ticket)` after `delay_ms`."""
 
     delay_ms: float
     ticket: int
 
 
-class Watch(NamedTuple):
+class WatchDiscovery(NamedTuple):
     """Ask the directory for its list and all changes from now on."""
 
 
-Order = Invoke | Abandon | Reject | GiveUp | Wake | Watch
-Orders = list[Order]
+Command = StartAttempt | CancelAttempt | RejectRequest | FailRequest | ScheduleTimer | WatchDiscovery
+Commands = list[Command]
 
 OUTCOMES = {
-    Ending.SERVED: Outcome.OK,
-    Ending.ERROR: Outcome.ERROR,
-    Ending.TURNED_AWAY: Outcome.REFUSED,
-    Ending.TIMED_OUT: Outcome.TIMEOUT,
-    Ending.CONNECT_FAILED: Outcome.CONNECT_FAILED,
-    Ending.RESET: Outcome.RESET,
-    Ending.ABANDONED: Outcome.CANCELLED,
-    Ending.NOT_SENT: Outcome.NOT_SENT,
+    AttemptEnding.SERVED: Outcome.OK,
+    AttemptEnding.ERROR: Outcome.ERROR,
+    AttemptEnding.TURNED_AWAY: Outcome.REFUSED,
+    AttemptEnding.TIMED_OUT: Outcome.TIMEOUT,
+    AttemptEnding.CONNECT_FAILED: Outcome.CONNECT_FAILED,
+    AttemptEnding.RESET: Outcome.RESET,
+    AttemptEnding.ABANDONED: Outcome.CANCELLED,
+    AttemptEnding.NOT_SENT: Outcome.NOT_SENT,
 }
-STAGES = {
-    Status.IN_SERVICE: EndpointState.READY,
-    Status.TERMINATING: EndpointState.DRAINING,
-    Status.TERMINATED: EndpointState.GONE,
+ENDPOINT_STATES = {
+    DiscoveryStatus.IN_SERVICE: EndpointState.READY,
+    DiscoveryStatus.TERMINATING: EndpointState.DRAINING,
+    DiscoveryStatus.TERMINATED: EndpointState.GONE,
 }
 
 
-class Clock:
+class MonotonicUnixClock:
     """Unix time in milliseconds that never runs back: the wall is read once, the rest is monotonic."""
 
     def __init__(self) -> None:
@@ -162,7 +161,7 @@
         return (self._ahead + time.monotonic()) * 1000.0
 
 
-def unix_ms() -> float:
+def wall_clock_ms() -> float:
     """The wall clock, which may be set at any time."""
     return time.time() * 1000.0
 
@@ -177,7 +176,7 @@
         return self.index.setdefault(name, len(self.index))
 
 
-class Facade:
+class LoadBalancer:
     """One balancer, its names and its clock."""
 
     def __init__(
@@ -191,8 +190,8 @@
     ) -> None:
         """`clock` and `wall` in ms of Unix time: one that never runs back, and one that may be set."""
         self._balancer = Balancer(settings, seed)
-        self._clock = clock or Clock()
-        self._starts = Starts(self._clock, wall or clock or unix_ms)
+        self._clock = clock or MonotonicUnixClock()
+        self._starts = EndpointAges(self._clock, wall or clock or wall_clock_ms)
         self._processes = 1
         self._until, self._refusing, self._cold_parts = math.inf, False, 0.0
         self._adopt(settings)
@@ -222,9 +221,9 @@
         """How long any consumer waits for a call of this class."""
         return self.classes[self._classes[class_name]].deadline_ms
 
-    def permits(self, class_name: str, keyed: bool = True) -> Permits:
+    def permits(self, class_name: str, keyed: bool = True) -> RequestPolicy:
         """What the attempts of a call of this class that comes now may do, also once the settings have changed."""
-        return Permits(self.classes[self._classes[class_name]].as_keyed(keyed), self._settings.may_copy)
+        return RequestPolicy(self.classes[self._classes[class_name]].as_keyed(keyed), self._settings.may_copy)
 
     @property
     def most_advice_ms(self) -> float:
@@ -247,11 +246,11 @@
         """Listed providers that the module leaves out now: draining, banned or silent."""
         return self._balancer.left_out()
 
-    def ban(self, name: str, out: bool, at_ms: float = 0.0) -> Orders:
+    def ban(self, name: str, out: bool, at_ms: float = 0.0) -> Commands:
         """A provider is taken out by hand or, since `at_ms`, let back."""
         return self._handle(OperatorEjection(name, out, at_ms))
 
-    def retune(self, settings: BalancerSettings, zones: Iterable[str] = (), kinds: Iterable[str] = ()) -> Orders:
+    def retune(self, settings: BalancerSettings, zones: Iterable[str] = (), kinds: Iterable[str] = ()) -> Commands:
         """Other settings for the calls to come. Indexes of zones and kinds are those of the start, and go on."""
         names = list(zones)
         for kind in kinds:
@@ -261,13 +260,13 @@
         self._adopt(settings)
         return self._handle(SettingsChanged(self._settings))
 
-    def together(self, processes: int) -> Orders:
+    def together(self, processes: int) -> Commands:
         """How many processes of this sidecar live: each does its part of what one may do."""
         self._processes = processes
         self._adopt(self._settings)
         return self._handle(SettingsChanged(self._settings))
 
-    def lease(self, until_ms: float, cold_parts: float = 0.0, refusing: bool = False) -> Orders:
+    def lease(self, until_ms: float, cold_parts: float = 0.0, refusing: bool = False) -> Commands:
         """Of many that act as one: until when (by `now_ms`) this one has the others' word for its rules.
 
         From then on it is narrow, or with `refusing` rejects all calls, until the next lease. That is looked at with
@@ -290,7 +289,7 @@
 
     def knowledge(self) -> dict[str, Any]:
         """What was learnt, for the process that takes this one's place."""
-        return {"module": told_by(self._balancer), "kinds": dict(self._kinds.index), "starts": self._starts.told()}
+        return {"module": export_state(self._balancer), "kinds": dict(self._kinds.index), "starts": self._starts.told()}
 
     def learn_starts(self, told: Any) -> None:
         """Of what another process knew, since when endpoints run; to be called before its list is heard.
@@ -309,9 +308,9 @@
         if isinstance(module, dict) and isinstance(module.get("kinds"), dict):
             kinds = {str(self._kinds[names[k]]): mean for k, mean in module["kinds"].items() if k in names}
             module = {**module, "kinds": kinds}
-        learn(self._balancer, module)
+        import_state(self._balancer, module)
 
-    def start(self) -> Orders:
+    def start(self) -> Commands:
         return self._handle(BalancerStarted())
 
     def pick(
@@ -322,9 +321,9 @@
         left_ms: float,
         resent: bool = False,
         once: bool = False,
-        hint: Hint | None = None,
+        hint: PlacementHint | None = None,
         keyed: bool = True,
-    ) -> Orders:
+    ) -> Commands:
         """A call was taken: exactly one final answer is owed within `left_ms`. `once`: its message is still coming;
         `keyed`: it has the key by which endpoints drop its repeats, where its class has them do so.
         """
@@ -336,11 +335,11 @@
         cls = self._classes[class_name]
         return self._handle(RequestArrived(str(call), cls, left_ms, party, resent, once, prefer, bound, keyed))
 
-    def uploaded(self, call: int, left_ms: float) -> Orders:
+    def uploaded(self, call: int, left_ms: float) -> Commands:
         """The last byte of a message that goes out once was sent: its call has so much time from now."""
         return self._handle(UploadFinished(str(call), left_ms))
 
-    def depart(self, call: int) -> Orders:
+    def depart(self, call: int) -> Commands:
         """The consumer is gone."""
         return self._handle(ClientDisconnected(str(call)))
 
@@ -350,12 +349,12 @@
         number: int,
         provider: str,
         spent_ms: float,
-        ending: Ending,
+        ending: AttemptEnding,
         closed: bool,
         utilisation: float | None = None,
         per_s: float | None = None,
         spent: bool = False,
-    ) -> Orders:
+    ) -> Commands:
         """An invoker call ended; `closed` says that its call has its final answer. The last two are the provider's
         report: the busy part of its cores, and the requests that it served a second for all sidecars.
         `spent`: of a call that goes out once, some of the message is gone.
@@ -365,18 +364,18 @@
             AttemptFinished(str(call), provider, number, spent_ms, outcome, closed, utilisation, per_s, spent)
         )
 
-    def tick(self, ticket: int) -> Orders:
+    def tick(self, ticket: int) -> Commands:
         """A wake is due."""
         return self._handle(TimerFired(ticket))
 
-    def heard(self, providers: Collection[Provider], whole: bool, unheard_ms: float = math.inf) -> Orders:
+    def heard(self, providers: Collection[DiscoveredEndpoint], whole: bool, unheard_ms: float = math.inf) -> Commands:
         """The directory told its whole list, or what changed, `unheard_ms` after its last word."""
         starts = self._starts.heard(providers, whole, unheard_ms)
-        self._starts.left(p.name for p in providers if p.status is Status.TERMINATED)
+        self._starts.left(p.name for p in providers if p.status is DiscoveryStatus.TERMINATED)
         upstreams = tuple(
             Endpoint(
                 p.name,
-                STAGES[p.status],
+                ENDPOINT_STATES[p.status],
                 p.weight,
                 self._kinds[p.kind],
                 self._zones[p.zone],
@@ -389,11 +388,11 @@
         listing = MembershipKind.WHOLE if whole else MembershipKind.CHANGES
         return self._handle(MembershipUpdate(listing, upstreams))
 
-    def broken(self) -> Orders:
+    def broken(self) -> Commands:
         """A watch of the directory failed or ended."""
         return self._handle(MembershipUpdate(MembershipKind.BROKEN))
 
-    def _handle(self, event: Event) -> Orders:
+    def _handle(self, event: Event) -> Commands:
         now, acts = self._clock(), []
         if now >= self._until and not self._settings.narrow:
             self._settings = replace(self._settings, narrow=True)
@@ -402,15 +401,15 @@
         return [_order(action, now) for action in acts]
 
 
-def _order(action: actions.Action, now: float) -> Order:
+def _order(action: actions.Action, now: float) -> Command:
     if isinstance(action, actions.SendAttempt):
-        return Invoke(int(action.call), action.upstream, action.timeout_ms)
+        return StartAttempt(int(action.call), action.upstream, action.timeout_ms)
     if isinstance(action, actions.SetTimer):
-        return Wake(max(action.at_ms - now, 0.0), action.token)
+        return ScheduleTimer(max(action.at_ms - now, 0.0), action.token)
     if isinstance(action, actions.CancelAttempt):
-        return Abandon(int(action.call), action.attempt)
+        return CancelAttempt(int(action.call), action.attempt)
     if isinstance(action, actions.RejectRequest):
-        return Reject(int(action.call), action.retry_after_ms)
+        return RejectRequest(int(action.call), action.retry_after_ms)
     if isinstance(action, actions.FailRequest):
-        return GiveUp(int(action.call))
-    return Watch()
+        return FailRequest(int(action.call))
+    return WatchDiscovery()
--- a/limenotch/metrics.py
+++ b/limenotch/metrics.py
@@ -11,7 +11,7 @@
 RESERVED = re.compile(r"[^A-Za-z0-9_-]")  # a name must not end its part of the line
 
 
-class Figures:
+class Metrics:
     """The one owner of the counters. All begin at 0 with the process and only rise; a dropped class keeps its own."""
 
     def __init__(self) -> None:
--- a/limenotch/net/admin/log.py
+++ b/limenotch/net/admin/log.py
@@ -10,11 +10,11 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ...fleet.hub import Asked
+from ...fleet.hub import ComponentEvent
 from ...fleet.replicated_notes import MOST_BYTES, Answer, Ask
 from .. import http1
-from .queries import Asking
-from .server import Extra
+from .queries import OperatorQueries
+from .server import RequestHandler
 
 PREFIX = "pr."
 PROMISES, VOTERS = "/fleet/promises/", "/fleet/voters"
@@ -41,13 +41,13 @@
     remove: Name = ""
 
 
-class Promised:
+class LogQueries:
     """What operators are answered at PROMISES and VOTERS."""
 
-    def __init__(self, tell: Callable[[Asked], None], within_s: float) -> None:
-        self._asking: Asking[Answer] = Asking(tell, PREFIX, within_s)
+    def __init__(self, tell: Callable[[ComponentEvent], None], within_s: float) -> None:
+        self._asking: OperatorQueries[Answer] = OperatorQueries(tell, PREFIX, within_s)
         self.heed = self._asking.heed
-        self.paths: dict[str, Extra] = {PROMISES: self._promise, VOTERS: self._voters}
+        self.paths: dict[str, RequestHandler] = {PROMISES: self._promise, VOTERS: self._voters}
 
     async def _ask(self, what: str, *more: str | bytes) -> bytes:
         said = await self._asking.ask(lambda ticket: Ask(ticket, what, *more))  # type: ignore[arg-type]
--- a/limenotch/net/admin/queries.py
+++ b/limenotch/net/admin/queries.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ...fleet.hub import Asked
+from ...fleet.hub import ComponentEvent
 from .. import http1
 
 
@@ -21,10 +21,10 @@
 A = TypeVar("A", bound=Ticketed)
 
 
-class Asking(Generic[A]):
+class OperatorQueries(Generic[A]):
     """Owns what waits for an answer; each question waits `within_s` at most. One loop's."""
 
-    def __init__(self, tell: Callable[[Asked], None], prefix: str, within_s: float) -> None:
+    def __init__(self, tell: Callable[[ComponentEvent], None], prefix: str, within_s: float) -> None:
         self._tell, self._prefix, self._within_s = tell, prefix, within_s
         self._tickets = count(1)
         self._waiting: dict[int, asyncio.Future[A]] = {}
@@ -40,7 +40,7 @@
         ticket = next(self._tickets)
         waits: asyncio.Future[A] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = waits
-        self._tell(Asked(self._prefix, question(ticket)))
+        self._tell(ComponentEvent(self._prefix, question(ticket)))
         try:
             async with asyncio.timeout(self._within_s):
                 return await waits
@@ -50,7 +50,7 @@
             self._waiting.pop(ticket, None)
 
 
-def says(status: int, body: Mapping[str, Any]) -> bytes:
+def json_response(status: int, body: Mapping[str, Any]) -> bytes:
     """JSON, as a person reads it."""
     kind = [(b"Content-Type", b"application/json")]
     text = msgspec.json.format(msgspec.json.encode(dict(body)), indent=1) + b"\n"
--- a/limenotch/net/admin/server.py
+++ b/limenotch/net/admin/server.py
@@ -30,7 +30,7 @@
 HEALTH, STATS, ENDPOINTS = "/healthcheck", "/stats", "/endpoints/"
 ACTIONS = {"maint": True, "ready": False}  # the last part of the path: whether it takes the endpoint out
 
-Extra = Callable[[http1.Message], Awaitable[bytes]]  # a whole call to the whole answer, `close` in it
+RequestHandler = Callable[[http1.Message], Awaitable[bytes]]  # a whole call to the whole answer, `close` in it
 Ban = Callable[[str, bool], Awaitable[bool | None]]  # None: nobody has that id; else whether it is kept for later
 
 
@@ -40,7 +40,7 @@
         self.asking = True  # no whole call yet
 
 
-class Operators:
+class AdminServer:
     """Owns the operators' listener and connections."""
 
     def __init__(
@@ -48,7 +48,7 @@
         ready: Callable[[], bool],
         stats: Callable[[], bytes],
         ban: Ban,
-        extra: Mapping[str, Extra] = {},  # noqa: B006 (read only)
+        extra: Mapping[str, RequestHandler] = {},  # noqa: B006 (read only)
     ) -> None:
         """`extra`: further paths, each with what answers any call for it; one that ends in `/` is for all below it."""
         self._ready, self._stats, self._ban, self._extra = ready, stats, ban, extra
--- a/limenotch/net/admin/wallet.py
+++ b/limenotch/net/admin/wallet.py
@@ -18,12 +18,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ...fleet.hub import Asked
+from ...fleet.hub import ComponentEvent
 from ...fleet.wallet.api import Answer, Ask
 from ...fleet.wallet.ledger import MOST_CREDIT, MOST_NAME
 from .. import http1
-from .queries import Asking, says
-from .server import Extra
+from .queries import OperatorQueries, json_response
+from .server import RequestHandler
 
 PREFIX = "wa."
 WALLETS = "/fleet/wallets"
@@ -37,15 +37,15 @@
     add: Annotated[int, Meta(ge=1, le=MOST_CREDIT)]
 
 
-class Paid:
+class WalletQueries:
     """What operators are answered at WALLETS and below it."""
 
-    def __init__(self, tell: Callable[[Asked], None], within_s: float, pays: Callable[[str], bool]) -> None:
+    def __init__(self, tell: Callable[[ComponentEvent], None], within_s: float, pays: Callable[[str], bool]) -> None:
         """`pays`: whether a tenant of that name does, by the settings."""
-        self._asking: Asking[Answer] = Asking(tell, PREFIX, within_s)
+        self._asking: OperatorQueries[Answer] = OperatorQueries(tell, PREFIX, within_s)
         self._pays = pays
         self.heed = self._asking.heed
-        self.paths: dict[str, Extra] = {WALLETS: self._all, f"{WALLETS}/": self._one}
+        self.paths: dict[str, RequestHandler] = {WALLETS: self._all, f"{WALLETS}/": self._one}
 
     async def _ask(self, what: str, tenant: str = "", amount: int = 0, ident: str = "") -> Answer:
         said = await self._asking.ask(lambda ticket: Ask(ticket, what, tenant, amount, ident))
@@ -55,7 +55,9 @@
         if request.method != b"GET":
             return http1.write_response(405, [(b"Allow", b"GET")], b"", close=True)
         said = await self._ask("show")
-        return says(200, {"wallets": said.body, "text": said.text}) if said.word == "shown" else _otherwise(said)
+        return (
+            json_response(200, {"wallets": said.body, "text": said.text}) if said.word == "shown" else _otherwise(said)
+        )
 
     async def _one(self, request: http1.Message) -> bytes:
         tenant = unquote(request.target.partition(b"?")[0].decode("latin-1").removeprefix(f"{WALLETS}/"))
@@ -63,7 +65,11 @@
             return _wrong(f"tenant: expected 1 to {MOST_NAME} letters")
         if request.method == b"GET":
             said = await self._ask("show", tenant)
-            return says(200, {"tenant": tenant, **said.body[tenant]}) if said.word == "shown" else _otherwise(said)
+            return (
+                json_response(200, {"tenant": tenant, **said.body[tenant]})
+                if said.word == "shown"
+                else _otherwise(said)
+            )
         if request.method != b"POST":
             return http1.write_response(405, [(b"Allow", b"GET, POST")], b"", close=True)
         if not self._pays(tenant):
@@ -74,15 +80,19 @@
             return _wrong(str(error))
         said = await self._ask("add", tenant, credit.add, credit.id)
         if said.word == "counted" and said.body != credit.add:
-            return says(409, {"ok": False, "text": f"id: was {said.body}, not {credit.add}", "added": said.body})
+            return json_response(
+                409, {"ok": False, "text": f"id: was {said.body}, not {credit.add}", "added": said.body}
+            )
         if said.word in ("done", "counted"):
-            return says(200, {"ok": True, "counted": said.word == "counted", "added": credit.add})
+            return json_response(200, {"ok": True, "counted": said.word == "counted", "added": credit.add})
         return _otherwise(said)
 
 
 def _wrong(text: str) -> bytes:
-    return says(400, {"ok": False, "text": text})
+    return json_response(400, {"ok": False, "text": text})
 
 
 def _otherwise(said: Answer) -> bytes:
-    return says(STATUS[said.word], {"ok": False, "text": f"{said.word}: {said.text}" if said.text else said.word})
+    return json_response(
+        STATUS[said.word], {"ok": False, "text": f"{said.word}: {said.text}" if said.text else said.word}
+    )
--- a/limenotch/net/attempt_check.py
+++ b/limenotch/net/attempt_check.py
@@ -8,11 +8,11 @@
 
 from enum import Enum
 
-from ..load_balancer import Provider
-from .request import InvokerCall
+from ..load_balancer import DiscoveredEndpoint
+from .request import Attempt
 
 
-class Hindrance(Enum):
+class Obstacle(Enum):
     """Why an attempt may not begin."""
 
     CALL_OVER = "its call has its answer"
@@ -25,27 +25,27 @@
     MAY_HAVE_RUN = "an earlier attempt may have run, and no repeat is allowed there or any more"
 
 
-def hindrance(attempt: InvokerCall, endpoint: Provider | None, now: float) -> Hindrance | None:
+def obstacle_to(attempt: Attempt, endpoint: DiscoveredEndpoint | None, now: float) -> Obstacle | None:
     """What stops the attempt now, by `time.monotonic`; None: it may begin.
 
     `endpoint` is the attempt's by the newest list; None if that takes nothing new.
     """
     call, chosen = attempt.call, attempt.endpoint
     if call.gone or not call.present():
-        return Hindrance.CLIENT_GONE
+        return Obstacle.CLIENT_GONE
     if call.final is not None:
-        return Hindrance.CALL_OVER
+        return Obstacle.CALL_OVER
     if attempt.over:
-        return Hindrance.ENDED
+        return Obstacle.ENDED
     if now >= attempt.end:
-        return Hindrance.NO_TIME
+        return Obstacle.NO_TIME
     if endpoint is None or chosen is None:
-        return Hindrance.NOT_IN_SERVICE
+        return Obstacle.NOT_IN_SERVICE
     if (endpoint.address, endpoint.since_ms) != (chosen.address, chosen.since_ms):
-        return Hindrance.RESTARTED
+        return Obstacle.RESTARTED
     sent = call.sent()
     if not call.permits.beside(sent):
-        return Hindrance.ANOTHER_OUT
+        return Obstacle.ANOTHER_OUT
     if not call.permits.again(sent, endpoint.zone, endpoint.group, now * 1000.0):
-        return Hindrance.MAY_HAVE_RUN
+        return Obstacle.MAY_HAVE_RUN
     return None
--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -14,12 +14,12 @@
 from .. import logs
 from ..config import host_port
 from . import http1
-from .client_connections import ClientGroup
+from .client_connections import ClientConnections
 from .header_fields import budget_ms, check_once, name_in
-from .pipe import BrokenError, Pipe
+from .pipe import BodyPipe, BrokenError
 from .read_ahead import ClientStream, Mode, ReadAhead
-from .request import About, Call, Final, Verdict
-from .responses import answer_of, passed_headers
+from .request import FinalResponse, Request, RequestDetails, Verdict
+from .responses import passed_headers, write_final_response
 
 log = logs.get(__name__)
 
@@ -35,20 +35,20 @@
     """The connection ends between two requests."""
 
 
-def _printable(call: Call | None) -> str | None:
+def _printable(call: Request | None) -> str | None:
     return call.name.decode("latin-1") if call is not None else None
 
 
-class Consumer:
+class ClientConnection:
     """One connection of a consumer; one call at a time."""
 
-    def __init__(self, stream: ClientStream, group: ClientGroup) -> None:
+    def __init__(self, stream: ClientStream, group: ClientConnections) -> None:
         self.stream, self._all = stream, group
         self.reader = ReadAhead(stream, group.budget)
         self._parser = http1.RequestParser(http1.MAX_LONG)
         self._timer: object = None  # of the wait for a request, its head and its body
-        self._call: Call | None = None
-        self._final: asyncio.Future[Final] | None = None
+        self._call: Request | None = None
+        self._final: asyncio.Future[FinalResponse] | None = None
         self._upload: asyncio.Task[None] | None = None  # of the rest of a long request
         self._read_s = 0.0  # spent in waiting for a body
         self._from: str | None = None  # where it comes from, once that was asked
@@ -150,7 +150,7 @@
             keep = await self._pass_on(call, final.payload, keep, request.minor)
         else:
             self._call = None
-            await self._write(answer_of(final, not keep))
+            await self._write(write_final_response(final, not keep))
         if self._upload is not None:
             await self._upload
         self._call = self._final = self._upload = None
@@ -159,7 +159,7 @@
         self.reader.go(Mode.REST)
         return keep
 
-    async def _pass_on(self, call: Call, response: http1.Message, keep: bool, minor: int) -> bool:
+    async def _pass_on(self, call: Request, response: http1.Message, keep: bool, minor: int) -> bool:
         """A long answer, as it comes. If it breaks off, so does the connection: the consumer must be able to tell."""
         chunked = response.length is None and minor == 1
         keep = keep and (chunked or response.length is not None)
@@ -226,7 +226,7 @@
                 parser.next()
                 break
             if budget.beyond(size):
-                request.rest = Pipe(budget)
+                request.rest = BodyPipe(budget)
                 break
             await self._read(size)
         request.body = b"".join(held)
@@ -312,7 +312,9 @@
         # One taken while leaving must not be found open by what ends the process.
         left = min(budget_ms(fields.get(b"x-budget", b"")), max((self._all.calls.last - monotonic()) * 1000.0, 1.0))
         final = self._final = asyncio.get_running_loop().create_future()
-        about = About(fields.get(b"idempotency-key", b""), fields, self._origin(), fields.get(b"x-again") == b"1")
+        about = RequestDetails(
+            fields.get(b"idempotency-key", b""), fields, self._origin(), fields.get(b"x-again") == b"1"
+        )
         room = self._all.sockets.providers.room
         self._call = self._all.calls.take(
             name, request, class_name, tenant, left, final.set_result, room, request.rest, about
--- a/limenotch/net/client_connections.py
+++ b/limenotch/net/client_connections.py
@@ -6,23 +6,23 @@
 from typing import TYPE_CHECKING, Protocol
 
 from .. import settings
-from ..load_balancer import Facade
-from .pipe import Budget
-from .requests import Calls
-from .sockets import Sockets
+from ..load_balancer import LoadBalancer
+from .pipe import BufferBudget
+from .requests import RequestManager
+from .sockets import DescriptorLimits
 
 if TYPE_CHECKING:
-    from .client_connection import Consumer
+    from .client_connection import ClientConnection
 
 
-class ClientGroup(Protocol):
+class ClientConnections(Protocol):
     """All connections of clients, as one of them sees them."""
 
-    budget: Budget
-    calls: Calls
-    facade: Facade
-    sockets: Sockets
-    tuning: settings.Consumers
+    budget: BufferBudget
+    calls: RequestManager
+    facade: LoadBalancer
+    sockets: DescriptorLimits
+    tuning: settings.ClientSettings
     closing: bool  # each connection ends with its next answer, unless more of its client's has come
     over: bool  # ... whatever has come
 
@@ -32,8 +32,8 @@
     @property
     def gone(self) -> Callable[[str], None]: ...
 
-    def left(self, consumer: Consumer) -> None: ...
+    def left(self, consumer: ClientConnection) -> None: ...
 
-    def waits(self, consumer: Consumer, waiting: bool) -> None: ...
+    def waits(self, consumer: ClientConnection, waiting: bool) -> None: ...
 
-    def lingers(self, consumer: Consumer) -> None: ...
+    def lingers(self, consumer: ClientConnection) -> None: ...
--- a/limenotch/net/client_listener.py
+++ b/limenotch/net/client_listener.py
@@ -13,13 +13,13 @@
 
 from .. import logs, settings
 from ..config import Address
-from ..load_balancer import Facade
-from .client_connection import Consumer
-from .pipe import Budget
+from ..load_balancer import LoadBalancer
+from .client_connection import ClientConnection
+from .pipe import BufferBudget
 from .read_ahead import ClientStream
-from .requests import Calls
+from .requests import RequestManager
 from .shutdown_schedule import schedule
-from .sockets import Listener, Sockets
+from .sockets import DescriptorLimits, Listener
 
 log = logs.get(__name__)
 
@@ -30,19 +30,19 @@
 REST_S = 0.02  # with no descriptor left and none to be had: the queue would call us in every turn of the loop
 
 
-class Consumers:
+class ClientListener:
     """Owns the listener and the consumers' connections."""
 
     def __init__(
         self,
-        calls: Calls,
-        facade: Facade,
-        sockets: Sockets,
+        calls: RequestManager,
+        facade: LoadBalancer,
+        sockets: DescriptorLimits,
         has_list: Callable[[], bool],
-        tuning: settings.Consumers = settings.Consumers(),  # noqa: B008 (frozen)
-        budget: Budget | None = None,
+        tuning: settings.ClientSettings = settings.ClientSettings(),  # noqa: B008 (frozen)
+        budget: BufferBudget | None = None,
     ) -> None:
-        self.budget = budget or Budget(MAX_BUFFER)
+        self.budget = budget or BufferBudget(MAX_BUFFER)
         self.calls, self.facade, self.sockets, self.tuning = calls, facade, sockets, tuning
         self.leaving = False  # no more connections ...
         self.closing = False  # ... and each ends with its next answer, unless more of its client's has come
@@ -50,9 +50,9 @@
         self.gone: Callable[[str], None] = lambda origin: None  # hears of each end of a connection of which calls came
         self._has_list = has_list
         self._listener: Listener | None = None
-        self._open: dict[Consumer, asyncio.Task[None]] = {}
-        self._waiting: dict[Consumer, None] = {}  # those between two requests, the longest first
-        self._lingering: dict[Consumer, None] = {}  # those whose clients have not closed yet though we have
+        self._open: dict[ClientConnection, asyncio.Task[None]] = {}
+        self._waiting: dict[ClientConnection, None] = {}  # those between two requests, the longest first
+        self._lingering: dict[ClientConnection, None] = {}  # those whose clients have not closed yet though we have
         sockets.consumers.drop_idle = self._drop_idle
 
     def listen(self, at: Address, inherited: socket.socket | None = None) -> socket.socket:
@@ -94,24 +94,24 @@
             sock.close()
             self.sockets.consumers.give_back()
             return
-        consumer = Consumer(ClientStream(sock, max_buffer_size=MAX_BUFFER), self)
+        consumer = ClientConnection(ClientStream(sock, max_buffer_size=MAX_BUFFER), self)
         self._open[consumer] = asyncio.get_running_loop().create_task(consumer.serve())
 
-    def left(self, consumer: Consumer) -> None:
+    def left(self, consumer: ClientConnection) -> None:
         """Its connection closed."""
         if self._open.pop(consumer, None) is not None:
             self.waits(consumer, False)
             self._lingering.pop(consumer, None)
             self.sockets.consumers.give_back()
 
-    def waits(self, consumer: Consumer, waiting: bool) -> None:
+    def waits(self, consumer: ClientConnection, waiting: bool) -> None:
         """A connection begins or ends to be between two requests."""
         if waiting:
             self._waiting[consumer] = None
         else:
             self._waiting.pop(consumer, None)
 
-    def lingers(self, consumer: Consumer) -> None:
+    def lingers(self, consumer: ClientConnection) -> None:
         """Its connection has ended but for its client's part."""
         self.waits(consumer, False)
         self._lingering[consumer] = None
--- a/limenotch/net/discovery/client.py
+++ b/limenotch/net/discovery/client.py
@@ -20,20 +20,20 @@
 
 from ... import logs, settings
 from ...config import Address, host_port
-from ...load_balancer import Provider
+from ...load_balancer import DiscoveredEndpoint
 from .. import http1
 from . import json_stream, schedule
-from .endpoint_list import Listing, list_of, merged
+from .endpoint_list import EndpointList, merge_lists, parse_list
 from .schedule import Connected, DiscoveryState, Due, Ended, Heard, Listed, Moved, Order, Resumed, Wanted
 from .watch import Predecessors, Spare, Watch
 
 log = logs.get(__name__)
 
 READ = 64 * 1024  # bytes at once
-Hear = Callable[[list[Provider], bool], None]
+Hear = Callable[[list[DiscoveredEndpoint], bool], None]
 
 
-class Directory:
+class DiscoveryClient:
     """Owns the watch. Each watch that fails or ends is told once, by `broken`, and begun anew in its time.
 
     After a move the watch at the old address goes on until the new one has told its list. To end it first would lose
@@ -45,7 +45,7 @@
         at: Address,
         heard: Hear,
         broken: Callable[[], None],
-        tuning: settings.Directory = settings.Directory(),  # noqa: B008 (frozen)
+        tuning: settings.DiscoverySettings = settings.DiscoverySettings(),  # noqa: B008 (frozen)
         pushed: bool = False,
         random: Random | None = None,
     ) -> None:
@@ -60,7 +60,7 @@
         self._spare = Spare()
         self._spare.keep(at)
         self._timer: object = None
-        self._earlier: Listing | None = None  # a list that is not told yet, to be used if the directory is silent
+        self._earlier: EndpointList | None = None  # a list that is not told yet, to be used if the directory is silent
         self._version = 0
         self._live = False  # whether the watch stands on which it told its list last
         self._asked = monotonic()  # when that watch was asked for
@@ -71,14 +71,14 @@
 
     def known(self, raw: dict[str, Any]) -> None:
         """The list as it was held at an earlier time: served from until the directory answers."""
-        told = list_of(raw)
+        told = parse_list(raw)
         if told is not None:
             self._version = told.version or self._version
             self._tell(told, whole=True)
 
     def known_unless_heard(self, raw: dict[str, Any], wait_s: float) -> None:
         """The same, but told only if the directory brings nothing for so long; till then changes count from it."""
-        told = list_of(raw)
+        told = parse_list(raw)
         if told is not None:
             self._version, self._earlier = told.version or self._version, told
             self._loop.call_later(wait_s, self._use_earlier)
@@ -89,7 +89,7 @@
             log.warning("directory: silent, an earlier list is used")
             self._tell(earlier, whole=True)
 
-    def held(self, providers: Iterable[Provider]) -> dict[str, Any]:
+    def held(self, providers: Iterable[DiscoveredEndpoint]) -> dict[str, Any]:
         """The list as it is held, for `known` of the next process, with where it is from."""
         listed = [
             {
@@ -122,7 +122,7 @@
         """For how long discovery has said nothing, until what it is saying just now; infinite: it never did."""
         return math.inf if self._word is None else (monotonic() - self._word) * 1000.0
 
-    def _tell(self, told: Listing, whole: bool = False) -> None:
+    def _tell(self, told: EndpointList, whole: bool = False) -> None:
         if self._trace:
             log.debug(
                 "told",
@@ -274,19 +274,19 @@
 
         Raises MalformedError if there is one that is no list: what it told would be missing from then on.
         """
-        listings = list[Listing]()
+        listings = list[EndpointList]()
         try:
             for document in found:
                 listings.append(self._listing(watch, document))
         finally:
-            told = merged(listings)
+            told = merge_lists(listings)
             if told is not None:
                 self._take(watch, told)
 
-    def _listing(self, watch: Watch, document: bytes) -> Listing:
+    def _listing(self, watch: Watch, document: bytes) -> EndpointList:
         told = None
         with contextlib.suppress(ValueError):
-            told = list_of(json.loads(document))
+            told = parse_list(json.loads(document))
         if told is None:
             if watch is self._watch and not watch.told:
                 self._version = 0  # the same changes would be as little understood again
@@ -303,7 +303,7 @@
             )
         return told
 
-    def _take(self, watch: Watch, told: Listing) -> None:
+    def _take(self, watch: Watch, told: EndpointList) -> None:
         """The newest call that has told a list is the one that counts."""
         self._predecessors.drop_older(watch)
         earlier, self._earlier = self._earlier, None
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -21,7 +21,7 @@
     return sum(map(bare.count, OPENS)) - sum(map(bare.count, CLOSES))
 
 
-class Documents:
+class JsonDocuments:
     """Puts documents together from bytes cut anywhere. One may take a line or, indented, any number of them."""
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
     def __init__(self) -> None:
         self._parser = ResponseParser(MOST)  # a list may come as one chunk, or with its length
         self._body: _Body | None = None
-        self._documents = Documents()
+        self._documents = JsonDocuments()
         self.head: Message | None = None
 
     def feed(self, data: bytes) -> list[bytes]:
--- a/limenotch/net/endpoint_connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -10,9 +10,9 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from .. import logs
-from ..load_balancer import Provider
+from ..load_balancer import DiscoveredEndpoint
 from . import http1
-from .pipe import HOLD, BrokenError, Budget, Pipe
+from .pipe import HOLD, BodyPipe, BrokenError, BufferBudget
 
 log = logs.get(__name__)
 
@@ -20,7 +20,7 @@
 SLOW_S = 0.3  # after its head an answer that may be long is passed on as it comes
 
 
-class Connection:
+class EndpointConnection:
     """One connection to a provider; owned by the pool while idle, by one invoker call otherwise.
 
     It reads all the time, so that an idle one that the provider closed is never used again.
@@ -33,7 +33,7 @@
         address: tuple[str, int],
         answer_s: float = 0.5,
         stall_s: float = 10.0,
-        budget: Budget | None = None,
+        budget: BufferBudget | None = None,
     ) -> None:
         """An answer that has begun goes on within `answer_s`, and its head ends: heads that never end and bodies
         shorter than announced would else hold their calls until nothing else can be tried. One that is passed on
@@ -46,13 +46,13 @@
         self.idle_timer: object = None
         self.passed: asyncio.Future[bool] | None = None  # of an answer that is passed on: whether it came whole
         self._parser = http1.ResponseParser(http1.MAX_LONG)
-        self._budget = budget or Budget(MAX_BUFFER)
+        self._budget = budget or BufferBudget(MAX_BUFFER)
         self._answer: asyncio.Future[http1.Message | None] | None = None
         self._head: http1.Message | None = None
         self._began = 0.0  # when its head was there
         self._held: list[bytes] = []
         self._size = 0
-        self._pipe: Pipe | None = None
+        self._pipe: BodyPipe | None = None
         self._reading: asyncio.Future[bytes] | None = None
         self._timer: object = None  # of an answer that has begun
 
@@ -117,7 +117,7 @@
         """Tell of the answer now, its rest to come by a pipe; False where there is no head or it is told already."""
         if self._head is None or self._answer is None or self._answer.done():
             return False
-        self._pipe = self._head.rest = Pipe(self._budget)
+        self._pipe = self._head.rest = BodyPipe(self._budget)
         self.passed = asyncio.get_running_loop().create_future()
         self._head.body = b"".join(self._held)
         self._answer.set_result(self._head)
@@ -174,7 +174,7 @@
             pass
         return False
 
-    def reaches(self, endpoint: Provider) -> bool:
+    def reaches(self, endpoint: DiscoveredEndpoint) -> bool:
         """Whether it leads to the process that the list tells of: one that has started anew resets what is written."""
         return (self.address, self.since_ms) == (endpoint.address, endpoint.since_ms)
 
--- a/limenotch/net/endpoint_pool.py
+++ b/limenotch/net/endpoint_pool.py
@@ -13,44 +13,44 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from .. import logs, settings
-from ..load_balancer import Ending, Provider, Status
+from ..load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from . import attempt_check, http1
-from .endpoint_connection import MAX_BUFFER, Connection
-from .pipe import BrokenError, Budget, Pipe
-from .request import InvokerCall
-from .requests import Calls
-from .response_outcome import ending_of, report_of
-from .sockets import Share
+from .endpoint_connection import MAX_BUFFER, EndpointConnection
+from .pipe import BodyPipe, BrokenError, BufferBudget
+from .request import Attempt
+from .requests import RequestManager
+from .response_outcome import attempt_ending, load_report
+from .sockets import DescriptorQuota
 
 log = logs.get(__name__)
 
 
-class Providers:
+class EndpointPool:
     """Owns the connections to providers and makes invoker calls over them."""
 
     def __init__(
         self,
-        calls: Calls,
-        sockets: Share,
+        calls: RequestManager,
+        sockets: DescriptorQuota,
         connect_ms: float,
         idle_ms: float,
-        tuning: settings.Providers = settings.Providers(),  # noqa: B008 (frozen)
-        budget: Budget | None = None,
+        tuning: settings.EndpointSettings = settings.EndpointSettings(),  # noqa: B008 (frozen)
+        budget: BufferBudget | None = None,
     ) -> None:
         """`idle_ms` is the provider's own idle time, of which `tuning.idle_part` is used: a request that crosses the
         provider's closing ends in a reset, after which only calls that are safe to repeat can go out again.
         """
         self._calls, self._sockets, self._tuning = calls, sockets, tuning
-        self._budget = budget or Budget(MAX_BUFFER)
+        self._budget = budget or BufferBudget(MAX_BUFFER)
         self._idle_part = tuning.idle_part
         self.tune(connect_ms, idle_ms)
         self._loop = IOLoop.current()
-        self._listed: dict[str, Provider] = {}
+        self._listed: dict[str, DiscoveredEndpoint] = {}
         self._banned: set[str] = set()  # by hand, listed or not
-        self._idle: dict[str, list[Connection]] = {}
-        self._used: dict[InvokerCall, Connection] = {}  # of those that have one now
-        self._timers: dict[InvokerCall, object] = {}
-        self._cut: dict[InvokerCall, Ending] = {}  # those that end at our wish, and as what
+        self._idle: dict[str, list[EndpointConnection]] = {}
+        self._used: dict[Attempt, EndpointConnection] = {}  # of those that have one now
+        self._timers: dict[Attempt, object] = {}
+        self._cut: dict[Attempt, AttemptEnding] = {}  # those that end at our wish, and as what
         self._trace = logs.tracing()
         self._tasks: set[asyncio.Task[None]] = set()
         sockets.drop_idle = self._drop_oldest
@@ -61,14 +61,14 @@
 
     # The directory's list
 
-    def listed(self, providers: Iterable[Provider], whole: bool) -> None:
+    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         """What the directory told; to be called before the facade hears of it. The cost follows what it tells."""
         if whole:
             self._listed.clear()
         names = list[str]()
         for provider in providers:
             names.append(provider.name)
-            if provider.status is Status.TERMINATED:
+            if provider.status is DiscoveryStatus.TERMINATED:
                 self._listed.pop(provider.name, None)
             else:
                 self._listed[provider.name] = provider
@@ -78,7 +78,7 @@
         """Whether the directory lists it."""
         return name in self._listed
 
-    def __iter__(self) -> Iterator[Provider]:
+    def __iter__(self) -> Iterator[DiscoveredEndpoint]:
         return iter(list(self._listed.values()))
 
     def __len__(self) -> int:
@@ -93,7 +93,7 @@
             self._banned.discard(name)
         self._drop_unusable([name])
 
-    def _usable(self, name: str) -> Provider | None:
+    def _usable(self, name: str) -> DiscoveredEndpoint | None:
         """The one of that name, if anything new may be sent to it now."""
         provider = self._listed.get(name)
         return provider if provider is not None and provider.takes_new and name not in self._banned else None
@@ -108,28 +108,33 @@
 
     # Invoker calls
 
-    def make(self, invoker_call: InvokerCall) -> None:
+    def make(self, invoker_call: Attempt) -> None:
         task = asyncio.get_running_loop().create_task(self._run(invoker_call))
         self._tasks.add(task)  # the loop itself holds tasks by weak references only
         task.add_done_callback(self._tasks.discard)
 
-    def abandon(self, invoker_call: InvokerCall) -> None:
-        self._cut_off(invoker_call, Ending.ABANDONED)
+    def abandon(self, invoker_call: Attempt) -> None:
+        self._cut_off(invoker_call, AttemptEnding.ABANDONED)
 
-    def _cut_off(self, invoker_call: InvokerCall, ending: Ending) -> None:
+    def _cut_off(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         """Ends it by closing its connection, which is how providers learn of it."""
         if invoker_call.over:
             return
         connection = self._used.get(invoker_call)
-        if ending is Ending.TIMED_OUT and connection is not None and connection.may_be_long and connection.pass_on():
+        if (
+            ending is AttemptEnding.TIMED_OUT
+            and connection is not None
+            and connection.may_be_long
+            and connection.pass_on()
+        ):
             return  # its time is that of its first bytes, and they are there
         self._cut.setdefault(invoker_call, ending)
         if connection is not None:
             connection.close()
 
-    async def _run(self, invoker_call: InvokerCall) -> None:
+    async def _run(self, invoker_call: Attempt) -> None:
         self._limit(invoker_call)
-        ending, response = Ending.RESET, None
+        ending, response = AttemptEnding.RESET, None
         try:
             ending, response = await self._exchange(invoker_call)
         except Exception:
@@ -139,31 +144,31 @@
             self._unlimit(invoker_call)
             self._used.pop(invoker_call, None)
             self._cut.pop(invoker_call, None)
-            report = report_of(response.fields.get(b"x-load-report", b"")) if response is not None else (None, None)
+            report = load_report(response.fields.get(b"x-load-report", b"")) if response is not None else (None, None)
             self._calls.ended(invoker_call, ending, response, *report)
 
-    def _limit(self, invoker_call: InvokerCall) -> None:
+    def _limit(self, invoker_call: Attempt) -> None:
         """Its time runs, if it has an end yet."""
         if invoker_call.end < math.inf:
             wait = max(invoker_call.end - monotonic(), 0.0)
-            timer = self._loop.call_later(wait, self._cut_off, invoker_call, Ending.TIMED_OUT)
+            timer = self._loop.call_later(wait, self._cut_off, invoker_call, AttemptEnding.TIMED_OUT)
             self._timers[invoker_call] = timer
 
-    def _unlimit(self, invoker_call: InvokerCall) -> None:
+    def _unlimit(self, invoker_call: Attempt) -> None:
         timer = self._timers.pop(invoker_call, None)
         if timer is not None:
             self._loop.remove_timeout(timer)
 
-    async def _exchange(self, invoker_call: InvokerCall) -> tuple[Ending, http1.Message | None]:
+    async def _exchange(self, invoker_call: Attempt) -> tuple[AttemptEnding, http1.Message | None]:
         connection = await self._connection(invoker_call)
         if connection is None:
-            return self._unsent(invoker_call, Ending.CONNECT_FAILED), None
+            return self._unsent(invoker_call, AttemptEnding.CONNECT_FAILED), None
         response, whole = None, False
         try:
             # Getting a connection takes time in which the call may end or the provider begin to drain:
             # nothing may be written then, or a drain is broken or a finished call runs.
             if not self._admits(invoker_call):
-                return self._unsent(invoker_call, Ending.NOT_SENT), None
+                return self._unsent(invoker_call, AttemptEnding.NOT_SENT), None
             invoker_call.sent_at = monotonic()
             answer = connection.expect()
             written = await self._write(invoker_call, connection, answer)
@@ -173,26 +178,26 @@
                 self._unlimit(invoker_call)
                 passed = connection.passed
                 if response.status != 200:
-                    return ending_of(response), response
+                    return attempt_ending(response), response
                 if passed is None or not self._calls.begun(
-                    invoker_call, response, *report_of(response.fields.get(b"x-load-report", b""))
+                    invoker_call, response, *load_report(response.fields.get(b"x-load-report", b""))
                 ):
-                    return Ending.ABANDONED, None
+                    return AttemptEnding.ABANDONED, None
                 whole = await passed
-                cut = self._cut.get(invoker_call, Ending.RESET)
-                return (Ending.SERVED if whole else cut), response
+                cut = self._cut.get(invoker_call, AttemptEnding.RESET)
+                return (AttemptEnding.SERVED if whole else cut), response
             if response is not None:
                 whole = written
-                return ending_of(response), response
+                return attempt_ending(response), response
             if invoker_call in self._cut:
                 return self._cut[invoker_call], None
-            return (Ending.RESET if written else Ending.CONNECT_FAILED), None
+            return (AttemptEnding.RESET if written else AttemptEnding.CONNECT_FAILED), None
         finally:
             self._used.pop(invoker_call, None)
             self._release(connection, response if whole else None)
 
     async def _write(
-        self, invoker_call: InvokerCall, connection: Connection, answer: asyncio.Future[http1.Message | None]
+        self, invoker_call: Attempt, connection: EndpointConnection, answer: asyncio.Future[http1.Message | None]
     ) -> bool:
         """Whether the request was written to its last byte: an answer, or the end, may come before that."""
         rest = invoker_call.call.rest
@@ -217,7 +222,7 @@
         self._calls.figures.sent(invoker_call.call.kind)
         return True
 
-    async def _upload(self, invoker_call: InvokerCall, connection: Connection, rest: Pipe) -> None:
+    async def _upload(self, invoker_call: Attempt, connection: EndpointConnection, rest: BodyPipe) -> None:
         """The rest of a long request, as it comes. A provider that does not read ends it."""
         stream, framed = connection.stream, invoker_call.call.payload.length is None
         while piece := await rest.get():
@@ -230,22 +235,22 @@
         if framed:
             await stream.write(http1.LAST_CHUNK)
 
-    def _admits(self, invoker_call: InvokerCall) -> bool:
+    def _admits(self, invoker_call: Attempt) -> bool:
         """Whether its first byte may be written now."""
         if invoker_call in self._cut:
             return False
         endpoint = self._usable(invoker_call.provider)
-        hindrance = attempt_check.hindrance(invoker_call, endpoint, monotonic())
+        hindrance = attempt_check.obstacle_to(invoker_call, endpoint, monotonic())
         if hindrance is not None and self._trace:
             log.debug("not sent", call=invoker_call.call.number, provider=invoker_call.provider, reason=hindrance.value)
         return hindrance is None
 
-    def _unsent(self, invoker_call: InvokerCall, else_: Ending) -> Ending:
+    def _unsent(self, invoker_call: Attempt, else_: AttemptEnding) -> AttemptEnding:
         """What ended it before its first byte: one whose time is over then was never sent."""
         ending = self._cut.get(invoker_call, else_)
-        return Ending.NOT_SENT if ending is Ending.TIMED_OUT else ending
+        return AttemptEnding.NOT_SENT if ending is AttemptEnding.TIMED_OUT else ending
 
-    def _request(self, invoker_call: InvokerCall) -> bytes:
+    def _request(self, invoker_call: Attempt) -> bytes:
         message: http1.Message = invoker_call.call.payload
         left_us = max(int(min(invoker_call.end - monotonic(), invoker_call.call.left_s) * 1e6), 1)
         headers = [pair for pair in message.end_to_end() if pair[0].lower() != b"x-budget"]
@@ -257,11 +262,11 @@
 
     # Connections
 
-    async def _connection(self, invoker_call: InvokerCall) -> Connection | None:
+    async def _connection(self, invoker_call: Attempt) -> EndpointConnection | None:
         """An idle connection or a new one; None if there is none in time."""
         provider = invoker_call.endpoint = self._usable(invoker_call.provider)
         if provider is None or not self._admits(invoker_call):
-            self._cut.setdefault(invoker_call, Ending.NOT_SENT)
+            self._cut.setdefault(invoker_call, AttemptEnding.NOT_SENT)
             return None
         connection = self._settled(provider)
         if connection is not None:
@@ -269,7 +274,7 @@
             return connection
         opened = self._open(provider) if self._sockets.take() else None
         if opened is None:
-            self._cut.setdefault(invoker_call, Ending.NOT_SENT)
+            self._cut.setdefault(invoker_call, AttemptEnding.NOT_SENT)
             return None
         connection = opened
         self._used[invoker_call], stream = connection, connection.stream
@@ -289,7 +294,7 @@
         task.add_done_callback(self._tasks.discard)
         return connection
 
-    def _settled(self, endpoint: Provider) -> Connection | None:
+    def _settled(self, endpoint: DiscoveredEndpoint) -> EndpointConnection | None:
         """The latest used of those that have rested for long enough, so that the others get to be closed.
 
         An endpoint in trouble may answer a second time: right after the first answer nobody can tell whether what comes
@@ -305,7 +310,7 @@
             connection.close()
         return None
 
-    def _open(self, provider: Provider) -> Connection | None:
+    def _open(self, provider: DiscoveredEndpoint) -> EndpointConnection | None:
         family = socket.AF_INET6 if ":" in provider.address[0] else socket.AF_INET
         try:
             sock = socket.socket(family, socket.SOCK_STREAM)
@@ -315,14 +320,14 @@
             return None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = IOStream(sock, max_buffer_size=MAX_BUFFER)
-        connection = Connection(
+        connection = EndpointConnection(
             stream, provider.name, provider.address, self._tuning.answer_s, self._tuning.stall_s, self._budget
         )
         connection.since_ms = provider.since_ms
         stream.set_close_callback(lambda: self._closed(connection))
         return connection
 
-    def _release(self, connection: Connection, response: http1.Message | None) -> None:
+    def _release(self, connection: EndpointConnection, response: http1.Message | None) -> None:
         """Back to the idle ones if the exchange left it clean, else closed."""
         endpoint = self._usable(connection.provider)
         wanted = endpoint is not None and connection.reaches(endpoint)
@@ -334,7 +339,7 @@
         self._idle.setdefault(connection.provider, []).append(connection)
         self._sockets.idle += 1
 
-    def _not_idle(self, connection: Connection) -> None:
+    def _not_idle(self, connection: EndpointConnection) -> None:
         idle = self._idle.get(connection.provider, [])
         if connection in idle:
             idle.remove(connection)
@@ -343,7 +348,7 @@
             if not idle:
                 del self._idle[connection.provider]
 
-    def _closed(self, connection: Connection) -> None:
+    def _closed(self, connection: EndpointConnection) -> None:
         """The one place where a connection's descriptor is given back."""
         self._not_idle(connection)
         self._sockets.give_back()
--- a/limenotch/net/log_storage.py
+++ b/limenotch/net/log_storage.py
@@ -15,7 +15,7 @@
 
 from .. import logs
 from ..store import missing
-from ..store.records import Append, Held, Record, Snapshot
+from ..store.records import Append, Record, Snapshot, StoredLog
 
 log = logs.get(__name__)
 
@@ -31,7 +31,7 @@
     """The text has the store's word, and file and offset where there are any."""
 
 
-class Memory:
+class MemoryStorage:
     """A learner without a folder. Never says yes to what would make it a voter: a vote is worth what is on a disk."""
 
     def __init__(self, name: str) -> None:
@@ -54,7 +54,7 @@
     def close(self) -> None: ...
 
 
-class Folder:
+class FolderStorage:
     """A store and its thread. `open` once, then as `others.Disk`."""
 
     def __init__(self, folder: Path) -> None:
@@ -65,7 +65,7 @@
         self._thread: Any = None
         self._files: Any = None
 
-    async def open(self) -> Held:
+    async def open(self) -> StoredLog:
         """Waits while another process holds the folder: the one before this one may. Raises UnreadableError."""
         wait = FIRST_WAIT_S
         for left in reversed(range(TRIES)):
@@ -79,7 +79,7 @@
             wait = min(2 * wait, MOST_WAIT_S)
         raise AssertionError
 
-    async def _try(self) -> Held:
+    async def _try(self) -> StoredLog:
         from ..store import files
         from ..store.log import Store
         from ..store.thread import StoreThread
@@ -89,9 +89,9 @@
             self._files = await loop.run_in_executor(None, files.RealFiles, self._folder)
         except files.StoreError as error:
             raise (_TakenError if error.why == "taken" else UnreadableError)(str(error)) from None
-        opened: asyncio.Future[Held] = loop.create_future()
+        opened: asyncio.Future[StoredLog] = loop.create_future()
 
-        def told(held: Held | None, error: files.StoreError | None) -> None:
+        def told(held: StoredLog | None, error: files.StoreError | None) -> None:
             if opened.done():  # nobody waits any more
                 return
             if held is not None:
--- a/limenotch/net/peer_streams.py
+++ b/limenotch/net/peer_streams.py
@@ -18,7 +18,7 @@
 from .. import logs
 from ..config import Address, host_port
 from ..fleet.interfaces import Message
-from ..fleet.wire import MOST_FRAME, Fault, Frames, Hello, Wire, framed
+from ..fleet.wire import MOST_FRAME, FrameCodec, FrameFault, FrameReader, Hello, with_length
 
 log = logs.get(__name__)
 
@@ -83,7 +83,7 @@
 
     def put(self, frame: bytes) -> None:
         self.used = self._loop.time()
-        self._queue.append((self.used, framed(frame)))
+        self._queue.append((self.used, with_length(frame)))
         self._bytes += len(self._queue[-1][1])
         while len(self._queue) > MOST_QUEUED or self._bytes > MOST_BYTES:
             self._counted["dropped_full"] += 1
@@ -160,7 +160,7 @@
                 stream.socket.setsockopt(socket.IPPROTO_TCP, USER_TIMEOUT, int(STALL_S * 1000))
             async with asyncio.timeout(CONNECT_S):
                 await stream.connect(self.at)
-                await stream.write(framed(self._hello))
+                await stream.write(with_length(self._hello))
         except (OSError, StreamClosedError, TimeoutError) as error:
             self._counted["connect_failed"] += 1
             log.debug("no stream to a sidecar", at=host_port(self.at), error=str(error) or type(error).__name__)
@@ -212,10 +212,10 @@
 Heed = Callable[[str, Address, Message], None]
 
 
-class Streams:
+class PeerStreams:
     """Owns all kept streams of this process, `most` of its own and as many of others."""
 
-    def __init__(self, wire: Wire, hello: bytes, most: int, heed: Heed) -> None:
+    def __init__(self, wire: FrameCodec, hello: bytes, most: int, heed: Heed) -> None:
         """`hello`: the frame that opens each own stream. `heed` is given what was heard: sender, address, message."""
         self._wire, self._hello, self._most, self._heed = wire, hello, most, heed
         self._links: dict[Address, _Link] = {}
@@ -255,7 +255,7 @@
         caller.stream.close()
 
     async def _serve(self, caller: _Caller) -> None:
-        frames = Frames(MOST_HELLO)
+        frames = FrameReader(MOST_HELLO)
         until = self._loop.time() + HELLO_S
         try:
             while True:
@@ -273,15 +273,15 @@
         finally:
             self._shut(caller)
 
-    def _taken(self, caller: _Caller, frames: Frames) -> bool:
+    def _taken(self, caller: _Caller, frames: FrameReader) -> bool:
         """All whole frames that came; False ends the stream."""
         while (frame := frames.take()) is not None:
-            if isinstance(frame, Fault):
+            if isinstance(frame, FrameFault):
                 self._wire.count(frame)
                 return False
             said = self._wire.decode(frame)
-            if isinstance(said, Fault):
-                if said in (Fault.DIGEST, Fault.GROUP, Fault.SHORT) or caller.who is None:
+            if isinstance(said, FrameFault):
+                if said in (FrameFault.DIGEST, FrameFault.GROUP, FrameFault.SHORT) or caller.who is None:
                     return False
                 continue  # a kind or a version that is not spoken here: what follows may be
             sender, message = said
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -17,26 +17,26 @@
 
 from .. import logs
 from ..config import Address, host_port
-from ..fleet.hub import OFF, Asked, Hub
+from ..fleet.hub import OFF, ComponentEvent, ComponentHub
 from ..fleet.interfaces import (
     MOST_DATAGRAM,
     Action,
     Carrier,
     Event,
-    Heard,
-    Leave,
     Message,
+    MessageReceived,
     Note,
-    Send,
+    SendToAddress,
     SetTimer,
+    ShutdownStarted,
     Started,
     Store,
     Stored,
     StoreFailed,
     TimerFired,
 )
-from ..fleet.wire import MOST_FRAME, Fault, Hello, Wire
-from .peer_streams import Streams, family
+from ..fleet.wire import MOST_FRAME, FrameCodec, FrameFault, Hello
+from .peer_streams import PeerStreams, family
 from .sockets import Listener
 
 log = logs.get(__name__)
@@ -71,7 +71,7 @@
     return False
 
 
-class Others:
+class PeerTransport:
     """Drives one hub. Made, started and closed on the loop's thread."""
 
     def __init__(
@@ -79,8 +79,8 @@
         listen: Address,
         name: str,
         life: int,
-        hub: Hub,
-        wire: Wire,
+        hub: ComponentHub,
+        wire: FrameCodec,
         streams: int = 32,
         disk: Disk | None = None,
         at: Address | None = None,
@@ -92,14 +92,14 @@
         self._loop = asyncio.get_running_loop()
         self._datagrams: socket.socket | None = None
         self._listener: Listener | None = None
-        self._streams: Streams | None = None
+        self._streams: PeerStreams | None = None
         self._opening: asyncio.Task[None] | None = None
         self._timers: dict[int, asyncio.TimerHandle] = {}
         self._timer = 0
         self._storing = 0
         self._now = 0.0
         self._off = self._closed = self._begun = False
-        self._events: deque[Event | Asked] = deque()  # the first is being handled
+        self._events: deque[Event | ComponentEvent] = deque()  # the first is being handled
         self.counts = dict.fromkeys(COUNTS, 0)
         hub.faulty = self._faulty
 
@@ -161,14 +161,14 @@
             raise
         at = self._at or taken[0].getsockname()[:2]
         hello = self._wire.encode(self._name, Hello(self._life, at))
-        self._streams = Streams(self._wire, hello, self._most, self._heed)
+        self._streams = PeerStreams(self._wire, hello, self._most, self._heed)
         self._listener = Listener(taken[0], self._accept)
         self._datagrams = taken[1]
         self._loop.add_reader(taken[1], self._receive)
 
     def leave(self) -> None:
         """The parts say that this process goes; what they answer is sent at once."""
-        self.tell(Leave())
+        self.tell(ShutdownStarted())
 
     def close(self) -> None:
         """At once, without a word to others. May be called twice."""
@@ -196,7 +196,7 @@
 
     # Events
 
-    def tell(self, event: Event | Asked) -> None:
+    def tell(self, event: Event | ComponentEvent) -> None:
         """Raises nothing. Told while another is handled, by who hears what parts do, it is handled right after that."""
         if not self._begun:
             return
@@ -209,7 +209,7 @@
             finally:
                 self._events.popleft()
 
-    def _tell(self, event: Event | Asked) -> None:
+    def _tell(self, event: Event | ComponentEvent) -> None:
         if self._off or self._closed:
             return
         self._now = self.now()
@@ -231,7 +231,7 @@
         log.error("fault in the fleet's decisions", part=part, fleet_event=repr(event)[:2000], exc_info=error)
 
     def _heed(self, sender: str, at: Address, message: Message) -> None:
-        self.tell(Heard(at, sender, message, Carrier.STREAM))
+        self.tell(MessageReceived(at, sender, message, Carrier.STREAM))
 
     def _accept(self) -> None:
         if self._listener is not None and self._streams is not None:
@@ -252,12 +252,12 @@
                 continue
             self.counts["received"] += 1
             said = self._wire.decode(frame, MOST_DATAGRAM)
-            if isinstance(said, Fault):
+            if isinstance(said, FrameFault):
                 continue
             if isinstance(said[1], Hello):
-                self._wire.count(Fault.KIND)  # of streams only
+                self._wire.count(FrameFault.KIND)  # of streams only
                 continue
-            self.tell(Heard(at[:2], said[0], said[1], Carrier.DATAGRAM))
+            self.tell(MessageReceived(at[:2], said[0], said[1], Carrier.DATAGRAM))
 
     def _fired(self, key: int, at_ms: float, token: int) -> None:
         del self._timers[key]
@@ -267,7 +267,7 @@
     # Actions
 
     def _carry_out(self, action: Action) -> None:
-        if isinstance(action, Send):
+        if isinstance(action, SendToAddress):
             self._send(action)
         elif isinstance(action, SetTimer):
             if len(self._timers) >= MOST_TIMERS:
@@ -284,7 +284,7 @@
         else:
             raise TypeError(f"no action of a host: {action!r}")
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendToAddress) -> None:
         if self._datagrams is None or self._streams is None:
             return
         if not _numeric(action.at[0]) or not 0 < action.at[1] < 65536:
--- a/limenotch/net/pipe.py
+++ b/limenotch/net/pipe.py
@@ -15,7 +15,7 @@
     """The other end of a pipe is gone: of what was put in, or of who was to take it."""
 
 
-class Budget:
+class BufferBudget:
     """Bytes that all pipes may hold together. Beyond, each still gets a small piece at a time: none stands still."""
 
     def __init__(self, limit: int) -> None:
@@ -35,10 +35,10 @@
         return size > HOLD or size > SMALL and self.spent
 
 
-class Pipe:
+class BodyPipe:
     """One body: `put` by the connection it comes from, `get` by the one it goes to."""
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: BufferBudget) -> None:
         self._budget = budget
         self._pieces: deque[bytes] = deque()
         self._size = 0
--- a/limenotch/net/read_ahead.py
+++ b/limenotch/net/read_ahead.py
@@ -13,7 +13,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from .pipe import PIECE, Budget
+from .pipe import PIECE, BufferBudget
 
 # What a client may send ahead of the answer that it waits for: several requests whole, of the size that is held whole.
 # More than one read brings is held only while the memory for bodies under way isn't used up.
@@ -42,7 +42,7 @@
 class ReadAhead:
     """The bytes of one stream in order, as they come."""
 
-    def __init__(self, stream: IOStream, budget: Budget) -> None:
+    def __init__(self, stream: IOStream, budget: BufferBudget) -> None:
         self.stream = stream
         self.dropped = False  # bytes are missing: no request can be read any more
         self._budget = budget
--- a/limenotch/net/request.py
+++ b/limenotch/net/request.py
@@ -1,4 +1,7 @@
-"""What is kept of a call and of its attempts, and who has a part in them. Owned by `Calls`; carried in no protocol."""
+"""What is kept of a call and of its attempts, and who has a part in them. Owned by `RequestManager`.
+
+Carried in no protocol.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,9 @@
 from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
-from ..load_balancer import NEVER_RAN, Ending, Hint, Provider
-from ..request_policy import Permits, Sent
-from .pipe import Pipe
+from ..load_balancer import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, PlacementHint
+from ..request_policy import RequestPolicy, SentAttempt
+from .pipe import BodyPipe
 
 
 class Verdict(Enum):
@@ -19,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
+class FinalResponse:
     """The one final answer of a call."""
 
     verdict: Verdict
@@ -30,17 +33,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class InvokerCall:
-    call: Call
+class Attempt:
+    call: Request
     number: int
     provider: str
     began: float  # by time.monotonic: the loop's own clock is the wall's, which may be set
     end: float
     first: float = 0.0  # when its answer began to be passed on
     over: bool = False
-    endpoint: Provider | None = None  # as the list told of it when it was chosen
+    endpoint: DiscoveredEndpoint | None = None  # as the list told of it when it was chosen
     sent_at: float = 0.0  # when its first byte was written, by time.monotonic; 0: not yet
-    ending: Ending | None = None
+    ending: AttemptEnding | None = None
 
     @property
     def may_have_run(self) -> bool:
@@ -54,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class About:
+class RequestDetails:
     """What a consumer said of a call beside what it is."""
 
     key: bytes = b""  # by which providers know a repeat
@@ -63,75 +66,75 @@
     resent: bool = False  # marked as a repeat of one that came before
 
 
-NOTHING = About()
+NO_DETAILS = RequestDetails()
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class Request:
     number: int
     name: bytes  # as the consumer calls it
     kind: str  # its class
     payload: Any
     end: float  # by time.monotonic; without one while its message is coming
     left_s: float  # of its budget, from the last byte of its message
-    answer: Callable[[Final], None]
-    rest: Pipe | None = None  # of a long message: what goes out once
+    answer: Callable[[FinalResponse], None]
+    rest: BodyPipe | None = None  # of a long message: what goes out once
     tenant: str = ""
-    about: About = NOTHING
-    hint: Hint | None = None  # where it should go
+    about: RequestDetails = NO_DETAILS
+    hint: PlacementHint | None = None  # where it should go
     paid: bool = False  # a repeat of one that was paid for
     waited_ms: float = 0.0  # for who said Later
-    told: list[Beside] = field(default_factory=list)  # who took it, and is told of its end
-    made: list[InvokerCall] = field(default_factory=list)
-    final: Final | None = None
+    told: list[RequestInterceptor] = field(default_factory=list)  # who took it, and is told of its end
+    made: list[Attempt] = field(default_factory=list)
+    final: FinalResponse | None = None
     gone: bool = False
     present: Callable[[], bool] = lambda: True  # whether its client is there, by a look at this moment
-    permits: Permits = Permits()
-    ran_elsewhere: Sent | None = None  # by another sidecar's word
+    permits: RequestPolicy = RequestPolicy()
+    ran_elsewhere: SentAttempt | None = None  # by another sidecar's word
 
-    def sent(self) -> list[Sent]:
+    def sent(self) -> list[SentAttempt]:
         """Its attempts that may have run, those that are out included."""
         told = [self.ran_elsewhere] if self.ran_elsewhere is not None else []
         return told + [
-            Sent(attempt.endpoint.zone, attempt.endpoint.group, attempt.sent_at * 1000.0, not attempt.over)
+            SentAttempt(attempt.endpoint.zone, attempt.endpoint.group, attempt.sent_at * 1000.0, not attempt.over)
             for attempt in self.made
             if attempt.may_have_run and attempt.endpoint is not None
         ]
 
 
-class Later(NamedTuple):
+class RetryLater(NamedTuple):
     """What it takes to say is on its way: to be asked again after so long, or `final` if there is no such time."""
 
     ms: float
-    final: Final
+    final: FinalResponse
 
 
-class Beside(Protocol):
+class RequestInterceptor(Protocol):
     """Who has a say in calls beside the decisions: told of each call from its taking to its end. Never waits."""
 
-    def taken(self, call: Call) -> Final | Later | None:
+    def taken(self, call: Request) -> FinalResponse | RetryLater | None:
         """Before the decisions hear of it. A final answer turns it away, with no more advice on when to return than the
         configuration allows; else it may set the call's `hint`, and is told of all that follows, its end by `closed`,
         once. Asked again after Later, unless the call has ended meanwhile.
         """
         ...
 
-    def sent(self, invoker_call: InvokerCall) -> None:
+    def sent(self, invoker_call: Attempt) -> None:
         """An attempt is being made: from now on it may run."""
         ...
 
-    def ended(self, invoker_call: InvokerCall, ending: Ending) -> None:
+    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         """An attempt ended; once each, also after its call's end."""
         ...
 
-    def closed(self, call: Call) -> None:
+    def closed(self, call: Request) -> None:
         """`call.final` is its answer; none: its consumer has gone."""
         ...
 
 
-class Invoker(Protocol):
+class AttemptRunner(Protocol):
     """Carries invoker calls to providers; tells Calls.ended of each once, never from within `make`."""
 
-    def make(self, invoker_call: InvokerCall) -> None: ...
+    def make(self, invoker_call: Attempt) -> None: ...
 
-    def abandon(self, invoker_call: InvokerCall) -> None: ...
+    def abandon(self, invoker_call: Attempt) -> None: ...
--- a/limenotch/net/request_ids.py
+++ b/limenotch/net/request_ids.py
@@ -9,7 +9,7 @@
 MOST_REMEMBERED = 10_000  # names; the oldest go first, as their clients are the likeliest to have given up
 
 
-class Names:
+class RequestIds:
     """Whether a call of some name may be taken."""
 
     def __init__(self) -> None:
--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -18,12 +18,22 @@
 
 from .. import load_balancer as house
 from .. import logs
-from ..load_balancer import Ending, Facade, Orders, time_left_ms
-from ..metrics import Figures
-from ..request_policy import Sent
-from .pipe import Pipe
-from .request import NOTHING, About, Beside, Call, Final, Invoker, InvokerCall, Later, Verdict
-from .request_ids import Names
+from ..load_balancer import AttemptEnding, Commands, LoadBalancer, usable_budget_ms
+from ..metrics import Metrics
+from ..request_policy import SentAttempt
+from .pipe import BodyPipe
+from .request import (
+    NO_DETAILS,
+    Attempt,
+    AttemptRunner,
+    FinalResponse,
+    Request,
+    RequestDetails,
+    RequestInterceptor,
+    RetryLater,
+    Verdict,
+)
+from .request_ids import RequestIds
 
 log = logs.get(__name__)
 
@@ -31,23 +41,23 @@
 ENDS = {Verdict.SERVED: "answered", Verdict.REJECTED: "deferred", Verdict.FAILED: "errored"}  # in the figures
 
 
-class Calls:
+class RequestManager:
     """Owns all open calls; carries out what the facade orders."""
 
-    def __init__(self, facade: Facade, max_open: int, figures: Figures | None = None) -> None:
+    def __init__(self, facade: LoadBalancer, max_open: int, figures: Metrics | None = None) -> None:
         self.facade, self.max_open = facade, max_open
-        self.figures = figures or Figures()
+        self.figures = figures or Metrics()
         self.last = math.inf  # while the program leaves: when calls still to come have to end, by time.monotonic
-        self.beside: tuple[Beside, ...] = ()
-        self.open: dict[int, Call] = {}
-        self.passing: dict[int, Call] = {}  # their answers are being passed on
-        self._names = Names()
-        self.invoker: Invoker
+        self.beside: tuple[RequestInterceptor, ...] = ()
+        self.open: dict[int, Request] = {}
+        self.passing: dict[int, Request] = {}  # their answers are being passed on
+        self._names = RequestIds()
+        self.invoker: AttemptRunner
         self.watch: Callable[[], None]
         self._loop = IOLoop.current()
         self._count = 0
-        self._out: dict[tuple[int, int], InvokerCall] = {}
-        self._todo: deque[house.Order] = deque()
+        self._out: dict[tuple[int, int], Attempt] = {}
+        self._todo: deque[house.Command] = deque()
         self._working = False
         self._trace = logs.tracing()
 
@@ -62,24 +72,24 @@
         class_name: str,
         tenant: str,
         budget_ms: float,
-        answer: Callable[[Final], None],
+        answer: Callable[[FinalResponse], None],
         room: bool = True,
-        rest: Pipe | None = None,
-        about: About = NOTHING,
-    ) -> Call:
+        rest: BodyPipe | None = None,
+        about: RequestDetails = NO_DETAILS,
+    ) -> Request:
         """A call was taken; `answer` is called once unless it departs. Without `room`: rejected at once.
 
         With `rest` its message is still coming, and its time begins when the message is whole.
         """
         budget_ms = min(budget_ms, self.facade.longest_ms(class_name))  # else a call could stay open for days
-        left = time_left_ms(budget_ms)
+        left = usable_budget_ms(budget_ms)
         self._count += 1
         end = math.inf if rest is not None else monotonic() + left / 1000.0
-        call = Call(self._count, name, class_name, payload, end, left / 1000.0, answer, rest, tenant, about)
+        call = Request(self._count, name, class_name, payload, end, left / 1000.0, answer, rest, tenant, about)
         call.permits = self.facade.permits(class_name, bool(about.key))
         self.figures.took()
         if not room or len(self.open) >= self.max_open or self.facade.shut:
-            self._close(call, Final(Verdict.REJECTED, retry_after_ms=min(FULL_MS, self.facade.most_advice_ms)))
+            self._close(call, FinalResponse(Verdict.REJECTED, retry_after_ms=min(FULL_MS, self.facade.most_advice_ms)))
             return call
         self.open[call.number] = call
         self._names.add(name)
@@ -100,11 +110,11 @@
             raise
         return call
 
-    def _admit(self, call: Call) -> None:
+    def _admit(self, call: Request) -> None:
         """Ask who has a say and has not said yet, then the decisions."""
         for one in self.beside[len(call.told) :]:
             said = one.taken(call)
-            if isinstance(said, Later):
+            if isinstance(said, RetryLater):
                 if monotonic() + said.ms / 1000.0 < call.end:
                     call.waited_ms += said.ms
                     self._loop.call_later(said.ms / 1000.0, self._admit_later, call)
@@ -117,7 +127,7 @@
             call.told.append(one)
         if call.hint is not None and call.hint.ran:
             ran_at_ms = monotonic() * 1000.0 - call.hint.ago_ms
-            call.ran_elsewhere = Sent(call.hint.zone, call.hint.group, ran_at_ms)
+            call.ran_elsewhere = SentAttempt(call.hint.zone, call.hint.group, ran_at_ms)
         left = call.left_s if call.rest is not None else max(call.end - monotonic(), 0.0)
         self.carry_out(
             self.facade.pick(
@@ -132,7 +142,7 @@
             )
         )
 
-    def _admit_later(self, call: Call) -> None:
+    def _admit_later(self, call: Request) -> None:
         if call.number in self.open:
             self._admit(call)
 
@@ -146,11 +156,11 @@
             if call.end <= self.last:
                 continue  # its own time sees to it
             ran = any(attempt.may_have_run for attempt in call.made)
-            self._close(call, Final(Verdict.FAILED, timed_out=True) if ran else Final(Verdict.REJECTED))
+            self._close(call, FinalResponse(Verdict.FAILED, timed_out=True) if ran else FinalResponse(Verdict.REJECTED))
             self.carry_out(self.facade.depart(call.number))
             self._release(call)
 
-    def depart(self, call: Call) -> None:
+    def depart(self, call: Request) -> None:
         """The consumer is gone: nothing is owed, its invoker calls end."""
         if call.number in self.passing:
             call.gone = True
@@ -165,13 +175,13 @@
             return
         self._release(call)
 
-    def _release(self, call: Call) -> None:
+    def _release(self, call: Request) -> None:
         """Its attempts end, as nobody waits for their answers: also the one whose answer is passed on."""
         for invoker_call in call.made:  # those the module may not cancel, too
             if not invoker_call.over:
                 self.invoker.abandon(invoker_call)
 
-    def uploaded(self, invoker_call: InvokerCall) -> None:
+    def uploaded(self, invoker_call: Attempt) -> None:
         """The last byte of a long message was written: its time begins."""
         invoker_call.began = monotonic()
         call = invoker_call.call
@@ -180,7 +190,7 @@
         self.carry_out(self.facade.uploaded(call.number, left * 1000.0))
 
     def begun(
-        self, invoker_call: InvokerCall, payload: Any, utilisation: float | None = None, per_s: float | None = None
+        self, invoker_call: Attempt, payload: Any, utilisation: float | None = None, per_s: float | None = None
     ) -> bool:
         """A long answer has begun; whether it is its call's final answer, to be passed on as it comes.
 
@@ -192,11 +202,11 @@
             return False
         invoker_call.first = monotonic()
         self.passing[call.number] = call
-        self._close(call, Final(Verdict.SERVED, payload))
-        self._report(invoker_call, Ending.SERVED, utilisation, per_s)
+        self._close(call, FinalResponse(Verdict.SERVED, payload))
+        self._report(invoker_call, AttemptEnding.SERVED, utilisation, per_s)
         return True
 
-    def passed_on(self, call: Call, end: str) -> None:
+    def passed_on(self, call: Request, end: str) -> None:
         """A long answer is over, as one of the figures' ends."""
         if self.passing.pop(call.number, None) is not None:
             self._names.discard(call.name)
@@ -204,8 +214,8 @@
 
     def ended(
         self,
-        invoker_call: InvokerCall,
-        ending: Ending,
+        invoker_call: Attempt,
+        ending: AttemptEnding,
         payload: Any = None,
         utilisation: float | None = None,
         per_s: float | None = None,
@@ -219,13 +229,13 @@
         del self._out[call.number, invoker_call.number]
         for one in call.told:
             one.ended(invoker_call, ending)
-        if ending is Ending.SERVED and call.final is None and not call.gone:
-            self._close(call, Final(Verdict.SERVED, payload))
+        if ending is AttemptEnding.SERVED and call.final is None and not call.gone:
+            self._close(call, FinalResponse(Verdict.SERVED, payload))
         if not invoker_call.first:  # else it was reported when its answer began
             self._report(invoker_call, ending, utilisation, per_s)
 
     def _report(
-        self, invoker_call: InvokerCall, ending: Ending, utilisation: float | None, per_s: float | None
+        self, invoker_call: Attempt, ending: AttemptEnding, utilisation: float | None, per_s: float | None
     ) -> None:
         call, spent = invoker_call.call, (monotonic() - invoker_call.began) * 1000.0
         gone = call.rest is not None and call.rest.begun
@@ -258,7 +268,7 @@
     def tick(self, ticket: int) -> None:
         self.carry_out(self.facade.tick(ticket))
 
-    def carry_out(self, orders: Orders) -> None:
+    def carry_out(self, orders: Commands) -> None:
         """In the order given, also where carrying out one brings further ones."""
         self._todo.extend(orders)
         if self._working:
@@ -270,44 +280,44 @@
         finally:
             self._working = False
 
-    def _carry_out(self, order: house.Order) -> None:
-        if isinstance(order, house.Invoke):
+    def _carry_out(self, order: house.Command) -> None:
+        if isinstance(order, house.StartAttempt):
             self._invoke(order)
-        elif isinstance(order, house.Wake):
+        elif isinstance(order, house.ScheduleTimer):
             self._loop.call_later(order.delay_ms / 1000.0, self.tick, order.ticket)
-        elif isinstance(order, house.Watch):
+        elif isinstance(order, house.WatchDiscovery):
             self.watch()
-        elif isinstance(order, house.Abandon):
+        elif isinstance(order, house.CancelAttempt):
             self._abandon(order)
         else:
             call = self.open.get(order.call)
             if call is None:
                 return
-            if isinstance(order, house.Reject):
-                self._close(call, Final(Verdict.REJECTED, retry_after_ms=order.retry_after_ms))
+            if isinstance(order, house.RejectRequest):
+                self._close(call, FinalResponse(Verdict.REJECTED, retry_after_ms=order.retry_after_ms))
             else:
-                self._close(call, Final(Verdict.FAILED, timed_out=monotonic() >= call.end))
+                self._close(call, FinalResponse(Verdict.FAILED, timed_out=monotonic() >= call.end))
 
-    def _invoke(self, order: house.Invoke) -> None:
+    def _invoke(self, order: house.StartAttempt) -> None:
         call = self.open.get(order.call)
         if call is None:
             return
         now = monotonic()
         end = math.inf if call.end == math.inf else min(now + order.wait_ms / 1000.0, call.end)
-        invoker_call = InvokerCall(call, len(call.made), order.provider, now, end)
+        invoker_call = Attempt(call, len(call.made), order.provider, now, end)
         call.made.append(invoker_call)
         self._out[call.number, invoker_call.number] = invoker_call
         for one in call.told:
             one.sent(invoker_call)
         self.invoker.make(invoker_call)
 
-    def _abandon(self, order: house.Abandon) -> None:
+    def _abandon(self, order: house.CancelAttempt) -> None:
         # Kept apart from the open calls: a loser is abandoned after its call was answered.
         invoker_call = self._out.get((order.call, order.number))
         if invoker_call is not None:
             self.invoker.abandon(invoker_call)
 
-    def _close(self, call: Call, final: Final) -> None:
+    def _close(self, call: Request, final: FinalResponse) -> None:
         call.final = final
         if call.number not in self.passing:
             self.figures.ended(call.kind, ENDS[final.verdict])
@@ -319,11 +329,11 @@
         self._tell_end(call)
         call.answer(final)
 
-    def _tell_end(self, call: Call) -> None:
+    def _tell_end(self, call: Request) -> None:
         for one in call.told:
             one.closed(call)
 
-    def _forget(self, call: Call) -> None:
+    def _forget(self, call: Request) -> None:
         if not call.permits.free and any(attempt.may_have_run for attempt in call.made):
             now = monotonic()
             self._names.remember(call.name, now, now + call.permits.longest_s)
--- a/limenotch/net/response_outcome.py
+++ b/limenotch/net/response_outcome.py
@@ -2,23 +2,23 @@
 
 from __future__ import annotations
 
-from ..load_balancer import Ending
+from ..load_balancer import AttemptEnding
 from . import http1
 
 # No busy share of its cores is more, noise included, and no endpoint of one process serves more a second.
 MOST_REPORTED = {b"util": 4.0, b"qps": 1e6}
 
 
-def ending_of(response: http1.Message) -> Ending:
+def attempt_ending(response: http1.Message) -> AttemptEnding:
     """Only a response marked as rejected says that the call never ran."""
     if response.status == 200:
-        return Ending.SERVED
+        return AttemptEnding.SERVED
     if response.status in (503, 504) and response.fields.get(b"x-rejected") == b"1":
-        return Ending.TURNED_AWAY
-    return Ending.ERROR
+        return AttemptEnding.TURNED_AWAY
+    return AttemptEnding.ERROR
 
 
-def report_of(report: bytes) -> tuple[float | None, float | None]:
+def load_report(report: bytes) -> tuple[float | None, float | None]:
     """`util` and `qps` of a load report; None for what is missing or out of any range.
 
     A report that is malformed in one of them is spoilt: neither counts.
--- a/limenotch/net/responses.py
+++ b/limenotch/net/responses.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from . import http1
-from .request import Final, Verdict
+from .request import FinalResponse, Verdict
 
 
-def answer_of(final: Final, close: bool) -> bytes:
+def write_final_response(final: FinalResponse, close: bool) -> bytes:
     """A final answer as this protocol words it; a provider's 200 goes on with its body unchanged."""
     if final.verdict is Verdict.SERVED:
         response: http1.Message = final.payload
--- a/limenotch/net/sockets.py
+++ b/limenotch/net/sockets.py
@@ -7,10 +7,10 @@
 
 from tornado.ioloop import IOLoop
 
-from ..settings import Descriptors
+from ..settings import DescriptorSettings
 
 
-class Share:
+class DescriptorQuota:
     """The descriptors of one side."""
 
     def __init__(self) -> None:
@@ -85,17 +85,17 @@
 OPERATORS = 16  # connections of operators at once, beside everybody else's
 
 
-class Sockets:
+class DescriptorLimits:
     """Shares the descriptors out to consumers and providers."""
 
-    def __init__(self, limit: int, tuning: Descriptors = Descriptors(), fleet: int = 0) -> None:  # noqa: B008
+    def __init__(self, limit: int, tuning: DescriptorSettings = DescriptorSettings(), fleet: int = 0) -> None:  # noqa: B008
         """OPERATORS are set apart, and `fleet` for other sidecars. `tuning.reserve`: standard streams, the loop's own,
         the listener, the directory, and what the interpreter holds. Neither side can use up the other's part:
         consumers that only stay connected would else leave no descriptor to reach a provider by, and every call
         would be rejected.
         """
         self._tuning, self._apart = tuning, OPERATORS + fleet
-        self.consumers, self.providers = Share(), Share()
+        self.consumers, self.providers = DescriptorQuota(), DescriptorQuota()
         self.limit_to(limit)
 
     def limit_to(self, limit: int) -> None:
--- a/limenotch/net/successor.py
+++ b/limenotch/net/successor.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inheritance:
+class InheritedState:
     listener: socket.socket
     told: dict[str, Any]
 
@@ -87,7 +87,7 @@
 
     # As the new process
 
-    async def ask(self) -> Inheritance | None:
+    async def ask(self) -> InheritedState | None:
         """What the process before hands over; None if there is none, or it does not answer in time."""
         if self._path is None:
             return None
@@ -104,7 +104,7 @@
             sock.close()
         return None
 
-    async def _ask(self, sock: socket.socket) -> Inheritance:
+    async def _ask(self, sock: socket.socket) -> InheritedState:
         assert self._path is not None
         loop = asyncio.get_running_loop()
         with _address(self._path) as path:
@@ -134,7 +134,7 @@
             raise
         self._before = stream
         stream.set_close_callback(self._lost_before)
-        return Inheritance(sockets[0], told)
+        return InheritedState(sockets[0], told)
 
     def _lost_before(self) -> None:
         self._before = None
--- a/limenotch/operator_ejections.py
+++ b/limenotch/operator_ejections.py
@@ -28,7 +28,7 @@
 Change = Callable[[str, bool, float], None]  # id, whether out, Unix time in ms of its return or 0
 
 
-class Bans:
+class OperatorEjections:
     """Owns the set and its file. `changed` is told of each ban and each return, whoever made it."""
 
     def __init__(self, kept: str | None, changed: Change) -> None:
@@ -55,7 +55,7 @@
             log.warning("bans: not readable", error=str(error))
             return
         try:
-            out, back = read(raw)
+            out, back = decode(raw)
         except ValueError as error:
             log.warning("bans: file passed over", error=str(error))
             return
@@ -107,7 +107,7 @@
             self.back.pop(next(iter(self.back)))
         try:
             with open(path, "wb") as file:
-                file.write(written(self.out, self.back))
+                file.write(encode(self.out, self.back))
                 file.flush()
                 os.fsync(file.fileno())
                 stat = os.fstat(file.fileno())
@@ -148,11 +148,11 @@
             os.close(file)  # and with it the lock
 
 
-def written(out: set[str], back: dict[str, float]) -> bytes:
+def encode(out: set[str], back: dict[str, float]) -> bytes:
     return json.dumps({"limenotch_bans": VERSION, "out": sorted(out), "back": back}).encode()
 
 
-def read(raw: bytes) -> tuple[set[str], dict[str, float]]:
+def decode(raw: bytes) -> tuple[set[str], dict[str, float]]:
     """Raises ValueError on whatever `written` would not write."""
     whole = json.loads(raw)
     if not isinstance(whole, dict) or whole.get("limenotch_bans") != VERSION:
--- a/limenotch/request_policy.py
+++ b/limenotch/request_policy.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentAttempt:
     """An attempt whose first byte has gone out, here or through another sidecar."""
 
     zone: str
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Permits:
+class RequestPolicy:
     """Asked right before an attempt's first byte. Without a class nothing may go out twice."""
 
     traffic_class: TrafficClass = TrafficClass("", Effect.AT_MOST_ONCE, 1.0, 1.0)
@@ -43,12 +43,12 @@
         """How long a client waits, over all its tries."""
         return self.traffic_class.deadline_ms / 1000.0
 
-    def beside(self, sent: Iterable[Sent]) -> bool:
+    def beside(self, sent: Iterable[SentAttempt]) -> bool:
         """Whether a further attempt may be out together with those that are."""
         once = self.traffic_class.effect is Effect.AT_MOST_ONCE
         return not any(attempt.out for attempt in sent) or (self.copies and not once)
 
-    def again(self, may_have_run: Iterable[Sent], zone: str, group: int, now_ms: float) -> bool:
+    def again(self, may_have_run: Iterable[SentAttempt], zone: str, group: int, now_ms: float) -> bool:
         """Whether an attempt may begin now at an endpoint of this zone and group, after those that may have run."""
         earlier = [attempt.as_earlier() for attempt in may_have_run]
         return may_repeat(self.traffic_class, earlier, now_ms + ARRIVAL_MS, zone, group)
--- a/limenotch/settings.py
+++ b/limenotch/settings.py
@@ -20,12 +20,12 @@
 Part = Annotated[float, Meta(gt=0, lt=1)]
 
 
-class Log(Struct, frozen=True, forbid_unknown_fields=True):
+class LogSettings(Struct, frozen=True, forbid_unknown_fields=True):
     form: Literal["human", "json"] = "human"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
-class Consumers(Struct, frozen=True, forbid_unknown_fields=True):
+class ClientSettings(Struct, frozen=True, forbid_unknown_fields=True):
     request_s: Seconds = 2.6
     body_s: Seconds = 2.4
     body_rate: Annotated[float, Meta(gt=0)] = 32768.0
@@ -39,28 +39,28 @@
             raise ValueError("keep_s: expected accept_s or more")
 
 
-class Providers(Struct, frozen=True, forbid_unknown_fields=True):
+class EndpointSettings(Struct, frozen=True, forbid_unknown_fields=True):
     idle_part: Part = 0.4
     settle_s: Seconds = 0.01
     answer_s: Seconds = 0.5
     stall_s: Seconds = 10.0
 
 
-class Directory(Struct, frozen=True, forbid_unknown_fields=True):
+class DiscoverySettings(Struct, frozen=True, forbid_unknown_fields=True):
     silence_s: Seconds = 2.5
 
 
-class Descriptors(Struct, frozen=True, forbid_unknown_fields=True):
+class DescriptorSettings(Struct, frozen=True, forbid_unknown_fields=True):
     reserve: Annotated[int, Meta(ge=16, le=512)] = 24
     for_consumers: Part = 0.5
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
-    log: Log = Log()
-    consumers: Consumers = Consumers()
-    providers: Providers = Providers()
-    directory: Directory = Directory()
-    descriptors: Descriptors = Descriptors()
+    log: LogSettings = LogSettings()
+    consumers: ClientSettings = ClientSettings()
+    providers: EndpointSettings = EndpointSettings()
+    directory: DiscoverySettings = DiscoverySettings()
+    descriptors: DescriptorSettings = DescriptorSettings()
     fleet: Any = None  # fleet.settings.Fleet where the file has that table: nothing of the fleet is imported without
 
 
--- a/limenotch/store/log.py
+++ b/limenotch/store/log.py
@@ -21,7 +21,7 @@
 
 from . import segments
 from .files import ASIDE, Files, StoreError, told
-from .records import Ballot, Held, Record, Snapshot
+from .records import Record, Snapshot, StoredLog, TermVote
 
 SEGMENT = 4 << 20  # bytes at which the next one begins: an open that finds a torn end looks through one
 MOST = 64 << 20  # bytes on disk
@@ -34,7 +34,7 @@
     def __init__(self, files: Files, most_bytes: int = MOST, segment_bytes: int = SEGMENT) -> None:
         """`most_bytes` bounds the files together; a new snapshot, half as large at most, stands beside them shortly."""
         self._files, self._most, self._segment_bytes = files, most_bytes, segment_bytes
-        self._held: Held | None = None
+        self._held: StoredLog | None = None
         self._next = 1  # sequence
         self._name: str | None = None  # of the segment that is appended to; None: the next batch begins one
         self._handle = -1
@@ -50,7 +50,7 @@
     def disk_bytes(self) -> int:
         return sum(self._sizes.values())
 
-    def open(self) -> Held:
+    def open(self) -> StoredLog:
         """Reads everything, cuts a torn end. Raises StoreError `damaged`, `version`, or as an operation failed."""
         if self._held is not None:
             raise RuntimeError("open twice")
@@ -64,7 +64,7 @@
         self._held = held
         self._tidied = self.disk_bytes
         self._sweep()
-        return Held(held.ballot, held.snapshot, list(held.entries))
+        return StoredLog(held.ballot, held.snapshot, list(held.entries))
 
     def write(self, records: Sequence[Record]) -> None:
         """On disk when it returns: one fsync, or with a snapshot among them one new file. Raises StoreError.
@@ -78,7 +78,7 @@
         self._mend()
         snaps = any(isinstance(record, Snapshot) for record in records)
         frames = b"" if snaps else self._frames(records)
-        if not snaps and self._make_room(len(frames), all(isinstance(record, Ballot) for record in records)):
+        if not snaps and self._make_room(len(frames), all(isinstance(record, TermVote) for record in records)):
             frames = self._frames(records)
         undo = _apply(held, records)
         try:
@@ -109,12 +109,12 @@
 
     # Reading
 
-    def _read(self) -> Held:
+    def _read(self) -> StoredLog:
         names = self._files.names()
         self._litter = [name for name in names if name.endswith(ASIDE)]
         kept = sorted(seq for seq in (segments.sequence_of("snapshot", name) for name in names) if seq is not None)
         logs = sorted(seq for seq in (segments.sequence_of("log", name) for name in names) if seq is not None)
-        held, covered = Held(), 0
+        held, covered = StoredLog(), 0
         if kept:
             covered = kept[-1]
             name = segments.snapshot_name(covered)
@@ -128,7 +128,7 @@
             self._read_segment(held, first, first == live[-1])
         return held
 
-    def _read_segment(self, held: Held, first: int, last: bool) -> None:
+    def _read_segment(self, held: StoredLog, first: int, last: bool) -> None:
         name = segments.segment_name(first)
         if first != self._next:
             raise segments.damaged(name, 0, f"it begins with {first}; {self._next} is missing before it")
@@ -172,7 +172,7 @@
         self._sizes[self._name] += len(frames)
         self._closed = False
 
-    def _keep(self, held: Held, sequence: int) -> None:
+    def _keep(self, held: StoredLog, sequence: int) -> None:
         """A snapshot's file; what it covers is litter from then on."""
         raw = segments.kept_file(held, sequence)
         if len(raw) > self._most // 2:
@@ -239,7 +239,7 @@
                 self._files.remove(self._litter[0])
                 self._sizes.pop(self._litter.pop(0), None)
 
-    def _opened(self) -> Held:
+    def _opened(self) -> StoredLog:
         if self._held is None:
             raise StoreError("closed", "the store is not open")
         return self._held
@@ -255,7 +255,7 @@
         self._held, self._unsure, self._doubtful = None, False, None
 
 
-def _apply(held: Held, records: Sequence[Record]) -> Callable[[], None]:
+def _apply(held: StoredLog, records: Sequence[Record]) -> Callable[[], None]:
     """Applies all; returns what takes it back. Raises StoreError `misfit`, with nothing applied."""
     undo: list[Callable[[], None]] = []
 
@@ -274,10 +274,10 @@
     return back
 
 
-def _way_back(held: Held, record: Record) -> Callable[[], None]:
+def _way_back(held: StoredLog, record: Record) -> Callable[[], None]:
     ballot, snapshot, entries = held.ballot, held.snapshot, held.entries
     place = len(entries)
-    if not isinstance(record, (Ballot, Snapshot)) and record.entries:
+    if not isinstance(record, (TermVote, Snapshot)) and record.entries:
         place = min(place, max(record.entries[0].index - held.base - 1, 0))
     tail = entries[place:]
 
--- a/limenotch/store/records.py
+++ b/limenotch/store/records.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 
-class Entry(Struct, frozen=True, array_like=True, gc=False):
+class LogEntry(Struct, frozen=True, array_like=True, gc=False):
     """One line of the log. `kind` is agreement's: a command, a change of voters, the empty line of a new leader."""
 
     index: int  # from 1, without a gap
@@ -20,7 +20,7 @@
     data: bytes = b""
 
 
-class Ballot(Struct, frozen=True, array_like=True, tag="ballot"):
+class TermVote(Struct, frozen=True, array_like=True, tag="ballot"):
     """The epoch reached, and whom this member voted for in it (empty: nobody yet)."""
 
     epoch: int
@@ -30,7 +30,7 @@
 class Append(Struct, frozen=True, array_like=True, tag="append"):
     """Entries that follow what is held. If the first one's index is held already, all from there on is replaced."""
 
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 class Snapshot(Struct, frozen=True, array_like=True, tag="snapshot"):
@@ -42,19 +42,19 @@
     voters: tuple[str, ...] = ()  # as agreed at `index`
 
 
-Record = Union[Ballot, Append, Snapshot]
+Record = Union[TermVote, Append, Snapshot]
 
 
-class Held(Struct):
+class StoredLog(Struct):
     """What a store holds; `apply` is the one meaning of records, on disk and in simulated time."""
 
-    ballot: Ballot = Ballot(0)
+    ballot: TermVote = TermVote(0)
     snapshot: Snapshot | None = None
-    entries: list[Entry] = []
+    entries: list[LogEntry] = []
 
     def apply(self, record: Record) -> None:
         """Raises ValueError on what would leave a gap or go back behind the snapshot."""
-        if isinstance(record, Ballot):
+        if isinstance(record, TermVote):
             self.ballot = record
         elif isinstance(record, Append):
             self._append(record.entries)
@@ -70,7 +70,7 @@
     def last(self) -> int:
         return self.entries[-1].index if self.entries else self.base
 
-    def _append(self, entries: tuple[Entry, ...]) -> None:
+    def _append(self, entries: tuple[LogEntry, ...]) -> None:
         for number, entry in enumerate(entries):
             if entry.index != entries[0].index + number:
                 raise ValueError(f"append: a gap before {entry.index}")
--- a/limenotch/store/segments.py
+++ b/limenotch/store/segments.py
@@ -29,7 +29,7 @@
 from msgspec import Struct
 
 from .files import StoreError
-from .records import Ballot, Entry, Held, Record, Snapshot
+from .records import LogEntry, Record, Snapshot, StoredLog, TermVote
 
 FORMAT = 1
 LOG, KEPT = b"LIMElog\n", b"LIMEkept"
@@ -48,9 +48,9 @@
 class Kept(Struct, frozen=True, array_like=True):
     """What a snapshot's file holds."""
 
-    ballot: Ballot
+    ballot: TermVote
     snapshot: Snapshot | None
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 _decode_kept: msgspec.msgpack.Decoder[Kept] = msgspec.msgpack.Decoder(Kept)
@@ -94,13 +94,13 @@
     return SUM.pack(crc32c(behind)) + behind
 
 
-def kept_file(held: Held, sequence: int) -> bytes:
+def kept_file(held: StoredLog, sequence: int) -> bytes:
     raw = HEAD.pack(KEPT, FORMAT, sequence)
     data = _encode.encode(Kept(held.ballot, held.snapshot, tuple(held.entries)))
     return raw + SUM.pack(crc32c(data, crc32c(raw))) + data
 
 
-def read_kept(name: str, raw: bytes, sequence: int) -> Held:
+def read_kept(name: str, raw: bytes, sequence: int) -> StoredLog:
     """Raises StoreError `damaged` or `version`."""
     _check_head(name, raw, KEPT, sequence)
     data = memoryview(raw)[HEAD_SIZE:]
@@ -110,7 +110,7 @@
         kept = _decode_kept.decode(data)
     except msgspec.MsgspecError as error:
         raise damaged(name, HEAD_SIZE, f"not what this program writes: {error}") from None
-    return Held(kept.ballot, kept.snapshot, list(kept.entries))
+    return StoredLog(kept.ballot, kept.snapshot, list(kept.entries))
 
 
 def read_segment(name: str, raw: bytes, first: int, last: bool) -> Read:
--- a/limenotch/store/thread.py
+++ b/limenotch/store/thread.py
@@ -15,7 +15,7 @@
 
 from .files import StoreError
 from .log import Store
-from .records import Append, Held, Record, Snapshot
+from .records import Append, Record, Snapshot, StoredLog
 
 Done = Callable[[str | None], None]
 
@@ -46,7 +46,7 @@
         self,
         store: Store,
         on_loop: Callable[[Callable[[], None]], object],
-        opened: Callable[[Held | None, StoreError | None], None],
+        opened: Callable[[StoredLog | None, StoreError | None], None],
         slow: Callable[[float], None],
         most_waiting: int = MOST_WAITING,
         slow_s: float = SLOW_S,
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -10,15 +10,15 @@
 
 from limenotch.config import parse
 from limenotch.fleet.affinity.api import Bound, Kind
-from limenotch.fleet.hub import Asked
+from limenotch.fleet.hub import ComponentEvent
 from limenotch.fleet.interfaces import MemberChanged, Started, TimerFired
 from limenotch.fleet.settings import Bindings as Table
-from limenotch.fleet_adapters.affinity import BindingsLayer, joined
-from limenotch.fleet_adapters.base import Among
-from limenotch.load_balancer import Ending, Facade, Provider, Status
+from limenotch.fleet_adapters.affinity import AffinityAdapter, joined
+from limenotch.fleet_adapters.base import NodeContext
+from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, LoadBalancer
 from limenotch.net.http1 import Message
-from limenotch.net.request import About, Final, InvokerCall, Verdict
-from limenotch.net.requests import Calls
+from limenotch.net.request import Attempt, FinalResponse, RequestDetails, Verdict
+from limenotch.net.requests import RequestManager
 
 KEY = b"a key for tests, of 16 bytes"
 CLASSES: list[dict[str, Any]] = [
@@ -52,7 +52,7 @@
     "layer": 1,
 }
 ANSWER = Message([], {})
-SERVED, FAR = Ending.SERVED, [f"w{number}" for number in range(3)]
+SERVED, FAR = AttemptEnding.SERVED, [f"w{number}" for number in range(3)]
 NEAR = [f"e{number}" for number in range(3)]
 
 
@@ -60,9 +60,9 @@
     return parse({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}, {})
 
 
-def provider(name: str, status: Status = Status.IN_SERVICE) -> Provider:
+def provider(name: str, status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE) -> DiscoveredEndpoint:
     zone = "east" if name[0] == "e" else "west"
-    return Provider(name, ("127.0.0.1", 1), status, zone, "k", 1 if zone == "east" else 2)
+    return DiscoveredEndpoint(name, ("127.0.0.1", 1), status, zone, "k", 1 if zone == "east" else 2)
 
 
 class House:
@@ -70,16 +70,16 @@
 
     def __init__(self, table: Table | None = None, begun: bool = True, whole: bool = True) -> None:
         self.skew = 0.0
-        self.layer = BindingsLayer(Among("a", 7, (), KEY, self.tell, self.now), table or Table())
+        self.layer = AffinityAdapter(NodeContext("a", 7, (), KEY, self.tell, self.now), table or Table())
         self.part = self.layer.part(None, 0)
         self.begun = False
         held = config(SETTINGS)
-        self.facade = Facade(held.settings, 5, held.zones, held.kinds, clock=self.now)
-        self.calls = Calls(self.facade, 1000)
+        self.facade = LoadBalancer(held.settings, 5, held.zones, held.kinds, clock=self.now)
+        self.calls = RequestManager(self.facade, 1000)
         self.calls.beside = (self.layer,)
         self.calls.invoker = self
         self.calls.watch = lambda: None
-        self.made: list[InvokerCall] = []
+        self.made: list[Attempt] = []
         self.bound_when_made: list[Bound | None] = []
         self.calls.carry_out(self.facade.start())
         self.layer.adopted(held)
@@ -102,22 +102,22 @@
                 self.part.handle(self.now(), TimerFired(1))
             assert self.layer.figures()["state"] == "whole"
 
-    def tell(self, asked: Asked) -> None:
+    def tell(self, asked: ComponentEvent) -> None:
         if self.begun:
             self.part.handle(self.now(), asked.event)
 
-    def list(self, names: list[str], status: Status = Status.IN_SERVICE, whole: bool = False) -> None:
+    def list(self, names: list[str], status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE, whole: bool = False) -> None:
         entries = [provider(name, status) for name in names]
         self.layer.listed(entries, whole)
         self.calls.carry_out(self.facade.heard(entries, whole))
 
-    def make(self, invoker_call: InvokerCall) -> None:
+    def make(self, invoker_call: Attempt) -> None:
         call = invoker_call.call
         self.bound_when_made.append(self.bound(call.kind, call.tenant, call.about.key) if call.about.key else None)
         self.made.append(invoker_call)
 
-    def abandon(self, invoker_call: InvokerCall) -> None:
-        asyncio.get_running_loop().call_soon(self.calls.ended, invoker_call, Ending.ABANDONED)
+    def abandon(self, invoker_call: Attempt) -> None:
+        asyncio.get_running_loop().call_soon(self.calls.ended, invoker_call, AttemptEnding.ABANDONED)
 
     def bound(self, kind: str, tenant: str, key: bytes) -> Bound | None:
         return self.layer._table.find(self.now(), Kind.KEY, joined(kind.encode(), tenant.encode(), key))
@@ -133,13 +133,15 @@
         resent: bool = False,
         origin: str = "",
         fields: dict[str, str] | None = None,
-    ) -> asyncio.Future[Final]:
-        final: asyncio.Future[Final] = asyncio.get_running_loop().create_future()
-        about = About(key, {name.encode(): value.encode() for name, value in (fields or {}).items()}, origin, resent)
+    ) -> asyncio.Future[FinalResponse]:
+        final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
+        about = RequestDetails(
+            key, {name.encode(): value.encode() for name, value in (fields or {}).items()}, origin, resent
+        )
         self.last = self.calls.take(b"%d" % next(self.names), None, kind, tenant, 900.0, final.set_result, about=about)
         return final
 
-    def end(self, ending: Ending = SERVED, attempt: int = -1) -> str:
+    def end(self, ending: AttemptEnding = SERVED, attempt: int = -1) -> str:
         """Of the latest attempt; the provider that it was at."""
         invoker_call = self.made[attempt]
         self.calls.ended(invoker_call, ending, ANSWER if ending is SERVED else None)
--- a/tests/fleet/affinity_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -12,12 +12,12 @@
 from limenotch.fleet.affinity.api import Bound, Kind, Providers, State
 from limenotch.fleet.affinity.table import Shared
 from limenotch.fleet.affinity.tuning import Ages
-from limenotch.fleet.hub import Asked, Hub
-from limenotch.fleet.interfaces import Fenced, Heard, MemberChanged, Started, TimerFired
+from limenotch.fleet.hub import ComponentEvent, ComponentHub
+from limenotch.fleet.interfaces import Fenced, MemberChanged, MessageReceived, Started, TimerFired
 from limenotch.fleet.membership import Membership
 from limenotch.lab.fleet.members import TUNING
 from limenotch.lab.fleet.world import World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 KEY = b"0123456789abcdef"
 THERE = {"p1": ("c1", "z1"), "p2": ("c1", "z1"), "p3": ("c2", "z2")}
@@ -63,12 +63,12 @@
     def __init__(self, fleet: Fleet, name: str, seed: int, life: int) -> None:
         membership = Membership(name, address(name), life, [address("a"), address("b")], TUNING, seed)
         self.bindings = Bindings(name, life, KEY, fleet.tuning, seed)
-        self.hub = Hub((("mb.", membership), ("bi.", self.bindings)), membership)
+        self.hub = ComponentHub((("mb.", membership), ("bi.", self.bindings)), membership)
 
     def handle(self, now: float, event: Any) -> list[Any]:
         out: list[Any] = self.hub.handle(now, event)
         if isinstance(event, Started):
-            out += self.hub.handle(now, Asked("bi.", Providers(THERE)))
+            out += self.hub.handle(now, ComponentEvent("bi.", Providers(THERE)))
         return out
 
 
@@ -89,7 +89,7 @@
         self._real = real
         self.world = World(self.names, self._make, seed, **weather)
 
-    def _make(self, name: str, seed: int, life: int, held: Held) -> Any:
+    def _make(self, name: str, seed: int, life: int, held: StoredLog) -> Any:
         self.lives[name] = life
         return Hubbed(self, name, seed, life) if self._real else Told(self, name, life)
 
@@ -110,7 +110,7 @@
     def say(self, event: Any, *names: str) -> None:
         for name in names or self.names:
             if self.world.alive(name):
-                self.world.poke(name, Asked("bi.", event) if self._real else event)
+                self.world.poke(name, ComponentEvent("bi.", event) if self._real else event)
 
     def changed(self, who: str, state: str, life: int, *names: str) -> None:
         self.there.add(who)
@@ -154,8 +154,8 @@
     """As of a member whose clock is the same."""
     if part.ground.peers.get(sender) is None:
         part.handle(now, MemberChanged(sender, "alive", address(sender), 0, 1))
-        part.handle(now, Heard(address(sender), sender, say.Pong(1, now, now)))
-    return part.handle(now, Heard(address(sender), sender, message))
+        part.handle(now, MessageReceived(address(sender), sender, say.Pong(1, now, now)))
+    return part.handle(now, MessageReceived(address(sender), sender, message))
 
 
 def sights(key: bytes, seen: float, now: float, seq: int = 1, **other: Any) -> say.Sights:
--- a/tests/fleet/fake_disk.py
+++ b/tests/fleet/fake_disk.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from limenotch.store.files import ASIDE
-from limenotch.store.records import Append, Ballot, Entry, Held, Record, Snapshot
+from limenotch.store.records import Append, LogEntry, Record, Snapshot, StoredLog, TermVote
 
 PAGE = 64  # bytes; small, so that small batches span several
 
@@ -158,13 +158,13 @@
 
 
 def entries(first: int, count: int, epoch: int, size: int = 5) -> Append:
-    return Append(tuple(Entry(first + n, epoch, "command", b"%d" % epoch * size) for n in range(count)))
+    return Append(tuple(LogEntry(first + n, epoch, "command", b"%d" % epoch * size) for n in range(count)))
 
 
 @st.composite
 def histories(draw: st.DrawFn, batches: int = 6) -> list[list[Record]]:
     """Batches of records that follow each other: ballots, appends that may replace, snapshots that may leap ahead."""
-    held, epoch, history = Held(), 1, []
+    held, epoch, history = StoredLog(), 1, []
     for _ in range(draw(st.integers(1, batches))):
         batch: list[Record] = []
         for _ in range(draw(st.integers(1, 4))):
@@ -172,7 +172,7 @@
             record: Record
             if kind == 0:
                 epoch += 1
-                record = Ballot(epoch, draw(st.sampled_from(["", "a", "b"])))
+                record = TermVote(epoch, draw(st.sampled_from(["", "a", "b"])))
             elif kind == 1 and held.last > 0:
                 index = draw(st.integers(max(held.base, 1), held.last + 3))
                 record = Snapshot(index, epoch, b"s" * draw(st.integers(0, 150)), ("a", "b"))
@@ -185,15 +185,15 @@
     return history
 
 
-def same(one: Held, other: Held) -> bool:
+def same(one: StoredLog, other: StoredLog) -> bool:
     return (one.ballot, one.snapshot, one.entries) == (other.ballot, other.snapshot, other.entries)
 
 
-def states(history: list[list[Record]]) -> list[Held]:
+def states(history: list[list[Record]]) -> list[StoredLog]:
     """What is held after each record, and before the first."""
-    held = Held()
-    found = [Held()]
+    held = StoredLog()
+    found = [StoredLog()]
     for record in (record for batch in history for record in batch):
         held.apply(record)
-        found.append(Held(held.ballot, held.snapshot, list(held.entries)))
+        found.append(StoredLog(held.ballot, held.snapshot, list(held.entries)))
     return found
--- a/tests/fleet/fake_messages.py
+++ b/tests/fleet/fake_messages.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from limenotch.fleet.interfaces import Heard, Message
+from limenotch.fleet.interfaces import Message, MessageReceived
 
 Answer = Callable[[float, Any], list[Any]]
 
@@ -37,7 +37,7 @@
 
     @property
     def heard(self) -> list[Message]:
-        return [event.message for event in self.told if isinstance(event, Heard)]
+        return [event.message for event in self.told if isinstance(event, MessageReceived)]
 
 
 class Book:
--- a/tests/fleet/fake_nodes.py
+++ b/tests/fleet/fake_nodes.py
@@ -7,10 +7,10 @@
 from collections.abc import AsyncIterator, Callable, Coroutine
 from typing import Any
 
-from limenotch.fleet.hub import Hub
-from limenotch.fleet.interfaces import Leave
-from limenotch.fleet.wire import Hello, Wire, framed
-from limenotch.net.peer_transport import Others
+from limenotch.fleet.hub import ComponentHub
+from limenotch.fleet.interfaces import ShutdownStarted
+from limenotch.fleet.wire import FrameCodec, Hello, with_length
+from limenotch.net.peer_transport import PeerTransport
 
 from .fake_messages import ALL, Book, Toy
 
@@ -23,9 +23,9 @@
 
     def __init__(self, name: str, life: int = 1, at: tuple[str, int] = (HOST, 0), **more: Any) -> None:
         self.toy, self.log, self.book = Toy(), Toy(), Book({})
-        self.wire = Wire(KEY, "g", ALL)
-        self.hub = Hub([("mb.", self.toy), ("ag.", self.log)], self.book)
-        self.others = Others(at, name, life, self.hub, self.wire, **more)
+        self.wire = FrameCodec(KEY, "g", ALL)
+        self.hub = ComponentHub([("mb.", self.toy), ("ag.", self.log)], self.book)
+        self.others = PeerTransport(at, name, life, self.hub, self.wire, **more)
 
     @property
     def at(self) -> tuple[str, int]:
@@ -34,8 +34,8 @@
 
     def act(self, *actions: Any) -> None:
         """As if a part answered these."""
-        self.toy.answer = lambda now, event: list(actions) if isinstance(event, Leave) else []
-        self.others.tell(Leave())
+        self.toy.answer = lambda now, event: list(actions) if isinstance(event, ShutdownStarted) else []
+        self.others.tell(ShutdownStarted())
         self.toy.answer = lambda now, event: []
 
     @property
@@ -69,4 +69,4 @@
     asyncio.run(case())
 
 
-HELLO = framed(Wire(KEY, "g", ALL).encode("a", Hello(1, (HOST, 9))))
+HELLO = with_length(FrameCodec(KEY, "g", ALL).encode("a", Hello(1, (HOST, 9))))
--- a/tests/fleet/fake_parts.py
+++ b/tests/fleet/fake_parts.py
@@ -7,21 +7,21 @@
 
 from limenotch.fleet.interfaces import (
     Carrier,
-    Heard,
-    Leave,
     Message,
+    MessageReceived,
     Note,
-    Send,
+    SendToAddress,
+    SendToMember,
     SetTimer,
+    ShutdownStarted,
     Started,
     Store,
     Stored,
     StoreFailed,
-    Tell,
     TimerFired,
 )
 from limenotch.lab.fleet.world import address
-from limenotch.store.records import Append, Ballot, Entry, Held
+from limenotch.store.records import Append, LogEntry, StoredLog, TermVote
 
 BEAT, LOOK = 1, 2
 
@@ -51,14 +51,14 @@
                 self.late.append(now - self.due)
                 return self._beat(now)
             return [*self._look(now), SetTimer(now + 50, LOOK)]
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             self.numbers.append((event.sender, event.message.number))  # type: ignore[attr-defined]
             self.heard[event.sender] = now
             if event.sender in self.suspected:
                 self.suspected.discard(event.sender)
                 return [Note(f"{event.sender} back")]
             return []
-        if isinstance(event, Leave):
+        if isinstance(event, ShutdownStarted):
             return [Note("leaves")]
         if isinstance(event, str):
             return [Note(event)]
@@ -67,7 +67,10 @@
     def _beat(self, now: float) -> list[Any]:
         self.beats += 1
         self.due = now + 100
-        return [SetTimer(self.due, BEAT), *(Send(address(to), Beat(self.beats), self.carrier) for to in self.others)]
+        return [
+            SetTimer(self.due, BEAT),
+            *(SendToAddress(address(to), Beat(self.beats), self.carrier) for to in self.others),
+        ]
 
     def _look(self, now: float) -> list[Any]:
         silent = [one for one in self.others if now - self.heard[one] >= 350 and one not in self.suspected]
@@ -75,7 +78,7 @@
         return [Note(f"suspects {one}") for one in silent]
 
 
-def listeners(*names: str, carrier: Carrier = Carrier.DATAGRAM) -> Callable[[str, int, int, Held], Listener]:
+def listeners(*names: str, carrier: Carrier = Carrier.DATAGRAM) -> Callable[[str, int, int, StoredLog], Listener]:
     return lambda name, seed, life, held: Listener(name, tuple(one for one in names if one != name), carrier)
 
 
@@ -88,7 +91,7 @@
 class Keeper:
     """Appends entries to its disk; says at its start what it found, and what became of each batch."""
 
-    def __init__(self, held: Held) -> None:
+    def __init__(self, held: StoredLog) -> None:
         self.held = held
         self.last = held.last
         self.answers: list[Any] = []
@@ -101,7 +104,7 @@
         if isinstance(event, Put):
             self.tickets += 1
             self.batches[self.tickets] = self.last + 1
-            records = tuple(Append((Entry(self.last + 1 + step, 1, "put"),)) for step in range(event.many))
+            records = tuple(Append((LogEntry(self.last + 1 + step, 1, "put"),)) for step in range(event.many))
             self.last += event.many
             return [Store(self.tickets, records)]
         self.answers.append(event)
@@ -128,7 +131,7 @@
 class Voter:
     """Two phases: `a` asks, all vote, `a` decides. `bug` plants one: see the test for what each does."""
 
-    def __init__(self, name: str, held: Held, bug: str = "", no: str = "c") -> None:
+    def __init__(self, name: str, held: StoredLog, bug: str = "", no: str = "c") -> None:
         self.name, self.bug, self.no = name, bug, no
         self.yes: set[str] = set()
         self.votes = 0
@@ -142,14 +145,14 @@
     def handle(self, now: float, event: Any) -> list[Any]:
         if isinstance(event, Started):
             return (
-                [Tell(to, Ask(), Carrier.DATAGRAM) for to in ("b", "c")] + [SetTimer(now + 100, 1)]
+                [SendToMember(to, Ask(), Carrier.DATAGRAM) for to in ("b", "c")] + [SetTimer(now + 100, 1)]
                 if self.name == "a"
                 else []
             )
         if isinstance(event, TimerFired):
             return self._decide(self.bug == "late means yes")
         if isinstance(event, Stored):
-            return [Tell("a", Vote(True), Carrier.DATAGRAM)]
+            return [SendToMember("a", Vote(True), Carrier.DATAGRAM)]
         if isinstance(event.message, Ask):
             return self._asked()
         if isinstance(event.message, Vote):
@@ -161,8 +164,8 @@
             return []
         self.asked = "asked"
         if self.name == self.no:
-            return [Tell("a", Vote(False), Carrier.DATAGRAM), Note("votes no")]
-        return [Note("votes yes"), Store(1, (Ballot(1, "yes"),))]
+            return [SendToMember("a", Vote(False), Carrier.DATAGRAM), Note("votes no")]
+        return [Note("votes yes"), Store(1, (TermVote(1, "yes"),))]
 
     def _voted(self, sender: str, yes: bool) -> list[Any]:
         if not yes:
@@ -176,7 +179,7 @@
         if self.decided:
             return []
         self.decided = "yes" if yes else "no"
-        return [Note(f"decides {self.decided}"), *(Tell(to, Outcome(yes)) for to in ("b", "c"))]
+        return [Note(f"decides {self.decided}"), *(SendToMember(to, Outcome(yes)) for to in ("b", "c"))]
 
     def _told(self, yes: bool) -> list[Any]:
         if self.decided:
--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from limenotch.fleet.consensus import api as log
-from limenotch.fleet.interfaces import Heard, Note, SetTimer, Started, Tell, TimerFired
+from limenotch.fleet.interfaces import MessageReceived, Note, SendToMember, SetTimer, Started, TimerFired
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries
 
 QUICK = Tuning(
@@ -32,7 +32,7 @@
         self.now = 0.0
         self.epoch = 0
         self.leader: str | None = None
-        self.log: list[log.Agreed] = []
+        self.log: list[log.EntryCommitted] = []
         self.said: list[tuple[float, str, str]] = []  # notes: when, whose, text
         self.answers: list[api.Answer] = []
         self.lost: Callable[[str, str, Any], bool] = lambda frm, to, message: False
@@ -90,7 +90,7 @@
 
     def agree(self, *told: entries.Entry, epoch: int | None = None) -> int:
         """The index."""
-        agreed = log.Agreed(len(self.log) + 1, self.epoch if epoch is None else epoch, entries.encode(told), "")
+        agreed = log.EntryCommitted(len(self.log) + 1, self.epoch if epoch is None else epoch, entries.encode(told), "")
         self.log.append(agreed)
         self._tell([(name, agreed) for name in self.wallets])
         return agreed.index
@@ -111,7 +111,7 @@
         if name in self.asleep:
             self._kept.append((name, event))
             return
-        if name in self.behind and isinstance(event, log.Agreed):
+        if name in self.behind and isinstance(event, log.EntryCommitted):
             self._later.append((name, event))
             return
         wallet = self.wallets[name]
@@ -121,20 +121,22 @@
             assert held.sound, (tenant, held)
 
     def _act(self, name: str, life: int, action: Any) -> None:
-        if isinstance(action, Tell):
+        if isinstance(action, SendToMember):
             if action.to in self.wallets and not self.lost(name, action.to, action.message):
-                self.tell(action.to, Heard((name, 1), name, action.message, action.carrier))
+                self.tell(action.to, MessageReceived((name, 1), name, action.message, action.carrier))
         elif isinstance(action, SetTimer):
             self._timers.append((action.at_ms, name, life, action.token))
         elif isinstance(action, Note):
             self.said.append((self.now, name, action.text))
         elif isinstance(action, api.Answer):
             self.answers.append(action)
-        elif isinstance(action, log.ReadAt):
+        elif isinstance(action, log.ReadIndex):
             ready = self.leader is not None and self.leader in self.wallets
             self.tell(
                 name,
-                log.ReadReady(action.ticket, len(self.log)) if ready else log.Refused(action.ticket, "no leader", None),
+                log.ReadReady(action.ticket, len(self.log))
+                if ready
+                else log.ProposalRejected(action.ticket, "no leader", None),
             )
         else:
             assert isinstance(action, log.Propose), action
@@ -145,12 +147,12 @@
         assert told is not None
         fate = self.fate(name, told) if self.leader is not None else "refused"
         if fate == "promised":
-            self.tell(name, log.Promised(action.ticket, self.agree(*told)))
+            self.tell(name, log.ProposalCommitted(action.ticket, self.agree(*told)))
         elif fate == "unknown":
             self.late.append((name, action, self.epoch))
-            self.tell(name, log.Unknown(action.ticket))
+            self.tell(name, log.OutcomeUnknown(action.ticket))
         elif fate == "refused":
-            self.tell(name, log.Refused(action.ticket, "busy", self.leader))
+            self.tell(name, log.ProposalRejected(action.ticket, "busy", self.leader))
         else:
             self.late.append((name, action, self.epoch))  # not answered yet
 
--- a/tests/fleet/log_bugs.py
+++ b/tests/fleet/log_bugs.py
@@ -10,7 +10,7 @@
 
 from limenotch.fleet.consensus import elections, lease, node, replicate
 from limenotch.fleet.consensus.log import Log, pack
-from limenotch.store.records import Ballot
+from limenotch.store.records import TermVote
 
 Plant = Callable[[pytest.MonkeyPatch], None]
 
@@ -19,7 +19,7 @@
     def cast(self: node.Node, epoch: int, vote: str) -> None:
         self.epoch, self.vote = epoch, vote
         self.on_disk = (epoch, vote)
-        self._store(Ballot(epoch, f"?{self.birth}"))
+        self._store(TermVote(epoch, f"?{self.birth}"))
 
     patch.setattr(node.Node, "cast", cast)
 
--- a/tests/fleet/test_affinity_core.py
+++ b/tests/fleet/test_affinity_core.py
@@ -7,7 +7,7 @@
 from limenotch.fleet.affinity import death_ms, forget_ms
 from limenotch.fleet.affinity.api import Kind, Providers, State
 from limenotch.fleet.affinity.messages import Sights
-from limenotch.fleet.interfaces import Heard, Leave, Tell
+from limenotch.fleet.interfaces import MessageReceived, SendToMember, ShutdownStarted
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.members import TUNING
 from limenotch.lab.fleet.world import address
@@ -181,7 +181,7 @@
     fleet.world.start("c")
     fleet.run(2000)
     for name in "ab":
-        out += fleet.of(name).handle(fleet.now(name), Heard(address("c"), "c", batch))
+        out += fleet.of(name).handle(fleet.now(name), MessageReceived(address("c"), "c", batch))
     assert fleet.who(b"late") == [None] * 3
     assert fleet.table("a").counts["of a life that is over"] == 1
 
@@ -218,8 +218,8 @@
     fleet = real("ab")
     for number in range(3000):
         fleet.see("a", b"%d" % number)
-    out = fleet.of("a").handle(fleet.now("a"), Leave())
-    told = [act.message for act in out if isinstance(act, Tell)]
+    out = fleet.of("a").handle(fleet.now("a"), ShutdownStarted())
+    told = [act.message for act in out if isinstance(act, SendToMember)]
     assert sum(len(batch.rows) for batch in told if isinstance(batch, Sights)) == 3000
 
 
--- a/tests/fleet/test_affinity_join.py
+++ b/tests/fleet/test_affinity_join.py
@@ -10,7 +10,7 @@
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.affinity.last_seen import MOST_COUNT
 from limenotch.fleet.affinity.tuning import Ages
-from limenotch.fleet.interfaces import Heard, MemberChanged, Tell, TimerFired
+from limenotch.fleet.interfaces import MemberChanged, MessageReceived, SendToMember, TimerFired
 from limenotch.fleet.wire import MOST_FRAME
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.world import address
@@ -197,13 +197,13 @@
     assert old is not None
     old.upto = 500
     part.handle(1100.0, MemberChanged("z", "alive", address("z"), 0, 2))
-    part.handle(1100.0, Heard(address("z"), "z", say.Pong(2, 1100.0, 1100.0)))
-    part.handle(1200.0, Heard(address("z"), "z", say.Cover(2, 10, 12, 2, 1200.0, 1200.0, True)))
+    part.handle(1100.0, MessageReceived(address("z"), "z", say.Pong(2, 1100.0, 1100.0)))
+    part.handle(1200.0, MessageReceived(address("z"), "z", say.Cover(2, 10, 12, 2, 1200.0, 1200.0, True)))
     new = part.ground.peers.get("z")
     assert new is not None
     assert new.gap and new.upto == 2
     out = part.handle(1300.0, TimerFired(1))
-    asks = [act.message for act in out if isinstance(act, Tell) and isinstance(act.message, say.Ask)]
+    asks = [act.message for act in out if isinstance(act, SendToMember) and isinstance(act.message, say.Ask)]
     assert [ask.floor for ask in asks] == [2]
 
 
@@ -228,7 +228,7 @@
     fleet = settled(Fleet("ab"))
     fleet.see("a", b"k")
     fleet.run(100)
-    fleet.world.poke("a", Heard(address("b"), "b", message))
+    fleet.world.poke("a", MessageReceived(address("b"), "b", message))
     fleet.run(2000)
     assert fleet.who(b"k") == ["p1", "p1"]
     assert fleet.table("a").counter < MOST_COUNT
@@ -253,7 +253,9 @@
 
 def test_who_joins_is_told_by_all_that_speak_to_it() -> None:
     fleet = settled(Fleet("ab"))
-    out = fleet.of("a").handle(fleet.now("a"), Heard(address("b"), "b", say.Ask(1, 3, -1, MOST_COUNT, b"\xff" * 16)))
-    (page,) = [act.message for act in out if isinstance(act, Tell)]
+    out = fleet.of("a").handle(
+        fleet.now("a"), MessageReceived(address("b"), "b", say.Ask(1, 3, -1, MOST_COUNT, b"\xff" * 16))
+    )
+    (page,) = [act.message for act in out if isinstance(act, SendToMember)]
     assert isinstance(page, say.Page) and page.last
     assert {known.name for known in page.knows} == {"a", "b"}
--- a/tests/fleet/test_affinity_last_seen.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -15,7 +15,15 @@
 from limenotch.fleet.affinity.last_seen import pack, take
 from limenotch.fleet.affinity.rows import NIL
 from limenotch.fleet.affinity.tuning import Ages
-from limenotch.fleet.interfaces import MOST_DATAGRAM, Fenced, Heard, MemberChanged, Started, Tell, TimerFired
+from limenotch.fleet.interfaces import (
+    MOST_DATAGRAM,
+    Fenced,
+    MemberChanged,
+    MessageReceived,
+    SendToMember,
+    Started,
+    TimerFired,
+)
 from limenotch.lab.fleet.world import address
 from tests.fleet.affinity_worlds import KEY, QUICK, alone, hear, rounds, sights
 
@@ -141,10 +149,10 @@
     part = alone()
     part.handle(2000.0, MemberChanged("z", "alive", address("z"), 0, 1))
     old = sights(b"k", 1000.0, 1000.0)
-    out = part.handle(9000.0, Heard(address("z"), "z", old))
-    assert [type(act.message) for act in out if isinstance(act, Tell)] == [say.Ping]
+    out = part.handle(9000.0, MessageReceived(address("z"), "z", old))
+    assert [type(act.message) for act in out if isinstance(act, SendToMember)] == [say.Ping]
     assert part.table.find(9000.0, S, b"k") is None
-    part.handle(9002.0, Heard(address("z"), "z", say.Pong(1, 9000.0, 9001.0)))
+    part.handle(9002.0, MessageReceived(address("z"), "z", say.Pong(1, 9000.0, 9001.0)))
     assert part.table.find(9002.0, S, b"k") is None
     assert part.table.live == 0
 
@@ -265,7 +273,7 @@
     part.handle(2.0, Started())
     with pytest.raises(ValueError, match="back"):
         part.handle(1.0, TimerFired(1))
-    part.handle(3.0, Heard(address("z"), "z", MemberChanged("z", "alive", address("z"), 0, 1)))  # type: ignore[arg-type]
+    part.handle(3.0, MessageReceived(address("z"), "z", MemberChanged("z", "alive", address("z"), 0, 1)))  # type: ignore[arg-type]
     assert part.counts["no message of bindings"] == 1
 
 
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -10,7 +10,7 @@
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.settings import Bindings as Table
 from limenotch.fleet_adapters.affinity import joined
-from limenotch.load_balancer import NEVER_RAN, Ending, Status
+from limenotch.load_balancer import NEVER_RAN, AttemptEnding, DiscoveryStatus
 from limenotch.net.request import Verdict
 from limenotch.settings import parse as parse_settings
 
@@ -63,7 +63,7 @@
         house = House()
         by = await house.served(key=b"k")
         zone = NEAR if by in NEAR else FAR
-        house.list(zone, Status.TERMINATING)
+        house.list(zone, DiscoveryStatus.TERMINATING)
         bound = house.bound("keyed", "acme", b"k")
         assert bound is not None and bound.zone == provider(by).zone  # a key stays where it ran
         made = len(house.made)
@@ -88,8 +88,8 @@
     run(case)
 
 
-@pytest.mark.parametrize("ending", [each for each in Ending if each is not SERVED])
-def test_only_what_surely_never_ran_frees_the_key(ending: Ending) -> None:
+@pytest.mark.parametrize("ending", [each for each in AttemptEnding if each is not SERVED])
+def test_only_what_surely_never_ran_frees_the_key(ending: AttemptEnding) -> None:
     async def case() -> None:
         house = House()
         house.take(key=b"k")
@@ -109,7 +109,7 @@
         moved = 0
         for number in range(20):
             final = house.take(key=b"%d" % number)
-            first, made = house.end(Ending.TURNED_AWAY), len(house.made)
+            first, made = house.end(AttemptEnding.TURNED_AWAY), len(house.made)
             second = house.made[-1].provider
             bound = house.bound("keyed", "acme", b"%d" % number)
             if final.done():
@@ -127,7 +127,7 @@
 def test_a_key_is_not_freed_while_another_call_of_it_is_out_or_may_have_run_or_bound_it() -> None:
     async def case() -> None:
         house = House()
-        for other in (None, Ending.TIMED_OUT):
+        for other in (None, AttemptEnding.TIMED_OUT):
             key = b"%r" % other
             house.take(key=key)
             one = house.made[-1]
@@ -137,17 +137,17 @@
             house.calls.depart(two.call)
             if other is not None:
                 house.calls.ended(two, other)
-            house.calls.ended(one, Ending.CONNECT_FAILED)
+            house.calls.ended(one, AttemptEnding.CONNECT_FAILED)
             assert house.bound("keyed", "acme", key) is not None
             if other is None:
-                house.calls.ended(two, Ending.NOT_SENT)  # now nothing can have run
+                house.calls.ended(two, AttemptEnding.NOT_SENT)  # now nothing can have run
                 assert house.bound("keyed", "acme", key) is None
         house.take(key=b"before")
         house.calls.depart(house.last)
-        house.end(Ending.TIMED_OUT)
+        house.end(AttemptEnding.TIMED_OUT)
         house.take(key=b"before")
         house.calls.depart(house.last)
-        house.end(Ending.CONNECT_FAILED)  # not what the first was
+        house.end(AttemptEnding.CONNECT_FAILED)  # not what the first was
         assert house.bound("keyed", "acme", b"before") is not None
         assert not house.layer._mine and not house.layer._uses
 
@@ -194,7 +194,7 @@
         by = await house.served(key=b"k", fields={"x-session": "s"})
         house.take(key=b"free")
         house.calls.depart(house.last)
-        house.end(Ending.CONNECT_FAILED)
+        house.end(AttemptEnding.CONNECT_FAILED)
         house.begin()
         bound = house.bound("keyed", "acme", b"k")
         assert bound is not None and (bound.provider, bound.zone, bound.charged) == (by, provider(by).zone, True)
@@ -237,7 +237,7 @@
                 house.layer.banned(by, True, 0.0)
                 house.calls.carry_out(house.facade.ban(by, True))
             else:
-                house.list([by], Status.TERMINATING if go == "drains" else Status.TERMINATED)
+                house.list([by], DiscoveryStatus.TERMINATING if go == "drains" else DiscoveryStatus.TERMINATED)
             assert house.session(go.encode()) is None  # at once
             then = await house.served(kind="free", fields=name)
             assert then != by and {await house.served(kind="free", fields=name) for _ in range(15)} == {then}
@@ -295,7 +295,7 @@
         bound, session = house.bound("keyed", "acme", b"k"), house.session(b"s")
         assert bound is not None and bound.charged and session is not None and session.provider == invoker_call.provider
         house.calls.passed_on(house.last, "answered")
-        house.calls.ended(invoker_call, Ending.RESET)
+        house.calls.ended(invoker_call, AttemptEnding.RESET)
         assert not house.layer._mine and not house.layer._uses
         assert house.bound("keyed", "acme", b"k") is not None
 
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -7,14 +7,14 @@
 import pytest
 
 from limenotch.fleet import interfaces
-from limenotch.fleet.consensus import Agreed, Agreement, Refused, Tuning, Unknown, states
+from limenotch.fleet.consensus import Agreement, EntryCommitted, OutcomeUnknown, ProposalRejected, Tuning, states
 from limenotch.fleet.consensus import messages as say
 from limenotch.fleet.consensus import node as node_module
 from limenotch.fleet.consensus.lease import Lease
 from limenotch.fleet.consensus.log import VOTERS, Voters, pack
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.log_run import QUICK, Run, storm
-from limenotch.store.records import Append, Ballot, Entry, Held, Snapshot
+from limenotch.store.records import Append, LogEntry, Snapshot, StoredLog, TermVote
 from tests.fleet.log_bugs import PLANTED
 
 SEEN: set[tuple[states.Role, states.Cause]] = set()
@@ -79,15 +79,15 @@
 def one_of_three(epoch: int = 3, entries: int = 0) -> Agreement:
     """Restarted with the log of a group of three."""
     births = {"a": "1", "b": "2", "c": "3"}
-    log = [Entry(1, 1, VOTERS, pack(Voters(births)))]
-    log += [Entry(2 + number, 2, "cmd", node_module.encode(f"i{number}", b"x")) for number in range(entries)]
-    member = Agreement("a", ("a", "b", "c"), Held(Ballot(epoch, "?1"), None, log), QUICK, 1)
+    log = [LogEntry(1, 1, VOTERS, pack(Voters(births)))]
+    log += [LogEntry(2 + number, 2, "cmd", node_module.encode(f"i{number}", b"x")) for number in range(entries)]
+    member = Agreement("a", ("a", "b", "c"), StoredLog(TermVote(epoch, "?1"), None, log), QUICK, 1)
     member.handle(0.0, interfaces.Started())
     return member
 
 
-def heard(sender: str, message: interfaces.Message) -> interfaces.Heard:
-    return interfaces.Heard((sender, 1), sender, message)
+def heard(sender: str, message: interfaces.Message) -> interfaces.MessageReceived:
+    return interfaces.MessageReceived((sender, 1), sender, message)
 
 
 def run_to(member: Agreement, role: str) -> list[Any]:
@@ -107,11 +107,11 @@
     member = one_of_three(entries=4)
     run_to(member, "leader")
     out = member.handle(504.0, heard("b", say.Ack(4, True, 5, 5, 1, "2")))
-    assert member.agreed == 0 and not any(isinstance(action, Agreed) for action in out)
+    assert member.agreed == 0 and not any(isinstance(action, EntryCommitted) for action in out)
     member.handle(505.0, interfaces.Stored(member._node.ticket))
     out = member.handle(506.0, heard("b", say.Ack(4, True, 6, 6, 1, "2")))
     assert member.agreed == 6
-    assert [action.id for action in out if isinstance(action, Agreed)] == ["i0", "i1", "i2", "i3"]
+    assert [action.id for action in out if isinstance(action, EntryCommitted)] == ["i0", "i1", "i2", "i3"]
 
 
 def test_a_vote_leaves_when_it_is_on_disk_and_not_within_the_wait_of_a_leader_heard() -> None:
@@ -132,7 +132,7 @@
     return [
         action.message
         for action in out
-        if isinstance(action, interfaces.Tell) and isinstance(action.message, say.Voted)
+        if isinstance(action, interfaces.SendToMember) and isinstance(action.message, say.Voted)
     ]
 
 
@@ -169,7 +169,7 @@
     run.until(lambda: run.leader() == "a", 3000)
     run.world.run(run.world.now + 100)
     refused: list[str] = []
-    run.on_told = lambda name, action: refused.append(action.why) if isinstance(action, Refused) else None
+    run.on_told = lambda name, action: refused.append(action.why) if isinstance(action, ProposalRejected) else None
     for _ in range(4):
         run.propose("a")
     run.propose("a", data=b"x" * 65)
@@ -190,7 +190,7 @@
     run.world.fault(faults.parse("disk a full"))
     run.propose("a")
     run.world.run(run.world.now + 50)
-    assert [action for action in told if isinstance(action, Unknown)]
+    assert [action for action in told if isinstance(action, OutcomeUnknown)]
     run.propose("a")
     assert told[-1].why == "disk full"
     run.world.fault(faults.parse("disk a ok"))
@@ -269,18 +269,18 @@
     with pytest.raises(ValueError, match="runs back"):
         member.handle(0.5, interfaces.Fenced())
     with pytest.raises(ValueError, match="names"):
-        Agreement("a", ("a", "a"), Held())
+        Agreement("a", ("a", "a"), StoredLog())
 
 
 def test_what_a_failed_disk_lacks_is_written_whole_by_one_retry() -> None:
     member = one_of_three()
-    entry = Entry(2, 5, "cmd", node_module.encode("", b"x"))
+    entry = LogEntry(2, 5, "cmd", node_module.encode("", b"x"))
     member.handle(1.0, heard("b", say.Append(5, 1, 1, (entry,), 0, 1)))
     member.handle(2.0, interfaces.StoreFailed(1, "torn"))
     member.handle(2.0, interfaces.StoreFailed(2, "torn"))
     out = member.handle(150.0, interfaces.TimerFired(1))
     store = next(action for action in out if isinstance(action, interfaces.Store))
-    assert store.records == (Ballot(5, "?1"), Append((entry,)))
+    assert store.records == (TermVote(5, "?1"), Append((entry,)))
     out = member.handle(151.0, interfaces.Stored(store.ticket))
     assert any(getattr(getattr(action, "message", None), "match", 0) == 2 for action in out)
     assert not any(isinstance(record, Snapshot) for record in store.records)
--- a/tests/fleet/test_endpoint_lists.py
+++ b/tests/fleet/test_endpoint_lists.py
@@ -9,8 +9,8 @@
 import pytest
 
 from limenotch.fleet.consensus import api as log
-from limenotch.fleet.hub import Asked
-from limenotch.fleet.interfaces import Heard, MemberChanged, Started, Tell
+from limenotch.fleet.hub import ComponentEvent
+from limenotch.fleet.interfaces import MemberChanged, MessageReceived, SendToMember, Started
 from limenotch.fleet.rules import drain_notices, endpoint_additions, endpoint_list_messages
 from limenotch.fleet.rules.api import Voters
 from limenotch.fleet.rules.endpoint_list_messages import Agree, Arrived, DirectorySilent, Know, PeerDrain, Pull, Word
@@ -49,7 +49,7 @@
 def heard(lists: Lists, message: Any, sender: str = "b", now: float = 0.0) -> list[Any]:
     return [
         action
-        for action in lists.handle(now, Heard((sender, 1), sender, message))
+        for action in lists.handle(now, MessageReceived((sender, 1), sender, message))
         if isinstance(action, (PeerDrain, Arrived, log.Propose))
     ]
 
@@ -79,14 +79,14 @@
     lists = held("b", "c", "e")
     lists.handle(1.0, member("e", "dead"))
     lists.handle(4 * AGAIN_MS, log.LeaderChanged(None, 1))  # that its directory answers was told by now
-    told = [action for action in lists.handle(5000.0, event_of("change 6 -u")) if isinstance(action, Tell)]
+    told = [action for action in lists.handle(5000.0, event_of("change 6 -u")) if isinstance(action, SendToMember)]
     assert {one.to for one in told} == {"b", "c"}
     assert all(isinstance(one.message, Word) and one.message.names == (U,) for one in told)
     more = [
         action
         for number in range(1, AGAIN + 3)
         for action in lists.handle(5000.0 + number * AGAIN_MS, Started())
-        if isinstance(action, Tell) and isinstance(action.message, Word)
+        if isinstance(action, SendToMember) and isinstance(action.message, Word)
     ]
     assert len(more) == 2 * AGAIN
 
@@ -98,7 +98,7 @@
     assert not [
         action
         for action in lists.handle(5000.0, event_of("change 6 -u"))
-        if isinstance(action, Tell) and isinstance(action.message, Word) and U in action.message.names
+        if isinstance(action, SendToMember) and isinstance(action.message, Word) and U in action.message.names
     ]
 
 
@@ -160,7 +160,7 @@
     lists = held()
     lists.handle(1.0, event_of("change 6 -u"))
     told = lists.handle(5000.0, event_of("whole 1 v at d2"))
-    assert [one.message.names for one in told if isinstance(one, Tell) and isinstance(one.message, Word)] == [
+    assert [one.message.names for one in told if isinstance(one, SendToMember) and isinstance(one.message, Word)] == [
         (("u", "ready"),)
     ]
 
@@ -168,10 +168,16 @@
 def test_who_asks_is_told_all_and_who_is_new_asks_a_few() -> None:
     lists = Lists("a", 1, "d1")
     asked = [action for name in "bcdefgh" for action in lists.handle(0.0, member(name))]
-    assert [action for action in asked if isinstance(action, Tell)] == [Tell(name, Pull()) for name in "bcd"]
+    assert [action for action in asked if isinstance(action, SendToMember)] == [
+        SendToMember(name, Pull()) for name in "bcd"
+    ]
     other = held()
     other.handle(1.0, event_of("change 6 -u ~v"))
-    (told,) = [action for action in other.handle(2.0, Heard(("e", 1), "e", Pull())) if isinstance(action, Tell)]
+    (told,) = [
+        action
+        for action in other.handle(2.0, MessageReceived(("e", 1), "e", Pull()))
+        if isinstance(action, SendToMember)
+    ]
     assert isinstance(told.message, Word) and told.message.whole
     assert told.message.names == (("u", "draining"), ("v", "gone"))
 
@@ -215,9 +221,9 @@
 
 def test_who_becomes_a_voter_tells_what_it_has() -> None:
     lists = held(voters=())
-    assert not [one for one in lists.handle(1.0, log.LeaderChanged("b", 1)) if isinstance(one, Tell)]
+    assert not [one for one in lists.handle(1.0, log.LeaderChanged("b", 1)) if isinstance(one, SendToMember)]
     told = lists.handle(2.0, Voters(("a", "b", "c")))
-    assert Tell("b", Know("d1", (named("u"), named("v")))) in told
+    assert SendToMember("b", Know("d1", (named("u"), named("v")))) in told
 
 
 def test_votes_are_of_late_and_what_is_agreed_is_not_asked_for_again() -> None:
@@ -225,23 +231,25 @@
     lists.handle(0.0, event_of("whole 5 v"))
     heard(lists, Know("d1", (named("w"),)))
     assert heard(lists, Know("d1", (named("w"),)), "c", now=endpoint_additions.LATELY_MS + 1) == []
-    lists.handle(9000.0, log.Agreed(1, 1, endpoint_list_messages.encode(Agree("d1", (named("u"), named("v")))), ""))
+    lists.handle(
+        9000.0, log.EntryCommitted(1, 1, endpoint_list_messages.encode(Agree("d1", (named("u"), named("v")))), "")
+    )
     told = lists.handle(9001.0, log.LeaderChanged("b", 2))
-    (know,) = [one.message for one in told if isinstance(one, Tell) and isinstance(one.message, Know)]
+    (know,) = [one.message for one in told if isinstance(one, SendToMember) and isinstance(one.message, Know)]
     assert know == Know("d1", (), ("u",)), "the own directory has not that one"
 
 
 def test_agreed_ones_serve_where_the_directory_is_silent() -> None:
     lists = held()
     entry = endpoint_list_messages.encode(Agree("d1", (named("u"), named("w"))))
-    assert Arrived((named("w"),)) not in lists.handle(1.0, log.Agreed(1, 1, entry, "")), "the own one answers"
-    lists.handle(1.0, log.Agreed(2, 1, endpoint_list_messages.encode(Agree("d2", (named("x"),))), ""))
+    assert Arrived((named("w"),)) not in lists.handle(1.0, log.EntryCommitted(1, 1, entry, "")), "the own one answers"
+    lists.handle(1.0, log.EntryCommitted(2, 1, endpoint_list_messages.encode(Agree("d2", (named("x"),))), ""))
     assert Arrived((named("w"),)) in lists.handle(2.0, DirectorySilent("d1"))
     gone = endpoint_list_messages.encode(Agree("d1", (), ("w",)))
-    assert Arrived(()) in lists.handle(3.0, log.Agreed(3, 1, gone, ""))
+    assert Arrived(()) in lists.handle(3.0, log.EntryCommitted(3, 1, gone, ""))
     other = Lists("z", 1, "d1", ("a",), state=lists.state())
     assert Arrived((named("u"),)) in other.handle(0.0, DirectorySilent("d1"))
-    lists.handle(4.0, log.Agreed(4, 1, b"\xc1", ""))
+    lists.handle(4.0, log.EntryCommitted(4, 1, b"\xc1", ""))
     assert lists.counts == {"no entry of lists": 1}
 
 
@@ -275,11 +283,11 @@
             pass_time(late / 2)
             if not world.alive(node):
                 return
-            world.poke(node, Asked("li.", asked(words, at)))
+            world.poke(node, ComponentEvent("li.", asked(words, at)))
             pass_time(10)
             whole(node)
             return
-        world.poke(node, Asked("li.", asked(words, at)))
+        world.poke(node, ComponentEvent("li.", asked(words, at)))
         live[node] = True
 
     def leaves(node: str) -> set[str]:
--- a/tests/fleet/test_explore.py
+++ b/tests/fleet/test_explore.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limenotch.fleet.interfaces import Carrier, Heard, Note, Started, Tell
+from limenotch.fleet.interfaces import Carrier, MessageReceived, Note, SendToMember, Started
 from limenotch.lab.fleet.explore import Bounds, Explored, Explorer, View
 
 from .fake_parts import Beat, Voter
@@ -82,8 +82,8 @@
 
     def handle(self, now: float, event: Any) -> list[Any]:
         if isinstance(event, Started) and self.name == "a":
-            return [Tell("b", Beat(number), self.carrier) for number in (2, 1)]
-        if isinstance(event, Heard):
+            return [SendToMember("b", Beat(number), self.carrier) for number in (2, 1)]
+        if isinstance(event, MessageReceived):
             self.heard.append(event.message.number)  # type: ignore[attr-defined]
             return [Note("wrong order")] if self.heard == [1, 2] else []
         return []
--- a/tests/fleet/test_fleet_off.py
+++ b/tests/fleet/test_fleet_off.py
@@ -17,8 +17,8 @@
 import pytest
 
 from limenotch.lab.emulate.sidecars import free_port
-from limenotch.net.sockets import OPERATORS, Sockets
-from limenotch.settings import Descriptors
+from limenotch.net.sockets import OPERATORS, DescriptorLimits
+from limenotch.settings import DescriptorSettings
 from tests.helpers.http_peers import LOOK, SETTINGS, answering, ask, whole
 
 ROOT = Path(__file__).parent.parent.parent
@@ -174,9 +174,9 @@
 
 def test_the_fleet_s_descriptors_are_taken_from_the_limit_only_where_it_is_on() -> None:
     for limit in (64, 1024):
-        off, on = Sockets(limit), Sockets(limit, Descriptors(), 74)
-        left = max(limit - Descriptors().reserve - OPERATORS - 74, 8)
-        assert off.consumers.limit + off.providers.limit == limit - Descriptors().reserve - OPERATORS
+        off, on = DescriptorLimits(limit), DescriptorLimits(limit, DescriptorSettings(), 74)
+        left = max(limit - DescriptorSettings().reserve - OPERATORS - 74, 8)
+        assert off.consumers.limit + off.providers.limit == limit - DescriptorSettings().reserve - OPERATORS
         assert on.consumers.limit + on.providers.limit == left
 
 
--- a/tests/fleet/test_log_storage.py
+++ b/tests/fleet/test_log_storage.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from limenotch.net.log_storage import Memory
+from limenotch.net.log_storage import MemoryStorage
 from limenotch.store.files import RealFiles
-from limenotch.store.records import Append, Ballot, Entry, Snapshot
+from limenotch.store.records import Append, LogEntry, Snapshot, TermVote
 from tests.helpers.http_peers import LOOK, ask
 
 from .test_fleet_off import Sidecar, serving
@@ -100,16 +100,19 @@
 @pytest.mark.parametrize(
     ("record", "says"),
     [
-        (Ballot(3), None),
-        (Append((Entry(1, 1, "command", b"d"), Entry(2, 1, "voters", b"\x92\x82\xa1a\xa2dd\xa1b\xa1c\x90"))), None),
-        (Append((Entry(1, 1, "voters", b"\x92\x82\xa1a\xa1x\xa1d\xa1y\x90"),)), "no folder"),
+        (TermVote(3), None),
+        (
+            Append((LogEntry(1, 1, "command", b"d"), LogEntry(2, 1, "voters", b"\x92\x82\xa1a\xa2dd\xa1b\xa1c\x90"))),
+            None,
+        ),
+        (Append((LogEntry(1, 1, "voters", b"\x92\x82\xa1a\xa1x\xa1d\xa1y\x90"),)), "no folder"),
         (Snapshot(1, 1, b"", ("a", "d")), "no folder"),
         (Snapshot(1, 1, b"", ("a", "dd")), None),
     ],
 )
 def test_memory_never_says_yes_to_what_makes_a_voter(record: Any, says: str | None) -> None:
     answers: list[str | None] = []
-    memory = Memory("d")
+    memory = MemoryStorage("d")
     memory.submit(1, (record,), answers.append)
     memory.submit(2, (), answers.append)
     assert answers == [says, says] and memory.state() == "memory"
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -14,12 +14,12 @@
 
 from limenotch.fleet.interfaces import (
     MOST_DATAGRAM,
-    Heard,
-    Leave,
     MemberChanged,
+    MessageReceived,
     Note,
-    Send,
+    SendToAddress,
     SetTimer,
+    ShutdownStarted,
     Started,
     TimerFired,
 )
@@ -201,7 +201,7 @@
 )
 def test_sound_frames_with_nonsense_are_counted_and_do_nothing(message: News, why: str) -> None:
     member = alone()
-    member.handle(1.0, Heard(("b", 1), "b", message))
+    member.handle(1.0, MessageReceived(("b", 1), "b", message))
     assert member.figures()["counts"] == {why: 1}
     assert {seen.name for seen in member.members()} <= {"a", "b"}
 
@@ -209,39 +209,39 @@
 def test_a_flood_of_names_ends_at_the_tables_bound() -> None:
     member = alone(most_members=20)
     for number in range(100):
-        member.handle(1.0, Heard(("b", 1), "b", News(ME, (claim(f"m{number}"),))))
+        member.handle(1.0, MessageReceived(("b", 1), "b", News(ME, (claim(f"m{number}"),))))
     assert len(member.members()) == 20 and member.figures()["counts"] == {"no room for another member": 82}
 
 
 def test_a_ping_req_flood_is_bounded() -> None:
     member = alone()
     for number in range(1000):
-        member.handle(1.0, Heard(("b", 1), "b", PingReq(number, "c", ("c", 1), ME)))
+        member.handle(1.0, MessageReceived(("b", 1), "b", PingReq(number, "c", ("c", 1), ME)))
     assert member.figures()["counts"] == {"too many ping-reqs": 1000 - 256}
 
 
 def test_who_is_held_dead_is_told_first() -> None:
     member = alone()
-    member.handle(1.0, Heard(("c", 1), "c", News(Me(("c", 1), 1, 0), (claim("b", state=2),))))
-    acts = member.handle(2.0, Heard(("b", 1), "b", Ping(3, "a", ME)))
-    said = [act.message for act in acts if isinstance(act, Send)]
+    member.handle(1.0, MessageReceived(("c", 1), "c", News(Me(("c", 1), 1, 0), (claim("b", state=2),))))
+    acts = member.handle(2.0, MessageReceived(("b", 1), "b", Ping(3, "a", ME)))
+    said = [act.message for act in acts if isinstance(act, SendToAddress)]
     assert isinstance(said[0], Ack) and said[0].news[0].says is State.DEAD
-    later = member.handle(3.0, Heard(("b", 1), "b", News(Me(("b", 1), 2, 0))))
+    later = member.handle(3.0, MessageReceived(("b", 1), "b", News(Me(("b", 1), 2, 0))))
     assert [act.state for act in later if isinstance(act, MemberChanged)] == ["alive"]
 
 
 def test_who_goes_on_in_a_dead_life_is_told_so_a_few_times_a_period_only() -> None:
     member = alone()
-    member.handle(1.0, Heard(("c", 1), "c", News(Me(("c", 1), 1, 0), (claim("b", state=2),))))
+    member.handle(1.0, MessageReceived(("c", 1), "c", News(Me(("c", 1), 1, 0), (claim("b", state=2),))))
 
     def answers(since: int, name: str = "b") -> int:
         acts = [
             act
             for number in range(500)
-            for act in member.handle(since + number * 1.9, Heard((name, 1), name, News(Me((name, 1), 1, 0))))
+            for act in member.handle(since + number * 1.9, MessageReceived((name, 1), name, News(Me((name, 1), 1, 0))))
         ]
         return sum(
-            isinstance(act, Send)
+            isinstance(act, SendToAddress)
             and act.at == (name, 1)
             and isinstance(act.message, News)
             and [one.name for one in act.message.news] == [name]
@@ -250,7 +250,7 @@
 
     assert answers(2) == MOST_TOLD_OFF and member.figures()["counts"]["told often enough"] == 500 - MOST_TOLD_OFF
     assert answers(1010) == MOST_TOLD_OFF
-    acts = member.handle(2000.0, Heard(("b", 1), "b", News(Me(("b", 1), 2, 0))))
+    acts = member.handle(2000.0, MessageReceived(("b", 1), "b", News(Me(("b", 1), 2, 0))))
     assert [act.state for act in acts if isinstance(act, MemberChanged)] == ["alive"]  # it is heard all the same
 
 
@@ -267,28 +267,28 @@
 def test_answers_go_where_the_laboratory_says() -> None:
     member = Membership("a", ("a", 1), 5, [], Tuning(), 1, {"b": ("relay", 9)})
     member.handle(0.0, Started())
-    acts = member.handle(1.0, Heard(("seen", 4), "b", Ping(3, "a", ME)))
-    assert {act.at for act in acts if isinstance(act, Send)} == {("relay", 9)}
+    acts = member.handle(1.0, MessageReceived(("seen", 4), "b", Ping(3, "a", ME)))
+    assert {act.at for act in acts if isinstance(act, SendToAddress)} == {("relay", 9)}
     assert member.members()[1].address == ("b", 1)
 
 
 def test_after_a_pause_what_was_under_way_is_dropped_and_tables_are_asked_for() -> None:
     member = alone()
     now = 0.0
-    member.handle(now, Heard(("b", 1), "b", News(ME)))
+    member.handle(now, MessageReceived(("b", 1), "b", News(ME)))
     while not member.figures()["probing"]:
         now += 5.0
         member.handle(now, TimerFired(1))
     acts = member.handle(now + 6000.0, TimerFired(1))
     assert member.figures()["probing"] == 0 and member.figures()["health"] == 6  # 1, and 5 whole periods late
-    assert any(isinstance(act, Send) and isinstance(act.message, Ask) for act in acts)
+    assert any(isinstance(act, SendToAddress) and isinstance(act.message, Ask) for act in acts)
     assert not any(isinstance(act, MemberChanged) for act in acts)
 
 
 def test_the_dead_are_forgotten_together_however_late_they_are_heard_of() -> None:
     member = alone(keep_dead_ms=5000.0)
     old = Claim("c", 2, AT, 1, 0, "b", age_ms=4000)
-    member.handle(1.0, Heard(("b", 1), "b", Answer(ME, (old, Claim("d", 2, AT, 1, 0, "b", age_ms=6000)))))
+    member.handle(1.0, MessageReceived(("b", 1), "b", Answer(ME, (old, Claim("d", 2, AT, 1, 0, "b", age_ms=6000)))))
     assert [seen.name for seen in member.members()] == ["a", "b", "c"]
     for now in range(2, 1200, 50):
         member.handle(float(now), TimerFired(1))
@@ -297,30 +297,30 @@
 
 def test_who_left_does_nothing_more() -> None:
     member = alone()
-    member.handle(0.0, Heard(("b", 1), "b", News(ME)))
-    acts = member.handle(1.0, Leave())
-    assert [act.message.news[0].says for act in acts if isinstance(act, Send) and isinstance(act.message, News)] == [
-        State.LEFT
-    ] * 2
+    member.handle(0.0, MessageReceived(("b", 1), "b", News(ME)))
+    acts = member.handle(1.0, ShutdownStarted())
+    assert [
+        act.message.news[0].says for act in acts if isinstance(act, SendToAddress) and isinstance(act.message, News)
+    ] == [State.LEFT] * 2
     assert not any(isinstance(act, SetTimer) for act in acts)
-    assert member.handle(2.0, Heard(("b", 1), "b", Ping(1, "a", ME))) == [] and member.size() == 1
+    assert member.handle(2.0, MessageReceived(("b", 1), "b", Ping(1, "a", ME))) == [] and member.size() == 1
 
 
 def test_the_first_word_of_a_calm_time_goes_at_once_and_the_next_when_it_is_due() -> None:
     tuning = Tuning(probes=1, period_ms=60_000.0)
     member = Membership("a", ("a", 1), 5, [], tuning, 1, {})
     member.handle(0.0, Started())
-    member.handle(1.0, Heard(("b", 1), "b", Ping(3, "a", ME)))
+    member.handle(1.0, MessageReceived(("b", 1), "b", Ping(3, "a", ME)))
 
     def news(now: float) -> list[Any]:
         acts = member.handle(now, TimerFired(1))
-        return [act for act in acts if isinstance(act, Send) and isinstance(act.message, News)]
+        return [act for act in acts if isinstance(act, SendToAddress) and isinstance(act.message, News)]
 
     at = 1.0
     while news(at) or at < 100 * tuning.gossip_ms:  # what is said of a and b themselves goes out first, to its end
         at += 10.0
     assert at < tuning.period_ms / 2
-    acts = member.handle(at, Heard(("b", 1), "b", News(ME, (Claim("c", 0, ("c", 1), 1, 0),))))
+    acts = member.handle(at, MessageReceived(("b", 1), "b", News(ME, (Claim("c", 0, ("c", 1), 1, 0),))))
     assert SetTimer(at, 1) in acts
     assert news(at), "at once"
     assert not news(at + 0.5 * tuning.gossip_ms)
--- a/tests/fleet/test_peer_streams.py
+++ b/tests/fleet/test_peer_streams.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from limenotch.fleet.interfaces import Tell
-from limenotch.fleet.wire import Fault, Hello, Wire, framed
+from limenotch.fleet.interfaces import SendToMember
+from limenotch.fleet.wire import FrameCodec, FrameFault, Hello, with_length
 from limenotch.net import peer_streams
 
 from .fake_messages import ALL, Block, Line
@@ -23,12 +23,12 @@
     async def case() -> None:
         a, b = One("a"), One("b")
         async with several(a, b):
-            a.act(Tell("b", Line("first")))
+            a.act(SendToMember("b", Line("first")))
             await until(lambda: b.log.heard)
             at = b.at
             b.others.close()
             await until(lambda: a.streams["lost"] == 1)
-            a.act(Tell("b", Line("while gone")))
+            a.act(SendToMember("b", Line("while gone")))
             await until(lambda: a.streams["connect_failed"] >= 3)
             again = One("b", life=2, at=at)
             again.others.start()
@@ -52,13 +52,13 @@
             times.append(asyncio.get_running_loop().time())
             await reader.read(1)
             writer.close()
-            a.act(Tell("r", Line("again")))
+            a.act(SendToMember("r", Line("again")))
 
         server = await asyncio.start_server(refuse, HOST, 0)
         async with several(a):
             a.book.known["r"] = server.sockets[0].getsockname()
             began = asyncio.get_running_loop().time()
-            a.act(Tell("r", Line("first")))
+            a.act(SendToMember("r", Line("first")))
             await until(lambda: len(times) == 6)
             assert times[5] - began >= 0.01 + 0.02 + 0.04 + 0.08 + 0.08
         server.close()
@@ -76,7 +76,7 @@
         async with several(a, b):
             at = b.at
             b.others.close()
-            a.act(Tell("b", Line("old")))
+            a.act(SendToMember("b", Line("old")))
             await until(lambda: a.streams["connect_failed"])
             again = One("b", at=at)
             again.others.start()
@@ -100,11 +100,11 @@
             a.book.known["s"] = silent.getsockname()
             name = "%s:%d" % silent.getsockname()  # noqa: UP031
             for _ in range(3000):
-                a.act(Tell("s", Line("x")))
+                a.act(SendToMember("s", Line("x")))
             assert a.streams["out"][name]["messages"] == peer_streams.MOST_QUEUED
             assert a.streams["dropped_full"] == 3000 - peer_streams.MOST_QUEUED
             for _ in range(40):
-                a.act(Tell("s", Block(bytes(500_000))))
+                a.act(SendToMember("s", Block(bytes(500_000))))
                 assert a.streams["out"][name]["bytes"] <= 3_000_000
                 await asyncio.sleep(0)
             await until(lambda: a.streams["stalled"] == 1)
@@ -117,14 +117,14 @@
     async def case() -> None:
         a, b, c = One("a", streams=1), One("b", streams=1), One("c")
         async with several(a, b, c):
-            a.act(Tell("b", Line("1")))
+            a.act(SendToMember("b", Line("1")))
             await until(lambda: b.log.heard)
-            a.act(Tell("c", Line("2")))
+            a.act(SendToMember("c", Line("2")))
             await until(lambda: c.log.heard)
             assert list(a.streams["out"]) == [f"{HOST}:{c.at[1]}"] and a.streams["given_up"] == 1
             strangers = [socket.create_connection(b.at) for _ in range(3)]
             await until(lambda: b.streams["accepted"] == 4)
-            c.act(Tell("b", Line("3")))
+            c.act(SendToMember("b", Line("3")))
             await until(lambda: len(b.log.heard) == 2)
             assert b.streams["in"] == 1 and b.streams["refused"] >= 3
             for each in strangers:
@@ -135,7 +135,7 @@
 
 def test_strangers_give_way_before_peers_and_of_these_the_longest_silent() -> None:
     async def case() -> None:
-        b, wire = One("b", streams=2), Wire(KEY, "g", ALL)
+        b, wire = One("b", streams=2), FrameCodec(KEY, "g", ALL)
         opened: dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]] = {}
 
         async def come(name: str, *, greets: bool = True) -> None:
@@ -143,11 +143,11 @@
             opened[name] = await asyncio.open_connection(*b.at)
             await until(lambda: b.streams["accepted"] == accepted + 1)
             if greets:
-                opened[name][1].write(framed(wire.encode(name, Hello(1, (HOST, 9)))))
+                opened[name][1].write(with_length(wire.encode(name, Hello(1, (HOST, 9)))))
                 await speak(name, heard)
 
         async def speak(name: str, heard: int) -> None:
-            opened[name][1].write(framed(wire.encode(name, Line(name))))
+            opened[name][1].write(with_length(wire.encode(name, Line(name))))
             await until(lambda: len(b.log.heard) == heard + 1)
 
         async def ended(name: str) -> bool:
@@ -171,12 +171,12 @@
 
 def test_a_later_stream_of_one_process_takes_the_place_of_the_one_before() -> None:
     async def case() -> None:
-        b, wire = One("b"), Wire(KEY, "g", ALL)
+        b, wire = One("b"), FrameCodec(KEY, "g", ALL)
         async with several(b):
             opened = []
             for life in (1, 2, 1):
                 reader, writer = await asyncio.open_connection(*b.at)
-                writer.write(framed(wire.encode("a", Hello(life, (HOST, 9)))))
+                writer.write(with_length(wire.encode("a", Hello(life, (HOST, 9)))))
                 opened.append((reader, writer))
                 await until(lambda: b.streams["accepted"] == len(opened))
             assert await opened[0][0].read() == b""  # the first of life 1
@@ -190,19 +190,19 @@
 @pytest.mark.parametrize(
     ("sent", "fault"),
     [
-        (b"GET / HTTP/1.1\r\n\r\n", Fault.TOO_LONG),
-        (b"\0\0\0\x03abc", Fault.SHORT),
-        (framed(bytes(40)), Fault.DIGEST),
-        (framed(bytes(2000)), Fault.TOO_LONG),  # who has not shown that it has the key gets little room
-        (HELLO + framed(bytes(2000)), Fault.DIGEST),
-        (HELLO + (2**21).to_bytes(4, "big"), Fault.TOO_LONG),
-        (framed(Wire(KEY, "other", ALL).encode("a", Hello(1, (HOST, 9)))), Fault.GROUP),
-        (framed(Wire(KEY, "g", ALL).encode("a", Line("no hello"))), None),
-        (HELLO + framed(Wire(KEY, "g", ALL).encode("z", Line("another's name"))), None),
+        (b"GET / HTTP/1.1\r\n\r\n", FrameFault.TOO_LONG),
+        (b"\0\0\0\x03abc", FrameFault.SHORT),
+        (with_length(bytes(40)), FrameFault.DIGEST),
+        (with_length(bytes(2000)), FrameFault.TOO_LONG),  # who has not shown that it has the key gets little room
+        (HELLO + with_length(bytes(2000)), FrameFault.DIGEST),
+        (HELLO + (2**21).to_bytes(4, "big"), FrameFault.TOO_LONG),
+        (with_length(FrameCodec(KEY, "other", ALL).encode("a", Hello(1, (HOST, 9)))), FrameFault.GROUP),
+        (with_length(FrameCodec(KEY, "g", ALL).encode("a", Line("no hello"))), None),
+        (HELLO + with_length(FrameCodec(KEY, "g", ALL).encode("z", Line("another's name"))), None),
     ],
 )
 def test_a_stream_with_garbage_is_ended_and_counted(
-    sent: bytes, fault: Fault | None, monkeypatch: pytest.MonkeyPatch
+    sent: bytes, fault: FrameFault | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(peer_streams, "HELLO_S", 60.0)  # it's not for its silence
 
--- a/tests/fleet/test_peer_transport.py
+++ b/tests/fleet/test_peer_transport.py
@@ -13,20 +13,20 @@
 from limenotch.fleet.interfaces import (
     Carrier,
     Fenced,
-    Heard,
-    Leave,
     Message,
+    MessageReceived,
     Note,
-    Send,
+    SendToAddress,
+    SendToMember,
     SetTimer,
+    ShutdownStarted,
     Started,
     Store,
     Stored,
     StoreFailed,
-    Tell,
     TimerFired,
 )
-from limenotch.fleet.wire import Fault, Hello, Wire, framed
+from limenotch.fleet.wire import FrameCodec, FrameFault, Hello, with_length
 from limenotch.net import peer_transport as module
 
 from .fake_messages import ALL, Block, Line, Probe
@@ -38,11 +38,15 @@
         a, b = One("a"), One("b", life=7)
         async with several(a, b):
             assert a.toy.told == [Started()] == a.log.told
-            a.act(Send(b.at, Probe(5, "x")))
+            a.act(SendToAddress(b.at, Probe(5, "x")))
             await until(lambda: b.toy.heard)
-            assert b.toy.told[1] == Heard(a.at, "a", Probe(5, "x"), Carrier.DATAGRAM)
+            assert b.toy.told[1] == MessageReceived(a.at, "a", Probe(5, "x"), Carrier.DATAGRAM)
             big = Block(bytes(range(256)) * 3900)  # 998,400 bytes
-            b.act(Tell("a", Line("1")), Tell("a", big), *[Tell("a", Line(str(n))) for n in range(2, 600)])
+            b.act(
+                SendToMember("a", Line("1")),
+                SendToMember("a", big),
+                *[SendToMember("a", Line(str(n))) for n in range(2, 600)],
+            )
             await until(lambda: len(a.log.heard) == 600)
             assert a.log.heard == [Line("1"), big, *[Line(str(n)) for n in range(2, 600)]]
             heard = a.log.told[-1]  # the address is where b listens, not that of its connection
@@ -57,10 +61,14 @@
     async def case() -> None:
         a, b = One("a"), One("b")
         async with several(a, b):
-            a.act(Send(b.at, Block(bytes(1200))), Tell("b", Block(bytes(1024 * 1024))), Tell("nobody", Line("x")))
+            a.act(
+                SendToAddress(b.at, Block(bytes(1200))),
+                SendToMember("b", Block(bytes(1024 * 1024))),
+                SendToMember("nobody", Line("x")),
+            )
             assert a.others.counts["too_long"] == 2 and a.hub.untold == 1
             bad: list[tuple[Any, int]] = [("localhost", 7), ("", 7), (HOST, 0), (HOST, 70000), ("::1", 7), ("a\0b", 1)]
-            a.act(*[Send(at, Probe(1)) for at in bad], Send(b.at, Probe(2)))
+            a.act(*[SendToAddress(at, Probe(1)) for at in bad], SendToAddress(b.at, Probe(2)))
             await until(lambda: b.toy.heard)
             assert a.others.counts["send_failed"] == len(bad) and a.others.counts["sent"] == 1
 
@@ -72,10 +80,10 @@
         number: int
 
     async def case() -> None:
-        b, wire = One("b"), Wire(KEY, "g", (*ALL, Newer))
+        b, wire = One("b"), FrameCodec(KEY, "g", (*ALL, Newer))
         async with several(b):
             _, writer = await asyncio.open_connection(*b.at)
-            writer.write(HELLO + framed(wire.encode("a", Newer(1))) + framed(wire.encode("a", Line("heard"))))
+            writer.write(HELLO + with_length(wire.encode("a", Newer(1))) + with_length(wire.encode("a", Line("heard"))))
             await until(lambda: b.log.heard)
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 for data in (
@@ -90,11 +98,11 @@
                     sock.sendto(data, b.at)
             await until(lambda: b.toy.heard)
             assert b.wire.faults == {
-                **dict.fromkeys(Fault, 0),
-                Fault.KIND: 2,
-                Fault.SHORT: 2,
-                Fault.DIGEST: 1,
-                Fault.TOO_LONG: 2,
+                **dict.fromkeys(FrameFault, 0),
+                FrameFault.KIND: 2,
+                FrameFault.SHORT: 2,
+                FrameFault.DIGEST: 1,
+                FrameFault.TOO_LONG: 2,
             }
             assert b.others.counts["received"] == 7
             writer.close()
@@ -166,10 +174,10 @@
                 raise KeyError("broken here")
 
             b.log.answer = broken
-            a.act(Tell("b", Line("x")), Tell("b", Line("y")))
+            a.act(SendToMember("b", Line("x")), SendToMember("b", Line("y")))
             await until(lambda: b.hub.unheard == 1)
             assert len(b.log.heard) == 1 and b.others.state()["off"] == "ag."
-            a.act(Send(b.at, Probe(1)))
+            a.act(SendToAddress(b.at, Probe(1)))
             await until(lambda: b.toy.heard)  # the other part goes on
             b.act(object())  # what no host can do, of membership: the end of all
             assert b.others.state()["off"] == "mb., ag."
@@ -198,7 +206,7 @@
         async with several(a):
             a.log.answer = answer
             a.act(Said("in force"), Fenced())
-            assert [event for _, event in times] == [Fenced(), Leave(), Stored(1)]
+            assert [event for _, event in times] == [Fenced(), ShutdownStarted(), Stored(1)]
             assert [now for now, _ in times] == sorted(now for now, _ in times)
 
     run(case)
--- a/tests/fleet/test_rules_core.py
+++ b/tests/fleet/test_rules_core.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limenotch.fleet.interfaces import Fenced, Heard, Started
+from limenotch.fleet.interfaces import Fenced, MessageReceived, Started
 from limenotch.fleet.rules import Rules, Tuning, api
 from limenotch.fleet.rules import messages as say
 from limenotch.fleet.rules.canary import Tuning as Canary
@@ -132,7 +132,7 @@
         say.Count("x", 1, 2),
     ]
     for message in bad:
-        assert not [act for act in rules.handle(1.0, Heard(at, "b", message)) if isinstance(act, api.InForce)]
+        assert not [act for act in rules.handle(1.0, MessageReceived(at, "b", message)) if isinstance(act, api.InForce)]
     assert rules.book.newest == 1
     with pytest.raises(TypeError):
         rules.handle(2.0, "x")
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -14,7 +14,7 @@
 from limenotch.store import segments
 from limenotch.store.files import LOCK, RealFiles, StoreError
 from limenotch.store.log import BALLOTS, Store
-from limenotch.store.records import Append, Ballot, Entry, Held, Record, Snapshot
+from limenotch.store.records import Append, LogEntry, Record, Snapshot, StoredLog, TermVote
 
 from .fake_disk import Disk, entries, histories, same, states
 
@@ -34,8 +34,8 @@
 def test_real_files_hold_what_was_written_and_one_process(tmp_path: Path) -> None:
     files = RealFiles(tmp_path / "a" / "store")
     store = Store(files, segment_bytes=200)
-    assert same(store.open(), Held())
-    store.write([Ballot(3, "b"), entries(1, 3, 2)])
+    assert same(store.open(), StoredLog())
+    store.write([TermVote(3, "b"), entries(1, 3, 2)])
     with pytest.raises(StoreError, match="taken: another process holds"):
         RealFiles(tmp_path / "a" / "store")
     for n in range(4, 12):
@@ -50,7 +50,7 @@
     store = Store(files)
     held = store.open()
     assert held.snapshot == Snapshot(9, 3, b"state", ("a",)) and [one.index for one in held.entries] == [10, 11, 12]
-    assert held.ballot == Ballot(3, "b") and store.torn is None
+    assert held.ballot == TermVote(3, "b") and store.torn is None
     store.close()
     files.release()
 
@@ -90,7 +90,7 @@
 
     disk.before = fails
     with pytest.raises(StoreError) as told:
-        store.write([Ballot(1)])
+        store.write([TermVote(1)])
     assert told.value.why == why
 
 
@@ -120,7 +120,7 @@
             store.write([entries(last + 1, 1, 1, 100)])
             last += 1
     assert last > 20 and store.disk_bytes <= 4000
-    store.write([Ballot(2, "a")])
+    store.write([TermVote(2, "a")])
     with pytest.raises(StoreError, match="full: a snapshot of"):
         store.write([Snapshot(last, 1, b"s" * 2001)])
     store.write([Snapshot(last, 1, b"s" * 1000)])
@@ -135,7 +135,7 @@
     store = Store(disk, most_bytes=4000, segment_bytes=500)
     store.open()
     for epoch in range(1, 400):
-        store.write([Ballot(epoch, "a"), entries(1, 2, epoch, 10)])
+        store.write([TermVote(epoch, "a"), entries(1, 2, epoch, 10)])
         assert store.disk_bytes <= 4000 + BALLOTS
     held = Store(disk.fall(), most_bytes=4000).open()
     assert held.ballot.epoch == 399 and [one.epoch for one in held.entries] == [399, 399]
@@ -145,10 +145,10 @@
     disk = Disk()
     store = Store(disk)
     store.open()
-    store.write([Ballot(1), entries(1, 3, 1)])
+    store.write([TermVote(1), entries(1, 3, 1)])
     steps = disk.steps
     with pytest.raises(StoreError, match="misfit: append: 6 does not follow"):
-        store.write([Ballot(9, "x"), entries(2, 1, 9), Snapshot(2, 9, b""), entries(6, 1, 9)])
+        store.write([TermVote(9, "x"), entries(2, 1, 9), Snapshot(2, 9, b""), entries(6, 1, 9)])
     assert disk.steps == steps
     store.write([entries(4, 1, 1)])
     held = Store(disk.fall()).open()
@@ -159,7 +159,7 @@
     disk = Disk()
     store = Store(disk)
     store.open()
-    store.write([Ballot(1)])
+    store.write([TermVote(1)])
     file = disk.names_now[segments.segment_name(1)]
     file.now = file.now[:8] + (2).to_bytes(4, "big") + file.now[12:]
     with pytest.raises(StoreError, match="version: .*format 2; this program reads 1"):
@@ -167,7 +167,7 @@
 
 
 def test_a_record_is_small_and_a_library_that_is_missing_has_a_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert len(segments.frame(Append((Entry(1, 1, "command", b"x" * 20),)), 1, 0)) <= 70
+    assert len(segments.frame(Append((LogEntry(1, 1, "command", b"x" * 20),)), 1, 0)) <= 70
     assert limenotch.store.missing() == ()
     monkeypatch.setattr(limenotch.store, "NEEDED", ("crc32c", "not_there"))
     assert limenotch.store.missing() == ("not_there",)
--- a/tests/fleet/test_store_crash.py
+++ b/tests/fleet/test_store_crash.py
@@ -12,7 +12,7 @@
 
 from limenotch.store.files import StoreError
 from limenotch.store.log import Store
-from limenotch.store.records import Held, Record, Snapshot
+from limenotch.store.records import Record, Snapshot, StoredLog
 from limenotch.store.segments import segment_name
 
 from .fake_disk import Disk, FellError, File, entries, histories, same, states
@@ -72,7 +72,7 @@
     more: list[list[Record]] = [[record] for record in (entries(held.last + 1, 2, 90), entries(held.last + 2, 1, 91))]
     expected = [held]
     for batch in more:
-        expected.append(Held(held.ballot, held.snapshot, list(expected[-1].entries)))
+        expected.append(StoredLog(held.ballot, held.snapshot, list(expected[-1].entries)))
         expected[-1].apply(batch[0])
     for step in range(1, 60):
         again = copy_of(base)
--- a/tests/fleet/test_store_thread.py
+++ b/tests/fleet/test_store_thread.py
@@ -13,7 +13,7 @@
 from limenotch.lab.fleet.faulty import NAME, FaultyFiles, Wish, Wishes, ask_for
 from limenotch.store.files import Files, RealFiles, StoreError
 from limenotch.store.log import Store
-from limenotch.store.records import Ballot, Held
+from limenotch.store.records import StoredLog, TermVote
 from limenotch.store.thread import StoreThread, size
 
 from ..helpers.processes import printed_by
@@ -28,7 +28,7 @@
     def __init__(self, disk: Files, most_waiting: int = 1 << 20, slow_s: float = 60.0) -> None:
         self.posted: queue.SimpleQueue[Callable[[], None]] = queue.SimpleQueue()
         self.told: list[tuple[int, str | None]] = []
-        self.opened: list[tuple[Held | None, StoreError | None]] = []
+        self.opened: list[tuple[StoredLog | None, StoreError | None]] = []
         self.slow: list[float] = []
         self.thread = StoreThread(
             Store(disk),
@@ -138,7 +138,7 @@
     gate = Gate(disk)
     bench.submit(2)
     assert gate.reached.acquire(timeout=WAIT_S)
-    bench.thread.submit(3, [Ballot(3)], lambda why: bench.told.append((3, why)))  # would fit without 2
+    bench.thread.submit(3, [TermVote(3)], lambda why: bench.told.append((3, why)))  # would fit without 2
     gate.error, gate.held = errno.ENOSPC, False
     gate.go.release()
     callback = bench.posted.get(timeout=WAIT_S)
@@ -153,7 +153,7 @@
     bench.turn(lambda: bench.told[-1] == (2, None))
     assert bench.thread.close(WAIT_S)
     held = Store(disk.fall()).open()
-    assert held.last == 2 and held.ballot == Ballot(0)
+    assert held.last == 2 and held.ballot == TermVote(0)
 
 
 def test_too_much_waiting_is_refused_as_slow_and_a_hang_is_told_once_while_it_lasts() -> None:
@@ -205,7 +205,7 @@
     bench.turn(lambda: bool(bench.opened and bench.told))
     assert bench.told == [(1, "damaged")]
     assert bench.opened[0][0] is None and bench.opened[0][1] is not None
-    bench.thread.submit(2, [Ballot(1)], lambda why: bench.told.append((2, why)))
+    bench.thread.submit(2, [TermVote(1)], lambda why: bench.told.append((2, why)))
     bench.turn(lambda: bench.told[-1] == (2, "damaged"))
     assert bench.thread.close(WAIT_S)
 
--- a/tests/fleet/test_wallet_any_order.py
+++ b/tests/fleet/test_wallet_any_order.py
@@ -59,7 +59,7 @@
         self.group.late += [(whose, propose, 0) for whose, propose in asked]
         self.group.lead(name)
         for whose, propose in asked:
-            self.group.tell(whose, log.Unknown(propose.ticket))
+            self.group.tell(whose, log.OutcomeUnknown(propose.ticket))
 
     def call(self, wallet: Wallet, name: str) -> None:
         if name in self.group.asleep:
@@ -145,7 +145,7 @@
         group.run(6 * group.tuning.held_ms + 4 * group.tuning.idle_ms)
 
 
-def counted(agreed: list[log.Agreed]) -> dict[tuple[str, int, int], int]:
+def counted(agreed: list[log.EntryCommitted]) -> dict[tuple[str, int, int], int]:
     """What the log says was spent of each slice, in the end."""
     book, spent = Book(), dict[tuple[str, int, int], int]()
     for one in agreed:
