--- a/tests/fleet/test_wallet_core.py
+++ b/tests/fleet/test_wallet_core.py
@@ -6,7 +6,7 @@
 import pytest
 
 from limenotch.fleet.consensus import api as log
-from limenotch.fleet.interfaces import Heard, Leave, MemberChanged, Started
+from limenotch.fleet.interfaces import MemberChanged, MessageReceived, ShutdownStarted, Started
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries
 from limenotch.fleet.wallet import messages as say
 from limenotch.fleet.wallet.entries import Credit
@@ -49,7 +49,7 @@
     for name, propose, _ in reversed(group.late):
         told = entries.decode(propose.data)
         assert told is not None
-        group.tell(name, log.Promised(propose.ticket, group.agree(*told)))
+        group.tell(name, log.ProposalCommitted(propose.ticket, group.agree(*told)))
     assert [answer.word for answer in group.answers] == ["done", "done", "counted"]
 
 
@@ -58,12 +58,12 @@
     group.fate = lambda frm, told: "held"
     group.add(50, "two")
     [(_, propose, _)] = group.late
-    group.tell("a", log.Promised(propose.ticket, 40))
+    group.tell("a", log.ProposalCommitted(propose.ticket, 40))
     group.run(QUICK.ask_ms - 1)
     assert len(group.answers) == 1
     group.run(1)
     assert group.answers[-1].word == "unknown"
-    group.tell("a", log.Unknown(propose.ticket))
+    group.tell("a", log.OutcomeUnknown(propose.ticket))
     assert len(group.answers) == 2, "each gets one answer"
 
 
@@ -225,9 +225,9 @@
     assert fresh.state() == state
     assert fresh.book.index == index
     before = dict(held.purse.accounts["acme"].slices)
-    group.tell("b", log.Install(index, state))
+    group.tell("b", log.SnapshotInstalled(index, state))
     assert held.purse.accounts["acme"].slices == before, "those it holds go on as they are"
-    assert held.handle(group.now, log.Agreed(index, 1, entries.encode((Credit("acme", "late", 5),)), "")) == []
+    assert held.handle(group.now, log.EntryCommitted(index, 1, entries.encode((Credit("acme", "late", 5),)), "")) == []
     assert held.book.wallets["acme"].credit == 1000
 
 
@@ -241,7 +241,7 @@
     group.agree(entries.Grant("acme", "b", life, serial, 7, (("a", 1), ("c", 3)), 1))
     group._kept = []
     group.asleep.clear()
-    group.tell("b", log.Install(len(group.log), group.wallets["a"].state()))
+    group.tell("b", log.SnapshotInstalled(len(group.log), group.wallets["a"].state()))
     slices = group.wallets["b"].purse.accounts["acme"].slices
     assert list(slices) == [serial]
     assert slices[serial].top == 7
@@ -308,7 +308,7 @@
         say.Question(1, 1, "x", 1, (("acme", 1),) * 500),
         say.Mark(5, (("t" * 900, 1, 5), ("acme", 900, -1))),
     ):
-        group.tell("b", Heard(("x", 1), "c", message))
+        group.tell("b", MessageReceived(("x", 1), "c", message))
     assert group.wallets["b"].state() == before
     assert group.serve("b")
     assert group.wallets["b"].counts == {}
@@ -317,9 +317,9 @@
         wallet.handle(0.0, object())
     wallet.handle(5.0, Started())
     with pytest.raises(ValueError):
-        wallet.handle(4.0, Leave())
+        wallet.handle(4.0, ShutdownStarted())
     wallet.handle(5.0, MemberChanged("b", "dead", ("b", 1), 1, 1))
-    wallet.handle(5.0, log.Agreed(1, 1, b"\xc1", ""))
+    wallet.handle(5.0, log.EntryCommitted(1, 1, b"\xc1", ""))
     assert wallet.counts == {"no entry of the wallet": 1}
 
 
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from limenotch.fleet.consensus import api as log
-from limenotch.fleet.interfaces import Fenced, Leave
+from limenotch.fleet.interfaces import Fenced, ShutdownStarted
 from limenotch.fleet.wallet import Tuning, api, entries
 from limenotch.fleet.wallet import messages as say
 from limenotch.fleet.wallet.lease import MOST_WAITING, Granter, Holder
@@ -132,7 +132,7 @@
     group = ready()
     for _ in range(4):
         assert spends(group, "b")
-    group.tell("b", Leave())
+    group.tell("b", ShutdownStarted())
     group.run(QUICK.record_ms * 2)
     assert ("b", 2) not in group.wallets["a"].book.owners
     assert group.wallets["a"].book.wallets["acme"].spent == 4
@@ -182,7 +182,7 @@
     told = entries.decode(expire.data)
     assert told is not None
     index = group.agree(*told, epoch=epoch)
-    group.tell(name, log.Promised(expire.ticket, index))
+    group.tell(name, log.ProposalCommitted(expire.ticket, index))
     group.run(QUICK.lease_ms)
     assert group.wallets["b"].purse.until > group.now
     assert not group.wallets["b"].purse.accounts
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -18,7 +18,7 @@
 from limenotch.fleet.wallet.tuning import Tuning
 from limenotch.fleet_adapters.wallet import Till
 from limenotch.net import http1
-from limenotch.net.request import Final, Verdict
+from limenotch.net.request import FinalResponse, Verdict
 from limenotch.settings import parse
 from tests.helpers.http_peers import DELIVER, LOOK, SETTINGS, Handler, answering, ask, renamed, whole
 from tests.helpers.processes import free_port, run, with_sidecar
@@ -264,7 +264,7 @@
         till, purse = till_of({"free": 0})
         for number, call in enumerate([a_call(1, paid=True), a_call(2, kind="free"), a_call(3, tenant="zeta")]):
             assert till.taken(call) is None, number
-        assert till.taken(a_call(4)) == Final(Verdict.REJECTED, retry_after_ms=5000.0, paused=True)
+        assert till.taken(a_call(4)) == FinalResponse(Verdict.REJECTED, retry_after_ms=5000.0, paused=True)
         till.purse = purse
         assert till.taken(a_call(5, paid=True)) is None
         assert purse.told == [("reserve", "acme", "look", True)]
@@ -276,7 +276,12 @@
     async def case() -> None:
         till, purse = till_of()
         till.purse = purse
-        ends = {1: Final(Verdict.SERVED), 2: Final(Verdict.REJECTED), 3: Final(Verdict.FAILED), 4: None}
+        ends = {
+            1: FinalResponse(Verdict.SERVED),
+            2: FinalResponse(Verdict.REJECTED),
+            3: FinalResponse(Verdict.FAILED),
+            4: None,
+        }
         for number, final in ends.items():
             call = a_call(number)
             assert till.taken(call) is None
@@ -287,7 +292,7 @@
         assert till.figures()["reserved"] == 0
         purse.left = 0
         said = till.taken(a_call(5))
-        assert isinstance(said, Final) and said.paused and said.retry_after_ms == 321.0
+        assert isinstance(said, FinalResponse) and said.paused and said.retry_after_ms == 321.0
         till.closed(a_call(5))
         assert len(purse.told) == 9
 
--- a/tests/fleet/test_wallet_quota_grants.py
+++ b/tests/fleet/test_wallet_quota_grants.py
@@ -8,7 +8,7 @@
 import pytest
 
 from limenotch.fleet.consensus import api as log
-from limenotch.fleet.interfaces import Tell
+from limenotch.fleet.interfaces import SendToMember
 from limenotch.fleet.wallet import Tuning, api, entries
 from limenotch.fleet.wallet import messages as say
 from limenotch.fleet.wallet.entries import Credit, Entry, Grant, Settle
@@ -55,7 +55,7 @@
         return {
             one.to: one.message.recalls[0][1]
             for one in self.granting.out
-            if isinstance(one, Tell) and isinstance(one.message, say.Recall)
+            if isinstance(one, SendToMember) and isinstance(one.message, say.Recall)
         }
 
     def promise(self) -> None:
@@ -341,6 +341,6 @@
     [(name, propose, _)] = group.late
     group.fate = lambda frm, told: "promised"
     group.lead("a")
-    group.tell(name, log.Unknown(propose.ticket))
+    group.tell(name, log.OutcomeUnknown(propose.ticket))
     group.run(QUICK.record_ms)
     assert spend(group, "b", 20, 5) == 4
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -8,15 +8,15 @@
 from hypothesis import strategies as st
 
 from limenotch.fleet.interfaces import Message
-from limenotch.fleet.wire import DIGEST, MOST_FRAME, MOST_NAME, Fault, Frames, Hello, Wire, framed
+from limenotch.fleet.wire import DIGEST, MOST_FRAME, MOST_NAME, FrameCodec, FrameFault, FrameReader, Hello, with_length
 
 from .fake_messages import ALL, Block, Line, Probe
 
 KEY = b"sixteen bytes ok"
 
 
-def wire(key: bytes = KEY, group: str = "g", **more: tuple[int, int]) -> Wire:
-    return Wire(key, group, ALL, **more)
+def wire(key: bytes = KEY, group: str = "g", **more: tuple[int, int]) -> FrameCodec:
+    return FrameCodec(key, group, ALL, **more)
 
 
 MESSAGES = st.one_of(
@@ -40,41 +40,41 @@
     frame = bytearray(one.encode("a", message))
     place = data.draw(st.integers(0, len(frame) - 1))
     cut = one.decode(bytes(frame[:place]))
-    assert cut is (Fault.SHORT if place <= DIGEST else Fault.DIGEST)
+    assert cut is (FrameFault.SHORT if place <= DIGEST else FrameFault.DIGEST)
     frame[place] ^= data.draw(st.integers(1, 255))
-    assert one.decode(bytes(frame)) is Fault.DIGEST
+    assert one.decode(bytes(frame)) is FrameFault.DIGEST
     assert sum(one.faults.values()) == 2
 
 
 @given(st.binary(max_size=300))
 def test_garbage_is_dropped_with_and_without_the_key(data: bytes) -> None:
     one = wire()
-    assert one.decode(data) in (Fault.SHORT, Fault.DIGEST)
+    assert one.decode(data) in (FrameFault.SHORT, FrameFault.DIGEST)
     found = one.decode(one._digest(b"\x01" + data) + b"\x01" + data)  # from a program that has the key and is broken
-    assert found in (Fault.MALFORMED, Fault.GROUP, Fault.KIND)
+    assert found in (FrameFault.MALFORMED, FrameFault.GROUP, FrameFault.KIND)
 
 
 def test_nesting_without_end_is_dropped() -> None:
     one = wire()
     for deep in (b"\x91" * 100_000, b"\x93\xa1g\xa1a" + b"\x91" * 100_000):
-        assert one.decode(one._digest(b"\x01" + deep) + b"\x01" + deep) is Fault.MALFORMED
+        assert one.decode(one._digest(b"\x01" + deep) + b"\x01" + deep) is FrameFault.MALFORMED
 
 
 def test_another_key_or_group_or_kind() -> None:
     one = wire()
-    assert one.decode(wire(KEY[::-1]).encode("a", Probe(1))) is Fault.DIGEST
-    assert one.decode(wire(group="h").encode("a", Probe(1))) is Fault.GROUP
-    assert Wire(KEY, "g", (Probe,)).decode(one.encode("a", Line("x"))) is Fault.KIND
-    assert Wire(KEY, "g", ()).decode(one.encode("a", Line("x"))) is Fault.KIND
-    assert one.decode(one.encode("a", Probe("no number"))) is Fault.MALFORMED  # type: ignore[arg-type]
-    assert one.decode(one.encode("a", Block(bytes(MOST_FRAME)))) is Fault.TOO_LONG
-    assert one.decode(one.encode("a", Block(bytes(2000))), 1200) is Fault.TOO_LONG
+    assert one.decode(wire(KEY[::-1]).encode("a", Probe(1))) is FrameFault.DIGEST
+    assert one.decode(wire(group="h").encode("a", Probe(1))) is FrameFault.GROUP
+    assert FrameCodec(KEY, "g", (Probe,)).decode(one.encode("a", Line("x"))) is FrameFault.KIND
+    assert FrameCodec(KEY, "g", ()).decode(one.encode("a", Line("x"))) is FrameFault.KIND
+    assert one.decode(one.encode("a", Probe("no number"))) is FrameFault.MALFORMED  # type: ignore[arg-type]
+    assert one.decode(one.encode("a", Block(bytes(MOST_FRAME)))) is FrameFault.TOO_LONG
+    assert one.decode(one.encode("a", Block(bytes(2000))), 1200) is FrameFault.TOO_LONG
     assert one.faults == {
-        **dict.fromkeys(Fault, 0),
-        Fault.DIGEST: 1,
-        Fault.GROUP: 1,
-        Fault.MALFORMED: 1,
-        Fault.TOO_LONG: 2,
+        **dict.fromkeys(FrameFault, 0),
+        FrameFault.DIGEST: 1,
+        FrameFault.GROUP: 1,
+        FrameFault.MALFORMED: 1,
+        FrameFault.TOO_LONG: 2,
     }
 
 
@@ -83,8 +83,8 @@
     old, both, new = wire(), wire(spoken=(1, 2)), wire(spoken=(2, 3))
     said = ("a", Probe(1))
     assert old.decode(both.encode(*said)) == both.decode(old.encode(*said)) == both.decode(new.encode(*said)) == said
-    assert old.decode(new.encode(*said)) is new.decode(both.encode(*said)) is Fault.VERSION
-    assert old.faults[Fault.VERSION] == 1
+    assert old.decode(new.encode(*said)) is new.decode(both.encode(*said)) is FrameFault.VERSION
+    assert old.faults[FrameFault.VERSION] == 1
 
 
 def test_fields_added_at_the_end_are_skipped_by_the_old_and_filled_in_by_the_new() -> None:
@@ -94,7 +94,7 @@
         more: tuple[int, ...] = ()
         last: float = 0.5
 
-    old, new = wire(), Wire(KEY, "g", (Newer,))
+    old, new = wire(), FrameCodec(KEY, "g", (Newer,))
     assert old.decode(new.encode("a", Newer(7, "b", (1, 2), 1.5))) == ("a", Probe(7, "b"))
     assert new.decode(old.encode("a", Probe(7, "b"))) == ("a", Newer(7, "b", (), 0.5))
     body = b"\x01" + msgspec.msgpack.encode(["g", "a", Probe(7), {"a field of the frame": 1}])
@@ -104,10 +104,10 @@
 @pytest.mark.parametrize(
     "made",
     [
-        lambda: Wire(b"short", "g", ALL),
-        lambda: Wire(b"l" * 65, "g", ALL),
-        lambda: Wire(KEY, "", ALL),
-        lambda: Wire(KEY, "g", (Probe, Probe)),
+        lambda: FrameCodec(b"short", "g", ALL),
+        lambda: FrameCodec(b"l" * 65, "g", ALL),
+        lambda: FrameCodec(KEY, "", ALL),
+        lambda: FrameCodec(KEY, "g", (Probe, Probe)),
         lambda: wire(spoken=(2, 1)),
         lambda: wire().encode("", Probe(1)),
         lambda: wire().encode("x" * (MOST_NAME + 1), Probe(1)),
@@ -120,7 +120,7 @@
 
 @given(st.lists(st.binary(min_size=DIGEST + 1, max_size=60), max_size=6), st.integers(1, 50))
 def test_a_stream_is_cut_into_frames_however_it_comes(sent: list[bytes], step: int) -> None:
-    whole, frames, got = b"".join(framed(each) for each in sent), Frames(), []
+    whole, frames, got = b"".join(with_length(each) for each in sent), FrameReader(), []
     for at in range(0, len(whole), step):
         frames.feed(whole[at : at + step])
         while (frame := frames.take()) is not None:
@@ -130,14 +130,14 @@
 
 def test_a_stream_s_lengths_are_bounded() -> None:
     for length, fault in [
-        (MOST_FRAME + 1, Fault.TOO_LONG),
-        (2**32 - 1, Fault.TOO_LONG),
-        (DIGEST, Fault.SHORT),
-        (0, Fault.SHORT),
+        (MOST_FRAME + 1, FrameFault.TOO_LONG),
+        (2**32 - 1, FrameFault.TOO_LONG),
+        (DIGEST, FrameFault.SHORT),
+        (0, FrameFault.SHORT),
     ]:
-        frames = Frames()
+        frames = FrameReader()
         frames.feed(length.to_bytes(4, "big"))
         assert frames.take() is fault
-    frames = Frames()
-    frames.feed(framed(bytes(MOST_FRAME)))
+    frames = FrameReader()
+    frames.feed(with_length(bytes(MOST_FRAME)))
     assert frames.take() == bytes(MOST_FRAME) and frames.take() is None
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -10,11 +10,11 @@
 
 from limenotch.fleet.interfaces import (
     Carrier,
-    Heard,
-    Leave,
+    MessageReceived,
     Note,
-    Send,
+    SendToAddress,
     SetTimer,
+    ShutdownStarted,
     Started,
     Stored,
     StoreFailed,
@@ -23,7 +23,7 @@
 from limenotch.lab.fleet.faults import parse
 from limenotch.lab.fleet.weather import Weather
 from limenotch.lab.fleet.world import MOST_BUFFERED, World, address
-from limenotch.store.records import Held
+from limenotch.store.records import StoredLog
 
 from .fake_parts import Beat, Keeper, Listener, Put, listeners
 
@@ -150,7 +150,7 @@
 def test_a_killed_process_is_gone_with_its_timers_and_its_next_life_is_another() -> None:
     lives: list[tuple[int, int]] = []
 
-    def make(name: str, seed: int, life: int, held: Held) -> Listener:
+    def make(name: str, seed: int, life: int, held: StoredLog) -> Listener:
         if name == "c":
             lives.append((life, seed))
         return listeners(*NODES)(name, seed, life, held)
@@ -174,8 +174,8 @@
 def test_leaving_is_told_and_what_is_said_then_arrives() -> None:
     class Parting(Listener):
         def handle(self, now: float, event: Any) -> list[Any]:
-            if isinstance(event, Leave):
-                return [Send(address("a"), Beat(999), Carrier.STREAM), Note("leaves")]
+            if isinstance(event, ShutdownStarted):
+                return [SendToAddress(address("a"), Beat(999), Carrier.STREAM), Note("leaves")]
             return super().handle(now, event)
 
     made = World(NODES, lambda name, *_: Parting(name, tuple(one for one in NODES if one != name)), drift_ppm=0)
@@ -295,7 +295,11 @@
 def test_messages_to_strangers_are_counted() -> None:
     class Astray:
         def handle(self, now: float, event: Any) -> list[Any]:
-            return [Send(("z", 1), Beat(1)), Send(("a", 1), Beat(1))] if not isinstance(event, Heard) else []
+            return (
+                [SendToAddress(("z", 1), Beat(1)), SendToAddress(("a", 1), Beat(1))]
+                if not isinstance(event, MessageReceived)
+                else []
+            )
 
     made = World("a", lambda *_: Astray())
     made.run(10)
@@ -384,7 +388,7 @@
     """No clock is looked at: the count of events is what would grow if each message cost several."""
     names = tuple(f"n{number}" for number in range(200))
 
-    def make(name: str, seed: int, life: int, held: Held) -> Listener:
+    def make(name: str, seed: int, life: int, held: StoredLog) -> Listener:
         place = names.index(name)
         return Listener(name, tuple(names[(place + step) % 200] for step in (1, 50, 120)))
 
--- a/tests/frozen/record.py
+++ b/tests/frozen/record.py
@@ -17,7 +17,7 @@
 from . import subjects
 from .answers import answered
 from .samples import sample_of
-from .subjects import Append, Ballot, Ending, Entry, RealFiles, Snapshot, Store
+from .subjects import Append, AttemptEnding, LogEntry, RealFiles, Snapshot, Store, TermVote
 
 DATA = Path(__file__).parent / "data"
 
@@ -38,11 +38,11 @@
     files = RealFiles(folder)
     opened = Store(files, segment_bytes=300)
     opened.open()
-    opened.write([Ballot(3, "b"), Append(tuple(Entry(index, 2, "cmd", b"old") for index in range(1, 6)))])
+    opened.write([TermVote(3, "b"), Append(tuple(LogEntry(index, 2, "cmd", b"old") for index in range(1, 6)))])
     opened.write([Snapshot(4, 2, b"state of four", ("a", "b", "c"))])
     for index in range(6, 14):
-        opened.write([Append((Entry(index, 3, "cmd" if index % 3 else "none", b"%d" % index * 40),))])
-    opened.write([Ballot(4, "c")])
+        opened.write([Append((LogEntry(index, 3, "cmd" if index % 3 else "none", b"%d" % index * 40),))])
+    opened.write([TermVote(4, "c")])
     files.release()  # without the mark of an orderly end
     (folder / "lock").unlink(missing_ok=True)
     last = max(folder.glob("log-*"))
@@ -58,9 +58,9 @@
     for call in range(40):
         clock.ms += 25.0
         for order in facade.pick(call, "look" if call % 3 else "book", "t1", 800.0):
-            if isinstance(order, subjects.Invoke):
+            if isinstance(order, subjects.StartAttempt):
                 clock.ms += 7.0 + call % 5
-                facade.report(call, 0, order.provider, 7.0 + call % 5, Ending.SERVED, True, 0.25, 80.0)
+                facade.report(call, 0, order.provider, 7.0 + call % 5, AttemptEnding.SERVED, True, 0.25, 80.0)
     return {"version": 1, "list": subjects.LIST, "knowledge": facade.knowledge()}
 
 
@@ -83,7 +83,7 @@
 
 def simulator(lines: str) -> str:
     """What the simulator's adapter answers to these lines."""
-    return subjects.played(subjects.Link, lines)
+    return subjects.played(subjects.SimulatorAdapter, lines)
 
 
 def main() -> int:
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -9,7 +9,7 @@
 from typing import Any, get_args
 
 from limenotch.balancing.settings import read_settings
-from limenotch.balancing.simulator_adapter import Link
+from limenotch.balancing.simulator_adapter import SimulatorAdapter
 from limenotch.cli import USAGE, check_config
 from limenotch.cli import serve as serve_command
 from limenotch.fleet.affinity import messages as bindings_messages
@@ -25,37 +25,54 @@
 from limenotch.fleet.wallet import entries as wallet_entries
 from limenotch.fleet.wallet import ledger as wallet_book
 from limenotch.fleet.wallet import messages as wallet_messages
-from limenotch.fleet.wire import Wire, tag_of
-from limenotch.fleet_adapters.base import messages_of
+from limenotch.fleet.wire import FrameCodec, tag_of
+from limenotch.fleet_adapters.base import message_types
 from limenotch.fleet_node import PATH
-from limenotch.load_balancer import Ending, Facade, Invoke, Provider
-from limenotch.metrics import Figures
+from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, LoadBalancer, StartAttempt
+from limenotch.metrics import Metrics
 from limenotch.net.admin import log, rules, server, wallet
-from limenotch.net.discovery.endpoint_list import list_of
-from limenotch.operator_ejections import read as read_bans
-from limenotch.operator_ejections import written as written_bans
+from limenotch.net.discovery.endpoint_list import parse_list
+from limenotch.operator_ejections import decode as read_bans
+from limenotch.operator_ejections import encode as written_bans
 from limenotch.settings import Settings, effective
 from limenotch.store import records
 from limenotch.store.files import RealFiles
 from limenotch.store.log import Store
-from limenotch.store.records import Append, Ballot, Entry, Snapshot
+from limenotch.store.records import Append, LogEntry, Snapshot, TermVote
 
 __all__ = [
-    "USAGE", "Append", "Ballot", "Ending", "Entry", "Facade", "Invoke", "Link", "RealFiles", "Settings", "Snapshot",
-    "Store", "check_config", "effective", "read_bans", "records", "serve_command", "tag_of", "written_bans",
-]  # fmt: skip
+    "USAGE",
+    "Append",
+    "AttemptEnding",
+    "LoadBalancer",
+    "LogEntry",
+    "RealFiles",
+    "Settings",
+    "SimulatorAdapter",
+    "Snapshot",
+    "StartAttempt",
+    "Store",
+    "TermVote",
+    "check_config",
+    "effective",
+    "read_bans",
+    "records",
+    "serve_command",
+    "tag_of",
+    "written_bans",
+]
 
 MESSAGES: tuple[type[Message], ...] = (
     *get_args(membership_messages.Spoken),
-    *messages_of(agreement_messages),
-    *messages_of(wallet_messages),
-    *messages_of(rules_messages),
-    *messages_of(rules_listing),
-    *messages_of(bindings_messages),
+    *message_types(agreement_messages),
+    *message_types(wallet_messages),
+    *message_types(rules_messages),
+    *message_types(rules_listing),
+    *message_types(bindings_messages),
 )
 RECORDS: dict[str, Any] = {
-    "store entry": records.Entry,
-    "store ballot": records.Ballot,
+    "store entry": records.LogEntry,
+    "store ballot": records.TermVote,
     "store append": records.Append,
     "store snapshot": records.Snapshot,
     "log voters": agreement_log.Voters,
@@ -170,24 +187,24 @@
         return self.ms
 
 
-def wire() -> Wire:
+def wire() -> FrameCodec:
     """Of a key and a group that are in the frozen frames."""
-    return Wire(KEY, "group", MESSAGES)
+    return FrameCodec(KEY, "group", MESSAGES)
 
 
-def facade(clock: Clock) -> Facade:
+def facade(clock: Clock) -> LoadBalancer:
     """A balancer on a clock that stands still."""
-    return Facade(read_settings(SETTINGS), 7, SETTINGS["zones"], ["small", "large"], clock=clock)
+    return LoadBalancer(read_settings(SETTINGS), 7, SETTINGS["zones"], ["small", "large"], clock=clock)
 
 
-def listed() -> list[Provider]:
+def listed() -> list[DiscoveredEndpoint]:
     """The entries of LIST."""
-    listing = list_of(LIST)
+    listing = parse_list(LIST)
     assert listing is not None
     return listing.entries
 
 
-def opened(folder: Path) -> tuple[records.Held, str | None]:
+def opened(folder: Path) -> tuple[records.StoredLog, str | None]:
     """What a store in this folder holds, and what was cut off its end."""
     files = RealFiles(folder)
     store = Store(files)
@@ -205,7 +222,7 @@
 
 def figures() -> bytes:
     """The metrics of a process that has done each thing once."""
-    metrics = Figures()
+    metrics = Metrics()
     metrics.know(["look"])
     metrics.took()
     for end in ("answered", "deferred", "errored", "departed"):
--- a/tests/frozen/test_frozen.py
+++ b/tests/frozen/test_frozen.py
@@ -50,7 +50,7 @@
     folder = tmp_path / "store"
     shutil.copytree(DATA / "store", folder)
     held, torn = subjects.opened(folder)
-    assert held.ballot == subjects.records.Ballot(3, "b")
+    assert held.ballot == subjects.records.TermVote(3, "b")
     assert held.snapshot == subjects.records.Snapshot(4, 2, b"state of four", ("a", "b", "c"))
     assert [(entry.index, entry.epoch, entry.kind) for entry in held.entries] == [
         (5, 2, "cmd"), *((index, 3, "cmd" if index % 3 else "none") for index in range(6, 14))
--- a/tests/helpers/connections.py
+++ b/tests/helpers/connections.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from limenotch.balancing.settings import read_settings
-from limenotch.load_balancer import Facade
-from limenotch.net.client_connection import Consumer
-from limenotch.net.client_listener import Consumers
-from limenotch.net.pipe import Budget
-from limenotch.net.requests import Calls
-from limenotch.net.sockets import Sockets
-from limenotch.settings import Consumers as Tuning
+from limenotch.load_balancer import LoadBalancer
+from limenotch.net.client_connection import ClientConnection
+from limenotch.net.client_listener import ClientListener
+from limenotch.net.pipe import BufferBudget
+from limenotch.net.requests import RequestManager
+from limenotch.net.sockets import DescriptorLimits
+from limenotch.settings import ClientSettings as Tuning
 
 from .http_peers import SETTINGS
 from .processes import free_port
@@ -28,19 +28,19 @@
     """The listener with all its connections, and what a test asks of them."""
 
     def __init__(self, tuning: Tuning, limit: int) -> None:
-        self.calls = Calls(Facade(read_settings(SETTINGS), 1), 10)
+        self.calls = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10)
         self.calls.watch = lambda: None
-        self.sockets, self.budget = Sockets(limit), Budget(1024 * 1024)
-        self.all = Consumers(self.calls, self.calls.facade, self.sockets, lambda: True, tuning, self.budget)
+        self.sockets, self.budget = DescriptorLimits(limit), BufferBudget(1024 * 1024)
+        self.all = ClientListener(self.calls, self.calls.facade, self.sockets, lambda: True, tuning, self.budget)
         self.port = free_port()
         self.all.listen(("127.0.0.1", self.port))
 
-    async def client(self) -> tuple[socket.socket, Consumer]:
+    async def client(self) -> tuple[socket.socket, ClientConnection]:
         """A new connection, blocking at the client's end: what it sends is in the other's kernel on return."""
         sock = socket.create_connection(("127.0.0.1", self.port))
         address = sock.getsockname()
         sock.settimeout(20.0)
-        found: list[Consumer] = []
+        found: list[ClientConnection] = []
 
         def admitted() -> bool:
             found.extend(c for c in self.all._open if c.stream.socket.getpeername() == address)
--- a/tests/helpers/discovery_peer.py
+++ b/tests/helpers/discovery_peer.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from limenotch import settings
-from limenotch.load_balancer import Provider
-from limenotch.net.discovery.client import Directory
+from limenotch.load_balancer import DiscoveredEndpoint
+from limenotch.net.discovery.client import DiscoveryClient
 
 from .http_peers import Reader, Writer
 from .processes import run
@@ -68,11 +68,11 @@
     def __init__(self, at: tuple[str, int], silence_s: float = SILENCE_S) -> None:
         self.heard = asyncio.Queue[tuple[list[str], bool]]()
         self.broken = asyncio.Queue[None]()
-        self.directory = Directory(
-            at, self._hear, lambda: self.broken.put_nowait(None), settings.Directory(silence_s=silence_s)
+        self.directory = DiscoveryClient(
+            at, self._hear, lambda: self.broken.put_nowait(None), settings.DiscoverySettings(silence_s=silence_s)
         )
 
-    def _hear(self, providers: list[Provider], whole: bool) -> None:
+    def _hear(self, providers: list[DiscoveredEndpoint], whole: bool) -> None:
         self.heard.put_nowait(([p.name for p in providers], whole))
 
 
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -16,7 +16,7 @@
 from limenotch import operator_ejections as bans_module
 from limenotch.balancing import Balancer
 from limenotch.balancing.actions import FailRequest, SendAttempt
-from limenotch.balancing.endpoint_statistics import Server
+from limenotch.balancing.endpoint_statistics import EndpointStatistics
 from limenotch.balancing.events import (
     AttemptFinished,
     MembershipKind,
@@ -35,11 +35,11 @@
     SlowStart,
     TrafficClass,
 )
-from limenotch.metrics import Figures
+from limenotch.metrics import Metrics
 from limenotch.net import http1
-from limenotch.net.admin.server import Operators
+from limenotch.net.admin.server import AdminServer
 from limenotch.net.sockets import OPERATORS as MOST
-from limenotch.operator_ejections import FILE, LOCK, Bans, read, written
+from limenotch.operator_ejections import FILE, LOCK, OperatorEjections, decode, encode
 
 from .helpers.http_peers import DELIVER, GET_HEALTH, LOOK, SETTINGS, answering, ask, renamed, whole
 from .helpers.processes import free_port, run, with_sidecar
@@ -186,7 +186,7 @@
 
 
 def test_names_of_classes_cannot_break_a_line() -> None:
-    figures = Figures()
+    figures = Metrics()
     figures.ended("a.b:1|c\nx", "answered")
     (line,) = [n for n in figures.lines({}).split(b"\n") if n.endswith(b"answered:1|c")]
     assert line == b"lb.transactions.a_b_1_c_x.answered:1|c"
@@ -200,7 +200,7 @@
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (2, "g")
         budget = LOOK.replace(b"20000m", b"100m")
         assert (await ask(port, budget)).status in (502, 503, 504)
-        assert read(file_of(tmp_path, port).read_bytes())[0] == {"a", "b"}
+        assert decode(file_of(tmp_path, port).read_bytes())[0] == {"a", "b"}
         assert (await ask(admin, post("a", "ready"))).status == 200
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (1, "g")
         assert (await ask(port, LOOK)).status == 200
@@ -210,7 +210,7 @@
 
 def test_bans_outlive_the_process_and_a_full_folder_refuses_none(tmp_path: Path) -> None:
     own = free_port()
-    file_of(tmp_path, own).write_bytes(written({"a", "b", "gone"}, {"c": 5.0}))
+    file_of(tmp_path, own).write_bytes(encode({"a", "b", "gone"}, {"c": 5.0}))
 
     async def use(port: int, admin: int) -> None:
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (2, "g")
@@ -227,9 +227,9 @@
 Told = tuple[str, bool, float]
 
 
-def kept(folder: Path) -> tuple[Bans, list[Told]]:
+def kept(folder: Path) -> tuple[OperatorEjections, list[Told]]:
     told: list[Told] = []
-    return Bans(str(folder / "n"), lambda *change: told.append(change)), told
+    return OperatorEjections(str(folder / "n"), lambda *change: told.append(change)), told
 
 
 def test_two_processes_see_each_others_bans(tmp_path: Path) -> None:
@@ -277,7 +277,7 @@
         b'{"limenotch_bans": 1, "out": [], "back": {"a": NaN}}',
         b'{"limenotch_bans": 1, "out": [1], "back": {}}',
         b"\xff\xfe",
-        written({"a"}, {})[:-3],
+        encode({"a"}, {})[:-3],
     ],
 )
 def test_a_foreign_or_torn_file_counts_as_none(tmp_path: Path, raw: bytes) -> None:
@@ -288,8 +288,8 @@
 
 
 def test_what_is_written_is_read() -> None:
-    assert read(written({"a", "ä"}, {"b": 1.5})) == ({"a", "ä"}, {"b": 1.5})
-    assert json.loads(written(set(), {}))["out"] == []
+    assert decode(encode({"a", "ä"}, {"b": 1.5})) == ({"a", "ä"}, {"b": 1.5})
+    assert json.loads(encode(set(), {}))["out"] == []
 
 
 # The module
@@ -308,7 +308,7 @@
     return [a.upstream for a in balancer.handle(now, RequestArrived(call, 0, 900)) if isinstance(a, SendAttempt)]
 
 
-def server_of(balancer: Balancer, name: str) -> Server:
+def server_of(balancer: Balancer, name: str) -> EndpointStatistics:
     return balancer.roster.servers[name]
 
 
@@ -422,7 +422,7 @@
         async def nobody(name: str, out: bool) -> None:
             return None
 
-        operators, port = Operators(lambda: False, lambda: b"", nobody), free_port()
+        operators, port = AdminServer(lambda: False, lambda: b"", nobody), free_port()
         operators.listen(("127.0.0.1", port))
         assert (await ask(port, GET_HEALTH)).status == 503
         reader, _ = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,16 +10,16 @@
 from hypothesis import strategies as st
 
 from limenotch.balancing.actions import RejectRequest
-from limenotch.balancing.admission import FEW, Entry
+from limenotch.balancing.admission import FEW, AdmissionControl
 from limenotch.balancing.types import Outcome
 from tests.referee import READ, Referee, fleet, settings
 from tests.test_balancer import steady
 from tests.test_zones import Desk
 
 
-def opened(per_s: float, spent: float = 300.0, aim: float = 1000.0) -> tuple[Entry, float]:
+def opened(per_s: float, spent: float = 300.0, aim: float = 1000.0) -> tuple[AdmissionControl, float]:
     """An entry that has seen five seconds of calls, all answered in time."""
-    entry, now = Entry(), 0.0
+    entry, now = AdmissionControl(), 0.0
     for number in range(int(5 * per_s)):
         now = number * 1000 / per_s
         entry.refuses(now, 1.0, 0.0, 1.0)
@@ -30,14 +30,14 @@
     return entry, now
 
 
-def most(entry: Entry, now: float, value: float = 1.0, live: float = 1.0) -> float:
+def most(entry: AdmissionControl, now: float, value: float = 1.0, live: float = 1.0) -> float:
     """The held calls at which one more is turned away, to a half."""
     asked = ((n / 2, deepcopy(entry)) for n in range(600))  # each time the entry as it stands: asking counts as coming
     return next((held for held, each in asked if each.refuses(now, value, held, live)), inf)
 
 
 def test_nothing_is_turned_away_before_the_tier_is_known() -> None:
-    assert most(Entry(), 0.0) == inf
+    assert most(AdmissionControl(), 0.0) == inf
 
 
 def test_few_calls_are_wide_of_the_bound_while_answers_keep_up() -> None:
@@ -49,7 +49,7 @@
 @given(st.integers(0, 99))
 def test_chance_is_no_rush(seed: int) -> None:
     """Twenty calls a second at random: one in ten was refused on the small fleet, for no load at all."""
-    random, entry, now, refused = Random(seed), Entry(), 0.0, 0
+    random, entry, now, refused = Random(seed), AdmissionControl(), 0.0, 0
     out: list[float] = []  # when each that is held is answered, after 300 ms or so
     for number in range(400):
         now += random.expovariate(0.02)
@@ -109,7 +109,7 @@
 
 @given(st.lists(st.tuples(st.floats(1.0, 2000.0), st.floats(0, 500), st.floats(0, 500)), max_size=30))
 def test_the_bound_never_closes_the_door(windows: list[tuple[float, float, float]]) -> None:
-    entry = Entry()
+    entry = AdmissionControl()
     for span, good, bad in windows:
         entry.renew(span, good, bad)
         entry.bound(100.0, 200.0, 1000.0, known=True)
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -17,12 +17,12 @@
 from tornado.iostream import IOStream
 
 from limenotch.balancing.types import DedupScope, Effect, TrafficClass
-from limenotch.load_balancer import Ending, Provider, Status
+from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net import endpoint_pool, http1
-from limenotch.net.endpoint_pool import Providers
-from limenotch.net.request import Call, InvokerCall
-from limenotch.request_policy import Permits
-from limenotch.settings import Providers as ProviderTuning
+from limenotch.net.endpoint_pool import EndpointPool
+from limenotch.net.request import Attempt, Request
+from limenotch.request_policy import RequestPolicy
+from limenotch.settings import EndpointSettings as ProviderTuning
 
 from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, whole
 from .helpers.processes import run, with_sidecar
@@ -34,23 +34,23 @@
 SAFE = TrafficClass("c", Effect.IDEMPOTENT, 9000.0, 20_000.0)
 
 
-def call_of(cls: TrafficClass) -> Call:
+def call_of(cls: TrafficClass) -> Request:
     end = monotonic() + 20
-    call = Call(1, b"1", "look", http1.Message([], {}, b"GET", b"/api"), end, 20.0, lambda final: None)
-    call.permits = Permits(cls)
+    call = Request(1, b"1", "look", http1.Message([], {}, b"GET", b"/api"), end, 20.0, lambda final: None)
+    call.permits = RequestPolicy(cls)
     return call
 
 
-def attempt_of(call: Call) -> InvokerCall:
-    attempt = InvokerCall(call, len(call.made), "a", monotonic(), call.end)
+def attempt_of(call: Request) -> Attempt:
+    attempt = Attempt(call, len(call.made), "a", monotonic(), call.end)
     call.made.append(attempt)
     return attempt
 
 
-def begun(call: Call, ending: Ending | None) -> InvokerCall:
+def begun(call: Request, ending: AttemptEnding | None) -> Attempt:
     """An attempt that was written just now; None: it is out."""
     attempt = attempt_of(call)
-    attempt.endpoint = Provider("b", ("127.0.0.1", 9), Status.IN_SERVICE)
+    attempt.endpoint = DiscoveredEndpoint("b", ("127.0.0.1", 9), DiscoveryStatus.IN_SERVICE)
     attempt.sent_at, attempt.ending, attempt.over = monotonic(), ending, ending is not None
     return attempt
 
@@ -60,9 +60,9 @@
 
     def __init__(self) -> None:
         self.calls, self.sockets = Heard(), unlimited()
-        self.pool = Providers(self.calls, self.sockets, 9000.0, 9e6)
+        self.pool = EndpointPool(self.calls, self.sockets, 9000.0, 9e6)
         self.seen: asyncio.Queue[bytes] = asyncio.Queue()
-        self.endpoint: Provider
+        self.endpoint: DiscoveredEndpoint
 
     async def start(self) -> None:
         async def handler(reader: Reader, writer: Writer) -> None:
@@ -71,42 +71,56 @@
             await reader.read()  # it is kept until the other side ends it
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        self.endpoint = Provider("a", server.sockets[0].getsockname(), Status.IN_SERVICE, since_ms=5.0)
+        self.endpoint = DiscoveredEndpoint(
+            "a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE, since_ms=5.0
+        )
         self.pool.listed([self.endpoint], True)
 
     def list_anew(self, **changes: Any) -> None:
         self.pool.listed([self.endpoint._replace(**changes)], False)
 
 
-Crossing = Callable[[Pool, InvokerCall], object]
+Crossing = Callable[[Pool, Attempt], object]
 
 
-def window_passes(pool: Pool, attempt: InvokerCall) -> None:
+def window_passes(pool: Pool, attempt: Attempt) -> None:
     first = attempt.call.made[0]
     first.sent_at -= attempt.call.permits.traffic_class.window_ms / 1000.0
 
 
-CROSSINGS: dict[str, tuple[TrafficClass, Ending | None, Crossing]] = {
+CROSSINGS: dict[str, tuple[TrafficClass, AttemptEnding | None, Crossing]] = {
     "its client's end lies in the kernel": (
         SAFE,
-        Ending.ERROR,
+        AttemptEnding.ERROR,
         lambda pool, attempt: setattr(attempt.call, "present", lambda: False),
     ),
-    "its client goes": (SAFE, Ending.ERROR, lambda pool, attempt: setattr(attempt.call, "gone", True)),
-    "its call is answered": (SAFE, Ending.ERROR, lambda pool, attempt: setattr(attempt.call, "final", object())),
-    "its time passes": (SAFE, Ending.ERROR, lambda pool, attempt: setattr(attempt, "end", monotonic())),
-    "its endpoint drains": (SAFE, Ending.ERROR, lambda pool, attempt: pool.list_anew(status=Status.TERMINATING)),
-    "its endpoint goes": (SAFE, Ending.ERROR, lambda pool, attempt: pool.list_anew(status=Status.TERMINATED)),
-    "a whole list omits its endpoint": (SAFE, Ending.ERROR, lambda pool, attempt: pool.pool.listed([], True)),
-    "its endpoint starts anew": (SAFE, Ending.ERROR, lambda pool, attempt: pool.list_anew(since_ms=6.0)),
-    "its endpoint is banned": (SAFE, Ending.ERROR, lambda pool, attempt: pool.pool.ban("a", True)),
-    "it is abandoned": (SAFE, Ending.ERROR, lambda pool, attempt: pool.pool.abandon(attempt)),
-    "the window for repeats passes": (KEYED, Ending.RESET, window_passes),
-    "an earlier one turns out to be out": (SAFE, Ending.TURNED_AWAY, lambda pool, attempt: begun(attempt.call, None)),
+    "its client goes": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt.call, "gone", True)),
+    "its call is answered": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt.call, "final", object())),
+    "its time passes": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt, "end", monotonic())),
+    "its endpoint drains": (
+        SAFE,
+        AttemptEnding.ERROR,
+        lambda pool, attempt: pool.list_anew(status=DiscoveryStatus.TERMINATING),
+    ),
+    "its endpoint goes": (
+        SAFE,
+        AttemptEnding.ERROR,
+        lambda pool, attempt: pool.list_anew(status=DiscoveryStatus.TERMINATED),
+    ),
+    "a whole list omits its endpoint": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.listed([], True)),
+    "its endpoint starts anew": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.list_anew(since_ms=6.0)),
+    "its endpoint is banned": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.ban("a", True)),
+    "it is abandoned": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.abandon(attempt)),
+    "the window for repeats passes": (KEYED, AttemptEnding.RESET, window_passes),
+    "an earlier one turns out to be out": (
+        SAFE,
+        AttemptEnding.TURNED_AWAY,
+        lambda pool, attempt: begun(attempt.call, None),
+    ),
     "an earlier one turns out to have run": (
         ONCE,
-        Ending.TURNED_AWAY,
-        lambda pool, attempt: begun(attempt.call, Ending.TIMED_OUT),
+        AttemptEnding.TURNED_AWAY,
+        lambda pool, attempt: begun(attempt.call, AttemptEnding.TIMED_OUT),
     ),
 }
 
@@ -128,7 +142,7 @@
         assert pool.sockets.used == 1
         happen(pool, attempt)
         ended = await pool.calls.endings.get()
-        assert ended is (Ending.ABANDONED if crossing == "it is abandoned" else Ending.NOT_SENT)
+        assert ended is (AttemptEnding.ABANDONED if crossing == "it is abandoned" else AttemptEnding.NOT_SENT)
         if crossing != "it is abandoned":  # that connection may never come up
             assert await pool.seen.get() == b""
         assert not attempt.sent_at and pool.seen.empty() and pool.calls.endings.empty()
@@ -139,9 +153,9 @@
 
 
 @pytest.mark.parametrize("cls", [SAFE, KEYED, ONCE])
-@pytest.mark.parametrize("earlier", list(Ending))
+@pytest.mark.parametrize("earlier", list(AttemptEnding))
 def test_after_each_ending_a_further_attempt_is_written_only_where_its_class_allows(
-    cls: TrafficClass, earlier: Ending
+    cls: TrafficClass, earlier: AttemptEnding
 ) -> None:
     async def case() -> None:
         pool = Pool()
@@ -149,12 +163,12 @@
         call = call_of(cls)
         begun(call, earlier)
         pool.pool.make(attempt_of(call))
-        never_ran = earlier in (Ending.TURNED_AWAY, Ending.CONNECT_FAILED, Ending.NOT_SENT)
+        never_ran = earlier in (AttemptEnding.TURNED_AWAY, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT)
         if cls is ONCE and not never_ran:
-            assert await pool.calls.endings.get() is Ending.NOT_SENT and pool.seen.empty()
+            assert await pool.calls.endings.get() is AttemptEnding.NOT_SENT and pool.seen.empty()
             assert not pool.sockets.used  # no connection was opened for it
         else:
-            assert await pool.calls.endings.get() is Ending.SERVED and await pool.seen.get() == b"G"
+            assert await pool.calls.endings.get() is AttemptEnding.SERVED and await pool.seen.get() == b"G"
 
     run(case())
 
@@ -165,7 +179,7 @@
         pool = Pool()
         await pool.start()
         pool.pool.make(attempt_of(call_of(SAFE)))
-        assert await pool.calls.endings.get() is Ending.SERVED and pool.sockets.idle == 1
+        assert await pool.calls.endings.get() is AttemptEnding.SERVED and pool.sockets.idle == 1
         pool.list_anew()
         assert pool.sockets.idle == 1  # the same process, told of again
         pool.list_anew(since_ms=6.0)
@@ -189,7 +203,7 @@
     # Guards once-only work: marked as rejected, the late answer would say of the next request that it never ran.
     async def case() -> None:
         pool = Pool()
-        pool.pool = Providers(pool.calls, pool.sockets, 9000.0, 9000.0, ProviderTuning(settle_s=settle_s))
+        pool.pool = EndpointPool(pool.calls, pool.sockets, 9000.0, 9000.0, ProviderTuning(settle_s=settle_s))
         opened: list[Writer] = []
         asked: asyncio.Queue[Writer] = asyncio.Queue()
 
@@ -203,10 +217,10 @@
             writer.close()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool.pool.listed([Provider("a", server.sockets[0].getsockname(), Status.IN_SERVICE)], True)
+        pool.pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
         pool.pool.make(attempt_of(call_of(ONCE)))
         (first := await asked.get()).write(whole(200))
-        assert await pool.calls.endings.get() is Ending.SERVED
+        assert await pool.calls.endings.get() is AttemptEnding.SERVED
         pool.pool.make(attempt_of(call_of(ONCE)))
         second = await asked.get()
         assert len(opened) == connections
@@ -214,7 +228,7 @@
             first.write(REJECTED)
             await first.wait_closed()  # what nobody asked for ends its connection
         second.write(whole(200))
-        assert await pool.calls.endings.get() is Ending.SERVED and pool.calls.endings.empty()
+        assert await pool.calls.endings.get() is AttemptEnding.SERVED and pool.calls.endings.empty()
 
     run(case())
 
@@ -245,10 +259,10 @@
             pool.seen.put_nowait(await reader.read())
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool.pool.listed([Provider("a", server.sockets[0].getsockname(), Status.IN_SERVICE)], True)
+        pool.pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
         attempt = attempt_of(call_of(ONCE))
         pool.pool.make(attempt)
-        assert await pool.calls.endings.get() is Ending.CONNECT_FAILED
+        assert await pool.calls.endings.get() is AttemptEnding.CONNECT_FAILED
         assert not attempt.sent_at
 
     run(case())
@@ -286,9 +300,9 @@
             hang_up(writer)
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool.pool.listed([Provider("a", server.sockets[0].getsockname(), Status.IN_SERVICE)], True)
+        pool.pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
         pool.pool.make(attempt_of(call_of(ONCE)))
-        assert await pool.calls.endings.get() is Ending.CONNECT_FAILED
+        assert await pool.calls.endings.get() is AttemptEnding.CONNECT_FAILED
 
     run(case())
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -8,11 +8,11 @@
 import pytest
 
 from limenotch.balancing.actions import RejectRequest
-from limenotch.balancing.endpoint_selection import draw
-from limenotch.balancing.endpoint_statistics import Call, Usual
-from limenotch.balancing.hedging import gate
+from limenotch.balancing.endpoint_selection import draw_endpoint
+from limenotch.balancing.endpoint_statistics import ClassLatency, Request
+from limenotch.balancing.hedging import hedge_pays_off
 from limenotch.balancing.types import Outcome
-from limenotch.balancing.weights import reshare
+from limenotch.balancing.weights import update_weights
 
 from .referee import READ, WRITE, ZONAL, Referee, fleet, sends, settings
 
@@ -63,9 +63,9 @@
     balancer.usual[balancer.set.classes[0].name].mean, balancer.copyable = 150.0, balancer.came
     for server in (one, two):
         server.slow, server.like.low, server.out = 1.2, 1.0, 0
-    assert gate(balancer, referee.now, call, one, two, 1.0)
+    assert hedge_pays_off(balancer, referee.now, call, one, two, 1.0)
     balancer.out, balancer.held, balancer.entry.limit = 20, 20.0, 20.0
-    assert not gate(balancer, referee.now, call, one, two, 1.0)
+    assert not hedge_pays_off(balancer, referee.now, call, one, two, 1.0)
 
 
 @pytest.mark.parametrize("layer", [0, 1])
@@ -80,7 +80,7 @@
     one.util_at = two.util_at = referee.now
     one.out = two.out = 0
     balancer.out, balancer.copyable = 100, balancer.came
-    assert gate(balancer, referee.now, balancer.calls[name], one, two, 1.0) is bool(layer)
+    assert hedge_pays_off(balancer, referee.now, balancer.calls[name], one, two, 1.0) is bool(layer)
     assert (balancer.entry.limit < inf) is not bool(layer)
 
 
@@ -97,14 +97,14 @@
         one.util = two.util = load
         one.util_at = two.util_at = referee.now
         one.out = two.out = 0
-        assert gate(balancer, referee.now, call, one, two, 1.0) is copies
+        assert hedge_pays_off(balancer, referee.now, call, one, two, 1.0) is copies
 
 
 def test_placement_follows_shares() -> None:
     """Even shares: each of eight upstreams gets an eighth of the draws, within four standard deviations."""
     referee = Referee(settings(), 5, fleet(8))
-    call = Call("c", READ, Usual(), 3, 1e9, 1e9)
-    drawn = [draw(referee.balancer, referee.now, call, None) for _ in range(8000)]
+    call = Request("c", READ, ClassLatency(), 3, 1e9, 1e9)
+    drawn = [draw_endpoint(referee.balancer, referee.now, call, None) for _ in range(8000)]
     for server in referee.balancer.table[0]:
         assert abs(drawn.count(server) - 1000) < 4 * (8000 * 0.125 * 0.875) ** 0.5
 
@@ -197,7 +197,7 @@
         balancer.known[server] = None  # as whoever has been sent to
         balancer.good, balancer.bad = balancer.good + server.good, balancer.bad + server.bad
     for _ in range(2):  # the second sees what the first has made of the evidence
-        reshare(balancer, balancer.now)
+        update_weights(balancer, balancer.now)
     share = {server.at.zone: server.share for server in balancer.roster.servers.values()}
     assert share[0] < 0.05 * 3 * share[1]
 
@@ -209,7 +209,9 @@
     balancer = referee.balancer
     ill = balancer.table[0][0]
     ill.ok = 0.4
-    firsts = [draw(balancer, referee.now, Call("c", lax, Usual(), 3, 1e9, 1e9), None) for _ in range(400)]
+    firsts = [
+        draw_endpoint(balancer, referee.now, Request("c", lax, ClassLatency(), 3, 1e9, 1e9), None) for _ in range(400)
+    ]
     assert firsts.count(ill) > 20  # it is drawn ...
     for _ in range(100):
         name, actions = referee.arrive(0)
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -11,10 +11,10 @@
 
 from limenotch.net import client_connection as module
 from limenotch.net import http1
-from limenotch.net.client_connection import Consumer
-from limenotch.net.client_listener import Consumers
-from limenotch.net.pipe import HOLD, Pipe
-from limenotch.settings import Consumers as Tuning
+from limenotch.net.client_connection import ClientConnection
+from limenotch.net.client_listener import ClientListener
+from limenotch.net.pipe import HOLD, BodyPipe
+from limenotch.settings import ClientSettings as Tuning
 
 from .helpers.connections import UP, Connections, received, until, with_connections
 from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answering, ask, whole
@@ -24,23 +24,23 @@
 BIG = DELIVER.replace(b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * HOLD)) + bytes(3 * HOLD)
 
 
-def timer(connections: Connections, consumer: Consumer) -> None:
+def timer(connections: Connections, consumer: ClientConnection) -> None:
     consumer._overdue()
 
 
-def eviction(connections: Connections, consumer: Consumer) -> None:
+def eviction(connections: Connections, consumer: ClientConnection) -> None:
     connections.all._drop_idle()
 
 
-def leaving(connections: Connections, consumer: Consumer) -> None:
+def leaving(connections: Connections, consumer: ClientConnection) -> None:
     consumer.end_rest()
 
 
-def in_kernel(consumer: Consumer) -> None:
+def in_kernel(consumer: ClientConnection) -> None:
     pass
 
 
-def read(consumer: Consumer) -> None:
+def read(consumer: ClientConnection) -> None:
     """As the loop does in the turn in which a timer is due as well: nobody has heard of the bytes yet."""
     consumer.stream._handle_events(consumer.stream.socket, IOLoop.READ)
 
@@ -49,8 +49,8 @@
 @pytest.mark.parametrize("where", [in_kernel, read])
 @pytest.mark.parametrize("end", [timer, eviction, leaving])
 def test_a_request_that_has_come_is_served_whoever_ends_idle_connections(
-    end: Callable[[Connections, Consumer], None],
-    where: Callable[[Consumer], None],
+    end: Callable[[Connections, ClientConnection], None],
+    where: Callable[[ClientConnection], None],
     used: bool,
 ) -> None:
     # Guards requests read and not answered: a timer is run before whoever waits for the bytes of the same turn.
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("end", [timer, leaving])
 def test_a_resting_client_sees_an_end_and_what_it_sends_then_is_not_taken(
-    end: Callable[[Connections, Consumer], None],
+    end: Callable[[Connections, ClientConnection], None],
 ) -> None:
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
@@ -185,7 +185,7 @@
         lingering.sendall(UP.replace(b"\r\n\r\n", CLOSING))
         await received(lingering)
         await until(lambda: work in connections.all._waiting)
-        order: list[Consumer] = []
+        order: list[ClientConnection] = []
         for _ in range(3):
             before = set(connections.all._open)
             assert connections.all._drop_idle()
@@ -258,7 +258,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against bytes that no endpoint made: the words for our fault would be taken for a part of the body.
-    async def faulty(self: Pipe) -> bytes:
+    async def faulty(self: BodyPipe) -> bytes:
         raise RuntimeError("a fault")
 
     async def handle(reader: Reader, writer: Writer) -> None:
@@ -268,7 +268,7 @@
         writer.close()
 
     async def use(port: int) -> None:
-        monkeypatch.setattr(Pipe, "get", faulty)
+        monkeypatch.setattr(BodyPipe, "get", faulty)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
         with pytest.raises(ConnectionResetError):
@@ -281,11 +281,11 @@
 
 def test_a_fault_of_ours_in_an_upload_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the call: nobody filled its pipe any more, and it stayed open to its deadline.
-    async def faulty(self: Pipe, piece: bytes) -> None:
+    async def faulty(self: BodyPipe, piece: bytes) -> None:
         raise RuntimeError("a fault")
 
     async def use(connections: Connections) -> None:
-        monkeypatch.setattr(Pipe, "put", faulty)
+        monkeypatch.setattr(BodyPipe, "put", faulty)
         sock, _ = await connections.client()
         await asyncio.to_thread(sock.sendall, BIG)
         answer = await received(sock)
@@ -334,7 +334,7 @@
             return super().accept()
 
     async def use(connections: Connections) -> None:
-        all_: Consumers = connections.all
+        all_: ClientListener = connections.all
         all_._stop_listening()
         queue = Aborting()
         queue.bind(("127.0.0.1", 0))
--- a/tests/test_configuration_applier.py
+++ b/tests/test_configuration_applier.py
@@ -9,7 +9,7 @@
 import pytest
 
 from limenotch.config import Config, parse
-from limenotch.configuration_applier import NEVER, Acting
+from limenotch.configuration_applier import NEVER, ConfigurationApplier
 
 from .helpers.http_peers import SETTINGS
 
@@ -41,9 +41,9 @@
         return done
 
 
-def acting() -> tuple[Acting, Deeds, dict[str, Any]]:
+def acting() -> tuple[ConfigurationApplier, Deeds, dict[str, Any]]:
     deeds = Deeds()
-    made = Acting(parse(RAW, {}), deeds)
+    made = ConfigurationApplier(parse(RAW, {}), deeds)
     return made, deeds, made.first()
 
 
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -12,10 +12,10 @@
 import pytest
 
 from limenotch import app, config, settings
-from limenotch.load_balancer import Provider, Status
+from limenotch.load_balancer import DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net.discovery import schedule
-from limenotch.net.discovery.client import Directory
-from limenotch.net.discovery.endpoint_list import Listing, list_of, merged
+from limenotch.net.discovery.client import DiscoveryClient
+from limenotch.net.discovery.endpoint_list import EndpointList, merge_lists, parse_list
 
 from .helpers.http_peers import SETTINGS, Handler, Reader, Writer
 from .helpers.processes import free_port, run
@@ -37,7 +37,7 @@
     body = b"\n\n".join(json.dumps(one, indent=2).encode() for one in lists)  # and no end of the last line
 
     async def case() -> None:
-        heard, broken = asyncio.Queue[tuple[list[Provider], bool]](), asyncio.Queue[None]()
+        heard, broken = asyncio.Queue[tuple[list[DiscoveredEndpoint], bool]](), asyncio.Queue[None]()
 
         async def handler(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -45,7 +45,7 @@
             await reader.read()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        watched = Directory(
+        watched = DiscoveryClient(
             server.sockets[0].getsockname(), lambda *told: heard.put_nowait(told), lambda: broken.put_nowait(None)
         )
         watched.watch()
@@ -75,11 +75,11 @@
                 await asyncio.sleep(0.01)
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        watched = Directory(
+        watched = DiscoveryClient(
             server.sockets[0].getsockname(),
             lambda *_: None,
             lambda: broken.put_nowait(None),
-            settings.Directory(silence_s=0.2),
+            settings.DiscoverySettings(silence_s=0.2),
         )
         watched.watch()
         await broken.get()
@@ -100,7 +100,7 @@
             writer.close()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        watched = Directory(("127.0.0.1", free_port()), lambda *_: None, lambda: broken.put_nowait(None))
+        watched = DiscoveryClient(("127.0.0.1", free_port()), lambda *_: None, lambda: broken.put_nowait(None))
         watched.watch()
         await broken.get()
         watched.move(server.sockets[0].getsockname())
@@ -113,7 +113,7 @@
 
 def test_a_watch_that_ends_is_told_once_and_resumed_by_version() -> None:
     async def case() -> None:
-        asked, heard, broken = list[bytes](), list[tuple[list[Provider], bool]](), asyncio.Queue[None]()
+        asked, heard, broken = list[bytes](), list[tuple[list[DiscoveredEndpoint], bool]](), asyncio.Queue[None]()
         lines = (
             b'{"index":7,"snapshot":true,"endpoints":[{"name":"a"},{"name":"b","address":"127.0.0.1:1",'
             b'"status":"odd"}]}\nnot json\n\n'
@@ -129,7 +129,7 @@
             writer.close()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        directory = Directory(
+        directory = DiscoveryClient(
             server.sockets[0].getsockname(), lambda *told: heard.append(told), lambda: broken.put_nowait(None)
         )
         for _ in answers:
@@ -154,7 +154,7 @@
     ],
 )
 def test_odd_lists_crash_nothing(raw: Any) -> None:
-    told = list_of(raw)
+    told = parse_list(raw)
     assert told is None or told[2] == []
 
 
@@ -197,18 +197,22 @@
     run(case())
 
 
-def listed(name: str, status: Status = Status.IN_SERVICE) -> Provider:
-    return Provider(name, ("127.0.0.1", 1), status)
+def listed(name: str, status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE) -> DiscoveredEndpoint:
+    return DiscoveredEndpoint(name, ("127.0.0.1", 1), status)
 
 
 def test_changes_that_come_together_are_told_as_one_with_the_last_word_on_each() -> None:
-    draining = listed("a", Status.TERMINATING)
-    assert merged([]) is None
-    assert merged([Listing(1, False, [listed("a"), listed("b")]), Listing(2, False, [draining])]) == (
+    draining = listed("a", DiscoveryStatus.TERMINATING)
+    assert merge_lists([]) is None
+    assert merge_lists([EndpointList(1, False, [listed("a"), listed("b")]), EndpointList(2, False, [draining])]) == (
         2,
         False,
         [draining, listed("b")],
     )
     # A whole list takes the place of all that came before it, and changes after it leave it whole.
-    came = [Listing(1, False, [listed("x")]), Listing(4, True, [listed("a")]), Listing(0, False, [draining])]
-    assert merged(came) == (4, True, [draining])
+    came = [
+        EndpointList(1, False, [listed("x")]),
+        EndpointList(4, True, [listed("a")]),
+        EndpointList(0, False, [draining]),
+    ]
+    assert merge_lists(came) == (4, True, [draining])
--- a/tests/test_discovery_states.py
+++ b/tests/test_discovery_states.py
@@ -179,7 +179,7 @@
     lasted: float, seed: int, lost: Fate
 ) -> None:
     """Seen on loopback and by reading: 3 s of silence, a call of 3 s and the waits beside them were 7 s."""
-    silence_s, answer_s = settings.Directory().silence_s, 0.5
+    silence_s, answer_s = settings.DiscoverySettings().silence_s, 0.5
     beats = tuple((at, Heard()) for at in (2.0 * beat for beat in range(1, 16)) if at <= lasted)
     watch: Fate = ((0.0, Connected()), (0.0, Listed()), *beats)
     last_word = beats[-1][0] if beats else 0.0
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from limenotch.load_balancer import Ending, Provider, Status
+from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net.discovery import schedule
-from limenotch.net.discovery.client import Directory
-from limenotch.net.endpoint_pool import Providers
+from limenotch.net.discovery.client import DiscoveryClient
+from limenotch.net.endpoint_pool import EndpointPool
 
 from .helpers.discovery_peer import CHUNKED, SILENCE_S, Discovery, Held, case, chunk, listing
 from .helpers.http_peers import Reader, Writer
@@ -137,7 +137,7 @@
             listener.listen(0)
             at = listener.getsockname()
             with socket.create_connection(at):  # the queue is full: further ones are not answered at all
-                directory = Directory(at, lambda *_: None, lambda: broken.put_nowait(None))
+                directory = DiscoveryClient(at, lambda *_: None, lambda: broken.put_nowait(None))
                 directory.watch()
                 await broken.get()
                 await broken.get()
@@ -229,7 +229,7 @@
         def broken() -> None:
             raise OverflowError
 
-        directory = Directory(await peer.begin(), lambda *_: None, broken)
+        directory = DiscoveryClient(await peer.begin(), lambda *_: None, broken)
         directory.watch()
         (await peer.calls.get()).writer.close()
         await peer.calls.get()
@@ -248,12 +248,12 @@
             seen.put_nowait(await reader.read())
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool = Providers(calls, unlimited(), 9000.0, 9000.0)
-        pool.listed([Provider("a", server.sockets[0].getsockname(), Status.IN_SERVICE)], True)
+        pool = EndpointPool(calls, unlimited(), 9000.0, 9000.0)
+        pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
         pool.make(invoker_call(time.monotonic() + 20))
         await asyncio.sleep(0)  # the task runs up to its wait for the connection
-        pool.listed([Provider("b", ("127.0.0.1", 1), Status.IN_SERVICE)], True)
-        assert await calls.endings.get() is Ending.NOT_SENT and await seen.get() == b""
+        pool.listed([DiscoveredEndpoint("b", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE)], True)
+        assert await calls.endings.get() is AttemptEnding.NOT_SENT and await seen.get() == b""
         assert not pool.knows("a")
 
     run(whole())
@@ -265,7 +265,7 @@
     async def whole() -> None:
         loop = asyncio.get_running_loop()
         listener, fillers = socket.create_server(("127.0.0.1", 0)), list[int]()
-        directory = Directory(listener.getsockname(), lambda *_: None, lambda: None)
+        directory = DiscoveryClient(listener.getsockname(), lambda *_: None, lambda: None)
         there = loop.create_future()
         loop.add_reader(listener, lambda: None if there.done() else there.set_result(None))
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
--- a/tests/test_endpoint_ages.py
+++ b/tests/test_endpoint_ages.py
@@ -13,8 +13,8 @@
 from limenotch.balancing.events import MembershipKind, MembershipUpdate, OperatorEjection
 from limenotch.balancing.settings import read_settings
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, SlowStart, TrafficClass
-from limenotch.endpoint_ages import Starts
-from limenotch.load_balancer import Facade, Provider, Status
+from limenotch.endpoint_ages import EndpointAges
+from limenotch.load_balancer import DiscoveredEndpoint, DiscoveryStatus, LoadBalancer
 
 from .helpers.http_peers import SETTINGS
 
@@ -31,7 +31,7 @@
     def __init__(self, ahead: float = 0.0) -> None:
         """`ahead`: how far the wall clock was apart from the list's at the start."""
         self.passed, self.began, self.step = 0.0, UNIX + ahead, 0.0
-        self.starts = Starts(self.clock, lambda: self.clock() + self.step)
+        self.starts = EndpointAges(self.clock, lambda: self.clock() + self.step)
 
     def clock(self) -> float:
         return self.began + self.passed
@@ -141,11 +141,11 @@
 
 
 def test_knowledge_hands_the_ages_on_and_that_of_an_earlier_version_has_none() -> None:
-    def facade(ahead: float) -> Facade:
-        return Facade(read_settings(SETTINGS), 1, ["z"], clock=lambda: UNIX + ahead)
+    def facade(ahead: float) -> LoadBalancer:
+        return LoadBalancer(read_settings(SETTINGS), 1, ["z"], clock=lambda: UNIX + ahead)
 
     before, after = facade(0.0), facade(HOUR)
-    listed = [Provider("a", ("127.0.0.1", 1), Status.IN_SERVICE, "z", since_ms=UNIX - 7000)]
+    listed = [DiscoveredEndpoint("a", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE, "z", since_ms=UNIX - 7000)]
     before.heard(listed, whole=True)
     told = json.loads(json.dumps(before.knowledge()))
     after.learn_starts(told)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,8 +24,8 @@
     SlowStart,
     TrafficClass,
 )
-from limenotch.balancing.weights import reshare
-from limenotch.settings import Directory
+from limenotch.balancing.weights import update_weights
+from limenotch.settings import DiscoverySettings
 
 LOOK = TrafficClass("look", Effect.IDEMPOTENT, 2000.0, 5000.0, late_worth=0.5)
 COLD = SlowStart(0.12, 24_000.0, 4.0, 3000.0)
@@ -211,7 +211,7 @@
 
 def test_a_watch_that_broke_is_back_before_a_drain_it_missed_counts_as_told() -> None:
     """Dead for 5 s before it was noticed and up to 3 s more: sends reached a draining box 0.34 s after it counted."""
-    told_ms, silence_ms = 6000.0, Directory().silence_s * 1000.0
+    told_ms, silence_ms = 6000.0, DiscoverySettings().silence_s * 1000.0
     assert silence_ms + waits_after(1)[-1] < told_ms - 1000.0  # the rest for the directory, which answers in turn
 
 
@@ -229,7 +229,7 @@
     balancer = host.balancer
     balancer.demand = 7.0  # 70 a second for each zone, of which one box can do 50
     balancer.roster.servers["0x"].quiet = True
-    reshare(balancer, host.now)
+    update_weights(balancer, host.now)
     own = sum(s.share for s in balancer.table[0] if s.at.zone == 0)
     assert own < 0.6 * sum(s.share for s in balancer.table[0])  # at the use of the tier left: 0.58
 
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -10,7 +10,14 @@
 from limenotch.balancing.actions import RejectRequest, SendAttempt
 from limenotch.balancing.events import MembershipKind, RequestArrived
 from limenotch.balancing.types import DedupScope, Effect, Endpoint, EndpointState, Outcome, PriorExecution, TrafficClass
-from limenotch.load_balancer import Ending, Facade, Hint, Invoke, Provider, Status
+from limenotch.load_balancer import (
+    AttemptEnding,
+    DiscoveredEndpoint,
+    DiscoveryStatus,
+    LoadBalancer,
+    PlacementHint,
+    StartAttempt,
+)
 
 from .referee import PAY, READ, WRITE, ZONAL, Held, Referee, fleet, sends, settings
 
@@ -194,37 +201,41 @@
 # The facade
 
 
-def facade() -> Facade:
+def facade() -> LoadBalancer:
     at = [0.0]
-    made = Facade(settings(classes=CLASSES, zone=0), 5, ("a", "b"), clock=lambda: 1000.0 + at[0])
+    made = LoadBalancer(settings(classes=CLASSES, zone=0), 5, ("a", "b"), clock=lambda: 1000.0 + at[0])
     made.start()
     made.heard(
-        [Provider(row.name, ("h", 1), Status.IN_SERVICE, "ab"[row.zone], group=row.cell) for row in fleet(AMONG)], True
+        [
+            DiscoveredEndpoint(row.name, ("h", 1), DiscoveryStatus.IN_SERVICE, "ab"[row.zone], group=row.cell)
+            for row in fleet(AMONG)
+        ],
+        True,
     )
     return made
 
 
-def placed(made: Facade, cls: TrafficClass, hint: Hint | None, times: int = 40) -> set[str]:
+def placed(made: LoadBalancer, cls: TrafficClass, hint: PlacementHint | None, times: int = 40) -> set[str]:
     found: set[str] = set()
     for number in range(times):
         orders = made.pick(number, cls.name, "", 2900.0, hint=hint)
-        sent = [order.provider for order in orders if isinstance(order, Invoke)]
+        sent = [order.provider for order in orders if isinstance(order, StartAttempt)]
         for attempt, name in enumerate(sent):
-            made.report(number, attempt, name, 10.0, Ending.SERVED, True)
+            made.report(number, attempt, name, 10.0, AttemptEnding.SERVED, True)
         found.update(sent[:1])
     return found
 
 
 def test_the_facade_passes_a_hint_on() -> None:
-    assert placed(facade(), READ, Hint(KEPT)) == {KEPT}
-    assert placed(facade(), WRITE, Hint(ran=True, zone="b", group=1, ago_ms=100.0)) <= of(cell=1)
-    assert placed(facade(), ZONAL, Hint(ran=True, zone="b", group=1, ago_ms=100.0)) <= of(zone=1)
-    assert not placed(facade(), WRITE, Hint(ran=True, zone="b", group=1, ago_ms=WRITE.window_ms))
-    assert not placed(facade(), ZONAL, Hint(ran=True, zone="of another list", ago_ms=100.0))
+    assert placed(facade(), READ, PlacementHint(KEPT)) == {KEPT}
+    assert placed(facade(), WRITE, PlacementHint(ran=True, zone="b", group=1, ago_ms=100.0)) <= of(cell=1)
+    assert placed(facade(), ZONAL, PlacementHint(ran=True, zone="b", group=1, ago_ms=100.0)) <= of(zone=1)
+    assert not placed(facade(), WRITE, PlacementHint(ran=True, zone="b", group=1, ago_ms=WRITE.window_ms))
+    assert not placed(facade(), ZONAL, PlacementHint(ran=True, zone="of another list", ago_ms=100.0))
 
 
 def test_without_a_run_a_hint_binds_to_nothing() -> None:
-    for hint in (None, Hint(), Hint(zone="b", group=1, ago_ms=100.0)):
+    for hint in (None, PlacementHint(), PlacementHint(zone="b", group=1, ago_ms=100.0)):
         assert placed(facade(), WRITE, hint) - of(cell=1), hint
 
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -219,7 +219,7 @@
 
 
 def test_documents_that_are_spoilt_hide_no_later_one() -> None:
-    stream = json_stream.Documents()
+    stream = json_stream.JsonDocuments()
     assert stream.feed(b'not json\n{"a":"{\n}\n') == [b"not json", b'{"a":"{', b"}"]
     assert stream.feed(b'{\n "a": 1}') == [b'{\n "a": 1}'] and stream.begun == 0  # at once, with no end of its line
     with pytest.raises(MalformedError):
--- a/tests/test_large_endpoint_lists.py
+++ b/tests/test_large_endpoint_lists.py
@@ -11,9 +11,9 @@
 
 from limenotch.balancing import Balancer
 from limenotch.balancing.actions import SendAttempt
-from limenotch.balancing.available_endpoints import Ready
-from limenotch.balancing.endpoint_selection import draw
-from limenotch.balancing.endpoint_statistics import Call, Mean, Server, Usual
+from limenotch.balancing.available_endpoints import AvailableEndpoints
+from limenotch.balancing.endpoint_selection import draw_endpoint
+from limenotch.balancing.endpoint_statistics import ClassLatency, EndpointStatistics, LatencyProfile, Request
 from limenotch.balancing.events import Event, MembershipKind, MembershipUpdate, RequestArrived
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, EndpointState, SlowStart, TrafficClass
 
@@ -115,8 +115,8 @@
         ),
     )
     assert balancer.stale and {server.at.name for server in balancer.table[0]} >= gone
-    call = Call("c", LOOK, Usual(), 3, 1e9, 1e9)
-    drawn = {server.at.name for _ in range(300) if (server := draw(balancer, START_MS + 0.01, call, None))}
+    call = Request("c", LOOK, ClassLatency(), 3, 1e9, 1e9)
+    drawn = {server.at.name for _ in range(300) if (server := draw_endpoint(balancer, START_MS + 0.01, call, None))}
     assert drawn == {f"u{number}" for number in range(SMALL - 10, SMALL)}
 
 
@@ -130,15 +130,18 @@
     assert isinstance(send, SendAttempt) and send.upstream.startswith("n")
 
 
-def server_of(name: str, zone: int, kind: Mean, weight: float, since: float) -> Server:
-    server = Server(Endpoint(name, EndpointState.READY, weight, 0, zone, 0, since), kind, 0.0, 0.0)
+def server_of(name: str, zone: int, kind: LatencyProfile, weight: float, since: float) -> EndpointStatistics:
+    server = EndpointStatistics(Endpoint(name, EndpointState.READY, weight, 0, zone, 0, since), kind, 0.0, 0.0)
     server.weight, server.since = weight, since
     return server
 
 
 def test_the_sums_are_those_of_a_pass_over_all_whatever_came_and_went() -> None:
-    kinds = [Mean(), Mean()]
-    ready, held = Ready(BalancerSettings(classes=(LOOK,), crossing_cost=0.1, cold=COLD)), dict[str, Server]()
+    kinds = [LatencyProfile(), LatencyProfile()]
+    ready, held = (
+        AvailableEndpoints(BalancerSettings(classes=(LOOK,), crossing_cost=0.1, cold=COLD)),
+        dict[str, EndpointStatistics](),
+    )
     now = START_MS
     for step in range(600):
         now += 37.0
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -17,7 +17,7 @@
 import pytest
 
 from limenotch import app, config
-from limenotch.net.discovery.client import Directory
+from limenotch.net.discovery.client import DiscoveryClient
 from limenotch.net.discovery.schedule import ASK_AGAIN_S
 
 from .helpers.http_peers import LOOK, SETTINGS, Handler, Reader, Writer, answering, ask, whole
@@ -170,7 +170,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     said = list[bool]()
-    monkeypatch.setattr(Directory, "push", lambda _, pushed: said.append(pushed))
+    monkeypatch.setattr(DiscoveryClient, "push", lambda _, pushed: said.append(pushed))
 
     async def case() -> None:
         first, second = Agent(), Agent()
--- a/tests/test_request_interceptors.py
+++ b/tests/test_request_interceptors.py
@@ -8,49 +8,57 @@
 
 import pytest
 
-from limenotch.load_balancer import Abandon, Ending, GiveUp, Hint, Invoke, Order, Reject
-from limenotch.net.request import Call, Final, InvokerCall, Later, Verdict
-from limenotch.net.requests import Calls
+from limenotch.load_balancer import (
+    AttemptEnding,
+    CancelAttempt,
+    Command,
+    FailRequest,
+    PlacementHint,
+    RejectRequest,
+    StartAttempt,
+)
+from limenotch.net.request import Attempt, FinalResponse, Request, RetryLater, Verdict
+from limenotch.net.requests import RequestManager
 
 from .helpers.scripted import Hand, Script, calls_of, take
 
 Told = tuple[Any, ...]
-ONE: list[Order] = [Invoke(1, "a", 100.0)]
-TURNS_AWAY = Final(Verdict.REJECTED, retry_after_ms=900.0, paused=True)
+ONE: list[Command] = [StartAttempt(1, "a", 100.0)]
+TURNS_AWAY = FinalResponse(Verdict.REJECTED, retry_after_ms=900.0, paused=True)
 
 
 class Ear:
     """Notes what it is told; turns calls away where it has an answer for them."""
 
-    def __init__(self, answer: Final | None = None, hint: Hint | None = None) -> None:
+    def __init__(self, answer: FinalResponse | None = None, hint: PlacementHint | None = None) -> None:
         self._answer, self._hint = answer, hint
         self.told: list[Told] = []
 
-    def taken(self, call: Call) -> Final | Later | None:
+    def taken(self, call: Request) -> FinalResponse | RetryLater | None:
         self.told.append(("taken", call.number))
         call.hint = self._hint or call.hint
         return self._answer
 
-    def sent(self, invoker_call: InvokerCall) -> None:
+    def sent(self, invoker_call: Attempt) -> None:
         self.told.append(("sent", invoker_call.number))
 
-    def ended(self, invoker_call: InvokerCall, ending: Ending) -> None:
+    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         self.told.append(("ended", invoker_call.number, ending))
 
-    def closed(self, call: Call) -> None:
+    def closed(self, call: Request) -> None:
         self.told.append(("closed", call.final.verdict if call.final is not None else None))
 
 
 class Case:
     """One call, its final answers, and two that are told of it; `play` on a loop."""
 
-    def __init__(self, picked: list[Order], *then: list[Order], advice_ms: float = 0.0) -> None:
+    def __init__(self, picked: list[Command], *then: list[Command], advice_ms: float = 0.0) -> None:
         self.script = Script(picked, then, advice_ms)
         self.ears = [Ear(), Ear()]
-        self.finals: list[Final] = []
+        self.finals: list[FinalResponse] = []
 
     def play(
-        self, use: Callable[[Call, Hand], None] = lambda call, hand: None, room: bool = True, alike: bool = True
+        self, use: Callable[[Request, Hand], None] = lambda call, hand: None, room: bool = True, alike: bool = True
     ) -> list[Told]:
         """What the first was told; `alike`: both were."""
 
@@ -66,59 +74,61 @@
 
 
 def test_served_after_a_repeat() -> None:
-    case = Case(ONE, [Invoke(1, "b", 100.0)])
+    case = Case(ONE, [StartAttempt(1, "b", 100.0)])
 
-    def use(call: Call, hand: Hand) -> None:
-        hand.end(0, Ending.ERROR)
+    def use(call: Request, hand: Hand) -> None:
+        hand.end(0, AttemptEnding.ERROR)
         hand.end(1)
 
     assert case.play(use) == [
         ("taken", 1),
         ("sent", 0),
-        ("ended", 0, Ending.ERROR),
+        ("ended", 0, AttemptEnding.ERROR),
         ("sent", 1),
-        ("ended", 1, Ending.SERVED),
+        ("ended", 1, AttemptEnding.SERVED),
         ("closed", Verdict.SERVED),
     ]
     assert [final.verdict for final in case.finals] == [Verdict.SERVED]
 
 
 def test_a_second_copy_and_its_loser() -> None:
-    case = Case([*ONE, Invoke(1, "b", 100.0)], [Abandon(1, 0)])
+    case = Case([*ONE, StartAttempt(1, "b", 100.0)], [CancelAttempt(1, 0)])
     assert case.play(lambda call, hand: hand.end(1)) == [
         ("taken", 1),
         ("sent", 0),
         ("sent", 1),
-        ("ended", 1, Ending.SERVED),
+        ("ended", 1, AttemptEnding.SERVED),
         ("closed", Verdict.SERVED),
-        ("ended", 0, Ending.ABANDONED),
+        ("ended", 0, AttemptEnding.ABANDONED),
     ]
     assert len(case.finals) == 1
 
 
 def test_an_attempt_that_ends_after_its_call_and_twice_is_told_once() -> None:
-    case = Case([*ONE, Invoke(1, "b", 100.0)])
+    case = Case([*ONE, StartAttempt(1, "b", 100.0)])
 
-    def use(call: Call, hand: Hand) -> None:
+    def use(call: Request, hand: Hand) -> None:
         hand.end(0)
         hand.end(1)
-        hand.end(1, Ending.RESET)
+        hand.end(1, AttemptEnding.RESET)
 
     assert [told for told in case.play(use) if told[0] != "sent"] == [
         ("taken", 1),
-        ("ended", 0, Ending.SERVED),
+        ("ended", 0, AttemptEnding.SERVED),
         ("closed", Verdict.SERVED),
-        ("ended", 1, Ending.SERVED),
+        ("ended", 1, AttemptEnding.SERVED),
     ]
 
 
-@pytest.mark.parametrize(("last", "verdict"), [(Reject(1, 5.0), Verdict.REJECTED), (GiveUp(1), Verdict.FAILED)])
-def test_rejected_and_failed(last: Order, verdict: Verdict) -> None:
+@pytest.mark.parametrize(
+    ("last", "verdict"), [(RejectRequest(1, 5.0), Verdict.REJECTED), (FailRequest(1), Verdict.FAILED)]
+)
+def test_rejected_and_failed(last: Command, verdict: Verdict) -> None:
     case = Case(ONE, [last])
-    assert case.play(lambda call, hand: hand.end(0, Ending.ERROR)) == [
+    assert case.play(lambda call, hand: hand.end(0, AttemptEnding.ERROR)) == [
         ("taken", 1),
         ("sent", 0),
-        ("ended", 0, Ending.ERROR),
+        ("ended", 0, AttemptEnding.ERROR),
         ("closed", verdict),
     ]
     untried = Case([last])
@@ -129,11 +139,11 @@
 def test_departed_once_and_without_an_answer() -> None:
     case = Case(ONE)
 
-    def use(call: Call, hand: Hand) -> None:
+    def use(call: Request, hand: Hand) -> None:
         hand.calls.depart(call)
         hand.calls.depart(call)
 
-    assert case.play(use) == [("taken", 1), ("sent", 0), ("closed", None), ("ended", 0, Ending.ABANDONED)]
+    assert case.play(use) == [("taken", 1), ("sent", 0), ("closed", None), ("ended", 0, AttemptEnding.ABANDONED)]
     assert not case.finals
 
 
@@ -141,16 +151,18 @@
 def test_a_long_answer_closes_when_it_begins_and_never_again(end: str) -> None:
     case = Case(ONE)
 
-    def use(call: Call, hand: Hand) -> None:
+    def use(call: Request, hand: Hand) -> None:
         assert hand.calls.begun(hand.out[0], b"first")
         assert hand.calls.has(b"n") and case.ears[0].told[-1] == ("closed", Verdict.SERVED)
         if end == "departed":
             hand.calls.depart(call)
         else:
-            hand.end(0, Ending.SERVED if end == "answered" else Ending.RESET)
+            hand.end(0, AttemptEnding.SERVED if end == "answered" else AttemptEnding.RESET)
             hand.calls.passed_on(call, "answered" if end == "answered" else "errored")
 
-    ending = {"answered": Ending.SERVED, "broken off": Ending.RESET, "departed": Ending.ABANDONED}[end]
+    ending = {"answered": AttemptEnding.SERVED, "broken off": AttemptEnding.RESET, "departed": AttemptEnding.ABANDONED}[
+        end
+    ]
     assert case.play(use) == [("taken", 1), ("sent", 0), ("closed", Verdict.SERVED), ("ended", 0, ending)]
     assert len(case.finals) == 1
 
@@ -185,18 +197,18 @@
 
 
 def test_the_last_hint_goes_to_the_decisions() -> None:
-    case = Case([GiveUp(1)])
-    case.ears = [Ear(hint=Hint("a")), Ear(hint=Hint("b", True, "z", 2, 30.0))]
+    case = Case([FailRequest(1)])
+    case.ears = [Ear(hint=PlacementHint("a")), Ear(hint=PlacementHint("b", True, "z", 2, 30.0))]
     case.play()
-    assert case.script.hints == [Hint("b", True, "z", 2, 30.0)]
-    plain = Case([GiveUp(1)])
+    assert case.script.hints == [PlacementHint("b", True, "z", 2, 30.0)]
+    plain = Case([FailRequest(1)])
     plain.play()
     assert plain.script.hints == [None]
 
 
 def test_each_call_is_told_of_by_itself() -> None:
     async def case() -> None:
-        ear, finals = Ear(), list[Final]()
+        ear, finals = Ear(), list[FinalResponse]()
         calls, hand = calls_of(Script([]), ear)
         first, second = (take(calls, finals.append, name) for name in (b"1", b"2"))
         calls.depart(second)
@@ -209,19 +221,21 @@
 class Slow(Ear):
     """Says Later so many times first."""
 
-    def __init__(self, times: int, answer: Final | None = None, ms: float = 1.0) -> None:
+    def __init__(self, times: int, answer: FinalResponse | None = None, ms: float = 1.0) -> None:
         super().__init__(answer)
         self._times, self._ms = times, ms
 
-    def taken(self, call: Call) -> Final | Later | None:
+    def taken(self, call: Request) -> FinalResponse | RetryLater | None:
         said = super().taken(call)
         self._times -= 1
-        return Later(self._ms, TURNS_AWAY) if self._times >= 0 else said
+        return RetryLater(self._ms, TURNS_AWAY) if self._times >= 0 else said
 
 
-def held(first: Ear, use: Callable[[Call, Hand, Calls], None], budget_ms: float = 9000.0) -> tuple[Ear, list[Final]]:
+def held(
+    first: Ear, use: Callable[[Request, Hand, RequestManager], None], budget_ms: float = 9000.0
+) -> tuple[Ear, list[FinalResponse]]:
     """A call that the first of two holds; `use` when that one has let it go, or at once if it never does."""
-    second, finals = Ear(), list[Final]()
+    second, finals = Ear(), list[FinalResponse]()
 
     async def case() -> None:
         calls, hand = calls_of(Script(ONE), first, second)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -9,19 +9,19 @@
 
 import pytest
 
-from limenotch.load_balancer import Ending, Invoke, Order, Orders
-from limenotch.net.request import Call, Final, Verdict
-from limenotch.net.requests import Calls
+from limenotch.load_balancer import AttemptEnding, Command, Commands, StartAttempt
+from limenotch.net.request import FinalResponse, Request, Verdict
+from limenotch.net.requests import RequestManager
 
 from .helpers.scripted import Hand, Script, calls_of, take
 
-ONE: list[Order] = [Invoke(1, "a", 9000.0)]
+ONE: list[Command] = [StartAttempt(1, "a", 9000.0)]
 
 
 @pytest.mark.parametrize("allowed_ms", [0.0, 300.0, 9000.0])
 def test_advice_on_when_to_return_is_what_the_settings_allow_without_room_too(allowed_ms: float) -> None:
     # Guards settings that forbid the advice: a full sidecar once told a second of its own.
-    finals: list[Final] = []
+    finals: list[FinalResponse] = []
 
     async def case() -> None:
         calls, _ = calls_of(Script([], advice_ms=allowed_ms), most=0)
@@ -31,20 +31,20 @@
     assert [(final.verdict, final.retry_after_ms) for final in finals] == [(Verdict.REJECTED, min(allowed_ms, 1000.0))]
 
 
-Act = Callable[[Calls, Hand, Call], None]
+Act = Callable[[RequestManager, Hand, Request], None]
 
 
-def nothing(calls: Calls, hand: Hand, call: Call) -> None:
+def nothing(calls: RequestManager, hand: Hand, call: Request) -> None:
     """Its attempt still waits for a connection."""
 
 
-def written(calls: Calls, hand: Hand, call: Call) -> None:
+def written(calls: RequestManager, hand: Hand, call: Request) -> None:
     hand.out[0].sent_at = monotonic()
 
 
-def rejected_by_the_endpoint(calls: Calls, hand: Hand, call: Call) -> None:
+def rejected_by_the_endpoint(calls: RequestManager, hand: Hand, call: Request) -> None:
     hand.out[0].sent_at = monotonic()
-    hand.end(0, Ending.TURNED_AWAY)
+    hand.end(0, AttemptEnding.TURNED_AWAY)
 
 
 @pytest.mark.parametrize(
@@ -53,13 +53,13 @@
 )
 def test_calls_that_are_open_have_one_answer_by_the_end_of_leaving(act: Act, verdict: Verdict) -> None:
     # Guards clients of long deadlines: what the kill finds unanswered has no answer at all.
-    finals: list[Final] = []
+    finals: list[FinalResponse] = []
 
     async def case() -> None:
         calls, hand = calls_of(Script(ONE))
         answered = asyncio.Event()
 
-        def answer(final: Final) -> None:
+        def answer(final: FinalResponse) -> None:
             finals.append(final)
             answered.set()
 
@@ -75,7 +75,7 @@
 
 
 def test_a_call_that_ends_before_the_end_of_leaving_has_its_own_time() -> None:
-    finals: list[Final] = []
+    finals: list[FinalResponse] = []
 
     async def case() -> None:
         calls, hand = calls_of(Script(ONE))
@@ -90,7 +90,7 @@
 def test_a_call_whose_taking_fails_is_not_kept() -> None:
     # Guards its id and its place among the open calls: its client is told of the fault, and nobody ends it later.
     class Failing(Script):
-        def pick(self, *arguments: Any, **more: Any) -> Orders:
+        def pick(self, *arguments: Any, **more: Any) -> Commands:
             raise RuntimeError("a fault")
 
     async def case() -> None:
--- a/tests/test_restricted_mode.py
+++ b/tests/test_restricted_mode.py
@@ -7,9 +7,19 @@
 
 import pytest
 
-from limenotch.balancing.actions import RejectRequest
+from limenotch.balancing import actions
 from limenotch.balancing.types import DedupScope, Effect, Outcome, TrafficClass
-from limenotch.load_balancer import Ending, Facade, GiveUp, Invoke, Order, Provider, Reject, Status, Wake
+from limenotch.load_balancer import (
+    AttemptEnding,
+    Command,
+    DiscoveredEndpoint,
+    DiscoveryStatus,
+    FailRequest,
+    LoadBalancer,
+    RejectRequest,
+    ScheduleTimer,
+    StartAttempt,
+)
 
 from .referee import READ, WRITE, Referee, fleet, sends, settings
 
@@ -24,9 +34,9 @@
     referee = Referee(given, rows=fleet(7))
     name, _ = referee.arrive(0)
     referee.retune(replace(given, narrow=True))  # an open call as well
-    actions = referee.finish(name, 0, outcome)
-    assert not sends(actions) and referee.calls[name].over
-    assert not any(isinstance(act, RejectRequest) for act in actions)
+    answer = referee.finish(name, 0, outcome)
+    assert not sends(answer) and referee.calls[name].over
+    assert not any(isinstance(act, actions.RejectRequest) for act in answer)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REFUSED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
@@ -86,17 +96,17 @@
         return self.now
 
 
-def leased(refusing: bool = False) -> tuple[Facade, Clock]:
+def leased(refusing: bool = False) -> tuple[LoadBalancer, Clock]:
     clock = Clock()
-    facade = Facade(settings(classes=(READ,)), 7, clock=clock)
+    facade = LoadBalancer(settings(classes=(READ,)), 7, clock=clock)
     facade.start()
-    facade.heard([Provider(f"p{n}", ("127.0.0.1", n), Status.IN_SERVICE) for n in range(5)], True)
+    facade.heard([DiscoveredEndpoint(f"p{n}", ("127.0.0.1", n), DiscoveryStatus.IN_SERVICE) for n in range(5)], True)
     facade.lease(1500.0, refusing=refusing)
     return facade, clock
 
 
-def made(orders: list[Order]) -> list[Invoke]:
-    return [order for order in orders if isinstance(order, Invoke)]
+def made(orders: list[Command]) -> list[StartAttempt]:
+    return [order for order in orders if isinstance(order, StartAttempt)]
 
 
 def test_the_first_event_after_a_pause_finds_the_lease_run_out() -> None:
@@ -104,12 +114,14 @@
     facade, clock = leased()
     (call,) = made(facade.pick(1, "read", "", 900.0))[:1]
     clock.now = 1499.0
-    assert made(facade.report(1, 0, call.provider, 5.0, Ending.ERROR, False)), "the lease holds: it is tried again"
+    assert made(facade.report(1, 0, call.provider, 5.0, AttemptEnding.ERROR, False)), (
+        "the lease holds: it is tried again"
+    )
     facade, clock = leased()
     (call,) = made(facade.pick(1, "read", "", 900.0))[:1]
     clock.now = 1500.0
-    orders = facade.report(1, 0, call.provider, 5.0, Ending.ERROR, False)
-    assert not made(orders) and any(isinstance(order, GiveUp) for order in orders)
+    orders = facade.report(1, 0, call.provider, 5.0, AttemptEnding.ERROR, False)
+    assert not made(orders) and any(isinstance(order, FailRequest) for order in orders)
     assert facade.narrow
 
 
@@ -118,10 +130,10 @@
     clock.now = 5000.0
     facade.retune(settings(classes=(READ,)))
     (call,) = made(facade.pick(1, "read", "", 20000.0))[:1]
-    assert not made(facade.report(1, 0, call.provider, 5.0, Ending.RESET, False))
+    assert not made(facade.report(1, 0, call.provider, 5.0, AttemptEnding.RESET, False))
     facade.lease(8000.0)
     (call,) = made(facade.pick(2, "read", "", 20000.0))[:1]
-    assert made(facade.report(2, 0, call.provider, 5.0, Ending.RESET, False))
+    assert made(facade.report(2, 0, call.provider, 5.0, AttemptEnding.RESET, False))
 
 
 def test_without_a_lease_all_is_rejected_where_the_settings_say_so() -> None:
@@ -133,7 +145,7 @@
 
 def test_one_that_is_alone_never_becomes_narrow() -> None:
     clock = Clock()
-    facade = Facade(settings(classes=(READ,)), 7, clock=clock)
+    facade = LoadBalancer(settings(classes=(READ,)), 7, clock=clock)
     clock.now = 1e12
     assert not facade.narrow and not facade.shut
-    assert not [order for order in facade.start() if not isinstance(order, (Wake, Reject))]
+    assert not [order for order in facade.start() if not isinstance(order, (ScheduleTimer, RejectRequest))]
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -11,11 +11,11 @@
 
 from limenotch.balancing.retry_policy import may_repeat
 from limenotch.balancing.types import DedupScope, Effect, PriorAttempt, TrafficClass
-from limenotch.load_balancer import NEVER_RAN, Ending, Provider, Status
-from limenotch.net.attempt_check import Hindrance, hindrance
-from limenotch.net.request import Call, InvokerCall
-from limenotch.net.request_ids import MOST_REMEMBERED, Names
-from limenotch.request_policy import ARRIVAL_MS, Permits, Sent
+from limenotch.load_balancer import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
+from limenotch.net.attempt_check import Obstacle, obstacle_to
+from limenotch.net.request import Attempt, Request
+from limenotch.net.request_ids import MOST_REMEMBERED, RequestIds
+from limenotch.request_policy import ARRIVAL_MS, RequestPolicy, SentAttempt
 
 EFFECTS = st.builds(
     lambda effect, scope, window: TrafficClass("c", effect, 100.0, 1000.0, scope=scope, window_ms=window),
@@ -61,24 +61,24 @@
 # Right before the first byte, over random histories of one call
 
 
-CHOSEN = Provider("p", ("127.0.0.1", 1), Status.IN_SERVICE, zone="a", group=1, since_ms=5.0)
+CHOSEN = DiscoveredEndpoint("p", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE, zone="a", group=1, since_ms=5.0)
 
 
-def call_of(cls: TrafficClass, copies: bool = False) -> Call:
-    call = Call(1, b"n", "c", None, 100.0, 100.0, lambda final: None)
-    call.permits = Permits(cls, copies)
+def call_of(cls: TrafficClass, copies: bool = False) -> Request:
+    call = Request(1, b"n", "c", None, 100.0, 100.0, lambda final: None)
+    call.permits = RequestPolicy(cls, copies)
     return call
 
 
-def attempt_of(call: Call, endpoint: Provider = CHOSEN) -> InvokerCall:
-    attempt = InvokerCall(call, len(call.made), endpoint.name, 0.0, 90.0, endpoint=endpoint)
+def attempt_of(call: Request, endpoint: DiscoveredEndpoint = CHOSEN) -> Attempt:
+    attempt = Attempt(call, len(call.made), endpoint.name, 0.0, 90.0, endpoint=endpoint)
     call.made.append(attempt)
     return attempt
 
 
 HISTORY = st.lists(
     st.tuples(
-        st.sampled_from([None, *Ending]),
+        st.sampled_from([None, *AttemptEnding]),
         st.booleans(),
         st.sampled_from("ab"),
         st.sampled_from([1, 2]),
@@ -91,7 +91,7 @@
 @settings(derandomize=True, max_examples=600, deadline=None)
 @given(EFFECTS, st.booleans(), HISTORY, st.floats(0.0, 10.0))
 def test_no_attempt_begins_that_a_checker_forbids(
-    cls: TrafficClass, copies: bool, history: list[tuple[Ending | None, bool, str, int, float]], later: float
+    cls: TrafficClass, copies: bool, history: list[tuple[AttemptEnding | None, bool, str, int, float]], later: float
 ) -> None:
     """An ending of None is an attempt that is out; one whose first byte never went out is nothing to anybody."""
     call, now = call_of(cls, copies), 41.0 + later
@@ -99,7 +99,7 @@
         attempt = attempt_of(call, CHOSEN._replace(zone=zone, group=group))
         attempt.sent_at = at * begun
         attempt.over, attempt.ending = ending is not None, ending
-    found = hindrance(attempt_of(call), CHOSEN, now)
+    found = obstacle_to(attempt_of(call), CHOSEN, now)
 
     ran = [
         PriorAttempt(zone, group, at * 1000.0)
@@ -109,40 +109,40 @@
     out = any(begun and ending is None for ending, begun, *_ in history)
     may = allowed_by_the_pages(cls, ran, now * 1000.0 + ARRIVAL_MS, "a", 1)
     if out and (not copies or cls.effect is Effect.AT_MOST_ONCE):
-        assert found is Hindrance.ANOTHER_OUT
+        assert found is Obstacle.ANOTHER_OUT
     else:
-        assert found is (None if may else Hindrance.MAY_HAVE_RUN)
+        assert found is (None if may else Obstacle.MAY_HAVE_RUN)
 
 
 SAFE = TrafficClass("c", Effect.IDEMPOTENT, 100.0, 1000.0)
 
 
 def test_each_hindrance_has_its_name() -> None:
-    assert hindrance(attempt_of(call_of(SAFE)), CHOSEN, 1.0) is None
+    assert obstacle_to(attempt_of(call_of(SAFE)), CHOSEN, 1.0) is None
     gone = attempt_of(call_of(SAFE))
     gone.call.gone = True
-    assert hindrance(gone, CHOSEN, 1.0) is Hindrance.CLIENT_GONE
+    assert obstacle_to(gone, CHOSEN, 1.0) is Obstacle.CLIENT_GONE
     over = attempt_of(call_of(SAFE))
     over.over = True
-    assert hindrance(over, CHOSEN, 1.0) is Hindrance.ENDED
-    assert hindrance(attempt_of(call_of(SAFE)), CHOSEN, 90.0) is Hindrance.NO_TIME
-    assert hindrance(attempt_of(call_of(SAFE)), None, 1.0) is Hindrance.NOT_IN_SERVICE
+    assert obstacle_to(over, CHOSEN, 1.0) is Obstacle.ENDED
+    assert obstacle_to(attempt_of(call_of(SAFE)), CHOSEN, 90.0) is Obstacle.NO_TIME
+    assert obstacle_to(attempt_of(call_of(SAFE)), None, 1.0) is Obstacle.NOT_IN_SERVICE
     for changed in (CHOSEN._replace(since_ms=6.0), CHOSEN._replace(address=("127.0.0.1", 2))):
-        assert hindrance(attempt_of(call_of(SAFE)), changed, 1.0) is Hindrance.RESTARTED
+        assert obstacle_to(attempt_of(call_of(SAFE)), changed, 1.0) is Obstacle.RESTARTED
 
 
 def test_a_run_elsewhere_counts_as_an_earlier_attempt() -> None:
     once = call_of(replace(SAFE, effect=Effect.AT_MOST_ONCE))
-    once.ran_elsewhere = Sent("a", 1, 0.0)
-    assert hindrance(attempt_of(once), CHOSEN, 1.0) is Hindrance.MAY_HAVE_RUN
+    once.ran_elsewhere = SentAttempt("a", 1, 0.0)
+    assert obstacle_to(attempt_of(once), CHOSEN, 1.0) is Obstacle.MAY_HAVE_RUN
 
 
 def test_without_a_class_nothing_goes_out_twice() -> None:
-    call = Call(1, b"n", "c", None, 100.0, 100.0, lambda final: None)
+    call = Request(1, b"n", "c", None, 100.0, 100.0, lambda final: None)
     first = attempt_of(call)
-    assert hindrance(first, CHOSEN, 1.0) is None
-    first.sent_at, first.over, first.ending = 1.0, True, Ending.RESET
-    assert hindrance(attempt_of(call), CHOSEN, 2.0) is Hindrance.MAY_HAVE_RUN
+    assert obstacle_to(first, CHOSEN, 1.0) is None
+    first.sent_at, first.over, first.ending = 1.0, True, AttemptEnding.RESET
+    assert obstacle_to(attempt_of(call), CHOSEN, 2.0) is Obstacle.MAY_HAVE_RUN
 
 
 # Names
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("still_open", [True, False])
 def test_a_name_stays_taken_while_it_is_open_or_its_client_may_still_wait(still_open: bool) -> None:
-    names = Names()
+    names = RequestIds()
     names.add(b"a")
     assert names.taken(b"a", 1.0) and not names.taken(b"b", 1.0)
     names.remember(b"a", 1.0, 5.0)
@@ -160,7 +160,7 @@
 
 
 def test_names_are_bounded_and_the_oldest_go_first() -> None:
-    names = Names()
+    names = RequestIds()
     for number in range(MOST_REMEMBERED + 5):
         names.remember(b"%d" % number, 1.0, 9.0)
     assert not names.taken(b"4", 1.0) and names.taken(b"5", 1.0)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,10 +16,10 @@
 
 from limenotch.balancing.settings import read_settings
 from limenotch.net import http1
-from limenotch.net.client_listener import Consumers
+from limenotch.net.client_listener import ClientListener
 from limenotch.net.pipe import HOLD
 from limenotch.net.shutdown_schedule import KILL_AFTER_S, KILL_MOST_S, Schedule, schedule
-from limenotch.settings import Consumers as Tuning
+from limenotch.settings import ClientSettings as Tuning
 from limenotch.settings import Settings
 
 from .helpers.connections import UP, Connections, received, until, with_connections
@@ -137,14 +137,14 @@
 
 def test_an_answer_that_has_begun_is_not_cut_off_by_our_own_end(monkeypatch: pytest.MonkeyPatch) -> None:
     # Whether SIGKILL comes is not ours to say; a process that ends by itself loses what it has not answered.
-    left, leave = list[bool](), Consumers.leave
+    left, leave = list[bool](), ClientListener.leave
 
-    async def leaves(self: Consumers, *given: Any) -> None:
+    async def leaves(self: ClientListener, *given: Any) -> None:
         await leave(self, *given)
         left.append(True)  # the program ends
 
     async def case() -> None:
-        monkeypatch.setattr(Consumers, "leave", leaves)
+        monkeypatch.setattr(ClientListener, "leave", leaves)
         begun, release, size = asyncio.Event(), asyncio.Event(), 4 * HOLD
 
         async def handle(reader: Reader, writer: Writer) -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -12,19 +12,19 @@
 import pytest
 
 from limenotch.balancing.settings import read_settings
-from limenotch.load_balancer import Ending, Facade, Provider, Status
+from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, LoadBalancer
 from limenotch.net import http1
-from limenotch.net.client_listener import Consumers
-from limenotch.net.endpoint_connection import Connection
-from limenotch.net.endpoint_pool import Providers
+from limenotch.net.client_listener import ClientListener
+from limenotch.net.endpoint_connection import EndpointConnection
+from limenotch.net.endpoint_pool import EndpointPool
 from limenotch.net.header_fields import budget_ms
-from limenotch.net.request import Call, Final, InvokerCall, Verdict
-from limenotch.net.requests import Calls
-from limenotch.net.response_outcome import ending_of, report_of
-from limenotch.net.sockets import OPERATORS, Share, Sockets
-from limenotch.settings import Consumers as ConsumerTuning
-from limenotch.settings import Descriptors, Settings
-from limenotch.settings import Providers as ProviderTuning
+from limenotch.net.request import Attempt, FinalResponse, Request, Verdict
+from limenotch.net.requests import RequestManager
+from limenotch.net.response_outcome import attempt_ending, load_report
+from limenotch.net.sockets import OPERATORS, DescriptorLimits, DescriptorQuota
+from limenotch.settings import ClientSettings as ConsumerTuning
+from limenotch.settings import DescriptorSettings, Settings
+from limenotch.settings import EndpointSettings as ProviderTuning
 
 from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
 from .helpers.processes import free_port, run, with_sidecar
@@ -197,9 +197,9 @@
 
 def test_idle_consumers_give_way_once_each() -> None:
     async def case() -> None:
-        sockets = Sockets(64)
-        calls = Calls(Facade(read_settings(SETTINGS), 1), 10)
-        all_ = Consumers(calls, calls.facade, sockets, lambda: True)
+        sockets = DescriptorLimits(64)
+        calls = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10)
+        all_ = ClientListener(calls, calls.facade, sockets, lambda: True)
         port = free_port()
         all_.listen(("127.0.0.1", port))
         many = range(sockets.consumers.limit + 3)
@@ -235,25 +235,25 @@
     run(case())
 
 
-class Heard(Calls):
+class Heard(RequestManager):
     """Calls that only note how invoker calls ended."""
 
     def __init__(self) -> None:
-        super().__init__(Facade(read_settings(SETTINGS), 1), 10)
-        self.endings: asyncio.Queue[Ending] = asyncio.Queue()
+        super().__init__(LoadBalancer(read_settings(SETTINGS), 1), 10)
+        self.endings: asyncio.Queue[AttemptEnding] = asyncio.Queue()
 
-    def ended(self, invoker_call: InvokerCall, ending: Ending, payload: Any = None, *report: float | None) -> None:
+    def ended(self, invoker_call: Attempt, ending: AttemptEnding, payload: Any = None, *report: float | None) -> None:
         invoker_call.over = True
         self.endings.put_nowait(ending)
 
 
-def unlimited() -> Share:
-    return Sockets(1024).providers
+def unlimited() -> DescriptorQuota:
+    return DescriptorLimits(1024).providers
 
 
-def invoker_call(end: float) -> InvokerCall:
+def invoker_call(end: float) -> Attempt:
     message = http1.Message([], {}, b"GET", b"/api")
-    return InvokerCall(Call(1, b"1", "look", message, end, 20.0, lambda final: None), 0, "a", 0.0, end)
+    return Attempt(Request(1, b"1", "look", message, end, 20.0, lambda final: None), 0, "a", 0.0, end)
 
 
 def test_nothing_is_written_to_a_provider_that_drains_while_we_connect() -> None:
@@ -265,14 +265,14 @@
             seen.put_nowait(await reader.read())
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        provider = Provider("a", server.sockets[0].getsockname(), Status.IN_SERVICE)
-        pool = Providers(calls, sockets, 9000.0, 9000.0)
+        provider = DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)
+        pool = EndpointPool(calls, sockets, 9000.0, 9000.0)
         pool.listed([provider], True)
         pool.make(invoker_call(monotonic() + 20))
         await asyncio.sleep(0)  # the task runs up to its wait for the connection
         assert sockets.used == 1
-        pool.listed([provider._replace(status=Status.TERMINATING)], False)
-        assert await calls.endings.get() is Ending.NOT_SENT
+        pool.listed([provider._replace(status=DiscoveryStatus.TERMINATING)], False)
+        assert await calls.endings.get() is AttemptEnding.NOT_SENT
         assert await seen.get() == b"" and calls.endings.empty()
         while sockets.used:  # the descriptor comes back with the connection's end
             await asyncio.sleep(0)
@@ -280,12 +280,12 @@
     run(case())
 
 
-@pytest.mark.parametrize(("listed", "ending"), [(True, Ending.CONNECT_FAILED), (False, Ending.NOT_SENT)])
-def test_providers_that_refuse_or_are_not_listed(listed: bool, ending: Ending) -> None:
+@pytest.mark.parametrize(("listed", "ending"), [(True, AttemptEnding.CONNECT_FAILED), (False, AttemptEnding.NOT_SENT)])
+def test_providers_that_refuse_or_are_not_listed(listed: bool, ending: AttemptEnding) -> None:
     async def case() -> None:
         calls, sockets = Heard(), unlimited()
-        pool = Providers(calls, sockets, 9000.0, 9000.0)
-        pool.listed([Provider("a", ("127.0.0.1", free_port()), Status.IN_SERVICE)] * listed, True)
+        pool = EndpointPool(calls, sockets, 9000.0, 9000.0)
+        pool.listed([DiscoveredEndpoint("a", ("127.0.0.1", free_port()), DiscoveryStatus.IN_SERVICE)] * listed, True)
         pool.make(invoker_call(monotonic() + 20))
         assert await calls.endings.get() is ending
         while sockets.used:
@@ -301,11 +301,11 @@
 
     async def case() -> None:
         calls, sockets = Heard(), unlimited()
-        pool = Providers(calls, sockets, 9000.0, 9000.0)
-        pool.listed([Provider("a", ("127.0.0.1", 9), Status.IN_SERVICE)], True)
+        pool = EndpointPool(calls, sockets, 9000.0, 9000.0)
+        pool.listed([DiscoveredEndpoint("a", ("127.0.0.1", 9), DiscoveryStatus.IN_SERVICE)], True)
         monkeypatch.setattr(socket, "socket", none_left)
         pool.make(invoker_call(monotonic() + 20))
-        assert await calls.endings.get() is Ending.NOT_SENT and sockets.used == 0
+        assert await calls.endings.get() is AttemptEnding.NOT_SENT and sockets.used == 0
 
     run(case())
 
@@ -313,7 +313,7 @@
 def test_each_side_has_descriptors_of_its_own_and_idle_ones_give_way() -> None:
     # Guards the way to the providers: consumers that only stay connected once used up every descriptor, and
     # all calls were rejected from then on.
-    sockets, idle = Sockets(64), [1, 1]
+    sockets, idle = DescriptorLimits(64), [1, 1]
     while sockets.consumers.take():
         pass
     assert sockets.providers.room and sockets.providers.take()
@@ -325,13 +325,13 @@
     sockets.providers.drop_idle = drop
     while sockets.providers.take():
         pass
-    assert not idle and sockets.consumers.used + sockets.providers.used == 64 - Descriptors().reserve - OPERATORS
+    assert not idle and sockets.consumers.used + sockets.providers.used == 64 - DescriptorSettings().reserve - OPERATORS
     assert not sockets.providers.room
 
 
 def test_calls_over_the_limit_are_rejected_at_once() -> None:
     async def case() -> None:
-        calls, finals = Calls(Facade(read_settings(SETTINGS), 1), 1), list[Final]()
+        calls, finals = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 1), list[FinalResponse]()
         calls.take(b"1", None, "look", "acme", 20000.0, finals.append)
         assert not finals  # held by the module: there is no list yet
         calls.take(b"2", None, "look", "acme", 20000.0, finals.append)
@@ -346,14 +346,14 @@
     for text in (b"", b"m", b"480", b"-1m", b"0m", b"infm", b"1e400m"):
         with pytest.raises(http1.MalformedError):
             budget_ms(text)
-    assert report_of(b"TEXT qps=3, util=0.5, latency_ms=x") == (0.5, 3.0)
-    assert report_of(b"TEXT util=0.5") == (0.5, None)
+    assert load_report(b"TEXT qps=3, util=0.5, latency_ms=x") == (0.5, 3.0)
+    assert load_report(b"TEXT util=0.5") == (0.5, None)
     for text in (b"", b"util", b"TEXT util=x", b"util=nan", b"util=9e9", b"util=-1", b"\xff=,="):
-        assert report_of(text) == (None, None)
+        assert load_report(text) == (None, None)
     marked = http1.Message([], {b"x-rejected": b"1"}, status=503)
-    assert ending_of(marked) is Ending.TURNED_AWAY
+    assert attempt_ending(marked) is AttemptEnding.TURNED_AWAY
     marked.status = 500
-    assert ending_of(marked) is Ending.ERROR
+    assert attempt_ending(marked) is AttemptEnding.ERROR
 
 
 @pytest.mark.parametrize(
@@ -377,10 +377,10 @@
             await reader.read()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool = Providers(calls, sockets, 9000.0, 9000.0, ProviderTuning(answer_s=0.0))
-        pool.listed([Provider("a", server.sockets[0].getsockname(), Status.IN_SERVICE)], True)
+        pool = EndpointPool(calls, sockets, 9000.0, 9000.0, ProviderTuning(answer_s=0.0))
+        pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
         pool.make(invoker_call(monotonic() + 20))
-        assert await calls.endings.get() is Ending.RESET
+        assert await calls.endings.get() is AttemptEnding.RESET
 
     run(case())
 
@@ -391,7 +391,7 @@
         from tornado.iostream import IOStream
 
         ours, theirs = socket.socketpair()
-        connection = Connection(IOStream(ours), "a", ("127.0.0.1", 1))
+        connection = EndpointConnection(IOStream(ours), "a", ("127.0.0.1", 1))
         reading = asyncio.create_task(connection.read())
         await asyncio.sleep(0)
         assert connection.clean()
@@ -409,7 +409,7 @@
         from tornado.iostream import IOStream
 
         ours, theirs = socket.socketpair()
-        connection = Connection(IOStream(ours), "a", ("127.0.0.1", 1))
+        connection = EndpointConnection(IOStream(ours), "a", ("127.0.0.1", 1))
         theirs.close()
         await connection.read()
         assert not connection.reusable(http1.Message([], {}, status=200))
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -6,7 +6,7 @@
 
 from limenotch.balancing import Balancer
 from limenotch.balancing.actions import Action, SendAttempt
-from limenotch.balancing.endpoint_statistics import Mean, Server
+from limenotch.balancing.endpoint_statistics import EndpointStatistics, LatencyProfile
 from limenotch.balancing.events import (
     AttemptFinished,
     MembershipKind,
@@ -81,7 +81,7 @@
 
 
 def test_a_balancer_saves_up_one_request_and_half_a_span() -> None:
-    server = Server(Endpoint("u"), Mean(), 0.0, 0.0)
+    server = EndpointStatistics(Endpoint("u"), LatencyProfile(), 0.0, 0.0)
     server.room = 0.01
     assert server.earn(50.0, 2000.0) == 0.5
     assert server.earn(1e6, 2000.0) == 11.0
--- a/tests/test_small_tiers.py
+++ b/tests/test_small_tiers.py
@@ -5,7 +5,7 @@
 from limenotch.balancing import Balancer
 from limenotch.balancing.actions import SendAttempt
 from limenotch.balancing.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived
-from limenotch.balancing.outlier_detection import quiet
+from limenotch.balancing.outlier_detection import check_unresponsive
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 
 LOOK = TrafficClass("look", Effect.IDEMPOTENT, 750.0, 2000.0)
@@ -63,6 +63,6 @@
     server = few.balancer.roster.servers[most]
     assert server.out >= 4
     few.now += 1400.0
-    assert not quiet(few.balancer, few.now, server)
+    assert not check_unresponsive(few.balancer, few.now, server)
     few.now += 8 * 1500.0
-    assert quiet(few.balancer, few.now, server)
+    assert check_unresponsive(few.balancer, few.now, server)
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -13,13 +13,13 @@
 from limenotch.balancing.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived, UploadFinished
 from limenotch.balancing.settings import read_settings
 from limenotch.balancing.types import BalancerSettings, Endpoint, Outcome
-from limenotch.load_balancer import Ending, Facade, Invoke, Provider, Status
+from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, LoadBalancer, StartAttempt
 from limenotch.net import http1
-from limenotch.net.pipe import HOLD, Budget, Pipe
-from limenotch.net.request import Final, InvokerCall
-from limenotch.net.requests import Calls
-from limenotch.settings import Consumers as ConsumerTuning
-from limenotch.settings import Providers as ProviderTuning
+from limenotch.net.pipe import HOLD, BodyPipe, BufferBudget
+from limenotch.net.request import Attempt, FinalResponse
+from limenotch.net.requests import RequestManager
+from limenotch.settings import ClientSettings as ConsumerTuning
+from limenotch.settings import EndpointSettings as ProviderTuning
 from limenotch.settings import Settings
 
 from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, answer_from, ask, renamed, whole
@@ -217,26 +217,30 @@
 def test_a_loser_that_ends_after_the_winner_began_cuts_nothing_off() -> None:
     # Guards long answers: the end of the second copy once cancelled the first, which was being passed on.
     async def case() -> None:
-        calls = Calls(Facade(read_settings(SETTINGS), 1), 10)
-        finals: list[Final] = []
+        calls = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10)
+        finals: list[FinalResponse] = []
         abandoned: list[int] = []
 
         class Fake:
-            def make(self, invoker_call: InvokerCall) -> None: ...
+            def make(self, invoker_call: Attempt) -> None: ...
 
-            def abandon(self, invoker_call: InvokerCall) -> None:
+            def abandon(self, invoker_call: Attempt) -> None:
                 abandoned.append(invoker_call.number)
 
         calls.invoker = Fake()
-        calls.carry_out(calls.facade.heard([Provider(n, ("127.0.0.1", 1), Status.IN_SERVICE) for n in "ab"], True))
+        calls.carry_out(
+            calls.facade.heard(
+                [DiscoveredEndpoint(n, ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE) for n in "ab"], True
+            )
+        )
         call = calls.take(b"1", None, "look", "acme", 20000.0, finals.append)
         (one,) = call.made
-        calls._invoke(Invoke(call.number, "b", 20000.0))
+        calls._invoke(StartAttempt(call.number, "b", 20000.0))
         two = call.made[1]
         assert calls.begun(one, "the answer") and not calls.begun(two, "another")
-        calls.ended(two, Ending.ABANDONED)
+        calls.ended(two, AttemptEnding.ABANDONED)
         assert 0 not in abandoned and [final.payload for final in finals] == ["the answer"]
-        calls.ended(one, Ending.RESET)
+        calls.ended(one, AttemptEnding.RESET)
         calls.passed_on(call, "errored")
         assert calls.figures.count("errored") == 1 and not calls.passing and not calls.has(b"1")
 
@@ -246,16 +250,20 @@
 def test_a_request_whole_while_the_program_leaves_is_over_before_it_may_be_killed() -> None:
     # Guards long uploads at an upgrade: their time begins with the last byte, which may be late in the leaving.
     async def case() -> None:
-        calls, finals = Calls(Facade(read_settings(SETTINGS), 1), 10), list[Final]()
+        calls, finals = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10), list[FinalResponse]()
 
         class Fake:
-            def make(self, invoker_call: InvokerCall) -> None: ...
+            def make(self, invoker_call: Attempt) -> None: ...
 
-            def abandon(self, invoker_call: InvokerCall) -> None: ...
+            def abandon(self, invoker_call: Attempt) -> None: ...
 
         calls.invoker = Fake()
-        calls.carry_out(calls.facade.heard([Provider(n, ("127.0.0.1", 1), Status.IN_SERVICE) for n in "ab"], True))
-        call = calls.take(b"1", None, "look", "acme", 20000.0, finals.append, rest=Pipe(Budget(1)))
+        calls.carry_out(
+            calls.facade.heard(
+                [DiscoveredEndpoint(n, ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE) for n in "ab"], True
+            )
+        )
+        call = calls.take(b"1", None, "look", "acme", 20000.0, finals.append, rest=BodyPipe(BufferBudget(1)))
         calls.last = monotonic() + 1.0  # SIGTERM came meanwhile
         calls.uploaded(call.made[0])
         assert call.end == call.made[0].end == calls.last
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from limenotch.net import http1
-from limenotch.net.pipe import HOLD, MOST, PIECE, SMALL, BrokenError, Budget, Pipe
-from limenotch.settings import Consumers as ConsumerTuning
+from limenotch.net.pipe import HOLD, MOST, PIECE, SMALL, BodyPipe, BrokenError, BufferBudget
+from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import Settings
 
 from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, answering, ask, whole
@@ -65,8 +65,8 @@
 
 def test_a_pipe_holds_a_bounded_part_and_gives_it_in_order() -> None:
     async def case() -> None:
-        budget = Budget(10 * MOST)
-        pipe = Pipe(budget)
+        budget = BufferBudget(10 * MOST)
+        pipe = BodyPipe(budget)
 
         async def put() -> None:
             for number in range(40):
@@ -86,8 +86,8 @@
 
 def test_no_pipe_stands_still_though_the_others_hold_the_whole_budget() -> None:
     async def case() -> None:
-        budget = Budget(PIECE)
-        greedy, modest = Pipe(budget), Pipe(budget)
+        budget = BufferBudget(PIECE)
+        greedy, modest = BodyPipe(budget), BodyPipe(budget)
         full = asyncio.create_task(greedy.put(b"g" * PIECE))
         await asyncio.sleep(0)
         assert budget.spent and budget.piece == SMALL and not full.done()
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("waiting", ["put", "get"])
 def test_either_end_hears_that_the_other_is_gone(waiting: str) -> None:
     async def case() -> None:
-        pipe = Pipe(Budget(0))
+        pipe = BodyPipe(BufferBudget(0))
         side = asyncio.create_task(pipe.put(b"x") if waiting == "put" else pipe.get())
         await asyncio.sleep(0)
         assert not side.done()
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -23,10 +23,10 @@
     RequestArrived,
     SettingsChanged,
 )
-from limenotch.balancing.learned_state import learn, told_by
+from limenotch.balancing.learned_state import export_state, import_state
 from limenotch.balancing.settings import read_settings
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, SlowStart, TrafficClass
-from limenotch.load_balancer import Facade, Provider, Status
+from limenotch.load_balancer import DiscoveredEndpoint, DiscoveryStatus, LoadBalancer
 from limenotch.net import http1, successor
 from limenotch.net.client_listener import BACKLOG
 from limenotch.net.successor import Successor
@@ -297,12 +297,12 @@
 
 def test_knowledge_goes_over_but_not_to_a_provider_that_restarted() -> None:
     old = balancer_that_knows()
-    told = json.loads(json.dumps(told_by(old)))
+    told = json.loads(json.dumps(export_state(old)))
     new = Balancer(BalancerSettings(classes=CLASSES, cold=COLD), seed=4)
     rows = (Endpoint("a", kind=1), Endpoint("b", started_ms=5.0), Endpoint("c", started_ms=2500.0))
     new.handle(2500.0, MembershipUpdate(MembershipKind.WHOLE, rows))
-    learn(new, told)
-    again = told_by(new)
+    import_state(new, told)
+    again = export_state(new)
     assert again["usual"] == told["usual"] and again["kinds"] == told["kinds"] and again["scalars"] == told["scalars"]
     assert again["servers"]["a"] == told["servers"]["a"] and again["servers"]["b"] == told["servers"]["b"]
     assert again["servers"]["c"] != told["servers"]["c"]
@@ -313,23 +313,23 @@
 @pytest.mark.parametrize("path", ["version", "scalars", "entry", "usual.look", "tier", "kinds.1", "servers.a"])
 @pytest.mark.parametrize("value", [None, "x", [], [1, "x"], [float("nan")] * 9, [[]], {"a": 1}, -1, True], ids=str)
 def test_unsound_knowledge_is_refused_whole(path: str, value: object) -> None:
-    told = json.loads(json.dumps(told_by(balancer_that_knows())))
+    told = json.loads(json.dumps(export_state(balancer_that_knows())))
     at: Any = told
     *outer, last = path.split(".")
     for name in outer:
         at = at[int(name) if name.isdigit() and isinstance(at, list) else name]
     at[int(last) if isinstance(at, list) else last] = value
     new = balancer_that_knows()
-    before = told_by(new)
+    before = export_state(new)
     with pytest.raises(ValueError, match="knowledge"):
-        learn(new, told)
-    assert told_by(new) == before
+        import_state(new, told)
+    assert export_state(new) == before
 
 
 def test_kinds_go_over_by_name() -> None:
-    def facade(kinds: list[str]) -> Facade:
-        made = Facade(read_settings(SETTINGS), 1, ["z"], kinds, clock=lambda: 1000.0)
-        made.heard([Provider("a", AT, Status.IN_SERVICE, "z", "fast")], True)
+    def facade(kinds: list[str]) -> LoadBalancer:
+        made = LoadBalancer(read_settings(SETTINGS), 1, ["z"], kinds, clock=lambda: 1000.0)
+        made.heard([DiscoveredEndpoint("a", AT, DiscoveryStatus.IN_SERVICE, "z", "fast")], True)
         return made
 
     old, new = facade(["fast", "slow"]), facade(["slow", "fast"])
