--- a/benchmarks/wallet_cost.py
+++ b/benchmarks/wallet_cost.py
@@ -78,10 +78,10 @@
         for _ in range(ROUNDS):
             before = process_time_ns()
             for call in calls:
-                if till.taken(call) is not None:
+                if till.request_received(call) is not None:
                     raise RuntimeError("turned away")
                 call.final = SERVED
-                till.closed(call)
+                till.request_closed(call)
             rounds.append((process_time_ns() - before) / ROUND / 1000.0)
         return statistics.median(rounds)
 
--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -46,17 +46,19 @@
     others = among_others(config, settings)
     sockets = DescriptorLimits(config.sockets, settings.descriptors, others.descriptors if others is not None else 0)
     figures = Metrics()
-    figures.know(cls.name for cls in config.settings.classes)
+    figures.register_classes(cls.name for cls in config.settings.classes)
     calls = RequestManager(facade, config.max_open, figures)
     budget = BufferBudget(buffered(config.memory_mb, 1))
-    providers = EndpointPool(calls, sockets.providers, config.connect_ms, config.idle_ms, settings.providers, budget)
+    providers = EndpointPool(
+        calls, sockets.providers, config.connect_timeout_ms, config.endpoint_idle_ms, settings.providers, budget
+    )
     listed = asyncio.Event()
 
     def use(entries: list[DiscoveredEndpoint], whole: bool) -> None:
         # The pool first: what the facade orders may go to a provider that is new.
-        providers.listed(entries, whole)
+        providers.apply_list(entries, whole)
         listed.set()
-        calls.carry_out(facade.heard(entries, whole, directory.unheard_ms()))
+        calls.execute(facade.endpoints_listed(entries, whole, directory.silence_ms()))
 
     def heard(entries: list[DiscoveredEndpoint], whole: bool) -> None:
         if others is not None:
@@ -65,46 +67,46 @@
         use(entries, whole)
 
     def broken() -> None:
-        calls.carry_out(facade.broken())
+        calls.execute(facade.discovery_failed())
         if others is not None:
             others.silent()
 
     # Of its own by seed and name: where the system's random numbers are alike everywhere, all would ask in step.
     random = Random(f"{config.seed:x}/{config.name}/{host_port(config.listen)}")
-    directory = DiscoveryClient(config.directory, heard, broken, settings.directory, pushed(config), random)
-    calls.invoker, calls.watch = providers, directory.watch
+    directory = DiscoveryClient(config.discovery, heard, broken, settings.directory, pushed(config), random)
+    calls.attempt_runner, calls.watch_discovery = providers, directory.watch
     if others is not None:
-        calls.beside = others.beside
-        others.lists(use, directory.where)
+        calls.interceptors = others.beside
+        others.lists(use, directory.position)
     consumers = ClientListener(calls, facade, sockets, listed.is_set, settings.consumers, budget)
     if others is not None:
-        consumers.gone = others.gone
+        consumers.connection_ended = others.gone
 
     def banned(name: str, out: bool, at_ms: float) -> None:
         log.info("taken out" if out else "may serve again", provider=name)
-        providers.ban(name, out)
+        providers.set_ejected(name, out)
         if others is not None:
             others.banned(name, out, at_ms)
-        calls.carry_out(facade.ban(name, out, at_ms))
+        calls.execute(facade.set_ejected(name, out, at_ms))
 
-    bans = OperatorEjections(config.kept, banned)
+    bans = OperatorEjections(config.state_path, banned)
 
     async def ban(name: str, out: bool) -> bool | None:
-        if not providers.knows(name) and name not in bans.out:
+        if not providers.knows(name) and name not in bans.ejected:
             return None
-        return await bans.set(name, out, facade.now_ms())
+        return await bans.set_ejected(name, out, facade.now_ms())
 
     def stats() -> bytes:
-        return figures.lines(
+        return figures.render(
             {
-                "current": len(calls.open) + len(calls.passing),
+                "current": len(calls.open) + len(calls.streaming),
                 "cluster_size": len(providers),
-                "cluster_unhealthy": facade.avoided(),
+                "cluster_unhealthy": facade.excluded_count(),
             }
         )
 
     extra = others.paths if others is not None else {}
-    operators = AdminServer(lambda: serving and consumers.ready() and not consumers.leaving, stats, ban, extra)
+    operators = AdminServer(lambda: serving and consumers.ready() and not consumers.shutting_down, stats, ban, extra)
 
     def limit(processes: int) -> None:
         """Of this sidecar, those alive: all of them are held to one sidecar's limits."""
@@ -113,12 +115,12 @@
 
     def together(processes: int) -> None:
         limit(processes)
-        calls.carry_out(facade.together(processes))
+        calls.execute(facade.set_process_count(processes))
 
     def tell() -> dict[str, Any]:
-        return {"list": directory.held(providers), "knowledge": facade.knowledge()}
+        return {"list": directory.export_list(providers), "knowledge": facade.export_state()}
 
-    successor = Successor(config.kept, config.listen, tell, together)
+    successor = Successor(config.state_path, config.listen, tell, together)
 
     parts = Following(figures, providers, calls, facade, directory, banned)
     if others is not None:
@@ -132,13 +134,13 @@
         try:
             new = load(os.environ, again=held)
         except ConfigError as error:
-            figures.reloaded(False)
+            figures.count_reload(False)
             log.error("reload: the configuration held stays", error=str(error))
             return
-        figures.reloaded(True)
+        figures.count_reload(True)
         held = new
         names = [cls.name for cls in new.settings.classes]
-        log.info("reload", directory=host_port(new.directory), sockets=new.sockets, classes=names)
+        log.info("reload", directory=host_port(new.discovery), sockets=new.sockets, classes=names)
         limit(successor.processes)
         if acting is not None:
             acting.renewed(new)
@@ -155,25 +157,25 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, end)
-    calls.carry_out(facade.start())
+    calls.execute(facade.start())
     inherited = await successor.ask()
     if inherited is not None:
         together(successor.processes)
         take_over(inherited, directory, facade)
-    if not listed.is_set() and config.known:
+    if not listed.is_set() and config.known_list:
         if pushed(config):
-            directory.known_unless_heard(config.known, AGENT_S)
+            directory.use_known_list_after(config.known_list, AGENT_S)
         else:
-            directory.known(config.known)
+            directory.use_known_list(config.known_list)
     bans.load()
-    looking = PeriodicCallback(bans.look, LOOK_S * 1000.0)
+    looking = PeriodicCallback(bans.reload_if_changed, LOOK_S * 1000.0)
     directory.watch()  # also where the module expects the list unasked: nobody else brings it here
     listener = consumers.listen(config.listen, inherited.listener if inherited is not None else None)
     if config.admin is not None:
         operators.listen(config.admin)
         looking.start()
     successor.offer(listener)
-    log.info("listening", listen=host_port(config.listen), layer=config.settings.layer, over=inherited is not None)
+    log.info("listening", listen=host_port(config.listen), layer=config.settings.tier_index, over=inherited is not None)
     if others is not None:
         others.start()
     gc.freeze()  # what stays for good is not looked through again
@@ -183,7 +185,7 @@
     log.info("leaving", open_calls=len(calls.open), handed_on=successor.serves)
     if others is not None:
         others.leave()
-    await consumers.leave(successor.serves, told[0])
+    await consumers.shut_down(successor.serves, told[0])
     looking.stop()
     operators.close()
     successor.close()
@@ -226,12 +228,12 @@
             self._unheard = config
         else:
             self.adopted(config)
-        self._figures.know(cls.name for cls in config.settings.classes)
-        self._providers.tune(config.connect_ms, config.idle_ms)
+        self._figures.register_classes(cls.name for cls in config.settings.classes)
+        self._providers.set_timeouts(config.connect_timeout_ms, config.endpoint_idle_ms)
         self._calls.max_open = config.max_open
-        self._calls.carry_out(self._facade.retune(config.settings, config.zones, config.kinds))
-        self._directory.push(pushed(config))
-        self._directory.move(config.directory)
+        self._calls.execute(self._facade.apply_settings(config.settings, config.zones, config.kinds))
+        self._directory.set_pushed(pushed(config))
+        self._directory.move(config.discovery)
 
     def counted(self) -> tuple[int, int]:
         """Calls taken so far, and those rejected or failed."""
@@ -244,7 +246,7 @@
             heard, self._unheard = self._unheard, None
             self.adopted(heard)
         until = self._facade.now_ms() + (until_ms - self.now())
-        self._calls.carry_out(self._facade.lease(until, cold_parts, refusing))
+        self._calls.execute(self._facade.set_lease(until, cold_parts, refusing))
 
 
 def follow(others: FleetNode, config: Config, parts: Following) -> ConfigurationApplier | None:
@@ -261,7 +263,7 @@
 
 def pushed(config: Config) -> bool:
     """Whether the settings say that an agent near by has the list, whoever asks it."""
-    return config.env.get("registry_mode") == "push"
+    return config.raw_settings.get("registry_mode") == "push"
 
 
 def buffered(memory_mb: float, processes: int) -> int:
@@ -271,14 +273,14 @@
 
 def take_over(inherited: InheritedState, directory: DiscoveryClient, facade: LoadBalancer) -> None:
     """What the process before knew, as far as it is sound: a fault costs its knowledge, not the start."""
-    told = inherited.told
+    told = inherited.state
     try:
-        facade.learn_starts(told.get("knowledge"))
+        facade.import_endpoint_ages(told.get("knowledge"))
     except ValueError as error:
         log.warning("starts of the process before not taken", error=str(error))
     if isinstance(told.get("list"), dict):
-        directory.take_over(told["list"])
+        directory.import_list(told["list"])
     try:
-        facade.learn(told.get("knowledge"))
+        facade.import_state(told.get("knowledge"))
     except (ValueError, TypeError) as error:
         log.warning("knowledge of the process before not taken", error=str(error))
--- a/limenotch/balancing/actions.py
+++ b/limenotch/balancing/actions.py
@@ -8,29 +8,29 @@
 class SendAttempt(NamedTuple):
     """Make an attempt at the call."""
 
-    call: str
-    upstream: str
+    request: str
+    endpoint: str
     timeout_ms: float
 
 
 class CancelAttempt(NamedTuple):
     """Stop waiting for an attempt."""
 
-    call: str
+    request: str
     attempt: int
 
 
 class RejectRequest(NamedTuple):
     """Final answer: turned away; a repeat is harmless."""
 
-    call: str
+    request: str
     retry_after_ms: float = 0.0
 
 
 class FailRequest(NamedTuple):
     """Final answer: it failed; nothing is promised of its effect."""
 
-    call: str
+    request: str
 
 
 class SetTimer(NamedTuple):
--- a/limenotch/balancing/admission.py
+++ b/limenotch/balancing/admission.py
@@ -32,44 +32,46 @@
 class AdmissionControl(ArrivalRates):
     """Feed it arrivals, answers in time and windows; ask it of each call."""
 
-    limit = inf  # calls held
+    concurrency_limit = inf  # calls held
 
-    def bound(self, idle: float, recent: float, aim: float, known: bool) -> None:
+    def update_limit(self, idle: float, recent: float, aim: float, known: bool) -> None:
         """By the latency of an idle tier, the recent one and the shortest aim; none until `known`."""
         wait = idle + FILL * max(aim - idle, idle / 2)
         wait = max(wait, min(SLOWED * recent, WHILE * aim))
-        self.limit = max(self.pace * wait, FEW) if known else inf
-        self.fade()
+        self.concurrency_limit = max(self.sustained_goodput * wait, FEW) if known else inf
+        self.fade_values()
 
-    def refuses(self, now: float, value: float, held: float, live: float) -> bool:
+    def should_reject(self, now: float, value: float, held: float, live: float) -> bool:
         """Whether a call of this worth for its work is turned away, with `held` calls held.
 
         `live` is the part of what the tier can do that is not at rest. The least worth goes first: the calls
         that are worth more than this one, as a part of all that come, take from its room.
         """
-        above = self.came(now, value)
+        above = self.count_arrival(now, value)
         # Of n calls in a second some square root of n more or less come by chance: of twenty that is a rush.
-        came = self.coming.now(now) * RATE_SPAN_MS
-        rush = (came - sqrt(came)) / max(self.answered.now(now) * RATE_SPAN_MS, 1e-9)
+        came = self.arrivals.value_at(now) * RATE_SPAN_MS
+        rush = (came - sqrt(came)) / max(self.answers.value_at(now) * RATE_SPAN_MS, 1e-9)
         roots = WIDE - (WIDE - NARROW) * min(max((rush - CALM) / (RUSH - CALM), 0.0), 1.0)
-        bound = self.limit * live
+        bound = self.concurrency_limit * live
         return held >= bound + (roots + APART * (1 - 2 * above)) * sqrt(bound)
 
 
 def update_admission_limit(books: BalancerState) -> None:
     """At each window's end. Where nothing is turned away nothing is bound: the copies' gate reads it."""
     # Before two means are known a just started balancer takes its first calls for a jam.
-    known = len(books.tier.lows) > 1 and not books.set.layer
-    books.entry.bound(
-        books.tier.low * books.typical,
-        books.tier.now * books.typical,
-        min(c.aim_ms for c in books.set.classes),
+    known = len(books.tier_profile.window_means) > 1 and not books.settings.tier_index
+    books.admission.update_limit(
+        books.tier_profile.lowest * books.typical_latency_ms,
+        books.tier_profile.recent * books.typical_latency_ms,
+        min(c.latency_objective_ms for c in books.settings.classes),
         known,
     )
 
 
 def is_rejected(books: BalancerState, now: float, call: Request, event: RequestArrived) -> bool:
-    worth = books.worth(now, call, event)
+    worth = books.request_weight(now, call, event)
     # Calls that hang at a silent upstream are no load on the others; the mean smooths what chance brings.
-    held = (books.out + books.held) / 2 - sum(s.out for s in books.silent)
-    return books.entry.refuses(now, worth / max(call.usual.mean, 1.0), held, books.live)
+    held = (books.in_flight + books.mean_in_flight) / 2 - sum(s.in_flight for s in books.unresponsive)
+    return books.admission.should_reject(
+        now, worth / max(call.class_latency.mean_ms, 1.0), held, books.live_fraction
+    )
--- a/limenotch/balancing/balancer.py
+++ b/limenotch/balancing/balancer.py
@@ -40,7 +40,7 @@
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         acts: list[Action] = []
-        if self.advance(now_ms):
+        if self.advance_clock(now_ms):
             self._renew(now_ms)
         if isinstance(event, RequestArrived):
             self._arrival(now_ms, event, acts)
@@ -51,19 +51,19 @@
         elif isinstance(event, MembershipUpdate):
             self._membership(now_ms, event, acts)
         elif isinstance(event, ClientDisconnected):
-            if event.call in self.calls and not self.calls[event.call].done:
-                self._close(self.calls[event.call], acts)
+            if event.request in self.requests and not self.requests[event.request].answered:
+                self._close(self.requests[event.request], acts)
         elif isinstance(event, ResponseStarted):
-            if event.call in self.calls and not self.calls[event.call].done:
-                self.calls[event.call].streaming = True
-                self._cancel(self.calls[event.call], event.attempt, acts)
+            if event.request in self.requests and not self.requests[event.request].answered:
+                self.requests[event.request].streaming = True
+                self._cancel(self.requests[event.request], event.attempt, acts)
         elif isinstance(event, UploadFinished):
-            self.uploaded(now_ms, event)
+            self.record_upload(now_ms, event)
         elif isinstance(event, (OperatorEjection, SettingsChanged)):
-            self.hear(now_ms, event)
+            self.apply_operator_event(now_ms, event)
             update_weights(self, now_ms)
         elif isinstance(event, BalancerStarted):
-            acts += [Subscribe()] if self.set.must_ask else []
+            acts += [Subscribe()] if self.settings.must_subscribe else []
         else:
             raise TypeError(f"not an event of events.py: {event!r}")
         if weights_due(self, now_ms):
@@ -73,14 +73,22 @@
     # The list of upstreams
 
     def _membership(self, now: float, event: MembershipUpdate, acts: list[Action]) -> None:
-        self.failures = min(self.failures + 1, 3) if event.listing is MembershipKind.BROKEN else 0
-        if self.failures:
+        self.discovery_failures = (
+            min(self.discovery_failures + 1, 3) if event.kind is MembershipKind.UNAVAILABLE else 0
+        )
+        if self.discovery_failures:
             # Blind to drains, ask again; later each time, out of step, or the list service stays jammed.
-            wait = min(self.window, ASK_MS) * 2.0 ** (self.failures - 1) * (0.1 + 0.4 * self.random.random())
-            self.wake(now + wait, None, acts)
+            wait = (
+                min(self.window_ms, ASK_MS)
+                * 2.0 ** (self.discovery_failures - 1)
+                * (0.1 + 0.4 * self.random.random())
+            )
+            self.schedule_timer(now + wait, None, acts)
             return
-        self.relist(now, self.roster.heard(now, event, self.set.weights_listed))
-        self.stale = True
+        self.apply_registry_changes(
+            now, self.registry.apply_membership(now, event, self.settings.weights_listed)
+        )
+        self.weights_stale = True
 
     def _renew(self, now: float) -> None:
         if self.end_window(now):
@@ -90,12 +98,12 @@
     # Calls
 
     def _arrival(self, now: float, event: RequestArrived, acts: list[Action]) -> None:
-        call = self.take(now, event)
-        if call.end <= now or (not self.set.layer and is_rejected(self, now, call, event)):
+        call = self.record_arrival(now, event)
+        if call.deadline <= now or (not self.settings.tier_index and is_rejected(self, now, call, event)):
             self._finish(now, call, acts)
         else:
             # Refused calls earn no copies: in incident i4bceea they paid for a third more at a full entry.
-            self.budget = min(self.budget + RETRIES, BURST)
+            self.retry_budget = min(self.retry_budget + RETRIES, BURST)
             self._place(now, call, acts)
 
     def _place(self, now: float, call: Request, acts: list[Action]) -> None:
@@ -103,60 +111,75 @@
         one, two = choose_endpoints(self, now, call)
         if one is None:
             # Nothing to send to now: while it can be in time hold the call, or a silent list would lose it.
-            rest = any(s.at_rest(now) for s in self.table[0])
-            if rest or call.tries or now + self.window / 8 >= min(call.end, call.aim - self.typical):
+            rest = any(s.is_ejected(now) for s in self.candidates[0])
+            if (
+                rest
+                or call.attempts
+                or now + self.window_ms / 8 >= min(call.deadline, call.objective - self.typical_latency_ms)
+            ):
                 self._finish(now, call, acts)
             else:
-                self.wake(now + self.window / 8, call, acts)
+                self.schedule_timer(now + self.window_ms / 8, call, acts)
             return
-        self.send(now, call, one, acts)
+        self.record_send(now, call, one, acts)
         if should_hedge_at_once(self, now, call, one, two) and two:
-            self.send(now, call, two, acts, copy=1)
-        elif call.cls.effect is not Effect.AT_MOST_ONCE:
-            self.wake(now + hedge_delay(self, call, one), call, acts)
+            self.record_send(now, call, two, acts, copy=1)
+        elif call.traffic_class.effect is not Effect.AT_MOST_ONCE:
+            self.schedule_timer(now + hedge_delay(self, call, one), call, acts)
 
     def _finished(self, now: float, event: AttemptFinished, acts: list[Action]) -> None:
-        ended = self.ended(now, event)
+        ended = self.record_end(now, event)
         if ended is None:
             return
         call, attempt = ended
-        self.reported(now, attempt.server, event)
-        if event.outcome in (Outcome.OK, Outcome.TIMEOUT) and not attempt.server.quiet:
-            record_answer(self, now, attempt.server, event.outcome is Outcome.OK and now <= call.aim)
-        elif event.outcome is Outcome.REFUSED and self.failures:  # the list may lack that it drains
-            eject(self, now, attempt.server, doubted=True)
-        self.learn(now, call, attempt.server, event)
-        if event.closed or event.outcome is Outcome.OK:
+        self.record_report(now, attempt.target, event)
+        if event.outcome in (Outcome.OK, Outcome.TIMEOUT) and not attempt.target.unresponsive:
+            record_answer(self, now, attempt.target, event.outcome is Outcome.OK and now <= call.objective)
+        elif (
+            event.outcome is Outcome.REJECTED and self.discovery_failures
+        ):  # the list may lack that it drains
+            eject(self, now, attempt.target, doubted=True)
+        self.record_outcome(now, call, attempt.target, event)
+        if event.request_answered or event.outcome is Outcome.OK:
             self._close(call, acts)
-        elif not call.done and not any(t.open for t in call.tries):
-            call.most *= not (call.once and event.spent)  # what is gone of it can't go out again
+        elif not call.answered and not any(t.open for t in call.attempts):
+            call.max_attempts *= not (
+                call.single_use_body and event.body_consumed
+            )  # what is gone of it can't go out again
             self._further(now, call, acts)
 
     def _further(self, now: float, call: Request, acts: list[Action]) -> None:
-        left = call.end - now - call.usual.mean * self.tier.low
-        if left > 0 and len(call.tries) < call.most and self.budget >= 1 and not call.streaming:
-            self.budget -= 1
+        left = call.deadline - now - call.class_latency.mean_ms * self.tier_profile.lowest
+        if (
+            left > 0
+            and len(call.attempts) < call.max_attempts
+            and self.retry_budget >= 1
+            and not call.streaming
+        ):
+            self.retry_budget -= 1
             self._place(now, call, acts)
         else:
             self._finish(now, call, acts)
 
     def _finish(self, now: float, call: Request, acts: list[Action]) -> None:
         """Final answer without success: a refusal where a repeat is harmless, else a failure."""
-        begun = call.begun()
-        last = call.aim - call.cls.aim_ms + call.cls.deadline_ms  # until then its client may come again
-        harmless = may_repeat(call.cls, begun, last) and not (begun and self.set.narrow)
-        wait = min(self.set.max_retry_after_ms, self.window)
+        begun = call.possible_executions()
+        last = (
+            call.objective - call.traffic_class.latency_objective_ms + call.traffic_class.deadline_ms
+        )  # until then its client may come again
+        harmless = may_repeat(call.traffic_class, begun, last) and not (begun and self.settings.restricted)
+        wait = min(self.settings.max_retry_after_ms, self.window_ms)
         acts.append(RejectRequest(call.name, wait) if harmless else FailRequest(call.name))
         self._close(call, acts)
 
     def _close(self, call: Request, acts: list[Action]) -> None:
-        call.done = True
+        call.answered = True
         self._cancel(call, -1, acts)
-        self.forget(call)
+        self.forget_request(call)
 
     def _cancel(self, call: Request, but: int, acts: list[Action]) -> None:
-        if self.set.may_cancel:
-            acts += [CancelAttempt(call.name, n) for n, t in enumerate(call.tries) if t.open and n != but]
+        if self.settings.may_cancel:
+            acts += [CancelAttempt(call.name, n) for n, t in enumerate(call.attempts) if t.open and n != but]
 
     def _timer(self, now: float, token: int, acts: list[Action]) -> None:
         if token not in self.timers:
@@ -164,7 +187,7 @@
         call = self.timers.pop(token)
         if call is None:
             acts.append(Subscribe())
-        elif not call.tries and not call.done:
+        elif not call.attempts and not call.answered:
             self._place(now, call, acts)
-        elif not (call.done or call.streaming) and sum(t.open for t in call.tries) == 1:
+        elif not (call.answered or call.streaming) and sum(t.open for t in call.attempts) == 1:
             handle_overdue_attempt(self, now, call, acts)
--- a/limenotch/balancing/endpoint_selection.py
+++ b/limenotch/balancing/endpoint_selection.py
@@ -28,23 +28,27 @@
     books: BalancerState, now: float, call: Request
 ) -> tuple[EndpointStatistics | None, EndpointStatistics | None]:
     """Where the next attempt goes, and where a copy of an urgent call could go; None for nobody."""
-    kept = call.prefer and not call.tries and books.named(call.prefer)
+    kept = call.preferred_endpoint and not call.attempts and books.find_available(call.preferred_endpoint)
     if (
         kept
         and not (check_unresponsive(books, now, kept) or is_crowded(books, kept))
         and within_slow_start(books, kept, now)
     ):
         return kept, None
-    last = call.tries[-1].server if call.tries else None
+    last = call.attempts[-1].target if call.attempts else None
     one = draw_endpoint(books, now, call, last) or draw_endpoint(books, now, call, None, any_=True)
-    if one is None and books.stale:  # all that were drawn from may be gone
+    if one is None and books.weights_stale:  # all that were drawn from may be gone
         update_weights(books, now)
         one = draw_endpoint(books, now, call, last) or draw_endpoint(books, now, call, None, any_=True)
     if one is None:
         return None, None
-    urgent = call.cls.late_worth < LAX
-    two = draw_endpoint(books, now, call, one) if not call.tries and (urgent or not call.cls.free) else None
-    if not books.tier.done:
+    urgent = call.traffic_class.late_weight < LAX
+    two = (
+        draw_endpoint(books, now, call, one)
+        if not call.attempts and (urgent or not call.traffic_class.retry_is_harmless)
+        else None
+    )
+    if not books.tier_profile.reported_rate:
         more = [draw_endpoint(books, now, call, last, home=n % 3 == 0) for n in range(CHOICES)]
         drawn = [one, *filter(None, [two, *more])]
         drawn.sort(key=lambda server: expected_cost(books, now, call, server))
@@ -52,7 +56,7 @@
     elif two and (
         short_wait_probability(books, two) > short_wait_probability(books, one)
         if urgent
-        else two.ok > one.ok + STEADY
+        else two.success_rate > one.success_rate + STEADY
     ):
         one, two = two, one
     return one, two if urgent else None
@@ -72,12 +76,14 @@
         if not sums or sums[-1] <= 0:
             return None
         server = servers[bisect(sums, books.random.random() * sums[-1], 0, len(sums) - 1)]
-        if not server.ready:  # it drains since the shares were taken
-            servers, sums = selection_table([s for s in servers if s.ready])
+        if not server.available:  # it drains since the shares were taken
+            servers, sums = selection_table([s for s in servers if s.available])
             if not sums or sums[-1] <= 0:
                 return None
             server = servers[bisect(sums, books.random.random() * sums[-1], 0, len(sums) - 1)]
-        if not any_ and (check_unresponsive(books, now, server) and server.out or is_crowded(books, server)):
+        if not any_ and (
+            check_unresponsive(books, now, server) and server.in_flight or is_crowded(books, server)
+        ):
             servers, sums = selection_table([s for s in servers if s is not server])
         elif server is not avoid and within_slow_start(books, server, now):
             return server
@@ -86,49 +92,65 @@
 
 def allowed_candidates(books: BalancerState, now: float, call: Request, home: bool = False) -> SelectionTable:
     """Those that the rule on repeats leaves to the next attempt."""
-    earlier = call.earlier() if call.tries or call.bound else []
-    if not earlier or call.cls.effect is Effect.IDEMPOTENT and not books.set.narrow:
-        return books.home if home else books.table
-    first, scope = earlier[0], call.cls.scope
-    if books.set.narrow or not may_repeat(call.cls, earlier, now, first.zone, first.cell):
+    earlier = call.prior_attempts() if call.attempts or call.prior_execution else []
+    if not earlier or call.traffic_class.effect is Effect.IDEMPOTENT and not books.settings.restricted:
+        return books.local_candidates if home else books.candidates
+    first, scope = earlier[0], call.traffic_class.dedup_scope
+    if books.settings.restricted or not may_repeat(call.traffic_class, earlier, now, first.zone, first.cell):
         return [], []
     if scope is DedupScope.ALL:
-        return books.table
+        return books.candidates
     key = (scope, dedup_group(scope, first.zone, first.cell))
-    if key not in books.groups:
-        members = list(books.ready.members(*key))
+    if key not in books.dedup_candidates:
+        members = list(books.available.dedup_members(*key))
         update_all_weights(books, members, now)
-        books.groups[key] = selection_table(members)
-    return books.groups[key]
+        books.dedup_candidates[key] = selection_table(members)
+    return books.dedup_candidates[key]
 
 
 def within_slow_start(books: BalancerState, server: EndpointStatistics, now: float) -> bool:
     """A cold upstream gets no more than this balancer's part of what all may send it."""
-    if server.capacity(now, books.set.cold) >= 1.0:
+    if server.warm_fraction(now, books.settings.slow_start) >= 1.0:
         return True
-    return books.set.shares_cold != inf and server.earn(now, books.set.cold.fall_ms) >= 1.0
+    return (
+        books.settings.slow_start_divisor != inf
+        and server.accrue_credit(now, books.settings.slow_start.overload_window_ms) >= 1.0
+    )
 
 
 def estimated_load(books: BalancerState, server: EndpointStatistics) -> float:
     """Utilisation, from a fresh report or else from latency; our own unanswered attempts make it current."""
-    load = 1 - server.like.low / max(server.slow, server.like.low)
-    if server.util is not None:
-        load += (server.util - load) * exp((server.util_at - books.now) / books.window / AGED)
-    usual_out = books.held * server.share / max(books.table[1][-1], 1e-9)
-    return 1 - (1 - min(load, 0.99)) * (usual_out + 1) / (max(server.out, usual_out) + 1)
+    load = 1 - server.profile.lowest / max(server.latency_ratio, server.profile.lowest)
+    if server.utilisation is not None:
+        load += (server.utilisation - load) * exp(
+            (server.utilisation_at - books.now) / books.window_ms / AGED
+        )
+    usual_out = books.mean_in_flight * server.selection_weight / max(books.candidates[1][-1], 1e-9)
+    return 1 - (1 - min(load, 0.99)) * (usual_out + 1) / (max(server.in_flight, usual_out) + 1)
 
 
 def short_wait_probability(books: BalancerState, server: EndpointStatistics) -> float:
     """Chance of a short wait: over a long one a trace of errors would outweigh any queue."""
     load = estimated_load(books, server)
-    return server.ok * (1 - load * exp(-(1 - load) * SHORT))
+    return server.success_rate * (1 - load * exp(-(1 - load) * SHORT))
 
 
 def expected_cost(books: BalancerState, now: float, call: Request, server: EndpointStatistics) -> float:
     """Chance to miss the aim there, by our calls out against its share, and the price of crossing."""
-    count = len(books.table[0])
-    queue = (server.out + 1) * books.table[1][-1] / count / server.share / (books.held / count + 1)
-    late = exp(-max(call.aim - now, 1.0) / max(call.usual.mean * queue, 1e-3))
-    away = books.set.crossing_cost if server.at.zone != books.set.zone else 0.0
+    count = len(books.candidates[0])
+    queue = (
+        (server.in_flight + 1)
+        * books.candidates[1][-1]
+        / count
+        / server.selection_weight
+        / (books.mean_in_flight / count + 1)
+    )
+    late = exp(-max(call.objective - now, 1.0) / max(call.class_latency.mean_ms * queue, 1e-3))
+    away = books.settings.cross_zone_cost if server.endpoint.zone != books.settings.zone else 0.0
     # Far from its aim every queue seems as good: the shorter one then.
-    return 1 - min(server.ok / books.best, 1.0) * (1 - late) + CROSSINGS * away + 1e-6 * queue
+    return (
+        1
+        - min(server.success_rate / books.best_success_rate, 1.0) * (1 - late)
+        + CROSSINGS * away
+        + 1e-6 * queue
+    )
--- a/limenotch/balancing/events.py
+++ b/limenotch/balancing/events.py
@@ -11,9 +11,9 @@
 class MembershipKind(Enum):
     """How a membership event relates to the list already held."""
 
-    WHOLE = "whole"  # the complete list; who is not on it is gone
-    CHANGES = "changes"  # changed entries only
-    BROKEN = "broken"  # asking failed or the subscription broke; the list stands
+    COMPLETE = "whole"  # the complete list; who is not on it is gone
+    INCREMENTAL = "changes"  # changed entries only
+    UNAVAILABLE = "broken"  # asking failed or the subscription broke; the list stands
 
 
 class BalancerStarted(NamedTuple):
@@ -21,8 +21,8 @@
 
 
 class MembershipUpdate(NamedTuple):
-    listing: MembershipKind
-    upstreams: tuple[Endpoint, ...] = ()
+    kind: MembershipKind
+    endpoints: tuple[Endpoint, ...] = ()
 
 
 class OperatorEjection(NamedTuple):
@@ -31,9 +31,9 @@
     One that is back is cold from `at_ms` on, unless the list tells a later start.
     """
 
-    upstream: str
-    out: bool
-    at_ms: float = 0.0  # of the return
+    endpoint: str
+    ejected: bool
+    readmitted_at_ms: float = 0.0  # of the return
 
 
 class SettingsChanged(NamedTuple):
@@ -45,51 +45,57 @@
 class RequestArrived(NamedTuple):
     """A call came in; it is owed exactly one final answer within `budget_ms`."""
 
-    call: str
+    request: str
     traffic_class: int
     budget_ms: float
     tenant: int = 0
-    resent: bool = False
-    once: bool = False  # its message is long and still coming: it can't be sent twice, nor to two at once
-    prefer: str = ""  # the upstream that it stays with while that one may take work
-    bound: PriorExecution | None = None
-    keyed: bool = True  # has a key, where its class is deduplicated by one
+    is_retry: bool = False
+    single_use_body: bool = (
+        False  # its message is long and still coming: it can't be sent twice, nor to two at once
+    )
+    preferred_endpoint: str = ""  # the upstream that it stays with while that one may take work
+    prior_execution: PriorExecution | None = None
+    has_idempotency_key: bool = True  # has a key, where its class is deduplicated by one
 
 
 class UploadFinished(NamedTuple):
     """The last byte of a call that goes out once was sent. Its time begins: `budget_ms` from now."""
 
-    call: str
+    request: str
     budget_ms: float
 
 
 class ClientDisconnected(NamedTuple):
     """The client is gone; nothing is owed any more."""
 
-    call: str
+    request: str
 
 
 class AttemptFinished(NamedTuple):
     """An attempt ended; `closed` says that the call has its final answer."""
 
-    call: str
-    upstream: str
+    request: str
+    endpoint: str
     attempt: int
-    spent_ms: float
+    elapsed_ms: float
     outcome: Outcome
-    closed: bool = False
+    request_answered: bool = False
     utilisation: float | None = None  # as the upstream reports it
-    per_s: float | None = None  # requests a second that it served, of all balancers, as it reports it
-    spent: bool = False  # of a call that goes out once: some of its message is gone, so it can't go out again
+    requests_per_s: float | None = (
+        None  # requests a second that it served, of all balancers, as it reports it
+    )
+    body_consumed: bool = (
+        False  # of a call that goes out once: some of its message is gone, so it can't go out again
+    )
 
 
 class ResponseStarted(NamedTuple):
     """A streamed answer has begun; the attempt now belongs to the client."""
 
-    call: str
-    upstream: str
+    request: str
+    endpoint: str
     attempt: int
-    spent_ms: float
+    elapsed_ms: float
 
 
 class TimerFired(NamedTuple):
--- a/limenotch/balancing/hedging.py
+++ b/limenotch/balancing/hedging.py
@@ -23,31 +23,33 @@
     books: BalancerState, now: float, call: Request, one: EndpointStatistics, two: EndpointStatistics | None
 ) -> bool:
     """Whether a call that has just been sent to `one` gets a copy at `two` in the same moment."""
-    repeat = call.cls.effect is not Effect.AT_MOST_ONCE and books.set.may_copy
-    repeat = repeat and call.end - now <= call.usual.mean * one.like.low * URGENT
-    books.copyable += repeat and two is not None
+    repeat = call.traffic_class.effect is not Effect.AT_MOST_ONCE and books.settings.may_hedge
+    repeat = repeat and call.deadline - now <= call.class_latency.mean_ms * one.profile.lowest * URGENT
+    books.hedgeable += repeat and two is not None
     return (
         repeat
         and two is not None
         and hedge_allowed(books, now, call, two)
-        and hedge_pays_off(books, now, call, one, two, books.copyable / books.came)
+        and hedge_pays_off(books, now, call, one, two, books.hedgeable / books.arrivals)
     )
 
 
 def hedge_delay(books: BalancerState, call: Request, server: EndpointStatistics) -> float:
     """How long a lone attempt may be out before the gate is asked again."""
-    return max(OVERDUE * call.usual.mean * server.slow, books.window / 8)
+    return max(OVERDUE * call.class_latency.mean_ms * server.latency_ratio, books.window_ms / 8)
 
 
 def miss_probability(
     books: BalancerState, now: float, call: Request, server: EndpointStatistics, load: float
 ) -> float:
     """Chance that the wait exceeds the limit t = time left less v, or that the call fails there."""
-    service = max(call.usual.mean * server.like.low, 1e-3)  # v, at an idle upstream of this kind
-    limit = call.end - now - service
+    service = max(
+        call.class_latency.mean_ms * server.profile.lowest, 1e-3
+    )  # v, at an idle upstream of this kind
+    limit = call.deadline - now - service
     if load >= 1 or limit <= 0:
         return 1.0
-    return 1 - server.ok * (1 - load * exp(-(1 - load) * limit / service))
+    return 1 - server.success_rate * (1 - load * exp(-(1 - load) * limit / service))
 
 
 def hedge_pays_off(
@@ -59,9 +61,9 @@
     part: float,
 ) -> bool:
     """Formula (1), P = p_urgent * p_lax, with copies for `part` of the calls against without."""
-    copied, shared = books.copied / max(books.came, 1), 1 - books.copyable / max(books.came, 1)
+    copied, shared = books.hedged / max(books.arrivals, 1), 1 - books.hedgeable / max(books.arrivals, 1)
     # A tier that has never been idle shows no low mean: how full the entry is then tells its load.
-    full = (books.out - 1) / books.entry.limit
+    full = (books.in_flight - 1) / books.admission.concurrency_limit
     loads = [max(estimated_load(books, s), full) / (1 + copied) for s in (one, two)]
     pair = list(zip((one, two), loads, strict=True))
     plain = [miss_probability(books, now, call, s, load) for s, load in pair]
@@ -73,8 +75,13 @@
 def hedge_allowed(
     books: BalancerState, now: float, call: Request, server: EndpointStatistics, unbudgeted: bool = False
 ) -> bool:
-    spent = books.budget < BURST / 2 and not unbudgeted
-    if call.once or not books.set.may_copy or len(call.tries) >= call.most or spent:
+    spent = books.retry_budget < BURST / 2 and not unbudgeted
+    if (
+        call.single_use_body
+        or not books.settings.may_hedge
+        or len(call.attempts) >= call.max_attempts
+        or spent
+    ):
         return False
     # A drawn second may lie outside the group that drops the call's repeats, also in a large group.
     return server in allowed_candidates(books, now, call)[0]
@@ -82,22 +89,25 @@
 
 def handle_overdue_attempt(books: BalancerState, now: float, call: Request, acts: list[Action]) -> None:
     """A lone attempt is out for longer than expected: it is worth asking the gate again."""
-    lone = next(t for t in call.tries if t.open)
-    two = draw_endpoint(books, now, call, lone.server)
+    lone = next(t for t in call.attempts if t.open)
+    two = draw_endpoint(books, now, call, lone.target)
     if (
-        check_unresponsive(books, now, lone.server)
+        check_unresponsive(books, now, lone.target)
         and two is not None
         and hedge_allowed(books, now, call, two, unbudgeted=True)
     ):
-        books.send(now, call, two, acts)
+        books.record_send(now, call, two, acts)
         return
-    if now < call.end:
-        books.wake(now + hedge_delay(books, call, lone.server), call, acts)
-    urgent = call.cls.late_worth < LAX and call.end - now <= call.usual.mean * lone.server.like.low * URGENT
+    if now < call.deadline:
+        books.schedule_timer(now + hedge_delay(books, call, lone.target), call, acts)
+    urgent = (
+        call.traffic_class.late_weight < LAX
+        and call.deadline - now <= call.class_latency.mean_ms * lone.target.profile.lowest * URGENT
+    )
     if two is None or not urgent or not hedge_allowed(books, now, call, two):
         return
     # A call may be late because it is costly, and a copy as costly: only its server's other calls tell.
-    if short_wait_probability(books, two) > short_wait_probability(books, lone.server) and hedge_pays_off(
-        books, now, call, lone.server, two, RETRIES
+    if short_wait_probability(books, two) > short_wait_probability(books, lone.target) and hedge_pays_off(
+        books, now, call, lone.target, two, RETRIES
     ):
-        books.send(now, call, two, acts, copy=1)
+        books.record_send(now, call, two, acts, copy=1)
--- a/limenotch/balancing/learned_state.py
+++ b/limenotch/balancing/learned_state.py
@@ -12,10 +12,19 @@
 from .endpoint_statistics import EndpointStatistics, LatencyProfile
 
 VERSION = 2
-ENTRY = ("flow", "pace")
-SCALARS = ("demand", "good", "bad", "held", "came", "copyable", "copied")
-MEAN = ("now", "low", "done", "busy")
-SERVER = ("stamp", "ratios", "count", "good", "bad", "done", "busy", "told_at")
+ENTRY = ("goodput", "sustained_goodput")
+SCALARS = ("demand", "total_successes", "total_failures", "mean_in_flight", "arrivals", "hedgeable", "hedged")
+MEAN = ("recent", "lowest", "reported_rate", "reported_use")
+SERVER = (
+    "updated_at",
+    "latency_ratio_sum",
+    "latency_samples",
+    "successes",
+    "failures",
+    "reported_rate_sum",
+    "reported_use_sum",
+    "last_report_at",
+)
 LOWS = 64  # of a mean, at most
 
 
@@ -24,13 +33,13 @@
     return {
         "version": VERSION,
         "scalars": [getattr(balancer, name) for name in SCALARS],
-        "entry": [getattr(balancer.entry, name) for name in ENTRY],
-        "usual": {name: [usual.mean, usual.answers] for name, usual in balancer.usual.items()},
-        "tier": _mean(balancer.tier),
-        "kinds": {str(kind): _mean(mean) for kind, mean in balancer.roster.kinds.items()},
+        "entry": [getattr(balancer.admission, name) for name in ENTRY],
+        "usual": {name: [usual.mean_ms, usual.samples] for name, usual in balancer.class_latencies.items()},
+        "tier": _mean(balancer.tier_profile),
+        "kinds": {str(kind): _mean(mean) for kind, mean in balancer.registry.profiles.items()},
         "servers": {
-            name: [server.at.started_ms, *(getattr(server, field) for field in SERVER)]
-            for name, server in balancer.roster.servers.items()
+            name: [server.endpoint.started_ms, *(getattr(server, field) for field in SERVER)]
+            for name, server in balancer.registry.endpoints.items()
         },
     }
 
@@ -48,20 +57,23 @@
     for name, value in zip(SCALARS, scalars, strict=True):
         setattr(balancer, name, value)
     for name, value in zip(ENTRY, entry, strict=True):
-        setattr(balancer.entry, name, value)
+        setattr(balancer.admission, name, value)
     for name, (mean, answers) in usual.items():
-        if name in balancer.usual:
-            balancer.usual[name].mean, balancer.usual[name].answers = mean, int(answers)
-    _fill(balancer.tier, tier)
+        if name in balancer.class_latencies:
+            balancer.class_latencies[name].mean_ms, balancer.class_latencies[name].samples = (
+                mean,
+                int(answers),
+            )
+    _fill(balancer.tier_profile, tier)
     for kind, taken in kinds.items():
-        _fill(balancer.roster.kinds.setdefault(kind, LatencyProfile()), taken)
+        _fill(balancer.registry.profiles.setdefault(kind, LatencyProfile()), taken)
     for name, (started, *row) in servers.items():
-        server = balancer.roster.servers.get(name)
-        if server is not None and server.at.started_ms == started:  # else it has restarted since
+        server = balancer.registry.endpoints.get(name)
+        if server is not None and server.endpoint.started_ms == started:  # else it has restarted since
             _know(server, row)
-            balancer.known[server] = None
-    for server in balancer.roster.servers.values():
-        server.credit = 0.0
+            balancer.observed[server] = None
+    for server in balancer.registry.endpoints.values():
+        server.slow_start_credit = 0.0
 
 
 def _know(server: EndpointStatistics, row: list[float]) -> None:
@@ -70,7 +82,7 @@
 
 
 def _mean(mean: LatencyProfile) -> list[Any]:
-    return [*(getattr(mean, name) for name in MEAN), mean.lows]
+    return [*(getattr(mean, name) for name in MEAN), mean.window_means]
 
 
 def _means(told: Any) -> tuple[list[float], list[float]]:
@@ -82,7 +94,7 @@
 def _fill(mean: LatencyProfile, taken: tuple[list[float], list[float]]) -> None:
     for name, value in zip(MEAN, taken[0], strict=True):
         setattr(mean, name, value)
-    mean.lows = list(taken[1])
+    mean.window_means = list(taken[1])
 
 
 def _table(told: Any) -> dict[str, Any]:
--- a/limenotch/balancing/outlier_detection.py
+++ b/limenotch/balancing/outlier_detection.py
@@ -17,31 +17,41 @@
 
 def is_crowded(books: BalancerState, server: EndpointStatistics) -> bool:
     """Whether it holds far more of our calls than the others: it jams before its mean shows it."""
-    others = len(books.table[0]) - 1
-    return others > 0 and server.out >= CROWD * (FREE + (books.out - server.out) / others)
+    others = len(books.candidates[0]) - 1
+    return others > 0 and server.in_flight >= CROWD * (FREE + (books.in_flight - server.in_flight) / others)
 
 
 def check_unresponsive(books: BalancerState, now: float, server: EndpointStatistics) -> bool:
     """Whether it has gone silent: its machine may be gone though its connections stay open."""
-    slow, wait = server.slow / server.capacity(now, books.set.cold), now - server.heard
-    if not server.quiet and wait * server.owed > max(OVERDUE * server.out, QUIET) * slow:
-        server.quiet = True
-        books.silent.add(server)
+    slow, wait = (
+        server.latency_ratio / server.warm_fraction(now, books.settings.slow_start),
+        now - server.last_heard_at,
+    )
+    if (
+        not server.unresponsive
+        and wait * server.expected_rate > max(OVERDUE * server.in_flight, QUIET) * slow
+    ):
+        server.unresponsive = True
+        books.unresponsive.add(server)
         update_weights(books, now)
-    return server.quiet
+    return server.unresponsive
 
 
 def record_answer(books: BalancerState, now: float, server: EndpointStatistics, in_time: bool) -> None:
     """One that misses call after call is choked or worse: it gets idle time, the entry less meanwhile."""
-    server.row = 0 if in_time else server.row + 1
-    if server.row >= ROW and not server.at_rest(now) and not books.set.layer:  # it alone refuses
+    server.consecutive_misses = 0 if in_time else server.consecutive_misses + 1
+    if (
+        server.consecutive_misses >= ROW and not server.is_ejected(now) and not books.settings.tier_index
+    ):  # it alone refuses
         eject(books, now, server)
 
 
 def eject(books: BalancerState, now: float, server: EndpointStatistics, doubted: bool = False) -> None:
     """It is sent nothing for a while, unless too many are; up to the next list if its drain may be untold."""
-    if server.at_rest(now) or sum(s.at_rest(now) for s in books.table[0]) < RESTING * len(books.table[0]):
-        server.rests, server.row, server.doubted = now + REST, 0, False
+    if server.is_ejected(now) or sum(s.is_ejected(now) for s in books.candidates[0]) < RESTING * len(
+        books.candidates[0]
+    ):
+        server.ejected_until, server.consecutive_misses, server.suspected_draining = now + REST, 0, False
         if doubted:
-            books.roster.doubt(server)
+            books.registry.suspect_draining(server)
         update_weights(books, now)
--- a/limenotch/balancing/rates.py
+++ b/limenotch/balancing/rates.py
@@ -12,29 +12,31 @@
     """Counts only; nothing is decided here."""
 
     def __init__(self) -> None:
-        self.flow = self.pace = (
+        self.goodput = self.sustained_goodput = (
             0.0  # answers in time: of the last windows, and the most that was shown, fading
         )
-        self.coming, self.answered = FadingRate(), FadingRate()
+        self.arrivals, self.answers = FadingRate(), FadingRate()
         self._served = 0
         self._values: dict[float, float] = {}  # of the calls that came, and how many
 
-    def in_time(self, now: float) -> None:
+    def count_answer(self, now: float) -> None:
         self._served += 1
-        self.answered.add(now)
+        self.answers.add(now)
 
-    def renew(self, span: float, good: float, bad: float) -> None:
+    def end_window(self, span: float, good: float, bad: float) -> None:
         """A window of `span` ms ends; `good` answers in time and `bad` misses, both fading."""
-        self.flow += (self._served / span - self.flow) * (0.4 if self.flow else 1.0)
-        self.pace = max(self.flow, self.pace * (0.9 if good >= TRUST * bad else 0.5))
+        self.goodput += (self._served / span - self.goodput) * (0.4 if self.goodput else 1.0)
+        self.sustained_goodput = max(
+            self.goodput, self.sustained_goodput * (0.9 if good >= TRUST * bad else 0.5)
+        )
         self._served = 0
 
-    def came(self, now: float, value: float) -> float:
+    def count_arrival(self, now: float, value: float) -> float:
         """One call more, of this worth for its work; tells the part of all that came that is worth more."""
-        self.coming.add(now)
+        self.arrivals.add(now)
         value = float(f"{value:.1g}")
         self._values[value] = self._values.get(value, 0.0) + 1
         return sum(n for v, n in self._values.items() if v > value) / sum(self._values.values())
 
-    def fade(self) -> None:
+    def fade_values(self) -> None:
         self._values = {value: part * FADE for value, part in self._values.items() if part > 0.1}
--- a/limenotch/balancing/retry_policy.py
+++ b/limenotch/balancing/retry_policy.py
@@ -23,11 +23,12 @@
     cell: Hashable = None,
 ) -> bool:
     """Whether the call may run at this time, at an upstream there or, with no place named, anywhere."""
-    ran = [one for one in earlier if one.ran]
+    ran = [one for one in earlier if one.may_have_run]
     if not ran or cls.effect is not Effect.DEDUPLICATED:
         return not ran or cls.effect is Effect.IDEMPOTENT
-    there = dedup_group(cls.scope, zone, cell)
+    there = dedup_group(cls.dedup_scope, zone, cell)
     return all(
-        at_ms < one.sent_ms + cls.window_ms and dedup_group(cls.scope, one.zone, one.cell) == there
+        at_ms < one.sent_ms + cls.dedup_window_ms
+        and dedup_group(cls.dedup_scope, one.zone, one.cell) == there
         for one in ran
     )
--- a/limenotch/balancing/simulator_adapter.py
+++ b/limenotch/balancing/simulator_adapter.py
@@ -29,7 +29,7 @@
 OUTCOMES = {
     "100": Outcome.OK,
     "301": Outcome.ERROR,
-    "302": Outcome.REFUSED,
+    "302": Outcome.REJECTED,
     "303": Outcome.TIMEOUT,
     "304": Outcome.CONNECT_FAILED,
     "305": Outcome.RESET,
@@ -37,10 +37,10 @@
     "307": Outcome.NOT_SENT,
 }
 LISTINGS = {
-    "patch": MembershipKind.CHANGES,
-    "whole": MembershipKind.WHOLE,
-    "stale_copy": MembershipKind.WHOLE,
-    "broken": MembershipKind.BROKEN,
+    "patch": MembershipKind.INCREMENTAL,
+    "whole": MembershipKind.COMPLETE,
+    "stale_copy": MembershipKind.COMPLETE,
+    "broken": MembershipKind.UNAVAILABLE,
 }
 STAGES = {stage.value: stage for stage in EndpointState}
 IGNORED = frozenset({"CHECKED", "PEER_DATA"})  # probes and peers are not used
@@ -116,17 +116,17 @@
     """One action as the wire writes it."""
     if isinstance(action, SendAttempt):
         return (
-            f"RELAY balancer_id={at} handle={action.call} "
-            f"try_for_ms={action.timeout_ms:.3f} upstream={action.upstream}"
+            f"RELAY balancer_id={at} handle={action.request} "
+            f"try_for_ms={action.timeout_ms:.3f} upstream={action.endpoint}"
         )
     if isinstance(action, SetTimer):
         return f"WAKE_ME balancer_id={at} at_ms={action.at_ms:.3f} ctx={action.token}"
     if isinstance(action, CancelAttempt):
-        return f"WITHDRAW balancer_id={at} handle={action.call} copy={action.attempt}"
+        return f"WITHDRAW balancer_id={at} handle={action.request} copy={action.attempt}"
     if isinstance(action, RejectRequest):
-        return f"TURN_AWAY balancer_id={at} handle={action.call} hold_off_ms={action.retry_after_ms:.3f}"
+        return f"TURN_AWAY balancer_id={at} handle={action.request} hold_off_ms={action.retry_after_ms:.3f}"
     if isinstance(action, FailRequest):
-        return f"GIVE_UP balancer_id={at} handle={action.call}"
+        return f"GIVE_UP balancer_id={at} handle={action.request}"
     return f"WATCH balancer_id={at} active=1"
 
 
@@ -195,7 +195,7 @@
         elif name == "MEMBERSHIP":
             listing = LISTINGS[pairs["how"]]
             rows_held: tuple[Endpoint, ...] = ()
-            if listing is not MembershipKind.BROKEN:
+            if listing is not MembershipKind.UNAVAILABLE:
                 number = int(pairs["sheet"])
                 if number not in self.sheets:
                     raise WireError(f"expected a registered sheet, not {number}")
--- a/limenotch/balancing/types.py
+++ b/limenotch/balancing/types.py
@@ -39,7 +39,7 @@
 
     OK = "ok"
     ERROR = "error"
-    REFUSED = "refused"
+    REJECTED = "refused"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -47,7 +47,7 @@
     NOT_SENT = "not_sent"
 
 
-NEVER_RAN = frozenset({Outcome.REFUSED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 def _need(ok: bool, key: str, want: str) -> None:
@@ -59,32 +59,32 @@
 class TrafficClass:
     name: str
     effect: Effect
-    aim_ms: float  # answered within this, a call earns its full worth
+    latency_objective_ms: float  # answered within this, a call earns its full worth
     deadline_ms: float  # the client's whole wait
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth still earned after the aim
-    scope: DedupScope = DedupScope.ALL
-    window_ms: float = 0.0  # deduplicated: how long a repeat is remembered
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # share of the worth still earned after the aim
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window_ms: float = 0.0  # deduplicated: how long a repeat is remembered
     streaming: bool = False
 
     @property
-    def free(self) -> bool:
+    def retry_is_harmless(self) -> bool:
         """Whether a repeat at any upstream is harmless, also after the call may have run."""
-        deduplicated = self.effect is Effect.DEDUPLICATED and self.scope is DedupScope.ALL
+        deduplicated = self.effect is Effect.DEDUPLICATED and self.dedup_scope is DedupScope.ALL
         return deduplicated or self.effect is Effect.IDEMPOTENT
 
-    def as_keyed(self, keyed: bool) -> TrafficClass:
+    def for_request(self, keyed: bool) -> TrafficClass:
         """What holds for a call of it: without its key nobody can tell a repeat."""
         if keyed or self.effect is not Effect.DEDUPLICATED:
             return self
         return replace(self, effect=Effect.AT_MOST_ONCE)
 
     def __post_init__(self) -> None:
-        _need(self.aim_ms > 0, "classes.aim_ms", "a number above 0")
+        _need(self.latency_objective_ms > 0, "classes.aim_ms", "a number above 0")
         _need(self.deadline_ms > 0, "classes.deadline_ms", "a number above 0")
-        _need(self.worth >= 0, "classes.worth", "0 or more")
-        _need(0 <= self.late_worth <= 1, "classes.late_worth", "0 to 1")
-        _need(self.window_ms >= 0, "classes.window_ms", "0 or more")
+        _need(self.priority_weight >= 0, "classes.worth", "0 or more")
+        _need(0 <= self.late_weight <= 1, "classes.late_worth", "0 to 1")
+        _need(self.dedup_window_ms >= 0, "classes.window_ms", "0 or more")
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,16 +100,16 @@
 class SlowStart:
     """A started upstream can do `capacity` of its work at first and all of it after `warm_ms`."""
 
-    capacity: float = 1.0
-    warm_ms: float = 0.0
-    fall_multiple: float = 2.0  # sent this many times its present capacity ...
-    fall_ms: float = 1000.0  # ... for this long, it falls over
+    initial_capacity: float = 1.0
+    warmup_ms: float = 0.0
+    overload_multiple: float = 2.0  # sent this many times its present capacity ...
+    overload_window_ms: float = 1000.0  # ... for this long, it falls over
 
     def __post_init__(self) -> None:
-        _need(0 < self.capacity <= 1, "cold.capacity", "above 0, at most 1")
-        _need(self.warm_ms >= 0, "cold.warm_ms", "0 or more")
-        _need(self.fall_multiple > 0, "cold.fall_multiple", "a number above 0")
-        _need(self.fall_ms > 0, "cold.fall_ms", "a number above 0")
+        _need(0 < self.initial_capacity <= 1, "cold.capacity", "above 0, at most 1")
+        _need(self.warmup_ms >= 0, "cold.warm_ms", "0 or more")
+        _need(self.overload_multiple > 0, "cold.fall_multiple", "a number above 0")
+        _need(self.overload_window_ms > 0, "cold.fall_ms", "a number above 0")
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,22 +118,22 @@
     tenants: tuple[Tenant, ...] = ()
     balancers: int = 1  # how many share this tier's traffic, this one included
     processes: int = 1  # of this balancer's place that live at once, while one takes over from another
-    rank: int = 0  # this balancer's number among them, from 0
-    layer: int = 0  # 0: calls come from clients; above: from servers of the tier before
+    balancer_index: int = 0  # this balancer's number among them, from 0
+    tier_index: int = 0  # 0: calls come from clients; above: from servers of the tier before
     zone: int = 0  # where this balancer stands
-    over_share_worth: float = 1.0  # worth of a call over its tenant's quota, as a share
-    must_ask: bool = False  # the list comes only to those who subscribe
+    over_quota_weight: float = 1.0  # worth of a call over its tenant's quota, as a share
+    must_subscribe: bool = False  # the list comes only to those who subscribe
     weights_listed: bool = True  # upstream weights mean something
     max_attempts: int = 3
     may_cancel: bool = True
-    may_copy: bool = True  # two attempts of one call may be out together
+    may_hedge: bool = True  # two attempts of one call may be out together
     max_retry_after_ms: float = 0.0  # 0: clients take no advice on when to return
-    crossing_cost: float = 0.0  # price of sending a call to another zone
-    cold: SlowStart = field(default_factory=SlowStart)
-    narrow: bool = (
+    cross_zone_cost: float = 0.0  # price of sending a call to another zone
+    slow_start: SlowStart = field(default_factory=SlowStart)
+    restricted: bool = (
         False  # without the others' word: nothing goes out again that may have run, and nothing to cold ones
     )
-    cold_parts: float = (
+    agreed_slow_start_divisor: float = (
         0.0  # by which cold upstreams' allowance is divided, where that is agreed on; 0: by `parts`
     )
 
@@ -141,36 +141,36 @@
         _need(len(self.classes) > 0, "classes", "at least one")
         _need(self.balancers >= 1, "balancers", "1 or more")
         _need(self.processes >= 1, "processes", "1 or more")
-        _need(0 <= self.rank, "rank", "0 or more")
-        _need(self.layer >= 0, "layer", "0 or more")
-        _need(0 <= self.over_share_worth <= 1, "over_share_worth", "0 to 1")
+        _need(0 <= self.balancer_index, "rank", "0 or more")
+        _need(self.tier_index >= 0, "layer", "0 or more")
+        _need(0 <= self.over_quota_weight <= 1, "over_share_worth", "0 to 1")
         _need(self.max_attempts >= 1, "max_attempts", "1 or more")
         _need(self.max_retry_after_ms >= 0, "max_retry_after_ms", "0 or more")
-        _need(self.crossing_cost >= 0, "crossing_cost", "0 or more")
-        _need(self.cold_parts >= 0, "cold_parts", "0 or more")
+        _need(self.cross_zone_cost >= 0, "crossing_cost", "0 or more")
+        _need(self.agreed_slow_start_divisor >= 0, "cold_parts", "0 or more")
 
     @property
-    def parts(self) -> int:
+    def instances(self) -> int:
         """Into how many what all may do together is divided."""
         return self.balancers * self.processes
 
     @property
-    def shares_cold(self) -> float:
+    def slow_start_divisor(self) -> float:
         """The same for what all may send a cold upstream; infinite: this balancer has no part of it."""
-        return inf if self.narrow else (self.cold_parts or self.balancers) * self.processes
+        return inf if self.restricted else (self.agreed_slow_start_divisor or self.balancers) * self.processes
 
 
 class Endpoint(NamedTuple):
     """One line of the list."""
 
     name: str
-    stage: EndpointState = EndpointState.READY
+    state: EndpointState = EndpointState.READY
     weight: float = 1.0
     kind: int = 0
     zone: int = 0
     cell: int = 0
     started_ms: float = 0.0  # 0: long ago; tells two processes of a name apart
-    begun_ms: float | None = None  # the same by the balancer's own clock, where that is another one
+    started_local_ms: float | None = None  # the same by the balancer's own clock, where that is another one
 
 
 class PriorExecution(NamedTuple):
@@ -187,4 +187,4 @@
     zone: Hashable
     cell: Hashable
     sent_ms: float
-    ran: bool = True  # may have run, for all that is known
+    may_have_run: bool = True  # may have run, for all that is known
--- a/limenotch/cli/check_config.py
+++ b/limenotch/cli/check_config.py
@@ -23,13 +23,13 @@
 
 
 def describe(config: Config) -> str:
-    listed = config.known.get("endpoints") or []
+    listed = config.known_list.get("endpoints") or []
     return "\n".join(
         [
             f"name: {config.name}",
             f"listen: {host_port(config.listen)}",
-            f"directory: {host_port(config.directory)}",
-            f"layer: {config.settings.layer}",
+            f"directory: {host_port(config.discovery)}",
+            f"layer: {config.settings.tier_index}",
             f"classes: {', '.join(c.name for c in config.settings.classes)}",
             f"tenants: {len(config.settings.tenants)}",
             f"providers known: {len(listed)}",
--- a/limenotch/config.py
+++ b/limenotch/config.py
@@ -32,21 +32,21 @@
 class Config:
     name: str
     listen: Address
-    directory: Address
+    discovery: Address
     seed: int
     settings: BalancerSettings
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    known: dict[str, Any] = field(default_factory=dict)  # the list as held last, in the directory's form
+    known_list: dict[str, Any] = field(default_factory=dict)  # the list as held last, in the directory's form
     admin: Address | None = None  # where operators ask; None: nowhere
-    kept: str | None = None  # how paths begin that one process leaves to the next; None: nothing is left
+    state_path: str | None = None  # how paths begin that one process leaves to the next; None: nothing is left
     sockets: int = DEFAULT_SOCKETS
     memory_mb: float = DEFAULT_MEMORY_MB
     max_open: int = DEFAULT_MAX_OPEN
-    shape: frozenset[str] = frozenset()  # the keys of the file, see shape_of
-    env: dict[str, Any] = field(default_factory=dict)  # `settings` as the file has them
-    idle_ms: float = DEFAULT_IDLE_MS
-    connect_ms: float = DEFAULT_CONNECT_MS
+    key_paths: frozenset[str] = frozenset()  # the keys of the file, see shape_of
+    raw_settings: dict[str, Any] = field(default_factory=dict)  # `settings` as the file has them
+    endpoint_idle_ms: float = DEFAULT_IDLE_MS
+    connect_timeout_ms: float = DEFAULT_CONNECT_MS
 
 
 def address(text: object, key: str) -> Address:
@@ -116,21 +116,21 @@
     return Config(
         name=str(environ.get("LB_NAME") or raw.get("name") or "limenotch"),
         listen=address(listen, "LB_LISTEN" if environ.get("LB_LISTEN") else "listen"),
-        directory=address(directory, "LB_DISCOVERY" if environ.get("LB_DISCOVERY") else "discovery"),
+        discovery=address(directory, "LB_DISCOVERY" if environ.get("LB_DISCOVERY") else "discovery"),
         seed=_seed(raw.get("seed", "0")),
         settings=settings,
         zones=_names(env, "zones", "settings.zones"),
         kinds=_names(env, "skus", "settings.skus"),
-        shape=shape_of(raw),
-        env=env,
-        known=_object(raw, "known", "known"),
+        key_paths=shape_of(raw),
+        raw_settings=env,
+        known_list=_object(raw, "known", "known"),
         admin=None if admin is None else address(admin, admin_key),
-        kept=_kept(environ.get("TMPDIR"), address(listen, "listen")),
+        state_path=_kept(environ.get("TMPDIR"), address(listen, "listen")),
         memory_mb=_number(limits, "memory_mb", "limits.memory_mb", DEFAULT_MEMORY_MB, 8),
         sockets=int(_number(limits, "sockets", "limits.sockets", DEFAULT_SOCKETS, 64)),
         max_open=int(_number(allowed, "max_open", path + "max_open", DEFAULT_MAX_OPEN, 1)),
-        idle_ms=_number(allowed, "conn_idle_ms", path + "conn_idle_ms", DEFAULT_IDLE_MS, 1),
-        connect_ms=_number(allowed, "connect_timeout_ms", path + "connect_timeout_ms", DEFAULT_CONNECT_MS, 1),
+        endpoint_idle_ms=_number(allowed, "conn_idle_ms", path + "conn_idle_ms", DEFAULT_IDLE_MS, 1),
+        connect_timeout_ms=_number(allowed, "connect_timeout_ms", path + "connect_timeout_ms", DEFAULT_CONNECT_MS, 1),
     )
 
 
@@ -140,15 +140,15 @@
 
 def common(config: Config) -> dict[str, Any]:
     """What many sidecars may agree on, as this one's file has it: settings, and the directory's address."""
-    settings = {key: value for key, value in config.env.items() if key not in OWN}
-    return {"settings": settings, "bans": {}, "directory": host_port(config.directory)}
+    settings = {key: value for key, value in config.raw_settings.items() if key not in OWN}
+    return {"settings": settings, "bans": {}, "directory": host_port(config.discovery)}
 
 
 def agreed(config: Config, document: Mapping[str, Any]) -> Config:
     """This sidecar's configuration with what was agreed on in place of its file's. Raises ConfigError."""
-    own = {key: config.env[key] for key in OWN if key in config.env}
+    own = {key: config.raw_settings[key] for key in OWN if key in config.raw_settings}
     env = {**_object(document, "settings", "settings"), **own}
-    at = document.get("directory", host_port(config.directory))
+    at = document.get("directory", host_port(config.discovery))
     raw = {
         "listen": host_port(config.listen),
         "discovery": at,
@@ -160,10 +160,10 @@
         new,
         name=config.name,
         seed=config.seed,
-        known=config.known,
+        known_list=config.known_list,
         admin=config.admin,
-        kept=config.kept,
-        shape=config.shape,
+        state_path=config.state_path,
+        key_paths=config.key_paths,
     )
 
 
@@ -204,7 +204,7 @@
     if not isinstance(raw, dict):
         raise ConfigError(f"LB_CONFIG: {path}: expected an object")
     if again is not None:
-        lost = sorted(again.shape - shape_of(raw))
+        lost = sorted(again.key_paths - shape_of(raw))
         if lost:
             raise ConfigError(f"{lost[0]}: missing, the file in force has it")
         if raw.get("discovery"):
--- a/limenotch/configuration_applier.py
+++ b/limenotch/configuration_applier.py
@@ -118,4 +118,4 @@
 
 
 def _aims(config: Config) -> dict[str, float]:
-    return {cls.name: cls.aim_ms for cls in config.settings.classes}
+    return {cls.name: cls.latency_objective_ms for cls in config.settings.classes}
--- a/limenotch/endpoint_ages.py
+++ b/limenotch/endpoint_ages.py
@@ -32,7 +32,7 @@
     def name(self) -> str: ...
 
     @property
-    def since_ms(self) -> float: ...
+    def started_ms(self) -> float: ...
 
 
 class Start(NamedTuple):
@@ -51,7 +51,7 @@
         self._listed: dict[str, Start] = {}
         self._gone: dict[str, Start] = {}
 
-    def heard(self, entries: Iterable[ListedEndpoint], whole: bool, unheard_ms: float = math.inf) -> list[float]:
+    def record_list(self, entries: Iterable[ListedEndpoint], whole: bool, unheard_ms: float = math.inf) -> list[float]:
         """The start of each entry by `clock`, 0 for those that started long ago.
 
         `unheard_ms`: how long before this list discovery had its last word; infinite if it had none.
@@ -62,9 +62,9 @@
         for entry in entries:
             start = self._known(entry)
             if start is None:
-                start = Start(entry.since_ms, now - self._age(now - entry.since_ms, ahead, unheard_ms))
+                start = Start(entry.started_ms, now - self._age(now - entry.started_ms, ahead, unheard_ms))
             found[entry.name] = start
-            starts.append(start.at_ms if entry.since_ms > 0 else 0.0)
+            starts.append(start.at_ms if entry.started_ms > 0 else 0.0)
         if whole:
             self._forget(name for name in self._listed if name not in found)
             self._listed = found
@@ -76,13 +76,13 @@
 
     def _known(self, entry: ListedEndpoint) -> Start | None:
         start = self._listed.get(entry.name) or self._gone.get(entry.name)
-        return start if start is not None and start.since_ms == entry.since_ms else None
+        return start if start is not None and start.since_ms == entry.started_ms else None
 
     @staticmethod
     def _age(by_clock: float, ahead: float, unheard_ms: float) -> float:
         return max(min(by_clock, by_clock + ahead, unheard_ms), 0.0)
 
-    def left(self, names: Iterable[str]) -> None:
+    def forget(self, names: Iterable[str]) -> None:
         """These are no longer listed."""
         self._forget(name for name in names if name in self._listed)
 
@@ -94,12 +94,12 @@
 
     # For the process that takes this one's place
 
-    def told(self) -> dict[str, list[float]]:
+    def export_state(self) -> dict[str, list[float]]:
         """Name to the start as listed and the age, of those whose start is known."""
         now = self._clock()
         return {name: [start.since_ms, now - start.at_ms] for name, start in self._listed.items() if start.since_ms > 0}
 
-    def take(self, told: Any) -> None:
+    def import_state(self, told: Any) -> None:
         """What `told` gave in another process just now. Raises ValueError, with nothing taken, if it is not sound."""
         if not isinstance(told, dict):
             raise ValueError("starts: no table")
--- a/limenotch/fleet/consensus/log.py
+++ b/limenotch/fleet/consensus/log.py
@@ -59,7 +59,7 @@
     def __init__(self, held: StoredLog) -> None:
         self.snapshot = held.snapshot
         self.base = held.base
-        self.base_epoch = held.snapshot.epoch if held.snapshot else 0
+        self.base_epoch = held.snapshot.term if held.snapshot else 0
         self.entries: list[LogEntry] = list(held.entries)
         self.bytes = sum(len(entry.data) for entry in self.entries)
         self.stored = self.last
@@ -73,7 +73,7 @@
 
     @property
     def last_epoch(self) -> int:
-        return self.entries[-1].epoch if self.entries else self.base_epoch
+        return self.entries[-1].term if self.entries else self.base_epoch
 
     @property
     def voters(self) -> Voters:
@@ -98,7 +98,7 @@
         """None where the log does not reach, on either side."""
         if index == self.base:
             return self.base_epoch
-        return self.entries[index - self.base - 1].epoch if self.base < index <= self.last else None
+        return self.entries[index - self.base - 1].term if self.base < index <= self.last else None
 
     def get(self, index: int) -> LogEntry:
         return self.entries[index - self.base - 1]
@@ -117,7 +117,7 @@
     def conflict(self, entries: tuple[LogEntry, ...]) -> int:
         """The place among `entries` of the first that is not held here; their number where all are."""
         for place, entry in enumerate(entries):
-            if entry.index > self.base and self.epoch_of(entry.index) != entry.epoch:
+            if entry.index > self.base and self.epoch_of(entry.index) != entry.term:
                 return place
         return len(entries)
 
@@ -139,7 +139,7 @@
         drop = max(0, snapshot.index - tail - self.base)
         if drop:
             under = self.voters_as_of(self.base + drop)
-            self.base_epoch = self.entries[drop - 1].epoch
+            self.base_epoch = self.entries[drop - 1].term
             self.bytes -= sum(len(entry.data) for entry in self.entries[:drop])
             self.base += drop
             del self.entries[:drop]
@@ -147,10 +147,10 @@
 
     def install(self, snapshot: Snapshot, voters: Voters) -> None:
         """Instead of all that is held here, unless it goes on from the snapshot (figure 13, rule 6)."""
-        if self.epoch_of(snapshot.index) == snapshot.epoch:
+        if self.epoch_of(snapshot.index) == snapshot.term:
             self.compact(snapshot, 0)
             return
-        self.snapshot, self.base, self.base_epoch = snapshot, snapshot.index, snapshot.epoch
+        self.snapshot, self.base, self.base_epoch = snapshot, snapshot.index, snapshot.term
         self.entries, self.bytes, self.stored = [], 0, 0
         self._voters = [(self.base, voters)]
 
--- a/limenotch/fleet/consensus/node.py
+++ b/limenotch/fleet/consensus/node.py
@@ -43,10 +43,10 @@
         self.random = Random(seed)
         self.life = self.random.getrandbits(48)
         self.log = Log(held)
-        vote, mark, birth = held.ballot.vote.partition(MARK)
+        vote, mark, birth = held.term_vote.vote.partition(MARK)
         self.newborn = held == StoredLog(entries=[])
         self.birth = f"{self.random.getrandbits(48):x}" if self.newborn else birth
-        self.epoch, self.vote = held.ballot.epoch, vote
+        self.epoch, self.vote = held.term_vote.term, vote
         self.on_disk: tuple[int, str] | None = None if self.newborn else (self.epoch, self.vote)
         self.snapped_on_disk = self.log.snapped
         self.leader: str | None = None
@@ -253,7 +253,7 @@
             ident, data = decode(entry.data)
             first = self.ids.get(ident) if ident else None
             if first is None:
-                self.out.append(api.EntryCommitted(entry.index, entry.epoch, data, ident))
+                self.out.append(api.EntryCommitted(entry.index, entry.term, data, ident))
                 if ident and self.tuning.most_ids:
                     self.ids[ident] = entry.index
                     if len(self.ids) > self.tuning.most_ids:
@@ -279,7 +279,7 @@
             self.snap(snapshot)
 
     def install(self, snapshot: Snapshot, state: State) -> None:
-        if self.log.epoch_of(snapshot.index) != snapshot.epoch:
+        if self.log.epoch_of(snapshot.index) != snapshot.term:
             for write in self.writes:
                 write.last = 0  # of a log that is gone
         self.log.install(snapshot, state.voters)
--- a/limenotch/fleet/consensus/replicate.py
+++ b/limenotch/fleet/consensus/replicate.py
@@ -208,7 +208,7 @@
                 say.Chunk(
                     node.epoch,
                     snapshot.index,
-                    snapshot.epoch,
+                    snapshot.term,
                     len(snapshot.state),
                     transfer.offset,
                     data,
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -132,9 +132,9 @@
 
     def adopted(self, config: Config) -> None:
         windows = {
-            cls.name: cls.window_ms
+            cls.name: cls.dedup_window_ms
             for cls in config.settings.classes
-            if cls.effect is Effect.DEDUPLICATED and cls.window_ms > 0
+            if cls.effect is Effect.DEDUPLICATED and cls.dedup_window_ms > 0
         }
         if windows != self._windows:
             self._windows = windows
@@ -159,7 +159,7 @@
         there = {
             name: (str(each.group), each.zone)
             for name, each in self._listed.items()
-            if each.takes_new and name not in self._out
+            if each.accepts_requests and name not in self._out
         }
         if there != self._there:
             self._there = there
@@ -185,10 +185,10 @@
 
     # Calls
 
-    def taken(self, call: Request) -> FinalResponse | None:
-        about, mine = call.about, Mine()
-        if self._tuning.keys and about.key and call.kind in self._classes:
-            mine.key = joined(call.kind.encode(), call.tenant.encode(), about.key)
+    def request_received(self, call: Request) -> FinalResponse | None:
+        about, mine = call.details, Mine()
+        if self._tuning.keys and about.idempotency_key and call.class_name in self._classes:
+            mine.key = joined(call.class_name.encode(), call.tenant.encode(), about.idempotency_key)
             final = self._keyed(call, mine)
             if final is not None:
                 return final
@@ -197,17 +197,17 @@
             if value:
                 mine.session = joined(call.tenant.encode(), b"", value)
                 self.counts["sessions"] += 1
-                if call.hint is None:
+                if call.placement_hint is None:
                     self._prefer(call, Kind.SESSION, mine.session)
-        if self._tuning.connections and about.origin:
-            mine.origin = about.origin
-            kept = self._conns.get(about.origin)
+        if self._tuning.connections and about.connection:
+            mine.origin = about.connection
+            kept = self._conns.get(about.connection)
             if kept is None:
                 self._conn += 1
                 own = b"%d %d" % (self._among.life, self._conn)  # another connection from there is another one
-                kept = self._conns[about.origin] = Kept(joined(self._among.name.encode(), b"", own))
+                kept = self._conns[about.connection] = Kept(joined(self._among.name.encode(), b"", own))
             self.counts["connections"] += 1
-            if call.hint is None and kept.provider:
+            if call.placement_hint is None and kept.provider:
                 self._prefer(call, Kind.CONN, kept.key)
         if mine.key or mine.session or mine.origin:
             self._mine[call.number] = mine
@@ -216,14 +216,16 @@
     def _keyed(self, call: Request, mine: Mine) -> FinalResponse | None:
         self.counts["keyed"] += 1
         bound = self._table.find(self._among.now(), Kind.KEY, mine.key)
-        if bound is None and call.about.resent and not self._table.whole:
+        if bound is None and call.details.is_retry and not self._table.whole:
             self.counts["unsure"] += 1
             return FinalResponse(Verdict.REJECTED)
         if bound is not None:
             self.counts["repeats"] += 1
-            call.paid = call.paid or bound.charged
+            call.already_charged = call.already_charged or bound.charged
             # The window counts from the first of them, wherever its latest repeat was seen.
-            call.hint = PlacementHint(ran=True, zone=bound.zone, group=_group(bound.cell), ago_ms=bound.made_ms)
+            call.placement_hint = PlacementHint(
+                may_have_run=True, zone=bound.zone, group=_group(bound.cell), age_ms=bound.made_ms
+            )
             mine.hinted = True
         else:
             mine.changes = self._table.changes
@@ -236,10 +238,10 @@
     def _prefer(self, call: Request, kind: Kind, key: bytes) -> None:
         bound = self._table.find(self._among.now(), kind, key)
         if bound is not None:
-            call.hint = PlacementHint(prefer=bound.provider)
+            call.placement_hint = PlacementHint(preferred_endpoint=bound.provider)
 
-    def sent(self, invoker_call: Attempt) -> None:
-        mine = self._mine.get(invoker_call.call.number)
+    def attempt_started(self, invoker_call: Attempt) -> None:
+        mine = self._mine.get(invoker_call.request.number)
         if mine is None:
             return
         mine.out += 1
@@ -253,18 +255,18 @@
                 known = self._table.find(self._among.now(), Kind.KEY, mine.key) is not None
                 self.counts["crossed"] += known  # told of while this one waited to be sent
             use.ours, use.stands = not known, known
-        if not self._see(Kind.KEY, mine.key, invoker_call.provider, State.OPENING):
+        if not self._see(Kind.KEY, mine.key, invoker_call.endpoint_name, State.OPENING):
             self.counts["unbound"] += 1
             use.ours = False
 
-    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
-        call = invoker_call.call
+    def attempt_ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
+        call = invoker_call.request
         mine = self._mine.get(call.number)
         if mine is None:
             return
         mine.out -= 1
         if ending is AttemptEnding.SERVED and not mine.served:
-            mine.served = invoker_call.provider
+            mine.served = invoker_call.endpoint_name
         if mine.key:
             use = self._uses[mine.key]
             use.out -= 1
@@ -275,14 +277,14 @@
                 self._undo(mine.key)
         self._over(call.number, mine)
 
-    def closed(self, call: Request) -> None:
+    def request_closed(self, call: Request) -> None:
         mine = self._mine.get(call.number)
         if mine is None:
             return
         mine.closed = True
         if call.final is not None and call.final.verdict is Verdict.SERVED:
             # A long answer is the call's answer before its attempt has ended.
-            by = mine.served or next((each.provider for each in call.made if each.first), "")
+            by = mine.served or next((each.endpoint_name for each in call.attempts if each.response_began_at), "")
             if by:
                 self._served(mine, by)
         self._over(call.number, mine)
--- a/limenotch/fleet_adapters/endpoint_lists.py
+++ b/limenotch/fleet_adapters/endpoint_lists.py
@@ -83,7 +83,7 @@
         (at, index, live, ago_ms), told = self._where(), list(providers)
         if live:  # else it is a list of an earlier time, which is no word of the directory's
             self._silent = False
-            ready = tuple(_named(p) for p in told if p.takes_new)
+            ready = tuple(_named(p) for p in told if p.accepts_requests)
             stages = {p.name: STAGES[p.status] for p in told}
             asked = self._among.now() - ago_ms
             self._among.tell(ComponentEvent(PREFIX, Listed(host_port(at), index, whole, stages, ready, asked)))
@@ -153,7 +153,7 @@
 
 
 def _named(p: DiscoveredEndpoint) -> Named:
-    return Named(p.name, host_port(p.address), p.zone, p.kind, p.group, p.weight, p.since_ms)
+    return Named(p.name, host_port(p.address), p.zone, p.kind, p.group, p.weight, p.started_ms)
 
 
 def _provider(named: Named) -> DiscoveredEndpoint | None:
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -29,19 +29,19 @@
         self.count = 0
         self.aim_ms: Callable[[str], float] = lambda name: math.inf
 
-    def taken(self, call: Request) -> FinalResponse | None:
+    def request_received(self, call: Request) -> FinalResponse | None:
         return None
 
-    def sent(self, invoker_call: Attempt) -> None:
+    def attempt_started(self, invoker_call: Attempt) -> None:
         """Nothing to see yet."""
 
-    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
+    def attempt_ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         """One attempt says nothing of its call."""
 
-    def closed(self, call: Request) -> None:
+    def request_closed(self, call: Request) -> None:
         if call.final is not None and call.final.verdict is Verdict.SERVED:
-            spent_s = monotonic() - (call.end - call.left_s)
-            self.count += spent_s * 1000.0 > self.aim_ms(call.kind)
+            spent_s = monotonic() - (call.deadline - call.budget_left_s)
+            self.count += spent_s * 1000.0 > self.aim_ms(call.class_name)
 
 
 class RulesAdapter(FleetAdapter):
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -64,19 +64,19 @@
     def pays(self, tenant: str) -> bool:
         return "*" in self._tenants or tenant in self._tenants
 
-    def taken(self, call: Request) -> FinalResponse | RetryLater | None:
+    def request_received(self, call: Request) -> FinalResponse | RetryLater | None:
         purse = self.purse
         if purse is None or self.fault or (self._parts.off and self.off):
             return self._without(call)
         try:
-            said = purse.reserve(monotonic() * 1000.0, call.tenant, call.kind, call.paid)
+            said = purse.reserve(monotonic() * 1000.0, call.tenant, call.class_name, call.already_charged)
             if not self._looking and purse.wants():
                 self._see()
         except Exception as error:
             self._faulty(error)
             return self._without(call)
         if isinstance(said, Turned):
-            final = FinalResponse(Verdict.REJECTED, retry_after_ms=said.retry_after_ms, paused=True)
+            final = FinalResponse(Verdict.REJECTED, retry_after_ms=said.retry_after_ms, quota_exhausted=True)
             if said.coming and call.waited_ms < HOLDS * self._tuning.record_ms:
                 return RetryLater(
                     self._tuning.record_ms / ASKS, final
@@ -87,13 +87,13 @@
             self._open[call.number] = said
         return None
 
-    def sent(self, invoker_call: Attempt) -> None:
+    def attempt_started(self, invoker_call: Attempt) -> None:
         pass
 
-    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
+    def attempt_ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         pass
 
-    def closed(self, call: Request) -> None:
+    def request_closed(self, call: Request) -> None:
         reservation = self._open.pop(call.number, None)
         purse = self.purse
         if reservation is None or purse is None:
@@ -113,10 +113,14 @@
     def _without(self, call: Request) -> FinalResponse | None:
         """Nobody can say what there is to spend."""
         tuning = self._tuning
-        if call.paid or not self.pays(call.tenant) or not tuning.cost.get(call.kind, tuning.other_cost):
+        if (
+            call.already_charged
+            or not self.pays(call.tenant)
+            or not tuning.cost.get(call.class_name, tuning.other_cost)
+        ):
             return None
         self.counts["turned_without"] += 1
-        return FinalResponse(Verdict.REJECTED, retry_after_ms=tuning.retry_after_ms, paused=True)
+        return FinalResponse(Verdict.REJECTED, retry_after_ms=tuning.retry_after_ms, quota_exhausted=True)
 
     def _see(self) -> None:
         self._looking = True
--- a/limenotch/lab/fleet/checks_log.py
+++ b/limenotch/lab/fleet/checks_log.py
@@ -4,14 +4,15 @@
 | --- | --- |
 | one leader an epoch | LeaderChanged that names its teller |
 | one vote an epoch, of one disk, and on it before it is told | Voted, the disk at that instant |
-| one entry an index | Agreed of all nodes, all lives |
-| each node's agreed go up, none twice in a life | Agreed, Install |
-| no id agreed twice | Agreed of all nodes |
-| promised: on a quorum's disks at that instant | Promised, the disks (one wiped since counts with what it held) |
+| one entry an index | EntryCommitted of all nodes, all lives |
+| each node's agreed go up, none twice in a life | EntryCommitted, SnapshotInstalled |
+| no id agreed twice | EntryCommitted of all nodes |
+| promised: on a quorum's disks at that instant | ProposalCommitted, the disks (a wiped one counts with what it held) |
 | nothing promised is lost | each node's agreed at the end, after the heal |
-| a read sees all that was promised before it was asked | ReadAt, ReadReady, Promised |
+| a read sees all that was promised before it was asked | ReadIndex, ReadReady, ProposalCommitted |
 
-Nothing of the package it checks is called; messages and actions are known by the names of their classes and fields.
+Nothing of the package it checks is called; messages and actions are known by their types and
+fields.
 """
 
 from __future__ import annotations
@@ -21,6 +22,9 @@
 
 import msgspec
 
+from limenotch.fleet.consensus import api
+from limenotch.fleet.consensus.messages import Voted
+from limenotch.fleet.interfaces import SendToMember, Store
 from limenotch.store.records import StoredLog
 
 
@@ -42,6 +46,18 @@
         self._later: dict[int, set[str]] = {}  # voters by index, as a leader gave them to its disk
         self.promised: dict[int, str] = {}  # index: id
         self.answers: dict[str, int] = {}
+        self._looks: dict[type, Callable[[str, Any], None]] = {
+            api.Propose: self._see_proposal,
+            api.ReadIndex: self._see_read_asked,
+            api.LeaderChanged: self._see_leader,
+            SendToMember: self._see_message,
+            Store: self._see_stored,
+            api.EntryCommitted: self._see_committed,
+            api.ProposalCommitted: self._see_promised,
+            api.ReadReady: self._see_read_ready,
+            api.ProposalRejected: self._see_rejected,
+            api.OutcomeUnknown: self._see_outcome_unknown,
+        }
 
     @property
     def broken(self) -> list[str]:
@@ -55,41 +71,41 @@
         self._agreed[node], self._last[node] = dict(held), index
 
     def wiped(self, held: StoredLog) -> None:
-        self._lost_disks.append(StoredLog(held.ballot, held.snapshot, list(held.entries)))
+        self._lost_disks.append(StoredLog(held.term_vote, held.snapshot, list(held.entries)))
 
     def saw(self, at: float, node: str, what: Any) -> None:
-        look = getattr(self, "_see_" + type(what).__name__.lower(), None)
+        look = self._looks.get(type(what))
         if look is not None:
             look(node, what)
 
-    def _see_propose(self, node: str, what: Any) -> None:
+    def _see_proposal(self, node: str, what: Any) -> None:
         self._asked[node, what.ticket] = what.id
 
-    def _see_readat(self, node: str, what: Any) -> None:
+    def _see_read_asked(self, node: str, what: Any) -> None:
         self._reads[node, what.ticket] = max(self.promised, default=0)
 
-    def _see_leaderchanged(self, node: str, what: Any) -> None:
+    def _see_leader(self, node: str, what: Any) -> None:
         if what.name == node and self._leaders.setdefault(what.epoch, node) != node:
             self._wrong(f"epoch {what.epoch} led by {self._leaders[what.epoch]} and {node}")
 
-    def _see_tell(self, node: str, what: Any) -> None:
+    def _see_message(self, node: str, what: Any) -> None:
         message = what.message
-        if type(message).__name__ != "Voted" or not message.yes:
+        if not isinstance(message, Voted) or not message.yes:
             return
-        ballot = self._disks()[node].ballot
+        ballot = self._disks()[node].term_vote
         vote, _, birth = ballot.vote.partition("?")
-        if (ballot.epoch, vote) != (message.epoch, what.to):
+        if (ballot.term, vote) != (message.epoch, what.to):
             self._wrong(f"vote of {node} for {what.to} in {message.epoch} told before it was on disk")
         if self._votes.setdefault((node, birth, message.epoch), what.to) != what.to:
             self._wrong(f"{node} voted twice in {message.epoch}")
 
-    def _see_store(self, node: str, what: Any) -> None:
+    def _see_stored(self, node: str, what: Any) -> None:
         for record in what.records:
             for entry in getattr(record, "entries", ()):
                 if entry.kind == "voters":
                     self._later[entry.index] = _voters(entry)
 
-    def _see_agreed(self, node: str, what: Any) -> None:
+    def _see_committed(self, node: str, what: Any) -> None:
         entry = (what.epoch, what.data, what.id)
         if self._entries.setdefault(what.index, entry) != entry:
             self._wrong(f"two entries agreed at {what.index}")
@@ -114,15 +130,15 @@
         if not self._on_quorum(what.index, ident):
             self._wrong(f"{ident} promised at {what.index} without a quorum's disks")
 
-    def _see_readready(self, node: str, what: Any) -> None:
+    def _see_read_ready(self, node: str, what: Any) -> None:
         self._count("read")
         if what.index < self._reads[node, what.ticket]:
             self._wrong(f"read on {node} gave {what.index}, {self._reads[node, what.ticket]} was promised before")
 
-    def _see_refused(self, node: str, what: Any) -> None:
+    def _see_rejected(self, node: str, what: Any) -> None:
         self._count("refused")
 
-    def _see_unknown(self, node: str, what: Any) -> None:
+    def _see_outcome_unknown(self, node: str, what: Any) -> None:
         self._count("unknown")
 
     def _count(self, what: str) -> None:
--- a/limenotch/lab/fleet/disk.py
+++ b/limenotch/lab/fleet/disk.py
@@ -41,7 +41,7 @@
 
     def copy(self) -> StoredLog:
         """What a process that starts now finds. Its own to change."""
-        return StoredLog(self.held.ballot, self.held.snapshot, list(self.held.entries))
+        return StoredLog(self.held.term_vote, self.held.snapshot, list(self.held.entries))
 
     def fall(self, *, keep: bool = True) -> None:
         """The process ends at once; without `keep` the disk is gone too."""
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -192,7 +192,7 @@
                 node.mark,
                 node.life,
                 tuple((at - node.now, token) for at, token in node.timers),
-                _ENCODER.encode((node.held.ballot, node.held.snapshot, node.held.entries, node.waiting)),
+                _ENCODER.encode((node.held.term_vote, node.held.snapshot, node.held.entries, node.waiting)),
             )
             for node in state.nodes.values()
         )
@@ -282,7 +282,7 @@
 
     def _start(self, state: _State, name: str, choice: str) -> _State:
         node = state.nodes[name]
-        held = StoredLog(node.held.ballot, node.held.snapshot, list(node.held.entries))
+        held = StoredLog(node.held.term_vote, node.held.snapshot, list(node.held.entries))
         part = self.make(name, self.seed, node.life + 1, held)
         after = replace(state, nodes={**state.nodes, name: replace(node, part=part, life=node.life + 1)})
         return self._told(after, state, name, Started(), choice)
@@ -347,7 +347,7 @@
 
 
 def _with(held: StoredLog, records: tuple[Any, ...]) -> StoredLog:
-    grown = StoredLog(held.ballot, held.snapshot, list(held.entries))
+    grown = StoredLog(held.term_vote, held.snapshot, list(held.entries))
     for record in records:
         grown.apply(record)
     return grown
--- a/limenotch/lab/fleet/explore_log.py
+++ b/limenotch/lab/fleet/explore_log.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, name: str, names: Sequence[str], held: StoredLog, seed: int) -> None:
-        self._made = (name, tuple(names), StoredLog(held.ballot, held.snapshot, list(held.entries)), seed)
+        self._made = (name, tuple(names), StoredLog(held.term_vote, held.snapshot, list(held.entries)), seed)
         self._past: tuple[tuple[float, Any], ...] = ()
         self.agreement = consensus.Agreement(name, tuple(names), held, TUNING, seed)
         self.told: tuple[tuple[int, int, str], ...] = ()  # agreed: index, epoch, id
@@ -40,7 +40,7 @@
 
     def __deepcopy__(self, memo: dict[int, Any]) -> Member:
         name, names, held, seed = self._made
-        copy = Member(name, names, StoredLog(held.ballot, held.snapshot, list(held.entries)), seed)
+        copy = Member(name, names, StoredLog(held.term_vote, held.snapshot, list(held.entries)), seed)
         for now, event in self._past:
             copy.handle(now, event)
         return copy
@@ -104,7 +104,7 @@
         node.commit,
         node.applied,
         node.ill,
-        tuple((entry.index, entry.epoch, entry.kind, entry.data) for entry in log.entries),
+        tuple((entry.index, entry.term, entry.kind, entry.data) for entry in log.entries),
         log.stored,
         tuple((write.ticket, write.ballot, write.last) for write in node.writes),
         node.ticket,
@@ -141,7 +141,8 @@
             voted = [
                 one
                 for one, held in view.disks.items()
-                if held.ballot.epoch > epoch or (held.ballot.epoch, held.ballot.vote.partition("?")[0]) == (epoch, name)
+                if held.term_vote.term > epoch
+                or (held.term_vote.term, held.term_vote.vote.partition("?")[0]) == (epoch, name)
             ]
             if len(voted) < self.quorum:
                 return f"{name} leads {epoch} by the disks of {', '.join(sorted(voted)) or 'nobody'}"
--- a/limenotch/lab/simulate/sidecar.py
+++ b/limenotch/lab/simulate/sidecar.py
@@ -84,12 +84,12 @@
         outcome = decisions.types.Outcome
         fields = world.plan.scenario.tier[tier].report.fields
         self._shown: tuple[bool, ...] = ("util" in fields, "qps" in fields)  # of a report
-        if "per_s" not in decisions.events.AttemptFinished._fields:
+        if "requests_per_s" not in decisions.events.AttemptFinished._fields:
             self._shown = self._shown[:1]  # a variant of an older interface
         self._outcomes = {
             "served": outcome.OK,
             "error": outcome.ERROR,
-            "refused": outcome.REFUSED,
+            "refused": outcome.REJECTED,
             "reset": outcome.RESET,
         }
         self._do: dict[type, Callable[[Any], None]] = {
@@ -114,7 +114,7 @@
             return
         decisions = self._decisions
         if isinstance(told, Broken):
-            self._handle(decisions.events.MembershipUpdate(decisions.events.MembershipKind.BROKEN))
+            self._handle(decisions.events.MembershipUpdate(decisions.events.MembershipKind.UNAVAILABLE))
             return
         now, rules = self.world.kernel.now, self.world.rules
         if told.whole:
@@ -143,7 +143,9 @@
                     entry.started_ms,
                 )
             )
-        listing = decisions.events.MembershipKind.WHOLE if told.whole else decisions.events.MembershipKind.CHANGES
+        listing = (
+            decisions.events.MembershipKind.COMPLETE if told.whole else decisions.events.MembershipKind.INCREMENTAL
+        )
         self._handle(decisions.events.MembershipUpdate(listing, tuple(upstreams)))
 
     def ban(self, name: str, out: bool) -> None:
@@ -269,10 +271,10 @@
         self.world.ask(self)
 
     def _reject(self, action: Any) -> None:
-        self._final(int(action.call), "rejected", action.retry_after_ms)
+        self._final(int(action.request), "rejected", action.retry_after_ms)
 
     def _fail(self, action: Any) -> None:
-        self._final(int(action.call), "failed", 0.0)
+        self._final(int(action.request), "failed", 0.0)
 
     def _final(self, number: int, verdict: str, retry_after_ms: float) -> None:
         world = self.world
@@ -292,19 +294,19 @@
             self.calls.pop(call.number, None)
 
     def _abandon(self, action: Any) -> None:
-        call = self.calls.get(int(action.call))
+        call = self.calls.get(int(action.request))
         if call is not None and 0 <= action.attempt < len(call.attempts):
             self.world.rules.cancelled(self.world.kernel.now, call.number)
             self._cut(call.attempts[action.attempt], self._decisions.types.Outcome.CANCELLED)
 
     def _send(self, action: Any) -> None:
-        world, call = self.world, self.calls[int(action.call)]
+        world, call = self.world, self.calls[int(action.request)]
         now = world.kernel.now
-        site, process = world.find(self.tier, action.upstream)
-        attempt = Attempt(call, len(call.attempts), site, process, action.upstream, now, now + action.timeout_ms)
+        site, process = world.find(self.tier, action.endpoint)
+        attempt = Attempt(call, len(call.attempts), site, process, action.endpoint, now, now + action.timeout_ms)
         call.attempts.append(attempt)
         world.kernel.late(attempt.end, self._timed_out, attempt)
-        if self._stage.get(action.upstream) != "ready" or action.upstream in self._banned:
+        if self._stage.get(action.endpoint) != "ready" or action.endpoint in self._banned:
             world.kernel.at(now, self._ended, attempt, self._decisions.types.Outcome.NOT_SENT, None)
             return
         idle = self._idle.get(process) if process is not None else None
@@ -377,7 +379,7 @@
         world, call, decisions = self.world, attempt.call, self._decisions
         now = world.kernel.now
         attempt.over = True
-        kept = outcome in (decisions.types.Outcome.OK, decisions.types.Outcome.ERROR, decisions.types.Outcome.REFUSED)
+        kept = outcome in (decisions.types.Outcome.OK, decisions.types.Outcome.ERROR, decisions.types.Outcome.REJECTED)
         if attempt.connected:
             assert attempt.process is not None
             if kept and not attempt.process.stopped and self._stage.get(attempt.name) == "ready":
--- a/limenotch/load_balancer.py
+++ b/limenotch/load_balancer.py
@@ -60,10 +60,10 @@
     kind: str = ""
     group: int = 0
     weight: float = 1.0
-    since_ms: float = 0.0
+    started_ms: float = 0.0
 
     @property
-    def takes_new(self) -> bool:
+    def accepts_requests(self) -> bool:
         return self.status is DiscoveryStatus.IN_SERVICE
 
 
@@ -72,59 +72,59 @@
 
     SERVED = "served"
     ERROR = "error"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
-    ABANDONED = "abandoned"
+    CANCELLED = "abandoned"
     NOT_SENT = "not sent"
 
 
 # The endings that show that an attempt never ran. All others leave it open.
-NEVER_RAN = frozenset({AttemptEnding.TURNED_AWAY, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT})
+NEVER_RAN = frozenset({AttemptEnding.REJECTED, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT})
 
 
 class PlacementHint(NamedTuple):
     """Where a call belongs, by what was done for it elsewhere."""
 
-    prefer: str = ""  # the provider that it stays with while that one may take work
-    ran: bool = False  # whether it may have run already: then its repeats go where they are dropped, ...
+    preferred_endpoint: str = ""  # the provider that it stays with while that one may take work
+    may_have_run: bool = False  # whether it may have run already: then its repeats go where they are dropped, ...
     zone: str = ""
     group: int = 0
-    ago_ms: float = 0.0  # ... and so long ago it did
+    age_ms: float = 0.0  # ... and so long ago it did
 
 
 class StartAttempt(NamedTuple):
     """Make an invoker call. Those of one call are numbered from 0 in the order they are given."""
 
-    call: int
-    provider: str
-    wait_ms: float
+    request: int
+    endpoint: str
+    timeout_ms: float
 
 
 class CancelAttempt(NamedTuple):
-    call: int
-    number: int
+    request: int
+    attempt: int
 
 
 class RejectRequest(NamedTuple):
     """Final answer: a rejection; trying again is harmless, best after `retry_after_ms`."""
 
-    call: int
+    request: int
     retry_after_ms: float
 
 
 class FailRequest(NamedTuple):
     """Final answer: a failure."""
 
-    call: int
+    request: int
 
 
 class ScheduleTimer(NamedTuple):
     """Come back with `tick(ticket)` after `delay_ms`."""
 
     delay_ms: float
-    ticket: int
+    token: int
 
 
 class WatchDiscovery(NamedTuple):
@@ -137,11 +137,11 @@
 OUTCOMES = {
     AttemptEnding.SERVED: Outcome.OK,
     AttemptEnding.ERROR: Outcome.ERROR,
-    AttemptEnding.TURNED_AWAY: Outcome.REFUSED,
+    AttemptEnding.REJECTED: Outcome.REJECTED,
     AttemptEnding.TIMED_OUT: Outcome.TIMEOUT,
     AttemptEnding.CONNECT_FAILED: Outcome.CONNECT_FAILED,
     AttemptEnding.RESET: Outcome.RESET,
-    AttemptEnding.ABANDONED: Outcome.CANCELLED,
+    AttemptEnding.CANCELLED: Outcome.CANCELLED,
     AttemptEnding.NOT_SENT: Outcome.NOT_SENT,
 }
 ENDPOINT_STATES = {
@@ -200,7 +200,10 @@
 
     def _adopt(self, settings: BalancerSettings) -> None:
         self._settings = replace(
-            settings, processes=self._processes, narrow=self._clock() >= self._until, cold_parts=self._cold_parts
+            settings,
+            processes=self._processes,
+            restricted=self._clock() >= self._until,
+            agreed_slow_start_divisor=self._cold_parts,
         )
         self.classes = settings.classes
         self._classes = {cls.name: number for number, cls in enumerate(settings.classes)}
@@ -217,40 +220,42 @@
         """Where the settings name no tenants, calls need none."""
         return name in self._tenants or not self._tenants
 
-    def longest_ms(self, class_name: str) -> float:
+    def deadline_ms(self, class_name: str) -> float:
         """How long any consumer waits for a call of this class."""
         return self.classes[self._classes[class_name]].deadline_ms
 
-    def permits(self, class_name: str, keyed: bool = True) -> RequestPolicy:
+    def request_policy(self, class_name: str, keyed: bool = True) -> RequestPolicy:
         """What the attempts of a call of this class that comes now may do, also once the settings have changed."""
-        return RequestPolicy(self.classes[self._classes[class_name]].as_keyed(keyed), self._settings.may_copy)
+        return RequestPolicy(self.classes[self._classes[class_name]].for_request(keyed), self._settings.may_hedge)
 
     @property
-    def most_advice_ms(self) -> float:
+    def max_retry_after_ms(self) -> float:
         """What the configuration allows a rejection to say of when to return; 0: nothing."""
         return self._settings.max_retry_after_ms
 
-    def figures(self) -> dict[str, float]:
+    def decision_metrics(self) -> dict[str, float]:
         """What the decisions stand on, for the log: invoker calls out, and from how many calls are rejected."""
         balancer = self._balancer
-        limit = balancer.entry.limit if math.isfinite(balancer.entry.limit) else -1.0
+        limit = balancer.admission.concurrency_limit if math.isfinite(balancer.admission.concurrency_limit) else -1.0
         return {
-            "out": balancer.out,
+            "out": balancer.in_flight,
             "limit": round(limit, 1),
-            "pace": round(balancer.entry.pace * 1000, 1),
-            "typical_ms": round(balancer.typical),
-            "drawn": len(balancer.table[0]),
+            "pace": round(balancer.admission.sustained_goodput * 1000, 1),
+            "typical_ms": round(balancer.typical_latency_ms),
+            "drawn": len(balancer.candidates[0]),
         }
 
-    def avoided(self) -> int:
+    def excluded_count(self) -> int:
         """Listed providers that the module leaves out now: draining, banned or silent."""
-        return self._balancer.left_out()
+        return self._balancer.excluded_count()
 
-    def ban(self, name: str, out: bool, at_ms: float = 0.0) -> Commands:
+    def set_ejected(self, name: str, out: bool, at_ms: float = 0.0) -> Commands:
         """A provider is taken out by hand or, since `at_ms`, let back."""
         return self._handle(OperatorEjection(name, out, at_ms))
 
-    def retune(self, settings: BalancerSettings, zones: Iterable[str] = (), kinds: Iterable[str] = ()) -> Commands:
+    def apply_settings(
+        self, settings: BalancerSettings, zones: Iterable[str] = (), kinds: Iterable[str] = ()
+    ) -> Commands:
         """Other settings for the calls to come. Indexes of zones and kinds are those of the start, and go on."""
         names = list(zones)
         for kind in kinds:
@@ -260,13 +265,13 @@
         self._adopt(settings)
         return self._handle(SettingsChanged(self._settings))
 
-    def together(self, processes: int) -> Commands:
+    def set_process_count(self, processes: int) -> Commands:
         """How many processes of this sidecar live: each does its part of what one may do."""
         self._processes = processes
         self._adopt(self._settings)
         return self._handle(SettingsChanged(self._settings))
 
-    def lease(self, until_ms: float, cold_parts: float = 0.0, refusing: bool = False) -> Commands:
+    def set_lease(self, until_ms: float, cold_parts: float = 0.0, refusing: bool = False) -> Commands:
         """Of many that act as one: until when (by `now_ms`) this one has the others' word for its rules.
 
         From then on it is narrow, or with `refusing` rejects all calls, until the next lease. That is looked at with
@@ -279,27 +284,31 @@
         return self._handle(SettingsChanged(self._settings)) if self._settings != before else []
 
     @property
-    def shut(self) -> bool:
+    def rejects_all(self) -> bool:
         """Whether all calls are rejected, as the lease has run out and the settings say so."""
         return self._refusing and self._clock() >= self._until
 
     @property
-    def narrow(self) -> bool:
+    def restricted(self) -> bool:
         return self._clock() >= self._until
 
-    def knowledge(self) -> dict[str, Any]:
+    def export_state(self) -> dict[str, Any]:
         """What was learnt, for the process that takes this one's place."""
-        return {"module": export_state(self._balancer), "kinds": dict(self._kinds.index), "starts": self._starts.told()}
+        return {
+            "module": export_state(self._balancer),
+            "kinds": dict(self._kinds.index),
+            "starts": self._starts.export_state(),
+        }
 
-    def learn_starts(self, told: Any) -> None:
+    def import_endpoint_ages(self, told: Any) -> None:
         """Of what another process knew, since when endpoints run; to be called before its list is heard.
 
         Raises ValueError if it is not sound. A process of an earlier version tells nothing of it.
         """
         if isinstance(told, dict) and "starts" in told:
-            self._starts.take(told["starts"])
+            self._starts.import_state(told["starts"])
 
-    def learn(self, told: Any) -> None:
+    def import_state(self, told: Any) -> None:
         """What another process knew; to be called after its list was heard. Raises ValueError if it is not sound."""
         if not isinstance(told, dict) or not isinstance(told.get("kinds"), dict):
             raise ValueError("knowledge: kinds")
@@ -313,7 +322,7 @@
     def start(self) -> Commands:
         return self._handle(BalancerStarted())
 
-    def pick(
+    def request_arrived(
         self,
         call: int,
         class_name: str,
@@ -329,21 +338,21 @@
         """
         party, prefer, bound = self._tenants.get(tenant, 0), "", None
         if hint is not None:
-            prefer = hint.prefer
-            if hint.ran:
-                bound = PriorExecution(self._zones[hint.zone], hint.group, self._clock() - hint.ago_ms)
+            prefer = hint.preferred_endpoint
+            if hint.may_have_run:
+                bound = PriorExecution(self._zones[hint.zone], hint.group, self._clock() - hint.age_ms)
         cls = self._classes[class_name]
         return self._handle(RequestArrived(str(call), cls, left_ms, party, resent, once, prefer, bound, keyed))
 
-    def uploaded(self, call: int, left_ms: float) -> Commands:
+    def upload_finished(self, call: int, left_ms: float) -> Commands:
         """The last byte of a message that goes out once was sent: its call has so much time from now."""
         return self._handle(UploadFinished(str(call), left_ms))
 
-    def depart(self, call: int) -> Commands:
+    def client_disconnected(self, call: int) -> Commands:
         """The consumer is gone."""
         return self._handle(ClientDisconnected(str(call)))
 
-    def report(
+    def attempt_finished(
         self,
         call: int,
         number: int,
@@ -364,14 +373,16 @@
             AttemptFinished(str(call), provider, number, spent_ms, outcome, closed, utilisation, per_s, spent)
         )
 
-    def tick(self, ticket: int) -> Commands:
+    def timer_fired(self, ticket: int) -> Commands:
         """A wake is due."""
         return self._handle(TimerFired(ticket))
 
-    def heard(self, providers: Collection[DiscoveredEndpoint], whole: bool, unheard_ms: float = math.inf) -> Commands:
+    def endpoints_listed(
+        self, providers: Collection[DiscoveredEndpoint], whole: bool, unheard_ms: float = math.inf
+    ) -> Commands:
         """The directory told its whole list, or what changed, `unheard_ms` after its last word."""
-        starts = self._starts.heard(providers, whole, unheard_ms)
-        self._starts.left(p.name for p in providers if p.status is DiscoveryStatus.TERMINATED)
+        starts = self._starts.record_list(providers, whole, unheard_ms)
+        self._starts.forget(p.name for p in providers if p.status is DiscoveryStatus.TERMINATED)
         upstreams = tuple(
             Endpoint(
                 p.name,
@@ -380,22 +391,22 @@
                 self._kinds[p.kind],
                 self._zones[p.zone],
                 p.group,
-                p.since_ms,
+                p.started_ms,
                 start,
             )
             for p, start in zip(providers, starts, strict=True)
         )
-        listing = MembershipKind.WHOLE if whole else MembershipKind.CHANGES
+        listing = MembershipKind.COMPLETE if whole else MembershipKind.INCREMENTAL
         return self._handle(MembershipUpdate(listing, upstreams))
 
-    def broken(self) -> Commands:
+    def discovery_failed(self) -> Commands:
         """A watch of the directory failed or ended."""
-        return self._handle(MembershipUpdate(MembershipKind.BROKEN))
+        return self._handle(MembershipUpdate(MembershipKind.UNAVAILABLE))
 
     def _handle(self, event: Event) -> Commands:
         now, acts = self._clock(), []
-        if now >= self._until and not self._settings.narrow:
-            self._settings = replace(self._settings, narrow=True)
+        if now >= self._until and not self._settings.restricted:
+            self._settings = replace(self._settings, restricted=True)
             acts = self._balancer.handle(now, SettingsChanged(self._settings))
         acts += self._balancer.handle(now, event)
         return [_order(action, now) for action in acts]
@@ -403,13 +414,13 @@
 
 def _order(action: actions.Action, now: float) -> Command:
     if isinstance(action, actions.SendAttempt):
-        return StartAttempt(int(action.call), action.upstream, action.timeout_ms)
+        return StartAttempt(int(action.request), action.endpoint, action.timeout_ms)
     if isinstance(action, actions.SetTimer):
         return ScheduleTimer(max(action.at_ms - now, 0.0), action.token)
     if isinstance(action, actions.CancelAttempt):
-        return CancelAttempt(int(action.call), action.attempt)
+        return CancelAttempt(int(action.request), action.attempt)
     if isinstance(action, actions.RejectRequest):
-        return RejectRequest(int(action.call), action.retry_after_ms)
+        return RejectRequest(int(action.request), action.retry_after_ms)
     if isinstance(action, actions.FailRequest):
-        return FailRequest(int(action.call))
+        return FailRequest(int(action.request))
     return WatchDiscovery()
--- a/limenotch/metrics.py
+++ b/limenotch/metrics.py
@@ -18,7 +18,7 @@
         self._classes: dict[str, Counter[str]] = {}
         self._counts: Counter[str] = Counter({"taken": 0, "sends": 0, "conf_loaded": 0, "conf_invalid": 0})
 
-    def know(self, classes: Iterable[str]) -> None:
+    def register_classes(self, classes: Iterable[str]) -> None:
         """Classes in force, which have lines from now on."""
         for name in classes:
             self._of(name)
@@ -29,20 +29,20 @@
             counter = self._classes[class_name] = Counter(dict.fromkeys((*ENDS, "sends"), 0))
         return counter
 
-    def took(self) -> None:
+    def count_taken(self) -> None:
         """A call was taken."""
         self._counts["taken"] += 1
 
-    def ended(self, class_name: str, end: str) -> None:
+    def count_ended(self, class_name: str, end: str) -> None:
         """A call ended, as one of ENDS."""
         self._of(class_name)[end] += 1
 
-    def sent(self, class_name: str) -> None:
+    def count_sent(self, class_name: str) -> None:
         """The last byte of an attempt was written."""
         self._of(class_name)["sends"] += 1
         self._counts["sends"] += 1
 
-    def reloaded(self, taken: bool) -> None:
+    def count_reload(self, taken: bool) -> None:
         """A configuration was taken, or turned down."""
         self._counts["conf_loaded" if taken else "conf_invalid"] += 1
 
@@ -50,7 +50,7 @@
         """Of all classes, one of ENDS; or a counter of the process."""
         return sum(counter[end] for counter in self._classes.values()) if end in ENDS else self._counts[end]
 
-    def lines(self, gauges: Mapping[str, float]) -> bytes:
+    def render(self, gauges: Mapping[str, float]) -> bytes:
         """One `name:value|type` a line: c for counters, g for gauges."""
         lines = [
             f"{PREFIX}.transactions.{RESERVED.sub('_', name)}.{what}:{value}|c"
--- a/limenotch/net/attempt_check.py
+++ b/limenotch/net/attempt_check.py
@@ -30,22 +30,22 @@
 
     `endpoint` is the attempt's by the newest list; None if that takes nothing new.
     """
-    call, chosen = attempt.call, attempt.endpoint
-    if call.gone or not call.present():
+    call, chosen = attempt.request, attempt.endpoint
+    if call.client_gone or not call.client_connected():
         return Obstacle.CLIENT_GONE
     if call.final is not None:
         return Obstacle.CALL_OVER
-    if attempt.over:
+    if attempt.ended:
         return Obstacle.ENDED
-    if now >= attempt.end:
+    if now >= attempt.deadline:
         return Obstacle.NO_TIME
     if endpoint is None or chosen is None:
         return Obstacle.NOT_IN_SERVICE
-    if (endpoint.address, endpoint.since_ms) != (chosen.address, chosen.since_ms):
+    if (endpoint.address, endpoint.started_ms) != (chosen.address, chosen.started_ms):
         return Obstacle.RESTARTED
-    sent = call.sent()
-    if not call.permits.beside(sent):
+    sent = call.possible_executions()
+    if not call.policy.allows_concurrent(sent):
         return Obstacle.ANOTHER_OUT
-    if not call.permits.again(sent, endpoint.zone, endpoint.group, now * 1000.0):
+    if not call.policy.allows_retry(sent, endpoint.zone, endpoint.group, now * 1000.0):
         return Obstacle.MAY_HAVE_RUN
     return None
--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -36,7 +36,7 @@
 
 
 def _printable(call: Request | None) -> str | None:
-    return call.name.decode("latin-1") if call is not None else None
+    return call.request_id.decode("latin-1") if call is not None else None
 
 
 class ClientConnection:
@@ -178,7 +178,7 @@
         finally:
             response.rest.cut()
             self._call = None
-            self._all.calls.passed_on(call, end)
+            self._all.requests.stream_ended(call, end)
             if self._begun and minor == 0:  # an end in good order would pass for the answer's
                 self._reset()
         return keep
@@ -186,7 +186,7 @@
     async def _write(self, response: bytes) -> None:
         """One that does not read is not waited for: its connection would never be given back."""
         written = self.stream.write(response)
-        timer = IOLoop.current().call_later(self._all.tuning.write_s, self.stream.close)
+        timer = IOLoop.current().call_later(self._all.settings.write_s, self.stream.close)
         try:
             await written
         finally:
@@ -196,22 +196,22 @@
         """The next request: whole, or of a long one what is held, with the rest to come. One that does not come in
         time is turned off, or the connection closes.
         """
-        parser, begun, tuning = self._parser, not self.used, self._all.tuning
+        parser, begun, tuning = self._parser, not self.used, self._all.settings
         self._time(tuning.request_s if begun else tuning.idle_s)
-        self._all.waits(self, parser.idle)
+        self._all.set_idle(self, parser.idle)
         try:
             while (request := parser.head()) is None:
                 if not (begun or parser.idle):
                     begun = True
                     self._time(tuning.request_s)
                 parser.feed(await self.reader.read())
-                self._all.waits(self, False)
+                self._all.set_idle(self, False)
             if parser.asked and request.minor == 1:
                 self._untime()
                 await self._write(http1.CONTINUE)
             return await self._body(request)
         finally:
-            self._all.waits(self, False)
+            self._all.set_idle(self, False)
             self._untime()
 
     async def _body(self, request: http1.Message) -> http1.Message:
@@ -236,7 +236,7 @@
 
     async def _read(self, size: int) -> None:
         """More of a body of which `size` bytes are there; it may be slow, but not slower than its least rate."""
-        tuning, before = self._all.tuning, monotonic()
+        tuning, before = self._all.settings, monotonic()
         left = tuning.body_s + size / tuning.body_rate - self._read_s
         self._time(max(min(left, tuning.body_s), 0.0))
         self._parser.feed(await self.reader.read())
@@ -289,7 +289,7 @@
             self.reader.stop(http1.MalformedError(408, "request not complete in time"))
 
     def _take(self, request: http1.Message) -> None:
-        fields, facade = request.fields, self._all.facade
+        fields, facade = request.fields, self._all.load_balancer
         if request.method in (b"HEAD", b"CONNECT"):  # framed by other rules, and no call has them
             raise http1.MalformedError(405, "GET or POST expected")
         if request.minor == 1 and b"host" not in fields:
@@ -300,7 +300,7 @@
         name = fields.get(b"x-call-id")
         if not name:
             raise http1.MalformedError(400, "X-Call-Id: missing")
-        if self._all.calls.has(name):  # it would reach a provider as one more copy of the other's call
+        if self._all.requests.is_known(name):  # it would reach a provider as one more copy of the other's call
             raise http1.MalformedError(409, "X-Call-Id: of a call that is open")
         if not facade.knows_class(class_name):
             raise http1.MalformedError(400, "X-Call-Class: unknown")
@@ -310,16 +310,18 @@
         if self.stream.closed():  # its client has gone already
             raise StreamClosedError
         # One taken while leaving must not be found open by what ends the process.
-        left = min(budget_ms(fields.get(b"x-budget", b"")), max((self._all.calls.last - monotonic()) * 1000.0, 1.0))
+        left = min(
+            budget_ms(fields.get(b"x-budget", b"")), max((self._all.requests.last_deadline - monotonic()) * 1000.0, 1.0)
+        )
         final = self._final = asyncio.get_running_loop().create_future()
         about = RequestDetails(
             fields.get(b"idempotency-key", b""), fields, self._origin(), fields.get(b"x-again") == b"1"
         )
-        room = self._all.sockets.providers.room
-        self._call = self._all.calls.take(
+        room = self._all.descriptors.providers.has_capacity
+        self._call = self._all.requests.accept(
             name, request, class_name, tenant, left, final.set_result, room, request.rest, about
         )
-        self._call.present = self._present
+        self._call.client_connected = self._present
         if request.rest is not None:
             self._upload = asyncio.get_running_loop().create_task(self._read_on(request))
 
@@ -334,7 +336,7 @@
 
     def _origin(self) -> str:
         """Where it comes from, if anybody asks."""
-        if not self._all.calls.beside:
+        if not self._all.requests.interceptors:
             return ""
         if self._from is None:
             self._from = ""
@@ -344,18 +346,18 @@
 
     def _closed(self) -> None:
         self.reader.close()
-        self._all.left(self)
+        self._all.ended(self)
         self._depart()
         if self._final is not None and not self._final.done():
             self._final.cancel()
         if self._from:
-            self._all.gone(self._from)
+            self._all.connection_ended(self._from)
 
     def _depart(self) -> None:
         """Whatever was to come for this client's call is not wanted any more."""
         call, self._call = self._call, None
         if call is not None:
-            self._all.calls.depart(call)
+            self._all.requests.client_disconnected(call)
             if call.payload.rest is not None:
                 call.payload.rest.cut()
 
@@ -389,7 +391,7 @@
         if self._ending:
             return
         self._ending = True
-        self._all.lingers(self)
+        self._all.set_lingering(self)
         with contextlib.suppress(OSError):  # the client has gone already
             self.stream.socket.shutdown(socket.SHUT_WR)
 
--- a/limenotch/net/client_connections.py
+++ b/limenotch/net/client_connections.py
@@ -19,10 +19,10 @@
     """All connections of clients, as one of them sees them."""
 
     budget: BufferBudget
-    calls: RequestManager
-    facade: LoadBalancer
-    sockets: DescriptorLimits
-    tuning: settings.ClientSettings
+    requests: RequestManager
+    load_balancer: LoadBalancer
+    descriptors: DescriptorLimits
+    settings: settings.ClientSettings
     closing: bool  # each connection ends with its next answer, unless more of its client's has come
     over: bool  # ... whatever has come
 
@@ -30,10 +30,10 @@
     def ready(self) -> Callable[[], bool]: ...
 
     @property
-    def gone(self) -> Callable[[str], None]: ...
+    def connection_ended(self) -> Callable[[str], None]: ...
 
-    def left(self, consumer: ClientConnection) -> None: ...
+    def ended(self, consumer: ClientConnection) -> None: ...
 
-    def waits(self, consumer: ClientConnection, waiting: bool) -> None: ...
+    def set_idle(self, consumer: ClientConnection, waiting: bool) -> None: ...
 
-    def lingers(self, consumer: ClientConnection) -> None: ...
+    def set_lingering(self, consumer: ClientConnection) -> None: ...
--- a/limenotch/net/client_listener.py
+++ b/limenotch/net/client_listener.py
@@ -43,11 +43,13 @@
         budget: BufferBudget | None = None,
     ) -> None:
         self.budget = budget or BufferBudget(MAX_BUFFER)
-        self.calls, self.facade, self.sockets, self.tuning = calls, facade, sockets, tuning
-        self.leaving = False  # no more connections ...
+        self.requests, self.load_balancer, self.descriptors, self.settings = calls, facade, sockets, tuning
+        self.shutting_down = False  # no more connections ...
         self.closing = False  # ... and each ends with its next answer, unless more of its client's has come
         self.over = False  # ... whatever has come
-        self.gone: Callable[[str], None] = lambda origin: None  # hears of each end of a connection of which calls came
+        self.connection_ended: Callable[[str], None] = (
+            lambda origin: None
+        )  # hears of each end of a connection of which calls came
         self._has_list = has_list
         self._listener: Listener | None = None
         self._open: dict[ClientConnection, asyncio.Task[None]] = {}
@@ -85,35 +87,35 @@
             self._listener.rest(REST_S)
 
     def _admit(self, sock: socket.socket) -> None:
-        if not self.sockets.consumers.take():
+        if not self.descriptors.consumers.take():
             sock.close()
             return
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:  # it has gone already
             sock.close()
-            self.sockets.consumers.give_back()
+            self.descriptors.consumers.give_back()
             return
         consumer = ClientConnection(ClientStream(sock, max_buffer_size=MAX_BUFFER), self)
         self._open[consumer] = asyncio.get_running_loop().create_task(consumer.serve())
 
-    def left(self, consumer: ClientConnection) -> None:
+    def ended(self, consumer: ClientConnection) -> None:
         """Its connection closed."""
         if self._open.pop(consumer, None) is not None:
-            self.waits(consumer, False)
+            self.set_idle(consumer, False)
             self._lingering.pop(consumer, None)
-            self.sockets.consumers.give_back()
+            self.descriptors.consumers.give_back()
 
-    def waits(self, consumer: ClientConnection, waiting: bool) -> None:
+    def set_idle(self, consumer: ClientConnection, waiting: bool) -> None:
         """A connection begins or ends to be between two requests."""
         if waiting:
             self._waiting[consumer] = None
         else:
             self._waiting.pop(consumer, None)
 
-    def lingers(self, consumer: ClientConnection) -> None:
+    def set_lingering(self, consumer: ClientConnection) -> None:
         """Its connection has ended but for its client's part."""
-        self.waits(consumer, False)
+        self.set_idle(consumer, False)
         self._lingering[consumer] = None
 
     def _drop_idle(self) -> bool:
@@ -121,7 +123,7 @@
         waiting = sorted(self._waiting, key=lambda consumer: consumer.used)
         return any(consumer.give_way() for consumer in [*self._lingering, *waiting])
 
-    async def leave(self, handed_on: bool = False, since: float | None = None) -> None:
+    async def shut_down(self, handed_on: bool = False, since: float | None = None) -> None:
         """Take no more, once those under way have arrived; return when every call is answered.
 
         Kept connections are served on as long as there is time, since their consumers may have nowhere else to go.
@@ -129,10 +131,10 @@
         next process's. `since`: when SIGTERM came, by time.monotonic.
         """
         begun = monotonic() if since is None else since
-        longest = max(cls.deadline_ms for cls in self.facade.classes) / 1000.0
-        times = schedule(longest, self.tuning.accept_s, self.tuning.keep_s, handed_on)
-        self.leaving, self.closing = True, handed_on
-        self.calls.end_by(begun + times.answer_s)
+        longest = max(cls.deadline_ms for cls in self.load_balancer.classes) / 1000.0
+        times = schedule(longest, self.settings.accept_s, self.settings.keep_s, handed_on)
+        self.shutting_down, self.closing = True, handed_on
+        self.requests.finish_by(begun + times.answer_s)
         await sleep(begun + times.accept_s - monotonic())
         if not handed_on:
             self._accept_all()
--- a/limenotch/net/discovery/client.py
+++ b/limenotch/net/discovery/client.py
@@ -69,14 +69,14 @@
 
     # The list
 
-    def known(self, raw: dict[str, Any]) -> None:
+    def use_known_list(self, raw: dict[str, Any]) -> None:
         """The list as it was held at an earlier time: served from until the directory answers."""
         told = parse_list(raw)
         if told is not None:
             self._version = told.version or self._version
             self._tell(told, whole=True)
 
-    def known_unless_heard(self, raw: dict[str, Any], wait_s: float) -> None:
+    def use_known_list_after(self, raw: dict[str, Any], wait_s: float) -> None:
         """The same, but told only if the directory brings nothing for so long; till then changes count from it."""
         told = parse_list(raw)
         if told is not None:
@@ -89,7 +89,7 @@
             log.warning("directory: silent, an earlier list is used")
             self._tell(earlier, whole=True)
 
-    def held(self, providers: Iterable[DiscoveredEndpoint]) -> dict[str, Any]:
+    def export_list(self, providers: Iterable[DiscoveredEndpoint]) -> dict[str, Any]:
         """The list as it is held, for `known` of the next process, with where it is from."""
         listed = [
             {
@@ -100,25 +100,25 @@
                 "group": p.group,
                 "status": p.status.value,
                 "weight": p.weight,
-                "since_ms": p.since_ms,
+                "since_ms": p.started_ms,
             }
             for p in providers
         ]
         return {"from": host_port(self._at), "index": self._version, "snapshot": True, "endpoints": listed}
 
-    def take_over(self, raw: dict[str, Any]) -> None:
+    def import_list(self, raw: dict[str, Any]) -> None:
         """What `held` told in another process. Its version counts only at the same directory."""
-        self.known(raw)
+        self.use_known_list(raw)
         if raw.get("from") != host_port(self._at):
             self._version = 0
 
-    def where(self) -> tuple[Address, int, bool, float]:
+    def position(self) -> tuple[Address, int, bool, float]:
         """Its address, the index up to which it told (0: it numbers nothing), whether the watch stands on which it did,
         and how many ms ago that was asked for.
         """
         return self._at, self._version, self._live, (monotonic() - self._asked) * 1000.0
 
-    def unheard_ms(self) -> float:
+    def silence_ms(self) -> float:
         """For how long discovery has said nothing, until what it is saying just now; infinite: it never did."""
         return math.inf if self._word is None else (monotonic() - self._word) * 1000.0
 
@@ -127,10 +127,10 @@
             log.debug(
                 "told",
                 version=told.version,
-                whole=told.whole or whole,
-                entries=[[p.name, p.status.value, p.since_ms, p.kind, p.zone, p.weight] for p in told.entries],
+                whole=told.complete or whole,
+                entries=[[p.name, p.status.value, p.started_ms, p.kind, p.zone, p.weight] for p in told.entries],
             )
-        self._heard(told.entries, told.whole or whole)
+        self._heard(told.entries, told.complete or whole)
 
     # The watch
 
@@ -146,7 +146,7 @@
         self._at, self._version = at, 0
         self._feed(Moved())
 
-    def push(self, pushed: bool) -> None:
+    def set_pushed(self, pushed: bool) -> None:
         """Whether the directory is an agent whose word counts unheard, from the next failure on."""
         self._state.pushed = pushed
 
@@ -296,7 +296,7 @@
             log.info(
                 "directory: answered",
                 version=told.version,
-                whole=told.whole,
+                whole=told.complete,
                 entries=len(told.entries),
                 predecessor=watch is not self._watch,
                 after_ms=round((monotonic() - watch.began) * 1000.0),
@@ -307,7 +307,7 @@
         """The newest call that has told a list is the one that counts."""
         self._predecessors.drop_older(watch)
         earlier, self._earlier = self._earlier, None
-        if earlier is not None and not told.whole:
+        if earlier is not None and not told.complete:
             self._tell(earlier, whole=True)  # what changed since then comes in the same moment
         resumed = self._watch is None and watch.at == self._at  # nothing newer has been asked yet
         if resumed:
--- a/limenotch/net/discovery/endpoint_list.py
+++ b/limenotch/net/discovery/endpoint_list.py
@@ -17,7 +17,7 @@
     """A list of endpoints, or what changed in it."""
 
     version: int  # 0: it has none
-    whole: bool
+    complete: bool
     entries: list[DiscoveredEndpoint]
 
 
@@ -35,7 +35,7 @@
             kind=str(entry.get("type", "")),
             group=int(entry.get("group") or 0),
             weight=weight,
-            since_ms=since,
+            started_ms=since,
         )
     except (ConfigError, KeyError, ValueError, TypeError, AttributeError) as error:
         log.warning("directory: entry skipped", entry=repr(entry)[:200], error=str(error))
@@ -63,7 +63,7 @@
     for listing in listings:
         none = False
         version = listing.version or version
-        if listing.whole:
+        if listing.complete:
             merging.clear()
             whole = True
         merging.update((entry.name, entry) for entry in listing.entries)
--- a/limenotch/net/endpoint_connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -176,7 +176,7 @@
 
     def reaches(self, endpoint: DiscoveredEndpoint) -> bool:
         """Whether it leads to the process that the list tells of: one that has started anew resets what is written."""
-        return (self.address, self.since_ms) == (endpoint.address, endpoint.since_ms)
+        return (self.address, self.since_ms) == (endpoint.address, endpoint.started_ms)
 
     def reusable(self, response: http1.Message) -> bool:
         return response.keep_alive and self._parser.idle and not self.stream.closed()
--- a/limenotch/net/endpoint_pool.py
+++ b/limenotch/net/endpoint_pool.py
@@ -43,7 +43,7 @@
         self._calls, self._sockets, self._tuning = calls, sockets, tuning
         self._budget = budget or BufferBudget(MAX_BUFFER)
         self._idle_part = tuning.idle_part
-        self.tune(connect_ms, idle_ms)
+        self.set_timeouts(connect_ms, idle_ms)
         self._loop = IOLoop.current()
         self._listed: dict[str, DiscoveredEndpoint] = {}
         self._banned: set[str] = set()  # by hand, listed or not
@@ -55,13 +55,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
         sockets.drop_idle = self._drop_oldest
 
-    def tune(self, connect_ms: float, idle_ms: float) -> None:
+    def set_timeouts(self, connect_ms: float, idle_ms: float) -> None:
         """Also under way: a wait that has begun keeps its end."""
         self._connect_s, self._idle_s = connect_ms / 1000.0, idle_ms * self._idle_part / 1000.0
 
     # The directory's list
 
-    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
+    def apply_list(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         """What the directory told; to be called before the facade hears of it. The cost follows what it tells."""
         if whole:
             self._listed.clear()
@@ -85,7 +85,7 @@
         """How many are listed."""
         return len(self._listed)
 
-    def ban(self, name: str, out: bool) -> None:
+    def set_ejected(self, name: str, out: bool) -> None:
         """Taken out by hand, or let back; to be called before the facade hears of it."""
         if out:
             self._banned.add(name)
@@ -96,7 +96,7 @@
     def _usable(self, name: str) -> DiscoveredEndpoint | None:
         """The one of that name, if anything new may be sent to it now."""
         provider = self._listed.get(name)
-        return provider if provider is not None and provider.takes_new and name not in self._banned else None
+        return provider if provider is not None and provider.accepts_requests and name not in self._banned else None
 
     def _drop_unusable(self, names: Iterable[str]) -> None:
         """Idle connections to those of these names that take nothing new, or not where they lead to."""
@@ -108,17 +108,17 @@
 
     # Invoker calls
 
-    def make(self, invoker_call: Attempt) -> None:
+    def start(self, invoker_call: Attempt) -> None:
         task = asyncio.get_running_loop().create_task(self._run(invoker_call))
         self._tasks.add(task)  # the loop itself holds tasks by weak references only
         task.add_done_callback(self._tasks.discard)
 
-    def abandon(self, invoker_call: Attempt) -> None:
-        self._cut_off(invoker_call, AttemptEnding.ABANDONED)
+    def cancel(self, invoker_call: Attempt) -> None:
+        self._cut_off(invoker_call, AttemptEnding.CANCELLED)
 
     def _cut_off(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         """Ends it by closing its connection, which is how providers learn of it."""
-        if invoker_call.over:
+        if invoker_call.ended:
             return
         connection = self._used.get(invoker_call)
         if (
@@ -138,19 +138,19 @@
         try:
             ending, response = await self._exchange(invoker_call)
         except Exception:
-            name = invoker_call.call.name.decode("latin-1")
-            log.exception("fault in an invoker call", call=name, provider=invoker_call.provider)
+            name = invoker_call.request.request_id.decode("latin-1")
+            log.exception("fault in an invoker call", call=name, provider=invoker_call.endpoint_name)
         finally:
             self._unlimit(invoker_call)
             self._used.pop(invoker_call, None)
             self._cut.pop(invoker_call, None)
             report = load_report(response.fields.get(b"x-load-report", b"")) if response is not None else (None, None)
-            self._calls.ended(invoker_call, ending, response, *report)
+            self._calls.attempt_ended(invoker_call, ending, response, *report)
 
     def _limit(self, invoker_call: Attempt) -> None:
         """Its time runs, if it has an end yet."""
-        if invoker_call.end < math.inf:
-            wait = max(invoker_call.end - monotonic(), 0.0)
+        if invoker_call.deadline < math.inf:
+            wait = max(invoker_call.deadline - monotonic(), 0.0)
             timer = self._loop.call_later(wait, self._cut_off, invoker_call, AttemptEnding.TIMED_OUT)
             self._timers[invoker_call] = timer
 
@@ -179,10 +179,10 @@
                 passed = connection.passed
                 if response.status != 200:
                     return attempt_ending(response), response
-                if passed is None or not self._calls.begun(
+                if passed is None or not self._calls.response_started(
                     invoker_call, response, *load_report(response.fields.get(b"x-load-report", b""))
                 ):
-                    return AttemptEnding.ABANDONED, None
+                    return AttemptEnding.CANCELLED, None
                 whole = await passed
                 cut = self._cut.get(invoker_call, AttemptEnding.RESET)
                 return (AttemptEnding.SERVED if whole else cut), response
@@ -200,7 +200,7 @@
         self, invoker_call: Attempt, connection: EndpointConnection, answer: asyncio.Future[http1.Message | None]
     ) -> bool:
         """Whether the request was written to its last byte: an answer, or the end, may come before that."""
-        rest = invoker_call.call.rest
+        rest = invoker_call.request.body_pipe
         try:
             await connection.stream.write(self._request(invoker_call))
             if rest is not None:
@@ -212,19 +212,19 @@
                     await asyncio.wait([upload])
                     return False
                 await upload
-                self._calls.uploaded(invoker_call)
+                self._calls.upload_finished(invoker_call)
                 self._limit(invoker_call)
         except StreamClosedError:
             return False
         except BrokenError:  # the consumer's end of it: nothing comes that could end this otherwise
             connection.close()
             return False
-        self._calls.figures.sent(invoker_call.call.kind)
+        self._calls.metrics.count_sent(invoker_call.request.class_name)
         return True
 
     async def _upload(self, invoker_call: Attempt, connection: EndpointConnection, rest: BodyPipe) -> None:
         """The rest of a long request, as it comes. A provider that does not read ends it."""
-        stream, framed = connection.stream, invoker_call.call.payload.length is None
+        stream, framed = connection.stream, invoker_call.request.payload.length is None
         while piece := await rest.get():
             written = stream.write(http1.chunk(piece) if framed else piece)
             timer = self._loop.call_later(self._tuning.stall_s, stream.close)
@@ -239,10 +239,15 @@
         """Whether its first byte may be written now."""
         if invoker_call in self._cut:
             return False
-        endpoint = self._usable(invoker_call.provider)
+        endpoint = self._usable(invoker_call.endpoint_name)
         hindrance = attempt_check.obstacle_to(invoker_call, endpoint, monotonic())
         if hindrance is not None and self._trace:
-            log.debug("not sent", call=invoker_call.call.number, provider=invoker_call.provider, reason=hindrance.value)
+            log.debug(
+                "not sent",
+                call=invoker_call.request.number,
+                provider=invoker_call.endpoint_name,
+                reason=hindrance.value,
+            )
         return hindrance is None
 
     def _unsent(self, invoker_call: Attempt, else_: AttemptEnding) -> AttemptEnding:
@@ -251,8 +256,8 @@
         return AttemptEnding.NOT_SENT if ending is AttemptEnding.TIMED_OUT else ending
 
     def _request(self, invoker_call: Attempt) -> bytes:
-        message: http1.Message = invoker_call.call.payload
-        left_us = max(int(min(invoker_call.end - monotonic(), invoker_call.call.left_s) * 1e6), 1)
+        message: http1.Message = invoker_call.request.payload
+        left_us = max(int(min(invoker_call.deadline - monotonic(), invoker_call.request.budget_left_s) * 1e6), 1)
         headers = [pair for pair in message.end_to_end() if pair[0].lower() != b"x-budget"]
         headers.append((b"X-Budget", b"%du" % left_us))
         if message.rest is None:
@@ -264,7 +269,7 @@
 
     async def _connection(self, invoker_call: Attempt) -> EndpointConnection | None:
         """An idle connection or a new one; None if there is none in time."""
-        provider = invoker_call.endpoint = self._usable(invoker_call.provider)
+        provider = invoker_call.endpoint = self._usable(invoker_call.endpoint_name)
         if provider is None or not self._admits(invoker_call):
             self._cut.setdefault(invoker_call, AttemptEnding.NOT_SENT)
             return None
@@ -323,7 +328,7 @@
         connection = EndpointConnection(
             stream, provider.name, provider.address, self._tuning.answer_s, self._tuning.stall_s, self._budget
         )
-        connection.since_ms = provider.since_ms
+        connection.since_ms = provider.started_ms
         stream.set_close_callback(lambda: self._closed(connection))
         return connection
 
--- a/limenotch/net/pipe.py
+++ b/limenotch/net/pipe.py
@@ -22,17 +22,17 @@
         self.limit, self.used = limit, 0
 
     @property
-    def spent(self) -> bool:
+    def exhausted(self) -> bool:
         return self.used >= self.limit
 
     @property
     def piece(self) -> int:
         """How much to read at once now."""
-        return SMALL if self.spent else PIECE
+        return SMALL if self.exhausted else PIECE
 
     def beyond(self, size: int) -> bool:
         """Whether a body of which `size` bytes are there is not held any longer."""
-        return size > HOLD or size > SMALL and self.spent
+        return size > HOLD or size > SMALL and self.exhausted
 
 
 class BodyPipe:
@@ -52,7 +52,7 @@
             self._pieces.append(piece)
             self._count(len(piece))
             self._change.set()
-        while self._pieces and (self._size >= MOST or self._budget.spent) and not self._broken:
+        while self._pieces and (self._size >= MOST or self._budget.exhausted) and not self._broken:
             self._change.clear()
             await self._change.wait()
         if self._broken:
--- a/limenotch/net/read_ahead.py
+++ b/limenotch/net/read_ahead.py
@@ -162,7 +162,7 @@
 
     @property
     def _room(self) -> int:
-        return PIECE if self._budget.spent else AHEAD
+        return PIECE if self._budget.exhausted else AHEAD
 
     def _wants(self) -> bool:
         if self._mode is Mode.HOLD:
--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -45,15 +45,17 @@
     """Owns all open calls; carries out what the facade orders."""
 
     def __init__(self, facade: LoadBalancer, max_open: int, figures: Metrics | None = None) -> None:
-        self.facade, self.max_open = facade, max_open
-        self.figures = figures or Metrics()
-        self.last = math.inf  # while the program leaves: when calls still to come have to end, by time.monotonic
-        self.beside: tuple[RequestInterceptor, ...] = ()
+        self.load_balancer, self.max_open = facade, max_open
+        self.metrics = figures or Metrics()
+        self.last_deadline = (
+            math.inf
+        )  # while the program leaves: when calls still to come have to end, by time.monotonic
+        self.interceptors: tuple[RequestInterceptor, ...] = ()
         self.open: dict[int, Request] = {}
-        self.passing: dict[int, Request] = {}  # their answers are being passed on
+        self.streaming: dict[int, Request] = {}  # their answers are being passed on
         self._names = RequestIds()
-        self.invoker: AttemptRunner
-        self.watch: Callable[[], None]
+        self.attempt_runner: AttemptRunner
+        self.watch_discovery: Callable[[], None]
         self._loop = IOLoop.current()
         self._count = 0
         self._out: dict[tuple[int, int], Attempt] = {}
@@ -61,11 +63,11 @@
         self._working = False
         self._trace = logs.tracing()
 
-    def has(self, name: bytes) -> bool:
+    def is_known(self, name: bytes) -> bool:
         """Whether a call of this name is open, or one that may not run again was."""
         return self._names.taken(name, monotonic())
 
-    def take(
+    def accept(
         self,
         name: bytes,
         payload: Any,
@@ -81,15 +83,18 @@
 
         With `rest` its message is still coming, and its time begins when the message is whole.
         """
-        budget_ms = min(budget_ms, self.facade.longest_ms(class_name))  # else a call could stay open for days
+        budget_ms = min(budget_ms, self.load_balancer.deadline_ms(class_name))  # else a call could stay open for days
         left = usable_budget_ms(budget_ms)
         self._count += 1
         end = math.inf if rest is not None else monotonic() + left / 1000.0
         call = Request(self._count, name, class_name, payload, end, left / 1000.0, answer, rest, tenant, about)
-        call.permits = self.facade.permits(class_name, bool(about.key))
-        self.figures.took()
-        if not room or len(self.open) >= self.max_open or self.facade.shut:
-            self._close(call, FinalResponse(Verdict.REJECTED, retry_after_ms=min(FULL_MS, self.facade.most_advice_ms)))
+        call.policy = self.load_balancer.request_policy(class_name, bool(about.idempotency_key))
+        self.metrics.count_taken()
+        if not room or len(self.open) >= self.max_open or self.load_balancer.rejects_all:
+            self._close(
+                call,
+                FinalResponse(Verdict.REJECTED, retry_after_ms=min(FULL_MS, self.load_balancer.max_retry_after_ms)),
+            )
             return call
         self.open[call.number] = call
         self._names.add(name)
@@ -101,44 +106,44 @@
                 kind=class_name,
                 account=tenant,
                 left_ms=round(left),
-                resent=about.resent,
+                resent=about.is_retry,
             )
         try:
             self._admit(call)
         except Exception:
-            self.depart(call)  # whoever brought it never had it
+            self.client_disconnected(call)  # whoever brought it never had it
             raise
         return call
 
     def _admit(self, call: Request) -> None:
         """Ask who has a say and has not said yet, then the decisions."""
-        for one in self.beside[len(call.told) :]:
-            said = one.taken(call)
+        for one in self.interceptors[len(call.interceptors) :]:
+            said = one.request_received(call)
             if isinstance(said, RetryLater):
-                if monotonic() + said.ms / 1000.0 < call.end:
-                    call.waited_ms += said.ms
-                    self._loop.call_later(said.ms / 1000.0, self._admit_later, call)
+                if monotonic() + said.delay_ms / 1000.0 < call.deadline:
+                    call.waited_ms += said.delay_ms
+                    self._loop.call_later(said.delay_ms / 1000.0, self._admit_later, call)
                     return
                 said = said.final
             if said is not None:
-                advice = min(said.retry_after_ms, self.facade.most_advice_ms)
+                advice = min(said.retry_after_ms, self.load_balancer.max_retry_after_ms)
                 self._close(call, replace(said, retry_after_ms=advice))
                 return
-            call.told.append(one)
-        if call.hint is not None and call.hint.ran:
-            ran_at_ms = monotonic() * 1000.0 - call.hint.ago_ms
-            call.ran_elsewhere = SentAttempt(call.hint.zone, call.hint.group, ran_at_ms)
-        left = call.left_s if call.rest is not None else max(call.end - monotonic(), 0.0)
-        self.carry_out(
-            self.facade.pick(
+            call.interceptors.append(one)
+        if call.placement_hint is not None and call.placement_hint.may_have_run:
+            ran_at_ms = monotonic() * 1000.0 - call.placement_hint.age_ms
+            call.ran_elsewhere = SentAttempt(call.placement_hint.zone, call.placement_hint.group, ran_at_ms)
+        left = call.budget_left_s if call.body_pipe is not None else max(call.deadline - monotonic(), 0.0)
+        self.execute(
+            self.load_balancer.request_arrived(
                 call.number,
-                call.kind,
+                call.class_name,
                 call.tenant,
                 left * 1000.0,
-                call.about.resent,
-                call.rest is not None,
-                call.hint,
-                bool(call.about.key),
+                call.details.is_retry,
+                call.body_pipe is not None,
+                call.placement_hint,
+                bool(call.details.idempotency_key),
             )
         )
 
@@ -146,50 +151,50 @@
         if call.number in self.open:
             self._admit(call)
 
-    def end_by(self, last: float) -> None:
+    def finish_by(self, last: float) -> None:
         """The program leaves: every call, open ones included, has its answer by then (`time.monotonic`)."""
-        self.last = last
+        self.last_deadline = last
         self._loop.call_later(max(last - monotonic(), 0.0), self._end_all)
 
     def _end_all(self) -> None:
         for call in list(self.open.values()):
-            if call.end <= self.last:
+            if call.deadline <= self.last_deadline:
                 continue  # its own time sees to it
-            ran = any(attempt.may_have_run for attempt in call.made)
+            ran = any(attempt.may_have_run for attempt in call.attempts)
             self._close(call, FinalResponse(Verdict.FAILED, timed_out=True) if ran else FinalResponse(Verdict.REJECTED))
-            self.carry_out(self.facade.depart(call.number))
+            self.execute(self.load_balancer.client_disconnected(call.number))
             self._release(call)
 
-    def depart(self, call: Request) -> None:
+    def client_disconnected(self, call: Request) -> None:
         """The consumer is gone: nothing is owed, its invoker calls end."""
-        if call.number in self.passing:
-            call.gone = True
-            self.passed_on(call, "departed")
-        elif call.final is None and not call.gone:
-            call.gone = True
-            self.figures.ended(call.kind, "departed")
+        if call.number in self.streaming:
+            call.client_gone = True
+            self.stream_ended(call, "departed")
+        elif call.final is None and not call.client_gone:
+            call.client_gone = True
+            self.metrics.count_ended(call.class_name, "departed")
             self._forget(call)
             self._tell_end(call)
-            self.carry_out(self.facade.depart(call.number))
+            self.execute(self.load_balancer.client_disconnected(call.number))
         else:
             return
         self._release(call)
 
     def _release(self, call: Request) -> None:
         """Its attempts end, as nobody waits for their answers: also the one whose answer is passed on."""
-        for invoker_call in call.made:  # those the module may not cancel, too
-            if not invoker_call.over:
-                self.invoker.abandon(invoker_call)
+        for invoker_call in call.attempts:  # those the module may not cancel, too
+            if not invoker_call.ended:
+                self.attempt_runner.cancel(invoker_call)
 
-    def uploaded(self, invoker_call: Attempt) -> None:
+    def upload_finished(self, invoker_call: Attempt) -> None:
         """The last byte of a long message was written: its time begins."""
-        invoker_call.began = monotonic()
-        call = invoker_call.call
-        invoker_call.end = call.end = min(invoker_call.began + call.left_s, self.last)
-        left = max(call.end - invoker_call.began, 0.0)
-        self.carry_out(self.facade.uploaded(call.number, left * 1000.0))
+        invoker_call.started_at = monotonic()
+        call = invoker_call.request
+        invoker_call.deadline = call.deadline = min(invoker_call.started_at + call.budget_left_s, self.last_deadline)
+        left = max(call.deadline - invoker_call.started_at, 0.0)
+        self.execute(self.load_balancer.upload_finished(call.number, left * 1000.0))
 
-    def begun(
+    def response_started(
         self, invoker_call: Attempt, payload: Any, utilisation: float | None = None, per_s: float | None = None
     ) -> bool:
         """A long answer has begun; whether it is its call's final answer, to be passed on as it comes.
@@ -197,22 +202,22 @@
         To the module that is the invoker call's end: its provider has done the work, and how long the consumer reads
         is no sign of load. Whoever passes the answer on tells `passed_on` when that is over.
         """
-        call = invoker_call.call
+        call = invoker_call.request
         if not invoker_call.wanted:
             return False
-        invoker_call.first = monotonic()
-        self.passing[call.number] = call
+        invoker_call.response_began_at = monotonic()
+        self.streaming[call.number] = call
         self._close(call, FinalResponse(Verdict.SERVED, payload))
         self._report(invoker_call, AttemptEnding.SERVED, utilisation, per_s)
         return True
 
-    def passed_on(self, call: Request, end: str) -> None:
+    def stream_ended(self, call: Request, end: str) -> None:
         """A long answer is over, as one of the figures' ends."""
-        if self.passing.pop(call.number, None) is not None:
-            self._names.discard(call.name)
-            self.figures.ended(call.kind, end)
+        if self.streaming.pop(call.number, None) is not None:
+            self._names.discard(call.request_id)
+            self.metrics.count_ended(call.class_name, end)
 
-    def ended(
+    def attempt_ended(
         self,
         invoker_call: Attempt,
         ending: AttemptEnding,
@@ -221,41 +226,41 @@
         per_s: float | None = None,
     ) -> None:
         """An invoker call ended; the first that served its call is its answer."""
-        if invoker_call.over:
+        if invoker_call.ended:
             return
-        invoker_call.over = True
+        invoker_call.ended = True
         invoker_call.ending = ending
-        call = invoker_call.call
+        call = invoker_call.request
         del self._out[call.number, invoker_call.number]
-        for one in call.told:
-            one.ended(invoker_call, ending)
-        if ending is AttemptEnding.SERVED and call.final is None and not call.gone:
+        for one in call.interceptors:
+            one.attempt_ended(invoker_call, ending)
+        if ending is AttemptEnding.SERVED and call.final is None and not call.client_gone:
             self._close(call, FinalResponse(Verdict.SERVED, payload))
-        if not invoker_call.first:  # else it was reported when its answer began
+        if not invoker_call.response_began_at:  # else it was reported when its answer began
             self._report(invoker_call, ending, utilisation, per_s)
 
     def _report(
         self, invoker_call: Attempt, ending: AttemptEnding, utilisation: float | None, per_s: float | None
     ) -> None:
-        call, spent = invoker_call.call, (monotonic() - invoker_call.began) * 1000.0
-        gone = call.rest is not None and call.rest.begun
+        call, spent = invoker_call.request, (monotonic() - invoker_call.started_at) * 1000.0
+        gone = call.body_pipe is not None and call.body_pipe.begun
         if self._trace:
             log.debug(
                 "invoked",
                 call=call.number,
                 number=invoker_call.number,
-                provider=invoker_call.provider,
+                provider=invoker_call.endpoint_name,
                 ending=ending.value,
                 spent_ms=round(spent, 1),
                 util=utilisation,
                 per_s=per_s,
             )
-        closed = call.final is not None or call.gone
-        self.carry_out(
-            self.facade.report(
+        closed = call.final is not None or call.client_gone
+        self.execute(
+            self.load_balancer.attempt_finished(
                 call.number,
                 invoker_call.number,
-                invoker_call.provider,
+                invoker_call.endpoint_name,
                 spent,
                 ending,
                 closed,
@@ -265,10 +270,10 @@
             )
         )
 
-    def tick(self, ticket: int) -> None:
-        self.carry_out(self.facade.tick(ticket))
+    def timer_fired(self, ticket: int) -> None:
+        self.execute(self.load_balancer.timer_fired(ticket))
 
-    def carry_out(self, orders: Commands) -> None:
+    def execute(self, orders: Commands) -> None:
         """In the order given, also where carrying out one brings further ones."""
         self._todo.extend(orders)
         if self._working:
@@ -284,58 +289,62 @@
         if isinstance(order, house.StartAttempt):
             self._invoke(order)
         elif isinstance(order, house.ScheduleTimer):
-            self._loop.call_later(order.delay_ms / 1000.0, self.tick, order.ticket)
+            self._loop.call_later(order.delay_ms / 1000.0, self.timer_fired, order.token)
         elif isinstance(order, house.WatchDiscovery):
-            self.watch()
+            self.watch_discovery()
         elif isinstance(order, house.CancelAttempt):
             self._abandon(order)
         else:
-            call = self.open.get(order.call)
+            call = self.open.get(order.request)
             if call is None:
                 return
             if isinstance(order, house.RejectRequest):
                 self._close(call, FinalResponse(Verdict.REJECTED, retry_after_ms=order.retry_after_ms))
             else:
-                self._close(call, FinalResponse(Verdict.FAILED, timed_out=monotonic() >= call.end))
+                self._close(call, FinalResponse(Verdict.FAILED, timed_out=monotonic() >= call.deadline))
 
     def _invoke(self, order: house.StartAttempt) -> None:
-        call = self.open.get(order.call)
+        call = self.open.get(order.request)
         if call is None:
             return
         now = monotonic()
-        end = math.inf if call.end == math.inf else min(now + order.wait_ms / 1000.0, call.end)
-        invoker_call = Attempt(call, len(call.made), order.provider, now, end)
-        call.made.append(invoker_call)
+        end = math.inf if call.deadline == math.inf else min(now + order.timeout_ms / 1000.0, call.deadline)
+        invoker_call = Attempt(call, len(call.attempts), order.endpoint, now, end)
+        call.attempts.append(invoker_call)
         self._out[call.number, invoker_call.number] = invoker_call
-        for one in call.told:
-            one.sent(invoker_call)
-        self.invoker.make(invoker_call)
+        for one in call.interceptors:
+            one.attempt_started(invoker_call)
+        self.attempt_runner.start(invoker_call)
 
     def _abandon(self, order: house.CancelAttempt) -> None:
         # Kept apart from the open calls: a loser is abandoned after its call was answered.
-        invoker_call = self._out.get((order.call, order.number))
+        invoker_call = self._out.get((order.request, order.attempt))
         if invoker_call is not None:
-            self.invoker.abandon(invoker_call)
+            self.attempt_runner.cancel(invoker_call)
 
     def _close(self, call: Request, final: FinalResponse) -> None:
         call.final = final
-        if call.number not in self.passing:
-            self.figures.ended(call.kind, ENDS[final.verdict])
+        if call.number not in self.streaming:
+            self.metrics.count_ended(call.class_name, ENDS[final.verdict])
         if self._trace:
             log.debug(
-                "final", call=call.number, verdict=final.verdict.value, invoked=len(call.made), **self.facade.figures()
+                "final",
+                call=call.number,
+                verdict=final.verdict.value,
+                invoked=len(call.attempts),
+                **self.load_balancer.decision_metrics(),
             )
         self._forget(call)
         self._tell_end(call)
-        call.answer(final)
+        call.respond(final)
 
     def _tell_end(self, call: Request) -> None:
-        for one in call.told:
-            one.closed(call)
+        for one in call.interceptors:
+            one.request_closed(call)
 
     def _forget(self, call: Request) -> None:
-        if not call.permits.free and any(attempt.may_have_run for attempt in call.made):
+        if not call.policy.is_idempotent and any(attempt.may_have_run for attempt in call.attempts):
             now = monotonic()
-            self._names.remember(call.name, now, now + call.permits.longest_s)
-        if self.open.pop(call.number, None) is not None and call.number not in self.passing:
-            self._names.discard(call.name)
+            self._names.remember(call.request_id, now, now + call.policy.deadline_s)
+        if self.open.pop(call.number, None) is not None and call.number not in self.streaming:
+            self._names.discard(call.request_id)
--- a/limenotch/net/response_outcome.py
+++ b/limenotch/net/response_outcome.py
@@ -14,7 +14,7 @@
     if response.status == 200:
         return AttemptEnding.SERVED
     if response.status in (503, 504) and response.fields.get(b"x-rejected") == b"1":
-        return AttemptEnding.TURNED_AWAY
+        return AttemptEnding.REJECTED
     return AttemptEnding.ERROR
 
 
--- a/limenotch/net/responses.py
+++ b/limenotch/net/responses.py
@@ -15,7 +15,7 @@
         advice: http1.Headers = []
         if final.retry_after_ms > 0:
             advice.append((b"Retry-After", b"%.3f" % (final.retry_after_ms / 1000.0)))
-        return http1.write_response(429 if final.paused else 503, advice, b"", close)
+        return http1.write_response(429 if final.quota_exhausted else 503, advice, b"", close)
     return http1.write_response(504 if final.timed_out else 502, [], b"", close)
 
 
--- a/limenotch/net/sockets.py
+++ b/limenotch/net/sockets.py
@@ -30,7 +30,7 @@
         self.used -= 1
 
     @property
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more could be served."""
         return self.idle > 0 or self.used < self.limit
 
--- a/limenotch/net/successor.py
+++ b/limenotch/net/successor.py
@@ -37,7 +37,7 @@
 @dataclass(frozen=True, slots=True)
 class InheritedState:
     listener: socket.socket
-    told: dict[str, Any]
+    state: dict[str, Any]
 
 
 @contextlib.contextmanager
--- a/limenotch/operator_ejections.py
+++ b/limenotch/operator_ejections.py
@@ -37,8 +37,8 @@
         self._lock = Path(kept + LOCK) if kept else None
         self._changed = changed
         self._seen: tuple[int, int] | None = None  # the file as read last
-        self.out: set[str] = set()
-        self.back: dict[str, float] = {}  # when one came back, Unix time in ms: cold from then
+        self.ejected: set[str] = set()
+        self.readmitted: dict[str, float] = {}  # when one came back, Unix time in ms: cold from then
 
     def load(self) -> None:
         """What the file holds now; told as changes. A missing file changes nothing."""
@@ -62,14 +62,14 @@
         self._take(out, back)
 
     def _take(self, out: set[str], back: dict[str, float]) -> None:
-        left, new = self.out - out, out - self.out
-        self.out, self.back = out, back
+        left, new = self.ejected - out, out - self.ejected
+        self.ejected, self.readmitted = out, back
         for name in sorted(new):
             self._changed(name, True, 0.0)
         for name in sorted(left):
             self._changed(name, False, back.get(name, 0.0))
 
-    def look(self) -> None:
+    def reload_if_changed(self) -> None:
         """Whether another process has replaced the file; to be called every LOOK_S."""
         if self._file is None:
             return
@@ -80,20 +80,20 @@
         if (stat.st_ino, stat.st_mtime_ns) != self._seen:
             self.load()
 
-    async def set(self, name: str, out: bool, now_ms: float) -> bool:
+    async def set_ejected(self, name: str, out: bool, now_ms: float) -> bool:
         """Take one out or let it back; whether that is kept for the next process.
 
         In force on return either way. Repeated calls change nothing.
         """
         async with self._locked() as locked:
-            self.look()
-            if out != (name in self.out):
+            self.reload_if_changed()
+            if out != (name in self.ejected):
                 if out:
-                    self.out.add(name)
-                    self.back.pop(name, None)
+                    self.ejected.add(name)
+                    self.readmitted.pop(name, None)
                 else:
-                    self.out.discard(name)
-                    self.back[name] = now_ms
+                    self.ejected.discard(name)
+                    self.readmitted[name] = now_ms
                 self._changed(name, out, 0.0 if out else now_ms)
             elif self._seen is not None:
                 return True
@@ -103,11 +103,11 @@
         if self._file is None:
             return False
         path = self._file.with_name(f"{self._file.name}.{os.getpid()}")
-        while len(self.back) > MOST:
-            self.back.pop(next(iter(self.back)))
+        while len(self.readmitted) > MOST:
+            self.readmitted.pop(next(iter(self.readmitted)))
         try:
             with open(path, "wb") as file:
-                file.write(encode(self.out, self.back))
+                file.write(encode(self.ejected, self.readmitted))
                 file.flush()
                 os.fsync(file.fileno())
                 stat = os.fstat(file.fileno())
--- a/limenotch/request_policy.py
+++ b/limenotch/request_policy.py
@@ -18,12 +18,12 @@
 
     zone: str
     group: int
-    at_ms: float
-    out: bool = False  # it has not ended yet
+    sent_ms: float
+    in_flight: bool = False  # it has not ended yet
 
-    def as_earlier(self) -> PriorAttempt:
+    def as_prior_attempt(self) -> PriorAttempt:
         """The same in the decision module's terms."""
-        return PriorAttempt(self.zone, self.group, self.at_ms)
+        return PriorAttempt(self.zone, self.group, self.sent_ms)
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,24 +31,24 @@
     """Asked right before an attempt's first byte. Without a class nothing may go out twice."""
 
     traffic_class: TrafficClass = TrafficClass("", Effect.AT_MOST_ONCE, 1.0, 1.0)
-    copies: bool = False
+    may_hedge: bool = False
 
     @property
-    def free(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a second run is harmless wherever and whenever it comes."""
         return self.traffic_class.effect is Effect.IDEMPOTENT
 
     @property
-    def longest_s(self) -> float:
+    def deadline_s(self) -> float:
         """How long a client waits, over all its tries."""
         return self.traffic_class.deadline_ms / 1000.0
 
-    def beside(self, sent: Iterable[SentAttempt]) -> bool:
+    def allows_concurrent(self, sent: Iterable[SentAttempt]) -> bool:
         """Whether a further attempt may be out together with those that are."""
         once = self.traffic_class.effect is Effect.AT_MOST_ONCE
-        return not any(attempt.out for attempt in sent) or (self.copies and not once)
+        return not any(attempt.in_flight for attempt in sent) or (self.may_hedge and not once)
 
-    def again(self, may_have_run: Iterable[SentAttempt], zone: str, group: int, now_ms: float) -> bool:
+    def allows_retry(self, may_have_run: Iterable[SentAttempt], zone: str, group: int, now_ms: float) -> bool:
         """Whether an attempt may begin now at an endpoint of this zone and group, after those that may have run."""
-        earlier = [attempt.as_earlier() for attempt in may_have_run]
+        earlier = [attempt.as_prior_attempt() for attempt in may_have_run]
         return may_repeat(self.traffic_class, earlier, now_ms + ARRIVAL_MS, zone, group)
--- a/limenotch/store/log.py
+++ b/limenotch/store/log.py
@@ -64,7 +64,7 @@
         self._held = held
         self._tidied = self.disk_bytes
         self._sweep()
-        return StoredLog(held.ballot, held.snapshot, list(held.entries))
+        return StoredLog(held.term_vote, held.snapshot, list(held.entries))
 
     def write(self, records: Sequence[Record]) -> None:
         """On disk when it returns: one fsync, or with a snapshot among them one new file. Raises StoreError.
@@ -275,14 +275,14 @@
 
 
 def _way_back(held: StoredLog, record: Record) -> Callable[[], None]:
-    ballot, snapshot, entries = held.ballot, held.snapshot, held.entries
+    ballot, snapshot, entries = held.term_vote, held.snapshot, held.entries
     place = len(entries)
     if not isinstance(record, (TermVote, Snapshot)) and record.entries:
         place = min(place, max(record.entries[0].index - held.base - 1, 0))
     tail = entries[place:]
 
     def step() -> None:
-        held.ballot, held.snapshot, held.entries = ballot, snapshot, entries
+        held.term_vote, held.snapshot, held.entries = ballot, snapshot, entries
         entries[place:] = tail
 
     return step
--- a/limenotch/store/records.py
+++ b/limenotch/store/records.py
@@ -15,7 +15,7 @@
     """One line of the log. `kind` is agreement's: a command, a change of voters, the empty line of a new leader."""
 
     index: int  # from 1, without a gap
-    epoch: int  # in which its leader made it
+    term: int  # in which its leader made it
     kind: str
     data: bytes = b""
 
@@ -23,7 +23,7 @@
 class TermVote(Struct, frozen=True, array_like=True, tag="ballot"):
     """The epoch reached, and whom this member voted for in it (empty: nobody yet)."""
 
-    epoch: int
+    term: int
     vote: str = ""
 
 
@@ -37,7 +37,7 @@
     """The state after `index`: entries up to it are dropped; all are, if the log held does not reach or match it."""
 
     index: int
-    epoch: int
+    term: int
     state: bytes
     voters: tuple[str, ...] = ()  # as agreed at `index`
 
@@ -48,14 +48,14 @@
 class StoredLog(Struct):
     """What a store holds; `apply` is the one meaning of records, on disk and in simulated time."""
 
-    ballot: TermVote = TermVote(0)
+    term_vote: TermVote = TermVote(0)
     snapshot: Snapshot | None = None
     entries: list[LogEntry] = []
 
     def apply(self, record: Record) -> None:
         """Raises ValueError on what would leave a gap or go back behind the snapshot."""
         if isinstance(record, TermVote):
-            self.ballot = record
+            self.term_vote = record
         elif isinstance(record, Append):
             self._append(record.entries)
         else:
@@ -86,7 +86,7 @@
         if snapshot.index < self.base:
             raise ValueError(f"snapshot: {snapshot.index} lies behind {self.base}")
         place = snapshot.index - self.base  # of the entries held, how many it covers
-        same = 0 < place <= len(self.entries) and self.entries[place - 1].epoch == snapshot.epoch
+        same = 0 < place <= len(self.entries) and self.entries[place - 1].term == snapshot.term
         kept = snapshot.index == self.base or same
         self.entries = self.entries[place:] if kept else []
         self.snapshot = snapshot
--- a/limenotch/store/segments.py
+++ b/limenotch/store/segments.py
@@ -96,7 +96,7 @@
 
 def kept_file(held: StoredLog, sequence: int) -> bytes:
     raw = HEAD.pack(KEPT, FORMAT, sequence)
-    data = _encode.encode(Kept(held.ballot, held.snapshot, tuple(held.entries)))
+    data = _encode.encode(Kept(held.term_vote, held.snapshot, tuple(held.entries)))
     return raw + SUM.pack(crc32c(data, crc32c(raw))) + data
 
 
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -76,12 +76,12 @@
         held = config(SETTINGS)
         self.facade = LoadBalancer(held.settings, 5, held.zones, held.kinds, clock=self.now)
         self.calls = RequestManager(self.facade, 1000)
-        self.calls.beside = (self.layer,)
-        self.calls.invoker = self
-        self.calls.watch = lambda: None
+        self.calls.interceptors = (self.layer,)
+        self.calls.attempt_runner = self
+        self.calls.watch_discovery = lambda: None
         self.made: list[Attempt] = []
         self.bound_when_made: list[Bound | None] = []
-        self.calls.carry_out(self.facade.start())
+        self.calls.execute(self.facade.start())
         self.layer.adopted(held)
         self.names = itertools.count()
         if begun:
@@ -109,15 +109,19 @@
     def list(self, names: list[str], status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE, whole: bool = False) -> None:
         entries = [provider(name, status) for name in names]
         self.layer.listed(entries, whole)
-        self.calls.carry_out(self.facade.heard(entries, whole))
-
-    def make(self, invoker_call: Attempt) -> None:
-        call = invoker_call.call
-        self.bound_when_made.append(self.bound(call.kind, call.tenant, call.about.key) if call.about.key else None)
+        self.calls.execute(self.facade.endpoints_listed(entries, whole))
+
+    def start(self, invoker_call: Attempt) -> None:
+        call = invoker_call.request
+        self.bound_when_made.append(
+            self.bound(call.class_name, call.tenant, call.details.idempotency_key)
+            if call.details.idempotency_key
+            else None
+        )
         self.made.append(invoker_call)
 
-    def abandon(self, invoker_call: Attempt) -> None:
-        asyncio.get_running_loop().call_soon(self.calls.ended, invoker_call, AttemptEnding.ABANDONED)
+    def cancel(self, invoker_call: Attempt) -> None:
+        asyncio.get_running_loop().call_soon(self.calls.attempt_ended, invoker_call, AttemptEnding.CANCELLED)
 
     def bound(self, kind: str, tenant: str, key: bytes) -> Bound | None:
         return self.layer._table.find(self.now(), Kind.KEY, joined(kind.encode(), tenant.encode(), key))
@@ -138,14 +142,16 @@
         about = RequestDetails(
             key, {name.encode(): value.encode() for name, value in (fields or {}).items()}, origin, resent
         )
-        self.last = self.calls.take(b"%d" % next(self.names), None, kind, tenant, 900.0, final.set_result, about=about)
+        self.last = self.calls.accept(
+            b"%d" % next(self.names), None, kind, tenant, 900.0, final.set_result, about=about
+        )
         return final
 
     def end(self, ending: AttemptEnding = SERVED, attempt: int = -1) -> str:
         """Of the latest attempt; the provider that it was at."""
         invoker_call = self.made[attempt]
-        self.calls.ended(invoker_call, ending, ANSWER if ending is SERVED else None)
-        return invoker_call.provider
+        self.calls.attempt_ended(invoker_call, ending, ANSWER if ending is SERVED else None)
+        return invoker_call.endpoint_name
 
     async def served(self, **about: Any) -> str:
         """A call that is served at its first attempt; by whom."""
--- a/tests/fleet/fake_disk.py
+++ b/tests/fleet/fake_disk.py
@@ -186,7 +186,7 @@
 
 
 def same(one: StoredLog, other: StoredLog) -> bool:
-    return (one.ballot, one.snapshot, one.entries) == (other.ballot, other.snapshot, other.entries)
+    return (one.term_vote, one.snapshot, one.entries) == (other.term_vote, other.snapshot, other.entries)
 
 
 def states(history: list[list[Record]]) -> list[StoredLog]:
@@ -195,5 +195,5 @@
     found = [StoredLog()]
     for record in (record for batch in history for record in batch):
         held.apply(record)
-        found.append(StoredLog(held.ballot, held.snapshot, list(held.entries)))
+        found.append(StoredLog(held.term_vote, held.snapshot, list(held.entries)))
     return found
--- a/tests/fleet/fake_parts.py
+++ b/tests/fleet/fake_parts.py
@@ -136,7 +136,7 @@
         self.yes: set[str] = set()
         self.votes = 0
         self.decided = ""
-        self.voted = held.ballot.vote
+        self.voted = held.term_vote.vote
         self.asked = ""
 
     def digest(self) -> Any:
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -248,7 +248,7 @@
             assert "bindings" not in (await off.told())["parts"]
             assert "bindings" in (await on.told())["parts"]
             names = [set(await each.end()) for each in (off, on)]
-        found = [{name for name in each if "bindings" in name} for each in names]
+        found = [{name for name in each if "affinity" in name} for each in names]
         # Its table is read by the one reader of settings, whose type it is.
         assert found[0] == {"limenotch.fleet.affinity", "limenotch.fleet.affinity.tuning"}
         assert found[1] >= {"limenotch.fleet_adapters.affinity", "limenotch.fleet.affinity.core"}
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -33,7 +33,7 @@
             zones.add(bound.zone)
             for _ in range(6):
                 assert provider(await house.served(key=key, resent=True)).zone == bound.zone
-                assert house.last.paid
+                assert house.last.already_charged
         assert zones == {"east", "west"} and house.count("repeats") == 72 and house.count("keyed") == 84
         assert not house.layer._mine and not house.layer._uses
 
@@ -47,10 +47,10 @@
         assert house.bound("keyed", "bolt", b"k") is None and house.bound("other", "acme", b"k") is None
         for about in ({"tenant": "bolt"}, {"kind": "other"}):
             await house.served(key=b"k", **about)
-            assert house.last.hint is None and not house.last.paid
+            assert house.last.placement_hint is None and not house.last.already_charged
         for kind in ("free", "once"):
             await house.served(kind=kind, key=b"k")
-            assert house.bound(kind, "acme", b"k") is None and house.last.hint is None
+            assert house.bound(kind, "acme", b"k") is None and house.last.placement_hint is None
         await house.served(kind="keyed")  # without a key nobody would know its repeat
         assert house.count("keyed") == 3
         assert joined(b"ab", b"c", b"") != joined(b"a", b"bc", b"") != joined(b"a", b"b", b"c")
@@ -93,7 +93,7 @@
     async def case() -> None:
         house = House()
         house.take(key=b"k")
-        house.calls.depart(house.last)  # its attempt is still out
+        house.calls.client_disconnected(house.last)  # its attempt is still out
         assert house.bound("keyed", "acme", b"k") is not None
         house.end(ending)
         assert (house.bound("keyed", "acme", b"k") is None) is (ending in NEVER_RAN)
@@ -109,13 +109,13 @@
         moved = 0
         for number in range(20):
             final = house.take(key=b"%d" % number)
-            first, made = house.end(AttemptEnding.TURNED_AWAY), len(house.made)
-            second = house.made[-1].provider
+            first, made = house.end(AttemptEnding.REJECTED), len(house.made)
+            second = house.made[-1].endpoint_name
             bound = house.bound("keyed", "acme", b"%d" % number)
             if final.done():
                 assert final.result().verdict is Verdict.REJECTED and bound is None
                 continue
-            assert house.made[-2].provider == first and bound is not None and bound.provider == second
+            assert house.made[-2].endpoint_name == first and bound is not None and bound.provider == second
             moved += provider(first).zone != provider(second).zone
             house.end()
             assert (await final).verdict is Verdict.SERVED and len(house.made) == made
@@ -131,22 +131,22 @@
             key = b"%r" % other
             house.take(key=key)
             one = house.made[-1]
-            house.calls.depart(one.call)
+            house.calls.client_disconnected(one.request)
             house.take(key=key)
             two = house.made[-1]
-            house.calls.depart(two.call)
+            house.calls.client_disconnected(two.request)
             if other is not None:
-                house.calls.ended(two, other)
-            house.calls.ended(one, AttemptEnding.CONNECT_FAILED)
+                house.calls.attempt_ended(two, other)
+            house.calls.attempt_ended(one, AttemptEnding.CONNECT_FAILED)
             assert house.bound("keyed", "acme", key) is not None
             if other is None:
-                house.calls.ended(two, AttemptEnding.NOT_SENT)  # now nothing can have run
+                house.calls.attempt_ended(two, AttemptEnding.NOT_SENT)  # now nothing can have run
                 assert house.bound("keyed", "acme", key) is None
         house.take(key=b"before")
-        house.calls.depart(house.last)
+        house.calls.client_disconnected(house.last)
         house.end(AttemptEnding.TIMED_OUT)
         house.take(key=b"before")
-        house.calls.depart(house.last)
+        house.calls.client_disconnected(house.last)
         house.end(AttemptEnding.CONNECT_FAILED)  # not what the first was
         assert house.bound("keyed", "acme", b"before") is not None
         assert not house.layer._mine and not house.layer._uses
@@ -159,7 +159,12 @@
         house = House(whole=False)
         assert house.layer.figures()["state"] == "joining"
         final = await house.take(key=b"k", resent=True)
-        assert (final.verdict, final.paused, house.made, house.count("unsure")) == (Verdict.REJECTED, False, [], 1)
+        assert (final.verdict, final.quota_exhausted, house.made, house.count("unsure")) == (
+            Verdict.REJECTED,
+            False,
+            [],
+            1,
+        )
         await house.served(key=b"k")
         await house.served(key=b"k", resent=True)  # known by now
         await house.served(kind="free", resent=True)
@@ -193,7 +198,7 @@
         house = House(Table(session="x-session"), begun=False)
         by = await house.served(key=b"k", fields={"x-session": "s"})
         house.take(key=b"free")
-        house.calls.depart(house.last)
+        house.calls.client_disconnected(house.last)
         house.end(AttemptEnding.CONNECT_FAILED)
         house.begin()
         bound = house.bound("keyed", "acme", b"k")
@@ -210,7 +215,7 @@
         house = House()
         longer = {**SETTINGS, "classes": [*CLASSES[:1], {**CLASSES[1], "window_ms": 30_000.0}, *CLASSES[3:]]}
         house.layer.adopted(config(longer))
-        house.calls.carry_out(house.facade.retune(config(longer).settings))
+        house.calls.execute(house.facade.apply_settings(config(longer).settings))
         await house.served(key=b"k")
         house.skew += 20_000.0
         assert house.bound("keyed", "acme", b"k") is not None
@@ -235,7 +240,7 @@
             assert len(others) == 1  # the same name of another tenant is another session
             if go == "banned":
                 house.layer.banned(by, True, 0.0)
-                house.calls.carry_out(house.facade.ban(by, True))
+                house.calls.execute(house.facade.set_ejected(by, True))
             else:
                 house.list([by], DiscoveryStatus.TERMINATING if go == "drains" else DiscoveryStatus.TERMINATED)
             assert house.session(go.encode()) is None  # at once
@@ -243,7 +248,7 @@
             assert then != by and {await house.served(kind="free", fields=name) for _ in range(15)} == {then}
             if go == "banned":
                 house.layer.banned(by, False, 1.0)
-                house.calls.carry_out(house.facade.ban(by, False, 1.0))
+                house.calls.execute(house.facade.set_ejected(by, False, 1.0))
             else:
                 house.list([by])
             assert await house.served(kind="free", fields=name) == then  # the other one is back: it does not move again
@@ -290,12 +295,17 @@
         house = House(Table(session="x-session"))
         final = house.take(key=b"k", fields={"x-session": "s"})
         invoker_call = house.made[-1]
-        assert house.calls.begun(invoker_call, ANSWER)
+        assert house.calls.response_started(invoker_call, ANSWER)
         assert (await final).verdict is Verdict.SERVED
         bound, session = house.bound("keyed", "acme", b"k"), house.session(b"s")
-        assert bound is not None and bound.charged and session is not None and session.provider == invoker_call.provider
-        house.calls.passed_on(house.last, "answered")
-        house.calls.ended(invoker_call, AttemptEnding.RESET)
+        assert (
+            bound is not None
+            and bound.charged
+            and session is not None
+            and session.provider == invoker_call.endpoint_name
+        )
+        house.calls.stream_ended(house.last, "answered")
+        house.calls.attempt_ended(invoker_call, AttemptEnding.RESET)
         assert not house.layer._mine and not house.layer._uses
         assert house.bound("keyed", "acme", b"k") is not None
 
--- a/tests/fleet/test_rules_late.py
+++ b/tests/fleet/test_rules_late.py
@@ -45,8 +45,8 @@
         (9.5, Verdict.FAILED),
         (9.5, None),
     ):
-        layer.beside.closed(call("look", spent_s, verdict))
-    layer.beside.closed(call("no class of these rules", 100.0, Verdict.SERVED))
+        layer.beside.request_closed(call("look", spent_s, verdict))
+    layer.beside.request_closed(call("no class of these rules", 100.0, Verdict.SERVED))
     counts[:] = [16, 2]
     layer._count()
     assert told == [ComponentEvent("ru.", Counted(6, 1 + (1 if aim_s == 9.0 else 2)))]
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -50,7 +50,7 @@
     store = Store(files)
     held = store.open()
     assert held.snapshot == Snapshot(9, 3, b"state", ("a",)) and [one.index for one in held.entries] == [10, 11, 12]
-    assert held.ballot == TermVote(3, "b") and store.torn is None
+    assert held.term_vote == TermVote(3, "b") and store.torn is None
     store.close()
     files.release()
 
@@ -107,7 +107,7 @@
         assert sum(len(file.now) for file in disk.names_now.values()) == used  # given back at once
     disk.room = 1 << 20
     store.write([entries(3, 1, 2)])
-    assert [one.epoch for one in Store(disk.fall()).open().entries] == [1, 1, 2]
+    assert [one.term for one in Store(disk.fall()).open().entries] == [1, 1, 2]
 
 
 def test_its_own_bound_comes_first_ballots_pass_and_a_snapshot_makes_room() -> None:
@@ -127,7 +127,7 @@
     assert store.disk_bytes < 1200 and len(disk.names_now) == 1
     store.write([entries(last + 1, 1, 2)])
     held = Store(disk.fall(), most_bytes=4000).open()
-    assert (held.ballot.epoch, held.base, held.last) == (2, last, last + 1)
+    assert (held.term_vote.term, held.base, held.last) == (2, last, last + 1)
 
 
 def test_replaced_entries_and_old_ballots_do_not_fill_it() -> None:
@@ -138,7 +138,7 @@
         store.write([TermVote(epoch, "a"), entries(1, 2, epoch, 10)])
         assert store.disk_bytes <= 4000 + BALLOTS
     held = Store(disk.fall(), most_bytes=4000).open()
-    assert held.ballot.epoch == 399 and [one.epoch for one in held.entries] == [399, 399]
+    assert held.term_vote.term == 399 and [one.term for one in held.entries] == [399, 399]
 
 
 def test_what_does_not_follow_changes_nothing() -> None:
@@ -152,7 +152,7 @@
     assert disk.steps == steps
     store.write([entries(4, 1, 1)])
     held = Store(disk.fall()).open()
-    assert held.ballot.epoch == 1 and [one.epoch for one in held.entries] == [1, 1, 1, 1]
+    assert held.term_vote.term == 1 and [one.term for one in held.entries] == [1, 1, 1, 1]
 
 
 def test_another_format_is_refused_by_number() -> None:
--- a/tests/fleet/test_store_crash.py
+++ b/tests/fleet/test_store_crash.py
@@ -72,7 +72,7 @@
     more: list[list[Record]] = [[record] for record in (entries(held.last + 1, 2, 90), entries(held.last + 2, 1, 91))]
     expected = [held]
     for batch in more:
-        expected.append(StoredLog(held.ballot, held.snapshot, list(expected[-1].entries)))
+        expected.append(StoredLog(held.term_vote, held.snapshot, list(expected[-1].entries)))
         expected[-1].apply(batch[0])
     for step in range(1, 60):
         again = copy_of(base)
@@ -238,7 +238,7 @@
         store.write([entries(2, 1, 7)])
         held = Store(disk.fall(), segment_bytes=1000).open()
         assert (held.snapshot is not None) == snapped, step
-        assert held.entries[-1].epoch == 7
+        assert held.entries[-1].term == 7
 
 
 def test_a_bad_frame_with_a_later_segment_behind_is_damage() -> None:
--- a/tests/fleet/test_store_thread.py
+++ b/tests/fleet/test_store_thread.py
@@ -153,7 +153,7 @@
     bench.turn(lambda: bench.told[-1] == (2, None))
     assert bench.thread.close(WAIT_S)
     held = Store(disk.fall()).open()
-    assert held.last == 2 and held.ballot == TermVote(0)
+    assert held.last == 2 and held.term_vote == TermVote(0)
 
 
 def test_too_much_waiting_is_refused_as_slow_and_a_hang_is_told_once_while_it_lasts() -> None:
