--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -263,10 +263,12 @@
     async def case() -> None:
         till, purse = till_of({"free": 0})
         for number, call in enumerate([a_call(1, paid=True), a_call(2, kind="free"), a_call(3, tenant="zeta")]):
-            assert till.taken(call) is None, number
-        assert till.taken(a_call(4)) == FinalResponse(Verdict.REJECTED, retry_after_ms=5000.0, paused=True)
+            assert till.request_received(call) is None, number
+        assert till.request_received(a_call(4)) == FinalResponse(
+            Verdict.REJECTED, retry_after_ms=5000.0, quota_exhausted=True
+        )
         till.purse = purse
-        assert till.taken(a_call(5, paid=True)) is None
+        assert till.request_received(a_call(5, paid=True)) is None
         assert purse.told == [("reserve", "acme", "look", True)]
 
     run(case())
@@ -284,16 +286,16 @@
         }
         for number, final in ends.items():
             call = a_call(number)
-            assert till.taken(call) is None
+            assert till.request_received(call) is None
             call.final = final
-            till.closed(call)
-            till.closed(call)
+            till.request_closed(call)
+            till.request_closed(call)
         assert [told[0] for told in purse.told if told[0] != "reserve"] == ["charge", *["give back"] * 3]
         assert till.figures()["reserved"] == 0
         purse.left = 0
-        said = till.taken(a_call(5))
-        assert isinstance(said, FinalResponse) and said.paused and said.retry_after_ms == 321.0
-        till.closed(a_call(5))
+        said = till.request_received(a_call(5))
+        assert isinstance(said, FinalResponse) and said.quota_exhausted and said.retry_after_ms == 321.0
+        till.request_closed(a_call(5))
         assert len(purse.told) == 9
 
     run(case())
@@ -307,12 +309,12 @@
         purse.wanting = True
         for number in range(3):
             call = a_call(number)
-            till.taken(call)
-            till.closed(call)
+            till.request_received(call)
+            till.request_closed(call)
         assert not looks
         await asyncio.sleep(0)
         assert looks == [1]
-        till.taken(a_call(9))
+        till.request_received(a_call(9))
         await asyncio.sleep(0)
         assert looks == [1, 1]
 
@@ -324,10 +326,14 @@
         till, purse = till_of()
         till.purse = purse
         call = a_call(1)
-        till.taken(call)
+        till.request_received(call)
         purse.broken = True
-        till.closed(call)
-        assert till.off and till.taken(a_call(2)) is not None and till.taken(a_call(3, tenant="zeta")) is None
+        till.request_closed(call)
+        assert (
+            till.off
+            and till.request_received(a_call(2)) is not None
+            and till.request_received(a_call(3, tenant="zeta")) is None
+        )
 
     run(case())
 
@@ -372,7 +378,7 @@
 
 
 def a_call(number: int, tenant: str = "acme", kind: str = "look", paid: bool = False) -> Any:
-    return SimpleNamespace(number=number, tenant=tenant, kind=kind, paid=paid, final=None)
+    return SimpleNamespace(number=number, tenant=tenant, class_name=kind, already_charged=paid, final=None)
 
 
 def test_without_the_table_the_decisions_are_not_imported(tmp_path: Path) -> None:
--- a/tests/frozen/record.py
+++ b/tests/frozen/record.py
@@ -54,14 +54,14 @@
     clock = subjects.Clock()
     facade = subjects.facade(clock)
     facade.start()
-    facade.heard(subjects.listed(), True)
+    facade.endpoints_listed(subjects.listed(), True)
     for call in range(40):
         clock.ms += 25.0
-        for order in facade.pick(call, "look" if call % 3 else "book", "t1", 800.0):
+        for order in facade.request_arrived(call, "look" if call % 3 else "book", "t1", 800.0):
             if isinstance(order, subjects.StartAttempt):
                 clock.ms += 7.0 + call % 5
-                facade.report(call, 0, order.provider, 7.0 + call % 5, AttemptEnding.SERVED, True, 0.25, 80.0)
-    return {"version": 1, "list": subjects.LIST, "knowledge": facade.knowledge()}
+                facade.attempt_finished(call, 0, order.endpoint, 7.0 + call % 5, AttemptEnding.SERVED, True, 0.25, 80.0)
+    return {"version": 1, "list": subjects.LIST, "knowledge": facade.export_state()}
 
 
 def settings() -> str:
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -223,14 +223,14 @@
 def figures() -> bytes:
     """The metrics of a process that has done each thing once."""
     metrics = Metrics()
-    metrics.know(["look"])
-    metrics.took()
+    metrics.register_classes(["look"])
+    metrics.count_taken()
     for end in ("answered", "deferred", "errored", "departed"):
-        metrics.ended("look", end)
-    metrics.sent("look")
-    metrics.reloaded(True)
-    metrics.reloaded(False)
-    return metrics.lines({"current": 1, "cluster_size": 2, "cluster_unhealthy": 0.5})
+        metrics.count_ended("look", end)
+    metrics.count_sent("look")
+    metrics.count_reload(True)
+    metrics.count_reload(False)
+    return metrics.render({"current": 1, "cluster_size": 2, "cluster_unhealthy": 0.5})
 
 
 def paths() -> list[str]:
--- a/tests/frozen/test_frozen.py
+++ b/tests/frozen/test_frozen.py
@@ -50,9 +50,9 @@
     folder = tmp_path / "store"
     shutil.copytree(DATA / "store", folder)
     held, torn = subjects.opened(folder)
-    assert held.ballot == subjects.records.TermVote(3, "b")
+    assert held.term_vote == subjects.records.TermVote(3, "b")
     assert held.snapshot == subjects.records.Snapshot(4, 2, b"state of four", ("a", "b", "c"))
-    assert [(entry.index, entry.epoch, entry.kind) for entry in held.entries] == [
+    assert [(entry.index, entry.term, entry.kind) for entry in held.entries] == [
         (5, 2, "cmd"), *((index, 3, "cmd" if index % 3 else "none") for index in range(6, 14))
     ]  # fmt: skip
     assert [entry.data for entry in held.entries[1:]] == [b"%d" % index * 40 for index in range(6, 14)]
@@ -70,10 +70,10 @@
     clock = subjects.Clock()
     clock.ms += 2000.0
     successor = subjects.facade(clock)
-    successor.learn_starts(handover["knowledge"])
-    successor.heard(subjects.listed(), True)
-    successor.learn(handover["knowledge"])
-    assert json.loads(json.dumps(successor.knowledge())) == handover["knowledge"]
+    successor.import_endpoint_ages(handover["knowledge"])
+    successor.endpoints_listed(subjects.listed(), True)
+    successor.import_state(handover["knowledge"])
+    assert json.loads(json.dumps(successor.export_state())) == handover["knowledge"]
 
 
 def test_a_process_hands_on_the_same_line() -> None:
--- a/tests/helpers/connections.py
+++ b/tests/helpers/connections.py
@@ -29,9 +29,9 @@
 
     def __init__(self, tuning: Tuning, limit: int) -> None:
         self.calls = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10)
-        self.calls.watch = lambda: None
+        self.calls.watch_discovery = lambda: None
         self.sockets, self.budget = DescriptorLimits(limit), BufferBudget(1024 * 1024)
-        self.all = ClientListener(self.calls, self.calls.facade, self.sockets, lambda: True, tuning, self.budget)
+        self.all = ClientListener(self.calls, self.calls.load_balancer, self.sockets, lambda: True, tuning, self.budget)
         self.port = free_port()
         self.all.listen(("127.0.0.1", self.port))
 
@@ -51,7 +51,7 @@
         return sock, found[0]
 
     def taken(self) -> int:
-        return self.calls.figures.count("taken")
+        return self.calls.metrics.count("taken")
 
     def end(self) -> None:
         self.all._stop_listening()
--- a/tests/helpers/scripted.py
+++ b/tests/helpers/scripted.py
@@ -21,17 +21,17 @@
         self, picked: Iterable[Command], then: Iterable[Iterable[Command]] = (), advice_ms: float = 0.0
     ) -> None:
         self.picked, self._then = list(picked), [list(orders) for orders in then]
-        self.most_advice_ms, self.shut = advice_ms, False
+        self.max_retry_after_ms, self.rejects_all = advice_ms, False
         self.hints: list[PlacementHint | None] = []
         self.told: list[tuple[Any, ...]] = []
 
-    def longest_ms(self, class_name: str) -> float:
+    def deadline_ms(self, class_name: str) -> float:
         return 20_000.0
 
-    def permits(self, class_name: str, keyed: bool = True) -> RequestPolicy:
+    def request_policy(self, class_name: str, keyed: bool = True) -> RequestPolicy:
         return RequestPolicy()
 
-    def pick(
+    def request_arrived(
         self,
         call: int,
         class_name: str,
@@ -45,13 +45,13 @@
         self.hints.append(hint)
         return self.picked
 
-    def report(
+    def attempt_finished(
         self, call: int, number: int, provider: str, spent_ms: float, ending: AttemptEnding, *more: Any
     ) -> Commands:
         self.told.append(("report", number, ending))
         return self._then.pop(0) if self._then else []
 
-    def depart(self, call: int) -> Commands:
+    def client_disconnected(self, call: int) -> Commands:
         self.told.append(("depart", call))
         return []
 
@@ -66,20 +66,20 @@
         self.out: list[Attempt] = []
         self.calls: RequestManager
 
-    def make(self, invoker_call: Attempt) -> None:
+    def start(self, invoker_call: Attempt) -> None:
         self.out.append(invoker_call)
 
-    def abandon(self, invoker_call: Attempt) -> None:
-        self.calls.ended(invoker_call, AttemptEnding.ABANDONED)
+    def cancel(self, invoker_call: Attempt) -> None:
+        self.calls.attempt_ended(invoker_call, AttemptEnding.CANCELLED)
 
     def end(self, number: int, ending: AttemptEnding = AttemptEnding.SERVED, payload: Any = b"body") -> None:
-        self.calls.ended(self.out[number], ending, payload)
+        self.calls.attempt_ended(self.out[number], ending, payload)
 
 
 def calls_of(script: Script, *beside: RequestInterceptor, most: int = 9) -> tuple[RequestManager, Hand]:
     """To be called on a running loop."""
     calls, hand = RequestManager(cast(LoadBalancer, script), most), Hand()
-    calls.invoker, calls.beside, hand.calls = hand, beside, calls
+    calls.attempt_runner, calls.interceptors, hand.calls = hand, beside, calls
     return calls, hand
 
 
@@ -90,4 +90,4 @@
     tenant: str = "acme",
     about: RequestDetails | None = None,
 ) -> Request:
-    return calls.take(name, None, "look", tenant, 9000.0, answer, about=about or RequestDetails())
+    return calls.accept(name, None, "look", tenant, 9000.0, answer, about=about or RequestDetails())
--- a/tests/helpers/slow_start_circumstances.py
+++ b/tests/helpers/slow_start_circumstances.py
@@ -49,7 +49,7 @@
 
 TWO_WORKS = ((LOOK, 0.75, 1.0), (FILE, 0.25, 3.0))
 KEYED = ((LOOK, 0.5, 1.0), (ZONAL, 0.25, 1.0), (CELL, 0.25, 1.0))
-URGENT = ((replace(LOOK, late_worth=0.0), 1.0, 1.0),)
+URGENT = ((replace(LOOK, late_weight=0.0), 1.0, 1.0),)
 CIRCUMSTANCES = (
     Circumstance("some cold"),
     Circumstance("burst", burst=1.8, burst_ms=400.0),
--- a/tests/helpers/slow_start_fleet.py
+++ b/tests/helpers/slow_start_fleet.py
@@ -44,9 +44,9 @@
 
     def capacity(self, now: float, cold: SlowStart) -> float:
         age = now - self.started
-        if not self.started or age >= cold.warm_ms:
+        if not self.started or age >= cold.warmup_ms:
             return 1.0
-        return cold.capacity + (1 - cold.capacity) * age / cold.warm_ms
+        return cold.initial_capacity + (1 - cold.initial_capacity) * age / cold.warmup_ms
 
     def start(self, now: float) -> None:
         self.started, self.free_at, self.came, self.work, self.got = now, now, 0.0, 0.0, []
@@ -76,10 +76,10 @@
         told = list(accumulate((work * knew for _, work, knew in self.got), initial=0.0))
         times = [at for at, _, _ in self.got]
         for end, now in enumerate(times):
-            if now - self.started < cold.warm_ms:
-                begin = bisect_left(times, now - cold.fall_ms)
+            if now - self.started < cold.warmup_ms:
+                begin = bisect_left(times, now - cold.overload_window_ms)
                 count, known = sums[end + 1] - sums[begin], told[end + 1] - told[begin]
-                allowed = cold.fall_multiple * self.capacity(now, cold) * self.rate * cold.fall_ms
+                allowed = cold.overload_multiple * self.capacity(now, cold) * self.rate * cold.overload_window_ms
                 if known > count * 2 / 3:
                     worst = max(worst, count / (allowed + 2 * sqrt(allowed) + 2))
         return worst
@@ -129,12 +129,12 @@
         self.settings = BalancerSettings(
             classes=tuple(cls for cls, _, _ in case.classes),
             balancers=total,
-            cold=self.cold,
+            slow_start=self.cold,
             weights_listed=case.weights,
-            crossing_cost=case.crossing,
-            may_copy=case.copies,
+            cross_zone_cost=case.crossing,
+            may_hedge=case.copies,
             max_attempts=4,
-            layer=1,
+            tier_index=1,
         )
         mean = sum(part * work for _, part, work in case.classes)
         self.works = [work / mean for _, _, work in case.classes]
@@ -158,11 +158,11 @@
         return Endpoint(at, rate * speed * self.random.uniform(0.9, 1.1), reports)
 
     def _settings(self, sidecar: Sidecar) -> BalancerSettings:
-        return replace(self.settings, rank=sidecar.rank, zone=sidecar.zone)
+        return replace(self.settings, balancer_index=sidecar.rank, zone=sidecar.zone)
 
     def _sidecar(self, rank: int) -> Sidecar:
         zone = self.random.randrange(self.case.zones)
-        given = replace(self.settings, rank=rank, zone=zone)
+        given = replace(self.settings, balancer_index=rank, zone=zone)
         weight = self.random.lognormvariate(0.0, 1.0)
         return Sidecar(rank, zone, weight, Balancer(given, 5 if self.case.one_seed else self.random.getrandbits(32)))
 
@@ -228,7 +228,7 @@
     def _list(self, sidecar: Sidecar) -> None:
         rows = tuple(endpoint.at for endpoint in self.endpoints.values())
         sidecar.told = {row.name: row.started_ms for row in rows}
-        self._tell(sidecar, MembershipUpdate(MembershipKind.WHOLE, rows))
+        self._tell(sidecar, MembershipUpdate(MembershipKind.COMPLETE, rows))
 
     def _restart(self, sidecar: Sidecar) -> None:
         """Its calls are lost; the new process has no memory of what was sent."""
@@ -253,8 +253,10 @@
 
     def _retune(self) -> None:
         """From now on endpoints count as colder for longer: by true ramp too, so that the limit is the new one."""
-        self.cold = replace(self.cold, warm_ms=self.cold.warm_ms * 1.5, capacity=self.cold.capacity * 0.8)
-        self.settings = replace(self.settings, cold=self.cold, balancers=len(self.sidecars) + 4)
+        self.cold = replace(
+            self.cold, warmup_ms=self.cold.warmup_ms * 1.5, initial_capacity=self.cold.initial_capacity * 0.8
+        )
+        self.settings = replace(self.settings, slow_start=self.cold, balancers=len(self.sidecars) + 4)
         for sidecar in self.sidecars:
             self._tell(sidecar, SettingsChanged(self._settings(sidecar)))
 
@@ -295,9 +297,9 @@
             elif isinstance(action, SetTimer):
                 self.at(action.at_ms, self._tell, sidecar, TimerFired(action.token), sidecar.balancer)
             elif isinstance(action, CancelAttempt):
-                self.at(self.now + 0.1, self._answer, action.call, action.attempt, "", Outcome.CANCELLED, self.now)
+                self.at(self.now + 0.1, self._answer, action.request, action.attempt, "", Outcome.CANCELLED, self.now)
             elif isinstance(action, RejectRequest):
-                self._refused(action.call)
+                self._refused(action.request)
 
     def _refused(self, name: str) -> None:
         """Half of the clients come again."""
@@ -307,18 +309,18 @@
             self.at(self.now + 300.0, self._ask, again)
 
     def _send(self, sidecar: Sidecar, send: SendAttempt) -> None:
-        request, endpoint = self.requests[send.call], self.endpoints[send.upstream]
+        request, endpoint = self.requests[send.request], self.endpoints[send.endpoint]
         request.attempts.append(True)
         number, cold = len(request.attempts) - 1, self.cold
-        endpoint.got.append((self.now, request.work, sidecar.told[send.upstream] == endpoint.started))
+        endpoint.got.append((self.now, request.work, sidecar.told[send.endpoint] == endpoint.started))
         done = endpoint.take(self.now, request.work, cold)
         if done is None:
-            at, outcome = self.now + 1.0, Outcome.REFUSED
+            at, outcome = self.now + 1.0, Outcome.REJECTED
         elif done - self.now > send.timeout_ms:
             at, outcome = self.now + send.timeout_ms, Outcome.TIMEOUT
         else:
             at, outcome = done, Outcome.OK if self.random.random() >= self.case.errors else Outcome.ERROR
-        self.at(at, self._answer, send.call, number, send.upstream, outcome, self.now)
+        self.at(at, self._answer, send.request, number, send.endpoint, outcome, self.now)
 
     def _answer(self, name: str, number: int, upstream: str, outcome: Outcome, sent: float) -> None:
         request = self.requests.get(name)
@@ -329,7 +331,7 @@
         rate: float | None = None
         if outcome is Outcome.OK:
             use, rate = self.endpoints[upstream].tell(self.now, self.cold, self.random.uniform(0.9, 1.1))
-            aim = self.settings.classes[request.kind].aim_ms
+            aim = self.settings.classes[request.kind].latency_objective_ms
             self.served += request.born >= COLD_AT and self.now - request.born <= aim and not request.ended
             request.ended = True
         done = AttemptFinished(
--- a/tests/lab/test_matrix.py
+++ b/tests/lab/test_matrix.py
@@ -45,7 +45,7 @@
 
 # The module is told that it may do what the settings, and so the rules, forbid: as if it did not ask them.
 PLANTED: dict[str, Callable[[Any], Any]] = {
-    "copies": lambda told: replace(told, may_copy=True),
+    "copies": lambda told: replace(told, may_hedge=True),
     "cancel": lambda told: replace(told, may_cancel=True),
     "advice": lambda told: replace(told, max_retry_after_ms=500.0),
     "attempts": lambda told: replace(told, max_attempts=told.max_attempts + 1),
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -83,7 +83,7 @@
     assert plan.first_rate > 0
     for tier in range(len(plan.tiers)):
         settings = read_settings(planning.settings_of(plan, tier, 0, 4, 0))
-        assert settings.layer == tier and len(settings.classes) == len(plan.classes)
+        assert settings.tier_index == tier and len(settings.classes) == len(plan.classes)
     script = Script(plan, Seeds(1))
     assert len(script.bands) == len(loaded.fault)
     assert [deed.at_ms for deed in script.deeds] == sorted(deed.at_ms for deed in script.deeds)
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -204,10 +204,10 @@
     ),
     REPEATS: (
         "endpoint_selection.py",
-        "    if not earlier or call.cls.effect is Effect.IDEMPOTENT and not books.set.narrow:",
+        "    if not earlier or call.traffic_class.effect is Effect.IDEMPOTENT and not books.settings.restricted:",
         "    if True:",
     ),
-    COLD: ("endpoint_statistics.py", "        if self.since <= 0 or age >= cold.warm_ms:", "        if True:"),
+    COLD: ("endpoint_statistics.py", "        if self.started_at <= 0 or age >= cold.warmup_ms:", "        if True:"),
 }
 
 
--- a/tests/referee.py
+++ b/tests/referee.py
@@ -43,7 +43,7 @@
 
 
 def settings(**changes: object) -> BalancerSettings:
-    base: dict[str, object] = {"classes": (READ, WRITE, ZONAL, PAY), "max_attempts": 4, "cold": COLD}
+    base: dict[str, object] = {"classes": (READ, WRITE, ZONAL, PAY), "max_attempts": 4, "slow_start": COLD}
     return BalancerSettings(**(base | changes))  # type: ignore[arg-type]
 
 
@@ -81,8 +81,8 @@
         self.log += actions
         return actions
 
-    def members(self, rows: tuple[Endpoint, ...], listing: MembershipKind = MembershipKind.WHOLE) -> list[Action]:
-        if listing is MembershipKind.WHOLE:
+    def members(self, rows: tuple[Endpoint, ...], listing: MembershipKind = MembershipKind.COMPLETE) -> list[Action]:
+        if listing is MembershipKind.COMPLETE:
             self.rows = {}
         self.rows |= {row.name: row for row in rows}
         self.known |= self.rows
@@ -104,7 +104,7 @@
     ) -> tuple[str, list[Action]]:
         self.count += 1
         name = f"call-{self.count}"
-        arrival = RequestArrived(name, index, budget, tenant, once=once)
+        arrival = RequestArrived(name, index, budget, tenant, single_use_body=once)
         cls = self.given.classes[index]
         self.calls[name] = Held(arrival, self.now + budget, most=self.given.max_attempts, cls=cls)
         return name, self.tell(arrival)
@@ -145,56 +145,56 @@
             self.wait(max(held.deadline - self.now, 0.0))
             for attempt in [i for i in range(len(held.sent)) if i not in held.ended]:
                 if not held.over:
-                    self.finish(held.arrival.call, attempt, Outcome.TIMEOUT)
-            assert held.over, f"{held.arrival.call} was lost"
+                    self.finish(held.arrival.request, attempt, Outcome.TIMEOUT)
+            assert held.over, f"{held.arrival.request} was lost"
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append((max(action.at_ms, self.now), action.token))
         elif isinstance(action, CancelAttempt):
-            assert action.attempt < len(self.calls[action.call].sent), "cancels what was never sent"
+            assert action.attempt < len(self.calls[action.request].sent), "cancels what was never sent"
         elif isinstance(action, SendAttempt):
             self.check_send(action)
         elif isinstance(action, (FailRequest, RejectRequest)):
-            held = self.calls[action.call]
+            held = self.calls[action.request]
             assert not held.over, "answers twice"
             assert self.now <= held.deadline + 20, "answers too late"
             held.over = True
             cls = held.cls
             free = cls.effect is Effect.IDEMPOTENT or (
-                cls.effect is Effect.DEDUPLICATED and cls.scope is DedupScope.ALL
+                cls.effect is Effect.DEDUPLICATED and cls.dedup_scope is DedupScope.ALL
             )
             ran = self.may_have_run(held)
             assert isinstance(action, FailRequest) or free or not ran, "refuses what may have run"
             if isinstance(action, RejectRequest) and ran and cls.effect is Effect.DEDUPLICATED:
                 came = held.deadline - held.arrival.budget_ms
-                assert came + cls.deadline_ms < ran[0][0] + cls.window_ms, "refuses what its repeat may run again"
+                assert came + cls.deadline_ms < ran[0][0] + cls.dedup_window_ms, "refuses what its repeat may run again"
 
     def may_have_run(self, held: Held) -> list[tuple[float, str]]:
         return [s for i, s in enumerate(held.sent) if held.ended.get(i) not in NEVER_RAN]
 
     def check_send(self, action: SendAttempt) -> None:
-        held = self.calls[action.call]
+        held = self.calls[action.request]
         assert not held.over, "sends for a call that is over"
         assert self.now <= held.deadline, "sends after the deadline"
-        row = self.rows.get(action.upstream)
-        assert row is not None and row.stage is EndpointState.READY, "sends to an upstream that drains or is gone"
-        assert action.upstream not in self.banned, "sends to an upstream that is out by hand"
+        row = self.rows.get(action.endpoint)
+        assert row is not None and row.state is EndpointState.READY, "sends to an upstream that drains or is gone"
+        assert action.endpoint not in self.banned, "sends to an upstream that is out by hand"
         cls = held.cls
         ran = self.may_have_run(held)
         if ran and cls.effect is Effect.AT_MOST_ONCE:
             raise AssertionError("sends an unsafe call again")
         if ran and cls.effect is Effect.DEDUPLICATED:
             first = self.known[ran[0][1]]
-            same = first.zone == row.zone if cls.scope is DedupScope.ZONE else first.cell == row.cell
-            assert same or cls.scope is DedupScope.ALL, "repeats a keyed call outside its group"
-            assert self.now - ran[0][0] <= cls.window_ms, "repeats a keyed call after its window"
+            same = first.zone == row.zone if cls.dedup_scope is DedupScope.ZONE else first.cell == row.cell
+            assert same or cls.dedup_scope is DedupScope.ALL, "repeats a keyed call outside its group"
+            assert self.now - ran[0][0] <= cls.dedup_window_ms, "repeats a keyed call after its window"
         assert len(held.sent) < held.most, "more attempts than allowed"
         copies = [i for i in range(len(held.sent)) if i not in held.ended]
-        assert not (held.arrival.once and copies), "sends to two what can go out once"
-        assert self.given.may_copy or not copies, "sends a copy where the settings forbid any"
+        assert not (held.arrival.single_use_body and copies), "sends to two what can go out once"
+        assert self.given.may_hedge or not copies, "sends a copy where the settings forbid any"
         assert action.timeout_ms > 0
-        held.sent.append((self.now, action.upstream))
+        held.sent.append((self.now, action.endpoint))
 
 
 def sends(actions: list[Action]) -> list[SendAttempt]:
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -187,8 +187,8 @@
 
 def test_names_of_classes_cannot_break_a_line() -> None:
     figures = Metrics()
-    figures.ended("a.b:1|c\nx", "answered")
-    (line,) = [n for n in figures.lines({}).split(b"\n") if n.endswith(b"answered:1|c")]
+    figures.count_ended("a.b:1|c\nx", "answered")
+    (line,) = [n for n in figures.render({}).split(b"\n") if n.endswith(b"answered:1|c")]
     assert line == b"lb.transactions.a_b_1_c_x.answered:1|c"
 
 
@@ -235,18 +235,18 @@
 def test_two_processes_see_each_others_bans(tmp_path: Path) -> None:
     async def case() -> None:
         (one, told_one), (two, told_two) = kept(tmp_path), kept(tmp_path)
-        assert await one.set("a", True, 1.0)
-        two.look()
+        assert await one.set_ejected("a", True, 1.0)
+        two.reload_if_changed()
         assert told_two == [("a", True, 0.0)]
-        assert await two.set("b", True, 2.0) and await two.set("a", False, 3.0)
-        one.look()
-        assert one.out == two.out == {"b"} and one.back == {"a": 3.0}
+        assert await two.set_ejected("b", True, 2.0) and await two.set_ejected("a", False, 3.0)
+        one.reload_if_changed()
+        assert one.ejected == two.ejected == {"b"} and one.readmitted == {"a": 3.0}
         assert sorted(told_one) == [("a", False, 3.0), ("a", True, 0.0), ("b", True, 0.0)]
         # Both at once, each with what the other has not seen yet: neither ban is lost.
-        await asyncio.gather(one.set("c", True, 4.0), two.set("d", True, 4.0))
-        one.look()
-        two.look()
-        assert one.out == two.out == {"b", "c", "d"}
+        await asyncio.gather(one.set_ejected("c", True, 4.0), two.set_ejected("d", True, 4.0))
+        one.reload_if_changed()
+        two.reload_if_changed()
+        assert one.ejected == two.ejected == {"b", "c", "d"}
 
     run(case())
 
@@ -258,7 +258,7 @@
         held = os.open(tmp_path / ("n" + LOCK), os.O_RDWR | os.O_CREAT)
         fcntl.flock(held, fcntl.LOCK_EX)
         one, told = kept(tmp_path)
-        assert not await one.set("a", True, 1.0)  # in force, and said not to be sure to last
+        assert not await one.set_ejected("a", True, 1.0)  # in force, and said not to be sure to last
         assert told == [("a", True, 0.0)]
         os.close(held)
 
@@ -284,7 +284,7 @@
     (tmp_path / ("n" + FILE)).write_bytes(raw)
     bans, told = kept(tmp_path)
     bans.load()
-    assert not told and not bans.out
+    assert not told and not bans.ejected
 
 
 def test_what_is_written_is_read() -> None:
@@ -299,47 +299,47 @@
 
 
 def balancer_of(*names: str) -> Balancer:
-    balancer = Balancer(BalancerSettings(classes=CLASSES, cold=COLD), seed=3)
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, tuple(Endpoint(n) for n in names)))
+    balancer = Balancer(BalancerSettings(classes=CLASSES, slow_start=COLD), seed=3)
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, tuple(Endpoint(n) for n in names)))
     return balancer
 
 
 def sent(balancer: Balancer, now: float, call: str) -> list[str]:
-    return [a.upstream for a in balancer.handle(now, RequestArrived(call, 0, 900)) if isinstance(a, SendAttempt)]
+    return [a.endpoint for a in balancer.handle(now, RequestArrived(call, 0, 900)) if isinstance(a, SendAttempt)]
 
 
 def server_of(balancer: Balancer, name: str) -> EndpointStatistics:
-    return balancer.roster.servers[name]
+    return balancer.registry.endpoints[name]
 
 
 def test_a_ban_holds_whatever_the_list_says() -> None:
     balancer = balancer_of("a", "b")
     balancer.handle(1.0, OperatorEjection("a", True))
     lists = [
-        MembershipUpdate(MembershipKind.WHOLE, (Endpoint("a"), Endpoint("b"))),
-        MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a", EndpointState.GONE),)),
-        MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a", started_ms=2.0),)),
+        MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("a"), Endpoint("b"))),
+        MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("a", EndpointState.GONE),)),
+        MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("a", started_ms=2.0),)),
     ]
     for number, listed in enumerate(lists):
         balancer.handle(2.0, listed)
         for again in range(5):
             assert set(sent(balancer, 2.0, f"{number}.{again}")) <= {"b"}
-    assert balancer.left_out() == 1
+    assert balancer.excluded_count() == 1
 
 
 def test_back_from_a_ban_it_is_cold_from_that_moment() -> None:
     balancer = balancer_of("a", "b")
     balancer.handle(1.0, OperatorEjection("a", True))
     balancer.handle(1000.0, OperatorEjection("a", False, 1000.0))
-    assert server_of(balancer, "a").capacity(1000.0, COLD) == pytest.approx(0.1)
+    assert server_of(balancer, "a").warm_fraction(1000.0, COLD) == pytest.approx(0.1)
     # The list still tells the old start: that does not warm it.
-    balancer.handle(1000.0, MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a"),)))
-    assert server_of(balancer, "a").capacity(11_000.0, COLD) == pytest.approx(0.55)
-    balancer.handle(2000.0, MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a", started_ms=1500.0),)))
-    assert server_of(balancer, "a").since == 1500.0
+    balancer.handle(1000.0, MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("a"),)))
+    assert server_of(balancer, "a").warm_fraction(11_000.0, COLD) == pytest.approx(0.55)
+    balancer.handle(2000.0, MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("a", started_ms=1500.0),)))
+    assert server_of(balancer, "a").started_at == 1500.0
     # One that comes back draining is not used.
-    balancer.handle(2000.0, MembershipUpdate(MembershipKind.CHANGES, (Endpoint("a", EndpointState.DRAINING),)))
-    assert all(server.at.name == "b" for server in balancer.table[0])
+    balancer.handle(2000.0, MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("a", EndpointState.DRAINING),)))
+    assert all(server.endpoint.name == "b" for server in balancer.candidates[0])
 
 
 def test_a_ban_during_a_call_leaves_that_call_alone() -> None:
@@ -351,17 +351,19 @@
 
 # New settings
 
-DELIVER_KEYED = TrafficClass("deliver", Effect.DEDUPLICATED, 400, 900, scope=DedupScope.ZONE, window_ms=9000)
+DELIVER_KEYED = TrafficClass(
+    "deliver", Effect.DEDUPLICATED, 400, 900, dedup_scope=DedupScope.ZONE, dedup_window_ms=9000
+)
 
 
 def test_open_calls_keep_their_rules_and_new_ones_have_the_new() -> None:
     names = ("a", "b", "c")
-    balancer = Balancer(BalancerSettings(classes=CLASSES, max_attempts=3, must_ask=True), seed=3)
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, tuple(Endpoint(n) for n in names)))
+    balancer = Balancer(BalancerSettings(classes=CLASSES, max_attempts=3, must_subscribe=True), seed=3)
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, tuple(Endpoint(n) for n in names)))
     (first,) = sent(balancer, 0.0, "old")
     once = TrafficClass("look", Effect.AT_MOST_ONCE, 300, 500)
     balancer.handle(
-        1.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, once), max_attempts=1, must_ask=True))
+        1.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, once), max_attempts=1, must_subscribe=True))
     )
     # Held under three attempts and a harmless repeat: it is sent again though attempts are 1 by now.
     acts = balancer.handle(2.0, AttemptFinished("old", first, 0, 2.0, Outcome.ERROR))
@@ -369,7 +371,7 @@
     assert again.timeout_ms == pytest.approx(398.0)  # and to its own end
     # The new class of the old name: one attempt, and a failure rather than a refusal after it may have run.
     (send,) = [a for a in balancer.handle(3.0, RequestArrived("new", 1, 500)) if isinstance(a, SendAttempt)]
-    acts = balancer.handle(4.0, AttemptFinished("new", send.upstream, 0, 1.0, Outcome.ERROR))
+    acts = balancer.handle(4.0, AttemptFinished("new", send.endpoint, 0, 1.0, Outcome.ERROR))
     assert acts == [FailRequest("new")]
 
 
@@ -378,12 +380,12 @@
     sent(balancer, 0.0, "1")
     balancer.handle(50.0, AttemptFinished("1", "a", 0, 50.0, Outcome.OK, True))
     kept = TrafficClass("look", Effect.IDEMPOTENT, 500, 900)
-    balancer.handle(51.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, kept), cold=COLD)))
-    assert balancer.usual["look"].mean == 50.0 and balancer.usual["deliver"].mean == 0.0
-    balancer.handle(52.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED,), cold=COLD)))
-    balancer.handle(53.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, kept), cold=COLD)))
-    assert balancer.usual["look"].mean == 0.0  # dropped and back: another class
-    assert server_of(balancer, "a").count > 0
+    balancer.handle(51.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, kept), slow_start=COLD)))
+    assert balancer.class_latencies["look"].mean_ms == 50.0 and balancer.class_latencies["deliver"].mean_ms == 0.0
+    balancer.handle(52.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED,), slow_start=COLD)))
+    balancer.handle(53.0, SettingsChanged(BalancerSettings(classes=(DELIVER_KEYED, kept), slow_start=COLD)))
+    assert balancer.class_latencies["look"].mean_ms == 0.0  # dropped and back: another class
+    assert server_of(balancer, "a").latency_samples > 0
 
 
 def test_a_reload_is_taken_whole_or_turned_down_whole(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -22,18 +22,18 @@
     entry, now = AdmissionControl(), 0.0
     for number in range(int(5 * per_s)):
         now = number * 1000 / per_s
-        entry.refuses(now, 1.0, 0.0, 1.0)
-        entry.in_time(now)
+        entry.should_reject(now, 1.0, 0.0, 1.0)
+        entry.count_answer(now)
         if number % int(per_s) == 0:
-            entry.renew(1000.0, number, 0.0)
-            entry.bound(spent, spent, aim, known=True)
+            entry.end_window(1000.0, number, 0.0)
+            entry.update_limit(spent, spent, aim, known=True)
     return entry, now
 
 
 def most(entry: AdmissionControl, now: float, value: float = 1.0, live: float = 1.0) -> float:
     """The held calls at which one more is turned away, to a half."""
     asked = ((n / 2, deepcopy(entry)) for n in range(600))  # each time the entry as it stands: asking counts as coming
-    return next((held for held, each in asked if each.refuses(now, value, held, live)), inf)
+    return next((held for held, each in asked if each.should_reject(now, value, held, live)), inf)
 
 
 def test_nothing_is_turned_away_before_the_tier_is_known() -> None:
@@ -43,7 +43,7 @@
 def test_few_calls_are_wide_of_the_bound_while_answers_keep_up() -> None:
     """A quiet day of 30 calls a second lost 8% of its lesser class to chance alone."""
     entry, now = opened(30.0)
-    assert most(entry, now) >= 1.4 * entry.limit
+    assert most(entry, now) >= 1.4 * entry.concurrency_limit
 
 
 @given(st.integers(0, 99))
@@ -55,11 +55,11 @@
         now += random.expovariate(0.02)
         for at in [at for at in out if at <= now]:
             out.remove(at)
-            entry.in_time(at)
+            entry.count_answer(at)
         if number % 20 == 0:
-            entry.renew(1000.0, 100.0, 0.0)
-            entry.bound(280.0, 300.0, 1000.0, known=number > 40)
-        if entry.refuses(now, 1.0 + number % 2, len(out), 1.0):
+            entry.end_window(1000.0, 100.0, 0.0)
+            entry.update_limit(280.0, 300.0, 1000.0, known=number > 40)
+        if entry.should_reject(now, 1.0 + number % 2, len(out), 1.0):
             refused += 1
         else:
             out.append(now + random.uniform(200.0, 400.0))
@@ -72,29 +72,29 @@
     entry, now = opened(100.0)
     calm = most(entry, now)
     for number in range(300):  # 300 a second for a second, answered no faster than before
-        entry.refuses(now + number * 10 / 3, 1.0, 0.0, 1.0)
+        entry.should_reject(now + number * 10 / 3, 1.0, 0.0, 1.0)
         if number % 3 == 0:
-            entry.in_time(now + number * 10 / 3)
-    assert most(entry, now + 1000.0) <= min(calm - sqrt(entry.limit), 1.3 * entry.limit)
+            entry.count_answer(now + number * 10 / 3)
+    assert most(entry, now + 1000.0) <= min(calm - sqrt(entry.concurrency_limit), 1.3 * entry.concurrency_limit)
 
 
 def test_a_tier_that_has_slowed_down_is_not_starved() -> None:
     """All providers twice as slow for 10 s: by the idle latency alone half of what they could do was turned away."""
     entry, now = opened(100.0, spent=250.0)
-    before = entry.limit
-    entry.bound(250.0, 550.0, 1000.0, known=True)
-    assert entry.limit > 1.3 * before
-    entry.bound(250.0, 5000.0, 1000.0, known=True)
-    assert entry.limit <= 0.7 * 1000.0 * entry.pace  # a jam does not widen it beyond the aim
+    before = entry.concurrency_limit
+    entry.update_limit(250.0, 550.0, 1000.0, known=True)
+    assert entry.concurrency_limit > 1.3 * before
+    entry.update_limit(250.0, 5000.0, 1000.0, known=True)
+    assert entry.concurrency_limit <= 0.7 * 1000.0 * entry.sustained_goodput  # a jam does not widen it beyond the aim
 
 
 def test_few_providers_are_not_filled_by_a_floor() -> None:
     """Three sidecars with 15 calls a second each held 12 at least, 36 on three providers: all choked, for 20 s."""
     entry, now = opened(15.0, spent=330.0, aim=750.0)
     for number in range(60):  # four times as many come
-        entry.refuses(now + number * 1000 / 60, 1.0, 0.0, 1.0)
+        entry.should_reject(now + number * 1000 / 60, 1.0, 0.0, 1.0)
         if number % 4 == 0:
-            entry.in_time(now + number * 1000 / 60)
+            entry.count_answer(now + number * 1000 / 60)
     assert 15.0 * 0.33 <= most(entry, now + 1000.0) <= 2 * 15.0 * 0.456  # what is in service; twice Little's bound
 
 
@@ -102,7 +102,7 @@
 def test_the_lesser_worth_is_turned_away_first(values: list[float], live: float) -> None:
     entry, now = opened(50.0)
     for value in values:
-        entry.refuses(now, value, 0.0, live)
+        entry.should_reject(now, value, 0.0, live)
     low, high = min(values), max(values)
     assert most(entry, now, low, live) <= most(entry, now, high, live)
 
@@ -111,18 +111,18 @@
 def test_the_bound_never_closes_the_door(windows: list[tuple[float, float, float]]) -> None:
     entry = AdmissionControl()
     for span, good, bad in windows:
-        entry.renew(span, good, bad)
-        entry.bound(100.0, 200.0, 1000.0, known=True)
-        assert entry.limit >= FEW and 0 <= entry.pace < inf
+        entry.end_window(span, good, bad)
+        entry.update_limit(100.0, 200.0, 1000.0, known=True)
+        assert entry.concurrency_limit >= FEW and 0 <= entry.sustained_goodput < inf
 
 
 def choked(desk: Desk, at: str, answers: int = 7) -> None:
     """What a choked provider does: it answers one call of so many just in time, and the others not at all."""
     for held, number, name, since in desk.out():
         if name == at and not held.over and desk.now - since >= 990.0:
-            in_time = int(held.arrival.call.removeprefix("call-")) % answers == 0
+            in_time = int(held.arrival.request.removeprefix("call-")) % answers == 0
             if in_time or desk.now - since >= 1000.0:
-                desk.finish(held.arrival.call, number, Outcome.OK if in_time else Outcome.TIMEOUT)
+                desk.finish(held.arrival.request, number, Outcome.OK if in_time else Outcome.TIMEOUT)
 
 
 def test_a_provider_that_misses_call_after_call_is_left_to_become_idle() -> None:
@@ -142,13 +142,13 @@
     """By what it had shown before its rest it was hardly tried again."""
     desk = Desk(crossing=0.0, zones=("abc",))
     desk.learn()
-    server = desk.balancer.roster.servers["a"]
-    while not server.rests:
+    server = desk.balancer.registry.endpoints["a"]
+    while not server.ejected_until:
         desk.step(0, 500.0, but="a")
         choked(desk, "a")
-    while server.rests or not server.share:  # to the window's end after it
+    while server.ejected_until or not server.selection_weight:  # to the window's end after it
         desk.step(0, 500.0)
-    assert server.share > 0 and server.bad < 1 and server.slow < 1.2
+    assert server.selection_weight > 0 and server.failures < 1 and server.latency_ratio < 1.2
 
 
 def test_no_more_than_half_of_a_tier_rests_at_once() -> None:
@@ -161,7 +161,7 @@
         desk.call()
         for name in "abcd":
             choked(desk, name)
-        most = max(most, sum(desk.now < s.rests for s in desk.balancer.roster.servers.values()))
+        most = max(most, sum(desk.now < s.ejected_until for s in desk.balancer.registry.endpoints.values()))
     assert most == 2
 
 
@@ -170,8 +170,10 @@
     referee = Referee(settings(classes=(READ,)), rows=fleet(4))
     balancer = referee.balancer
     steady(referee, 40, Outcome.OK)
-    balancer.held = 10 * balancer.entry.limit  # a jam has just ended: every call of it is over
-    assert not balancer.out
+    balancer.mean_in_flight = (
+        10 * balancer.admission.concurrency_limit
+    )  # a jam has just ended: every call of it is over
+    assert not balancer.in_flight
     for _ in range(60):
         referee.wait(25.0)
         _, acts = referee.arrive(0)
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -30,20 +30,20 @@
 
 REJECTED = whole(503, (b"X-Rejected", b"1"))
 ONCE = TrafficClass("c", Effect.AT_MOST_ONCE, 9000.0, 20_000.0)
-KEYED = TrafficClass("c", Effect.DEDUPLICATED, 9000.0, 20_000.0, scope=DedupScope.ALL, window_ms=9000.0)
+KEYED = TrafficClass("c", Effect.DEDUPLICATED, 9000.0, 20_000.0, dedup_scope=DedupScope.ALL, dedup_window_ms=9000.0)
 SAFE = TrafficClass("c", Effect.IDEMPOTENT, 9000.0, 20_000.0)
 
 
 def call_of(cls: TrafficClass) -> Request:
     end = monotonic() + 20
     call = Request(1, b"1", "look", http1.Message([], {}, b"GET", b"/api"), end, 20.0, lambda final: None)
-    call.permits = RequestPolicy(cls)
+    call.policy = RequestPolicy(cls)
     return call
 
 
 def attempt_of(call: Request) -> Attempt:
-    attempt = Attempt(call, len(call.made), "a", monotonic(), call.end)
-    call.made.append(attempt)
+    attempt = Attempt(call, len(call.attempts), "a", monotonic(), call.deadline)
+    call.attempts.append(attempt)
     return attempt
 
 
@@ -51,7 +51,7 @@
     """An attempt that was written just now; None: it is out."""
     attempt = attempt_of(call)
     attempt.endpoint = DiscoveredEndpoint("b", ("127.0.0.1", 9), DiscoveryStatus.IN_SERVICE)
-    attempt.sent_at, attempt.ending, attempt.over = monotonic(), ending, ending is not None
+    attempt.sent_at, attempt.ending, attempt.ended = monotonic(), ending, ending is not None
     return attempt
 
 
@@ -72,31 +72,35 @@
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         self.endpoint = DiscoveredEndpoint(
-            "a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE, since_ms=5.0
+            "a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE, started_ms=5.0
         )
-        self.pool.listed([self.endpoint], True)
+        self.pool.apply_list([self.endpoint], True)
 
     def list_anew(self, **changes: Any) -> None:
-        self.pool.listed([self.endpoint._replace(**changes)], False)
+        self.pool.apply_list([self.endpoint._replace(**changes)], False)
 
 
 Crossing = Callable[[Pool, Attempt], object]
 
 
 def window_passes(pool: Pool, attempt: Attempt) -> None:
-    first = attempt.call.made[0]
-    first.sent_at -= attempt.call.permits.traffic_class.window_ms / 1000.0
+    first = attempt.request.attempts[0]
+    first.sent_at -= attempt.request.policy.traffic_class.dedup_window_ms / 1000.0
 
 
 CROSSINGS: dict[str, tuple[TrafficClass, AttemptEnding | None, Crossing]] = {
     "its client's end lies in the kernel": (
         SAFE,
         AttemptEnding.ERROR,
-        lambda pool, attempt: setattr(attempt.call, "present", lambda: False),
+        lambda pool, attempt: setattr(attempt.request, "client_connected", lambda: False),
     ),
-    "its client goes": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt.call, "gone", True)),
-    "its call is answered": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt.call, "final", object())),
-    "its time passes": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt, "end", monotonic())),
+    "its client goes": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt.request, "client_gone", True)),
+    "its call is answered": (
+        SAFE,
+        AttemptEnding.ERROR,
+        lambda pool, attempt: setattr(attempt.request, "final", object()),
+    ),
+    "its time passes": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt, "deadline", monotonic())),
     "its endpoint drains": (
         SAFE,
         AttemptEnding.ERROR,
@@ -107,20 +111,24 @@
         AttemptEnding.ERROR,
         lambda pool, attempt: pool.list_anew(status=DiscoveryStatus.TERMINATED),
     ),
-    "a whole list omits its endpoint": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.listed([], True)),
-    "its endpoint starts anew": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.list_anew(since_ms=6.0)),
-    "its endpoint is banned": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.ban("a", True)),
-    "it is abandoned": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.abandon(attempt)),
+    "a whole list omits its endpoint": (
+        SAFE,
+        AttemptEnding.ERROR,
+        lambda pool, attempt: pool.pool.apply_list([], True),
+    ),
+    "its endpoint starts anew": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.list_anew(started_ms=6.0)),
+    "its endpoint is banned": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.set_ejected("a", True)),
+    "it is abandoned": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.cancel(attempt)),
     "the window for repeats passes": (KEYED, AttemptEnding.RESET, window_passes),
     "an earlier one turns out to be out": (
         SAFE,
-        AttemptEnding.TURNED_AWAY,
-        lambda pool, attempt: begun(attempt.call, None),
+        AttemptEnding.REJECTED,
+        lambda pool, attempt: begun(attempt.request, None),
     ),
     "an earlier one turns out to have run": (
         ONCE,
-        AttemptEnding.TURNED_AWAY,
-        lambda pool, attempt: begun(attempt.call, AttemptEnding.TIMED_OUT),
+        AttemptEnding.REJECTED,
+        lambda pool, attempt: begun(attempt.request, AttemptEnding.TIMED_OUT),
     ),
 }
 
@@ -137,12 +145,12 @@
         call = call_of(cls)
         begun(call, ending)
         attempt = attempt_of(call)
-        pool.pool.make(attempt)
+        pool.pool.start(attempt)
         await asyncio.sleep(0)  # the task runs up to its wait for the connection
         assert pool.sockets.used == 1
         happen(pool, attempt)
         ended = await pool.calls.endings.get()
-        assert ended is (AttemptEnding.ABANDONED if crossing == "it is abandoned" else AttemptEnding.NOT_SENT)
+        assert ended is (AttemptEnding.CANCELLED if crossing == "it is abandoned" else AttemptEnding.NOT_SENT)
         if crossing != "it is abandoned":  # that connection may never come up
             assert await pool.seen.get() == b""
         assert not attempt.sent_at and pool.seen.empty() and pool.calls.endings.empty()
@@ -162,8 +170,8 @@
         await pool.start()
         call = call_of(cls)
         begun(call, earlier)
-        pool.pool.make(attempt_of(call))
-        never_ran = earlier in (AttemptEnding.TURNED_AWAY, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT)
+        pool.pool.start(attempt_of(call))
+        never_ran = earlier in (AttemptEnding.REJECTED, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT)
         if cls is ONCE and not never_ran:
             assert await pool.calls.endings.get() is AttemptEnding.NOT_SENT and pool.seen.empty()
             assert not pool.sockets.used  # no connection was opened for it
@@ -178,11 +186,11 @@
     async def case() -> None:
         pool = Pool()
         await pool.start()
-        pool.pool.make(attempt_of(call_of(SAFE)))
+        pool.pool.start(attempt_of(call_of(SAFE)))
         assert await pool.calls.endings.get() is AttemptEnding.SERVED and pool.sockets.idle == 1
         pool.list_anew()
         assert pool.sockets.idle == 1  # the same process, told of again
-        pool.list_anew(since_ms=6.0)
+        pool.list_anew(started_ms=6.0)
         while pool.sockets.used:
             await asyncio.sleep(0)
         assert not pool.sockets.idle
@@ -217,11 +225,13 @@
             writer.close()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool.pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
-        pool.pool.make(attempt_of(call_of(ONCE)))
+        pool.pool.apply_list(
+            [DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True
+        )
+        pool.pool.start(attempt_of(call_of(ONCE)))
         (first := await asked.get()).write(whole(200))
         assert await pool.calls.endings.get() is AttemptEnding.SERVED
-        pool.pool.make(attempt_of(call_of(ONCE)))
+        pool.pool.start(attempt_of(call_of(ONCE)))
         second = await asked.get()
         assert len(opened) == connections
         if second is not first:
@@ -259,9 +269,11 @@
             pool.seen.put_nowait(await reader.read())
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool.pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
+        pool.pool.apply_list(
+            [DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True
+        )
         attempt = attempt_of(call_of(ONCE))
-        pool.pool.make(attempt)
+        pool.pool.start(attempt)
         assert await pool.calls.endings.get() is AttemptEnding.CONNECT_FAILED
         assert not attempt.sent_at
 
@@ -300,8 +312,10 @@
             hang_up(writer)
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool.pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
-        pool.pool.make(attempt_of(call_of(ONCE)))
+        pool.pool.apply_list(
+            [DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True
+        )
+        pool.pool.start(attempt_of(call_of(ONCE)))
         assert await pool.calls.endings.get() is AttemptEnding.CONNECT_FAILED
 
     run(case())
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -20,10 +20,10 @@
 def test_refused_calls_earn_no_copies() -> None:
     """Incident i4bceea: at a full entry, refused calls paid for copies of the few let in."""
     referee = Referee(settings(), rows=fleet(5))
-    referee.balancer.budget = 0.0
+    referee.balancer.retry_budget = 0.0
     for _ in range(100):
         referee.arrive(0, budget=0.0)
-    assert referee.balancer.budget == 0.0
+    assert referee.balancer.retry_budget == 0.0
 
 
 def test_a_small_entry_takes_a_handful_at_once() -> None:
@@ -57,31 +57,31 @@
     """A tier never seen idle shows no low mean: how full the entry is must close the gate."""
     referee = Referee(settings(classes=(READ,)), rows=fleet(5))
     balancer = referee.balancer
-    one, two = balancer.table[0][:2]
+    one, two = balancer.candidates[0][:2]
     name, _ = referee.arrive(0)
-    call = balancer.calls[name]
-    balancer.usual[balancer.set.classes[0].name].mean, balancer.copyable = 150.0, balancer.came
+    call = balancer.requests[name]
+    balancer.class_latencies[balancer.settings.classes[0].name].mean_ms, balancer.hedgeable = 150.0, balancer.arrivals
     for server in (one, two):
-        server.slow, server.like.low, server.out = 1.2, 1.0, 0
+        server.latency_ratio, server.profile.lowest, server.in_flight = 1.2, 1.0, 0
     assert hedge_pays_off(balancer, referee.now, call, one, two, 1.0)
-    balancer.out, balancer.held, balancer.entry.limit = 20, 20.0, 20.0
+    balancer.in_flight, balancer.mean_in_flight, balancer.admission.concurrency_limit = 20, 20.0, 20.0
     assert not hedge_pays_off(balancer, referee.now, call, one, two, 1.0)
 
 
 @pytest.mark.parametrize("layer", [0, 1])
 def test_the_doors_bound_closes_the_gate_only_where_calls_are_turned_away(layer: int) -> None:
     """Lower tiers turn nothing away, yet a bound of theirs kept copies from urgent calls at an idle pair."""
-    referee = Referee(settings(classes=(READ,), layer=layer), rows=fleet(5))
+    referee = Referee(settings(classes=(READ,), tier_index=layer), rows=fleet(5))
     steady(referee, 200, Outcome.OK)
     balancer = referee.balancer
     name, _ = referee.arrive(0)
-    one, two = balancer.table[0][:2]
-    one.util = two.util = 0.2
-    one.util_at = two.util_at = referee.now
-    one.out = two.out = 0
-    balancer.out, balancer.copyable = 100, balancer.came
-    assert hedge_pays_off(balancer, referee.now, balancer.calls[name], one, two, 1.0) is bool(layer)
-    assert (balancer.entry.limit < inf) is not bool(layer)
+    one, two = balancer.candidates[0][:2]
+    one.utilisation = two.utilisation = 0.2
+    one.utilisation_at = two.utilisation_at = referee.now
+    one.in_flight = two.in_flight = 0
+    balancer.in_flight, balancer.hedgeable = 100, balancer.arrivals
+    assert hedge_pays_off(balancer, referee.now, balancer.requests[name], one, two, 1.0) is bool(layer)
+    assert (balancer.admission.concurrency_limit < inf) is not bool(layer)
 
 
 def test_gate_where_formula_one_says() -> None:
@@ -89,14 +89,14 @@
     (0.4 e^-5.4)^2 = 3.3e-6: copy. At load 0.6 copies make both loads 1.2, a sure miss: no copy."""
     referee = Referee(settings(classes=(READ,)), rows=fleet(5))
     balancer = referee.balancer
-    one, two = balancer.table[0][:2]
+    one, two = balancer.candidates[0][:2]
     name, _ = referee.arrive(0)
-    call = balancer.calls[name]
-    balancer.usual[balancer.set.classes[0].name].mean, balancer.copyable = 100.0, balancer.came
+    call = balancer.requests[name]
+    balancer.class_latencies[balancer.settings.classes[0].name].mean_ms, balancer.hedgeable = 100.0, balancer.arrivals
     for load, copies in ((0.2, True), (0.6, False)):
-        one.util = two.util = load
-        one.util_at = two.util_at = referee.now
-        one.out = two.out = 0
+        one.utilisation = two.utilisation = load
+        one.utilisation_at = two.utilisation_at = referee.now
+        one.in_flight = two.in_flight = 0
         assert hedge_pays_off(balancer, referee.now, call, one, two, 1.0) is copies
 
 
@@ -105,7 +105,7 @@
     referee = Referee(settings(), 5, fleet(8))
     call = Request("c", READ, ClassLatency(), 3, 1e9, 1e9)
     drawn = [draw_endpoint(referee.balancer, referee.now, call, None) for _ in range(8000)]
-    for server in referee.balancer.table[0]:
+    for server in referee.balancer.candidates[0]:
         assert abs(drawn.count(server) - 1000) < 4 * (8000 * 0.125 * 0.875) ** 0.5
 
 
@@ -137,7 +137,7 @@
 def near_and_far() -> Referee:
     """One upstream in the own zone, three in others; crossing has its price."""
     rows = tuple(row._replace(zone=int(i > 0), cell=0) for i, row in enumerate(fleet(4)))
-    return Referee(settings(classes=(READ,), crossing_cost=0.015, max_attempts=4), rows=rows)
+    return Referee(settings(classes=(READ,), cross_zone_cost=0.015, max_attempts=4), rows=rows)
 
 
 def answer(referee: Referee, name: str, outcome: Outcome = Outcome.OK) -> str:
@@ -152,7 +152,7 @@
 def test_no_upstream_holds_far_more_than_the_others() -> None:
     """A near upstream was sent 46 calls while the others held 3 each: it jammed before its mean showed it."""
     referee = near_and_far()
-    sent = [send.upstream for _ in range(40) for send in sends(referee.arrive(0)[1])]
+    sent = [send.endpoint for _ in range(40) for send in sends(referee.arrive(0)[1])]
     assert max(sent.count(name) for name in referee.rows) <= len(sent) / 2
 
 
@@ -170,45 +170,50 @@
         hung += [name] if referee.calls[name].sent[0][1] == near else []
         referee.wait(50.0)
         for held in [h for h in referee.calls.values() if not h.over and h.sent[-1][1] != near]:
-            referee.finish(held.arrival.call, len(held.sent) - 1)
+            referee.finish(held.arrival.request, len(held.sent) - 1)
     assert 0 < len(hung) < 12
-    assert {s.at.name for s in referee.balancer.silent} == {near}  # what hangs there does not fill the entry
+    assert {s.endpoint.name for s in referee.balancer.unresponsive} == {
+        near
+    }  # what hangs there does not fill the entry
     assert all(referee.calls[name].over for name in hung[:-1])  # none waits for the silent one alone
 
 
 def test_an_upstream_that_is_heard_again_is_silent_no_more() -> None:
     referee = near_and_far()
-    near = referee.balancer.roster.servers[next(iter(referee.rows))]
-    near.quiet = True
-    referee.balancer.silent.add(near)
+    near = referee.balancer.registry.endpoints[next(iter(referee.rows))]
+    near.unresponsive = True
+    referee.balancer.unresponsive.add(near)
     while True:
         name, _ = referee.arrive(0)
-        if answer(referee, name) == near.at.name:
+        if answer(referee, name) == near.endpoint.name:
             break
-    assert not near.quiet and not referee.balancer.silent
+    assert not near.unresponsive and not referee.balancer.unresponsive
 
 
 def test_failures_at_once_let_calls_leave_the_own_zone() -> None:
     """A near upstream that answered 500 within 2 ms got half of all calls: it was never slow."""
     balancer = near_and_far().balancer
-    for server in balancer.roster.servers.values():
-        own = server.at.zone == 0
-        server.good, server.bad = (0.0, 10.0) if own else (5.0, 0.0)
-        balancer.known[server] = None  # as whoever has been sent to
-        balancer.good, balancer.bad = balancer.good + server.good, balancer.bad + server.bad
+    for server in balancer.registry.endpoints.values():
+        own = server.endpoint.zone == 0
+        server.successes, server.failures = (0.0, 10.0) if own else (5.0, 0.0)
+        balancer.observed[server] = None  # as whoever has been sent to
+        balancer.total_successes, balancer.total_failures = (
+            balancer.total_successes + server.successes,
+            balancer.total_failures + server.failures,
+        )
     for _ in range(2):  # the second sees what the first has made of the evidence
         update_weights(balancer, balancer.now)
-    share = {server.at.zone: server.share for server in balancer.roster.servers.values()}
+    share = {server.endpoint.zone: server.selection_weight for server in balancer.registry.endpoints.values()}
     assert share[0] < 0.05 * 3 * share[1]
 
 
 def test_a_call_that_its_first_attempt_binds_goes_to_the_steadier_of_two() -> None:
     # Guards keyed calls: tried four times in a row at the one box of its zone, which fails two of three.
-    lax = replace(ZONAL, late_worth=0.5)
+    lax = replace(ZONAL, late_weight=0.5)
     referee = Referee(settings(classes=(lax,)), rows=fleet(8))
     balancer = referee.balancer
-    ill = balancer.table[0][0]
-    ill.ok = 0.4
+    ill = balancer.candidates[0][0]
+    ill.success_rate = 0.4
     firsts = [
         draw_endpoint(balancer, referee.now, Request("c", lax, ClassLatency(), 3, 1e9, 1e9), None) for _ in range(400)
     ]
@@ -216,7 +221,7 @@
     for _ in range(100):
         name, actions = referee.arrive(0)
         (send,) = sends(actions)  # and no copy: it is lax
-        assert send.upstream != ill.at.name  # ... and the other one taken
+        assert send.endpoint != ill.endpoint.name  # ... and the other one taken
         referee.finish(name, 0, Outcome.OK)
 
 
@@ -236,21 +241,21 @@
     while the pace it had shown before kept the entry open, falling by a tenth a window only."""
     referee = Referee(settings(classes=(READ,)), rows=fleet(5))
     steady(referee, 200, Outcome.OK)
-    before = referee.balancer.entry.pace
+    before = referee.balancer.admission.sustained_goodput
     assert before > 0
     steady(referee, 60, Outcome.ERROR)  # six windows of misses
-    assert referee.balancer.entry.pace < 0.3 * before
+    assert referee.balancer.admission.sustained_goodput < 0.3 * before
 
 
 def test_pace_holds_through_a_lull() -> None:
     """Fewer calls, all in time, are no loss of pace: the entry must not close on a quiet spell."""
     referee = Referee(settings(classes=(READ,)), rows=fleet(5))
     steady(referee, 200, Outcome.OK)
-    before = referee.balancer.entry.pace
+    before = referee.balancer.admission.sustained_goodput
     for _ in range(6):  # six windows with one call each
         steady(referee, 1, Outcome.OK)
         referee.wait(450.0)
-    assert referee.balancer.entry.pace > 0.5 * before
+    assert referee.balancer.admission.sustained_goodput > 0.5 * before
 
 
 @pytest.mark.parametrize("most", [1, 2, 4])
--- a/tests/test_balancing_rules.py
+++ b/tests/test_balancing_rules.py
@@ -57,7 +57,7 @@
         elif what == "wait":
             referee.wait(number)
             for held in [h for h in referee.calls.values() if not h.over and h.deadline <= referee.now]:
-                referee.leave(held.arrival.call)
+                referee.leave(held.arrival.request)
         elif what == "list":
             referee.members(fleet(number % 8))
         elif what in ("ban", "back"):
@@ -71,7 +71,7 @@
             row = referee.rows[names[number % len(names)]]
             stage = {"drain": EndpointState.DRAINING, "remove": EndpointState.GONE}.get(what, EndpointState.READY)
             started = referee.now if what == "restart" else row.started_ms
-            referee.members((row._replace(stage=stage, started_ms=started),), MembershipKind.CHANGES)
+            referee.members((row._replace(state=stage, started_ms=started),), MembershipKind.INCREMENTAL)
         else:
             out = [
                 (name, i) for name, held in referee.calls.items() for i in range(len(held.sent)) if i not in held.ended
@@ -88,7 +88,7 @@
 
 @given(STEPS, st.integers(0, 3), st.integers(0, 9), st.booleans())
 def test_rules_hold_for_any_events(steps: list[tuple[str, int, Outcome]], layer: int, seed: int, copies: bool) -> None:
-    referee = Referee(settings(layer=layer, may_copy=copies), seed, fleet(7))
+    referee = Referee(settings(tier_index=layer, may_hedge=copies), seed, fleet(7))
     play(referee, steps)
     referee.settle()
 
@@ -98,7 +98,7 @@
     """An overdue lone attempt asked the gate again, which never asked the settings: 1 call in 100 got a copy."""
 
     def copied(allowed: bool) -> int:
-        referee = Referee(settings(may_copy=allowed), rows=fleet(9))
+        referee = Referee(settings(may_hedge=allowed), rows=fleet(9))
         twice = 0
         for turn in range(300):
             name, _ = referee.arrive(index)
@@ -135,7 +135,7 @@
     assert sends(referee.wait(500.0))
 
 
-@pytest.mark.parametrize("outcome", [Outcome.REFUSED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
 def test_unsafe_goes_again_only_when_it_never_ran(outcome: Outcome) -> None:
     referee = Referee(settings(), rows=fleet(7))
     name, actions = referee.arrive(3)
@@ -172,16 +172,16 @@
     first = referee.calls[name].sent[0][1]
     for attempt in range(len(referee.calls[name].sent)):
         again = sends(referee.finish(name, attempt, Outcome.ERROR))
-    assert again and again[0].upstream != first
+    assert again and again[0].endpoint != first
 
 
 def test_drained_gets_nothing_from_the_moment_it_is_told() -> None:
     referee = Referee(settings(), rows=fleet(4))
-    rows = tuple(r._replace(stage=EndpointState.DRAINING) for r in fleet(4)[:3])
-    referee.members(rows, MembershipKind.CHANGES)
+    rows = tuple(r._replace(state=EndpointState.DRAINING) for r in fleet(4)[:3])
+    referee.members(rows, MembershipKind.INCREMENTAL)
     for _ in range(100):
         _, actions = referee.arrive()
-        assert {s.upstream for s in sends(actions)} <= {fleet(4)[3].name}
+        assert {s.endpoint for s in sends(actions)} <= {fleet(4)[3].name}
 
 
 def test_whole_list_drops_who_is_not_on_it() -> None:
@@ -201,9 +201,9 @@
     """A balancer that lost its subscription knows of no drain; all asking at once jam the list service."""
     delays = set()
     for seed in range(5):
-        referee = Referee(settings(must_ask=True), seed, fleet(4))
+        referee = Referee(settings(must_subscribe=True), seed, fleet(4))
         assert Subscribe() in referee.log
-        timers = [a for a in referee.tell(MembershipUpdate(MembershipKind.BROKEN)) if isinstance(a, SetTimer)]
+        timers = [a for a in referee.tell(MembershipUpdate(MembershipKind.UNAVAILABLE)) if isinstance(a, SetTimer)]
         assert len(timers) == 1
         delays.add(timers[0].at_ms)
         assert Subscribe() in referee.wait(10_000.0)
@@ -223,12 +223,12 @@
             referee.finish(name, attempt, Outcome.CANCELLED if over else Outcome.OK)
     start = referee.now
     cold = tuple(r._replace(started_ms=start) if r.started_ms else r for r in rows)
-    referee.members(cold, MembershipKind.CHANGES)
+    referee.members(cold, MembershipKind.INCREMENTAL)
     got: dict[str, list[float]] = {}
     for _ in range(300):
         name, actions = referee.arrive()
         for send in sends(actions):
-            got.setdefault(send.upstream, []).append(referee.now)
+            got.setdefault(send.endpoint, []).append(referee.now)
         referee.wait(10.0)
         for attempt in range(len(referee.calls[name].sent)):
             over = referee.calls[name].over
@@ -276,7 +276,7 @@
     assert referee.tell(TimerFired(999)) == []
     assert referee.tell(ResponseStarted("nobody", "10.0.0.1:80", 0, 5.0)) == []
     referee.members(
-        (Endpoint("unknown", EndpointState.GONE), Endpoint("other", EndpointState.DRAINING)), MembershipKind.CHANGES
+        (Endpoint("unknown", EndpointState.GONE), Endpoint("other", EndpointState.DRAINING)), MembershipKind.INCREMENTAL
     )
     for budget in (0.0, -5.0):
         name, _ = referee.arrive(0, budget)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -27,9 +27,14 @@
 
 def test_what_the_file_says_and_what_it_leaves_out() -> None:
     config = parse(RAW, {"LB_LISTEN": "127.0.0.9:1"})
-    assert config.listen == ("127.0.0.9", 1) and config.directory == ("127.0.0.2", 8500)
+    assert config.listen == ("127.0.0.9", 1) and config.discovery == ("127.0.0.2", 8500)
     assert config.seed == 0x8C1F30D27A5BE964  # the seed is hexadecimal also where it looks decimal
-    assert (config.sockets, config.idle_ms, config.connect_ms, config.max_open) == (256, 9000, 250, 20000)
+    assert (config.sockets, config.endpoint_idle_ms, config.connect_timeout_ms, config.max_open) == (
+        256,
+        9000,
+        250,
+        20000,
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_configuration_applier.py
+++ b/tests/test_configuration_applier.py
@@ -63,8 +63,8 @@
     made, deeds, first = acting()
     made.in_force({**changed(first, max_attempts=1), "directory": "127.0.0.1:8600"}, 5000.0, 3, 2)
     (_, config), lease = deeds.took()
-    assert config.settings.max_attempts == 1 and config.directory == ("127.0.0.1", 8600)
-    assert (config.settings.rank, config.settings.balancers, config.sockets) == (2, 5, 300)
+    assert config.settings.max_attempts == 1 and config.discovery == ("127.0.0.1", 8600)
+    assert (config.settings.balancer_index, config.settings.balancers, config.sockets) == (2, 5, 300)
     assert (config.name, config.seed, config.memory_mb) == ("n3", 255, 64.0)
     assert lease == ("lease", 5000.0, 3.0, False) and made.version == 2
 
@@ -106,7 +106,7 @@
     made, deeds, first = acting()
     made.narrow(changed(first, parallel_tries=False), refuse, 1)
     (_, config), lease = deeds.took()
-    assert not config.settings.may_copy and lease == ("lease", NEVER, math.inf, refuse)
+    assert not config.settings.may_hedge and lease == ("lease", NEVER, math.inf, refuse)
 
 
 def test_a_file_read_again_moves_what_is_own_alone() -> None:
@@ -118,4 +118,4 @@
     again["settings"]["rank"], again["limits"]["sockets"] = 4, 500  # type: ignore[index]
     made.renewed(parse(again, {}))
     ((_, config),) = deeds.took()
-    assert (config.settings.max_attempts, config.settings.rank, config.sockets) == (1, 4, 500)
+    assert (config.settings.max_attempts, config.settings.balancer_index, config.sockets) == (1, 4, 500)
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -72,7 +72,7 @@
         last.send(CHUNKED, chunk(listing(1, "c")))
         assert await held.heard.get() == (["c"], True)
         await call.ended()
-        assert held.directory.where()[:3] == (at_third, 1, True)
+        assert held.directory.position()[:3] == (at_third, 1, True)
         assert held.heard.empty() and held.broken.empty()
 
     case(body, silence_s=3.0)
@@ -125,7 +125,7 @@
         held.directory.move(at_second)  # and while the call is out
         held.directory.move(peer_at)
         again = await peer.calls.get()
-        assert again.target == b"/discovery/hosts?follow=1" and held.directory.where()[0] == old
+        assert again.target == b"/discovery/hosts?follow=1" and held.directory.position()[0] == old
         again.send(CHUNKED, chunk(listing(9, "b")))
         assert await held.heard.get() == (["b"], True) and held.broken.empty()
         await call.ended()
@@ -156,19 +156,19 @@
 
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
-        assert held.directory.unheard_ms() == math.inf
+        assert held.directory.silence_ms() == math.inf
         begun, rest = listing(7, "a")[:10], listing(7, "a")[10:]
         call.send(CHUNKED, chunk(begun))
         await asyncio.sleep(PAUSE_S)
-        assert held.directory.unheard_ms() == math.inf
+        assert held.directory.silence_ms() == math.inf
         call.send(chunk(rest))
         await held.heard.get()
         for line in (listing(8, "b", whole=False), b"\n"):
             await asyncio.sleep(PAUSE_S)
-            before = held.directory.unheard_ms()
+            before = held.directory.silence_ms()
             assert before >= PAUSE_S * 1000.0
             call.send(chunk(line))
-            while held.directory.unheard_ms() >= before:
+            while held.directory.silence_ms() >= before:
                 await asyncio.sleep(0)
 
     case(body, silence_s=3.0)
--- a/tests/test_discovery_states.py
+++ b/tests/test_discovery_states.py
@@ -403,7 +403,7 @@
     # Guards against a wait of up to twice the mean aim (8 s for aims of 8 s), and against a number that overflowed at
     # the 1025th failure in a row, after which nobody asked any more.
     look = TrafficClass("look", Effect.IDEMPOTENT, aim_ms, 2 * aim_ms)
-    balancer = Balancer(BalancerSettings(classes=(look,), must_ask=True), 1)
+    balancer = Balancer(BalancerSettings(classes=(look,), must_subscribe=True), 1)
     for _ in range(1100):
-        (timer,) = balancer.handle(0.0, MembershipUpdate(MembershipKind.BROKEN))
+        (timer,) = balancer.handle(0.0, MembershipUpdate(MembershipKind.UNAVAILABLE))
         assert isinstance(timer, SetTimer) and 0.0 < timer.at_ms <= 2000.0
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -182,7 +182,7 @@
         call.send(CHUNKED, chunk(listing(1, "a")))
         assert await held.heard.get() == (["a"], True)
         await asyncio.sleep(schedule.WAITS_S[0] + 0.1)
-        assert peer.calls.empty() and held.directory.where()[1:3] == (1, True)
+        assert peer.calls.empty() and held.directory.position()[1:3] == (1, True)
         call.send(chunk(listing(2, "b", whole=False)))
         assert await held.heard.get() == (["b"], False)
         call.writer.close()  # its end is an end as any other's
@@ -249,10 +249,10 @@
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         pool = EndpointPool(calls, unlimited(), 9000.0, 9000.0)
-        pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
-        pool.make(invoker_call(time.monotonic() + 20))
+        pool.apply_list([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
+        pool.start(invoker_call(time.monotonic() + 20))
         await asyncio.sleep(0)  # the task runs up to its wait for the connection
-        pool.listed([DiscoveredEndpoint("b", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE)], True)
+        pool.apply_list([DiscoveredEndpoint("b", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE)], True)
         assert await calls.endings.get() is AttemptEnding.NOT_SENT and await seen.get() == b""
         assert not pool.knows("a")
 
--- a/tests/test_endpoint_ages.py
+++ b/tests/test_endpoint_ages.py
@@ -24,7 +24,7 @@
 
 class Line(NamedTuple):
     name: str
-    since_ms: float
+    started_ms: float
 
 
 class Clocks:
@@ -37,7 +37,7 @@
         return self.began + self.passed
 
     def age(self, name: str, since_ms: float, unheard_ms: float = math.inf, whole: bool = False) -> float:
-        (start,) = self.starts.heard([Line(name, since_ms)], whole, unheard_ms)
+        (start,) = self.starts.record_list([Line(name, since_ms)], whole, unheard_ms)
         return self.clock() - start
 
 
@@ -45,7 +45,7 @@
     clocks = Clocks()
     assert clocks.age("a", UNIX - 7000) == 7000
     assert clocks.age("b", UNIX - 7000, unheard_ms=HOUR) == 7000
-    assert clocks.starts.heard([Line("c", 0.0)], False) == [0.0]
+    assert clocks.starts.record_list([Line("c", 0.0)], False) == [0.0]
 
 
 @pytest.mark.parametrize("step", [-HOUR, -5000.0, 5000.0, HOUR])
@@ -80,7 +80,7 @@
 def test_one_that_comes_back_as_the_same_process_is_not_fresh() -> None:
     clocks = Clocks()
     clocks.age("a", UNIX - 7000)
-    clocks.starts.left(["a"])
+    clocks.starts.forget(["a"])
     clocks.passed = 60_000
     assert clocks.age("a", UNIX - 7000, unheard_ms=2000) == 67_000
     clocks.age("b", UNIX - 8000, whole=True)  # a is not named
@@ -92,7 +92,7 @@
     clocks = Clocks()
     for name in "abc":
         clocks.age(name, UNIX - 7000)
-        clocks.starts.left([name])
+        clocks.starts.forget([name])
     assert clocks.age("a", UNIX - 7000, unheard_ms=10) == 10
     assert clocks.age("c", UNIX - 7000, unheard_ms=10) == 7000
 
@@ -101,9 +101,9 @@
     clocks, later = Clocks(), Clocks(HOUR)
     clocks.age("a", UNIX - 7000)
     clocks.age("long", 0.0)
-    told = clocks.starts.told()
+    told = clocks.starts.export_state()
     assert list(told) == ["a"]
-    later.starts.take(told)
+    later.starts.import_state(told)
     assert later.age("a", UNIX - 7000) == 7000
 
 
@@ -123,21 +123,21 @@
 def test_what_is_not_sound_is_not_taken(told: Any) -> None:
     clocks = Clocks()
     with pytest.raises(ValueError, match="starts"):
-        clocks.starts.take({"b": [1.0, 2.0], **told} if isinstance(told, dict) else told)
-    assert clocks.starts.told() == {}
+        clocks.starts.import_state({"b": [1.0, 2.0], **told} if isinstance(told, dict) else told)
+    assert clocks.starts.export_state() == {}
 
 
 def test_the_return_from_a_ban_is_not_in_the_future() -> None:
     """It was noted by a process whose clock was an hour ahead: the endpoint would be cold for an hour."""
     classes = (TrafficClass("look", Effect.IDEMPOTENT, 200.0, 500.0),)
-    balancer = Balancer(BalancerSettings(classes, cold=SlowStart(0.12, 24_000.0, 4.0, 1000.0)), 1)
-    balancer.handle(1000.0, MembershipUpdate(MembershipKind.WHOLE, (Endpoint("a"),)))
+    balancer = Balancer(BalancerSettings(classes, slow_start=SlowStart(0.12, 24_000.0, 4.0, 1000.0)), 1)
+    balancer.handle(1000.0, MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("a"),)))
     balancer.handle(1000.0, OperatorEjection("a", True))
     balancer.handle(1000.0, OperatorEjection("a", False, 1000.0 + HOUR))
-    server = balancer.roster.servers["a"]
-    cold = balancer.set.cold
-    assert server.capacity(1000.0, cold) == cold.capacity < 1.0
-    assert server.capacity(1000.0 + cold.warm_ms, cold) == 1.0
+    server = balancer.registry.endpoints["a"]
+    cold = balancer.settings.slow_start
+    assert server.warm_fraction(1000.0, cold) == cold.initial_capacity < 1.0
+    assert server.warm_fraction(1000.0 + cold.warmup_ms, cold) == 1.0
 
 
 def test_knowledge_hands_the_ages_on_and_that_of_an_earlier_version_has_none() -> None:
@@ -145,12 +145,12 @@
         return LoadBalancer(read_settings(SETTINGS), 1, ["z"], clock=lambda: UNIX + ahead)
 
     before, after = facade(0.0), facade(HOUR)
-    listed = [DiscoveredEndpoint("a", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE, "z", since_ms=UNIX - 7000)]
-    before.heard(listed, whole=True)
-    told = json.loads(json.dumps(before.knowledge()))
-    after.learn_starts(told)
-    after.learn_starts({key: value for key, value in told.items() if key != "starts"})
-    after.heard(listed, whole=True)
-    assert after.knowledge()["starts"] == {"a": [UNIX - 7000, 7000]}
+    listed = [DiscoveredEndpoint("a", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE, "z", started_ms=UNIX - 7000)]
+    before.endpoints_listed(listed, whole=True)
+    told = json.loads(json.dumps(before.export_state()))
+    after.import_endpoint_ages(told)
+    after.import_endpoint_ages({key: value for key, value in told.items() if key != "starts"})
+    after.endpoints_listed(listed, whole=True)
+    assert after.export_state()["starts"] == {"a": [UNIX - 7000, 7000]}
     with pytest.raises(ValueError, match="starts"):
-        after.learn_starts({**told, "starts": 3})
+        after.import_endpoint_ages({**told, "starts": 3})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,13 +27,19 @@
 from limenotch.balancing.weights import update_weights
 from limenotch.settings import DiscoverySettings
 
-LOOK = TrafficClass("look", Effect.IDEMPOTENT, 2000.0, 5000.0, late_worth=0.5)
+LOOK = TrafficClass("look", Effect.IDEMPOTENT, 2000.0, 5000.0, late_weight=0.5)
 COLD = SlowStart(0.12, 24_000.0, 4.0, 3000.0)
 
 
 def settings(balancers: int = 40, rank: int = 0, crossing: float = 0.015) -> BalancerSettings:
     return BalancerSettings(
-        classes=(LOOK,), balancers=balancers, rank=rank, crossing_cost=crossing, cold=COLD, must_ask=True, layer=1
+        classes=(LOOK,),
+        balancers=balancers,
+        balancer_index=rank,
+        cross_zone_cost=crossing,
+        slow_start=COLD,
+        must_subscribe=True,
+        tier_index=1,
     )
 
 
@@ -51,18 +57,18 @@
         self.due: list[tuple[float, AttemptFinished]] = []
         self.wakes: list[tuple[float, int]] = []
         self.do(BalancerStarted())
-        self.do(MembershipUpdate(MembershipKind.WHOLE, listed))
+        self.do(MembershipUpdate(MembershipKind.COMPLETE, listed))
 
     def do(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, SendAttempt):
-                self.sent.append((self.now, action.upstream))
-                number = sum(a.open for a in self.balancer.calls[action.call].tries) - 1
+                self.sent.append((self.now, action.endpoint))
+                number = sum(a.open for a in self.balancer.requests[action.request].attempts) - 1
                 report: tuple[float | None, float | None] = (None, None)
-                if action.upstream in self.reports:  # refreshed every 0.8 s, and a little noisy
-                    util, per_s = self.reports[action.upstream]
+                if action.endpoint in self.reports:  # refreshed every 0.8 s, and a little noisy
+                    util, per_s = self.reports[action.endpoint]
                     report = (util, per_s * (1 + 1e-6 * (self.now // 800)))
-                done = AttemptFinished(action.call, action.upstream, number, self.spent, Outcome.OK, True, *report)
+                done = AttemptFinished(action.request, action.endpoint, number, self.spent, Outcome.OK, True, *report)
                 self.due.append((self.now + self.spent, done))
             elif isinstance(action, SetTimer):
                 self.wakes.append((action.at_ms, action.token))
@@ -107,14 +113,17 @@
     host.calls(20_000.0, 4)
     host.reports["a"] = (1.0, 8.0)
     host.calls(24_000.0, 4)
-    assert host.balancer.roster.servers["a"].share < 0.7 * host.balancer.roster.servers["b"].share
+    assert (
+        host.balancer.registry.endpoints["a"].selection_weight
+        < 0.7 * host.balancer.registry.endpoints["b"].selection_weight
+    )
 
 
 def test_a_report_that_answers_repeat_counts_once() -> None:
     host = Host(settings(crossing=0.0), ups("a b"))
     host.reports = {"a": (0.5, 10.0), "b": (0.5, 10.0)}
     host.calls(790.0, 40)
-    assert host.balancer.roster.servers["a"].busy == 0.5
+    assert host.balancer.registry.endpoints["a"].reported_use_sum == 0.5
 
 
 def test_a_span_in_which_nothing_was_done_yet_starves_nobody() -> None:
@@ -141,12 +150,12 @@
 def test_a_zone_that_loses_its_upstreams_hands_calls_on_as_soon_as_the_list_tells() -> None:
     """Two old boxes of a zone were sent all of its calls, jammed, and stayed so for the rest of the day."""
     host = zoned()
-    host.do(MembershipUpdate(MembershipKind.CHANGES, (Endpoint("0x", EndpointState.DRAINING),)))
+    host.do(MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("0x", EndpointState.DRAINING),)))
     told = host.now
     host.calls(told + 20_000.0, 4)
     # One of 50 a second is left for 40 a second; the mean use of the whole tier is 160 of 350.
     assert 0.5 < host.part("0y", told) < 0.9
-    host.do(MembershipUpdate(MembershipKind.CHANGES, (Endpoint("0y", started_ms=host.now),)))
+    host.do(MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("0y", started_ms=host.now),)))
     told = host.now
     host.calls(told + 4_000.0, 4)
     assert host.part("0y", told) < 0.35  # cold: it can do an eighth to a quarter
@@ -155,8 +164,8 @@
 def test_zones_with_no_room_are_not_handed_calls() -> None:
     host = zoned()
     host.reports["1x"] = host.reports["1y"] = (0.9, 20.0)
-    host.do(MembershipUpdate(MembershipKind.CHANGES, (Endpoint("0x", EndpointState.GONE),)))
-    host.do(MembershipUpdate(MembershipKind.CHANGES, (Endpoint("1x", EndpointState.GONE),)))
+    host.do(MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("0x", EndpointState.GONE),)))
+    host.do(MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("1x", EndpointState.GONE),)))
     told = host.now
     host.calls(told + 60_000.0, 4)
     assert host.part("1y", told) < 0.5 * host.part("2x", told)
@@ -172,7 +181,7 @@
         host.until(Random(rank).random() * 1000 / (per_s / balancers))
         host.calls(started, per_s / balancers)
         gone = tuple(Endpoint(n, EndpointState.GONE) for n in warm[: len(cold.split())])
-        host.do(MembershipUpdate(MembershipKind.CHANGES, (*gone, *ups(cold, started=started))))
+        host.do(MembershipUpdate(MembershipKind.INCREMENTAL, (*gone, *ups(cold, started=started))))
         host.calls(started + 12_000.0, per_s / balancers)
         sent += host.sent
     return sent
@@ -185,9 +194,9 @@
         times = sorted(at for at, n in sent if n == name)
         assert times, "never used"
         for begin in times:
-            span = [t for t in times if begin <= t < begin + COLD.fall_ms]
-            able = 50 * (COLD.capacity + (1 - COLD.capacity) * (begin - 12_000.0) / COLD.warm_ms)
-            assert len(span) < 2.5 * able * COLD.fall_ms / 1000  # 4 push it over
+            span = [t for t in times if begin <= t < begin + COLD.overload_window_ms]
+            able = 50 * (COLD.initial_capacity + (1 - COLD.initial_capacity) * (begin - 12_000.0) / COLD.warmup_ms)
+            assert len(span) < 2.5 * able * COLD.overload_window_ms / 1000  # 4 push it over
         first = [t for t in times if t < 12_500.0]
         assert len(first) < 0.4 * 50 * 0.5  # and no burst at the start
 
@@ -204,7 +213,7 @@
         host = Host(settings(rank=seed), ups("a b"), seed=seed)
         for _ in range(failures):
             host.wakes.clear()
-            host.do(MembershipUpdate(MembershipKind.BROKEN))
+            host.do(MembershipUpdate(MembershipKind.UNAVAILABLE))
         waits.append(host.wakes[-1][0] - host.now)
     return sorted(waits)
 
@@ -228,10 +237,10 @@
     host = zoned()
     balancer = host.balancer
     balancer.demand = 7.0  # 70 a second for each zone, of which one box can do 50
-    balancer.roster.servers["0x"].quiet = True
+    balancer.registry.endpoints["0x"].unresponsive = True
     update_weights(balancer, host.now)
-    own = sum(s.share for s in balancer.table[0] if s.at.zone == 0)
-    assert own < 0.6 * sum(s.share for s in balancer.table[0])  # at the use of the tier left: 0.58
+    own = sum(s.selection_weight for s in balancer.candidates[0] if s.endpoint.zone == 0)
+    assert own < 0.6 * sum(s.selection_weight for s in balancer.candidates[0])  # at the use of the tier left: 0.58
 
 
 def test_a_watch_that_breaks_again_and_again_is_asked_for_soon_and_out_of_step() -> None:
@@ -242,7 +251,7 @@
         look = TrafficClass("look", Effect.IDEMPOTENT, 2000, 5000)
         balancer = Balancer(BalancerSettings(classes=(look,)), seed)
         for number in range(6):
-            (timer,) = balancer.handle(0.0, MembershipUpdate(MembershipKind.BROKEN))
+            (timer,) = balancer.handle(0.0, MembershipUpdate(MembershipKind.UNAVAILABLE))
             assert isinstance(timer, SetTimer)
             waits.setdefault(number, []).append(timer.at_ms)
     assert max(waits[0]) <= 500.0 and max(w + v for w, v in zip(waits[0], waits[1], strict=True)) <= 1500.0
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -37,7 +37,7 @@
         """The call's name."""
         self.count += 1
         name = f"call-{self.count}"
-        arrival = RequestArrived(name, CLASSES.index(cls), 3000.0, prefer=prefer, bound=bound)
+        arrival = RequestArrived(name, CLASSES.index(cls), 3000.0, preferred_endpoint=prefer, prior_execution=bound)
         self.calls[name] = Held(arrival, self.now + 3000.0, most=self.given.max_attempts, cls=cls)
         self.tell(arrival)
         return name
@@ -59,7 +59,7 @@
         name = self.come(cls, bound=bound)
         self.settle()
         assert self.calls[name].over
-        return not self.to(name) and any(isinstance(act, RejectRequest) and act.call == name for act in self.log)
+        return not self.to(name) and any(isinstance(act, RejectRequest) and act.request == name for act in self.log)
 
 
 def of(**where: int) -> set[str]:
@@ -82,7 +82,7 @@
     for stage in (EndpointState.DRAINING, EndpointState.GONE):
         desk = Desk()
         row = next(row for row in fleet(AMONG) if row.name == KEPT)
-        desk.members((row._replace(stage=stage),), MembershipKind.CHANGES)
+        desk.members((row._replace(state=stage),), MembershipKind.INCREMENTAL)
         assert KEPT not in {desk.place(prefer=KEPT) for _ in range(50)}
     assert Desk().place(prefer="10.9.9.9:80") in {row.name for row in fleet(AMONG)}
 
@@ -92,7 +92,7 @@
     desk.ban(KEPT, True)
     assert KEPT not in {desk.place(prefer=KEPT) for _ in range(50)}
     desk.ban(KEPT, False)
-    desk.wait(2 * desk.given.cold.warm_ms)  # one that is back is cold
+    desk.wait(2 * desk.given.slow_start.warmup_ms)  # one that is back is cold
     assert desk.place(prefer=KEPT) == KEPT
 
 
@@ -103,15 +103,15 @@
     held = [desk.come(PAY, prefer=KEPT) for _ in range(3)]
     assert [desk.to(name) for name in held] == [[KEPT]] * 3
     desk.wait(1500.0)
-    assert desk.balancer.roster.servers[KEPT].out == 3
+    assert desk.balancer.registry.endpoints[KEPT].in_flight == 3
     assert KEPT not in {desk.place(prefer=KEPT) for _ in range(20)}
 
 
 def test_it_goes_elsewhere_from_one_that_is_cold() -> None:
     rows = tuple(row._replace(started_ms=999.0) if row.name == KEPT else row for row in fleet(AMONG))
-    desk = Desk(rows, cold_parts=inf)  # no part of what cold ones may be sent
+    desk = Desk(rows, agreed_slow_start_divisor=inf)  # no part of what cold ones may be sent
     assert KEPT not in {desk.place(prefer=KEPT) for _ in range(50)}
-    desk.wait(2 * desk.given.cold.warm_ms)
+    desk.wait(2 * desk.given.slow_start.warmup_ms)
     assert desk.place(prefer=KEPT) == KEPT
 
 
@@ -159,7 +159,12 @@
 
 
 def test_within_its_window_only() -> None:
-    for ago, refused in ((0.0, False), (WRITE.window_ms - 1.0, False), (WRITE.window_ms, True), (1e6, True)):
+    for ago, refused in (
+        (0.0, False),
+        (WRITE.dedup_window_ms - 1.0, False),
+        (WRITE.dedup_window_ms, True),
+        (1e6, True),
+    ):
         desk = Desk()
         for cls in (WRITE, ZONAL, ANYWHERE):
             assert desk.refused(cls, PriorExecution(1, 1, desk.now - ago)) is refused, (cls.name, ago)
@@ -178,15 +183,15 @@
     assert not desk.refused(ZONAL, PriorExecution(1, 1, desk.now - 100.0))  # others of its zone
     assert desk.refused(WRITE, PriorExecution(1, 77, desk.now - 100.0))  # nobody ever heard of it
     desk.members(
-        tuple(row._replace(stage=EndpointState.DRAINING) for row in fleet(AMONG) if row.zone == 1),
-        MembershipKind.CHANGES,
+        tuple(row._replace(state=EndpointState.DRAINING) for row in fleet(AMONG) if row.zone == 1),
+        MembershipKind.INCREMENTAL,
     )
     assert desk.refused(ZONAL, PriorExecution(1, 1, desk.now - 100.0))
 
 
 def test_refused_in_the_narrow_state() -> None:
     desk = Desk()
-    desk.retune(replace(desk.given, narrow=True))
+    desk.retune(replace(desk.given, restricted=True))
     for cls in CLASSES:
         assert desk.refused(cls, PriorExecution(1, 1, desk.now - 100.0)), cls.name
     assert desk.place(WRITE)  # what ran nowhere goes on
@@ -205,7 +210,7 @@
     at = [0.0]
     made = LoadBalancer(settings(classes=CLASSES, zone=0), 5, ("a", "b"), clock=lambda: 1000.0 + at[0])
     made.start()
-    made.heard(
+    made.endpoints_listed(
         [
             DiscoveredEndpoint(row.name, ("h", 1), DiscoveryStatus.IN_SERVICE, "ab"[row.zone], group=row.cell)
             for row in fleet(AMONG)
@@ -218,24 +223,26 @@
 def placed(made: LoadBalancer, cls: TrafficClass, hint: PlacementHint | None, times: int = 40) -> set[str]:
     found: set[str] = set()
     for number in range(times):
-        orders = made.pick(number, cls.name, "", 2900.0, hint=hint)
-        sent = [order.provider for order in orders if isinstance(order, StartAttempt)]
+        orders = made.request_arrived(number, cls.name, "", 2900.0, hint=hint)
+        sent = [order.endpoint for order in orders if isinstance(order, StartAttempt)]
         for attempt, name in enumerate(sent):
-            made.report(number, attempt, name, 10.0, AttemptEnding.SERVED, True)
+            made.attempt_finished(number, attempt, name, 10.0, AttemptEnding.SERVED, True)
         found.update(sent[:1])
     return found
 
 
 def test_the_facade_passes_a_hint_on() -> None:
     assert placed(facade(), READ, PlacementHint(KEPT)) == {KEPT}
-    assert placed(facade(), WRITE, PlacementHint(ran=True, zone="b", group=1, ago_ms=100.0)) <= of(cell=1)
-    assert placed(facade(), ZONAL, PlacementHint(ran=True, zone="b", group=1, ago_ms=100.0)) <= of(zone=1)
-    assert not placed(facade(), WRITE, PlacementHint(ran=True, zone="b", group=1, ago_ms=WRITE.window_ms))
-    assert not placed(facade(), ZONAL, PlacementHint(ran=True, zone="of another list", ago_ms=100.0))
+    assert placed(facade(), WRITE, PlacementHint(may_have_run=True, zone="b", group=1, age_ms=100.0)) <= of(cell=1)
+    assert placed(facade(), ZONAL, PlacementHint(may_have_run=True, zone="b", group=1, age_ms=100.0)) <= of(zone=1)
+    assert not placed(
+        facade(), WRITE, PlacementHint(may_have_run=True, zone="b", group=1, age_ms=WRITE.dedup_window_ms)
+    )
+    assert not placed(facade(), ZONAL, PlacementHint(may_have_run=True, zone="of another list", age_ms=100.0))
 
 
 def test_without_a_run_a_hint_binds_to_nothing() -> None:
-    for hint in (None, PlacementHint(), PlacementHint(zone="b", group=1, ago_ms=100.0)):
+    for hint in (None, PlacementHint(), PlacementHint(zone="b", group=1, age_ms=100.0)):
         assert placed(facade(), WRITE, hint) - of(cell=1), hint
 
 
@@ -243,4 +250,4 @@
     """A call that is refused by its bound leaves nothing behind."""
     desk = Desk()
     assert desk.refused(PAY, PriorExecution(0, 0, desk.now)) and not sends(desk.log)
-    assert not desk.balancer.calls and not [act for act in desk.log if isinstance(act, SendAttempt)]
+    assert not desk.balancer.requests and not [act for act in desk.log if isinstance(act, SendAttempt)]
--- a/tests/test_large_endpoint_lists.py
+++ b/tests/test_large_endpoint_lists.py
@@ -46,15 +46,15 @@
 
 
 def told(number: int, balancers: int = 200) -> Balancer:
-    settings = BalancerSettings(classes=(LOOK,), balancers=balancers, crossing_cost=0.015, cold=COLD)
+    settings = BalancerSettings(classes=(LOOK,), balancers=balancers, cross_zone_cost=0.015, slow_start=COLD)
     balancer = Balancer(settings, 1)
-    balancer.handle(START_MS, MembershipUpdate(MembershipKind.WHOLE, rows(number)))
+    balancer.handle(START_MS, MembershipUpdate(MembershipKind.COMPLETE, rows(number)))
     return balancer
 
 
 def change(stage: EndpointState, name: str = "u7", started_ms: float = 0.0) -> MembershipUpdate:
     row = Endpoint(name, stage, 1.0, 1, 1, 0, started_ms)
-    return MembershipUpdate(MembershipKind.CHANGES, (row,))
+    return MembershipUpdate(MembershipKind.INCREMENTAL, (row,))
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
     costs = []
     for number in (SMALL, LARGE):
         balancer = told(number, balancers=2000)
-        assert len(balancer.table[0]) == 16
+        assert len(balancer.candidates[0]) == 16
         costs.append(counted(lambda balancer=balancer: balancer.handle(START_MS + 0.1, event)))  # type: ignore[misc]
     assert costs[1] <= 1.3 * costs[0] + 50
 
@@ -83,14 +83,14 @@
     for number in (SMALL, LARGE):
         balancer = told(number)
         balancer.handle(START_MS + 1.0, RequestArrived("first", 0, 2000.0))
-        end = balancer.due + 1.0
+        end = balancer.window_end + 1.0
         costs.append(
             counted(
                 lambda balancer=balancer, end=end:  # type: ignore[misc]
                 balancer.handle(end, RequestArrived("second", 0, 2000.0))
             )
         )
-    drawn = [sum(len(told(number).table[0]) for _ in (1,)) for number in (SMALL, LARGE)]
+    drawn = [sum(len(told(number).candidates[0]) for _ in (1,)) for number in (SMALL, LARGE)]
     assert drawn == [16, 64] and costs[1] <= costs[0] * drawn[1] / drawn[0]
 
 
@@ -99,9 +99,9 @@
     balancer, taken = told(LARGE, balancers=1), set[float]()
     for number in range(LARGE // 2):
         balancer.handle(START_MS + 6000.0 * number / (LARGE / 2), change(EndpointState.DRAINING, f"u{number}"))
-        taken.add(balancer.shared_at)
+        taken.add(balancer.weights_at)
     assert 6 <= len(taken) <= 60  # windows of 0.2 s included
-    assert len(balancer.ready) == LARGE // 2
+    assert len(balancer.available) == LARGE // 2
 
 
 def test_one_that_drains_is_not_drawn_before_shares_are_taken_again() -> None:
@@ -110,36 +110,38 @@
     balancer.handle(
         START_MS + 0.01,
         MembershipUpdate(
-            MembershipKind.CHANGES,
-            tuple(row._replace(stage=EndpointState.DRAINING) for row in rows(SMALL) if row.name in gone),
+            MembershipKind.INCREMENTAL,
+            tuple(row._replace(state=EndpointState.DRAINING) for row in rows(SMALL) if row.name in gone),
         ),
     )
-    assert balancer.stale and {server.at.name for server in balancer.table[0]} >= gone
+    assert balancer.weights_stale and {server.endpoint.name for server in balancer.candidates[0]} >= gone
     call = Request("c", LOOK, ClassLatency(), 3, 1e9, 1e9)
-    drawn = {server.at.name for _ in range(300) if (server := draw_endpoint(balancer, START_MS + 0.01, call, None))}
+    drawn = {
+        server.endpoint.name for _ in range(300) if (server := draw_endpoint(balancer, START_MS + 0.01, call, None))
+    }
     assert drawn == {f"u{number}" for number in range(SMALL - 10, SMALL)}
 
 
 def test_where_all_that_were_drawn_from_have_gone_the_new_ones_are_sent_to() -> None:
     balancer = told(SMALL, balancers=1)
-    drains = tuple(row._replace(stage=EndpointState.DRAINING) for row in rows(SMALL))
+    drains = tuple(row._replace(state=EndpointState.DRAINING) for row in rows(SMALL))
     comes = tuple(Endpoint(f"n{number}", EndpointState.READY) for number in range(20))
-    balancer.handle(START_MS + 0.01, MembershipUpdate(MembershipKind.CHANGES, drains + comes))
-    assert balancer.stale
+    balancer.handle(START_MS + 0.01, MembershipUpdate(MembershipKind.INCREMENTAL, drains + comes))
+    assert balancer.weights_stale
     (send, *_) = balancer.handle(START_MS + 0.02, RequestArrived("call", 0, 2000.0))
-    assert isinstance(send, SendAttempt) and send.upstream.startswith("n")
+    assert isinstance(send, SendAttempt) and send.endpoint.startswith("n")
 
 
 def server_of(name: str, zone: int, kind: LatencyProfile, weight: float, since: float) -> EndpointStatistics:
     server = EndpointStatistics(Endpoint(name, EndpointState.READY, weight, 0, zone, 0, since), kind, 0.0, 0.0)
-    server.weight, server.since = weight, since
+    server.listed_weight, server.started_at = weight, since
     return server
 
 
 def test_the_sums_are_those_of_a_pass_over_all_whatever_came_and_went() -> None:
     kinds = [LatencyProfile(), LatencyProfile()]
     ready, held = (
-        AvailableEndpoints(BalancerSettings(classes=(LOOK,), crossing_cost=0.1, cold=COLD)),
+        AvailableEndpoints(BalancerSettings(classes=(LOOK,), cross_zone_cost=0.1, slow_start=COLD)),
         dict[str, EndpointStatistics](),
     )
     now = START_MS
@@ -153,16 +155,18 @@
             since = now - 500.0 * (step % 40) if step % 5 else 0.0
             server = held[name] = server_of(name, step % 3, kinds[step % 2], 1.0 + step % 4, since)
             ready.update(now, [server], [old] if old is not None else [])
-        able = ready.able(now)
+        able = ready.capacities(now)
         for zone in range(3):
             for kind in kinds:
                 wanted = sum(
-                    s.weight * s.capacity(now, COLD) for s in held.values() if s.at.zone == zone and s.like is kind
+                    s.listed_weight * s.warm_fraction(now, COLD)
+                    for s in held.values()
+                    if s.endpoint.zone == zone and s.profile is kind
                 )
                 assert able.get((zone, kind), 0.0) == pytest.approx(wanted, abs=1e-6)
-        assert ready.weight == pytest.approx(sum(s.weight for s in held.values()))
-        assert ready.warm == sum(s.capacity(now, COLD) >= 1.0 for s in held.values())
-        assert len(ready) == len(held) and ready.zones == len({s.at.zone for s in held.values()})
-        near, far = ready.order
-        assert {s.at.name for s in near} == {name for name, s in held.items() if s.at.zone == 0}
+        assert ready.total_weight == pytest.approx(sum(s.listed_weight for s in held.values()))
+        assert ready.warm_count == sum(s.warm_fraction(now, COLD) >= 1.0 for s in held.values())
+        assert len(ready) == len(held) and ready.zone_count == len({s.endpoint.zone for s in held.values()})
+        near, far = ready.by_locality
+        assert {s.endpoint.name for s in near} == {name for name, s in held.items() if s.endpoint.zone == 0}
         assert len(near) + len(far) == len(held)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -170,7 +170,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     said = list[bool]()
-    monkeypatch.setattr(DiscoveryClient, "push", lambda _, pushed: said.append(pushed))
+    monkeypatch.setattr(DiscoveryClient, "set_pushed", lambda _, pushed: said.append(pushed))
 
     async def case() -> None:
         first, second = Agent(), Agent()
--- a/tests/test_request_interceptors.py
+++ b/tests/test_request_interceptors.py
@@ -24,7 +24,7 @@
 
 Told = tuple[Any, ...]
 ONE: list[Command] = [StartAttempt(1, "a", 100.0)]
-TURNS_AWAY = FinalResponse(Verdict.REJECTED, retry_after_ms=900.0, paused=True)
+TURNS_AWAY = FinalResponse(Verdict.REJECTED, retry_after_ms=900.0, quota_exhausted=True)
 
 
 class Ear:
@@ -34,18 +34,18 @@
         self._answer, self._hint = answer, hint
         self.told: list[Told] = []
 
-    def taken(self, call: Request) -> FinalResponse | RetryLater | None:
+    def request_received(self, call: Request) -> FinalResponse | RetryLater | None:
         self.told.append(("taken", call.number))
-        call.hint = self._hint or call.hint
+        call.placement_hint = self._hint or call.placement_hint
         return self._answer
 
-    def sent(self, invoker_call: Attempt) -> None:
+    def attempt_started(self, invoker_call: Attempt) -> None:
         self.told.append(("sent", invoker_call.number))
 
-    def ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
+    def attempt_ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
         self.told.append(("ended", invoker_call.number, ending))
 
-    def closed(self, call: Request) -> None:
+    def request_closed(self, call: Request) -> None:
         self.told.append(("closed", call.final.verdict if call.final is not None else None))
 
 
@@ -64,9 +64,9 @@
 
         async def case() -> None:
             calls, hand = calls_of(self.script, *self.ears)
-            call = calls.take(b"n", None, "look", "acme", 9000.0, self.finals.append, room)
+            call = calls.accept(b"n", None, "look", "acme", 9000.0, self.finals.append, room)
             use(call, hand)
-            assert not calls.open and not calls.has(b"n") and not calls.passing
+            assert not calls.open and not calls.is_known(b"n") and not calls.streaming
 
         asyncio.run(case())
         assert not alike or self.ears[0].told == self.ears[1].told
@@ -99,7 +99,7 @@
         ("sent", 1),
         ("ended", 1, AttemptEnding.SERVED),
         ("closed", Verdict.SERVED),
-        ("ended", 0, AttemptEnding.ABANDONED),
+        ("ended", 0, AttemptEnding.CANCELLED),
     ]
     assert len(case.finals) == 1
 
@@ -140,10 +140,10 @@
     case = Case(ONE)
 
     def use(call: Request, hand: Hand) -> None:
-        hand.calls.depart(call)
-        hand.calls.depart(call)
+        hand.calls.client_disconnected(call)
+        hand.calls.client_disconnected(call)
 
-    assert case.play(use) == [("taken", 1), ("sent", 0), ("closed", None), ("ended", 0, AttemptEnding.ABANDONED)]
+    assert case.play(use) == [("taken", 1), ("sent", 0), ("closed", None), ("ended", 0, AttemptEnding.CANCELLED)]
     assert not case.finals
 
 
@@ -152,15 +152,15 @@
     case = Case(ONE)
 
     def use(call: Request, hand: Hand) -> None:
-        assert hand.calls.begun(hand.out[0], b"first")
-        assert hand.calls.has(b"n") and case.ears[0].told[-1] == ("closed", Verdict.SERVED)
+        assert hand.calls.response_started(hand.out[0], b"first")
+        assert hand.calls.is_known(b"n") and case.ears[0].told[-1] == ("closed", Verdict.SERVED)
         if end == "departed":
-            hand.calls.depart(call)
+            hand.calls.client_disconnected(call)
         else:
             hand.end(0, AttemptEnding.SERVED if end == "answered" else AttemptEnding.RESET)
-            hand.calls.passed_on(call, "answered" if end == "answered" else "errored")
+            hand.calls.stream_ended(call, "answered" if end == "answered" else "errored")
 
-    ending = {"answered": AttemptEnding.SERVED, "broken off": AttemptEnding.RESET, "departed": AttemptEnding.ABANDONED}[
+    ending = {"answered": AttemptEnding.SERVED, "broken off": AttemptEnding.RESET, "departed": AttemptEnding.CANCELLED}[
         end
     ]
     assert case.play(use) == [("taken", 1), ("sent", 0), ("closed", Verdict.SERVED), ("ended", 0, ending)]
@@ -171,7 +171,7 @@
     case = Case(ONE)
     case.ears[0] = Ear(TURNS_AWAY)
     assert case.play(alike=False) == [("taken", 1)] and not case.ears[1].told and not case.script.hints
-    assert [(final.verdict, final.paused) for final in case.finals] == [(Verdict.REJECTED, True)]
+    assert [(final.verdict, final.quota_exhausted) for final in case.finals] == [(Verdict.REJECTED, True)]
 
 
 def test_turned_away_by_the_second_the_first_is_told_of_the_end() -> None:
@@ -211,8 +211,8 @@
         ear, finals = Ear(), list[FinalResponse]()
         calls, hand = calls_of(Script([]), ear)
         first, second = (take(calls, finals.append, name) for name in (b"1", b"2"))
-        calls.depart(second)
-        calls.depart(first)
+        calls.client_disconnected(second)
+        calls.client_disconnected(first)
         assert ear.told == [("taken", 1), ("taken", 2), ("closed", None), ("closed", None)]
 
     asyncio.run(case())
@@ -225,8 +225,8 @@
         super().__init__(answer)
         self._times, self._ms = times, ms
 
-    def taken(self, call: Request) -> FinalResponse | RetryLater | None:
-        said = super().taken(call)
+    def request_received(self, call: Request) -> FinalResponse | RetryLater | None:
+        said = super().request_received(call)
         self._times -= 1
         return RetryLater(self._ms, TURNS_AWAY) if self._times >= 0 else said
 
@@ -239,12 +239,12 @@
 
     async def case() -> None:
         calls, hand = calls_of(Script(ONE), first, second)
-        call = calls.take(b"n", None, "look", "acme", budget_ms, finals.append)
+        call = calls.accept(b"n", None, "look", "acme", budget_ms, finals.append)
         async with asyncio.timeout(5):
             while not hand.out and not finals and len(first.told) < 3:
                 await asyncio.sleep(0)
         use(call, hand, calls)
-        assert not calls.open and not calls.has(b"n")
+        assert not calls.open and not calls.is_known(b"n")
 
     asyncio.run(case())
     return second, finals
@@ -260,10 +260,10 @@
 
 def test_a_held_call_is_turned_away_when_there_is_no_time_to_ask_again() -> None:
     second, finals = held(Slow(9, ms=200.0), lambda call, hand, calls: None, budget_ms=100.0)
-    assert [final.paused for final in finals] == [True] and not second.told
+    assert [final.quota_exhausted for final in finals] == [True] and not second.told
 
 
 def test_a_held_call_whose_consumer_goes_is_not_asked_of_again() -> None:
     first = Slow(9)
-    second, finals = held(first, lambda call, hand, calls: calls.depart(call))
+    second, finals = held(first, lambda call, hand, calls: calls.client_disconnected(call))
     assert not finals and not second.told and {told[0] for told in first.told} == {"taken"}
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -44,7 +44,7 @@
 
 def rejected_by_the_endpoint(calls: RequestManager, hand: Hand, call: Request) -> None:
     hand.out[0].sent_at = monotonic()
-    hand.end(0, AttemptEnding.TURNED_AWAY)
+    hand.end(0, AttemptEnding.REJECTED)
 
 
 @pytest.mark.parametrize(
@@ -65,10 +65,10 @@
 
         call = take(calls, answer)
         act(calls, hand, call)
-        calls.end_by(monotonic())
+        calls.finish_by(monotonic())
         await answered.wait()
-        assert not calls.open and all(attempt.over for attempt in hand.out)
-        assert ("depart", 1) in calls.facade.told  # type: ignore[attr-defined]
+        assert not calls.open and all(attempt.ended for attempt in hand.out)
+        assert ("depart", 1) in calls.load_balancer.told  # type: ignore[attr-defined]
 
     asyncio.run(case())
     assert [final.verdict for final in finals] == [verdict]
@@ -80,9 +80,9 @@
     async def case() -> None:
         calls, hand = calls_of(Script(ONE))
         take(calls, finals.append)
-        calls.end_by(monotonic() + 60.0)
+        calls.finish_by(monotonic() + 60.0)
         calls._end_all()  # as if it were that late: the call ends by itself long before
-        assert len(calls.open) == 1 and not finals and not hand.out[0].over
+        assert len(calls.open) == 1 and not finals and not hand.out[0].ended
 
     asyncio.run(case())
 
@@ -90,13 +90,13 @@
 def test_a_call_whose_taking_fails_is_not_kept() -> None:
     # Guards its id and its place among the open calls: its client is told of the fault, and nobody ends it later.
     class Failing(Script):
-        def pick(self, *arguments: Any, **more: Any) -> Commands:
+        def request_arrived(self, *arguments: Any, **more: Any) -> Commands:
             raise RuntimeError("a fault")
 
     async def case() -> None:
         calls, _ = calls_of(Failing([]))
         with pytest.raises(RuntimeError):
             take(calls, lambda final: None)
-        assert not calls.open and not calls.has(b"n")
+        assert not calls.open and not calls.is_known(b"n")
 
     asyncio.run(case())
--- a/tests/test_restricted_mode.py
+++ b/tests/test_restricted_mode.py
@@ -33,15 +33,15 @@
     given = settings(classes=(cls,))
     referee = Referee(given, rows=fleet(7))
     name, _ = referee.arrive(0)
-    referee.retune(replace(given, narrow=True))  # an open call as well
+    referee.retune(replace(given, restricted=True))  # an open call as well
     answer = referee.finish(name, 0, outcome)
     assert not sends(answer) and referee.calls[name].over
     assert not any(isinstance(act, actions.RejectRequest) for act in answer)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.REFUSED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
 def test_what_surely_never_ran_goes_on(outcome: Outcome) -> None:
-    referee = Referee(settings(narrow=True), rows=fleet(7))
+    referee = Referee(settings(restricted=True), rows=fleet(7))
     name, _ = referee.arrive(0)
     assert sends(referee.finish(name, 0, outcome))
 
@@ -50,7 +50,7 @@
     """The same days as where copies are seen to be made at once or when overdue."""
 
     def copies(narrow: bool) -> int:
-        referee = Referee(settings(narrow=narrow), rows=fleet(9))
+        referee = Referee(settings(restricted=narrow), rows=fleet(9))
         twice = 0
         for turn in range(300):
             name, _ = referee.arrive(0)
@@ -65,7 +65,7 @@
 
 def test_cold_upstreams_get_nothing_from_who_has_no_part() -> None:
     rows = tuple(row._replace(started_ms=999.0) for row in fleet(7))  # all: where else could a call go
-    for changes in ({"narrow": True}, {"cold_parts": inf}):
+    for changes in ({"restricted": True}, {"agreed_slow_start_divisor": inf}):
         referee = Referee(settings(classes=(READ,), **changes), rows=rows)
         for _ in range(100):
             referee.arrive(0)
@@ -82,9 +82,11 @@
     rooms = []
     for parts in (0.0, 4.0, 16.0):
         referee = Referee(settings(balancers=2, processes=2), rows=fleet(7))
-        referee.balancer.tier.done = referee.balancer.tier.busy = 1.0  # reports tell what the tier can do
-        referee.retune(settings(balancers=2, processes=2, cold_parts=parts))
-        rooms.append(referee.balancer.room)
+        referee.balancer.tier_profile.reported_rate = referee.balancer.tier_profile.reported_use = (
+            1.0  # reports tell what the tier can do
+        )
+        referee.retune(settings(balancers=2, processes=2, agreed_slow_start_divisor=parts))
+        rooms.append(referee.balancer.slow_start_rate)
     assert rooms[0] == pytest.approx(2 * rooms[1]) and rooms[1] == pytest.approx(4 * rooms[2])
 
 
@@ -100,8 +102,10 @@
     clock = Clock()
     facade = LoadBalancer(settings(classes=(READ,)), 7, clock=clock)
     facade.start()
-    facade.heard([DiscoveredEndpoint(f"p{n}", ("127.0.0.1", n), DiscoveryStatus.IN_SERVICE) for n in range(5)], True)
-    facade.lease(1500.0, refusing=refusing)
+    facade.endpoints_listed(
+        [DiscoveredEndpoint(f"p{n}", ("127.0.0.1", n), DiscoveryStatus.IN_SERVICE) for n in range(5)], True
+    )
+    facade.set_lease(1500.0, refusing=refusing)
     return facade, clock
 
 
@@ -112,40 +116,40 @@
 def test_the_first_event_after_a_pause_finds_the_lease_run_out() -> None:
     """No timer runs here: SIGSTOP for 10 s, and the provider's answer is what the loop handles first."""
     facade, clock = leased()
-    (call,) = made(facade.pick(1, "read", "", 900.0))[:1]
+    (call,) = made(facade.request_arrived(1, "read", "", 900.0))[:1]
     clock.now = 1499.0
-    assert made(facade.report(1, 0, call.provider, 5.0, AttemptEnding.ERROR, False)), (
+    assert made(facade.attempt_finished(1, 0, call.endpoint, 5.0, AttemptEnding.ERROR, False)), (
         "the lease holds: it is tried again"
     )
     facade, clock = leased()
-    (call,) = made(facade.pick(1, "read", "", 900.0))[:1]
+    (call,) = made(facade.request_arrived(1, "read", "", 900.0))[:1]
     clock.now = 1500.0
-    orders = facade.report(1, 0, call.provider, 5.0, AttemptEnding.ERROR, False)
+    orders = facade.attempt_finished(1, 0, call.endpoint, 5.0, AttemptEnding.ERROR, False)
     assert not made(orders) and any(isinstance(order, FailRequest) for order in orders)
-    assert facade.narrow
+    assert facade.restricted
 
 
 def test_a_new_lease_widens_again_and_settings_read_meanwhile_do_not() -> None:
     facade, clock = leased()
     clock.now = 5000.0
-    facade.retune(settings(classes=(READ,)))
-    (call,) = made(facade.pick(1, "read", "", 20000.0))[:1]
-    assert not made(facade.report(1, 0, call.provider, 5.0, AttemptEnding.RESET, False))
-    facade.lease(8000.0)
-    (call,) = made(facade.pick(2, "read", "", 20000.0))[:1]
-    assert made(facade.report(2, 0, call.provider, 5.0, AttemptEnding.RESET, False))
+    facade.apply_settings(settings(classes=(READ,)))
+    (call,) = made(facade.request_arrived(1, "read", "", 20000.0))[:1]
+    assert not made(facade.attempt_finished(1, 0, call.endpoint, 5.0, AttemptEnding.RESET, False))
+    facade.set_lease(8000.0)
+    (call,) = made(facade.request_arrived(2, "read", "", 20000.0))[:1]
+    assert made(facade.attempt_finished(2, 0, call.endpoint, 5.0, AttemptEnding.RESET, False))
 
 
 def test_without_a_lease_all_is_rejected_where_the_settings_say_so() -> None:
     facade, clock = leased(refusing=True)
-    assert not facade.shut
+    assert not facade.rejects_all
     clock.now = 1500.0
-    assert facade.shut and not leased()[0].shut
+    assert facade.rejects_all and not leased()[0].rejects_all
 
 
 def test_one_that_is_alone_never_becomes_narrow() -> None:
     clock = Clock()
     facade = LoadBalancer(settings(classes=(READ,)), 7, clock=clock)
     clock.now = 1e12
-    assert not facade.narrow and not facade.shut
+    assert not facade.restricted and not facade.rejects_all
     assert not [order for order in facade.start() if not isinstance(order, (ScheduleTimer, RejectRequest))]
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -18,7 +18,7 @@
 from limenotch.request_policy import ARRIVAL_MS, RequestPolicy, SentAttempt
 
 EFFECTS = st.builds(
-    lambda effect, scope, window: TrafficClass("c", effect, 100.0, 1000.0, scope=scope, window_ms=window),
+    lambda effect, scope, window: TrafficClass("c", effect, 100.0, 1000.0, dedup_scope=scope, dedup_window_ms=window),
     st.sampled_from(list(Effect)),
     st.sampled_from(list(DedupScope)),
     st.sampled_from([0.0, 50.0, 400.0, 9000.0]),
@@ -37,11 +37,11 @@
         if cls.effect.value == "at_most_once":
             return False
         if cls.effect.value == "deduplicated":
-            if now - one.sent_ms >= cls.window_ms:
+            if now - one.sent_ms >= cls.dedup_window_ms:
                 return False
-            if cls.scope.value == "zone" and one.zone != zone:
+            if cls.dedup_scope.value == "zone" and one.zone != zone:
                 return False
-            if cls.scope.value == "cell" and one.cell != cell:
+            if cls.dedup_scope.value == "cell" and one.cell != cell:
                 return False
     return True
 
@@ -51,7 +51,7 @@
 def test_the_rule_is_that_of_the_pages(
     cls: TrafficClass, earlier: list[PriorAttempt], now: float, zone: str, cell: int
 ) -> None:
-    ran = [one for one in earlier if one.ran]
+    ran = [one for one in earlier if one.may_have_run]
     assert may_repeat(cls, earlier, now, zone, cell) is allowed_by_the_pages(cls, ran, now, zone, cell)
     # With no place named it is a client's repeat, that may land anywhere.
     anywhere = all(allowed_by_the_pages(cls, ran, now, z, c) for z in "abc" for c in (1, 2, 3))
@@ -61,18 +61,18 @@
 # Right before the first byte, over random histories of one call
 
 
-CHOSEN = DiscoveredEndpoint("p", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE, zone="a", group=1, since_ms=5.0)
+CHOSEN = DiscoveredEndpoint("p", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE, zone="a", group=1, started_ms=5.0)
 
 
 def call_of(cls: TrafficClass, copies: bool = False) -> Request:
     call = Request(1, b"n", "c", None, 100.0, 100.0, lambda final: None)
-    call.permits = RequestPolicy(cls, copies)
+    call.policy = RequestPolicy(cls, copies)
     return call
 
 
 def attempt_of(call: Request, endpoint: DiscoveredEndpoint = CHOSEN) -> Attempt:
-    attempt = Attempt(call, len(call.made), endpoint.name, 0.0, 90.0, endpoint=endpoint)
-    call.made.append(attempt)
+    attempt = Attempt(call, len(call.attempts), endpoint.name, 0.0, 90.0, endpoint=endpoint)
+    call.attempts.append(attempt)
     return attempt
 
 
@@ -98,7 +98,7 @@
     for ending, begun, zone, group, at in history:
         attempt = attempt_of(call, CHOSEN._replace(zone=zone, group=group))
         attempt.sent_at = at * begun
-        attempt.over, attempt.ending = ending is not None, ending
+        attempt.ended, attempt.ending = ending is not None, ending
     found = obstacle_to(attempt_of(call), CHOSEN, now)
 
     ran = [
@@ -120,14 +120,14 @@
 def test_each_hindrance_has_its_name() -> None:
     assert obstacle_to(attempt_of(call_of(SAFE)), CHOSEN, 1.0) is None
     gone = attempt_of(call_of(SAFE))
-    gone.call.gone = True
+    gone.request.client_gone = True
     assert obstacle_to(gone, CHOSEN, 1.0) is Obstacle.CLIENT_GONE
     over = attempt_of(call_of(SAFE))
-    over.over = True
+    over.ended = True
     assert obstacle_to(over, CHOSEN, 1.0) is Obstacle.ENDED
     assert obstacle_to(attempt_of(call_of(SAFE)), CHOSEN, 90.0) is Obstacle.NO_TIME
     assert obstacle_to(attempt_of(call_of(SAFE)), None, 1.0) is Obstacle.NOT_IN_SERVICE
-    for changed in (CHOSEN._replace(since_ms=6.0), CHOSEN._replace(address=("127.0.0.1", 2))):
+    for changed in (CHOSEN._replace(started_ms=6.0), CHOSEN._replace(address=("127.0.0.1", 2))):
         assert obstacle_to(attempt_of(call_of(SAFE)), changed, 1.0) is Obstacle.RESTARTED
 
 
@@ -141,7 +141,7 @@
     call = Request(1, b"n", "c", None, 100.0, 100.0, lambda final: None)
     first = attempt_of(call)
     assert obstacle_to(first, CHOSEN, 1.0) is None
-    first.sent_at, first.over, first.ending = 1.0, True, AttemptEnding.RESET
+    first.sent_at, first.ended, first.ending = 1.0, True, AttemptEnding.RESET
     assert obstacle_to(attempt_of(call), CHOSEN, 2.0) is Obstacle.MAY_HAVE_RUN
 
 
--- a/tests/test_retry_policy_random_events.py
+++ b/tests/test_retry_policy_random_events.py
@@ -15,8 +15,10 @@
 from .referee import PAY, READ, WRITE, Referee, fleet, settings
 from .test_balancing_rules import STEPS, play
 
-LONG = replace(WRITE, name="long", scope=DedupScope.ALL, window_ms=10_000.0)  # outlasts its client's patience
-SHORT = replace(WRITE, name="short", scope=DedupScope.ALL, window_ms=300.0)
+LONG = replace(
+    WRITE, name="long", dedup_scope=DedupScope.ALL, dedup_window_ms=10_000.0
+)  # outlasts its client's patience
+SHORT = replace(WRITE, name="short", dedup_scope=DedupScope.ALL, dedup_window_ms=300.0)
 
 
 @drawn(derandomize=True, deadline=None)
@@ -24,7 +26,7 @@
 def test_rules_hold_for_any_events(
     steps: list[tuple[str, int, Outcome]], seed: int, copies: bool, cancel: bool
 ) -> None:
-    given_ = settings(classes=(READ, LONG, SHORT, PAY), may_copy=copies, may_cancel=cancel)
+    given_ = settings(classes=(READ, LONG, SHORT, PAY), may_hedge=copies, may_cancel=cancel)
     referee = Referee(given_, seed, rows=fleet(7))
     play(referee, steps)
     referee.settle()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -137,14 +137,14 @@
 
 def test_an_answer_that_has_begun_is_not_cut_off_by_our_own_end(monkeypatch: pytest.MonkeyPatch) -> None:
     # Whether SIGKILL comes is not ours to say; a process that ends by itself loses what it has not answered.
-    left, leave = list[bool](), ClientListener.leave
+    left, leave = list[bool](), ClientListener.shut_down
 
     async def leaves(self: ClientListener, *given: Any) -> None:
         await leave(self, *given)
         left.append(True)  # the program ends
 
     async def case() -> None:
-        monkeypatch.setattr(ClientListener, "leave", leaves)
+        monkeypatch.setattr(ClientListener, "shut_down", leaves)
         begun, release, size = asyncio.Event(), asyncio.Event(), 4 * HOLD
 
         async def handle(reader: Reader, writer: Writer) -> None:
@@ -233,7 +233,7 @@
         if part == BIG[:-1]:
             await until(lambda: bool(connections.calls.open))
         times = schedule(20.0, 0.5, 1.8)
-        leaving = asyncio.create_task(connections.all.leave(since=monotonic() - times.answer_s))
+        leaving = asyncio.create_task(connections.all.shut_down(since=monotonic() - times.answer_s))
         assert (await received(sock)).startswith(b"HTTP/1.1 503 ")
         assert not connections.calls.open
         sock.close()
@@ -247,7 +247,7 @@
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         times = schedule(20.0, 0.5, 1.8)
-        await connections.all.leave(since=monotonic() - times.end_s)
+        await connections.all.shut_down(since=monotonic() - times.end_s)
         assert not connections.all._open
         assert await received(sock) == b""
         sock.close()
@@ -258,13 +258,13 @@
 def test_deadlines_that_change_while_leaving_change_no_time() -> None:
     # SIGKILL counts from what was in force at SIGTERM.
     async def use(connections: Connections) -> None:
-        leaving = asyncio.create_task(connections.all.leave())
+        leaving = asyncio.create_task(connections.all.shut_down())
         await asyncio.sleep(0)
-        last = connections.calls.last
+        last = connections.calls.last_deadline
         for seconds in (0.1, 100.0):
-            connections.calls.carry_out(connections.calls.facade.retune(read_settings(deadlines(seconds))))
+            connections.calls.execute(connections.calls.load_balancer.apply_settings(read_settings(deadlines(seconds))))
             await asyncio.sleep(0)
-            assert connections.calls.last == last
+            assert connections.calls.last_deadline == last
         leaving.cancel()
 
     run(with_connections(use, PATIENT))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -199,7 +199,7 @@
     async def case() -> None:
         sockets = DescriptorLimits(64)
         calls = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10)
-        all_ = ClientListener(calls, calls.facade, sockets, lambda: True)
+        all_ = ClientListener(calls, calls.load_balancer, sockets, lambda: True)
         port = free_port()
         all_.listen(("127.0.0.1", port))
         many = range(sockets.consumers.limit + 3)
@@ -242,8 +242,10 @@
         super().__init__(LoadBalancer(read_settings(SETTINGS), 1), 10)
         self.endings: asyncio.Queue[AttemptEnding] = asyncio.Queue()
 
-    def ended(self, invoker_call: Attempt, ending: AttemptEnding, payload: Any = None, *report: float | None) -> None:
-        invoker_call.over = True
+    def attempt_ended(
+        self, invoker_call: Attempt, ending: AttemptEnding, payload: Any = None, *report: float | None
+    ) -> None:
+        invoker_call.ended = True
         self.endings.put_nowait(ending)
 
 
@@ -267,11 +269,11 @@
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         provider = DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)
         pool = EndpointPool(calls, sockets, 9000.0, 9000.0)
-        pool.listed([provider], True)
-        pool.make(invoker_call(monotonic() + 20))
+        pool.apply_list([provider], True)
+        pool.start(invoker_call(monotonic() + 20))
         await asyncio.sleep(0)  # the task runs up to its wait for the connection
         assert sockets.used == 1
-        pool.listed([provider._replace(status=DiscoveryStatus.TERMINATING)], False)
+        pool.apply_list([provider._replace(status=DiscoveryStatus.TERMINATING)], False)
         assert await calls.endings.get() is AttemptEnding.NOT_SENT
         assert await seen.get() == b"" and calls.endings.empty()
         while sockets.used:  # the descriptor comes back with the connection's end
@@ -285,8 +287,10 @@
     async def case() -> None:
         calls, sockets = Heard(), unlimited()
         pool = EndpointPool(calls, sockets, 9000.0, 9000.0)
-        pool.listed([DiscoveredEndpoint("a", ("127.0.0.1", free_port()), DiscoveryStatus.IN_SERVICE)] * listed, True)
-        pool.make(invoker_call(monotonic() + 20))
+        pool.apply_list(
+            [DiscoveredEndpoint("a", ("127.0.0.1", free_port()), DiscoveryStatus.IN_SERVICE)] * listed, True
+        )
+        pool.start(invoker_call(monotonic() + 20))
         assert await calls.endings.get() is ending
         while sockets.used:
             await asyncio.sleep(0)
@@ -302,9 +306,9 @@
     async def case() -> None:
         calls, sockets = Heard(), unlimited()
         pool = EndpointPool(calls, sockets, 9000.0, 9000.0)
-        pool.listed([DiscoveredEndpoint("a", ("127.0.0.1", 9), DiscoveryStatus.IN_SERVICE)], True)
+        pool.apply_list([DiscoveredEndpoint("a", ("127.0.0.1", 9), DiscoveryStatus.IN_SERVICE)], True)
         monkeypatch.setattr(socket, "socket", none_left)
-        pool.make(invoker_call(monotonic() + 20))
+        pool.start(invoker_call(monotonic() + 20))
         assert await calls.endings.get() is AttemptEnding.NOT_SENT and sockets.used == 0
 
     run(case())
@@ -316,7 +320,7 @@
     sockets, idle = DescriptorLimits(64), [1, 1]
     while sockets.consumers.take():
         pass
-    assert sockets.providers.room and sockets.providers.take()
+    assert sockets.providers.has_capacity and sockets.providers.take()
 
     def drop() -> bool:
         sockets.providers.used -= bool(idle)
@@ -326,15 +330,15 @@
     while sockets.providers.take():
         pass
     assert not idle and sockets.consumers.used + sockets.providers.used == 64 - DescriptorSettings().reserve - OPERATORS
-    assert not sockets.providers.room
+    assert not sockets.providers.has_capacity
 
 
 def test_calls_over_the_limit_are_rejected_at_once() -> None:
     async def case() -> None:
         calls, finals = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 1), list[FinalResponse]()
-        calls.take(b"1", None, "look", "acme", 20000.0, finals.append)
+        calls.accept(b"1", None, "look", "acme", 20000.0, finals.append)
         assert not finals  # held by the module: there is no list yet
-        calls.take(b"2", None, "look", "acme", 20000.0, finals.append)
+        calls.accept(b"2", None, "look", "acme", 20000.0, finals.append)
         (final,) = finals
         assert final.verdict is Verdict.REJECTED and final.retry_after_ms == 0  # these settings allow no advice
 
@@ -351,7 +355,7 @@
     for text in (b"", b"util", b"TEXT util=x", b"util=nan", b"util=9e9", b"util=-1", b"\xff=,="):
         assert load_report(text) == (None, None)
     marked = http1.Message([], {b"x-rejected": b"1"}, status=503)
-    assert attempt_ending(marked) is AttemptEnding.TURNED_AWAY
+    assert attempt_ending(marked) is AttemptEnding.REJECTED
     marked.status = 500
     assert attempt_ending(marked) is AttemptEnding.ERROR
 
@@ -378,8 +382,8 @@
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         pool = EndpointPool(calls, sockets, 9000.0, 9000.0, ProviderTuning(answer_s=0.0))
-        pool.listed([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
-        pool.make(invoker_call(monotonic() + 20))
+        pool.apply_list([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
+        pool.start(invoker_call(monotonic() + 20))
         assert await calls.endings.get() is AttemptEnding.RESET
 
     run(case())
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -186,4 +186,4 @@
 
 def test_absent_settings_take_their_defaults() -> None:
     given = read_settings({"classes": ENV["classes"]})
-    assert (given.balancers, given.layer, given.max_attempts, given.must_ask) == (1, 0, 3, False)
+    assert (given.balancers, given.tier_index, given.max_attempts, given.must_subscribe) == (1, 0, 3, False)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,9 +18,9 @@
 
 AIM, END, WARM = 2000.0, 5000.0, 24_000.0
 SETTINGS = BalancerSettings(
-    classes=(TrafficClass("look", Effect.IDEMPOTENT, AIM, END, late_worth=0.5),),
-    cold=SlowStart(0.12, WARM, 4.0, 3000.0),
-    may_copy=False,
+    classes=(TrafficClass("look", Effect.IDEMPOTENT, AIM, END, late_weight=0.5),),
+    slow_start=SlowStart(0.12, WARM, 4.0, 3000.0),
+    may_hedge=False,
 )
 
 
@@ -41,7 +41,7 @@
 
     def listed(self, time: float, started: float) -> None:
         ups = tuple(Endpoint(f"u{n}-{started:g}", started_ms=started) for n in range(4))
-        self.at(time, MembershipUpdate(MembershipKind.WHOLE, ups))
+        self.at(time, MembershipUpdate(MembershipKind.COMPLETE, ups))
 
     def calls(self, begin: float, end: float) -> None:
         for number in range(int((end - begin) / 10)):
@@ -51,16 +51,16 @@
         while self.heap:
             now, _, event = heapq.heappop(self.heap)
             if isinstance(event, RequestArrived):
-                self.begun[event.call] = now
+                self.begun[event.request] = now
             for action in self.balancer.handle(now, event):
                 if isinstance(action, SendAttempt):
                     self.sent.append(now)
-                    done = AttemptFinished(action.call, action.upstream, 0, 50.0, Outcome.OK, False, 0.3)
+                    done = AttemptFinished(action.request, action.endpoint, 0, 50.0, Outcome.OK, False, 0.3)
                     self.at(now + 50, done)
                 elif isinstance(action, SetTimer):
                     self.at(action.at_ms, TimerFired(action.token))
                 elif isinstance(action, (RejectRequest, FailRequest)):
-                    self.ended[action.call] = (now - self.begun[action.call], isinstance(action, RejectRequest))
+                    self.ended[action.request] = (now - self.begun[action.request], isinstance(action, RejectRequest))
 
 
 def cold_day() -> Day:
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -46,10 +46,16 @@
 
 def told(rank: int, total: int, rows: tuple[Endpoint, ...], seed: int = 1, **given: object) -> Balancer:
     """A balancer that knows by reports what a warm endpoint can do: 20 a second."""
-    base: dict[str, object] = {"classes": (LOOK,), "balancers": total, "rank": rank, "cold": COLD, "layer": 1}
+    base: dict[str, object] = {
+        "classes": (LOOK,),
+        "balancers": total,
+        "balancer_index": rank,
+        "slow_start": COLD,
+        "tier_index": 1,
+    }
     balancer = Balancer(BalancerSettings(**(base | given)), seed)  # type: ignore[arg-type]
-    balancer.tier.done, balancer.tier.busy = 20.0, 1.0
-    balancer.handle(60_000.0, MembershipUpdate(MembershipKind.WHOLE, rows))
+    balancer.tier_profile.reported_rate, balancer.tier_profile.reported_use = 20.0, 1.0
+    balancer.handle(60_000.0, MembershipUpdate(MembershipKind.COMPLETE, rows))
     return balancer
 
 
@@ -63,33 +69,39 @@
 )
 def test_the_parts_of_all_add_up(number: int, cold: int, total: int, zones: int, price: float) -> None:
     """Whatever is drawn from, how much is cold and how dear crossings are: half of what pushes each one over."""
-    all_ = [told(r, total, rows(number, cold, zones), zone=r % zones, crossing_cost=price) for r in range(total)]
-    limit = COLD.fall_multiple * COLD.capacity * 20.0 / 1000
+    all_ = [told(r, total, rows(number, cold, zones), zone=r % zones, cross_zone_cost=price) for r in range(total)]
+    limit = COLD.overload_multiple * COLD.initial_capacity * 20.0 / 1000
     for n in range(cold):
-        room = sum(balancer.roster.servers[f"u{n}"].room for balancer in all_)
+        room = sum(balancer.registry.endpoints[f"u{n}"].slow_start_rate for balancer in all_)
         assert 0.4 < room / limit < 0.6
 
 
 def test_a_keyed_repeat_leaves_the_part_as_it_is() -> None:
     """The group's shares are taken anew for it, without the distance: the part of far cold ones grew twentyfold."""
-    classes = (TrafficClass("keyed", Effect.DEDUPLICATED, 1000.0, 3000.0, scope=DedupScope.ZONE, window_ms=3000.0),)
-    balancer = told(0, 4, rows(9, 9, 3), classes=classes, crossing_cost=0.015)
-    before = {name: server.room for name, server in balancer.roster.servers.items()}
+    classes = (
+        TrafficClass("keyed", Effect.DEDUPLICATED, 1000.0, 3000.0, dedup_scope=DedupScope.ZONE, dedup_window_ms=3000.0),
+    )
+    balancer = told(0, 4, rows(9, 9, 3), classes=classes, cross_zone_cost=0.015)
+    before = {name: server.slow_start_rate for name, server in balancer.registry.endpoints.items()}
     for call in range(50):
-        balancer.handle(60_001.0 + call, RequestArrived(str(call), 0, 3000.0, bound=PriorExecution(1, 0, 60_000.0)))
-    assert before == {name: server.room for name, server in balancer.roster.servers.items()}
+        balancer.handle(
+            60_001.0 + call, RequestArrived(str(call), 0, 3000.0, prior_execution=PriorExecution(1, 0, 60_000.0))
+        )
+    assert before == {name: server.slow_start_rate for name, server in balancer.registry.endpoints.items()}
 
 
 def test_a_balancer_saves_up_one_request_and_half_a_span() -> None:
     server = EndpointStatistics(Endpoint("u"), LatencyProfile(), 0.0, 0.0)
-    server.room = 0.01
-    assert server.earn(50.0, 2000.0) == 0.5
-    assert server.earn(1e6, 2000.0) == 11.0
+    server.slow_start_rate = 0.01
+    assert server.accrue_credit(50.0, 2000.0) == 0.5
+    assert server.accrue_credit(1e6, 2000.0) == 11.0
 
 
 def test_balancers_of_one_seed_take_turns() -> None:
     """With one seed for all, the first requests of all that started together came in the same moment."""
-    credits = sorted(told(rank, 30, rows(4, 4), seed=9).roster.servers["u0"].credit for rank in range(30))
+    credits = sorted(
+        told(rank, 30, rows(4, 4), seed=9).registry.endpoints["u0"].slow_start_credit for rank in range(30)
+    )
     assert max(b - a for a, b in zip(credits, credits[1:], strict=False)) < 3 / 30
     assert credits[-1] - credits[0] > 0.9
 
@@ -101,10 +113,10 @@
         now = 85_000.0 + number * 2  # warm by then
         for action in balancer.handle(now, RequestArrived(f"c{number}", 0, 4000.0)):
             if isinstance(action, SendAttempt):
-                done = AttemptFinished(action.call, action.upstream, 0, 5.0, Outcome.OK, False, 0.5, 10.0)
+                done = AttemptFinished(action.request, action.endpoint, 0, 5.0, Outcome.OK, False, 0.5, 10.0)
                 balancer.handle(now + 1, done)
     longer = SlowStart(0.1, 60_000.0, 3.0, 2000.0)
-    balancer.handle(89_100.0, SettingsChanged(BalancerSettings((LOOK,), cold=longer, layer=1)))
+    balancer.handle(89_100.0, SettingsChanged(BalancerSettings((LOOK,), slow_start=longer, tier_index=1)))
     sent = [
         a
         for n in range(300)
@@ -116,10 +128,10 @@
 
 def test_answers_of_those_that_left_are_no_rate_of_those_that_stay() -> None:
     """Ten answer, nine are replaced: what the nine still answer is not what the one can do."""
-    settings = BalancerSettings((LOOK,), cold=COLD, layer=1)
+    settings = BalancerSettings((LOOK,), slow_start=COLD, tier_index=1)
     balancer = Balancer(settings, 2)
     listed = tuple(Endpoint(f"u{n}") for n in range(10))
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, listed))
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, listed))
     now = 0.0
 
     def call(number: int) -> list[Action]:
@@ -129,12 +141,12 @@
         now = 1.0 + number * 10
         for action in call(number):
             if isinstance(action, SendAttempt):
-                balancer.handle(now, AttemptFinished(action.call, action.upstream, 0, 5.0, Outcome.OK))
-    assert 8.0 < balancer.shown < 12.0  # of 100 a second
+                balancer.handle(now, AttemptFinished(action.request, action.endpoint, 0, 5.0, Outcome.OK))
+    assert 8.0 < balancer.shown_rate < 12.0  # of 100 a second
     out = [action for number in range(1000, 1200) for action in call(number) if isinstance(action, SendAttempt)]
     cold = tuple(Endpoint(f"v{n}", started_ms=now) for n in range(9))
-    balancer.handle(now, MembershipUpdate(MembershipKind.WHOLE, (listed[0], *cold)))
+    balancer.handle(now, MembershipUpdate(MembershipKind.COMPLETE, (listed[0], *cold)))
     for send in out:
-        balancer.handle(now, AttemptFinished(send.call, send.upstream, 0, 5.0, Outcome.OK))
+        balancer.handle(now, AttemptFinished(send.request, send.endpoint, 0, 5.0, Outcome.OK))
     balancer.handle(now + 2000.0, TimerFired(-1))
-    assert balancer.shown < 20.0
+    assert balancer.shown_rate < 20.0
--- a/tests/test_stale_endpoint_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -26,7 +26,7 @@
     """A balancer with eight endpoints, of which `rejecting` turn every attempt away and the others answer at once."""
 
     def __init__(self, layer: int = 0) -> None:
-        self.balancer = Balancer(BalancerSettings(classes=(SAFE, ONCE), layer=layer, max_attempts=3), seed=4)
+        self.balancer = Balancer(BalancerSettings(classes=(SAFE, ONCE), tier_index=layer, max_attempts=3), seed=4)
         self.now = 0.0
         self.rejecting: set[str] = set()
         self.calls = 0
@@ -35,10 +35,10 @@
 
     def listed(self, names: str) -> None:
         entries = tuple(Endpoint(name) for name in names)
-        self.balancer.handle(self.now, MembershipUpdate(MembershipKind.WHOLE, entries))
+        self.balancer.handle(self.now, MembershipUpdate(MembershipKind.COMPLETE, entries))
 
     def watch_breaks(self) -> None:
-        self.balancer.handle(self.now, MembershipUpdate(MembershipKind.BROKEN))
+        self.balancer.handle(self.now, MembershipUpdate(MembershipKind.UNAVAILABLE))
 
     def call(self, traffic_class: int = 0) -> list[str]:
         """One call up to its end; the endpoints that it was sent to, in order."""
@@ -50,11 +50,11 @@
             actions = []
             for send in sends:
                 attempt = len(sent)
-                sent.append(send.upstream)
-                outcome = Outcome.REFUSED if send.upstream in self.rejecting else Outcome.OK
+                sent.append(send.endpoint)
+                outcome = Outcome.REJECTED if send.endpoint in self.rejecting else Outcome.OK
                 report = (0.3, 50.0) if outcome is Outcome.OK else (None, None)
                 actions += self.balancer.handle(
-                    self.now, AttemptFinished(send.call, send.upstream, attempt, 5.0, outcome, False, *report)
+                    self.now, AttemptFinished(send.request, send.endpoint, attempt, 5.0, outcome, False, *report)
                 )
         return sent
 
@@ -100,7 +100,7 @@
     tier = Tier()
     tier.watch_breaks()
     tier.rejecting = {"a"}
-    while not tier.balancer.roster.servers["a"].at_rest(tier.now):
+    while not tier.balancer.registry.endpoints["a"].is_ejected(tier.now):
         tier.call()
     tier.rejecting = set()
     rested = tier.now
@@ -113,8 +113,8 @@
     tier.watch_breaks()
     tier.rejecting = set(NAMES)
     tier.sent_until(REST / 2)
-    resting = [server for server in tier.balancer.roster.servers.values() if server.at_rest(tier.now)]
+    resting = [server for server in tier.balancer.registry.endpoints.values() if server.is_ejected(tier.now)]
     assert len(resting) == RESTING * len(NAMES)
     tier.rejecting = set()
     sent = tier.sent_until(REST * 0.9)
-    assert sent and not set(sent).intersection(server.at.name for server in resting)
+    assert sent and not set(sent).intersection(server.endpoint.name for server in resting)
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -187,31 +187,31 @@
     # Guards the entry: calls under way for seconds at the pace of their clients once passed for a jam, and a quarter
     # of all calls was refused.
     balancer = Balancer(BalancerSettings(classes=CLASSES), seed=3)
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, (Endpoint("a"), Endpoint("b"))))
-    acts = balancer.handle(1.0, RequestArrived("1", 0, 900, once=True))
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("a"), Endpoint("b"))))
+    acts = balancer.handle(1.0, RequestArrived("1", 0, 900, single_use_body=True))
     (send,) = [act for act in acts if isinstance(act, SendAttempt)]  # and no copy
-    server = balancer.roster.servers[send.upstream]
-    assert (balancer.out, server.out) == (0, 0)
+    server = balancer.registry.endpoints[send.endpoint]
+    assert (balancer.in_flight, server.in_flight) == (0, 0)
     balancer.handle(5000.0, UploadFinished("1", 900))
-    assert (balancer.out, server.out) == (1, 1)
+    assert (balancer.in_flight, server.in_flight) == (1, 1)
     # Its class's 400 ms to be on time begin then.
-    balancer.handle(5300.0, AttemptFinished("1", send.upstream, 0, 300.0, Outcome.OK, True))
-    assert (balancer.out, server.out, server.bad) == (0, 0, 0.0) and server.good == 1.0
+    balancer.handle(5300.0, AttemptFinished("1", send.endpoint, 0, 300.0, Outcome.OK, True))
+    assert (balancer.in_flight, server.in_flight, server.failures) == (0, 0, 0.0) and server.successes == 1.0
     balancer.handle(5301.0, UploadFinished("1", 900))  # late word of a call that is over
-    assert balancer.out == 0
+    assert balancer.in_flight == 0
 
 
 @pytest.mark.parametrize(("spent", "again"), [(False, True), (True, False)])
 def test_a_call_that_goes_out_once_may_go_elsewhere_while_nothing_of_it_is_spent(spent: bool, again: bool) -> None:
     balancer = Balancer(BalancerSettings(classes=CLASSES), seed=3)
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.WHOLE, (Endpoint("a"), Endpoint("b"))))
-    acts = balancer.handle(1.0, RequestArrived("1", 0, 900, once=True))
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("a"), Endpoint("b"))))
+    acts = balancer.handle(1.0, RequestArrived("1", 0, 900, single_use_body=True))
     (send,) = [act for act in acts if isinstance(act, SendAttempt)]  # and no copy
-    failed = AttemptFinished("1", send.upstream, 0, 1.0, Outcome.CONNECT_FAILED, spent=spent)
+    failed = AttemptFinished("1", send.endpoint, 0, 1.0, Outcome.CONNECT_FAILED, body_consumed=spent)
     acts = balancer.handle(2.0, failed)
     assert any(isinstance(act, SendAttempt) for act in acts) is again
     assert any(isinstance(act, RejectRequest) for act in acts) is not again
-    assert balancer.out == 0
+    assert balancer.in_flight == 0
 
 
 def test_a_loser_that_ends_after_the_winner_began_cuts_nothing_off() -> None:
@@ -222,27 +222,27 @@
         abandoned: list[int] = []
 
         class Fake:
-            def make(self, invoker_call: Attempt) -> None: ...
+            def start(self, invoker_call: Attempt) -> None: ...
 
-            def abandon(self, invoker_call: Attempt) -> None:
+            def cancel(self, invoker_call: Attempt) -> None:
                 abandoned.append(invoker_call.number)
 
-        calls.invoker = Fake()
-        calls.carry_out(
-            calls.facade.heard(
+        calls.attempt_runner = Fake()
+        calls.execute(
+            calls.load_balancer.endpoints_listed(
                 [DiscoveredEndpoint(n, ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE) for n in "ab"], True
             )
         )
-        call = calls.take(b"1", None, "look", "acme", 20000.0, finals.append)
-        (one,) = call.made
+        call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append)
+        (one,) = call.attempts
         calls._invoke(StartAttempt(call.number, "b", 20000.0))
-        two = call.made[1]
-        assert calls.begun(one, "the answer") and not calls.begun(two, "another")
-        calls.ended(two, AttemptEnding.ABANDONED)
+        two = call.attempts[1]
+        assert calls.response_started(one, "the answer") and not calls.response_started(two, "another")
+        calls.attempt_ended(two, AttemptEnding.CANCELLED)
         assert 0 not in abandoned and [final.payload for final in finals] == ["the answer"]
-        calls.ended(one, AttemptEnding.RESET)
-        calls.passed_on(call, "errored")
-        assert calls.figures.count("errored") == 1 and not calls.passing and not calls.has(b"1")
+        calls.attempt_ended(one, AttemptEnding.RESET)
+        calls.stream_ended(call, "errored")
+        assert calls.metrics.count("errored") == 1 and not calls.streaming and not calls.is_known(b"1")
 
     run(case())
 
@@ -253,19 +253,19 @@
         calls, finals = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10), list[FinalResponse]()
 
         class Fake:
-            def make(self, invoker_call: Attempt) -> None: ...
+            def start(self, invoker_call: Attempt) -> None: ...
 
-            def abandon(self, invoker_call: Attempt) -> None: ...
+            def cancel(self, invoker_call: Attempt) -> None: ...
 
-        calls.invoker = Fake()
-        calls.carry_out(
-            calls.facade.heard(
+        calls.attempt_runner = Fake()
+        calls.execute(
+            calls.load_balancer.endpoints_listed(
                 [DiscoveredEndpoint(n, ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE) for n in "ab"], True
             )
         )
-        call = calls.take(b"1", None, "look", "acme", 20000.0, finals.append, rest=BodyPipe(BufferBudget(1)))
-        calls.last = monotonic() + 1.0  # SIGTERM came meanwhile
-        calls.uploaded(call.made[0])
-        assert call.end == call.made[0].end == calls.last
+        call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append, rest=BodyPipe(BufferBudget(1)))
+        calls.last_deadline = monotonic() + 1.0  # SIGTERM came meanwhile
+        calls.upload_finished(call.attempts[0])
+        assert call.deadline == call.attempts[0].deadline == calls.last_deadline
 
     run(case())
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -90,7 +90,7 @@
         greedy, modest = BodyPipe(budget), BodyPipe(budget)
         full = asyncio.create_task(greedy.put(b"g" * PIECE))
         await asyncio.sleep(0)
-        assert budget.spent and budget.piece == SMALL and not full.done()
+        assert budget.exhausted and budget.piece == SMALL and not full.done()
         for _ in range(5):
             putting = asyncio.create_task(modest.put(b"m" * SMALL))
             assert await modest.get() == b"m" * SMALL
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -67,7 +67,7 @@
         before.offer(sock)
         after = member(folder / "n", at, theirs)
         got = await after.ask()
-        assert got is not None and got.told == {"version": 1, "list": [1]}
+        assert got is not None and got.state == {"version": 1, "list": [1]}
         assert got.listener.getsockname() == at and got.listener.fileno() != sock.fileno()
         assert ours == [2] and after.processes == 2 and not before.serves
         await after.serving()
@@ -282,15 +282,15 @@
 
 
 def balancer_that_knows() -> Balancer:
-    balancer = Balancer(BalancerSettings(classes=CLASSES, cold=COLD), seed=3)
+    balancer = Balancer(BalancerSettings(classes=CLASSES, slow_start=COLD), seed=3)
     rows = (Endpoint("a", kind=1), Endpoint("b", started_ms=5.0), Endpoint("c", started_ms=7.0))
-    balancer.handle(10.0, MembershipUpdate(MembershipKind.WHOLE, rows))
+    balancer.handle(10.0, MembershipUpdate(MembershipKind.COMPLETE, rows))
     now = 10.0
     for number in range(60):
         now += 40.0
         for act in balancer.handle(now, RequestArrived(str(number), 0, 900)):
             if isinstance(act, SendAttempt):
-                ended = AttemptFinished(str(number), act.upstream, 0, 30.0, Outcome.OK, True, 0.5, 20.0 + number)
+                ended = AttemptFinished(str(number), act.endpoint, 0, 30.0, Outcome.OK, True, 0.5, 20.0 + number)
                 balancer.handle(now + 30.0, ended)
     return balancer
 
@@ -298,16 +298,16 @@
 def test_knowledge_goes_over_but_not_to_a_provider_that_restarted() -> None:
     old = balancer_that_knows()
     told = json.loads(json.dumps(export_state(old)))
-    new = Balancer(BalancerSettings(classes=CLASSES, cold=COLD), seed=4)
+    new = Balancer(BalancerSettings(classes=CLASSES, slow_start=COLD), seed=4)
     rows = (Endpoint("a", kind=1), Endpoint("b", started_ms=5.0), Endpoint("c", started_ms=2500.0))
-    new.handle(2500.0, MembershipUpdate(MembershipKind.WHOLE, rows))
+    new.handle(2500.0, MembershipUpdate(MembershipKind.COMPLETE, rows))
     import_state(new, told)
     again = export_state(new)
     assert again["usual"] == told["usual"] and again["kinds"] == told["kinds"] and again["scalars"] == told["scalars"]
     assert again["servers"]["a"] == told["servers"]["a"] and again["servers"]["b"] == told["servers"]["b"]
     assert again["servers"]["c"] != told["servers"]["c"]
     # What the old one may still spend on cold ones is not there a second time.
-    assert all(server.credit == 0.0 for server in new.roster.servers.values())
+    assert all(server.slow_start_credit == 0.0 for server in new.registry.endpoints.values())
 
 
 @pytest.mark.parametrize("path", ["version", "scalars", "entry", "usual.look", "tier", "kinds.1", "servers.a"])
@@ -329,26 +329,26 @@
 def test_kinds_go_over_by_name() -> None:
     def facade(kinds: list[str]) -> LoadBalancer:
         made = LoadBalancer(read_settings(SETTINGS), 1, ["z"], kinds, clock=lambda: 1000.0)
-        made.heard([DiscoveredEndpoint("a", AT, DiscoveryStatus.IN_SERVICE, "z", "fast")], True)
+        made.endpoints_listed([DiscoveredEndpoint("a", AT, DiscoveryStatus.IN_SERVICE, "z", "fast")], True)
         return made
 
     old, new = facade(["fast", "slow"]), facade(["slow", "fast"])
-    old._balancer.roster.kinds[0].now = 3.0
-    new.learn(json.loads(json.dumps(old.knowledge())))
-    assert new._balancer.roster.kinds[1].now == 3.0
+    old._balancer.registry.profiles[0].recent = 3.0
+    new.import_state(json.loads(json.dumps(old.export_state())))
+    assert new._balancer.registry.profiles[1].recent == 3.0
     unsound: list[Any] = [None, [], {}, {"kinds": 3}, {"kinds": {}, "module": None}]
     for told in unsound:
         with pytest.raises(ValueError, match="knowledge"):
-            new.learn(told)
+            new.import_state(told)
 
 
 def test_two_processes_share_what_one_may_do() -> None:
     balancer = balancer_that_knows()
-    whole_room = balancer.room
-    balancer.handle(5000.0, SettingsChanged(BalancerSettings(classes=CLASSES, cold=COLD, processes=2)))
-    two = balancer.room
-    balancer.handle(5000.0, SettingsChanged(BalancerSettings(classes=CLASSES, cold=COLD)))
-    assert two == pytest.approx(balancer.room / 2) and whole_room > 0
+    whole_room = balancer.slow_start_rate
+    balancer.handle(5000.0, SettingsChanged(BalancerSettings(classes=CLASSES, slow_start=COLD, processes=2)))
+    two = balancer.slow_start_rate
+    balancer.handle(5000.0, SettingsChanged(BalancerSettings(classes=CLASSES, slow_start=COLD)))
+    assert two == pytest.approx(balancer.slow_start_rate / 2) and whole_room > 0
 
 
 def test_reloads_twice_in_a_row_while_one_takes_over_from_another(tmp_path: Path) -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,8 +11,16 @@
 from limenotch.balancing.types import DedupScope, Effect, Endpoint, Outcome, TrafficClass
 from tests.referee import Held, Referee, settings
 
-BOOK = TrafficClass("book", Effect.AT_MOST_ONCE, 1000.0, 2500.0, worth=10.0)
-SWAP = TrafficClass("swap", Effect.DEDUPLICATED, 2500.0, 6000.0, worth=5.0, scope=DedupScope.ZONE, window_ms=10_000.0)
+BOOK = TrafficClass("book", Effect.AT_MOST_ONCE, 1000.0, 2500.0, priority_weight=10.0)
+SWAP = TrafficClass(
+    "swap",
+    Effect.DEDUPLICATED,
+    2500.0,
+    6000.0,
+    priority_weight=5.0,
+    dedup_scope=DedupScope.ZONE,
+    dedup_window_ms=10_000.0,
+)
 NEAR, FAR = tuple("abcdef"), tuple("ghijklm")
 
 
@@ -21,7 +29,7 @@
 
     def __init__(self, seed: int = 1, crossing: float = 0.05, zones: tuple[Iterable[str], ...] = (NEAR, FAR)) -> None:
         rows = [Endpoint(name, zone=zone) for zone, names in enumerate(zones) for name in names]
-        given = settings(classes=(BOOK, SWAP), balancers=2, crossing_cost=crossing, max_attempts=5)
+        given = settings(classes=(BOOK, SWAP), balancers=2, cross_zone_cost=crossing, max_attempts=5)
         super().__init__(given, seed, tuple(rows))
 
     def call(self, cls: int = 0) -> str | None:
@@ -43,9 +51,9 @@
         """Those that are out for so long end, and those that were called off; none of the upstream `but`."""
         for held, number, name, since in self.out():
             if held.over:
-                self.finish(held.arrival.call, number, Outcome.CANCELLED)
+                self.finish(held.arrival.request, number, Outcome.CANCELLED)
             elif name != but and self.now - since >= spent:
-                self.finish(held.arrival.call, number, outcome)
+                self.finish(held.arrival.request, number, outcome)
         self.calls = {name: held for name, held in self.calls.items() if len(held.ended) < len(held.sent)}
 
     def step(self, cls: int, spent: float, but: str = "") -> str | None:
