--- /dev/null
+++ b/limenotch/reload.py
@@ -0,0 +1,123 @@
+"""Configuration changes in a running process: a file that is read again, or rules that the fleet has agreed on."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from . import logs
+from .config import Config, ConfigError, host_port, load
+from .wiring import Components, class_names, is_pushed
+
+if TYPE_CHECKING:
+    from .configuration_applier import ConfigurationApplier
+    from .fleet_node import FleetNode
+
+log = logs.get(__name__)
+
+
+class ActiveConfiguration:
+    """Puts a configuration in force in the parts that follow one, be it the file's or the one the fleet agreed on."""
+
+    def __init__(self, components: Components) -> None:
+        self._components = components
+        self._lease_clock_ms: Callable[[], float] = lambda: 0.0
+        self._follows_agreed_rules = False
+        self._unannounced: Config | None = None  # in force, but not reported to the fleet's parts without a lease
+
+    def follow_agreed_rules(self, lease_clock_ms: Callable[[], float]) -> None:
+        """From now on configurations come with leases, counted on this monotonic clock in ms."""
+        self._lease_clock_ms = lease_clock_ms
+        self._follows_agreed_rules = True
+
+    def announce(self, config: Config) -> None:
+        """Report to the fleet's parts what is in force for the requests to come."""
+        if self._components.fleet_node is not None:
+            self._components.fleet_node.adopted(config)
+
+    def adopt(self, config: Config) -> None:
+        """Put it in force for the requests to come; open ones keep the rules that they arrived under."""
+        if self._follows_agreed_rules:
+            self._unannounced = config
+        else:
+            self.announce(config)
+        components = self._components
+        components.metrics.register_classes(class_names(config))
+        components.endpoint_pool.set_timeouts(config.connect_timeout_ms, config.endpoint_idle_ms)
+        components.requests.max_open = config.max_open
+        components.requests.execute(
+            components.load_balancer.apply_settings(config.settings, config.zones, config.kinds)
+        )
+        components.discovery.set_pushed(is_pushed(config))
+        components.discovery.move(config.discovery)
+
+    def ban(self, name: str, out: bool, at_ms: float) -> None:
+        """Eject an endpoint by agreed rules, or readmit it at `at_ms` of Unix time."""
+        self._components.set_ejected(name, out, at_ms)
+
+    def lease(self, until_ms: float, cold_parts: float, refusing: bool) -> None:
+        """The agreed rules hold until `until_ms` of the lease clock; see LoadBalancer.set_lease."""
+        now_ms = self._lease_clock_ms()
+        if self._unannounced is not None and until_ms > now_ms:
+            # Without a lease classes are more restricted than what is agreed on, and than what endpoints do.
+            announced = self._unannounced
+            self._unannounced = None
+            self.announce(announced)
+        load_balancer = self._components.load_balancer
+        until_unix_ms = load_balancer.now_ms() + (until_ms - self._lease_clock_ms())
+        self._components.requests.execute(load_balancer.set_lease(until_unix_ms, cold_parts, refusing))
+
+    def request_counts(self) -> tuple[int, int]:
+        """Requests taken so far, and those of them rejected or failed."""
+        count = self._components.metrics.count
+        return count("taken"), count("deferred") + count("errored")
+
+
+def follow_agreed_rules(
+    fleet_node: FleetNode, config: Config, active: ActiveConfiguration
+) -> ConfigurationApplier | None:
+    """Where `[fleet.rules]` is set, what the fleet agrees on takes the place of the file's rules; else None."""
+    if not fleet_node.ruled:
+        return None
+    from .configuration_applier import ConfigurationApplier
+
+    active.follow_agreed_rules(fleet_node.now)
+    applier = ConfigurationApplier(config, active)
+    fleet_node.follow(applier, active.request_counts)
+    return applier
+
+
+class ConfigurationReloader:
+    """Reads the configuration file again on request, and puts all of a sound file in force or nothing of it."""
+
+    def __init__(self, components: Components) -> None:
+        self._components = components
+        self._active = ActiveConfiguration(components)
+        self._applier: ConfigurationApplier | None = None
+        if components.fleet_node is not None:
+            self._active.announce(components.config)
+            self._applier = follow_agreed_rules(components.fleet_node, components.config, self._active)
+
+    def reload(self) -> None:
+        """Read the file again. Addresses to listen on, the name and the seed wait for the next start."""
+        components = self._components
+        try:
+            config = load(os.environ, again=components.config)
+        except ConfigError as error:
+            components.metrics.count_reload(False)
+            log.error("configuration rejected; the one in force stays", error=str(error))
+            return
+        components.metrics.count_reload(True)
+        components.config = config
+        log.info(
+            "configuration reloaded",
+            discovery=host_port(config.discovery),
+            sockets=config.sockets,
+            classes=list(class_names(config)),
+        )
+        components.limit_resources()
+        if self._applier is not None:
+            self._applier.renewed(config)
+        else:
+            self._active.adopt(config)
--- a/tests/test_discovery_seed.py
+++ b/tests/test_discovery_seed.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from limenotch import app, config
+from limenotch import app, config, wiring
 
 from .helpers.http_peers import SETTINGS
 
@@ -25,7 +25,7 @@
         drawn.extend(one.random() for one in arguments if isinstance(one, Random))
         raise StoppedError
 
-    monkeypatch.setattr(app, "DiscoveryClient", directory)
+    monkeypatch.setattr(wiring, "DiscoveryClient", directory)
     raw = {"name": "n1", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:1", "seed": "1f", "settings": SETTINGS}
     with pytest.raises(StoppedError):
         asyncio.run(app.serve(config.parse({**raw, **changes}, {})))
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from limenotch import app, config
+from limenotch import app, config, wiring
 from limenotch.net.discovery.client import DiscoveryClient
 from limenotch.net.discovery.schedule import ASK_AGAIN_S
 
@@ -112,7 +112,7 @@
     whole_list: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against serving from the list known before: what the agent has counts as told from the first moment on.
-    monkeypatch.setattr(app, "AGENT_S", 1000.0)
+    monkeypatch.setattr(app, "AGENT_TIMEOUT_S", 1000.0)
 
     async def case() -> None:
         agent = Agent()
@@ -138,7 +138,7 @@
 def test_where_the_agent_is_silent_a_process_serves_from_what_it_knew(
     failing: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(app, "AGENT_S", 0.2)
+    monkeypatch.setattr(app, "AGENT_TIMEOUT_S", 0.2)
 
     async def case() -> None:
         agent = Agent(failing)
@@ -154,7 +154,7 @@
 
 def test_the_agent_is_waited_for_no_longer_than_a_start_may_take() -> None:
     """Nine of ten restarted processes are ready within 6 s, of which starting takes its own part."""
-    assert app.AGENT_S <= 3.0
+    assert app.AGENT_TIMEOUT_S <= 3.0
 
 
 @pytest.mark.parametrize(("mode", "pushed"), [("push", True), ("ask", False), (None, False)])
@@ -163,7 +163,7 @@
     if mode is None:
         del settings["registry_mode"]
     raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}
-    assert app.pushed(config.parse(raw, {})) is pushed
+    assert wiring.is_pushed(config.parse(raw, {})) is pushed
 
 
 def test_a_reload_may_say_that_lists_are_pushed_and_move_discovery_under_open_calls(
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -164,7 +164,7 @@
 
 
 def test_many_long_bodies_at_once_in_a_budget_of_next_to_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("limenotch.app.buffered", lambda *_: 1000)
+    monkeypatch.setattr("limenotch.wiring.buffer_limit", lambda *_: 1000)
     got: list[bytes] = []
     long = OK + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY
 
