--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -50,7 +50,7 @@
 
 def measure_batch(folder: Path, batch: int) -> None:
     files = RealFiles(folder)
-    store = Store(files, most_bytes=4 << 30)
+    store = Store(files, max_bytes=4 << 30)
     last = store.open().last
     start = store.disk_bytes
 
@@ -76,7 +76,7 @@
 
 def measure_open(folder: Path, count: int) -> None:
     files = RealFiles(folder)
-    store = Store(files, most_bytes=4 << 30)
+    store = Store(files, max_bytes=4 << 30)
     store.open()
     for first in range(1, count + 1, 1000):
         store.write([record(index) for index in range(first, min(first + 1000, count + 1))])
--- a/limenotch/net/log_storage.py
+++ b/limenotch/net/log_storage.py
@@ -88,7 +88,7 @@
         try:
             self._files = await loop.run_in_executor(None, files.RealFiles, self._folder)
         except files.StoreError as error:
-            raise (_TakenError if error.why == "taken" else UnreadableError)(str(error)) from None
+            raise (_TakenError if error.reason == "taken" else UnreadableError)(str(error)) from None
         opened: asyncio.Future[StoredLog] = loop.create_future()
 
         def told(held: StoredLog | None, error: files.StoreError | None) -> None:
@@ -106,8 +106,8 @@
         except BaseException:
             self.close()
             raise
-        if store.torn:
-            log.warning("fleet: a torn end of the log was cut off", what=store.torn)
+        if store.torn_end:
+            log.warning("fleet: a torn end of the log was cut off", what=store.torn_end)
         return held
 
     def _slow(self, seconds: float) -> None:
--- a/limenotch/store/files.py
+++ b/limenotch/store/files.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 from typing import Protocol
 
-LOCK = "lock"
-ASIDE = ".new"  # behind a name: a file that is not whole yet
-READ_PIECE = 1 << 20  # bytes
+LOCK_FILE = "lock"
+TEMPORARY_SUFFIX = ".new"  # behind a name: a file that is not whole yet
+READ_SIZE = 1 << 20  # bytes read at once
 
-_WHYS = {
+_REASONS = {
     errno.ENOSPC: "full",
     errno.EDQUOT: "full",
     errno.EFBIG: "full",
@@ -34,16 +34,16 @@
 
 
 class StoreError(Exception):
-    """`why` is one word that operators know (docs/fleet/disk.md); the text says what it was about."""
+    """A failed operation of the store. `reason` is one word that operators know (docs/fleet/disk.md)."""
 
-    def __init__(self, why: str, text: str) -> None:
-        super().__init__(f"{why}: {text}")
-        self.why = why
+    def __init__(self, reason: str, text: str) -> None:
+        super().__init__(f"{reason}: {text}")
+        self.reason = reason
 
 
-def told(error: OSError) -> StoreError:
+def store_error(error: OSError) -> StoreError:
     """A failed operation as the store's error. What has no word of its own is `torn`: it may be half done."""
-    return StoreError(_WHYS.get(error.errno or 0, "torn"), str(error))
+    return StoreError(_REASONS.get(error.errno or 0, "torn"), str(error))
 
 
 class Files(Protocol):
@@ -61,9 +61,13 @@
         """What was written is on the disk. Raises as well if the file no longer has a name."""
         ...
 
-    def close(self, handle: int) -> None: ...
+    def close(self, handle: int) -> None:
+        """The handle is gone, whatever is raised."""
+        ...
 
-    def read(self, name: str) -> bytes: ...
+    def read(self, name: str) -> bytes:
+        """The whole content."""
+        ...
 
     def replace(self, name: str, data: bytes) -> None:
         """The file holds `data` and nothing else, on the disk, name and all; after a fall the old or the new whole."""
@@ -73,7 +77,9 @@
         """It is gone from the disk. None of that name: nothing to do, but what was removed before is on the disk."""
         ...
 
-    def names(self) -> list[str]: ...
+    def names(self) -> list[str]:
+        """Of all files of the folder, in no order."""
+        ...
 
     def truncate(self, name: str, size: int) -> None:
         """Bytes from `size` on are gone, on the disk."""
@@ -87,80 +93,91 @@
     """
 
     def __init__(self, folder: Path) -> None:
-        """Raises StoreError: `taken` if another process holds the folder, else as `told`."""
-        self._at = self._lock = -1
+        """Raises StoreError: `taken` if another process holds the folder, else as `store_error`."""
+        self._folder = -1  # its descriptor
+        self._lock = -1  # the lock file's descriptor
         try:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-            self._at = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-            self._lock = os.open(LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self._at)
+            self._folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+            self._lock = os.open(LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            os.fsync(self._at)  # names that a killed process has left without
+            os.fsync(self._folder)  # names that a killed process has left without
         except BlockingIOError:
             self.release()
             raise StoreError("taken", f"another process holds {folder}") from None
         except OSError as error:
             self.release()
-            raise told(error) from None
+            raise store_error(error) from None
 
     def release(self) -> None:
         """Frees the folder. Once is enough, twice does no harm."""
-        for handle in (self._lock, self._at):
+        for handle in (self._lock, self._folder):
             if handle >= 0:
                 os.close(handle)
-        self._at = self._lock = -1
+        self._folder = -1
+        self._lock = -1
 
     def open_append(self, name: str) -> int:
-        return os.open(name, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC, dir_fd=self._at)
+        """See Files."""
+        return os.open(name, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC, dir_fd=self._folder)
 
     def write(self, handle: int, data: bytes) -> None:
+        """See Files."""
         rest = memoryview(data)
         while rest:
             rest = rest[os.write(handle, rest) :]
 
     def sync(self, handle: int) -> None:
+        """See Files."""
         os.fsync(handle)
         if os.fstat(handle).st_nlink == 0:
             raise FileNotFoundError(errno.ENOENT, "the file was removed while it was written")
 
     def close(self, handle: int) -> None:
+        """See Files."""
         os.close(handle)
 
     def read(self, name: str) -> bytes:
-        handle = os.open(name, os.O_RDONLY | os.O_CLOEXEC, dir_fd=self._at)
+        """See Files."""
+        handle = os.open(name, os.O_RDONLY | os.O_CLOEXEC, dir_fd=self._folder)
         try:
             pieces = []
-            while piece := os.read(handle, READ_PIECE):
+            while piece := os.read(handle, READ_SIZE):
                 pieces.append(piece)
             return b"".join(pieces)
         finally:
             os.close(handle)
 
     def replace(self, name: str, data: bytes) -> None:
-        aside = name + ASIDE
-        handle = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600, dir_fd=self._at)
+        """See Files: a temporary file is written, synced and renamed, then the folder is synced."""
+        temporary = name + TEMPORARY_SUFFIX
+        handle = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
         try:
             try:
                 self.write(handle, data)
                 os.fsync(handle)
             finally:
                 os.close(handle)
-            os.rename(aside, name, src_dir_fd=self._at, dst_dir_fd=self._at)
+            os.rename(temporary, name, src_dir_fd=self._folder, dst_dir_fd=self._folder)
         except OSError:
             with contextlib.suppress(OSError):  # its bytes are wanted back if the disk is full
-                os.unlink(aside, dir_fd=self._at)
+                os.unlink(temporary, dir_fd=self._folder)
             raise
-        os.fsync(self._at)
+        os.fsync(self._folder)
 
     def remove(self, name: str) -> None:
+        """See Files."""
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(name, dir_fd=self._at)
-        os.fsync(self._at)
+            os.unlink(name, dir_fd=self._folder)
+        os.fsync(self._folder)
 
     def names(self) -> list[str]:
-        return os.listdir(self._at)
+        """See Files."""
+        return os.listdir(self._folder)
 
     def truncate(self, name: str, size: int) -> None:
-        handle = os.open(name, os.O_WRONLY | os.O_CLOEXEC, dir_fd=self._at)
+        """See Files."""
+        handle = os.open(name, os.O_WRONLY | os.O_CLOEXEC, dir_fd=self._folder)
         try:
             os.ftruncate(handle, size)
             os.fsync(handle)
--- a/limenotch/store/records.py
+++ b/limenotch/store/records.py
@@ -1,7 +1,7 @@
-"""What is written to the store, and what is found there at a start. Plain values: the simulated disk uses them too.
+"""The records of the store, and the log that they add up to. Plain values: the simulated disk uses them too.
 
-A store holds a ballot, at most one snapshot, and the entries after it, without a gap. Records are applied in the order
-they were given; a batch is on disk whole or, after a fall of the machine, up to some record of it.
+A store holds a term vote, at most one snapshot, and the entries after it, without a gap. Records are applied in the
+order they were given; a batch is on disk whole or, after a fall of the machine, up to some record of it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class LogEntry(Struct, frozen=True, array_like=True, gc=False):
-    """One line of the log. `kind` is agreement's: a command, a change of voters, the empty line of a new leader."""
+    """One entry of the log. `kind` is consensus': a command, a change of voters, the empty line of a new leader."""
 
     index: int  # from 1, without a gap
     term: int  # in which its leader made it
@@ -21,7 +21,7 @@
 
 
 class TermVote(Struct, frozen=True, array_like=True, tag="ballot"):
-    """The epoch reached, and whom this member voted for in it (empty: nobody yet)."""
+    """The current term, and whom this member voted for in it (empty: nobody yet). Raft's persistent state."""
 
     term: int
     vote: str = ""
@@ -46,7 +46,7 @@
 
 
 class StoredLog(Struct):
-    """What a store holds; `apply` is the one meaning of records, on disk and in simulated time."""
+    """The content of a store; `apply` is the one meaning of records, on disk and in simulated time."""
 
     term_vote: TermVote = TermVote(0)
     snapshot: Snapshot | None = None
@@ -68,6 +68,7 @@
 
     @property
     def last(self) -> int:
+        """The index of the last entry."""
         return self.entries[-1].index if self.entries else self.base
 
     def _append(self, entries: tuple[LogEntry, ...]) -> None:
--- a/tests/fleet/fake_disk.py
+++ b/tests/fleet/fake_disk.py
@@ -14,7 +14,7 @@
 
 from hypothesis import strategies as st
 
-from limenotch.store.files import ASIDE
+from limenotch.store.files import TEMPORARY_SUFFIX
 from limenotch.store.records import Append, LogEntry, Record, Snapshot, StoredLog, TermVote
 
 PAGE = 64  # bytes; small, so that small batches span several
@@ -128,7 +128,7 @@
 
     def replace(self, name: str, data: bytes) -> None:
         self.step()
-        aside = name + ASIDE
+        aside = name + TEMPORARY_SUFFIX
         file = File()
         self._rename(self.names_now | {aside: file})
         try:
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -12,8 +12,8 @@
 
 import limenotch.store
 from limenotch.store import segments
-from limenotch.store.files import LOCK, RealFiles, StoreError
-from limenotch.store.log import BALLOTS, Store
+from limenotch.store.files import LOCK_FILE, RealFiles, StoreError
+from limenotch.store.log import TERM_VOTE_RESERVE_BYTES, Store
 from limenotch.store.records import Append, LogEntry, Record, Snapshot, StoredLog, TermVote
 
 from .fake_disk import Disk, entries, histories, same, states
@@ -50,7 +50,7 @@
     store = Store(files)
     held = store.open()
     assert held.snapshot == Snapshot(9, 3, b"state", ("a",)) and [one.index for one in held.entries] == [10, 11, 12]
-    assert held.term_vote == TermVote(3, "b") and store.torn is None
+    assert held.term_vote == TermVote(3, "b") and store.torn_end is None
     store.close()
     files.release()
 
@@ -64,7 +64,7 @@
     for _ in range(2):
         with pytest.raises(StoreError) as told:
             store.write([entries(2, 1, 1)])
-        assert told.value.why == "removed"
+        assert told.value.reason == "removed"
     store.close()
     files.release()
 
@@ -74,7 +74,7 @@
     (tmp_path / "store").mkdir(mode=0o500)
     with pytest.raises(StoreError) as told:
         RealFiles(tmp_path / "store")
-    assert told.value.why == "read-only"
+    assert told.value.reason == "read-only"
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
     disk.before = fails
     with pytest.raises(StoreError) as told:
         store.write([TermVote(1)])
-    assert told.value.why == why
+    assert told.value.reason == why
 
 
 def test_a_full_disk_refuses_and_goes_on_when_there_is_room() -> None:
@@ -112,7 +112,7 @@
 
 def test_its_own_bound_comes_first_ballots_pass_and_a_snapshot_makes_room() -> None:
     disk = Disk()
-    store = Store(disk, most_bytes=4000, segment_bytes=500)
+    store = Store(disk, max_bytes=4000, segment_bytes=500)
     store.open()
     last = 0
     with pytest.raises(StoreError, match="full: .* 4000 at most"):
@@ -126,18 +126,18 @@
     store.write([Snapshot(last, 1, b"s" * 1000)])
     assert store.disk_bytes < 1200 and len(disk.names_now) == 1
     store.write([entries(last + 1, 1, 2)])
-    held = Store(disk.fall(), most_bytes=4000).open()
+    held = Store(disk.fall(), max_bytes=4000).open()
     assert (held.term_vote.term, held.base, held.last) == (2, last, last + 1)
 
 
 def test_replaced_entries_and_old_ballots_do_not_fill_it() -> None:
     disk = Disk()
-    store = Store(disk, most_bytes=4000, segment_bytes=500)
+    store = Store(disk, max_bytes=4000, segment_bytes=500)
     store.open()
     for epoch in range(1, 400):
         store.write([TermVote(epoch, "a"), entries(1, 2, epoch, 10)])
-        assert store.disk_bytes <= 4000 + BALLOTS
-    held = Store(disk.fall(), most_bytes=4000).open()
+        assert store.disk_bytes <= 4000 + TERM_VOTE_RESERVE_BYTES
+    held = Store(disk.fall(), max_bytes=4000).open()
     assert held.term_vote.term == 399 and [one.term for one in held.entries] == [399, 399]
 
 
@@ -167,8 +167,8 @@
 
 
 def test_a_record_is_small_and_a_library_that_is_missing_has_a_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert len(segments.frame(Append((LogEntry(1, 1, "command", b"x" * 20),)), 1, 0)) <= 70
+    assert len(segments.encode_frame(Append((LogEntry(1, 1, "command", b"x" * 20),)), 1, 0)) <= 70
     assert limenotch.store.missing() == ()
     monkeypatch.setattr(limenotch.store, "NEEDED", ("crc32c", "not_there"))
     assert limenotch.store.missing() == ("not_there",)
-    assert LOCK == "lock"
+    assert LOCK_FILE == "lock"
--- a/tests/fleet/test_store_crash.py
+++ b/tests/fleet/test_store_crash.py
@@ -114,7 +114,7 @@
             try:
                 store.write(batch)
             except StoreError as error:
-                assert error.why == "torn"
+                assert error.reason == "torn"
                 fallen = copy_of(disk.fall())
                 held = Store(fallen, segment_bytes=SMALL).open()
                 assert any(same(held, state) for state in all_states[told : told + len(batch) + 1])
@@ -147,7 +147,7 @@
             try:
                 held = Store(hurt, segment_bytes=SMALL).open()
             except StoreError as error:
-                assert error.why in ("damaged", "version") and name in str(error)
+                assert error.reason in ("damaged", "version") and name in str(error)
             else:
                 assert any(same(held, state) for state in all_states[least:]), (name, at)
 
@@ -167,7 +167,7 @@
     file.now = file.now[:40] + b"\xff" + file.now[41:]
     with pytest.raises(StoreError, match=f"damaged: {segment_name(1)} at offset 24: .* later batch follows at") as told:
         Store(disk).open()
-    assert told.value.why == "damaged"
+    assert told.value.reason == "damaged"
 
 
 def test_a_torn_end_is_cut_and_told_and_written_over() -> None:
@@ -177,12 +177,12 @@
     file.now = file.now[:-1]
     store = Store(disk)
     held = store.open()
-    assert held.last == 2 and store.torn is not None and segment_name(1) in store.torn
+    assert held.last == 2 and store.torn_end is not None and segment_name(1) in store.torn_end
     store.write([entries(3, 1, 1)])
     store.close()
     assert len(file.now) == whole + 20  # with the mark
     again = Store(disk)
-    assert again.open().last == 3 and again.torn is None
+    assert again.open().last == 3 and again.torn_end is None
 
 
 def test_a_missing_segment_is_damage() -> None:
@@ -256,7 +256,7 @@
     at = len(file.now) * 5 // 8
     file.now = file.now[:at] + bytes(4) + file.now[at + 4 :]
     store = Store(disk)
-    assert 1 <= store.open().last < 4 and store.torn is not None
+    assert 1 <= store.open().last < 4 and store.torn_end is not None
 
 
 def test_a_batch_told_is_synced() -> None:
--- a/tests/fleet/test_store_thread.py
+++ b/tests/fleet/test_store_thread.py
@@ -14,7 +14,7 @@
 from limenotch.store.files import Files, RealFiles, StoreError
 from limenotch.store.log import Store
 from limenotch.store.records import StoredLog, TermVote
-from limenotch.store.thread import StoreThread, size
+from limenotch.store.thread import StoreThread, estimated_size
 
 from ..helpers.processes import printed_by
 from .fake_disk import Disk, entries
@@ -75,7 +75,7 @@
     files = FaultyFiles(RealFiles(tmp_path / "data"), Wishes(wishes).now, waited.append)
     bench = opened(files, slow_s=0.0)
     bench.drain()
-    bench.thread._calm, bench.slow[:] = 100, []
+    bench.thread._fast_batches, bench.slow[:] = 100, []
     ask_for(wishes, Wish("slow", 300.0))
     bench.submit(2)
     bench.turn(lambda: (2, None) in bench.told and bool(bench.slow))
@@ -158,16 +158,16 @@
 
 def test_too_much_waiting_is_refused_as_slow_and_a_hang_is_told_once_while_it_lasts() -> None:
     disk = Disk()
-    one = size(entries(2, 1, 1))
+    one = estimated_size(entries(2, 1, 1))
     bench = opened(disk, most_waiting=2 * one, slow_s=0.0)
     bench.drain()
-    bench.thread._calm, bench.slow[:] = 100, []
+    bench.thread._fast_batches, bench.slow[:] = 100, []
     gate = Gate(disk)
     bench.submit(2)
     assert gate.reached.acquire(timeout=WAIT_S)
     for ticket in (3, 4):
         bench.submit(ticket)
-    bench.thread.look()
+    bench.thread.check_slow()
     assert len(bench.slow) == 1 and bench.thread.waiting_bytes == 2 * one
     bench.turn(lambda: (4, "slow") in bench.told)
     gate.held = False
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -209,7 +209,7 @@
     files = RealFiles(folder)
     store = Store(files)
     held = store.open()
-    torn = store.torn
+    torn = store.torn_end
     store.close()
     files.release()
     return held, torn
