--- a/limenotch/balancing/types.py
+++ b/limenotch/balancing/types.py
@@ -141,7 +141,7 @@
         _need(len(self.classes) > 0, "classes", "at least one")
         _need(self.balancers >= 1, "balancers", "1 or more")
         _need(self.processes >= 1, "processes", "1 or more")
-        _need(0 <= self.balancer_index, "rank", "0 or more")
+        _need(self.balancer_index >= 0, "rank", "0 or more")
         _need(self.tier_index >= 0, "layer", "0 or more")
         _need(0 <= self.over_quota_weight <= 1, "over_share_worth", "0 to 1")
         _need(self.max_attempts >= 1, "max_attempts", "1 or more")
--- a/limenotch/fleet/rules/changes.py
+++ b/limenotch/fleet/rules/changes.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -49,7 +49,7 @@
     book: Book
     check: Check
     tuning: Tuning
-    reach: Callable[[], list[str]]  # voters not held dead, oneself not among them
+    reach: Callable[[Iterable[str]], list[str]]  # of these members those not held dead, oneself not among them
     voters: tuple[str, ...]
     propose: Callable[[entries.Entry, str, int], None]
     out: list[Any] = field(default_factory=list)
@@ -108,7 +108,7 @@
         if why is not None:
             self._refuse(sender, suggest.id, why)
             return
-        reach = self.reach()
+        reach = self.reach(self.voters)
         data = doc.encode(whole)
         self.looking[suggest.id] = Looking(
             sender, suggest, data, now + self.tuning.check_ms, set(reach), len(self.voters) // 2 + 1
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -14,7 +14,7 @@
 - A ban acts where it is heard and is told on until a version holds it.
 - Without a leader, or with nothing but silence, all that ends is leases.
 
-Source: docs/fleet/rules-design.md. Messages: messages.py. Operators' page: docs/fleet/rules.md.
+Source: docs/fleet/rules-design.md. Messages: messages.py.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from .canary import Watch
 from .changes import Changes, Check, suggest_of, upstream_of, whole_number
 from .document import Document
-from .ejection_gossip import GONE, Telling
+from .ejection_gossip import Telling
 from .leases import Granter, Holder
 from .tuning import Tuning
 from .versioned_rules import Book
@@ -72,7 +72,6 @@
         self._waiting: dict[tuple[str, int], say.AskLease] = {}  # asks for a lease, until the log says it leads
         self._reads: dict[int, tuple[int, dict[tuple[str, int], say.AskLease]]] = {}  # ticket: epoch, the asks before
         self._ask_at = NEVER
-        self.telling.at = NEVER
         self._activating = 0
         self._activate_at = -NEVER
         self._acts: tuple[Document, Document] | None = None  # as last told
@@ -82,7 +81,9 @@
         self._leased = False
         self._noted = 0
         self._begun = False
-        self.changes = Changes(name, self.book, check, self.tuning, self._reach, tuple(voters), self._propose)
+        self.changes = Changes(
+            name, self.book, check, self.tuning, self.telling.reachable, tuple(voters), self._propose
+        )
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: lambda event: setattr(self, "_begun", True),
             interfaces.MessageReceived: self._heard,
@@ -277,9 +278,7 @@
     def _activate(self) -> None:
         book = self.book
         due = book.newest > book.active and self._now >= self._activate_at
-        if not self.leads or self._activating or not due:
-            return
-        if self.granter.may_activate(book.newest, self._now):
+        if self.leads and not self._activating and due and self.granter.may_activate(book.newest, self._now):
             self._activating = book.newest
             self._propose(entries.Activate(book.newest), "", book.newest)
 
@@ -328,8 +327,6 @@
         self.changes.ask(self._now, ask, f"ban {upstream}", None, self.leader)
         self._spread()
 
-    # Canary
-
     def _counted(self, event: Counted) -> None:
         if self.book.trial is not None and self.leader is not None:
             count = say.Count(self.book.trial.id, event.taken, event.bad)
@@ -348,10 +345,6 @@
 
     # After each event
 
-    def _reach(self) -> list[str]:
-        members = self.telling.members
-        return [name for name in self.changes.voters if name != self.name and members.get(name, ("",))[0] not in GONE]
-
     def _tick(self) -> None:
         now = self._now
         self.changes.tick(now)
--- a/limenotch/fleet/rules/ejection_gossip.py
+++ b/limenotch/fleet/rules/ejection_gossip.py
@@ -12,7 +12,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import Any
 
 from ..interfaces import Carrier, MemberChanged, Note, SendToMember
@@ -35,6 +35,10 @@
         self.at = NEVER  # when to tell all again
         self._exchanged = (-NEVER, 0)  # since when, how many
 
+    def reachable(self, names: Iterable[str]) -> list[str]:
+        """Of these members those that are not held dead, oneself not among them."""
+        return [name for name in names if name != self.name and self.members.get(name, ("",))[0] not in GONE]
+
     def riding(self) -> tuple[tuple[str, int], ...]:
         return tuple(list(self.book.told.items())[-say.MOST_BANS :])
 
--- a/limenotch/lab/emulate/wire.py
+++ b/limenotch/lab/emulate/wire.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 import struct
 from collections.abc import Callable
 from typing import cast
 
 from ...net import http1
-import contextlib
 
 MOST_BACKLOG = 512
 MOST_UNREAD = 1 << 20  # bytes that wait for a peer that does not read, before its connection is reset
--- a/limenotch/lab/fleet/checks_bindings.py
+++ b/limenotch/lab/fleet/checks_bindings.py
@@ -22,18 +22,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from limenotch.lab.fleet.bindings_history import (
-    DEAD,
-    EDGE_MS,
-    KEY,
-    LOSSY_MS,
-    LOST_MS,
-    Key,
-    Process,
-    Sight,
-    Stated,
-    Truth,
-)
+from .bindings_history import DEAD, EDGE_MS, KEY, LOSSY_MS, LOST_MS, Key, Process, Sight, Stated, Truth
 
 __all__ = ["LOSSY_MS", "Checker", "Key", "Stated"]
 
--- a/limenotch/lab/simulate/sidecar.py
+++ b/limenotch/lab/simulate/sidecar.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 from typing import TYPE_CHECKING, Any, cast
 
 from limenotch.balancing.learned_state import export_state, import_state
@@ -15,53 +15,14 @@
 from ... import settings
 from ...load_balancer import usable_budget_ms
 from ..model.directory import Broken, Tell
-from ..model.fleet import Site
 from ..model.provider import Provider
-from ..model.rules import Allowed
+from .calls import Answer, Attempt, Call, allowed_by
 
 if TYPE_CHECKING:
     from .world import World
 
 IDLE_PART = settings.EndpointSettings().idle_part  # the program's own
 
-Answer = Callable[[str, float], None]  # verdict, and when to come back
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    call: Call
-    number: int
-    site: Site | None
-    process: Provider | None
-    name: str
-    began: float
-    end: float
-    ticket: int = 0
-    order: int = -1  # as the rules count it; -1: not a byte was written
-    connected: bool = False
-    over: bool = False
-    hushed: bool = False  # what it sent, or its answer, was lost on the way
-
-
-@dataclass(slots=True, eq=False)
-class Call:
-    number: int
-    cls: int
-    size: float
-    key: str
-    end: float  # when its consumer stops waiting
-    answer: Answer
-    attempts: list[Attempt] = field(default_factory=list)
-    closed: bool = False
-
-
-def allowed_by(told: dict[str, Any]) -> Allowed:
-    """What a sidecar's settings allow, for the rules."""
-    permissions = told["permissions"]
-    return Allowed(
-        permissions["max_attempts"], permissions["parallel_tries"], permissions["cancel"], permissions["retry_after"]
-    )
-
 
 class Sidecar:
     def __init__(
--- a/limenotch/lab/simulate/world.py
+++ b/limenotch/lab/simulate/world.py
@@ -7,11 +7,9 @@
 
 from collections.abc import Callable
 from math import inf
-from typing import cast
 
 from ..model.chance import Seeds
 from ..model.clients import Clients, Request
-from ..model.directory import Tell
 from ..model.faults import Deed, Script
 from ..model.fleet import Changed, Fleet, Site
 from ..model.jobs import Below, Done, Effect, End, Job
@@ -23,8 +21,10 @@
 from ..record import Record
 from ..scenario import BY_HAND
 from . import by_hand
+from .calls import Attempt, Call
+from .directory_queries import DirectoryQueries
 from .kernel import Kernel
-from .sidecar import Attempt, Call, Sidecar
+from .sidecar import Sidecar
 
 SAMPLE_MS = 1000.0
 MOST_OPEN = 500_000  # tries under way: a scenario that holds more is cut, and says so
@@ -49,7 +49,7 @@
         self._attempts: dict[int, tuple[Sidecar, Attempt]] = {}  # by ticket: those that a provider holds
         self._below: dict[int, tuple[Sidecar, Call]] = {}  # by ticket: the lower call of a job
         self._due: dict[Site, float] = {}
-        self._directory_due = [inf] * len(plan.tiers)
+        self.directories = DirectoryQueries(self)
         self.sidecars: dict[tuple[int, int], Sidecar] = {}
         self.leaving: list[Sidecar] = []  # processes that another has taken the place of
         self.banned: set[tuple[int, str]] = set()  # tier and name of providers that are out by hand
@@ -343,7 +343,7 @@
         if deed.kind not in ("directory", "surge", "hot", "cut"):
             site = self.fleet.sites[deed.tier][deed.target]
             self.wake(site)
-        self._tend(range(len(self.plan.tiers)))
+        self.directories.look(range(len(self.plan.tiers)))
 
     def _see_to(self, changes: list[Changed]) -> None:
         now = self.kernel.now
@@ -374,33 +374,11 @@
                             for attempt in call.attempts:
                                 if attempt.hushed and attempt.site is site and not attempt.over:
                                     self._back(sidecar, attempt, "reset")
-            self._tend([tier])
+            self.directories.look([tier])
 
     def ask(self, sidecar: Sidecar) -> None:
-        self.fleet.directories[sidecar.tier].ask(self.kernel.now, sidecar.key)
-        self._tend([sidecar.tier])
-
-    def _tend(self, tiers: range | list[int]) -> None:
-        for tier in tiers:
-            due = self.fleet.directories[tier].due()
-            if due < self._directory_due[tier]:
-                self._directory_due[tier] = due
-                self.kernel.at(due, self._run_directory, tier, due)
-
-    def _run_directory(self, tier: int, due: float) -> None:
-        if self._directory_due[tier] != due:
-            return
-        self._directory_due[tier] = inf
-        for told in self.fleet.directories[tier].run(self.kernel.now):
-            sidecar = self.sidecars.get(cast(tuple[int, int], told.watcher))
-            if sidecar is not None and sidecar.alive:
-                if isinstance(told, Tell):
-                    self.record.told(len(told.entries))
-                sidecar.heard(told)
-                for other in self.leaving:
-                    if other.key == sidecar.key:
-                        other.heard(told)
-        self._tend([tier])
+        """A sidecar queries its tier's directory."""
+        self.directories.ask(sidecar)
 
     # Samples
 
