--- a/limenotch/balancing/balancer.py
+++ b/limenotch/balancing/balancer.py
@@ -1,8 +1,9 @@
-"""What becomes of a call: let in, sent, tried again, given up. Events: events.py; actions: actions.py.
+"""Lifecycle of a request: admitted or rejected, attempted, retried. Input: events.py; output: actions.py.
 
-Each decision has its file, all named under `policy` in deploy/balancer.toml: who is turned away (entry.py),
-the shares of upstreams (shares.py) in a part of the tier (subset.py), whom calls avoid (verdicts.py), where
-an attempt goes (placement.py), copies (copies.py). The first answer cancels the others. books.py keeps state.
+Each decision has its module, all of them listed under `policy` in deploy/balancer.toml: admission control
+(admission.py), endpoint weights (weights.py) within a subset (subsetting.py), outlier ejection
+(outlier_detection.py), endpoint selection (endpoint_selection.py), hedging (hedging.py) and retries
+(retry_policy.py). balancer_state.py holds the state. The first response cancels a request's other attempts.
 """
 
 from __future__ import annotations
@@ -32,162 +33,183 @@
 from .types import Effect, Outcome
 from .weights import update_weights, weights_due
 
-ASK_MS = 1000.0  # window by which asking again is timed at most: of 6 s, all that there is, a third is waited
+MAX_SUBSCRIBE_BACKOFF_BASE_MS = 1000.0
+MAX_DISCOVERY_FAILURES = 3  # failures in a row up to which the backoff doubles
+SELECTION_RETRIES_PER_WINDOW = 8  # selections a window while no endpoint accepts a waiting request
 
 
 class Balancer(BalancerState):
-    """Feed it events in order; carry out the actions it returns in order."""
+    """Decides on events in the order given; the caller carries out the returned actions in order."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        acts: list[Action] = []
+        """Apply one event and return the actions that follow from it.
+
+        Raises ValueError if `now_ms` is before the previous event's, or for an unknown traffic class.
+        Raises TypeError for an object that is no event.
+        """
+        actions: list[Action] = []
         if self.advance_clock(now_ms):
-            self._renew(now_ms)
+            self._start_window(now_ms)
         if isinstance(event, RequestArrived):
-            self._arrival(now_ms, event, acts)
+            self._handle_arrival(now_ms, event, actions)
         elif isinstance(event, AttemptFinished):
-            self._finished(now_ms, event, acts)
+            self._handle_attempt_finished(now_ms, event, actions)
         elif isinstance(event, TimerFired):
-            self._timer(now_ms, event.token, acts)
+            self._handle_timer(now_ms, event.token, actions)
         elif isinstance(event, MembershipUpdate):
-            self._membership(now_ms, event, acts)
-        elif isinstance(event, ClientDisconnected):
-            if event.request in self.requests and not self.requests[event.request].answered:
-                self._close(self.requests[event.request], acts)
-        elif isinstance(event, ResponseStarted):
-            if event.request in self.requests and not self.requests[event.request].answered:
-                self.requests[event.request].streaming = True
-                self._cancel(self.requests[event.request], event.attempt, acts)
-        elif isinstance(event, UploadFinished):
-            self.record_upload(now_ms, event)
+            self._handle_membership_update(now_ms, event, actions)
+        elif isinstance(event, (ClientDisconnected, ResponseStarted, UploadFinished)):
+            self._handle_client_progress(now_ms, event, actions)
         elif isinstance(event, (OperatorEjection, SettingsChanged)):
             self.apply_operator_event(now_ms, event)
             update_weights(self, now_ms)
         elif isinstance(event, BalancerStarted):
-            acts += [Subscribe()] if self.settings.must_subscribe else []
+            actions += [Subscribe()] if self.settings.must_subscribe else []
         else:
             raise TypeError(f"not an event of events.py: {event!r}")
         if weights_due(self, now_ms):
             update_weights(self, now_ms)
-        return acts
-
-    # The list of upstreams
-
-    def _membership(self, now: float, event: MembershipUpdate, acts: list[Action]) -> None:
-        self.discovery_failures = (
-            min(self.discovery_failures + 1, 3) if event.kind is MembershipKind.UNAVAILABLE else 0
-        )
-        if self.discovery_failures:
-            # Blind to drains, ask again; later each time, out of step, or the list service stays jammed.
-            wait = (
-                min(self.window_ms, ASK_MS)
-                * 2.0 ** (self.discovery_failures - 1)
-                * (0.1 + 0.4 * self.random.random())
-            )
-            self.schedule_timer(now + wait, None, acts)
+        return actions
+
+    # Endpoint list and windows
+
+    def _handle_membership_update(self, now: float, event: MembershipUpdate, actions: list[Action]) -> None:
+        if event.kind is MembershipKind.UNAVAILABLE:
+            self.discovery_failures = min(self.discovery_failures + 1, MAX_DISCOVERY_FAILURES)
+            self._schedule_subscribe(now, actions)
             return
-        self.apply_registry_changes(
-            now, self.registry.apply_membership(now, event, self.settings.weights_listed)
-        )
+        self.discovery_failures = 0
+        changes = self.registry.apply_membership(now, event, self.settings.weights_listed)
+        self.apply_registry_changes(now, changes)
         self.weights_stale = True
 
-    def _renew(self, now: float) -> None:
+    def _schedule_subscribe(self, now: float, actions: list[Action]) -> None:
+        """Subscribe again after exponential backoff, with jitter so as not to overload discovery."""
+        base = min(self.window_ms, MAX_SUBSCRIBE_BACKOFF_BASE_MS)
+        backoff = base * 2.0 ** (self.discovery_failures - 1)
+        delay = backoff * (0.1 + 0.4 * self.random.random())
+        self.schedule_timer(now + delay, None, actions)
+
+    def _start_window(self, now: float) -> None:
         if self.end_window(now):
             update_admission_limit(self)
         update_weights(self, now)
 
-    # Calls
+    # Requests
 
-    def _arrival(self, now: float, event: RequestArrived, acts: list[Action]) -> None:
-        call = self.record_arrival(now, event)
-        if call.deadline <= now or (not self.settings.tier_index and is_rejected(self, now, call, event)):
-            self._finish(now, call, acts)
-        else:
-            # Refused calls earn no copies: in incident i4bceea they paid for a third more at a full entry.
-            self.retry_budget = min(self.retry_budget + RETRIES, BURST)
-            self._place(now, call, acts)
-
-    def _place(self, now: float, call: Request, acts: list[Action]) -> None:
-        """First landing of a call, or the next attempt after the earlier ones ended."""
-        one, two = choose_endpoints(self, now, call)
-        if one is None:
-            # Nothing to send to now: while it can be in time hold the call, or a silent list would lose it.
-            rest = any(s.is_ejected(now) for s in self.candidates[0])
-            if (
-                rest
-                or call.attempts
-                or now + self.window_ms / 8 >= min(call.deadline, call.objective - self.typical_latency_ms)
-            ):
-                self._finish(now, call, acts)
-            else:
-                self.schedule_timer(now + self.window_ms / 8, call, acts)
+    def _handle_arrival(self, now: float, event: RequestArrived, actions: list[Action]) -> None:
+        request = self.record_arrival(now, event)
+        expired = request.deadline <= now
+        # Only the first tier sheds load: the later tiers' requests have already been admitted.
+        if expired or (not self.settings.tier_index and is_rejected(self, now, request, event)):
+            self._finish_without_success(now, request, actions)
+            return
+        # Only admitted requests add to the retry budget; else overload would pay for extra attempts.
+        self.retry_budget = min(self.retry_budget + RETRIES, BURST)
+        self._send_attempt(now, request, actions)
+
+    def _send_attempt(self, now: float, request: Request, actions: list[Action]) -> None:
+        """Send the first attempt, or a retry after all earlier attempts ended."""
+        primary, secondary = choose_endpoints(self, now, request)
+        if primary is None:
+            self._wait_for_endpoint(now, request, actions)
             return
-        self.record_send(now, call, one, acts)
-        if should_hedge_at_once(self, now, call, one, two) and two:
-            self.record_send(now, call, two, acts, copy=1)
-        elif call.traffic_class.effect is not Effect.AT_MOST_ONCE:
-            self.schedule_timer(now + hedge_delay(self, call, one), call, acts)
+        self.record_send(now, request, primary, actions)
+        if should_hedge_at_once(self, now, request, primary, secondary) and secondary:
+            self.record_send(now, request, secondary, actions, copy=1)
+        elif request.traffic_class.effect is not Effect.AT_MOST_ONCE:
+            self.schedule_timer(now + hedge_delay(self, request, primary), request, actions)
+
+    def _wait_for_endpoint(self, now: float, request: Request, actions: list[Action]) -> None:
+        """No endpoint accepts the request: select again later if it can still meet its objective."""
+        retry_at = now + self.window_ms / SELECTION_RETRIES_PER_WINDOW
+        any_ejected = any(endpoint.is_ejected(now) for endpoint in self.candidates[0])
+        latest = min(request.deadline, request.objective - self.typical_latency_ms)
+        if any_ejected or request.attempts or retry_at >= latest:
+            self._finish_without_success(now, request, actions)
+        else:
+            self.schedule_timer(retry_at, request, actions)
 
-    def _finished(self, now: float, event: AttemptFinished, acts: list[Action]) -> None:
+    def _handle_attempt_finished(self, now: float, event: AttemptFinished, actions: list[Action]) -> None:
         ended = self.record_end(now, event)
         if ended is None:
             return
-        call, attempt = ended
-        self.record_report(now, attempt.target, event)
-        if event.outcome in (Outcome.OK, Outcome.TIMEOUT) and not attempt.target.unresponsive:
-            record_answer(self, now, attempt.target, event.outcome is Outcome.OK and now <= call.objective)
-        elif (
-            event.outcome is Outcome.REJECTED and self.discovery_failures
-        ):  # the list may lack that it drains
-            eject(self, now, attempt.target, doubted=True)
-        self.record_outcome(now, call, attempt.target, event)
+        request, attempt = ended
+        endpoint = attempt.target
+        self.record_report(now, endpoint, event)
+        if event.outcome in (Outcome.OK, Outcome.TIMEOUT) and not endpoint.unresponsive:
+            in_time = event.outcome is Outcome.OK and now <= request.objective
+            record_answer(self, now, endpoint, in_time)
+        elif event.outcome is Outcome.REJECTED and self.discovery_failures:
+            # While discovery fails, the endpoint may be draining without the list showing it.
+            eject(self, now, endpoint, doubted=True)
+        self.record_outcome(now, request, endpoint, event)
         if event.request_answered or event.outcome is Outcome.OK:
-            self._close(call, acts)
-        elif not call.answered and not any(t.open for t in call.attempts):
-            call.max_attempts *= not (
-                call.single_use_body and event.body_consumed
-            )  # what is gone of it can't go out again
-            self._further(now, call, acts)
-
-    def _further(self, now: float, call: Request, acts: list[Action]) -> None:
-        left = call.deadline - now - call.class_latency.mean_ms * self.tier_profile.lowest
-        if (
-            left > 0
-            and len(call.attempts) < call.max_attempts
-            and self.retry_budget >= 1
-            and not call.streaming
-        ):
+            self._close(request, actions)
+        elif not request.answered and not any(other.open for other in request.attempts):
+            if request.single_use_body and event.body_consumed:
+                request.max_attempts = 0  # the consumed part of the body cannot be sent again
+            self._retry_or_finish(now, request, actions)
+
+    def _retry_or_finish(self, now: float, request: Request, actions: list[Action]) -> None:
+        time_left = request.deadline - now - request.class_latency.mean_ms * self.tier_profile.lowest
+        attempts_left = len(request.attempts) < request.max_attempts
+        if time_left > 0 and attempts_left and self.retry_budget >= 1 and not request.streaming:
             self.retry_budget -= 1
-            self._place(now, call, acts)
+            self._send_attempt(now, request, actions)
         else:
-            self._finish(now, call, acts)
-
-    def _finish(self, now: float, call: Request, acts: list[Action]) -> None:
-        """Final answer without success: a refusal where a repeat is harmless, else a failure."""
-        begun = call.possible_executions()
-        last = (
-            call.objective - call.traffic_class.latency_objective_ms + call.traffic_class.deadline_ms
-        )  # until then its client may come again
-        harmless = may_repeat(call.traffic_class, begun, last) and not (begun and self.settings.restricted)
-        wait = min(self.settings.max_retry_after_ms, self.window_ms)
-        acts.append(RejectRequest(call.name, wait) if harmless else FailRequest(call.name))
-        self._close(call, acts)
-
-    def _close(self, call: Request, acts: list[Action]) -> None:
-        call.answered = True
-        self._cancel(call, -1, acts)
-        self.forget_request(call)
-
-    def _cancel(self, call: Request, but: int, acts: list[Action]) -> None:
+            self._finish_without_success(now, request, actions)
+
+    def _finish_without_success(self, now: float, request: Request, actions: list[Action]) -> None:
+        """Reject the request if the client may safely retry it; fail it otherwise."""
+        executions = request.possible_executions()
+        traffic_class = request.traffic_class
+        # The client may retry until its own deadline.
+        last_retry_at = request.objective - traffic_class.latency_objective_ms + traffic_class.deadline_ms
+        is_safe = may_repeat(traffic_class, executions, last_retry_at)
+        if is_safe and not (executions and self.settings.restricted):
+            retry_after_ms = min(self.settings.max_retry_after_ms, self.window_ms)
+            actions.append(RejectRequest(request.name, retry_after_ms))
+        else:
+            actions.append(FailRequest(request.name))
+        self._close(request, actions)
+
+    def _handle_client_progress(
+        self, now: float, event: ClientDisconnected | ResponseStarted | UploadFinished, actions: list[Action]
+    ) -> None:
+        if isinstance(event, UploadFinished):
+            self.record_upload(now, event)
+            return
+        request = self.requests.get(event.request)
+        if request is None or request.answered:
+            return
+        if isinstance(event, ClientDisconnected):
+            self._close(request, actions)
+        else:
+            request.streaming = True
+            self._cancel_attempts(request, actions, keep=event.attempt)
+
+    def _close(self, request: Request, actions: list[Action]) -> None:
+        request.answered = True
+        self._cancel_attempts(request, actions)
+        self.forget_request(request)
+
+    def _cancel_attempts(self, request: Request, actions: list[Action], keep: int = -1) -> None:
+        """Cancel the open attempts except number `keep`, where the settings allow cancellation."""
         if self.settings.may_cancel:
-            acts += [CancelAttempt(call.name, n) for n, t in enumerate(call.attempts) if t.open and n != but]
+            for number, attempt in enumerate(request.attempts):
+                if attempt.open and number != keep:
+                    actions.append(CancelAttempt(request.name, number))
 
-    def _timer(self, now: float, token: int, acts: list[Action]) -> None:
+    def _handle_timer(self, now: float, token: int, actions: list[Action]) -> None:
         if token not in self.timers:
             return
-        call = self.timers.pop(token)
-        if call is None:
-            acts.append(Subscribe())
-        elif not call.attempts and not call.answered:
-            self._place(now, call, acts)
-        elif not (call.answered or call.streaming) and sum(t.open for t in call.attempts) == 1:
-            handle_overdue_attempt(self, now, call, acts)
+        request = self.timers.pop(token)
+        if request is None:
+            actions.append(Subscribe())
+        elif request.answered:
+            return
+        elif not request.attempts:
+            self._send_attempt(now, request, actions)
+        elif not request.streaming and sum(attempt.open for attempt in request.attempts) == 1:
+            handle_overdue_attempt(self, now, request, actions)
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -199,8 +199,8 @@
     # The module's text, with a fault planted in one place each: file, what stands there, what shall.
     ONE_ANSWER: (
         "balancer.py",
-        "acts.append(RejectRequest(call.name, wait) if harmless else FailRequest(call.name))",
-        "acts += [RejectRequest(call.name, wait)] if harmless else []",
+        "            actions.append(FailRequest(request.name))",
+        "            pass",
     ),
     REPEATS: (
         "endpoint_selection.py",
