--- a/limenotch/balancing/endpoint_statistics.py
+++ b/limenotch/balancing/endpoint_statistics.py
@@ -1,6 +1,7 @@
-"""What a balancer keeps of upstreams, calls and attempts, and how evidence adds up and fades.
+"""Records of endpoints, requests and attempts, and how observations are added up and decay with age.
 
-No record knows another's; books.py keeps them, and the files under `policy` alone draw conclusions and act.
+The records hold data only. balancer_state.py owns them; the modules listed under `policy` in
+deploy/balancer.toml decide by them. Times and durations are in ms.
 """
 
 from __future__ import annotations
@@ -10,198 +11,218 @@
 
 from .types import Endpoint, PriorAttempt, PriorExecution, SlowStart, TrafficClass
 
-RATE_SPAN_MS = 1000.0  # ms over which a rate looks back: shorter ones take chance for a rush
+RATE_SPAN_MS = 1000.0  # time constant of an arrival rate; a shorter one takes chance for a burst
+CLASS_SAMPLES = 100  # responses over which the mean latency of a class is taken
+WINDOW_DECAY = 0.9  # factor on sums at each window's end
 
 
 @dataclass(slots=True, eq=False)
 class ClassLatency:
-    """Mean latency of one class, in ms, over its latest hundred answers or so."""
+    """Mean latency of one traffic class over about its latest `CLASS_SAMPLES` responses."""
 
     mean_ms: float = 0.0
     samples: int = 0
 
-    def add(self, spent_ms: float) -> None:
+    def add(self, latency_ms: float) -> None:
+        """Add the latency of one response."""
         self.samples += 1
-        self.mean_ms += (spent_ms - self.mean_ms) / min(self.samples, 100)
+        self.mean_ms += (latency_ms - self.mean_ms) / min(self.samples, CLASS_SAMPLES)
 
 
 @dataclass(slots=True, eq=False)
 class LatencyProfile:
-    """Recent and lowest mean latency, as multiples of each class's usual, of upstreams that are alike."""
-
-    recent: float = 1.0
-    lowest: float = 1.0
-    total: float = 0.0
-    count: float = 0.0
-    window_means: list[float] = field(default_factory=list)  # of the latest windows
-    reported_rate: float = (
-        0.0  # over the reports of its warm upstreams: requests a second, and use times weight
-    )
-    reported_use: float = 0.0
+    """Latency and reported load of the endpoints of one kind, or of the tier.
+
+    Latencies are ratios to the mean latency of the request's class.
+    """
+
+    recent: float = 1.0  # smoothed mean ratio
+    lowest: float = 1.0  # lowest mean ratio of the latest windows, taken for an idle endpoint's
+    total: float = 0.0  # sum of the ratios since the last mean
+    count: float = 0.0  # number of them
+    window_means: list[float] = field(default_factory=list)  # of the latest windows, oldest first
+    reported_rate: float = 0.0  # decaying sum of reported requests per second, of warm endpoints
+    reported_use: float = 0.0  # decaying sum of reported utilisation times listed weight
 
     def add(self, ratio: float) -> None:
-        self.total, self.count = self.total + ratio, self.count + 1
+        """Add the latency ratio of one attempt."""
+        self.total += ratio
+        self.count += 1
+
+    def end_window(self, min_samples: int, max_windows: int) -> None:
+        """Decay the reported sums; with `min_samples` or more, take a new mean of the ratios.
 
-    def end_window(self, enough: int, span: int) -> None:
-        """A window ends: its mean counts if it has `enough` samples, and its lowest over `span` such windows."""
-        self.reported_rate, self.reported_use = self.reported_rate * 0.9, self.reported_use * 0.9
-        if self.count >= enough:
-            recent = self.total / self.count
-            self.recent += (recent - self.recent) * self.count / (self.count + enough)
-            self.window_means = [*self.window_means[1 - span :], recent]
-            self.lowest, self.total, self.count = min(self.window_means), 0.0, 0.0
+        The lowest mean is that of the last `max_windows` windows.
+        """
+        self.reported_rate *= WINDOW_DECAY
+        self.reported_use *= WINDOW_DECAY
+        if self.count < min_samples:
+            return
+        mean = self.total / self.count
+        self.recent += (mean - self.recent) * self.count / (self.count + min_samples)
+        self.window_means = [*self.window_means[1 - max_windows :], mean]
+        self.lowest = min(self.window_means)
+        self.total = 0.0
+        self.count = 0.0
 
 
 @dataclass(slots=True)
 class FadingRate:
-    """Events a ms, each counted with a weight that fades over `RATED` ms."""
+    """Events per ms, weighted by an exponential decay with the time constant `RATE_SPAN_MS`."""
 
     per_ms: float = 0.0
     updated_at: float = 0.0
 
     def add(self, now: float) -> None:
-        self.per_ms, self.updated_at = self.value_at(now) + 1 / RATE_SPAN_MS, now
+        """Count one event."""
+        self.per_ms = self.value_at(now) + 1 / RATE_SPAN_MS
+        self.updated_at = now
 
     def value_at(self, now: float) -> float:
+        """Events per ms as of `now`."""
         return self.per_ms * exp((self.updated_at - now) / RATE_SPAN_MS)
 
 
 @dataclass(slots=True, eq=False)
 class EndpointStatistics:
-    """What this balancer knows of one upstream. Sums fade with age, counted from `stamp`."""
+    """What this balancer has observed of one process of an endpoint."""
 
     endpoint: Endpoint
     profile: LatencyProfile  # of its kind
-    updated_at: float
-    credit_at: float
+    updated_at: float  # time to which the sums of `fade` have decayed
+    credit_at: float  # time to which `slow_start_credit` has accrued
     listed_weight: float = 1.0
     selection_weight: float = 0.0
-    in_flight: int = 0  # our attempts that are out
-    expected_rate: float = 0.0  # answers a ms that these are to give, each by the usual latency of its class
-    window_answers: int = 0  # that it gave in this window
-    latency_ratio_sum: float = 0.0  # sum of latencies as multiples of the usual, over `count` answers
-    latency_samples: float = 0.0
-    successes: float = 0.0
-    failures: float = 0.0
-    latency_ratio: float = 1.0  # mean ratio, shrunk toward the kind's
-    success_rate: float = 1.0  # part of attempts served in time, shrunk toward the tier's
-    slow_start_credit: float = 0.0  # requests of mean work that we may still send while it is cold
-    slow_start_rate: float = 0.0  # and how many more a ms
-    last_heard_at: float = 0.0  # when it last answered, or was first sent to since nothing was out
-    unresponsive: bool = False  # it owes more answers than chance explains, and has given none since
-    utilisation: float | None = None
-    utilisation_at: float = 0.0  # when that was last told
-    last_report: tuple[float | None, float | None] = (
-        None,
-        None,
-    )  # its last report, which many answers repeat
-    reported_rate_sum: float = (
-        0.0  # sums over its reports, fading: requests a second, and the use of its cores
-    )
-    reported_use_sum: float = 0.0
+    in_flight: int = 0  # this balancer's attempts in flight
+    expected_rate: float = 0.0  # responses per ms expected of those, by their classes' mean latencies
+    window_answers: int = 0  # successful responses in the current window
+    latency_ratio_sum: float = 0.0  # decaying sum of latency ratios
+    latency_samples: float = 0.0  # decaying number of them
+    successes: float = 0.0  # decaying number of attempts that met the latency objective
+    failures: float = 0.0  # decaying number of the others
+    latency_ratio: float = 1.0  # mean ratio, shrunk toward that of its kind
+    success_rate: float = 1.0  # fraction of successes, shrunk toward that of the tier
+    slow_start_credit: float = 0.0  # requests of mean cost that may be sent while it is warming up
+    slow_start_rate: float = 0.0  # credit accrued per ms
+    last_heard_at: float = 0.0  # its last response, or the first attempt since none was in flight
+    unresponsive: bool = False  # more responses are overdue than chance explains
+    utilisation: float | None = None  # as last reported
+    utilisation_at: float = 0.0
+    last_report: tuple[float | None, float | None] = (None, None)  # utilisation, requests per second
+    reported_rate_sum: float = 0.0  # decaying sum of reported requests per second
+    reported_use_sum: float = 0.0  # decaying sum of reported utilisation
     last_report_at: float = 0.0
-    consecutive_misses: int = 0  # misses since its last answer in time
-    ejected_until: float = 0.0  # until when it is sent nothing, to become idle
-    suspected_draining: bool = False  # it does so since the list may lack its drain: up to the next list
-    started_at: float = 0.0  # when it last started, by the list or by its return from a ban; 0: long ago
-    available: bool = False  # it may be sent to
-    estimated_capacity: float = (
-        1.0  # requests a second that it can do now, from all balancers; its weight where none are reported
-    )
-    assured_capacity: float = (
-        1.0  # the same, but no more than the settings' ramp makes of what its kind can do
-    )
-
-    def warm_fraction(self, now: float, cold: SlowStart) -> float:
-        """The least part of its work that it can do now, by the slowest ramp allowed."""
-        age = max(now - self.started_at, 0.0)  # by another clock it may start in the future
-        if self.started_at <= 0 or age >= cold.warmup_ms:
+    consecutive_misses: int = 0  # attempts since the last one that met its objective
+    ejected_until: float = 0.0  # 0: not ejected
+    suspected_draining: bool = False  # ejected until the next list, which may show it draining
+    started_at: float = 0.0  # its start by the list, or its readmission by an operator; 0: long ago
+    available: bool = False  # may be sent requests, by list and operators
+    estimated_capacity: float = 1.0  # requests per second for all balancers; without reports its weight
+    assured_capacity: float = 1.0  # the same, at most what slow start allows its kind
+
+    def warm_fraction(self, now: float, slow_start: SlowStart) -> float:
+        """Fraction of its full capacity available now, by the linear slow-start ramp."""
+        age_ms = max(now - self.started_at, 0.0)  # its clock may be ahead
+        if self.started_at <= 0 or age_ms >= slow_start.warmup_ms:
             return 1.0
-        return cold.initial_capacity + (1 - cold.initial_capacity) * age / cold.warmup_ms
+        initial = slow_start.initial_capacity
+        return initial + (1 - initial) * age_ms / slow_start.warmup_ms
 
     def is_ejected(self, now: float) -> bool:
-        """Whether it rests; one that has done so is met as new, or it would not be tried beside others that answer."""
+        """Whether it is ejected; when the ejection expires, the observations before it are dropped.
+
+        With them its weight would stay too low for the requests that would show its recovery.
+        """
         if 0 < self.ejected_until <= now:
-            self.ejected_until = self.latency_ratio_sum = self.latency_samples = self.successes = (
-                self.failures
-            ) = 0.0
+            self.ejected_until = 0.0
+            self.latency_ratio_sum = 0.0
+            self.latency_samples = 0.0
+            self.successes = 0.0
+            self.failures = 0.0
         return self.ejected_until > 0
 
-    def accrue_credit(self, now: float, keep_ms: float) -> float:
-        """Its credit as of now: one request, and half of what it earns in `keep_ms`, are saved up at most.
+    def accrue_credit(self, now: float, overload_window_ms: float) -> float:
+        """Slow-start credit as of `now`: at most one request plus half of `overload_window_ms` of accrual.
 
-        One that is given up instead when it is not sent in time leaves most of a cold upstream's room unused: with many
-        balancers each earns a request in ten seconds and would have to need it within the next two.
+        Credit does not expire: with many balancers each accrues one request in seconds, and would seldom need
+        it just then, so that most of the endpoint's capacity would stay unused.
         """
-        most = 1.0 + self.slow_start_rate * keep_ms / 2
-        self.slow_start_credit, self.credit_at = (
-            min(self.slow_start_credit + (now - self.credit_at) * self.slow_start_rate, most),
-            now,
-        )
+        max_credit = 1.0 + self.slow_start_rate * overload_window_ms / 2
+        accrued = self.slow_start_credit + (now - self.credit_at) * self.slow_start_rate
+        self.slow_start_credit = min(accrued, max_credit)
+        self.credit_at = now
         return self.slow_start_credit
 
-    def fade(self, now: float, memory: float) -> None:
-        """What answers have shown, brought to `now`."""
-        fade = exp((self.updated_at - now) / memory)
-        self.latency_ratio_sum, self.latency_samples = (
-            self.latency_ratio_sum * fade,
-            self.latency_samples * fade,
-        )
-        self.successes, self.failures, self.updated_at = self.successes * fade, self.failures * fade, now
+    def fade(self, now: float, memory_ms: float) -> None:
+        """Decay latencies, successes and failures to `now`, with the time constant `memory_ms`."""
+        decay = exp((self.updated_at - now) / memory_ms)
+        self.latency_ratio_sum *= decay
+        self.latency_samples *= decay
+        self.successes *= decay
+        self.failures *= decay
+        self.updated_at = now
 
     def reset_evidence(self) -> None:
-        """Nothing that it has shown counts any more."""
-        self.latency_ratio_sum = self.latency_samples = self.successes = self.failures = (
-            self.reported_rate_sum
-        ) = self.reported_use_sum = 0.0
-
-    def add_report(self, now: float, memory: float, util: float, per_s: float) -> None:
-        fade = exp((self.last_report_at - now) / memory)
-        self.last_report, self.last_report_at = (util, per_s), now
-        self.reported_rate_sum, self.reported_use_sum = (
-            self.reported_rate_sum * fade + per_s,
-            self.reported_use_sum * fade + util,
-        )
+        """Drop all observed and reported sums."""
+        self.latency_ratio_sum = 0.0
+        self.latency_samples = 0.0
+        self.successes = 0.0
+        self.failures = 0.0
+        self.reported_rate_sum = 0.0
+        self.reported_use_sum = 0.0
+
+    def add_report(self, now: float, memory_ms: float, utilisation: float, requests_per_s: float) -> None:
+        """Add one load report to the sums of reports, which decay with the time constant `memory_ms`."""
+        decay = exp((self.last_report_at - now) / memory_ms)
+        self.last_report = (utilisation, requests_per_s)
+        self.last_report_at = now
+        self.reported_rate_sum = self.reported_rate_sum * decay + requests_per_s
+        self.reported_use_sum = self.reported_use_sum * decay + utilisation
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt of a request at an endpoint."""
+
     target: EndpointStatistics
     sent_at: float
-    open: bool = True
-    may_have_run: bool = True  # may have run, for all that is known
-    in_flight: bool = False  # as out: its server has it whole
-    expected_rate: float = 0.0  # answers a ms that it is to give: one in the usual latency of its class
+    open: bool = True  # not ended yet
+    may_have_run: bool = True  # the endpoint may have executed the request
+    in_flight: bool = False  # counted as load: the endpoint has the request's entire body
+    expected_rate: float = 0.0  # responses per ms expected of it, by its class's mean latency
 
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """A request from its arrival until it is answered and all its attempts have ended.
+
+    Class and maximum of attempts are those of the settings at its arrival.
+    """
+
     name: str
-    traffic_class: TrafficClass  # this and `most` as they were when it came
-    class_latency: ClassLatency  # of its class
-    max_attempts: int  # attempts
-    deadline: float  # an answer after this is worth nothing
-    objective: float  # and after this less
+    traffic_class: TrafficClass
+    class_latency: ClassLatency
+    max_attempts: int
+    deadline: float  # time after which a response has no value
+    objective: float  # time after which a response has less value
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
-    streaming: bool = False
+    streaming: bool = False  # its response has begun
     single_use_body: bool = False
     preferred_endpoint: str = ""
     prior_execution: PriorExecution | None = None
 
     def possible_executions(self) -> list[PriorAttempt]:
-        """Its attempts that may have run."""
+        """This balancer's attempts that may have run."""
         return [
-            PriorAttempt(t.target.endpoint.zone, t.target.endpoint.cell, t.sent_at)
-            for t in self.attempts
-            if t.may_have_run
+            PriorAttempt(attempt.target.endpoint.zone, attempt.target.endpoint.cell, attempt.sent_at)
+            for attempt in self.attempts
+            if attempt.may_have_run
         ]
 
     def prior_attempts(self) -> list[PriorAttempt]:
-        """The same, after what was told of it elsewhere."""
-        if self.prior_execution is None:
+        """All attempts that may have run, those through another balancer first."""
+        prior = self.prior_execution
+        if prior is None:
             return self.possible_executions()
-        return [
-            PriorAttempt(self.prior_execution.zone, self.prior_execution.cell, self.prior_execution.sent_ms),
-            *self.possible_executions(),
-        ]
+        return [PriorAttempt(prior.zone, prior.cell, prior.sent_ms), *self.possible_executions()]
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -207,7 +207,11 @@
         "    if not earlier or call.traffic_class.effect is Effect.IDEMPOTENT and not books.settings.restricted:",
         "    if True:",
     ),
-    COLD: ("endpoint_statistics.py", "        if self.started_at <= 0 or age >= cold.warmup_ms:", "        if True:"),
+    COLD: (
+        "endpoint_statistics.py",
+        "        if self.started_at <= 0 or age_ms >= slow_start.warmup_ms:",
+        "        if True:",
+    ),
 }
 
 
