--- a/benchmarks/constants.py
+++ b/benchmarks/constants.py
@@ -36,7 +36,8 @@
     "rates",
     "endpoint_statistics",
 )
-KEPT_WHOLE = {"ROW", "DRAWS", "CHOICES", "SPAN", "ENOUGH", "FEWEST"}  # counts: their half is rounded
+# Counts: their half is rounded.
+KEPT_WHOLE = {"ROW", "DRAWS", "CHOICES", "LOWEST_MEAN_WINDOWS", "MIN_WINDOW_SAMPLES", "FEWEST"}
 
 
 def constants() -> dict[str, float]:
--- a/limenotch/balancing/available_endpoints.py
+++ b/limenotch/balancing/available_endpoints.py
@@ -10,6 +10,7 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass
 from heapq import heappop, heappush
+from typing import NamedTuple
 from zlib import crc32
 
 from .endpoint_statistics import EndpointStatistics, LatencyProfile
@@ -23,6 +24,13 @@
     return crc32(name.encode()), name
 
 
+class EndpointsByLocality(NamedTuple):
+    """Available endpoints by zone, each list in ring order."""
+
+    local: list[EndpointStatistics]
+    remote: list[EndpointStatistics]
+
+
 class SortedEndpoints:
     """Endpoints sorted by their places."""
 
@@ -96,9 +104,9 @@
         return server in self._entries
 
     @property
-    def by_locality(self) -> tuple[list[EndpointStatistics], list[EndpointStatistics]]:
-        """Those of the own zone, and the others; all are others where crossing costs nothing."""
-        return self._own.endpoints, self._others.endpoints
+    def by_locality(self) -> EndpointsByLocality:
+        """Endpoints of the balancer's zone, and others; all are remote where crossing costs nothing."""
+        return EndpointsByLocality(self._own.endpoints, self._others.endpoints)
 
     @property
     def zone_count(self) -> int:
--- a/limenotch/balancing/balancer_state.py
+++ b/limenotch/balancing/balancer_state.py
@@ -1,7 +1,7 @@
-"""What one balancer keeps: its settings, the list, its calls and timers, and sums of what was sent and answered.
+"""State of one balancer: settings, endpoint list, requests, timers, and sums of what was observed.
 
-Nothing is weighed or chosen here. The files that deploy/balancer.toml names under `policy` read these books and
-decide; here things are counted, added up, faded and stored. Times in ms, rates of calls a second.
+Events are recorded here: counted, added up, decayed, stored. The modules listed under `policy` in
+deploy/balancer.toml read the state and decide. Times and durations are in ms, rates in requests per second.
 """
 
 from __future__ import annotations
@@ -13,93 +13,123 @@
 
 from .actions import Action, SendAttempt, SetTimer
 from .admission import AdmissionControl
-from .available_endpoints import AvailableEndpoints
+from .available_endpoints import AvailableEndpoints, EndpointsByLocality
 from .endpoint_registry import EndpointRegistry, RegistryChanges
-from .endpoint_statistics import Attempt, ClassLatency, EndpointStatistics, LatencyProfile, Request
+from .endpoint_statistics import (
+    WINDOW_DECAY,
+    Attempt,
+    ClassLatency,
+    EndedAttempt,
+    EndpointStatistics,
+    LatencyProfile,
+    Request,
+)
 from .events import AttemptFinished, OperatorEjection, RequestArrived, SettingsChanged, UploadFinished
+from .quota_bucket import QuotaBucket
 from .types import NEVER_RAN, BalancerSettings, DedupScope, Outcome, Tenant
 
-MEMORY = 4.0  # evidence on an upstream fades over this many of the longest aims: troubles last a few aims
-WINDOW = 0.5  # shares and means are renewed after this part of the mean aim: answers still matter by then
-SPAN = 30  # windows over which the lowest mean stands for an idle tier
-ENOUGH = 8  # samples before a window's mean counts: fewer make the lowest mean sit too low
-REPORTS = 1.2  # reports fade over this many of the longest aims: a jam shows within two or three of them
-CLIP = 4.0  # one answer counts at most this many times the usual: a costly call is not a slow upstream
-NEAR = 0.75  # of what all may send a cold upstream, for the balancers of its zone: others seldom cross
-TURN = (sqrt(5) - 1) / 2  # ranks by multiples of it lie evenly on a circle, however many there are
-BURST = 10.0  # copies and retries that may be saved up, and calls of a tenant
+MEMORY_OBJECTIVES = 4.0  # time constant of observations, in the longest latency objectives
+REPORT_MEMORY_OBJECTIVES = 1.2  # time constant of load reports, in the longest latency objectives
+WINDOW_OBJECTIVES = 0.5  # length of a window, in mean latency objectives
+LOWEST_MEAN_WINDOWS = 30  # windows over which the lowest mean latency is taken for an idle tier's
+MIN_WINDOW_SAMPLES = 8  # responses from which a window's mean counts; with fewer the lowest is too low
+MAX_LATENCY_RATIO = 4.0  # an expensive request is no slow endpoint
+LOCAL_SLOW_START_SHARE = 0.75  # of a warming endpoint's capacity, for the balancers of its zone
+BURST = 10.0  # requests: maximum of the retry budget, and minimum burst of a tenant's quota
+FORGET_MEMORIES = 10.0  # memories without a response after which observations are dropped
+RATE_SMOOTHING = 0.2  # weight of a new window in a mean over windows
+IN_FLIGHT_SMOOTHING = 20  # arrivals over which the mean in flight is taken
+GOLDEN_RATIO = (sqrt(5) - 1) / 2  # its multiples modulo 1 spread any number of balancers evenly
 
-HEARD = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)  # its machine is there
-FORGET = 10.0  # times the memory without a word of an upstream, after which what it has shown is forgotten
-SelectionTable = tuple[
-    list[EndpointStatistics], list[float]
-]  # upstreams, and sums of their shares up to each
+RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)  # the endpoint's host is alive
+INCONCLUSIVE = (Outcome.NOT_SENT, Outcome.CANCELLED)  # neither success nor failure of the endpoint
+WITH_LATENCY = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)  # a fast failure is no low latency
 
+SelectionTable = tuple[list[EndpointStatistics], list[float]]
+"""Endpoints, and the running sums of their selection weights."""
 
-def selection_table(servers: list[EndpointStatistics]) -> SelectionTable:
-    return servers, list(accumulate(s.selection_weight for s in servers))
+
+def selection_table(endpoints: list[EndpointStatistics]) -> SelectionTable:
+    """Table for a random choice in proportion to the selection weights."""
+    return endpoints, list(accumulate(endpoint.selection_weight for endpoint in endpoints))
 
 
 class BalancerState:
-    """Written by events as they come; every decision reads them."""
+    """State that events write and every decision reads."""
 
     def __init__(self, settings: BalancerSettings, seed: int) -> None:
+        """State before the first event; all random choices follow from `seed`."""
         self.random = Random(seed)
+        self.now = -inf  # time of the latest event
+        self.admission = AdmissionControl()
+        self._init_endpoints(settings)
+        self._init_requests()
+        self._init_window_sums()
+        self.apply_settings(settings)
+
+    def _init_endpoints(self, settings: BalancerSettings) -> None:
         self.registry = EndpointRegistry(self.random)
         self.available = AvailableEndpoints(settings)
-        self.observed: dict[
-            EndpointStatistics, None
-        ] = {}  # those that have been sent to and may have shown something, in order
-        self.warming: list[
-            EndpointStatistics
-        ] = []  # those that have room for cold starts, by the latest shares
-        self.weights_at, self.weights_stale = (
-            -inf,
-            False,
-        )  # when shares were taken last; whether the list has changed since
-        self.candidates, self.local_candidates = (
-            selection_table([]),
-            selection_table([]),
-        )  # those drawn from, and of them the own zone's
+        self.discovery_failures = 0  # in a row
+        self.observed: dict[EndpointStatistics, None] = {}  # with observations that count, in order
+        self.unresponsive: set[EndpointStatistics] = set()
+        self.warming: list[EndpointStatistics] = []  # with a slow-start rate, by the latest weights
+        self.weights_at = -inf  # time of the latest weights
+        self.weights_stale = False  # the list has changed since
+        self.candidates: SelectionTable = selection_table([])
+        self.local_candidates: SelectionTable = selection_table([])  # those of the balancer's zone
         self.dedup_candidates: dict[tuple[DedupScope, Hashable], SelectionTable] = {}
-        self.tier_profile = LatencyProfile()
+
+    def _init_requests(self) -> None:
         self.requests: dict[str, Request] = {}
-        self.timers: dict[int, Request | None] = {}
-        self.token, self.discovery_failures, self.now, self.window_start, self.window_end = (
-            0,
-            0,
-            -inf,
-            -1.0,
-            -inf,
-        )  # window's ends
-        self.retry_budget, self.in_flight, self.mean_in_flight, self.window_arrivals = BURST, 0, 0.0, 0
-        self.total_successes = self.total_failures = self.slow_start_rate = self.demand = 0.0
-        self.shown_rate = 0.0  # answers a second and weight that warm upstreams give us
-        self.rate_proved = False  # whether a warm one has answered
-        self.hedgeable = self.hedged = self.arrivals = 0.0
-        self.mean_success_rate = self.best_success_rate = self.live_fraction = 1.0
-        self.typical_latency_ms = 0.0  # mean latency over all classes
-        self.unresponsive: set[EndpointStatistics] = set()
-        self.admission = AdmissionControl()
-        self.class_latencies: dict[str, ClassLatency] = {}  # of each class
-        self.quota_buckets: dict[str, tuple[float, float]] = {}  # of each tenant: calls saved up, and when
-        self.apply_settings(settings)
+        self.timers: dict[int, Request | None] = {}  # by token; None: subscribe again
+        self.token = 0  # of the latest timer
+        self.retry_budget = BURST
+        self.in_flight = 0  # attempts
+        self.mean_in_flight = 0.0
+        self.class_latencies: dict[str, ClassLatency] = {}
+        self.typical_latency_ms = 0.0  # mean over all classes
+        self.quota_buckets: dict[str, QuotaBucket] = {}  # by tenant
+
+    def _init_window_sums(self) -> None:
+        self.window_start = -1.0  # negative: no window has begun
+        self.window_end = -inf
+        self.window_arrivals = 0
+        self.total_successes = 0.0  # decaying number of attempts that met the latency objective
+        self.total_failures = 0.0  # decaying number of the others
+        self.arrivals = 0.0  # decaying number of requests
+        self.hedgeable = 0.0  # decaying number of requests that could be hedged
+        self.hedged = 0.0  # decaying number of hedged requests
+        self.demand = 0.0  # smoothed arrivals per second
+        self.slow_start_rate = 0.0  # slow-start credit per ms for a capacity of 1
+        self.shown_rate = 0.0  # responses per second and unit of weight from warm endpoints
+        self.rate_proved = False  # a warm endpoint has responded
+        self.mean_success_rate = 1.0
+        self.best_success_rate = 1.0
+        self.live_fraction = 1.0  # of the capacity, not ejected
+        self.tier_profile = LatencyProfile()
 
     def apply_settings(self, settings: BalancerSettings) -> None:
-        """Rules for the calls to come. What was learnt stays with the names that stay."""
-        self.settings, aims = settings, [c.latency_objective_ms for c in settings.classes]
-        self.registry.phase = settings.balancer_index * TURN % 1
-        self.evidence_memory_ms, self.window_ms = MEMORY * max(aims), WINDOW * sum(aims) / len(aims)
-        self.report_memory_ms = REPORTS * max(aims)
+        """Use `settings` from the next request on; classes and tenants of the same name keep their state."""
+        objectives = [traffic_class.latency_objective_ms for traffic_class in settings.classes]
+        self.settings = settings
+        self.registry.phase = settings.balancer_index * GOLDEN_RATIO % 1
+        self.evidence_memory_ms = MEMORY_OBJECTIVES * max(objectives)
+        self.report_memory_ms = REPORT_MEMORY_OBJECTIVES * max(objectives)
+        self.window_ms = WINDOW_OBJECTIVES * sum(objectives) / len(objectives)
         self.class_latencies = {
-            c.name: self.class_latencies.get(c.name) or ClassLatency() for c in settings.classes
+            traffic_class.name: self.class_latencies.get(traffic_class.name) or ClassLatency()
+            for traffic_class in settings.classes
+        }
+        self.quota_buckets = {
+            tenant.name: self.quota_buckets.get(tenant.name) or QuotaBucket(BURST)
+            for tenant in settings.tenants
         }
-        self.quota_buckets = {t.name: self.quota_buckets.get(t.name, (BURST, 0.0)) for t in settings.tenants}
 
-    # The list, and the time
+    # Endpoints
 
     def apply_operator_event(self, now: float, event: OperatorEjection | SettingsChanged) -> None:
-        """Operators have changed who may be sent to, or the rules."""
+        """Apply an operator's ejection, readmission or change of settings."""
         if isinstance(event, OperatorEjection):
             self.apply_registry_changes(now, self.registry.apply_ejection(now, event))
             return
@@ -108,276 +138,257 @@
         self.apply_registry_changes(now, RegistryChanges(list(self.registry.endpoints.values()), []))
 
     def apply_registry_changes(self, now: float, changes: RegistryChanges) -> None:
-        """Who may be sent to has changed. The cost follows what changed: a list may hold thousands."""
-        for server in changes.removed:
-            server.available = False
-            self.unresponsive.discard(server)
-            self.observed.pop(server, None)
-        for server in changes.changed:
-            server.available = self.registry.accepts_requests(server)
-        ready = [server for server in changes.changed if server.available]
-        self.available.update(
-            now, ready, [*changes.removed, *(s for s in changes.changed if not s.available)]
-        )
+        """Update which endpoints are available; the cost grows with the changes, not with the list."""
+        for endpoint in changes.removed:
+            endpoint.available = False
+            self.unresponsive.discard(endpoint)
+            self.observed.pop(endpoint, None)
+        for endpoint in changes.changed:
+            endpoint.available = self.registry.accepts_requests(endpoint)
+        available = [endpoint for endpoint in changes.changed if endpoint.available]
+        unavailable = [endpoint for endpoint in changes.changed if not endpoint.available]
+        self.available.update(now, available, [*changes.removed, *unavailable])
 
     @property
-    def by_locality(self) -> tuple[list[EndpointStatistics], list[EndpointStatistics]]:
-        """Those ready: own zone, others."""
+    def by_locality(self) -> EndpointsByLocality:
+        """Available endpoints of the balancer's zone, and those of others."""
         return self.available.by_locality
 
-    def locality_factor(self, server: EndpointStatistics) -> float:
-        """How much more than an equal part is ours where calls stay in their zone: most goes to the balancers there.
+    def locality_factor(self, endpoint: EndpointStatistics) -> float:
+        """Factor on this balancer's equal share of a warming endpoint, where crossing zones has a cost.
 
-        With balancers spread evenly over zones the parts add up to one; with all in one zone to more.
+        Most of its capacity goes to the balancers of its zone. With balancers spread evenly over the zones
+        the shares add up to one; with all of them in one zone, to more.
         """
-        near, far = self.by_locality
-        if not near or not far:
+        local, remote = self.by_locality
+        if not local or not remote:
             return 1.0
         zones = self.available.zone_count
-        return (
-            zones * NEAR if server.endpoint.zone == self.settings.zone else zones * (1 - NEAR) / (zones - 1)
-        )
+        if endpoint.endpoint.zone == self.settings.zone:
+            return zones * LOCAL_SLOW_START_SHARE
+        return zones * (1 - LOCAL_SLOW_START_SHARE) / (zones - 1)
 
     def excluded_count(self) -> int:
-        """How many of those listed are sent nothing, or one call at a time to see whether they are back."""
-        return (
-            len(self.registry.endpoints) - len(self.available) + sum(s.available for s in self.unresponsive)
-        )
+        """Number of listed endpoints that are unavailable or unresponsive."""
+        unavailable = len(self.registry.endpoints) - len(self.available)
+        return unavailable + sum(endpoint.available for endpoint in self.unresponsive)
 
     def prune_observed(self, now: float) -> list[EndpointStatistics]:
-        """Those of `known` that may be sent to; what was shown too long ago is forgotten."""
-        for server in [s for s in self.observed if self._forgotten(now, s)]:
-            server.reset_evidence()
-            del self.observed[server]
-        self.unresponsive = {
-            s for s in self.unresponsive if self.registry.endpoints.get(s.endpoint.name) is s
-        }
-        return [server for server in self.observed if server.available]
+        """Drop observations that are too old; return the available endpoints with observations."""
+        max_age_ms = FORGET_MEMORIES * self.evidence_memory_ms
+        for endpoint in [each for each in self.observed if each.is_forgotten(now, max_age_ms)]:
+            endpoint.reset_evidence()
+            del self.observed[endpoint]
+        listed = self.registry.endpoints
+        self.unresponsive = {each for each in self.unresponsive if listed.get(each.endpoint.name) is each}
+        return [endpoint for endpoint in self.observed if endpoint.available]
 
-    def _forgotten(self, now: float, server: EndpointStatistics) -> bool:
-        latest = max(server.updated_at, server.last_report_at, server.last_heard_at)
-        return (
-            not (server.in_flight or server.unresponsive or server.ejected_until)
-            and now - latest > FORGET * self.evidence_memory_ms
-        )
+    def find_available(self, name: str) -> EndpointStatistics | None:
+        """The available endpoint of that name, also outside this balancer's subset."""
+        endpoint = self.registry.endpoints.get(name)
+        return endpoint if endpoint and endpoint.available else None
+
+    # Time and windows
 
     def advance_clock(self, now: float) -> bool:
-        """The time of the event that comes; whether a window ends with it. Raises ValueError if it runs backwards."""
+        """Set the time; return whether the window has ended. Raises ValueError if time runs backwards."""
         if now < self.now:
             raise ValueError(f"now_ms: {now} runs backwards, expected {self.now} or later")
         self.now = now
         return now >= self.window_end
 
     def end_window(self, now: float) -> bool:
-        """Sums fade and means are taken, of the window that ends; False if none had begun."""
-        begun, span = self.window_start >= 0, now - self.window_start
-        self.window_start, self.window_end = now, now + self.window_ms
-        if not begun:
+        """End the window: decay sums, update means, begin the next one. False if none had begun."""
+        had_begun = self.window_start >= 0
+        span_ms = now - self.window_start
+        self.window_start = now
+        self.window_end = now + self.window_ms
+        if not had_begun:
             return False
-        self.demand += (self.window_arrivals / span * 1000 - self.demand) * (0.2 if self.demand else 1.0)
-        self._pace(span)
-        self.admission.end_window(span, self.total_successes, self.total_failures)
-        self.total_successes, self.total_failures, self.window_arrivals = (
-            self.total_successes * 0.9,
-            self.total_failures * 0.9,
-            0,
-        )
-        self.hedgeable, self.hedged, self.arrivals = (
-            self.hedgeable * 0.9,
-            self.hedged * 0.9,
-            self.arrivals * 0.9,
-        )
-        for mean in (self.tier_profile, *self.registry.profiles.values()):
-            mean.end_window(ENOUGH, SPAN)
-        usual = self.class_latencies.values()
-        self.typical_latency_ms = sum(u.mean_ms * u.samples for u in usual) / max(
-            sum(u.samples for u in usual), 1
-        )
+        arrival_rate = self.window_arrivals / span_ms * 1000
+        self.demand += (arrival_rate - self.demand) * (RATE_SMOOTHING if self.demand else 1.0)
+        self._update_shown_rate(span_ms)
+        self.admission.end_window(span_ms, self.total_successes, self.total_failures)
+        self.window_arrivals = 0
+        self.total_successes *= WINDOW_DECAY
+        self.total_failures *= WINDOW_DECAY
+        self.hedgeable *= WINDOW_DECAY
+        self.hedged *= WINDOW_DECAY
+        self.arrivals *= WINDOW_DECAY
+        for profile in (self.tier_profile, *self.registry.profiles.values()):
+            profile.end_window(MIN_WINDOW_SAMPLES, LOWEST_MEAN_WINDOWS)
+        latencies = self.class_latencies.values()
+        latency_sum = sum(latency.mean_ms * latency.samples for latency in latencies)
+        self.typical_latency_ms = latency_sum / max(sum(latency.samples for latency in latencies), 1)
         return True
 
-    def _pace(self, span: float) -> None:
-        """What warm upstreams show that they can do, for where nothing is reported; with none yet, what is asked for.
+    def _update_shown_rate(self, span_ms: float) -> None:
+        """Update the rate per unit of weight that warm endpoints have shown; used where none report load.
 
-        All balancers' figures add up to what the tier did answer, as each divides by the weight of all that are warm.
-        It falls only as far as what is asked for does: a jam is not a lesser tier. With no warm one it stands.
+        Before a warm endpoint has responded it is the arrival rate. The rates of all balancers add up to the
+        tier's, as each divides by the weight of all warm endpoints. It falls no lower than the arrival rate,
+        since overload does not lessen capacity, and stays as it is while no endpoint is warm.
         """
         self.available.warm_up(self.now)
-        asked = self.window_arrivals / span * 1000 / max(self.available.total_weight, 1e-9)
-        answers = sum(s.window_answers for s in self.observed if self.available.is_warm(s))
-        seen, warm = answers / span * 1000 / max(self.available.warm_weight, 1e-9), self.available.warm_count
-        if seen and not self.rate_proved:
-            self.shown_rate, self.rate_proved = seen, True
-        elif self.rate_proved and warm:
-            self.shown_rate += (max(seen, min(self.shown_rate, asked)) - self.shown_rate) * 0.2
-        elif not self.rate_proved and not warm:
-            self.shown_rate += (asked - self.shown_rate) * (0.2 if self.shown_rate else 1.0)
-        for s in self.observed:
-            s.window_answers = 0
-
-    def schedule_timer(self, at: float, call: Request | None, acts: list[Action]) -> None:
-        """A timer for a call, or for the list."""
+        available = self.available
+        arrival_rate = self.window_arrivals / span_ms * 1000 / max(available.total_weight, 1e-9)
+        responses = sum(each.window_answers for each in self.observed if available.is_warm(each))
+        response_rate = responses / span_ms * 1000 / max(available.warm_weight, 1e-9)
+        if response_rate and not self.rate_proved:
+            self.shown_rate = response_rate
+            self.rate_proved = True
+        elif self.rate_proved and available.warm_count:
+            target = max(response_rate, min(self.shown_rate, arrival_rate))
+            self.shown_rate += (target - self.shown_rate) * RATE_SMOOTHING
+        elif not self.rate_proved and not available.warm_count:
+            self.shown_rate += (arrival_rate - self.shown_rate) * (RATE_SMOOTHING if self.shown_rate else 1.0)
+        for endpoint in self.observed:
+            endpoint.window_answers = 0
+
+    def schedule_timer(self, at: float, request: Request | None, actions: list[Action]) -> None:
+        """Set a timer for a request, or with None for another subscription to the endpoint list."""
         self.token += 1
-        self.timers[self.token] = call
-        acts.append(SetTimer(at, self.token))
-
-    def find_available(self, name: str) -> EndpointStatistics | None:
-        """One that may be sent to, whether or not this balancer draws from it."""
-        server = self.registry.endpoints.get(name)
-        return server if server and server.available else None
+        self.timers[self.token] = request
+        actions.append(SetTimer(at, self.token))
 
-    # Calls and attempts
+    # Requests and attempts
 
     def record_arrival(self, now: float, event: RequestArrived) -> Request:
-        """A record for a call that came. Raises ValueError if its class is none of the settings."""
+        """Create the record of a request. Raises ValueError for a traffic class that the settings lack."""
         if not 0 <= event.traffic_class < len(self.settings.classes):
             raise ValueError(f"traffic_class: {event.traffic_class} is no class of the settings")
-        cls = self.settings.classes[event.traffic_class].for_request(event.has_idempotency_key)
-        useful = min(event.budget_ms, cls.latency_objective_ms) if cls.late_weight <= 0 else event.budget_ms
-        usual, most, aim = (
-            self.class_latencies[cls.name],
-            self.settings.max_attempts,
-            now + cls.latency_objective_ms,
-        )
-        call = Request(
+        traffic_class = self.settings.classes[event.traffic_class].for_request(event.has_idempotency_key)
+        budget_ms = event.budget_ms
+        if traffic_class.late_weight <= 0:  # a response after the objective has no value
+            budget_ms = min(budget_ms, traffic_class.latency_objective_ms)
+        request = Request(
             event.request,
-            cls,
-            usual,
-            most,
-            now + useful,
-            aim,
+            traffic_class,
+            self.class_latencies[traffic_class.name],
+            self.settings.max_attempts,
+            now + budget_ms,
+            now + traffic_class.latency_objective_ms,
             single_use_body=event.single_use_body,
             preferred_endpoint=event.preferred_endpoint,
             prior_execution=event.prior_execution,
         )
-        self.requests[call.name] = call
-        self.arrivals, self.window_arrivals = self.arrivals + 1, self.window_arrivals + 1
-        # With each call and not with answers: a shut door has none, and would not see that nothing is out.
-        self.mean_in_flight += (self.in_flight - self.mean_in_flight) / 20
-        return call
-
-    def request_weight(self, now: float, call: Request, event: RequestArrived) -> float:
-        """What an answer to it earns, by its class and by what its tenant has used of its quota."""
+        self.requests[request.name] = request
+        self.arrivals += 1
+        self.window_arrivals += 1
+        # At arrivals, not responses: while all requests are rejected there are no responses.
+        self.mean_in_flight += (self.in_flight - self.mean_in_flight) / IN_FLIGHT_SMOOTHING
+        return request
+
+    def request_weight(self, now: float, request: Request, event: RequestArrived) -> float:
+        """Priority weight of a request, by its class and its tenant's use of its quota."""
+        weight = request.traffic_class.priority_weight
         if event.tenant >= len(self.settings.tenants):
-            return call.traffic_class.priority_weight
+            return weight
         over = self.over_quota(now, self.settings.tenants[event.tenant])
-        return call.traffic_class.priority_weight * (self.settings.over_quota_weight if over else 1.0)
+        return weight * (self.settings.over_quota_weight if over else 1.0)
 
     def over_quota(self, now: float, tenant: Tenant) -> bool:
-        """One call more of this tenant: whether it is above what its quota has saved up."""
-        rate = tenant.quota_per_s / self.settings.instances / 1000
-        saved, since = self.quota_buckets[tenant.name]
-        saved = min(saved + (now - since) * rate, max(BURST, rate * self.window_ms))
-        self.quota_buckets[tenant.name] = (max(saved - 1, min(saved, 0.0)), now)
-        return saved < 1 and rate > 0
+        """Take one request from the tenant's bucket; return whether the bucket lacked it."""
+        per_ms = tenant.quota_per_s / self.settings.instances / 1000
+        capacity = max(BURST, per_ms * self.window_ms)
+        within = self.quota_buckets[tenant.name].take_request(now, per_ms, capacity)
+        return not within and per_ms > 0
 
     def record_send(
-        self, now: float, call: Request, server: EndpointStatistics, acts: list[Action], copy: int = 0
+        self, now: float, request: Request, endpoint: EndpointStatistics, actions: list[Action], copy: int = 0
     ) -> None:
-        self.observed[server] = None
-        call.attempts.append(
-            Attempt(
-                server,
-                now,
-                expected_rate=1 / call.class_latency.mean_ms if call.class_latency.mean_ms else 0.0,
-            )
-        )
-        if not call.single_use_body:
-            self._count(call.attempts[-1], now)
-        self.hedged, self.retry_budget = self.hedged + copy, self.retry_budget - copy
-        if server.warm_fraction(now, self.settings.slow_start) < 1.0:  # by its class's part of the mean work
-            server.slow_start_credit -= (
-                call.class_latency.mean_ms / self.typical_latency_ms
-                if call.class_latency.mean_ms and self.typical_latency_ms
-                else 1.0
-            )
-        acts.append(SendAttempt(call.name, server.endpoint.name, max(call.deadline - now, 0.001)))
-
-    def _count(self, attempt: Attempt, now: float) -> None:
-        """Its server has work by it from now on."""
-        if not attempt.target.in_flight:
-            attempt.target.last_heard_at = now
-        attempt.sent_at, attempt.in_flight = now, True
-        attempt.target.in_flight, self.in_flight = attempt.target.in_flight + 1, self.in_flight + 1
-        attempt.target.expected_rate += attempt.expected_rate
+        """Send an attempt; `copy` is 1 if it hedges another one, which the retry budget pays for."""
+        mean_ms = request.class_latency.mean_ms
+        attempt = Attempt(endpoint, now, expected_rate=1 / mean_ms if mean_ms else 0.0)
+        self.observed[endpoint] = None
+        request.attempts.append(attempt)
+        if not request.single_use_body:
+            attempt.count_in_flight(now)
+            self.in_flight += 1
+        self.hedged += copy
+        self.retry_budget -= copy
+        if endpoint.warm_fraction(now, self.settings.slow_start) < 1.0:
+            # The cost of a request is its class's mean latency in relation to that of all.
+            known = mean_ms and self.typical_latency_ms
+            endpoint.slow_start_credit -= mean_ms / self.typical_latency_ms if known else 1.0
+        timeout_ms = max(request.deadline - now, 0.001)
+        actions.append(SendAttempt(request.name, endpoint.endpoint.name, timeout_ms))
 
     def record_upload(self, now: float, event: UploadFinished) -> None:
-        """How long its client took to send it is neither load nor lateness."""
-        call = self.requests.get(event.request)
-        if call is not None and not call.answered and call.attempts and call.attempts[-1].open:
-            call.deadline, call.objective = (
-                now + event.budget_ms,
-                now + call.traffic_class.latency_objective_ms,
-            )
-            self._count(call.attempts[-1], now)
-
-    def record_end(self, now: float, event: AttemptFinished) -> tuple[Request, Attempt] | None:
-        """The attempt that has ended and its call; None for one that is not known to be out."""
-        call = self.requests.get(event.request)
-        if (
-            call is None
-            or not 0 <= event.attempt < len(call.attempts)
-            or not call.attempts[event.attempt].open
-        ):
+        """Start the request's time now: how long the client took to send the body is no load or latency."""
+        request = self.requests.get(event.request)
+        if request is None or request.answered or not request.attempts or not request.attempts[-1].open:
+            return
+        request.deadline = now + event.budget_ms
+        request.objective = now + request.traffic_class.latency_objective_ms
+        request.attempts[-1].count_in_flight(now)
+        self.in_flight += 1
+
+    def record_end(self, now: float, event: AttemptFinished) -> EndedAttempt | None:
+        """End the event's attempt; None if no such attempt is open."""
+        request = self.requests.get(event.request)
+        if request is None or not 0 <= event.attempt < len(request.attempts):
             return None
-        attempt = call.attempts[event.attempt]
-        attempt.open, attempt.may_have_run = False, event.outcome not in NEVER_RAN
-        attempt.target.in_flight, self.in_flight = (
-            attempt.target.in_flight - attempt.in_flight,
-            self.in_flight - attempt.in_flight,
-        )
-        attempt.target.expected_rate -= attempt.expected_rate * attempt.in_flight
-        if event.outcome in HEARD:
-            attempt.target.last_heard_at, attempt.target.unresponsive = now, False
+        attempt = request.attempts[event.attempt]
+        if not attempt.open:
+            return None
+        attempt.end(may_have_run=event.outcome not in NEVER_RAN)
+        if attempt.in_flight:
+            self.in_flight -= 1
+        if event.outcome in RESPONDED:
+            attempt.target.last_heard_at = now
+            attempt.target.unresponsive = False
             self.unresponsive.discard(attempt.target)
-        if call.answered:
-            self.forget_request(call)
-        return call, attempt
-
-    def forget_request(self, call: Request) -> None:
-        """One with its final answer, once no attempt of it is out."""
-        if not any(t.open for t in call.attempts):
-            self.requests.pop(call.name, None)
-
-    # Evidence
-
-    def record_report(self, now: float, server: EndpointStatistics, event: AttemptFinished) -> None:
-        """What the upstream says of itself; most answers repeat its last report."""
-        server.fade(now, self.evidence_memory_ms)
-        if event.utilisation is None:
+        if request.answered:
+            self.forget_request(request)
+        return EndedAttempt(request, attempt)
+
+    def forget_request(self, request: Request) -> None:
+        """Drop an answered request unless attempts of it are open."""
+        if not any(attempt.open for attempt in request.attempts):
+            self.requests.pop(request.name, None)
+
+    # Observations
+
+    def record_report(self, now: float, endpoint: EndpointStatistics, event: AttemptFinished) -> None:
+        """Record the load that the endpoint reports with a response; most repeat its last report."""
+        endpoint.fade(now, self.evidence_memory_ms)
+        utilisation = event.utilisation
+        requests_per_s = event.requests_per_s
+        if utilisation is None:
             return
-        server.utilisation, server.utilisation_at = event.utilisation, now
-        util = event.utilisation
-        per_s = event.requests_per_s
-        if per_s is not None and (util, per_s) != server.last_report:
-            server.add_report(now, self.report_memory_ms, util, per_s)
-            if server.warm_fraction(now, self.settings.slow_start) >= 1.0:
-                for mean in (server.profile, self.tier_profile):
-                    mean.reported_rate, mean.reported_use = (
-                        mean.reported_rate + per_s,
-                        mean.reported_use + util * server.listed_weight,
-                    )
+        endpoint.utilisation = utilisation
+        endpoint.utilisation_at = now
+        if requests_per_s is None or (utilisation, requests_per_s) == endpoint.last_report:
+            return
+        endpoint.add_report(now, self.report_memory_ms, utilisation, requests_per_s)
+        if endpoint.warm_fraction(now, self.settings.slow_start) >= 1.0:
+            for profile in (endpoint.profile, self.tier_profile):
+                profile.reported_rate += requests_per_s
+                profile.reported_use += utilisation * endpoint.listed_weight
 
     def record_outcome(
-        self, now: float, call: Request, server: EndpointStatistics, event: AttemptFinished
+        self, now: float, request: Request, endpoint: EndpointStatistics, event: AttemptFinished
     ) -> None:
-        """What the attempt's end shows: in time or a miss, and how slow."""
+        """Record success or failure of an ended attempt, and its latency."""
         ok = event.outcome is Outcome.OK
-        if ok and now <= call.objective:
-            # Only answers in time count: a jam that ends in time-outs would else pass for a fair pace.
+        if ok and now <= request.objective:
+            # Only these count as goodput: in overload that ends in timeouts it would look sufficient.
             self.admission.count_answer(now)
-            server.successes, self.total_successes = server.successes + 1, self.total_successes + 1
-        elif event.outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
-            server.failures, self.total_failures = server.failures + 1, self.total_failures + 1
-        if event.outcome not in (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED):
-            return  # a fast failure is no fast answer
+            endpoint.successes += 1
+            self.total_successes += 1
+        elif event.outcome not in INCONCLUSIVE:
+            endpoint.failures += 1
+            self.total_failures += 1
+        if event.outcome not in WITH_LATENCY:
+            return
         if ok:
-            call.class_latency.add(event.elapsed_ms)
-            server.window_answers += 1
-        ratio = min(event.elapsed_ms / max(call.class_latency.mean_ms, 1e-3), CLIP)
-        if ok or ratio > server.latency_ratio:  # cut off: at least that slow
-            server.latency_ratio_sum, server.latency_samples = (
-                server.latency_ratio_sum + ratio,
-                server.latency_samples + 1,
-            )
-            for mean in (server.profile, self.tier_profile):
-                mean.add(ratio)
+            request.class_latency.add(event.elapsed_ms)
+            endpoint.window_answers += 1
+        ratio = min(event.elapsed_ms / max(request.class_latency.mean_ms, 1e-3), MAX_LATENCY_RATIO)
+        # An attempt without a response took at least that long: it counts only if it raises the mean.
+        if ok or ratio > endpoint.latency_ratio:
+            endpoint.latency_ratio_sum += ratio
+            endpoint.latency_samples += 1
+            for profile in (endpoint.profile, self.tier_profile):
+                profile.add(ratio)
--- a/limenotch/balancing/endpoint_statistics.py
+++ b/limenotch/balancing/endpoint_statistics.py
@@ -8,6 +8,7 @@
 
 from dataclasses import dataclass, field
 from math import exp
+from typing import NamedTuple
 
 from .types import Endpoint, PriorAttempt, PriorExecution, SlowStart, TrafficClass
 
@@ -171,6 +172,12 @@
         self.reported_rate_sum = 0.0
         self.reported_use_sum = 0.0
 
+    def is_forgotten(self, now: float, max_age_ms: float) -> bool:
+        """Whether its observations are older than `max_age_ms` and nothing depends on them."""
+        if self.in_flight or self.unresponsive or self.ejected_until:
+            return False
+        return now - max(self.updated_at, self.last_report_at, self.last_heard_at) > max_age_ms
+
     def add_report(self, now: float, memory_ms: float, utilisation: float, requests_per_s: float) -> None:
         """Add one load report to the sums of reports, which decay with the time constant `memory_ms`."""
         decay = exp((self.last_report_at - now) / memory_ms)
@@ -191,6 +198,24 @@
     in_flight: bool = False  # counted as load: the endpoint has the request's entire body
     expected_rate: float = 0.0  # responses per ms expected of it, by its class's mean latency
 
+    def count_in_flight(self, now: float) -> None:
+        """Count it as load on its endpoint from now on."""
+        endpoint = self.target
+        if not endpoint.in_flight:
+            endpoint.last_heard_at = now
+        self.sent_at = now
+        self.in_flight = True
+        endpoint.in_flight += 1
+        endpoint.expected_rate += self.expected_rate
+
+    def end(self, may_have_run: bool) -> None:
+        """Close it; `in_flight` still tells whether it was counted as load."""
+        self.open = False
+        self.may_have_run = may_have_run
+        if self.in_flight:
+            self.target.in_flight -= 1
+            self.target.expected_rate -= self.expected_rate
+
 
 @dataclass(slots=True, eq=False)
 class Request:
@@ -226,3 +251,10 @@
         if prior is None:
             return self.possible_executions()
         return [PriorAttempt(prior.zone, prior.cell, prior.sent_ms), *self.possible_executions()]
+
+
+class EndedAttempt(NamedTuple):
+    """An attempt that has just ended, with its request."""
+
+    request: Request
+    attempt: Attempt
