--- a/limenotch/balancing/endpoint_registry.py
+++ b/limenotch/balancing/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Who there is to send to: what the list and the operators say, kept apart from what is decided on it."""
+"""The endpoints that discovery lists and operators allow; which of them is chosen is decided elsewhere."""
 
 from __future__ import annotations
 
@@ -11,91 +11,101 @@
 
 
 class RegistryChanges(NamedTuple):
-    """What a list, or a word of the operators, has changed."""
+    """Endpoints that a membership update or an operator has changed."""
 
-    changed: list[EndpointStatistics]  # new, or listed in another way than before
-    removed: list[EndpointStatistics]  # gone, or another process now
+    changed: list[EndpointStatistics]  # new, or with another entry than before
+    removed: list[EndpointStatistics]  # gone, or replaced by another process
 
 
 class EndpointRegistry:
-    """The upstreams listed, those banned by hand, and since when each one's process runs."""
+    """Listed endpoints by name, and those that operators ejected or readmitted."""
 
     def __init__(self, random: Random) -> None:
+        """Empty registry; `random` spreads the first requests to started endpoints over time."""
         self.endpoints: dict[str, EndpointStatistics] = {}
-        self.profiles: dict[int, LatencyProfile] = {}
-        self.phase = 0.0  # of this balancer among those that send to a cold upstream
-        self._banned: set[str] = set()  # listed or not
-        self._back: dict[str, float] = {}  # when they came back from a ban
-        self._doubted: set[EndpointStatistics] = set()  # at rest up to the next list
+        self.profiles: dict[int, LatencyProfile] = {}  # by the endpoints' kind
+        self.phase = 0.0  # this balancer's offset in slow start among all balancers, 0 to 1
+        self._ejected: set[str] = set()  # by operators; names that need not be listed
+        self._readmitted_at: dict[str, float] = {}  # ms
+        self._suspected: set[EndpointStatistics] = set()  # ejected until the next list
         self._random = random
 
-    def apply_membership(self, now: float, event: MembershipUpdate, weights: bool) -> RegistryChanges:
-        """The whole list, or what changed in it; `weights` says whether listed weights mean something."""
+    def apply_membership(self, now: float, event: MembershipUpdate, use_weights: bool) -> RegistryChanges:
+        """Apply a complete or incremental endpoint list; without `use_weights` all weights are 1."""
         changes = RegistryChanges([], [])
         if event.kind is MembershipKind.COMPLETE:
-            listed = {at.name for at in event.endpoints}
-            changes.removed.extend(
-                self.endpoints.pop(name) for name in list(self.endpoints) if name not in listed
-            )
-        for at in event.endpoints:
-            self._listed(now, at, at.weight if weights else 1.0, changes)
-        for server in self._doubted:
-            if server.suspected_draining:  # else it rests for another reason by now
-                server.ejected_until, server.suspected_draining = 0.0, False
-        self._doubted.clear()
+            listed = {entry.name for entry in event.endpoints}
+            unlisted = [name for name in self.endpoints if name not in listed]
+            changes.removed.extend(self.endpoints.pop(name) for name in unlisted)
+        for entry in event.endpoints:
+            self._apply_entry(now, entry, entry.weight if use_weights else 1.0, changes)
+        self._clear_suspicions()
         return changes
 
-    def _listed(self, now: float, at: Endpoint, weight: float, changes: RegistryChanges) -> None:
-        server = old = self.endpoints.get(at.name)
-        if server is None or server.endpoint.started_ms != at.started_ms:
-            server = self._new(at, now)
-        elif (server.endpoint, server.listed_weight) == (at, weight):
+    def _apply_entry(self, now: float, entry: Endpoint, weight: float, changes: RegistryChanges) -> None:
+        old = self.endpoints.get(entry.name)
+        if old is None or old.endpoint.started_ms != entry.started_ms:
+            endpoint = self._create(entry, now)
+        elif (old.endpoint, old.listed_weight) == (entry, weight):
             return
-        server.endpoint, server.listed_weight = at, weight
-        server.started_at = self._since(at)
-        if old is not None and old is not server:
+        else:
+            endpoint = old
+        endpoint.endpoint = entry
+        endpoint.listed_weight = weight
+        endpoint.started_at = self._started_at(entry)
+        if old is not None and old is not endpoint:
             changes.removed.append(old)
-        if at.state is EndpointState.GONE:
-            self.endpoints.pop(at.name, None)
-            changes.removed.append(server)
+        if entry.state is EndpointState.GONE:
+            self.endpoints.pop(entry.name, None)
+            changes.removed.append(endpoint)
         else:
-            self.endpoints[at.name] = server
-            changes.changed.append(server)
+            self.endpoints[entry.name] = endpoint
+            changes.changed.append(endpoint)
+
+    def _clear_suspicions(self) -> None:
+        """End the ejections that waited for this list."""
+        for endpoint in self._suspected:
+            if endpoint.suspected_draining:  # otherwise it has been ejected for another reason since
+                endpoint.ejected_until = 0.0
+                endpoint.suspected_draining = False
+        self._suspected.clear()
 
     def apply_ejection(self, now: float, event: OperatorEjection) -> RegistryChanges:
-        """One that is back was restarted meanwhile: a new process, cold from then on."""
+        """Eject or readmit an endpoint; a readmitted one counts as a new process, in slow start."""
         old = self.endpoints.get(event.endpoint)
         if event.ejected:
-            self._banned.add(event.endpoint)
+            self._ejected.add(event.endpoint)
             return RegistryChanges([old] if old is not None else [], [])
-        self._banned.discard(event.endpoint)
-        self._back[event.endpoint] = min(
-            event.readmitted_at_ms, now
-        )  # of an earlier process, whose clock may have been ahead
+        self._ejected.discard(event.endpoint)
+        # The time may come from an earlier process of the balancer, whose clock was ahead.
+        self._readmitted_at[event.endpoint] = min(event.readmitted_at_ms, now)
         if old is None:
             return RegistryChanges([], [])
-        server = self.endpoints[event.endpoint] = self._new(old.endpoint, now)
-        server.listed_weight = old.listed_weight
-        server.started_at = self._since(old.endpoint)
-        return RegistryChanges([server], [old])
-
-    def _since(self, at: Endpoint) -> float:
-        """When its process started, or was let back after that."""
-        begun = at.started_ms if at.started_local_ms is None else at.started_local_ms
-        return max(begun, self._back.get(at.name, 0.0))
-
-    def accepts_requests(self, server: EndpointStatistics) -> bool:
-        """Whether list and operators let it be sent to."""
-        return server.endpoint.state is EndpointState.READY and server.endpoint.name not in self._banned
-
-    def suspect_draining(self, server: EndpointStatistics) -> None:
-        """It rests since the list may lack its drain: up to the next list."""
-        server.suspected_draining = True
-        self._doubted.add(server)
-
-    def _new(self, at: Endpoint, now: float) -> EndpointStatistics:
-        """A restart is a new process: nothing that its predecessor showed holds for it."""
-        server = EndpointStatistics(at, self.profiles.setdefault(at.kind, LatencyProfile()), now, now)
-        # Out of step, or all balancers' first calls would reach a new one at the same time; also with one seed.
-        server.slow_start_credit = (self._random.random() + self.phase) % 1
-        return server
+        endpoint = self._create(old.endpoint, now)
+        endpoint.listed_weight = old.listed_weight
+        endpoint.started_at = self._started_at(old.endpoint)
+        self.endpoints[event.endpoint] = endpoint
+        return RegistryChanges([endpoint], [old])
+
+    def _started_at(self, entry: Endpoint) -> float:
+        """Start of the endpoint's process, or its readmission if that is later; ms of the local clock."""
+        started_ms = entry.started_ms if entry.started_local_ms is None else entry.started_local_ms
+        return max(started_ms, self._readmitted_at.get(entry.name, 0.0))
+
+    def accepts_requests(self, endpoint: EndpointStatistics) -> bool:
+        """Whether the list and the operators allow requests to it."""
+        entry = endpoint.endpoint
+        return entry.state is EndpointState.READY and entry.name not in self._ejected
+
+    def suspect_draining(self, endpoint: EndpointStatistics) -> None:
+        """Mark an ejected endpoint as possibly draining; the next list ends its ejection."""
+        endpoint.suspected_draining = True
+        self._suspected.add(endpoint)
+
+    def _create(self, entry: Endpoint, now: float) -> EndpointStatistics:
+        """Statistics of a new process: observations of an earlier one do not hold for it."""
+        profile = self.profiles.setdefault(entry.kind, LatencyProfile())
+        endpoint = EndpointStatistics(entry, profile, now, now)
+        # Offsets differ between balancers, also with equal seeds: their first requests do not coincide.
+        endpoint.slow_start_credit = (self._random.random() + self.phase) % 1
+        return endpoint
--- a/limenotch/balancing/learned_state.py
+++ b/limenotch/balancing/learned_state.py
@@ -1,21 +1,29 @@
-"""What a balancer has learnt, as plain numbers: for the process that takes its place.
+"""Export and import of what a balancer has learnt, for the process that replaces it.
 
-Calls and attempts stay with their process, and so does the credit of cold upstreams: it may still be spent there.
+Requests, attempts and slow-start credit are not exported: the old process may still use them.
 """
 
 from __future__ import annotations
 
 import math
-from typing import Any
+from typing import Any, NamedTuple
 
 from .balancer import Balancer
-from .endpoint_statistics import EndpointStatistics, LatencyProfile
+from .endpoint_statistics import LatencyProfile
 
 VERSION = 2
-ENTRY = ("goodput", "sustained_goodput")
-SCALARS = ("demand", "total_successes", "total_failures", "mean_in_flight", "arrivals", "hedgeable", "hedged")
-MEAN = ("recent", "lowest", "reported_rate", "reported_use")
-SERVER = (
+ADMISSION_FIELDS = ("goodput", "sustained_goodput")
+BALANCER_FIELDS = (
+    "demand",
+    "total_successes",
+    "total_failures",
+    "mean_in_flight",
+    "arrivals",
+    "hedgeable",
+    "hedged",
+)
+PROFILE_FIELDS = ("recent", "lowest", "reported_rate", "reported_use")
+ENDPOINT_FIELDS = (
     "updated_at",
     "latency_ratio_sum",
     "latency_samples",
@@ -25,88 +33,127 @@
     "reported_use_sum",
     "last_report_at",
 )
-LOWS = 64  # of a mean, at most
+MAX_WINDOW_MEANS = 64  # window means accepted in a profile
+
+
+class ImportedProfile(NamedTuple):
+    """Checked values of a latency profile."""
+
+    fields: list[float]  # in the order of PROFILE_FIELDS
+    window_means: list[float]
+
+
+class ImportedState(NamedTuple):
+    """Checked values of an exported state."""
+
+    balancer: list[float]  # in the order of BALANCER_FIELDS
+    admission: list[float]  # in the order of ADMISSION_FIELDS
+    classes: dict[str, list[float]]  # mean latency in ms and samples, by class
+    tier: ImportedProfile
+    kinds: dict[int, ImportedProfile]
+    endpoints: dict[str, list[float]]  # process start in ms, then in the order of ENDPOINT_FIELDS
 
 
 def export_state(balancer: Balancer) -> dict[str, Any]:
-    """JSON of this module's own; `learn` of the same version reads it."""
+    """JSON object that `import_state` of the same version reads."""
     return {
         "version": VERSION,
-        "scalars": [getattr(balancer, name) for name in SCALARS],
-        "entry": [getattr(balancer.admission, name) for name in ENTRY],
-        "usual": {name: [usual.mean_ms, usual.samples] for name, usual in balancer.class_latencies.items()},
-        "tier": _mean(balancer.tier_profile),
-        "kinds": {str(kind): _mean(mean) for kind, mean in balancer.registry.profiles.items()},
+        "scalars": [getattr(balancer, field) for field in BALANCER_FIELDS],
+        "entry": [getattr(balancer.admission, field) for field in ADMISSION_FIELDS],
+        "usual": {
+            name: [latency.mean_ms, latency.samples] for name, latency in balancer.class_latencies.items()
+        },
+        "tier": _export_profile(balancer.tier_profile),
+        "kinds": {str(kind): _export_profile(each) for kind, each in balancer.registry.profiles.items()},
         "servers": {
-            name: [server.endpoint.started_ms, *(getattr(server, field) for field in SERVER)]
-            for name, server in balancer.registry.endpoints.items()
+            name: [
+                endpoint.endpoint.started_ms,
+                *(getattr(endpoint, field) for field in ENDPOINT_FIELDS),
+            ]
+            for name, endpoint in balancer.registry.endpoints.items()
         },
     }
 
 
-def import_state(balancer: Balancer, told: Any) -> None:
-    """To be called once the balancer has its list. Raises ValueError, with nothing taken, on what is not sound."""
-    if not isinstance(told, dict) or told.get("version") is True or told.get("version") != VERSION:
-        raise ValueError("knowledge: of another version")
-    scalars = _numbers(told.get("scalars"), len(SCALARS))
-    entry = _numbers(told.get("entry"), len(ENTRY))
-    usual = {name: _numbers(pair, 2) for name, pair in _table(told.get("usual")).items()}
-    tier = _means(told.get("tier"))
-    kinds = {int(kind): _means(mean) for kind, mean in _table(told.get("kinds")).items()}
-    servers = {name: _numbers(row, 1 + len(SERVER)) for name, row in _table(told.get("servers")).items()}
-    for name, value in zip(SCALARS, scalars, strict=True):
-        setattr(balancer, name, value)
-    for name, value in zip(ENTRY, entry, strict=True):
-        setattr(balancer.admission, name, value)
-    for name, (mean, answers) in usual.items():
+def import_state(balancer: Balancer, exported: Any) -> None:
+    """Take over an exported state; call it once the balancer has its endpoint list.
+
+    Raises ValueError, with the balancer unchanged, for another version or malformed values.
+    """
+    state = _check_state(exported)
+    _set_fields(balancer, BALANCER_FIELDS, state.balancer)
+    _set_fields(balancer.admission, ADMISSION_FIELDS, state.admission)
+    for name, (mean_ms, samples) in state.classes.items():
         if name in balancer.class_latencies:
-            balancer.class_latencies[name].mean_ms, balancer.class_latencies[name].samples = (
-                mean,
-                int(answers),
-            )
-    _fill(balancer.tier_profile, tier)
-    for kind, taken in kinds.items():
-        _fill(balancer.registry.profiles.setdefault(kind, LatencyProfile()), taken)
-    for name, (started, *row) in servers.items():
-        server = balancer.registry.endpoints.get(name)
-        if server is not None and server.endpoint.started_ms == started:  # else it has restarted since
-            _know(server, row)
-            balancer.observed[server] = None
-    for server in balancer.registry.endpoints.values():
-        server.slow_start_credit = 0.0
+            balancer.class_latencies[name].mean_ms = mean_ms
+            balancer.class_latencies[name].samples = int(samples)
+    _import_profile(balancer.tier_profile, state.tier)
+    for kind, profile in state.kinds.items():
+        _import_profile(balancer.registry.profiles.setdefault(kind, LatencyProfile()), profile)
+    for name, (started_ms, *values) in state.endpoints.items():
+        endpoint = balancer.registry.endpoints.get(name)
+        if endpoint is not None and endpoint.endpoint.started_ms == started_ms:  # the same process
+            _set_fields(endpoint, ENDPOINT_FIELDS, values)
+            balancer.observed[endpoint] = None
+    for endpoint in balancer.registry.endpoints.values():
+        endpoint.slow_start_credit = 0.0
+
+
+def _check_state(exported: Any) -> ImportedState:
+    if not isinstance(exported, dict):
+        raise ValueError("knowledge: of another version")
+    if exported.get("version") is True or exported.get("version") != VERSION:
+        raise ValueError("knowledge: of another version")
+    endpoint_values = 1 + len(ENDPOINT_FIELDS)
+    return ImportedState(
+        balancer=_check_numbers(exported.get("scalars"), len(BALANCER_FIELDS)),
+        admission=_check_numbers(exported.get("entry"), len(ADMISSION_FIELDS)),
+        classes={name: _check_numbers(pair, 2) for name, pair in _check_table(exported.get("usual")).items()},
+        tier=_check_profile(exported.get("tier")),
+        kinds={int(kind): _check_profile(each) for kind, each in _check_table(exported.get("kinds")).items()},
+        endpoints={
+            name: _check_numbers(values, endpoint_values)
+            for name, values in _check_table(exported.get("servers")).items()
+        },
+    )
 
 
-def _know(server: EndpointStatistics, row: list[float]) -> None:
-    for field, value in zip(SERVER, row, strict=True):
-        setattr(server, field, value)
+def _set_fields(target: object, fields: tuple[str, ...], values: list[float]) -> None:
+    for field, value in zip(fields, values, strict=True):
+        setattr(target, field, value)
 
 
-def _mean(mean: LatencyProfile) -> list[Any]:
-    return [*(getattr(mean, name) for name in MEAN), mean.window_means]
+def _export_profile(profile: LatencyProfile) -> list[Any]:
+    return [*(getattr(profile, field) for field in PROFILE_FIELDS), profile.window_means]
 
 
-def _means(told: Any) -> tuple[list[float], list[float]]:
-    if not isinstance(told, list) or not told or not isinstance(told[-1], list) or len(told[-1]) > LOWS:
-        raise ValueError("knowledge: a mean")
-    return _numbers(told[:-1], len(MEAN)), _numbers(told[-1], len(told[-1]))
+def _import_profile(profile: LatencyProfile, imported: ImportedProfile) -> None:
+    _set_fields(profile, PROFILE_FIELDS, imported.fields)
+    profile.window_means = list(imported.window_means)
 
 
-def _fill(mean: LatencyProfile, taken: tuple[list[float], list[float]]) -> None:
-    for name, value in zip(MEAN, taken[0], strict=True):
-        setattr(mean, name, value)
-    mean.window_means = list(taken[1])
+def _check_profile(exported: Any) -> ImportedProfile:
+    if not isinstance(exported, list) or not exported or not isinstance(exported[-1], list):
+        raise ValueError("knowledge: a mean")
+    *fields, window_means = exported
+    if len(window_means) > MAX_WINDOW_MEANS:
+        raise ValueError("knowledge: a mean")
+    return ImportedProfile(
+        _check_numbers(fields, len(PROFILE_FIELDS)),
+        _check_numbers(window_means, len(window_means)),
+    )
 
 
-def _table(told: Any) -> dict[str, Any]:
-    if not isinstance(told, dict):
+def _check_table(exported: Any) -> dict[str, Any]:
+    if not isinstance(exported, dict):
         raise ValueError("knowledge: expected a table")
-    return told
+    return exported
 
 
-def _numbers(told: Any, count: int) -> list[float]:
-    if not isinstance(told, list) or len(told) != count:
+def _check_numbers(exported: Any, count: int) -> list[float]:
+    if not isinstance(exported, list) or len(exported) != count:
         raise ValueError(f"knowledge: expected {count} numbers")
-    for value in told:
+    for value in exported:
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
             raise ValueError("knowledge: expected a number of 0 or more")
-    return [float(value) for value in told]
+    return [float(value) for value in exported]
