--- a/limenotch/balancing/available_endpoints.py
+++ b/limenotch/balancing/available_endpoints.py
@@ -1,7 +1,6 @@
-"""The endpoints that may be sent to, in order, with the sums that decisions need of all of them.
+"""The endpoints that may be sent requests, in ring order, with sums over all of them.
 
-Each change of the list is worked in by itself: what it costs grows with what changed, not with the list. Weights are
-those of the list; times are in ms.
+A change costs time by what changed, not by the length of the list. Weights are listed weights; times are ms.
 """
 
 from __future__ import annotations
@@ -17,10 +16,11 @@
 from .types import BalancerSettings, DedupScope, SlowStart
 
 RingPosition = tuple[int, str]
+"""Hash of an endpoint's name, and the name."""
 
 
 def ring_position(name: str) -> RingPosition:
-    """Where an endpoint stands in an order that all balancers agree on, far from those with a similar name."""
+    """Place of an endpoint in an order common to all balancers; similar names lie far apart."""
     return crc32(name.encode()), name
 
 
@@ -32,167 +32,180 @@
 
 
 class SortedEndpoints:
-    """Endpoints sorted by their places."""
+    """Endpoints in ring order."""
 
     def __init__(self) -> None:
+        """Empty list."""
         self.endpoints: list[EndpointStatistics] = []
-        self._places: list[RingPosition] = []
+        self._positions: list[RingPosition] = []
 
-    def add(self, server: EndpointStatistics) -> None:
-        place = ring_position(server.endpoint.name)
-        index = bisect_left(self._places, place)
-        self._places.insert(index, place)
-        self.endpoints.insert(index, server)
+    def add(self, endpoint: EndpointStatistics) -> None:
+        """Insert an endpoint at its position."""
+        position = ring_position(endpoint.endpoint.name)
+        index = bisect_left(self._positions, position)
+        self._positions.insert(index, position)
+        self.endpoints.insert(index, endpoint)
 
-    def remove(self, server: EndpointStatistics) -> None:
-        index = bisect_left(self._places, ring_position(server.endpoint.name))
-        del self._places[index], self.endpoints[index]
+    def remove(self, endpoint: EndpointStatistics) -> None:
+        """Remove an endpoint, which must be there."""
+        index = bisect_left(self._positions, ring_position(endpoint.endpoint.name))
+        del self._positions[index]
+        del self.endpoints[index]
 
 
 @dataclass(slots=True)
 class WeightSums:
-    """Of the endpoints of one zone and kind; the capacity of a cold one grows evenly with its age."""
+    """Sums over the endpoints of one zone and kind; a warming one's capacity grows linearly with its age."""
 
-    warm: float = 0.0
-    warming: float = 0.0
-    warming_started: float = 0.0  # sum of weight times start
+    warm: float = 0.0  # weight
+    warming: float = 0.0  # weight
+    warming_started: float = 0.0  # weight times start in ms
 
-    def capacity_at(self, now: float, cold: SlowStart) -> float:
-        """What all of them can do, in weights of warm ones."""
+    def capacity_at(self, now: float, slow_start: SlowStart) -> float:
+        """Capacity of all of them, in units of warm weight."""
         if self.warming <= 0:
             return self.warm
-        grown = (self.warming * now - self.warming_started) / cold.warmup_ms
-        return self.warm + cold.initial_capacity * self.warming + (1 - cold.initial_capacity) * grown
+        grown = (self.warming * now - self.warming_started) / slow_start.warmup_ms
+        initial = slow_start.initial_capacity
+        return self.warm + initial * self.warming + (1 - initial) * grown
 
 
 @dataclass(slots=True, eq=False)
 class CountedEndpoint:
-    """One endpoint as it was counted, so that the same is taken off again."""
+    """An endpoint with the values by which it was added to the sums, so that the same are subtracted."""
 
     endpoint: EndpointStatistics
     zone: int
     profile: LatencyProfile
     weight: float
     groups: tuple[SortedEndpoints, ...]
-    started: float | None = None  # of a cold one
+    started: float | None = None  # start in ms; None: warm
 
     def __lt__(self, other: CountedEndpoint) -> bool:
+        """Order of names, for equal times in the heap."""
         return self.endpoint.endpoint.name < other.endpoint.endpoint.name
 
 
 class AvailableEndpoints:
-    """Owns the order of the endpoints that may be sent to."""
+    """Owns the available endpoints, their order and their sums."""
 
     def __init__(self, settings: BalancerSettings) -> None:
-        """For as long as the settings tell the same zone and the same start."""
-        self._cold = settings.slow_start
+        """Empty set; valid while the settings' zone, cost of crossing zones and slow start stay the same."""
+        self._slow_start = settings.slow_start
         self._zone = settings.zone if settings.cross_zone_cost > 0 else None
         self._entries: dict[EndpointStatistics, CountedEndpoint] = {}
-        self._warming: list[tuple[float, CountedEndpoint]] = []  # a heap: when each cold one is warm
-        self._weights: dict[tuple[int, LatencyProfile], WeightSums] = {}
+        self._warming: list[tuple[float, CountedEndpoint]] = []  # heap by the time at which each is warm
+        self._sums: dict[tuple[int, LatencyProfile], WeightSums] = {}
         self._scopes: dict[tuple[DedupScope, Hashable], SortedEndpoints] = {}
-        self._zones: dict[int, int] = {}  # how many in each
-        self._own, self._others = SortedEndpoints(), SortedEndpoints()
+        self._zones: dict[int, int] = {}  # number of endpoints by zone
+        self._local = SortedEndpoints()
+        self._remote = SortedEndpoints()
         self.total_weight = 0.0
         self.warm_weight = 0.0
-        self.warm_count = 0  # how many
+        self.warm_count = 0
 
     def __len__(self) -> int:
+        """Number of available endpoints."""
         return len(self._entries)
 
-    def __contains__(self, server: EndpointStatistics) -> bool:
-        return server in self._entries
+    def __contains__(self, endpoint: EndpointStatistics) -> bool:
+        """Whether the endpoint is available."""
+        return endpoint in self._entries
 
     @property
     def by_locality(self) -> EndpointsByLocality:
         """Endpoints of the balancer's zone, and others; all are remote where crossing costs nothing."""
-        return EndpointsByLocality(self._own.endpoints, self._others.endpoints)
+        return EndpointsByLocality(self._local.endpoints, self._remote.endpoints)
 
     @property
     def zone_count(self) -> int:
-        """How many zones there are."""
+        """Number of zones with available endpoints."""
         return len(self._zones)
 
     def dedup_members(self, scope: DedupScope, key: Hashable) -> list[EndpointStatistics]:
-        """Those that drop each other's repeats."""
-        found = self._scopes.get((scope, key))
-        return found.endpoints if found is not None else []
+        """Endpoints that recognise each other's executions of a request."""
+        members = self._scopes.get((scope, key))
+        return members.endpoints if members is not None else []
 
     def capacities(self, now: float) -> dict[tuple[int, LatencyProfile], float]:
-        """By zone and kind, what all can do by the list alone, in weights of warm ones."""
+        """Capacity by zone and kind, from listed weights and slow start alone, in units of warm weight."""
         self.warm_up(now)
-        return {key: weights.capacity_at(now, self._cold) for key, weights in self._weights.items()}
+        return {key: sums.capacity_at(now, self._slow_start) for key, sums in self._sums.items()}
 
     def warm_up(self, now: float) -> None:
-        """Those that are warm by now; of those that have left nothing is counted any more."""
+        """Move the endpoints whose slow start is over to the warm sums."""
         while self._warming and self._warming[0][0] <= now:
             entry = heappop(self._warming)[1]
             if self._entries.get(entry.endpoint) is not entry:
-                continue
-            weights = self._weights[entry.zone, entry.profile]
-            weights.warming -= entry.weight
-            weights.warming_started -= entry.weight * (entry.started or 0.0)
-            weights.warm += entry.weight
+                continue  # removed since
+            sums = self._sums[entry.zone, entry.profile]
+            sums.warming -= entry.weight
+            sums.warming_started -= entry.weight * (entry.started or 0.0)
+            sums.warm += entry.weight
             entry.started = None
             self._count_warm(entry, 1)
 
-    def is_warm(self, server: EndpointStatistics) -> bool:
-        """By the latest `warm_up`."""
-        entry = self._entries.get(server)
+    def is_warm(self, endpoint: EndpointStatistics) -> bool:
+        """Whether the endpoint is available and was warm at the latest `warm_up`."""
+        entry = self._entries.get(endpoint)
         return entry is not None and entry.started is None
 
     def update(
-        self, now: float, changed: Iterable[EndpointStatistics], left: Iterable[EndpointStatistics]
+        self, now: float, changed: Iterable[EndpointStatistics], removed: Iterable[EndpointStatistics]
     ) -> None:
-        """`changed` may be sent to, as they are now; `left` may no more, or are other processes now."""
-        for server in left:
-            self.remove(server)
-        for server in sorted(
-            changed, key=lambda server: ring_position(server.endpoint.name)
-        ):  # a whole list is appended
-            self.remove(server)
-            self.add(now, server)
-
-    def add(self, now: float, server: EndpointStatistics) -> None:
-        at = server.endpoint
-        own = self._own if at.zone == self._zone else self._others
-        keys = ((DedupScope.ZONE, at.zone), (DedupScope.CELL, at.cell))
-        groups = (own, *(self._scopes.setdefault(key, SortedEndpoints()) for key in keys))
-        entry = CountedEndpoint(server, at.zone, server.profile, server.listed_weight, groups)
-        for ordered in groups:
-            ordered.add(server)
-        self._entries[server] = entry
-        self._zones[at.zone] = self._zones.get(at.zone, 0) + 1
+        """Add or update the endpoints in `changed`, which are available; drop those in `removed`."""
+        for endpoint in removed:
+            self.remove(endpoint)
+        # In ring order, so that a complete list is appended without moving entries.
+        for endpoint in sorted(changed, key=lambda each: ring_position(each.endpoint.name)):
+            self.remove(endpoint)
+            self.add(now, endpoint)
+
+    def add(self, now: float, endpoint: EndpointStatistics) -> None:
+        """Add an endpoint that is not there yet."""
+        entry = self._create_entry(endpoint)
+        for group in entry.groups:
+            group.add(endpoint)
+        self._entries[endpoint] = entry
+        self._zones[entry.zone] = self._zones.get(entry.zone, 0) + 1
         self.total_weight += entry.weight
-        weights = self._weights.setdefault((entry.zone, entry.profile), WeightSums())
-        if server.warm_fraction(now, self._cold) < 1.0:
-            entry.started = min(server.started_at, now)
-            weights.warming += entry.weight
-            weights.warming_started += entry.weight * entry.started
-            heappush(self._warming, (entry.started + self._cold.warmup_ms, entry))
+        sums = self._sums.setdefault((entry.zone, entry.profile), WeightSums())
+        if endpoint.warm_fraction(now, self._slow_start) < 1.0:
+            entry.started = min(endpoint.started_at, now)
+            sums.warming += entry.weight
+            sums.warming_started += entry.weight * entry.started
+            heappush(self._warming, (entry.started + self._slow_start.warmup_ms, entry))
         else:
-            weights.warm += entry.weight
+            sums.warm += entry.weight
             self._count_warm(entry, 1)
 
-    def remove(self, server: EndpointStatistics) -> None:
-        """Nothing for one that is not here."""
-        entry = self._entries.pop(server, None)
+    def _create_entry(self, endpoint: EndpointStatistics) -> CountedEndpoint:
+        zone = endpoint.endpoint.zone
+        by_locality = self._local if zone == self._zone else self._remote
+        by_zone = self._scopes.setdefault((DedupScope.ZONE, zone), SortedEndpoints())
+        by_cell = self._scopes.setdefault((DedupScope.CELL, endpoint.endpoint.cell), SortedEndpoints())
+        groups = (by_locality, by_zone, by_cell)
+        return CountedEndpoint(endpoint, zone, endpoint.profile, endpoint.listed_weight, groups)
+
+    def remove(self, endpoint: EndpointStatistics) -> None:
+        """Remove an endpoint; one that is not there is ignored."""
+        entry = self._entries.pop(endpoint, None)
         if entry is None:
             return
-        for ordered in entry.groups:
-            ordered.remove(server)
+        for group in entry.groups:
+            group.remove(endpoint)
         self._zones[entry.zone] -= 1
         if not self._zones[entry.zone]:
             del self._zones[entry.zone]
         self.total_weight -= entry.weight
-        weights = self._weights[entry.zone, entry.profile]
+        sums = self._sums[entry.zone, entry.profile]
         if entry.started is None:
-            weights.warm -= entry.weight
+            sums.warm -= entry.weight
             self._count_warm(entry, -1)
         else:
-            weights.warming -= entry.weight
-            weights.warming_started -= entry.weight * entry.started
+            sums.warming -= entry.weight
+            sums.warming_started -= entry.weight * entry.started
 
-    def _count_warm(self, entry: CountedEndpoint, count: int) -> None:
-        self.warm_count += count
-        self.warm_weight += count * entry.weight
+    def _count_warm(self, entry: CountedEndpoint, sign: int) -> None:
+        self.warm_count += sign
+        self.warm_weight += sign * entry.weight
