--- a/limenotch/balancing/balancer.py
+++ b/limenotch/balancing/balancer.py
@@ -34,6 +34,8 @@
 from .weights import update_weights, weights_due
 
 MAX_SUBSCRIBE_BACKOFF_BASE_MS = 1000.0
+MIN_BACKOFF_JITTER = 0.1  # fraction of the backoff that is always waited
+BACKOFF_JITTER_RANGE = 0.4  # fraction of the backoff that is random
 MAX_DISCOVERY_FAILURES = 3  # failures in a row up to which the backoff doubles
 SELECTION_RETRIES_PER_WINDOW = 8  # selections a window while no endpoint accepts a waiting request
 
@@ -87,7 +89,7 @@
         """Subscribe again after exponential backoff, with jitter so as not to overload discovery."""
         base = min(self.window_ms, MAX_SUBSCRIBE_BACKOFF_BASE_MS)
         backoff = base * 2.0 ** (self.discovery_failures - 1)
-        delay = backoff * (0.1 + 0.4 * self.random.random())
+        delay = backoff * (MIN_BACKOFF_JITTER + BACKOFF_JITTER_RANGE * self.random.random())
         self.schedule_timer(now + delay, None, actions)
 
     def _start_window(self, now: float) -> None:
--- a/limenotch/balancing/balancer_state.py
+++ b/limenotch/balancing/balancer_state.py
@@ -39,7 +39,7 @@
 FORGET_MEMORIES = 10.0  # memories without a response after which observations are dropped
 RATE_SMOOTHING = 0.2  # weight of a new window in a mean over windows
 IN_FLIGHT_SMOOTHING = 20  # arrivals over which the mean in flight is taken
-GOLDEN_RATIO = (sqrt(5) - 1) / 2  # its multiples modulo 1 spread any number of balancers evenly
+INVERSE_GOLDEN_RATIO = (sqrt(5) - 1) / 2  # its multiples modulo 1 spread any number of balancers evenly
 
 RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)  # the endpoint's host is alive
 INCONCLUSIVE = (Outcome.NOT_SENT, Outcome.CANCELLED)  # neither success nor failure of the endpoint
@@ -113,7 +113,7 @@
         """Use `settings` from the next request on; classes and tenants of the same name keep their state."""
         objectives = [traffic_class.latency_objective_ms for traffic_class in settings.classes]
         self.settings = settings
-        self.registry.phase = settings.balancer_index * GOLDEN_RATIO % 1
+        self.registry.phase = settings.balancer_index * INVERSE_GOLDEN_RATIO % 1
         self.evidence_memory_ms = MEMORY_OBJECTIVES * max(objectives)
         self.report_memory_ms = REPORT_MEMORY_OBJECTIVES * max(objectives)
         self.window_ms = WINDOW_OBJECTIVES * sum(objectives) / len(objectives)
