--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -199,15 +199,19 @@
     # The module's text, with a fault planted in one place each: file, what stands there, what shall.
     ONE_ANSWER: (
         "balancer.py",
-        "acts.append(RejectRequest(call.name, wait) if harmless else FailRequest(call.name))",
-        "acts += [RejectRequest(call.name, wait)] if harmless else []",
+        "            actions.append(FailRequest(request.name))",
+        "            pass",
     ),
     REPEATS: (
         "endpoint_selection.py",
         "    if not earlier or call.traffic_class.effect is Effect.IDEMPOTENT and not books.settings.restricted:",
         "    if True:",
     ),
-    COLD: ("endpoint_statistics.py", "        if self.started_at <= 0 or age >= cold.warmup_ms:", "        if True:"),
+    COLD: (
+        "endpoint_statistics.py",
+        "        if self.started_at <= 0 or age_ms >= slow_start.warmup_ms:",
+        "        if True:",
+    ),
 }
 
 
