--- a/limenotch/balancing/admission.py
+++ b/limenotch/balancing/admission.py
@@ -1,9 +1,11 @@
-"""Which calls are turned away at the door: only the first tier asks, the others' calls are paid for.
+"""Admission control: which requests the first tier rejects to shed load.
 
-By Little's law the calls that may be held are the pace shown (answers in time a ms) times the wait that still
-ends in time. Of so many some square root more or less are held by chance, so all room around that bound is
-counted in roots of it: two while what comes is answered in time, half a one while clearly more comes; the
-classes lie apart by roots too. No I/O and no clock: the time comes with each call. Times in ms, rates a ms.
+By Little's law the number of requests that may be in flight is the goodput (answers in time per ms) times the
+longest wait after which an answer is still in time. The number in flight varies by chance by about its square
+root, so every margin around this limit is given in square roots of it: the margin is wide while arrivals are
+answered in time, and tight while clearly more arrive. Requests of a higher value get a larger margin.
+
+No I/O and no clock: the time is passed with each request. Times are in ms, rates in events per ms.
 """
 
 from __future__ import annotations
@@ -18,60 +20,84 @@
 if TYPE_CHECKING:
     from .balancer_state import BalancerState
 
-FEW = 3.0  # the least bound: before a pace is shown there is room for some calls at once
-FILL = 0.3  # of the time between an idle answer and the shortest aim that the wait may use
-SLOWED = 1.2  # times the answers' present latency that the wait may take while everything is slow ...
-WHILE = 0.7  # ... but no more than this part of the aim: a slower tier is not starved as a jammed one
-WIDE = 2.0  # roots above the bound while what comes is answered in time: chance passes them 1 time in 40
-NARROW = 0.5  # and while more comes: what is held counts as half smoothed, so chance shows less
-APART = 1.25  # roots more for the class worth most for its work, and fewer for the one worth least
-CALM = 1.1  # calls that come for each one answered in time, up to which the bound is wide ...
-RUSH = 1.4  # ... and from which it is tight
+# Requests: the lowest limit. It admits a few requests at once before any goodput is known.
+MIN_CONCURRENCY_LIMIT = 3.0
+# Fraction of the time between an idle tier's latency and the shortest latency objective that may be waited.
+OBJECTIVE_WAIT_FRACTION = 0.3
+# The wait may be this multiple of the recent latency, so that a slow tier is not starved ...
+RECENT_LATENCY_MULTIPLE = 1.2
+# ... but at most this fraction of the shortest latency objective.
+MAX_WAIT_FRACTION = 0.7
+# Square roots of the limit: margin while arrivals are answered in time. Chance exceeds it 1 time in 40.
+WIDE_MARGIN = 2.0
+# Square roots of the limit: margin under overload. The number in flight is half smoothed: chance shows less.
+TIGHT_MARGIN = 0.5
+# Square roots of the limit: added to the margin for the highest value, subtracted for the lowest.
+VALUE_MARGIN = 1.25
+# Arrivals per answer in time up to which the margin is wide.
+WIDE_MARGIN_MAX_OVERLOAD = 1.1
+# Arrivals per answer in time from which the margin is tight.
+TIGHT_MARGIN_MIN_OVERLOAD = 1.4
 
 
 class AdmissionControl(ArrivalRates):
-    """Feed it arrivals, answers in time and windows; ask it of each call."""
+    """The concurrency limit of the first tier, and the decision to reject a request."""
+
+    concurrency_limit = inf  # requests in flight
 
-    concurrency_limit = inf  # calls held
+    def update_limit(self, idle_ms: float, recent_ms: float, objective_ms: float, known: bool) -> None:
+        """Set the concurrency limit; there is no limit until `known`.
 
-    def update_limit(self, idle: float, recent: float, aim: float, known: bool) -> None:
-        """By the latency of an idle tier, the recent one and the shortest aim; none until `known`."""
-        wait = idle + FILL * max(aim - idle, idle / 2)
-        wait = max(wait, min(SLOWED * recent, WHILE * aim))
-        self.concurrency_limit = max(self.sustained_goodput * wait, FEW) if known else inf
+        `idle_ms` is the latency of an idle tier, `recent_ms` the recent latency and `objective_ms` the
+        shortest latency objective.
+        """
+        wait = idle_ms + OBJECTIVE_WAIT_FRACTION * max(objective_ms - idle_ms, idle_ms / 2)
+        wait = max(wait, min(RECENT_LATENCY_MULTIPLE * recent_ms, MAX_WAIT_FRACTION * objective_ms))
+        self.concurrency_limit = max(self.sustained_goodput * wait, MIN_CONCURRENCY_LIMIT) if known else inf
         self.fade_values()
 
-    def should_reject(self, now: float, value: float, held: float, live: float) -> bool:
-        """Whether a call of this worth for its work is turned away, with `held` calls held.
+    def should_reject(self, now: float, value: float, in_flight: float, live_fraction: float) -> bool:
+        """Count a request that arrived and return whether to reject it.
 
-        `live` is the part of what the tier can do that is not at rest. The least worth goes first: the calls
-        that are worth more than this one, as a part of all that come, take from its room.
+        `value` is its weight per ms of work, `in_flight` the number of requests in flight, and
+        `live_fraction` the fraction of the tier's capacity that is not ejected. Requests of the lowest value
+        are rejected first: the larger the fraction of arrivals with a higher value, the smaller the margin.
         """
-        above = self.count_arrival(now, value)
-        # Of n calls in a second some square root of n more or less come by chance: of twenty that is a rush.
-        came = self.arrivals.value_at(now) * RATE_SPAN_MS
-        rush = (came - sqrt(came)) / max(self.answers.value_at(now) * RATE_SPAN_MS, 1e-9)
-        roots = WIDE - (WIDE - NARROW) * min(max((rush - CALM) / (RUSH - CALM), 0.0), 1.0)
-        bound = self.concurrency_limit * live
-        return held >= bound + (roots + APART * (1 - 2 * above)) * sqrt(bound)
-
-
-def update_admission_limit(books: BalancerState) -> None:
-    """At each window's end. Where nothing is turned away nothing is bound: the copies' gate reads it."""
-    # Before two means are known a just started balancer takes its first calls for a jam.
-    known = len(books.tier_profile.window_means) > 1 and not books.settings.tier_index
-    books.admission.update_limit(
-        books.tier_profile.lowest * books.typical_latency_ms,
-        books.tier_profile.recent * books.typical_latency_ms,
-        min(c.latency_objective_ms for c in books.settings.classes),
+        higher_value_fraction = self.count_arrival(now, value)
+        margin = self._margin(now) + VALUE_MARGIN * (1 - 2 * higher_value_fraction)
+        limit = self.concurrency_limit * live_fraction
+        return in_flight >= limit + margin * sqrt(limit)
+
+    def _margin(self, now: float) -> float:
+        """The margin at this overload for a request of median value, in square roots of the limit."""
+        # Chance alone varies n arrivals by about sqrt(n): with twenty a second that looks like an overload.
+        arrivals = self.arrivals.value_at(now) * RATE_SPAN_MS
+        overload = (arrivals - sqrt(arrivals)) / max(self.answers.value_at(now) * RATE_SPAN_MS, 1e-9)
+        overload_range = TIGHT_MARGIN_MIN_OVERLOAD - WIDE_MARGIN_MAX_OVERLOAD
+        tightness = min(max((overload - WIDE_MARGIN_MAX_OVERLOAD) / overload_range, 0.0), 1.0)
+        return WIDE_MARGIN - (WIDE_MARGIN - TIGHT_MARGIN) * tightness
+
+
+def update_admission_limit(state: BalancerState) -> None:
+    """Renew the concurrency limit at the end of a window.
+
+    The first tier alone rejects, so the other tiers have no limit. Hedging reads the limit too.
+    """
+    # Until two windows have a mean, a balancer just started would mistake its first requests for overload.
+    known = len(state.tier_profile.window_means) > 1 and not state.settings.tier_index
+    state.admission.update_limit(
+        state.tier_profile.lowest * state.typical_latency_ms,
+        state.tier_profile.recent * state.typical_latency_ms,
+        min(traffic_class.latency_objective_ms for traffic_class in state.settings.classes),
         known,
     )
 
 
-def is_rejected(books: BalancerState, now: float, call: Request, event: RequestArrived) -> bool:
-    worth = books.request_weight(now, call, event)
-    # Calls that hang at a silent upstream are no load on the others; the mean smooths what chance brings.
-    held = (books.in_flight + books.mean_in_flight) / 2 - sum(s.in_flight for s in books.unresponsive)
-    return books.admission.should_reject(
-        now, worth / max(call.class_latency.mean_ms, 1.0), held, books.live_fraction
-    )
+def is_rejected(state: BalancerState, now: float, request: Request, event: RequestArrived) -> bool:
+    """Whether admission control rejects this request. To be called once per request: it is counted."""
+    weight = state.request_weight(now, request, event)
+    # Requests stuck at an unresponsive endpoint are no load on the others; the mean smooths chance variation.
+    unresponsive_in_flight = sum(endpoint.in_flight for endpoint in state.unresponsive)
+    in_flight = (state.in_flight + state.mean_in_flight) / 2 - unresponsive_in_flight
+    value = weight / max(request.class_latency.mean_ms, 1.0)
+    return state.admission.should_reject(now, value, in_flight, state.live_fraction)
--- a/limenotch/balancing/endpoint_selection.py
+++ b/limenotch/balancing/endpoint_selection.py
@@ -10,7 +10,7 @@
 
 from .balancer_state import BalancerState, SelectionTable, selection_table
 from .endpoint_statistics import EndpointStatistics, Request
-from .outlier_detection import check_unresponsive, is_crowded
+from .outlier_detection import check_unresponsive, is_overfull
 from .retry_policy import dedup_group, may_repeat
 from .types import DedupScope, Effect
 from .weights import update_all_weights, update_weights
@@ -19,7 +19,9 @@
 SHORT = 2.0  # service times: a wait by which the better of two drawn upstreams is told
 STEADY = 0.15  # a call bound by its first attempt goes to the one of two serving so much more
 AGED = 0.5  # windows in which a report fades: who is sent nothing tells nothing more, and its queue is served
-LAX = 0.5  # a call that keeps this part of its worth when late is lax: it goes where its one draw says
+MIN_TOLERANT_LATE_WEIGHT = (
+    0.5  # a call that keeps this part of its worth when late is lax: it goes where its one draw says
+)
 CHOICES = 9  # drawn for a call where nothing is reported: our own calls out tell of a queue first
 CROSSINGS = 1.5  # prices of a crossing that a better chance to be in time must outweigh
 
@@ -31,7 +33,7 @@
     kept = call.preferred_endpoint and not call.attempts and books.find_available(call.preferred_endpoint)
     if (
         kept
-        and not (check_unresponsive(books, now, kept) or is_crowded(books, kept))
+        and not (check_unresponsive(books, now, kept) or is_overfull(books, kept))
         and within_slow_start(books, kept, now)
     ):
         return kept, None
@@ -42,7 +44,7 @@
         one = draw_endpoint(books, now, call, last) or draw_endpoint(books, now, call, None, any_=True)
     if one is None:
         return None, None
-    urgent = call.traffic_class.late_weight < LAX
+    urgent = call.traffic_class.late_weight < MIN_TOLERANT_LATE_WEIGHT
     two = (
         draw_endpoint(books, now, call, one)
         if not call.attempts and (urgent or not call.traffic_class.retry_is_harmless)
@@ -82,7 +84,7 @@
                 return None
             server = servers[bisect(sums, books.random.random() * sums[-1], 0, len(sums) - 1)]
         if not any_ and (
-            check_unresponsive(books, now, server) and server.in_flight or is_crowded(books, server)
+            check_unresponsive(books, now, server) and server.in_flight or is_overfull(books, server)
         ):
             servers, sums = selection_table([s for s in servers if s is not server])
         elif server is not avoid and within_slow_start(books, server, now):
--- a/limenotch/balancing/hedging.py
+++ b/limenotch/balancing/hedging.py
@@ -1,7 +1,7 @@
-"""Whether a call gets a second attempt beside the first, at once or when the first is overdue.
+"""Hedging: whether a request gets a second attempt while the first is out, at once or when that is overdue.
 
-An urgent call that may be repeated does while formula (1) of the source paper gives the pair a higher chance
-to be on time, all other calls' chances counted.
+An urgent request that may be repeated gets one if formula (1) of the source paper gives the pair a higher
+chance to be on time, with the effect of the added load on all other requests included.
 """
 
 from __future__ import annotations
@@ -10,104 +10,141 @@
 
 from .actions import Action
 from .balancer_state import BURST, BalancerState
-from .endpoint_selection import LAX, allowed_candidates, draw_endpoint, estimated_load, short_wait_probability
+from .endpoint_selection import (
+    MIN_TOLERANT_LATE_WEIGHT,
+    allowed_candidates,
+    draw_endpoint,
+    estimated_load,
+    short_wait_probability,
+)
 from .endpoint_statistics import EndpointStatistics, Request
-from .outlier_detection import OVERDUE, check_unresponsive
+from .outlier_detection import OVERDUE_MULTIPLE, check_unresponsive
 from .types import Effect
 
-RETRIES = 0.2  # copies and retries allowed for each recent call: they can't multiply down the tiers
-URGENT = 10.0  # waits of this many service times hold for any upstream under two thirds load: no copy
+# Hedged requests and retries per recent request. The limit keeps them from multiplying over the tiers.
+RETRIES = 0.2
+# Service times: with more time left, any endpoint under two thirds load answers in time without hedging.
+MAX_URGENT_SERVICE_TIMES = 10.0
+# Fraction of requests that are not hedgeable, up to which the effect on them is ignored.
+MIN_UNHEDGEABLE_FRACTION = 0.01
 
 
 def should_hedge_at_once(
-    books: BalancerState, now: float, call: Request, one: EndpointStatistics, two: EndpointStatistics | None
+    state: BalancerState,
+    now: float,
+    request: Request,
+    first: EndpointStatistics,
+    second: EndpointStatistics | None,
 ) -> bool:
-    """Whether a call that has just been sent to `one` gets a copy at `two` in the same moment."""
-    repeat = call.traffic_class.effect is not Effect.AT_MOST_ONCE and books.settings.may_hedge
-    repeat = repeat and call.deadline - now <= call.class_latency.mean_ms * one.profile.lowest * URGENT
-    books.hedgeable += repeat and two is not None
+    """Whether a request that has just been sent to `first` is also sent to `second` at the same time."""
+    repeatable = request.traffic_class.effect is not Effect.AT_MOST_ONCE and state.settings.may_hedge
+    hedgeable = repeatable and _is_short_of_time(now, request, first)
+    state.hedgeable += hedgeable and second is not None
     return (
-        repeat
-        and two is not None
-        and hedge_allowed(books, now, call, two)
-        and hedge_pays_off(books, now, call, one, two, books.hedgeable / books.arrivals)
+        hedgeable
+        and second is not None
+        and hedge_allowed(state, now, request, second)
+        and hedge_pays_off(state, now, request, first, second, state.hedgeable / state.arrivals)
     )
 
 
-def hedge_delay(books: BalancerState, call: Request, server: EndpointStatistics) -> float:
-    """How long a lone attempt may be out before the gate is asked again."""
-    return max(OVERDUE * call.class_latency.mean_ms * server.latency_ratio, books.window_ms / 8)
+def hedge_delay(state: BalancerState, request: Request, endpoint: EndpointStatistics) -> float:
+    """Ms that a lone attempt may be out before hedging is considered again."""
+    return max(OVERDUE_MULTIPLE * request.class_latency.mean_ms * endpoint.latency_ratio, state.window_ms / 8)
 
 
 def miss_probability(
-    books: BalancerState, now: float, call: Request, server: EndpointStatistics, load: float
+    state: BalancerState, now: float, request: Request, endpoint: EndpointStatistics, load: float
 ) -> float:
-    """Chance that the wait exceeds the limit t = time left less v, or that the call fails there."""
-    service = max(
-        call.class_latency.mean_ms * server.profile.lowest, 1e-3
-    )  # v, at an idle upstream of this kind
-    limit = call.deadline - now - service
+    """Probability that an attempt fails, or waits longer than the time left less the service time.
+
+    `load` is the utilisation of the endpoint, from 0 to 1; the wait is that of a queue with one server.
+    """
+    # The service time at an idle endpoint of this kind, in ms.
+    service = max(request.class_latency.mean_ms * endpoint.profile.lowest, 1e-3)
+    limit = request.deadline - now - service
     if load >= 1 or limit <= 0:
         return 1.0
-    return 1 - server.success_rate * (1 - load * exp(-(1 - load) * limit / service))
+    return 1 - endpoint.success_rate * (1 - load * exp(-(1 - load) * limit / service))
 
 
 def hedge_pays_off(
-    books: BalancerState,
+    state: BalancerState,
     now: float,
-    call: Request,
-    one: EndpointStatistics,
-    two: EndpointStatistics,
-    part: float,
+    request: Request,
+    first: EndpointStatistics,
+    second: EndpointStatistics,
+    hedged_fraction: float,
 ) -> bool:
-    """Formula (1), P = p_urgent * p_lax, with copies for `part` of the calls against without."""
-    copied, shared = books.hedged / max(books.arrivals, 1), 1 - books.hedgeable / max(books.arrivals, 1)
-    # A tier that has never been idle shows no low mean: how full the entry is then tells its load.
-    full = (books.in_flight - 1) / books.admission.concurrency_limit
-    loads = [max(estimated_load(books, s), full) / (1 + copied) for s in (one, two)]
-    pair = list(zip((one, two), loads, strict=True))
-    plain = [miss_probability(books, now, call, s, load) for s, load in pair]
-    raised = [miss_probability(books, now, call, s, load * (1 + part)) for s, load in pair]
-    lax = (2 - sum(raised)) / max(2 - sum(plain), 1e-9) if shared > 0.01 else 1.0
-    return (1 - raised[0] * raised[1]) * lax > 1 - plain[0]
+    """Formula (1), P = p_urgent * p_lax: whether P is higher with `hedged_fraction` of requests hedged."""
+    current_hedged_fraction = state.hedged / max(state.arrivals, 1)
+    unhedgeable_fraction = 1 - state.hedgeable / max(state.arrivals, 1)
+    # A tier that was never idle has no low mean latency: the use of the concurrency limit shows its load.
+    limit_use = (state.in_flight - 1) / state.admission.concurrency_limit
+    pair = [
+        (endpoint, max(estimated_load(state, endpoint), limit_use) / (1 + current_hedged_fraction))
+        for endpoint in (first, second)
+    ]
+    unhedged_misses = [miss_probability(state, now, request, endpoint, load) for endpoint, load in pair]
+    hedged_misses = [
+        miss_probability(state, now, request, endpoint, load * (1 + hedged_fraction))
+        for endpoint, load in pair
+    ]
+    other_requests_factor = 1.0
+    if unhedgeable_fraction > MIN_UNHEDGEABLE_FRACTION:
+        other_requests_factor = (2 - sum(hedged_misses)) / max(2 - sum(unhedged_misses), 1e-9)
+    return (1 - hedged_misses[0] * hedged_misses[1]) * other_requests_factor > 1 - unhedged_misses[0]
 
 
 def hedge_allowed(
-    books: BalancerState, now: float, call: Request, server: EndpointStatistics, unbudgeted: bool = False
+    state: BalancerState,
+    now: float,
+    request: Request,
+    endpoint: EndpointStatistics,
+    unbudgeted: bool = False,
 ) -> bool:
-    spent = books.retry_budget < BURST / 2 and not unbudgeted
+    """Whether settings, attempts, retry budget and the retry policy allow a hedged attempt at this endpoint.
+
+    `unbudgeted` leaves the retry budget out.
+    """
+    budget_spent = state.retry_budget < BURST / 2 and not unbudgeted
     if (
-        call.single_use_body
-        or not books.settings.may_hedge
-        or len(call.attempts) >= call.max_attempts
-        or spent
+        request.single_use_body
+        or not state.settings.may_hedge
+        or len(request.attempts) >= request.max_attempts
+        or budget_spent
     ):
         return False
-    # A drawn second may lie outside the group that drops the call's repeats, also in a large group.
-    return server in allowed_candidates(books, now, call)[0]
+    # The endpoint may have been drawn from outside the group that drops this request's duplicates.
+    return endpoint in allowed_candidates(state, now, request)[0]
 
 
-def handle_overdue_attempt(books: BalancerState, now: float, call: Request, acts: list[Action]) -> None:
-    """A lone attempt is out for longer than expected: it is worth asking the gate again."""
-    lone = next(t for t in call.attempts if t.open)
-    two = draw_endpoint(books, now, call, lone.target)
+def handle_overdue_attempt(state: BalancerState, now: float, request: Request, actions: list[Action]) -> None:
+    """Consider a second attempt for a request whose only open attempt is overdue; append what follows."""
+    first = next(attempt for attempt in request.attempts if attempt.open).target
+    second = draw_endpoint(state, now, request, first)
     if (
-        check_unresponsive(books, now, lone.target)
-        and two is not None
-        and hedge_allowed(books, now, call, two, unbudgeted=True)
+        check_unresponsive(state, now, first)
+        and second is not None
+        and hedge_allowed(state, now, request, second, unbudgeted=True)
     ):
-        books.record_send(now, call, two, acts)
+        state.record_send(now, request, second, actions)
         return
-    if now < call.deadline:
-        books.schedule_timer(now + hedge_delay(books, call, lone.target), call, acts)
-    urgent = (
-        call.traffic_class.late_weight < LAX
-        and call.deadline - now <= call.class_latency.mean_ms * lone.target.profile.lowest * URGENT
+    if now < request.deadline:
+        state.schedule_timer(now + hedge_delay(state, request, first), request, actions)
+    urgent = request.traffic_class.late_weight < MIN_TOLERANT_LATE_WEIGHT and _is_short_of_time(
+        now, request, first
     )
-    if two is None or not urgent or not hedge_allowed(books, now, call, two):
+    if second is None or not urgent or not hedge_allowed(state, now, request, second):
         return
-    # A call may be late because it is costly, and a copy as costly: only its server's other calls tell.
-    if short_wait_probability(books, two) > short_wait_probability(books, lone.target) and hedge_pays_off(
-        books, now, call, lone.target, two, RETRIES
-    ):
-        books.record_send(now, call, two, acts, copy=1)
+    # The request may be late because it is costly, and a hedged attempt would cost as much: only the other
+    # requests of its endpoint show whether another endpoint is better.
+    better = short_wait_probability(state, second) > short_wait_probability(state, first)
+    if better and hedge_pays_off(state, now, request, first, second, RETRIES):
+        state.record_send(now, request, second, actions, copy=1)
+
+
+def _is_short_of_time(now: float, request: Request, endpoint: EndpointStatistics) -> bool:
+    """Whether the time left is at most MAX_URGENT_SERVICE_TIMES at an idle endpoint of this kind."""
+    service = request.class_latency.mean_ms * endpoint.profile.lowest
+    return request.deadline - now <= service * MAX_URGENT_SERVICE_TIMES
--- a/limenotch/balancing/outlier_detection.py
+++ b/limenotch/balancing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Whom calls avoid for a time: an upstream that is crowded, one that has gone silent, one that is choked."""
+"""Outlier detection: endpoints avoided for a time as they are overfull, unresponsive or ejected."""
 
 from __future__ import annotations
 
@@ -6,52 +6,74 @@
 from .endpoint_statistics import EndpointStatistics
 from .weights import update_weights
 
-OVERDUE = 2.0  # of its expected time out, a lone attempt asks the gate again
-QUIET = 8.0  # answers overdue by the usual of their classes, with none given, after which it counts as silent
-CROWD = 1.7  # times what the others hold each that one upstream may hold ...
-FREE = 2.0  # ... counting this many more: on a calm day the own zone does not spill over
-ROW = 4  # misses in a row after which a provider rests, so that one choked on its queue can be idle
-REST = 6000.0  # ms: choked machines want up to 5 s of it, and each balancer rests it on its own
-RESTING = 0.5  # part of those drawn from that may rest at once: more would be an outage of our making
+# Multiple of its expected latency after which an attempt is overdue.
+OVERDUE_MULTIPLE = 2.0
+# Overdue answers, by the mean latency of their classes, after which a silent endpoint is unresponsive.
+MIN_OVERDUE_ANSWERS = 8.0
+# Multiple of the other endpoints' mean requests in flight above which an endpoint is overfull ...
+OVERFULL_MULTIPLE = 1.7
+# ... with this many requests added to that mean: at low load the own zone shall not spill over.
+OVERFULL_ALLOWANCE = 2.0
+# Consecutive misses after which an endpoint is ejected, so that one with a long queue can become idle.
+EJECTION_MISSES = 4
+# Ms: an overloaded endpoint needs up to 5 s of idle time, and each balancer ejects it on its own.
+EJECTION_MS = 6000.0
+# Fraction of the candidates that may be ejected at once. More would be an outage caused by the balancer.
+MAX_EJECTED_FRACTION = 0.5
 
 
-def is_crowded(books: BalancerState, server: EndpointStatistics) -> bool:
-    """Whether it holds far more of our calls than the others: it jams before its mean shows it."""
-    others = len(books.candidates[0]) - 1
-    return others > 0 and server.in_flight >= CROWD * (FREE + (books.in_flight - server.in_flight) / others)
+def is_overfull(state: BalancerState, endpoint: EndpointStatistics) -> bool:
+    """Whether it has far more of our requests in flight than the others: its mean latency shows it later."""
+    others = len(state.candidates[0]) - 1
+    return others > 0 and endpoint.in_flight >= OVERFULL_MULTIPLE * (
+        OVERFULL_ALLOWANCE + (state.in_flight - endpoint.in_flight) / others
+    )
 
 
-def check_unresponsive(books: BalancerState, now: float, server: EndpointStatistics) -> bool:
-    """Whether it has gone silent: its machine may be gone though its connections stay open."""
-    slow, wait = (
-        server.latency_ratio / server.warm_fraction(now, books.settings.slow_start),
-        now - server.last_heard_at,
-    )
-    if (
-        not server.unresponsive
-        and wait * server.expected_rate > max(OVERDUE * server.in_flight, QUIET) * slow
-    ):
-        server.unresponsive = True
-        books.unresponsive.add(server)
-        update_weights(books, now)
-    return server.unresponsive
+def check_unresponsive(state: BalancerState, now: float, endpoint: EndpointStatistics) -> bool:
+    """Whether it has stopped answering; if that is new, mark it and renew the weights.
 
+    Its machine may be gone although its connections stay open.
+    """
+    slowness = endpoint.latency_ratio / endpoint.warm_fraction(now, state.settings.slow_start)
+    silence_ms = now - endpoint.last_heard_at
+    max_expected_answers = max(OVERDUE_MULTIPLE * endpoint.in_flight, MIN_OVERDUE_ANSWERS) * slowness
+    if not endpoint.unresponsive and silence_ms * endpoint.expected_rate > max_expected_answers:
+        endpoint.unresponsive = True
+        state.unresponsive.add(endpoint)
+        update_weights(state, now)
+    return endpoint.unresponsive
 
-def record_answer(books: BalancerState, now: float, server: EndpointStatistics, in_time: bool) -> None:
-    """One that misses call after call is choked or worse: it gets idle time, the entry less meanwhile."""
-    server.consecutive_misses = 0 if in_time else server.consecutive_misses + 1
-    if (
-        server.consecutive_misses >= ROW and not server.is_ejected(now) and not books.settings.tier_index
-    ):  # it alone refuses
-        eject(books, now, server)
 
+def record_answer(state: BalancerState, now: float, endpoint: EndpointStatistics, in_time: bool) -> None:
+    """Count consecutive misses and eject the endpoint after EJECTION_MISSES of them.
 
-def eject(books: BalancerState, now: float, server: EndpointStatistics, doubted: bool = False) -> None:
-    """It is sent nothing for a while, unless too many are; up to the next list if its drain may be untold."""
-    if server.is_ejected(now) or sum(s.is_ejected(now) for s in books.candidates[0]) < RESTING * len(
-        books.candidates[0]
+    The endpoint gets time to become idle; admission control has a lower limit for as long. Only the first
+    tier ejects for misses, as only that tier rejects requests.
+    """
+    endpoint.consecutive_misses = 0 if in_time else endpoint.consecutive_misses + 1
+    if (
+        endpoint.consecutive_misses >= EJECTION_MISSES
+        and not endpoint.is_ejected(now)
+        and not state.settings.tier_index
     ):
-        server.ejected_until, server.consecutive_misses, server.suspected_draining = now + REST, 0, False
-        if doubted:
-            books.registry.suspect_draining(server)
-        update_weights(books, now)
+        eject(state, now, endpoint)
+
+
+def eject(state: BalancerState, now: float, endpoint: EndpointStatistics, doubted: bool = False) -> None:
+    """Send an endpoint nothing for EJECTION_MS, unless too many are ejected already.
+
+    `doubted`: the endpoint may be draining without the endpoint list saying so. The ejection then ends
+    with the next list.
+    """
+    candidates = state.candidates[0]
+    if not endpoint.is_ejected(now):
+        ejected = sum(candidate.is_ejected(now) for candidate in candidates)
+        if ejected >= MAX_EJECTED_FRACTION * len(candidates):
+            return
+    endpoint.ejected_until = now + EJECTION_MS
+    endpoint.consecutive_misses = 0
+    endpoint.suspected_draining = False
+    if doubted:
+        state.registry.suspect_draining(endpoint)
+    update_weights(state, now)
--- a/limenotch/balancing/rates.py
+++ b/limenotch/balancing/rates.py
@@ -1,42 +1,54 @@
-"""What comes to the door and what is answered in time: rates and sums that entry.py weighs. Rates a ms."""
+"""Rates of arrivals and of answers in time, read by admission control. Rates are in events per ms."""
 
 from __future__ import annotations
 
 from .endpoint_statistics import FadingRate
 
-TRUST = 5.0  # in time for each miss, under which the pace shown falls fast: a lull holds it, a jam not
-FADE = 0.7  # of the values of calls that came, at each window's end
+# Answers in time per miss, below which the sustained goodput fades fast: it outlasts a lull, not an overload.
+MIN_ANSWERS_PER_MISS = 5.0
+# Fraction of the counts of arrivals by value that is left at the end of a window.
+VALUE_COUNT_DECAY = 0.7
+# Counts of arrivals at or below this are dropped at the end of a window.
+MIN_VALUE_COUNT = 0.1
 
 
 class ArrivalRates:
-    """Counts only; nothing is decided here."""
+    """Counts arrivals and answers in time; decides nothing."""
 
     def __init__(self) -> None:
-        self.goodput = self.sustained_goodput = (
-            0.0  # answers in time: of the last windows, and the most that was shown, fading
-        )
-        self.arrivals, self.answers = FadingRate(), FadingRate()
-        self._served = 0
-        self._values: dict[float, float] = {}  # of the calls that came, and how many
+        """Start with no arrivals and no answers."""
+        self.goodput = 0.0  # answers in time per ms, smoothed over the last windows
+        self.sustained_goodput = 0.0  # the highest goodput shown, fading
+        self.arrivals = FadingRate()
+        self.answers = FadingRate()
+        self._window_answers = 0
+        self._arrivals_by_value: dict[float, float] = {}  # fading counts
 
     def count_answer(self, now: float) -> None:
-        self._served += 1
+        """Count one answer in time."""
+        self._window_answers += 1
         self.answers.add(now)
 
     def end_window(self, span: float, good: float, bad: float) -> None:
-        """A window of `span` ms ends; `good` answers in time and `bad` misses, both fading."""
-        self.goodput += (self._served / span - self.goodput) * (0.4 if self.goodput else 1.0)
-        self.sustained_goodput = max(
-            self.goodput, self.sustained_goodput * (0.9 if good >= TRUST * bad else 0.5)
-        )
-        self._served = 0
+        """End a window of `span` ms; `good` answers in time and `bad` misses are fading counts."""
+        smoothing = 0.4 if self.goodput else 1.0
+        self.goodput += (self._window_answers / span - self.goodput) * smoothing
+        decay = 0.9 if good >= MIN_ANSWERS_PER_MISS * bad else 0.5
+        self.sustained_goodput = max(self.goodput, self.sustained_goodput * decay)
+        self._window_answers = 0
 
     def count_arrival(self, now: float, value: float) -> float:
-        """One call more, of this worth for its work; tells the part of all that came that is worth more."""
+        """Count one arrival of this value; return the fraction of all arrivals that have a higher value."""
         self.arrivals.add(now)
         value = float(f"{value:.1g}")
-        self._values[value] = self._values.get(value, 0.0) + 1
-        return sum(n for v, n in self._values.items() if v > value) / sum(self._values.values())
+        self._arrivals_by_value[value] = self._arrivals_by_value.get(value, 0.0) + 1
+        higher = sum(count for other, count in self._arrivals_by_value.items() if other > value)
+        return higher / sum(self._arrivals_by_value.values())
 
     def fade_values(self) -> None:
-        self._values = {value: part * FADE for value, part in self._values.items() if part > 0.1}
+        """Fade the counts of arrivals by value at the end of a window."""
+        self._arrivals_by_value = {
+            value: count * VALUE_COUNT_DECAY
+            for value, count in self._arrivals_by_value.items()
+            if count > MIN_VALUE_COUNT
+        }
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from limenotch.balancing.actions import RejectRequest
-from limenotch.balancing.admission import FEW, AdmissionControl
+from limenotch.balancing.admission import MIN_CONCURRENCY_LIMIT, AdmissionControl
 from limenotch.balancing.types import Outcome
 from tests.referee import READ, Referee, fleet, settings
 from tests.test_balancer import steady
@@ -113,7 +113,7 @@
     for span, good, bad in windows:
         entry.end_window(span, good, bad)
         entry.update_limit(100.0, 200.0, 1000.0, known=True)
-        assert entry.concurrency_limit >= FEW and 0 <= entry.sustained_goodput < inf
+        assert entry.concurrency_limit >= MIN_CONCURRENCY_LIMIT and 0 <= entry.sustained_goodput < inf
 
 
 def choked(desk: Desk, at: str, answers: int = 7) -> None:
--- a/tests/test_stale_endpoint_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -13,7 +13,7 @@
     MembershipUpdate,
     RequestArrived,
 )
-from limenotch.balancing.outlier_detection import REST, RESTING
+from limenotch.balancing.outlier_detection import EJECTION_MS, MAX_EJECTED_FRACTION
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 
 SAFE = TrafficClass("look", Effect.IDEMPOTENT, 400.0, 900.0)
@@ -76,15 +76,15 @@
     while len(rejected) < 2:
         rejected.update({name: tier.now for name in tier.call(traffic_class) if name in tier.rejecting})
     first, last = min(rejected.values()), max(rejected.values())
-    assert not tier.rejecting.intersection(tier.sent_until(first + REST, traffic_class))
+    assert not tier.rejecting.intersection(tier.sent_until(first + EJECTION_MS, traffic_class))
     tier.rejecting = set()
-    assert {"a", "b"} <= set(tier.sent_until(last + 2 * REST, traffic_class))  # it was full, and is met as new
+    assert {"a", "b"} <= set(tier.sent_until(last + 2 * EJECTION_MS, traffic_class))  # it was full, and is met as new
 
 
 def test_one_that_rejects_under_a_list_that_stands_is_sent_calls_again() -> None:
     tier = Tier()
     tier.rejecting = {"a"}
-    assert tier.sent_until(REST).count("a") > 1
+    assert tier.sent_until(EJECTION_MS).count("a") > 1
 
 
 def test_a_list_that_is_heard_again_ends_it_for_rejections_to_come() -> None:
@@ -92,7 +92,7 @@
     tier.watch_breaks()
     tier.listed(NAMES)
     tier.rejecting = {"a"}
-    assert tier.sent_until(REST).count("a") > 1
+    assert tier.sent_until(EJECTION_MS).count("a") > 1
 
 
 def test_a_list_that_is_heard_again_lets_it_be_tried() -> None:
@@ -105,16 +105,16 @@
     tier.rejecting = set()
     rested = tier.now
     tier.listed(NAMES)
-    assert "a" in tier.sent_until(rested + REST)
+    assert "a" in tier.sent_until(rested + EJECTION_MS)
 
 
 def test_when_all_reject_no_more_than_half_are_left_alone() -> None:
     tier = Tier()
     tier.watch_breaks()
     tier.rejecting = set(NAMES)
-    tier.sent_until(REST / 2)
+    tier.sent_until(EJECTION_MS / 2)
     resting = [server for server in tier.balancer.registry.endpoints.values() if server.is_ejected(tier.now)]
-    assert len(resting) == RESTING * len(NAMES)
+    assert len(resting) == MAX_EJECTED_FRACTION * len(NAMES)
     tier.rejecting = set()
-    sent = tier.sent_until(REST * 0.9)
+    sent = tier.sent_until(EJECTION_MS * 0.9)
     assert sent and not set(sent).intersection(server.endpoint.name for server in resting)
