--- a/benchmarks/constants.py
+++ b/benchmarks/constants.py
@@ -36,7 +36,14 @@
     "rates",
     "endpoint_statistics",
 )
-KEPT_WHOLE = {"EJECTION_MISSES", "DRAWS", "CHOICES", "SPAN", "ENOUGH", "FEWEST"}  # counts: their half is rounded
+KEPT_WHOLE = {
+    "EJECTION_MISSES",
+    "MAX_DRAWS",
+    "EXTRA_CANDIDATES",
+    "SPAN",
+    "ENOUGH",
+    "FEWEST",
+}  # counts: their half is rounded
 
 
 def constants() -> dict[str, float]:
--- a/limenotch/balancing/endpoint_selection.py
+++ b/limenotch/balancing/endpoint_selection.py
@@ -1,6 +1,7 @@
-"""Where an attempt goes: several are drawn by share among those it may go to, and the better one is taken.
+"""Endpoint selection: several candidates are drawn at random by weight, and the best of them is used.
 
-Of two by the chance of a short wait where loads are reported; of more by their price where nothing is.
+Where endpoints report their load, the better of two is the one with the higher probability of a short wait.
+Where they do not, more are drawn and the one with the lowest expected cost is used.
 """
 
 from __future__ import annotations
@@ -15,144 +16,210 @@
 from .types import DedupScope, Effect
 from .weights import update_all_weights, update_weights
 
-DRAWS = 4  # tries at one that may be sent to: more would bend the shares of those left
-SHORT = 2.0  # service times: a wait by which the better of two drawn upstreams is told
-STEADY = 0.15  # a call bound by its first attempt goes to the one of two serving so much more
-AGED = 0.5  # windows in which a report fades: who is sent nothing tells nothing more, and its queue is served
-MIN_TOLERANT_LATE_WEIGHT = (
-    0.5  # a call that keeps this part of its worth when late is lax: it goes where its one draw says
-)
-CHOICES = 9  # drawn for a call where nothing is reported: our own calls out tell of a queue first
-CROSSINGS = 1.5  # prices of a crossing that a better chance to be in time must outweigh
+# Draws to find an endpoint that can be used. More would shift the weights of those left.
+MAX_DRAWS = 4
+# Service times: the length of a short wait, by which the better of two candidates is chosen.
+SHORT_WAIT_SERVICE_TIMES = 2.0
+# Success rate that the second candidate must be better by, for a request that its first attempt binds.
+MIN_SUCCESS_RATE_GAIN = 0.15
+# Windows over which a report fades: an endpoint that is sent nothing reports nothing, and its queue shrinks.
+REPORT_FADE_WINDOWS = 0.5
+# Fraction of its weight that an answer keeps when late, from which a request is tolerant and not urgent.
+MIN_TOLERANT_LATE_WEIGHT = 0.5
+# Further candidates drawn where no load is reported: our own requests in flight then show a queue first.
+EXTRA_CANDIDATES = 9
+# One in this many of these is drawn from the own zone.
+LOCAL_CANDIDATE_INTERVAL = 3
+# Weight of the cost of crossing zones against the probability of an answer in time.
+CROSS_ZONE_COST_MULTIPLE = 1.5
+# Highest utilisation that a report or the latency may stand for.
+MAX_LOAD = 0.99
 
 
 def choose_endpoints(
-    books: BalancerState, now: float, call: Request
+    state: BalancerState, now: float, request: Request
 ) -> tuple[EndpointStatistics | None, EndpointStatistics | None]:
-    """Where the next attempt goes, and where a copy of an urgent call could go; None for nobody."""
-    kept = call.preferred_endpoint and not call.attempts and books.find_available(call.preferred_endpoint)
-    if (
-        kept
-        and not (check_unresponsive(books, now, kept) or is_overfull(books, kept))
-        and within_slow_start(books, kept, now)
-    ):
-        return kept, None
-    last = call.attempts[-1].target if call.attempts else None
-    one = draw_endpoint(books, now, call, last) or draw_endpoint(books, now, call, None, any_=True)
-    if one is None and books.weights_stale:  # all that were drawn from may be gone
-        update_weights(books, now)
-        one = draw_endpoint(books, now, call, last) or draw_endpoint(books, now, call, None, any_=True)
-    if one is None:
+    """The endpoint of the next attempt, and one to hedge an urgent request at; None where there is none."""
+    sticky = _usable_preferred_endpoint(state, now, request)
+    if sticky is not None:
+        return sticky, None
+    last = request.attempts[-1].target if request.attempts else None
+    first = _draw_first(state, now, request, last)
+    if first is None and state.weights_stale:  # all candidates may have left the list
+        update_weights(state, now)
+        first = _draw_first(state, now, request, last)
+    if first is None:
         return None, None
-    urgent = call.traffic_class.late_weight < MIN_TOLERANT_LATE_WEIGHT
-    two = (
-        draw_endpoint(books, now, call, one)
-        if not call.attempts and (urgent or not call.traffic_class.retry_is_harmless)
-        else None
-    )
-    if not books.tier_profile.reported_rate:
-        more = [draw_endpoint(books, now, call, last, home=n % 3 == 0) for n in range(CHOICES)]
-        drawn = [one, *filter(None, [two, *more])]
-        drawn.sort(key=lambda server: expected_cost(books, now, call, server))
-        one, two = drawn[0], next((s for s in drawn if two and s is not drawn[0]), None)
-    elif two and (
-        short_wait_probability(books, two) > short_wait_probability(books, one)
-        if urgent
-        else two.success_rate > one.success_rate + STEADY
-    ):
-        one, two = two, one
-    return one, two if urgent else None
+    urgent = request.traffic_class.late_weight < MIN_TOLERANT_LATE_WEIGHT
+    second = None
+    if not request.attempts and (urgent or not request.traffic_class.retry_is_harmless):
+        second = draw_endpoint(state, now, request, first)
+    if not state.tier_profile.reported_rate:
+        first, second = _choose_by_cost(state, now, request, last, first, second)
+    elif second is not None and _is_better(state, second, first, urgent):
+        first, second = second, first
+    return first, second if urgent else None
+
+
+def _usable_preferred_endpoint(
+    state: BalancerState, now: float, request: Request
+) -> EndpointStatistics | None:
+    """The endpoint that the request's session stays with, if its first attempt can go there."""
+    if not request.preferred_endpoint or request.attempts:
+        return None
+    endpoint = state.find_available(request.preferred_endpoint)
+    if endpoint is None or check_unresponsive(state, now, endpoint) or is_overfull(state, endpoint):
+        return None
+    return endpoint if within_slow_start(state, endpoint, now) else None
+
+
+def _draw_first(
+    state: BalancerState, now: float, request: Request, last: EndpointStatistics | None
+) -> EndpointStatistics | None:
+    """Any endpoint but the last attempt's, or else any at all, even if it is unresponsive or overfull."""
+    return draw_endpoint(state, now, request, last) or draw_endpoint(state, now, request, None, any_=True)
+
+
+def _choose_by_cost(
+    state: BalancerState,
+    now: float,
+    request: Request,
+    last: EndpointStatistics | None,
+    first: EndpointStatistics,
+    second: EndpointStatistics | None,
+) -> tuple[EndpointStatistics, EndpointStatistics | None]:
+    """The cheapest of the two and of further candidates; and the next cheapest, if there was a second."""
+    extra = [
+        draw_endpoint(state, now, request, last, home=number % LOCAL_CANDIDATE_INTERVAL == 0)
+        for number in range(EXTRA_CANDIDATES)
+    ]
+    drawn = [first, *filter(None, [second, *extra])]
+    drawn.sort(key=lambda endpoint: expected_cost(state, now, request, endpoint))
+    cheapest = drawn[0]
+    if second is None:
+        return cheapest, None
+    return cheapest, next((endpoint for endpoint in drawn if endpoint is not cheapest), None)
+
+
+def _is_better(
+    state: BalancerState, second: EndpointStatistics, first: EndpointStatistics, urgent: bool
+) -> bool:
+    """Whether the second candidate is to be chosen: for its short wait if urgent, else for success."""
+    if urgent:
+        return short_wait_probability(state, second) > short_wait_probability(state, first)
+    return second.success_rate > first.success_rate + MIN_SUCCESS_RATE_GAIN
 
 
 def draw_endpoint(
-    books: BalancerState,
+    state: BalancerState,
     now: float,
-    call: Request,
+    request: Request,
     avoid: EndpointStatistics | None,
     any_: bool = False,
     home: bool = False,
 ) -> EndpointStatistics | None:
-    """An upstream by share, of the group that an attempt which may have run binds the call to."""
-    servers, sums = allowed_candidates(books, now, call, home)
-    for _ in range(DRAWS):
-        if not sums or sums[-1] <= 0:
+    """Draw an endpoint by weight from those that the retry policy allows; None if MAX_DRAWS find none.
+
+    `avoid` is not drawn. `any_` allows unresponsive and overfull endpoints; `home` draws from the own zone.
+    """
+    endpoints, weight_sums = allowed_candidates(state, now, request, home)
+    for _ in range(MAX_DRAWS):
+        if not weight_sums or weight_sums[-1] <= 0:
             return None
-        server = servers[bisect(sums, books.random.random() * sums[-1], 0, len(sums) - 1)]
-        if not server.available:  # it drains since the shares were taken
-            servers, sums = selection_table([s for s in servers if s.available])
-            if not sums or sums[-1] <= 0:
+        endpoint = _draw_by_weight(state, endpoints, weight_sums)
+        if not endpoint.available:  # it began draining after the weights were computed
+            endpoints, weight_sums = selection_table(
+                [candidate for candidate in endpoints if candidate.available]
+            )
+            if not weight_sums or weight_sums[-1] <= 0:
                 return None
-            server = servers[bisect(sums, books.random.random() * sums[-1], 0, len(sums) - 1)]
+            endpoint = _draw_by_weight(state, endpoints, weight_sums)
         if not any_ and (
-            check_unresponsive(books, now, server) and server.in_flight or is_overfull(books, server)
+            check_unresponsive(state, now, endpoint) and endpoint.in_flight or is_overfull(state, endpoint)
         ):
-            servers, sums = selection_table([s for s in servers if s is not server])
-        elif server is not avoid and within_slow_start(books, server, now):
-            return server
+            endpoints, weight_sums = selection_table(
+                [candidate for candidate in endpoints if candidate is not endpoint]
+            )
+        elif endpoint is not avoid and within_slow_start(state, endpoint, now):
+            return endpoint
     return None
 
 
-def allowed_candidates(books: BalancerState, now: float, call: Request, home: bool = False) -> SelectionTable:
-    """Those that the rule on repeats leaves to the next attempt."""
-    earlier = call.prior_attempts() if call.attempts or call.prior_execution else []
-    if not earlier or call.traffic_class.effect is Effect.IDEMPOTENT and not books.settings.restricted:
-        return books.local_candidates if home else books.candidates
-    first, scope = earlier[0], call.traffic_class.dedup_scope
-    if books.settings.restricted or not may_repeat(call.traffic_class, earlier, now, first.zone, first.cell):
+def _draw_by_weight(
+    state: BalancerState, endpoints: list[EndpointStatistics], weight_sums: list[float]
+) -> EndpointStatistics:
+    return endpoints[bisect(weight_sums, state.random.random() * weight_sums[-1], 0, len(weight_sums) - 1)]
+
+
+def allowed_candidates(
+    state: BalancerState, now: float, request: Request, home: bool = False
+) -> SelectionTable:
+    """The endpoints that the retry policy allows for the next attempt; with `home` those of the own zone."""
+    earlier = request.prior_attempts() if request.attempts or request.prior_execution else []
+    if not earlier or request.traffic_class.effect is Effect.IDEMPOTENT and not state.settings.restricted:
+        return state.local_candidates if home else state.candidates
+    first, scope = earlier[0], request.traffic_class.dedup_scope
+    if state.settings.restricted or not may_repeat(
+        request.traffic_class, earlier, now, first.zone, first.cell
+    ):
         return [], []
     if scope is DedupScope.ALL:
-        return books.candidates
+        return state.candidates
     key = (scope, dedup_group(scope, first.zone, first.cell))
-    if key not in books.dedup_candidates:
-        members = list(books.available.dedup_members(*key))
-        update_all_weights(books, members, now)
-        books.dedup_candidates[key] = selection_table(members)
-    return books.dedup_candidates[key]
+    if key not in state.dedup_candidates:
+        members = list(state.available.dedup_members(*key))
+        update_all_weights(state, members, now)
+        state.dedup_candidates[key] = selection_table(members)
+    return state.dedup_candidates[key]
 
 
-def within_slow_start(books: BalancerState, server: EndpointStatistics, now: float) -> bool:
-    """A cold upstream gets no more than this balancer's part of what all may send it."""
-    if server.warm_fraction(now, books.settings.slow_start) >= 1.0:
+def within_slow_start(state: BalancerState, endpoint: EndpointStatistics, now: float) -> bool:
+    """Whether an endpoint in slow start may get one more request of those that this balancer may send it."""
+    if endpoint.warm_fraction(now, state.settings.slow_start) >= 1.0:
         return True
     return (
-        books.settings.slow_start_divisor != inf
-        and server.accrue_credit(now, books.settings.slow_start.overload_window_ms) >= 1.0
+        state.settings.slow_start_divisor != inf
+        and endpoint.accrue_credit(now, state.settings.slow_start.overload_window_ms) >= 1.0
     )
 
 
-def estimated_load(books: BalancerState, server: EndpointStatistics) -> float:
-    """Utilisation, from a fresh report or else from latency; our own unanswered attempts make it current."""
-    load = 1 - server.profile.lowest / max(server.latency_ratio, server.profile.lowest)
-    if server.utilisation is not None:
-        load += (server.utilisation - load) * exp(
-            (server.utilisation_at - books.now) / books.window_ms / AGED
-        )
-    usual_out = books.mean_in_flight * server.selection_weight / max(books.candidates[1][-1], 1e-9)
-    return 1 - (1 - min(load, 0.99)) * (usual_out + 1) / (max(server.in_flight, usual_out) + 1)
+def estimated_load(state: BalancerState, endpoint: EndpointStatistics) -> float:
+    """Utilisation from 0 to 1, by a recent report or else by latency, corrected by our requests in flight."""
+    load = 1 - endpoint.profile.lowest / max(endpoint.latency_ratio, endpoint.profile.lowest)
+    if endpoint.utilisation is not None:
+        report_age_windows = (state.now - endpoint.utilisation_at) / state.window_ms
+        load += (endpoint.utilisation - load) * exp(-report_age_windows / REPORT_FADE_WINDOWS)
+    usual_in_flight = state.mean_in_flight * endpoint.selection_weight / max(state.candidates[1][-1], 1e-9)
+    in_flight = max(endpoint.in_flight, usual_in_flight)
+    return 1 - (1 - min(load, MAX_LOAD)) * (usual_in_flight + 1) / (in_flight + 1)
+
 
+def short_wait_probability(state: BalancerState, endpoint: EndpointStatistics) -> float:
+    """Probability of success after a wait of at most SHORT_WAIT_SERVICE_TIMES.
 
-def short_wait_probability(books: BalancerState, server: EndpointStatistics) -> float:
-    """Chance of a short wait: over a long one a trace of errors would outweigh any queue."""
-    load = estimated_load(books, server)
-    return server.success_rate * (1 - load * exp(-(1 - load) * SHORT))
+    With a longer wait a small rate of errors would outweigh any queue.
+    """
+    load = estimated_load(state, endpoint)
+    return endpoint.success_rate * (1 - load * exp(-(1 - load) * SHORT_WAIT_SERVICE_TIMES))
 
 
-def expected_cost(books: BalancerState, now: float, call: Request, server: EndpointStatistics) -> float:
-    """Chance to miss the aim there, by our calls out against its share, and the price of crossing."""
-    count = len(books.candidates[0])
-    queue = (
-        (server.in_flight + 1)
-        * books.candidates[1][-1]
+def expected_cost(state: BalancerState, now: float, request: Request, endpoint: EndpointStatistics) -> float:
+    """Probability to miss the latency objective, by requests in flight, plus the cost of crossing zones."""
+    count = len(state.candidates[0])
+    relative_queue = (
+        (endpoint.in_flight + 1)
+        * state.candidates[1][-1]
         / count
-        / server.selection_weight
-        / (books.mean_in_flight / count + 1)
+        / endpoint.selection_weight
+        / (state.mean_in_flight / count + 1)
     )
-    late = exp(-max(call.objective - now, 1.0) / max(call.class_latency.mean_ms * queue, 1e-3))
-    away = books.settings.cross_zone_cost if server.endpoint.zone != books.settings.zone else 0.0
-    # Far from its aim every queue seems as good: the shorter one then.
+    time_left_ms = max(request.objective - now, 1.0)
+    late = exp(-time_left_ms / max(request.class_latency.mean_ms * relative_queue, 1e-3))
+    zone_cost = state.settings.cross_zone_cost if endpoint.endpoint.zone != state.settings.zone else 0.0
+    # Far from the objective all queues give about the same: the last term then prefers the shorter one.
     return (
         1
-        - min(server.success_rate / books.best_success_rate, 1.0) * (1 - late)
-        + CROSSINGS * away
-        + 1e-6 * queue
+        - min(endpoint.success_rate / state.best_success_rate, 1.0) * (1 - late)
+        + CROSS_ZONE_COST_MULTIPLE * zone_cost
+        + 1e-6 * relative_queue
     )
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -204,7 +204,7 @@
     ),
     REPEATS: (
         "endpoint_selection.py",
-        "    if not earlier or call.traffic_class.effect is Effect.IDEMPOTENT and not books.settings.restricted:",
+        "    if not earlier or request.traffic_class.effect is Effect.IDEMPOTENT and not state.settings.restricted:",
         "    if True:",
     ),
     COLD: ("endpoint_statistics.py", "        if self.started_at <= 0 or age >= cold.warmup_ms:", "        if True:"),
