--- a/benchmarks/constants.py
+++ b/benchmarks/constants.py
@@ -36,14 +36,15 @@
     "rates",
     "endpoint_statistics",
 )
-KEPT_WHOLE = {
+INTEGER_CONSTANTS = {
     "EJECTION_MISSES",
     "MAX_DRAWS",
     "EXTRA_CANDIDATES",
     "SPAN",
     "ENOUGH",
-    "FEWEST",
-}  # counts: their half is rounded
+    "MIN_SUBSET_SIZE",
+    "LOCAL_CANDIDATE_INTERVAL",
+}  # their half is rounded
 
 
 def constants() -> dict[str, float]:
@@ -97,7 +98,7 @@
     first = next(iter(known))
     jobs = [(first, known[first], scenario, seed) for scenario in asked.scenarios for seed in range(1, asked.seeds + 1)]
     for name, value in some.items():
-        whole = name.split(".")[1] in KEPT_WHOLE
+        whole = name.split(".")[1] in INTEGER_CONSTANTS
         for other in (value / 2, value * 2):
             jobs += [
                 (name, round(other) if whole else other, scenario, seed)
@@ -117,7 +118,7 @@
     print("| constant | value | " + " | ".join(heads) + " |\n| --- | --- |" + " --- |" * len(heads))
     spread: dict[str, list[float]] = {scenario: [] for scenario in asked.scenarios}
     for name, value in some.items():
-        whole = name.split(".")[1] in KEPT_WHOLE
+        whole = name.split(".")[1] in INTEGER_CONSTANTS
         cells = []
         for scenario in asked.scenarios:
             pairs = [differences(name, round(v) if whole else v, scenario) for v in (value / 2, value * 2)]
--- a/limenotch/balancing/retry_policy.py
+++ b/limenotch/balancing/retry_policy.py
@@ -1,6 +1,7 @@
-"""The one rule on repeats: where and until when a call that may have run may run again.
+"""Retry policy: where and until when a request that may have been executed may be executed again.
 
-Placement and refusals ask it, and the network once more right before an attempt's first byte.
+Endpoint selection and rejections follow it, and the network asks once more right before the first byte of an
+attempt.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 def dedup_group(scope: DedupScope, zone: Hashable, cell: Hashable) -> Hashable:
-    """A name for the upstreams that drop each other's repeats."""
+    """The key of the group of endpoints that drop each other's duplicates."""
     return {DedupScope.ALL: None, DedupScope.ZONE: zone, DedupScope.CELL: cell}[scope]
 
 
@@ -22,13 +23,16 @@
     zone: Hashable = None,
     cell: Hashable = None,
 ) -> bool:
-    """Whether the call may run at this time, at an upstream there or, with no place named, anywhere."""
-    ran = [one for one in earlier if one.may_have_run]
-    if not ran or cls.effect is not Effect.DEDUPLICATED:
-        return not ran or cls.effect is Effect.IDEMPOTENT
-    there = dedup_group(cls.dedup_scope, zone, cell)
+    """Whether the request may run at `at_ms` at an endpoint of this zone and cell.
+
+    Without a zone and a cell the answer is for an endpoint anywhere.
+    """
+    may_have_run = [attempt for attempt in earlier if attempt.may_have_run]
+    if not may_have_run or cls.effect is not Effect.DEDUPLICATED:
+        return not may_have_run or cls.effect is Effect.IDEMPOTENT
+    group = dedup_group(cls.dedup_scope, zone, cell)
     return all(
-        at_ms < one.sent_ms + cls.dedup_window_ms
-        and dedup_group(cls.dedup_scope, one.zone, one.cell) == there
-        for one in ran
+        at_ms < attempt.sent_ms + cls.dedup_window_ms
+        and dedup_group(cls.dedup_scope, attempt.zone, attempt.cell) == group
+        for attempt in may_have_run
     )
--- a/limenotch/balancing/subsetting.py
+++ b/limenotch/balancing/subsetting.py
@@ -1,8 +1,8 @@
-"""The part of a tier that one balancer draws from, by the list, its number and the calls that it holds.
+"""Deterministic subsetting: the part of a tier that one balancer sends to.
 
-A balancer with few calls can't learn of a large tier, and connections from every caller to every upstream
-fill the upstreams' tables. Each balancer takes one stretch of an order that all agree on; the stretches start
-at even distances, so that all upstreams are covered (deterministic subsetting).
+A balancer with few requests can't learn enough of a large tier, and connections from every client to every
+endpoint would fill the endpoints' connection tables. Each balancer takes one stretch of an order that all
+agree on. The stretches start at even distances, so that all endpoints are covered.
 """
 
 from __future__ import annotations
@@ -11,19 +11,30 @@
 
 from .endpoint_statistics import EndpointStatistics
 
-SPREAD = 1.0  # upstreams drawn from for each call held: our own calls then tell of each one's queue
-OVERLAP = 4.0  # balancers that draw from each upstream at the least, so that none depends on one of them
-FEWEST = 8  # upstreams drawn from at the least, so that one in trouble is a small part
+# Endpoints per request in flight: our own requests in flight then show the queue of each.
+ENDPOINTS_PER_REQUEST = 1.0
+# Balancers that send to each endpoint at least, so that none depends on one balancer.
+MIN_BALANCERS_PER_ENDPOINT = 4.0
+# Endpoints at least, so that a faulty one is a small part.
+MIN_SUBSET_SIZE = 8
 
 
 def subset(
-    groups: Sequence[list[EndpointStatistics]], held: float, rank: int, balancers: int
+    groups: Sequence[list[EndpointStatistics]], in_flight: float, rank: int, balancers: int
 ) -> list[list[EndpointStatistics]]:
-    """Of each group one stretch, for balancer `rank` of `balancers`, which holds `held` calls."""
-    chosen: list[list[EndpointStatistics]] = []
+    """One stretch of each group, for balancer `rank` (from 0) of `balancers` with `in_flight` requests."""
+    subsets: list[list[EndpointStatistics]] = []
     for group in groups:
-        size = int(max(FEWEST, SPREAD * held, OVERLAP * len(group) / balancers))
-        first = rank * len(group) // balancers % max(len(group), 1)
-        stretch = group[first : first + size]
-        chosen.append(stretch + group[: min(size - len(stretch), first)])
-    return chosen
+        size = int(
+            max(
+                MIN_SUBSET_SIZE,
+                ENDPOINTS_PER_REQUEST * in_flight,
+                MIN_BALANCERS_PER_ENDPOINT * len(group) / balancers,
+            )
+        )
+        start = rank * len(group) // balancers % max(len(group), 1)
+        stretch = group[start : start + size]
+        # A stretch that reaches the end goes on at the beginning of the group.
+        wrapped = group[: min(size - len(stretch), start)]
+        subsets.append(stretch + wrapped)
+    return subsets
--- a/limenotch/balancing/weights.py
+++ b/limenotch/balancing/weights.py
@@ -1,7 +1,8 @@
-"""The part of the calls that each upstream is to get, by what it has shown.
+"""Weights: the relative part of the requests that each endpoint is to get, by what it has shown.
 
-Shares are relative: what an upstream can do now, bent by slowness and misses, and where loads are reported by
-zone. With them comes the room of the cold ones.
+A weight is the endpoint's estimated capacity, lowered for slowness and misses, and by zone where endpoints
+report their load. The slow-start rates of endpoints that are warming up are renewed with the weights.
+Capacities are in requests per s; where nothing is reported, in units of listed weight.
 """
 
 from __future__ import annotations
@@ -13,174 +14,226 @@
 from .endpoint_statistics import EndpointStatistics, LatencyProfile
 from .subsetting import subset
 
-PRIOR = 4.0  # samples with which an upstream's own mean weighs as much as its kind's
-LEAN = 2.0  # share falls with this power of relative slowness: much hides behind time spent in tiers below
-SHUN = 3.0  # share falls with this power of the relative part served
-FLOOR = 0.02  # of its weight, always left to an upstream so that recovery is seen
-HEADROOM = 0.5  # of what pushes a cold upstream over: a rush may bring as much again, saved up by all
-AFAR = 0.05  # part of its weight left to an upstream of another zone while the own zone is sound
-FULL = 0.6  # use of the own zone's upstreams up to which calls stay in it: beyond, waits grow
-AT_ONCE = 64  # upstreams drawn from, up to which shares are taken at each change of the list
-SPACING = 0.1  # ms for each upstream drawn from, between two takings of all shares after changes of the list
-BUSY = 0.5  # use of cores reported that weighs as much as what its kind has shown
-
-
-def update_weights(books: BalancerState, now: float) -> None:
-    """At each window's end, and when a verdict changes; after the list has changed when it is `due`."""
-    known = books.prune_observed(now)
-    parts = subset(
-        books.by_locality, books.mean_in_flight, books.settings.balancer_index, books.settings.balancers
-    )
-    drawn = [server for part in parts for server in part]
-    for s in known:
-        estimate_capacity(books, s, now)
-    books.mean_success_rate = (books.total_successes + PRIOR) / (
-        books.total_successes + books.total_failures + PRIOR
-    )
-    books.best_success_rate = max((s.success_rate for s in drawn if not s.is_ejected(now)), default=1.0)
-    update_all_weights(books, drawn, now)
-    if books.settings.cross_zone_cost and books.tier_profile.reported_rate:  # else each call is weighed alone
-        prefer_own_zone(books, drawn, known, now)
-    # Parts that add up to what list and settings allow: equal ones, or without reports as each was answered.
-    part = 1 / books.settings.slow_start_divisor if books.tier_profile.reported_rate else books.shown_rate
-    books.slow_start_rate = HEADROOM * books.settings.slow_start.overload_multiple * part / 1000
-    for s in books.warming:
-        s.slow_start_rate = 0.0
-    books.warming = [s for s in drawn if s.started_at > 0]  # else it is warm, and nothing asks for its room
-    for group, mine in zip(books.by_locality, parts, strict=True):
-        for s in mine:
-            if s.started_at > 0:
-                s.slow_start_rate = (
-                    books.slow_start_rate
-                    * s.assured_capacity
-                    * len(group)
-                    / len(mine)
-                    * books.locality_factor(s)
-                )
-    books.candidates = selection_table(drawn)
-    books.live_fraction = sum(s.estimated_capacity for s in drawn if s.selection_weight) / max(
-        sum(s.estimated_capacity for s in drawn), 1e-9
-    )
-    books.local_candidates = selection_table(
-        [s for s in drawn if not books.settings.cross_zone_cost or s.endpoint.zone == books.settings.zone]
+Endpoints = list[EndpointStatistics]
+
+# Samples with which an endpoint's own mean counts as much as that of its kind.
+PRIOR_SAMPLES = 4.0
+# The weight falls with this power of the relative slowness, much of which may be time spent in lower tiers.
+SLOWNESS_EXPONENT = 2.0
+# The weight falls with this power of the relative success rate.
+SUCCESS_EXPONENT = 3.0
+# Highest factor that an endpoint faster than its kind gets.
+MAX_SPEED_FACTOR = 4.0
+# Fraction of its weight that an endpoint always keeps, so that its recovery is noticed.
+FLOOR = 0.02
+# Fraction of the load that overloads an endpoint in slow start: the balancers may save up as much again.
+SLOW_START_HEADROOM = 0.5
+# Fraction of its weight that an endpoint of another zone keeps while the own zone is healthy.
+REMOTE_ZONE_FLOOR = 0.05
+# Utilisation of the own zone up to which requests stay in it. Above it, waits grow.
+MAX_LOCAL_UTILISATION = 0.6
+# Candidates up to which the weights are renewed at each change of the endpoint list.
+MAX_IMMEDIATE_CANDIDATES = 64
+# Ms per candidate between two renewals after changes of a longer list.
+RENEWAL_INTERVAL_MS = 0.1
+# Reported use of cores that counts as much as what the endpoint's kind has shown.
+PRIOR_USE = 0.5
+
+
+def update_weights(state: BalancerState, now: float) -> None:
+    """Renew the weights of all candidates.
+
+    Done at the end of each window, when an endpoint is ejected or unresponsive, and if `weights_due`.
+    """
+    observed, settings = state.prune_observed(now), state.settings
+    subsets = subset(state.by_locality, state.mean_in_flight, settings.balancer_index, settings.balancers)
+    candidates = [endpoint for members in subsets for endpoint in members]
+    for endpoint in observed:
+        estimate_capacity(state, endpoint, now)
+    _update_success_rates(state, candidates, now)
+    update_all_weights(state, candidates, now)
+    # Without reports the zone's cost counts when each request selects its endpoint.
+    if settings.cross_zone_cost and state.tier_profile.reported_rate:
+        prefer_own_zone(state, candidates, observed, now)
+    _update_slow_start_rates(state, candidates, subsets)
+    _update_selection_tables(state, candidates)
+    state.weights_at = now
+    state.weights_stale = False
+
+
+def _update_success_rates(state: BalancerState, candidates: Endpoints, now: float) -> None:
+    successes, failures = state.total_successes, state.total_failures
+    state.mean_success_rate = (successes + PRIOR_SAMPLES) / (successes + failures + PRIOR_SAMPLES)
+    rates = (endpoint.success_rate for endpoint in candidates if not endpoint.is_ejected(now))
+    state.best_success_rate = max(rates, default=1.0)
+
+
+def _update_slow_start_rates(state: BalancerState, candidates: Endpoints, subsets: list[Endpoints]) -> None:
+    """Divide what the endpoints that are warming up may be sent among all balancers.
+
+    The parts are equal or, without reports, in proportion to the answers that each balancer got.
+    """
+    reported = state.tier_profile.reported_rate
+    part = 1 / state.settings.slow_start_divisor if reported else state.shown_rate
+    overload_multiple = state.settings.slow_start.overload_multiple
+    state.slow_start_rate = SLOW_START_HEADROOM * overload_multiple * part / 1000
+    for endpoint in state.warming:
+        endpoint.slow_start_rate = 0.0
+    state.warming = [endpoint for endpoint in candidates if endpoint.started_at > 0]
+    for group, members in zip(state.by_locality, subsets, strict=True):
+        for endpoint in members:
+            if endpoint.started_at > 0:
+                share = state.slow_start_rate * endpoint.assured_capacity * len(group) / len(members)
+                endpoint.slow_start_rate = share * state.locality_factor(endpoint)
+
+
+def _update_selection_tables(state: BalancerState, candidates: Endpoints) -> None:
+    state.candidates = selection_table(candidates)
+    live_capacity = sum(endpoint.estimated_capacity for endpoint in candidates if endpoint.selection_weight)
+    capacity = sum(endpoint.estimated_capacity for endpoint in candidates)
+    state.live_fraction = live_capacity / max(capacity, 1e-9)
+    all_local = not state.settings.cross_zone_cost
+    state.local_candidates = selection_table(
+        [endpoint for endpoint in candidates if all_local or endpoint.endpoint.zone == state.settings.zone]
     )
-    books.dedup_candidates.clear()
-    books.weights_at, books.weights_stale = now, False
+    state.dedup_candidates.clear()
 
 
-def weights_due(books: BalancerState, now: float) -> bool:
-    """Whether shares are to be taken anew after the list has changed.
+def weights_due(state: BalancerState, now: float) -> bool:
+    """Whether the weights are to be renewed after a change of the endpoint list.
 
-    One that drains is passed over at once. To take the shares of thousands for each of thousands that drain
-    would keep the list itself, and all calls, waiting.
+    Draining endpoints are left out without it. A renewal for each of thousands would delay all requests.
     """
-    drawn = len(books.candidates[0])
-    return books.weights_stale and (drawn <= AT_ONCE or now >= books.weights_at + SPACING * drawn)
-
-
-def profile_rate(books: BalancerState, like: LatencyProfile) -> float:
-    """What a warm one of weight 1 serves a second in full use; 1 where nothing is reported."""
-    kind = like if like.reported_rate else books.tier_profile
-    return kind.reported_rate / kind.reported_use if kind.reported_rate else 1.0
-
+    count = len(state.candidates[0])
+    return state.weights_stale and (
+        count <= MAX_IMMEDIATE_CANDIDATES or now >= state.weights_at + RENEWAL_INTERVAL_MS * count
+    )
 
-def estimate_capacity(books: BalancerState, server: EndpointStatistics, now: float) -> None:
-    """What it can do now: by its own reports as far as they go, else as others of its kind and age.
 
-    Served over used is what it serves in full use (gRPC proposal A58); reports hold all balancers' sends.
-    """
-    fade = exp((server.last_report_at - now) / books.report_memory_ms)
-    prior = (
-        server.listed_weight
-        * profile_rate(books, server.profile)
-        * server.warm_fraction(now, books.settings.slow_start)
-    )
-    # A span in which nothing was done yet shows use alone: that is no proof of a dead upstream.
-    shown = (server.reported_rate_sum * fade + BUSY * prior) / (server.reported_use_sum * fade + BUSY)
-    server.assured_capacity = min(shown, prior)
-    server.estimated_capacity = max(shown * (FLOOR if server.unresponsive else 1.0), FLOOR * prior, 1e-9)
-
-
-def update_weight(books: BalancerState, server: EndpointStatistics, now: float) -> None:
-    """What it can do, bent by slowness and misses."""
-    fade = exp((server.updated_at - now) / books.evidence_memory_ms)
-    count, good, bad = server.latency_samples * fade, server.successes * fade, server.failures * fade
-    server.latency_ratio = (server.latency_ratio_sum * fade + PRIOR * server.profile.recent) / (count + PRIOR)
-    server.success_rate = (good + PRIOR * books.mean_success_rate) / (good + bad + PRIOR)
-    server.selection_weight = (
-        server.estimated_capacity * max(weight_factor(books, server), FLOOR)
-        if not server.is_ejected(now)
-        else 0.0
-    )
+def profile_rate(state: BalancerState, profile: LatencyProfile) -> float:
+    """Requests per s that a warm endpoint of weight 1 serves at full utilisation; 1 without reports."""
+    profile = profile if profile.reported_rate else state.tier_profile
+    return profile.reported_rate / profile.reported_use if profile.reported_rate else 1.0
 
 
-def weight_factor(books: BalancerState, server: EndpointStatistics) -> float:
-    """Both factors are relative: if everything is slow or failing nothing is singled out."""
-    usual = (server.profile if books.tier_profile.reported_rate else books.tier_profile).recent
-    slowness: float = min((usual / server.latency_ratio) ** LEAN, 4.0)
-    served: float = min(server.success_rate / books.best_success_rate, 1.0) ** SHUN
-    return slowness * served
+def _prior_capacity(state: BalancerState, endpoint: EndpointStatistics, now: float) -> float:
+    """The capacity expected of its kind, listed weight and age, in requests per s."""
+    full = endpoint.listed_weight * profile_rate(state, endpoint.profile)
+    return full * endpoint.warm_fraction(now, state.settings.slow_start)
 
 
-def update_all_weights(books: BalancerState, servers: Iterable[EndpointStatistics], now: float) -> None:
-    """The same for many: who has shown nothing is alike but for weight and age, and they may be thousands.
+def estimate_capacity(state: BalancerState, endpoint: EndpointStatistics, now: float) -> None:
+    """Estimate its present capacity: by its own reports, or else by those of its kind and its age.
 
-    What they can do is gauged here too.
+    Requests per s divided by utilisation give the rate at full utilisation (gRPC proposal A58). The reports
+    count the requests of all balancers.
+    """
+    fade = exp((endpoint.last_report_at - now) / state.report_memory_ms)
+    prior = _prior_capacity(state, endpoint, now)
+    # A span without finished requests reports use alone, which does not prove that the endpoint is dead.
+    rate = endpoint.reported_rate_sum * fade + PRIOR_USE * prior
+    shown = rate / (endpoint.reported_use_sum * fade + PRIOR_USE)
+    endpoint.assured_capacity = min(shown, prior)
+    present = shown * (FLOOR if endpoint.unresponsive else 1.0)
+    endpoint.estimated_capacity = max(present, FLOOR * prior, 1e-9)
+
+
+def update_weight(state: BalancerState, endpoint: EndpointStatistics, now: float) -> None:
+    """Renew the weight of one endpoint that has shown something; 0 while it is ejected."""
+    fade = exp((endpoint.updated_at - now) / state.evidence_memory_ms)
+    samples = endpoint.latency_samples * fade
+    successes, failures = endpoint.successes * fade, endpoint.failures * fade
+    ratio_sum = endpoint.latency_ratio_sum * fade + PRIOR_SAMPLES * endpoint.profile.recent
+    success_sum = successes + PRIOR_SAMPLES * state.mean_success_rate
+    endpoint.latency_ratio = ratio_sum / (samples + PRIOR_SAMPLES)
+    endpoint.success_rate = success_sum / (successes + failures + PRIOR_SAMPLES)
+    if endpoint.is_ejected(now):
+        endpoint.selection_weight = 0.0
+    else:
+        endpoint.selection_weight = endpoint.estimated_capacity * max(weight_factor(state, endpoint), FLOOR)
+
+
+def weight_factor(state: BalancerState, endpoint: EndpointStatistics) -> float:
+    """Factor for slowness and misses. Both are relative: if all are slow or fail, none is singled out."""
+    profile = endpoint.profile if state.tier_profile.reported_rate else state.tier_profile
+    speed: float = min((profile.recent / endpoint.latency_ratio) ** SLOWNESS_EXPONENT, MAX_SPEED_FACTOR)
+    success: float = min(endpoint.success_rate / state.best_success_rate, 1.0) ** SUCCESS_EXPONENT
+    return speed * success
+
+
+def update_all_weights(state: BalancerState, endpoints: Iterable[EndpointStatistics], now: float) -> None:
+    """Renew the weights of many endpoints, and the capacities of those that have shown nothing yet.
+
+    The latter may be thousands and differ in listed weight and age alone: the rest is computed per kind.
     """
-    units: dict[
-        LatencyProfile, tuple[float, float]
-    ] = {}  # by kind: what one of weight 1 can do, and how that is bent
-    cold, fair, known = books.settings.slow_start, books.mean_success_rate, books.observed
-    for s in servers:
-        if s in known:
-            update_weight(books, s, now)
+    # By kind: the capacity of a warm endpoint of weight 1, and its weight factor.
+    units: dict[LatencyProfile, tuple[float, float]] = {}
+    slow_start = state.settings.slow_start
+    for endpoint in endpoints:
+        if endpoint in state.observed:
+            update_weight(state, endpoint, now)
             continue
-        s.latency_ratio, s.success_rate = s.profile.recent, fair
-        unit = units.get(s.profile)
+        endpoint.latency_ratio = endpoint.profile.recent
+        endpoint.success_rate = state.mean_success_rate
+        unit = units.get(endpoint.profile)
         if unit is None:
-            unit = units[s.profile] = profile_rate(books, s.profile), max(weight_factor(books, s), FLOOR)
-        able = (
-            s.listed_weight * unit[0] * s.warm_fraction(now, cold)
-            if s.started_at > 0
-            else s.listed_weight * unit[0]
-        )
-        s.assured_capacity, s.estimated_capacity = able, max(able, 1e-9)
-        s.selection_weight = s.estimated_capacity * unit[1]
-
-
-def zone_capacities(books: BalancerState, known: list[EndpointStatistics], now: float) -> dict[int, float]:
-    """Requests a second that each zone can do: by the list, and by what some have shown."""
-    rates: dict[int, float] = {}
-    for (zone, like), weight in books.available.capacities(now).items():
-        rates[zone] = rates.get(zone, 0.0) + weight * profile_rate(books, like)
-    for s in known:
-        prior = (
-            s.listed_weight * profile_rate(books, s.profile) * s.warm_fraction(now, books.settings.slow_start)
-        )
-        rates[s.endpoint.zone] += s.estimated_capacity - prior
-    return rates
+            unit = profile_rate(state, endpoint.profile), max(weight_factor(state, endpoint), FLOOR)
+            units[endpoint.profile] = unit
+        rate, factor = unit
+        capacity = endpoint.listed_weight * rate
+        if endpoint.started_at > 0:
+            capacity *= endpoint.warm_fraction(now, slow_start)
+        endpoint.assured_capacity = capacity
+        endpoint.estimated_capacity = max(capacity, 1e-9)
+        endpoint.selection_weight = endpoint.estimated_capacity * factor
+
+
+def zone_capacities(state: BalancerState, observed: Endpoints, now: float) -> dict[int, float]:
+    """Capacity of each zone, by the endpoint list and by what the observed endpoints have shown."""
+    capacities: dict[int, float] = {}
+    for (zone, profile), weight in state.available.capacities(now).items():
+        capacities[zone] = capacities.get(zone, 0.0) + weight * profile_rate(state, profile)
+    for endpoint in observed:
+        prior = _prior_capacity(state, endpoint, now)
+        capacities[endpoint.endpoint.zone] += endpoint.estimated_capacity - prior
+    return capacities
 
 
 def prefer_own_zone(
-    books: BalancerState, drawn: list[EndpointStatistics], known: list[EndpointStatistics], now: float
+    state: BalancerState,
+    candidates: Endpoints,
+    observed: Endpoints,
+    now: float,
 ) -> None:
-    """Calls stay in their zone as far as it can carry them; the list tells all of a zone alike."""
-    own, others = books.by_locality[0], [s for s in drawn if s.endpoint.zone != books.settings.zone]
-    shown = [s for s in known if s.endpoint.zone == books.settings.zone]
-    served = sum((s.success_rate / books.best_success_rate) ** SHUN for s in shown if not s.unresponsive)
-    served += (len(own) - len(shown)) * (books.mean_success_rate / books.best_success_rate) ** SHUN
-    afar = AFAR / max(served / max(len(own), 1), AFAR)
-    zones = zone_capacities(books, known, now)
-    able = sum(zones.values())
-    if books.settings.zone in zones:
-        calls = books.demand * books.settings.balancers / len(zones)  # of each zone, a second
-        full = max(FULL, calls * len(zones) / able)
-        kept = min(full * zones[books.settings.zone] / max(calls, 1e-9), 1.0)
-        if kept < 1:
-            for s in others:
-                s.selection_weight *= max(1 - calls / (full * zones[s.endpoint.zone]), AFAR)
-            near = sum(s.selection_weight for s in drawn if s.endpoint.zone == books.settings.zone)
-            far = sum(s.selection_weight for s in others)
-            afar = max(afar, near * (1 - kept) / max(kept * far, 1e-9))
-    for s in others:
-        s.selection_weight *= afar
+    """Lower the weights of other zones' endpoints as far as the own zone has capacity for its requests."""
+    zone = state.settings.zone
+    remote = [endpoint for endpoint in candidates if endpoint.endpoint.zone != zone]
+    remote_factor = REMOTE_ZONE_FLOOR / max(_own_zone_health(state, observed), REMOTE_ZONE_FLOOR)
+    capacities = zone_capacities(state, observed, now)
+    total_capacity = sum(capacities.values())
+    if zone in capacities:
+        zone_demand = state.demand * state.settings.balancers / len(capacities)  # requests per s of each zone
+        utilisation = max(MAX_LOCAL_UTILISATION, zone_demand * len(capacities) / total_capacity)
+        local_fraction = min(utilisation * capacities[zone] / max(zone_demand, 1e-9), 1.0)
+        if local_fraction < 1:
+            for endpoint in remote:
+                spare = 1 - zone_demand / (utilisation * capacities[endpoint.endpoint.zone])
+                endpoint.selection_weight *= max(spare, REMOTE_ZONE_FLOOR)
+            local = [endpoint for endpoint in candidates if endpoint.endpoint.zone == zone]
+            local_weight = sum(endpoint.selection_weight for endpoint in local)
+            remote_weight = sum(endpoint.selection_weight for endpoint in remote)
+            spilled = local_weight * (1 - local_fraction) / max(local_fraction * remote_weight, 1e-9)
+            remote_factor = max(remote_factor, spilled)
+    for endpoint in remote:
+        endpoint.selection_weight *= remote_factor
+
+
+def _own_zone_health(state: BalancerState, observed: Endpoints) -> float:
+    """Mean success factor of the own zone's endpoints; unresponsive ones count as 0."""
+    own = state.by_locality[0]
+    own_observed = [endpoint for endpoint in observed if endpoint.endpoint.zone == state.settings.zone]
+    rates = [endpoint.success_rate for endpoint in own_observed if not endpoint.unresponsive]
+    success: float = sum((rate / state.best_success_rate) ** SUCCESS_EXPONENT for rate in rates)
+    unobserved = len(own) - len(own_observed)
+    success += unobserved * (state.mean_success_rate / state.best_success_rate) ** SUCCESS_EXPONENT
+    return success / max(len(own), 1)
