--- a/limenotch/balancing/actions.py
+++ b/limenotch/balancing/actions.py
@@ -1,4 +1,4 @@
-"""What the balancer answers: actions, to be carried out in order."""
+"""Actions: what the balancer returns for an event, to be carried out in order."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SendAttempt(NamedTuple):
-    """Make an attempt at the call."""
+    """Send an attempt of the request to the endpoint."""
 
     request: str
     endpoint: str
@@ -21,25 +21,27 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: turned away; a repeat is harmless."""
+    """Final answer: rejected. The client may safely repeat the request."""
 
     request: str
     retry_after_ms: float = 0.0
 
 
 class FailRequest(NamedTuple):
-    """Final answer: it failed; nothing is promised of its effect."""
+    """Final answer: failed. The request may have been executed."""
 
     request: str
 
 
 class SetTimer(NamedTuple):
+    """Deliver a `TimerFired` with this token at `at_ms` on the balancer's clock."""
+
     at_ms: float
     token: int
 
 
 class Subscribe(NamedTuple):
-    """Ask the list service for all changes from now on."""
+    """Ask discovery for the endpoint list and all its changes from now on."""
 
 
 Action = Union[SendAttempt, CancelAttempt, RejectRequest, FailRequest, SetTimer, Subscribe]
--- a/limenotch/balancing/events.py
+++ b/limenotch/balancing/events.py
@@ -1,4 +1,4 @@
-"""What the balancer is told. Attempts of a request are numbered from 0 in the order sent."""
+"""Events: the input of the balancer. Attempts of a request are numbered from 0 in the order sent."""
 
 from __future__ import annotations
 
@@ -9,70 +9,72 @@
 
 
 class MembershipKind(Enum):
-    """How a membership event relates to the list already held."""
+    """How a membership update relates to the endpoint list that the balancer has."""
 
-    COMPLETE = "whole"  # the complete list; who is not on it is gone
+    COMPLETE = "whole"  # the complete list; endpoints that are missing from it are gone
     INCREMENTAL = "changes"  # changed entries only
-    UNAVAILABLE = "broken"  # asking failed or the subscription broke; the list stands
+    UNAVAILABLE = "broken"  # the poll failed or the subscription broke; the list stays in force
 
 
 class BalancerStarted(NamedTuple):
-    """The balancer begins; it knows nothing yet."""
+    """The balancer starts with no endpoint list."""
 
 
 class MembershipUpdate(NamedTuple):
+    """Discovery sent endpoints, or is unavailable."""
+
     kind: MembershipKind
     endpoints: tuple[Endpoint, ...] = ()
 
 
 class OperatorEjection(NamedTuple):
-    """An upstream is taken out by hand, or let back: it holds whatever the list says, until the next word.
+    """An operator ejects or readmits an endpoint. It applies whatever the endpoint list says, until changed.
 
-    One that is back is cold from `at_ms` on, unless the list tells a later start.
+    A readmitted endpoint is in slow start from `readmitted_at_ms` on, unless the list gives a later start.
     """
 
     endpoint: str
     ejected: bool
-    readmitted_at_ms: float = 0.0  # of the return
+    readmitted_at_ms: float = 0.0
 
 
 class SettingsChanged(NamedTuple):
-    """Other settings from now on; calls that are open keep the rules that they came under."""
+    """Other settings apply from now on. Open requests keep the rules under which they arrived."""
 
     settings: BalancerSettings
 
 
 class RequestArrived(NamedTuple):
-    """A call came in; it is owed exactly one final answer within `budget_ms`."""
+    """A request arrived; it must get exactly one final answer within `budget_ms`."""
 
     request: str
-    traffic_class: int
+    traffic_class: int  # index into the settings' classes
     budget_ms: float
-    tenant: int = 0
+    tenant: int = 0  # index into the settings' tenants
     is_retry: bool = False
-    single_use_body: bool = (
-        False  # its message is long and still coming: it can't be sent twice, nor to two at once
-    )
-    preferred_endpoint: str = ""  # the upstream that it stays with while that one may take work
+    # Its body is long and still arriving: it can be sent neither again nor to two endpoints at once.
+    single_use_body: bool = False
+    # The endpoint that its session stays with while that one accepts requests; empty for none.
+    preferred_endpoint: str = ""
     prior_execution: PriorExecution | None = None
-    has_idempotency_key: bool = True  # has a key, where its class is deduplicated by one
+    has_idempotency_key: bool = True  # without one, a deduplicated class is at most once
 
 
 class UploadFinished(NamedTuple):
-    """The last byte of a call that goes out once was sent. Its time begins: `budget_ms` from now."""
+    """The last byte of a request with a single-use body was sent. Its time starts now: `budget_ms`."""
 
     request: str
     budget_ms: float
 
 
 class ClientDisconnected(NamedTuple):
-    """The client is gone; nothing is owed any more."""
+    """The client is gone; the request needs no answer any more."""
 
     request: str
 
 
 class AttemptFinished(NamedTuple):
-    """An attempt ended; `closed` says that the call has its final answer."""
+    """An attempt ended; `request_answered` says that the request has its final answer."""
 
     request: str
     endpoint: str
@@ -80,17 +82,14 @@
     elapsed_ms: float
     outcome: Outcome
     request_answered: bool = False
-    utilisation: float | None = None  # as the upstream reports it
-    requests_per_s: float | None = (
-        None  # requests a second that it served, of all balancers, as it reports it
-    )
-    body_consumed: bool = (
-        False  # of a call that goes out once: some of its message is gone, so it can't go out again
-    )
+    utilisation: float | None = None  # from 0 to 1, of the endpoint's load report
+    requests_per_s: float | None = None  # of the load report: served for all balancers together
+    # Part of a single-use body was sent and is gone, so the request can't be sent again.
+    body_consumed: bool = False
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed answer has begun; the attempt now belongs to the client."""
+    """A streamed response has begun; from now on this attempt alone answers the client."""
 
     request: str
     endpoint: str
@@ -99,6 +98,8 @@
 
 
 class TimerFired(NamedTuple):
+    """The timer that a `SetTimer` with this token asked for."""
+
     token: int
 
 
--- a/limenotch/balancing/settings.py
+++ b/limenotch/balancing/settings.py
@@ -1,4 +1,7 @@
-"""The settings object that every balancer is given: read, checked and put in the module's terms."""
+"""Reads the settings object of a balancer: checks its values and maps its keys to the fields of `types`.
+
+Errors are ValueErrors that begin with the path of the key.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,8 @@
 from .types import BalancerSettings, DedupScope, Effect, SlowStart, Tenant, TrafficClass
 
 
-def _get(source: dict[str, Any], key: str, default: Any = None) -> Any:
+def _required(source: dict[str, Any], key: str, default: Any = None) -> Any:
+    """The value of a key that must be given if it has no default."""
     value = source.get(key, default)
     if value is None:
         raise ValueError(f"{key}: missing")
@@ -17,6 +21,7 @@
 
 
 def _section(source: dict[str, Any], key: str) -> dict[str, Any]:
+    """The object at a key; empty if it is missing."""
     section = source.get(key, {})
     if not isinstance(section, dict):
         raise ValueError(f"{key}: expected an object")
@@ -24,14 +29,16 @@
 
 
 def _number(source: dict[str, Any], key: str, default: float | None = None) -> float:
-    value = _get(source, key, default)
-    # Python reads NaN and Infinity in JSON, and NaN passes every check that only says what is too small.
+    """A finite number."""
+    value = _required(source, key, default)
+    # Python's json accepts NaN and Infinity, and NaN passes every check for a lower limit.
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not isfinite(value):
         raise ValueError(f"{key}: expected a number")
     return float(value)
 
 
-def _above(source: dict[str, Any], key: str, default: float | None = None) -> float:
+def _positive_number(source: dict[str, Any], key: str, default: float | None = None) -> float:
+    """A number above 0."""
     value = _number(source, key, default)
     if value <= 0:
         raise ValueError(f"{key}: expected a number above 0, not {value:g}")
@@ -39,21 +46,23 @@
 
 
 def _choice(kind: Callable[[Any], Any], source: dict[str, Any], key: str, default: str) -> Any:
+    """A member of the enumeration `kind`."""
     try:
         return kind(source.get(key, default))
     except ValueError:
         raise ValueError(f"{key}: not one of the known values") from None
 
 
-def _class(entry: Any, path: str) -> TrafficClass:
+def _traffic_class(entry: Any, path: str) -> TrafficClass:
+    """One entry of `classes`; `path` begins the text of errors."""
     if not isinstance(entry, dict):
         raise ValueError(f"{path}: expected an object")
     try:
         return TrafficClass(
             name=str(entry.get("name", "")),
             effect=_choice(Effect, entry, "effect", ""),
-            latency_objective_ms=_above(entry, "target_ms"),
-            deadline_ms=_above(entry, "hard_limit_ms"),
+            latency_objective_ms=_positive_number(entry, "target_ms"),
+            deadline_ms=_positive_number(entry, "hard_limit_ms"),
             priority_weight=_number(entry, "worth", 1.0),
             late_weight=_number(entry, "late_worth", 0.0),
             dedup_scope=_choice(DedupScope, entry, "dedup_scope", "all"),
@@ -64,39 +73,54 @@
         raise ValueError(f"{path}.{str(error).removeprefix('classes.')}") from None
 
 
-def read_settings(env: dict[str, Any]) -> BalancerSettings:
-    """The settings as the wire names them; keys that are not known are skipped."""
-    listed = _get(env, "classes")
+def _traffic_classes(source: dict[str, Any]) -> tuple[TrafficClass, ...]:
+    listed = _required(source, "classes")
     if not isinstance(listed, list):
         raise ValueError("classes: expected a list")
-    classes = [_class(entry, f"classes[{number}]") for number, entry in enumerate(listed)]
+    classes = [_traffic_class(entry, f"classes[{number}]") for number, entry in enumerate(listed)]
     if len({cls.name for cls in classes}) < len(classes):
         raise ValueError("classes: two of one name")
+    return tuple(classes)
+
+
+def _slow_start(rules: dict[str, Any]) -> SlowStart:
+    return SlowStart(
+        initial_capacity=_number(rules, "start_capacity", 1.0),
+        warmup_ms=_number(rules, "cold_ms", 0.0),
+        overload_multiple=_number(rules, "fall_multiple", 2.0),
+        overload_window_ms=_number(rules, "overload_for_ms", 1000.0),
+    )
+
+
+def read_settings(source: dict[str, Any]) -> BalancerSettings:
+    """The settings of one balancer from the object `source`; unknown keys are ignored.
+
+    Raises ValueError, beginning with the path of the key, for a value that is missing or out of range.
+    """
+    classes = _traffic_classes(source)
     tenants = tuple(
         Tenant(str(entry.get("name", "")), _number(entry, "quota_per_s", 0.0))
-        for entry in env.get("tenants") or ()
+        for entry in source.get("tenants") or ()
     )
-    allowed, rules = _section(env, "permissions"), _section(env, "rules")
-    advice = _number(allowed, "max_retry_after_ms", 0.0) if allowed.get("retry_after") else 0.0
+    permissions = _section(source, "permissions")
+    rules = _section(source, "rules")
+    max_retry_after_ms = 0.0
+    if permissions.get("retry_after"):
+        max_retry_after_ms = _number(permissions, "max_retry_after_ms", 0.0)
     return BalancerSettings(
-        classes=tuple(classes),
+        classes=classes,
         tenants=tenants,
-        balancers=int(_number(env, "balancers", 1)),
-        balancer_index=int(_number(env, "rank", 0)),
-        tier_index=int(_number(env, "layer", 0)),
-        zone=int(_number(env, "locality", 0)),
-        over_quota_weight=_number(env, "over_share_worth", 1.0),
-        must_subscribe=env.get("registry_mode") == "ask",
-        weights_listed=env.get("weights", "off") != "off",
-        max_attempts=int(_above(allowed, "max_attempts", 3)),
-        may_cancel=bool(allowed.get("cancel", True)),
-        may_hedge=bool(allowed.get("parallel_tries", True)),
-        max_retry_after_ms=advice,
-        cross_zone_cost=_number(_section(env, "costs"), "cross_zone", 0.0),
-        slow_start=SlowStart(
-            _number(rules, "start_capacity", 1.0),
-            _number(rules, "cold_ms", 0.0),
-            _number(rules, "fall_multiple", 2.0),
-            _number(rules, "overload_for_ms", 1000.0),
-        ),
+        balancers=int(_number(source, "balancers", 1)),
+        balancer_index=int(_number(source, "rank", 0)),
+        tier_index=int(_number(source, "layer", 0)),
+        zone=int(_number(source, "locality", 0)),
+        over_quota_weight=_number(source, "over_share_worth", 1.0),
+        must_subscribe=source.get("registry_mode") == "ask",
+        weights_listed=source.get("weights", "off") != "off",
+        max_attempts=int(_positive_number(permissions, "max_attempts", 3)),
+        may_cancel=bool(permissions.get("cancel", True)),
+        may_hedge=bool(permissions.get("parallel_tries", True)),
+        max_retry_after_ms=max_retry_after_ms,
+        cross_zone_cost=_number(_section(source, "costs"), "cross_zone", 0.0),
+        slow_start=_slow_start(rules),
     )
