--- a/limenotch/balancing/__init__.py
+++ b/limenotch/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a load balancer for services that call services."""
+"""The decisions of a load balancer between services: events in, actions out, without I/O or a clock."""
 
 from .balancer import Balancer
 
--- a/limenotch/balancing/endpoint_selection.py
+++ b/limenotch/balancing/endpoint_selection.py
@@ -77,7 +77,9 @@
     state: BalancerState, now: float, request: Request, last: EndpointStatistics | None
 ) -> EndpointStatistics | None:
     """Any endpoint but the last attempt's, or else any at all, even if it is unresponsive or overfull."""
-    return draw_endpoint(state, now, request, last) or draw_endpoint(state, now, request, None, any_=True)
+    return draw_endpoint(state, now, request, last) or draw_endpoint(
+        state, now, request, None, include_unhealthy=True
+    )
 
 
 def _choose_by_cost(
@@ -90,7 +92,7 @@
 ) -> tuple[EndpointStatistics, EndpointStatistics | None]:
     """The cheapest of the two and of further candidates; and the next cheapest, if there was a second."""
     extra = [
-        draw_endpoint(state, now, request, last, home=number % LOCAL_CANDIDATE_INTERVAL == 0)
+        draw_endpoint(state, now, request, last, own_zone_only=number % LOCAL_CANDIDATE_INTERVAL == 0)
         for number in range(EXTRA_CANDIDATES)
     ]
     drawn = [first, *filter(None, [second, *extra])]
@@ -115,14 +117,14 @@
     now: float,
     request: Request,
     avoid: EndpointStatistics | None,
-    any_: bool = False,
-    home: bool = False,
+    include_unhealthy: bool = False,
+    own_zone_only: bool = False,
 ) -> EndpointStatistics | None:
     """Draw an endpoint by weight from those that the retry policy allows; None if MAX_DRAWS find none.
 
-    `avoid` is not drawn. `any_` allows unresponsive and overfull endpoints; `home` draws from the own zone.
+    `avoid` is never returned. With `include_unhealthy` an unresponsive or overfull endpoint may be.
     """
-    endpoints, weight_sums = allowed_candidates(state, now, request, home)
+    endpoints, weight_sums = allowed_candidates(state, now, request, own_zone_only)
     for _ in range(MAX_DRAWS):
         if not weight_sums or weight_sums[-1] <= 0:
             return None
@@ -134,7 +136,7 @@
             if not weight_sums or weight_sums[-1] <= 0:
                 return None
             endpoint = _draw_by_weight(state, endpoints, weight_sums)
-        if not any_ and (
+        if not include_unhealthy and (
             check_unresponsive(state, now, endpoint) and endpoint.in_flight or is_overfull(state, endpoint)
         ):
             endpoints, weight_sums = selection_table(
@@ -152,12 +154,12 @@
 
 
 def allowed_candidates(
-    state: BalancerState, now: float, request: Request, home: bool = False
+    state: BalancerState, now: float, request: Request, own_zone_only: bool = False
 ) -> SelectionTable:
-    """The endpoints that the retry policy allows for the next attempt; with `home` those of the own zone."""
+    """The candidates that the retry policy allows for the next attempt, and their cumulative weights."""
     earlier = request.prior_attempts() if request.attempts or request.prior_execution else []
     if not earlier or request.traffic_class.effect is Effect.IDEMPOTENT and not state.settings.restricted:
-        return state.local_candidates if home else state.candidates
+        return state.local_candidates if own_zone_only else state.candidates
     first, scope = earlier[0], request.traffic_class.dedup_scope
     if state.settings.restricted or not may_repeat(
         request.traffic_class, earlier, now, first.zone, first.cell
--- a/limenotch/balancing/simulator_adapter.py
+++ b/limenotch/balancing/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""The bench's wire on standard input and output; one Balancer per instance, nothing shared.
+"""Adapter to the simulator's wire on standard input and output; one Balancer per instance, nothing shared.
 
-Only translation lives here. Every decision is made in the files that deploy/balancer.toml names under `policy`.
+This module only translates between the wire's names and the package's own. Every decision is made in the
+files that deploy/balancer.toml names under `policy`.
 """
 
 from __future__ import annotations
@@ -36,184 +37,206 @@
     "306": Outcome.CANCELLED,
     "307": Outcome.NOT_SENT,
 }
-LISTINGS = {
+MEMBERSHIP_KINDS = {
     "patch": MembershipKind.INCREMENTAL,
     "whole": MembershipKind.COMPLETE,
     "stale_copy": MembershipKind.COMPLETE,
     "broken": MembershipKind.UNAVAILABLE,
 }
-STAGES = {stage.value: stage for stage in EndpointState}
-IGNORED = frozenset({"CHECKED", "PEER_DATA"})  # probes and peers are not used
-SHEETS = 16
+ENDPOINT_STATES = {state.value: state for state in EndpointState}
+# Results of health checks and messages of peers are not used.
+IGNORED_EVENTS = frozenset({"CHECKED", "PEER_DATA"})
+MAX_SHEETS = 16  # endpoint lists that the wire numbers, from 0
 
 
 class WireError(Exception):
-    """A line that breaks the wire's grammar; says what was expected."""
+    """A line breaks the wire's grammar; the text says what was expected."""
 
 
-def _fields(parts: list[str]) -> dict[str, str]:
+def _parse_fields(parts: list[str]) -> dict[str, str]:
+    """Fields by name from `name=value` parts. Raises WireError."""
     try:
         return dict([part.split("=", 1) for part in parts])
     except ValueError:
         raise WireError("expected name=value pairs set apart by one space") from None
 
 
-def _row(line: str) -> Endpoint:
+def _parse_row(line: str) -> Endpoint:
+    """One entry of an endpoint list. Raises WireError, KeyError or ValueError."""
     parts = line.split(" ")
     if parts[0] != "ROW":
         raise WireError("expected ROW")
-    pairs = _fields(parts[1:])
+    fields = _parse_fields(parts[1:])
     return Endpoint(
-        pairs["upstream"],
-        STAGES[pairs["stage_state"]],
-        float(pairs.get("nominal", 1.0)),
-        int(pairs.get("hw", 0)),
-        int(pairs.get("locality", 0)),
-        int(pairs.get("unit_group", 0)),
-        float(pairs.get("started_at_ms", 0.0)),
+        name=fields["upstream"],
+        state=ENDPOINT_STATES[fields["stage_state"]],
+        weight=float(fields.get("nominal", 1.0)),
+        kind=int(fields.get("hw", 0)),
+        zone=int(fields.get("locality", 0)),
+        cell=int(fields.get("unit_group", 0)),
+        started_ms=float(fields.get("started_at_ms", 0.0)),
     )
 
 
-def _report(report: str | None) -> tuple[float | None, float | None]:
-    """Utilisation and requests a second; None for what the report lacks."""
+def _parse_load_report(report: str | None) -> tuple[float | None, float | None]:
+    """Utilisation and requests per s; None for what the report lacks."""
     values = dict(pair.split(":", 1) for pair in (report or "").split(",") if ":" in pair)
-    util, per_s = values.get("util"), values.get("qps")
-    return (float(util) if util else None, float(per_s) if per_s else None)
+    utilisation = values.get("util")
+    requests_per_s = values.get("qps")
+    return (float(utilisation) if utilisation else None, float(requests_per_s) if requests_per_s else None)
 
 
-def _event(name: str, pairs: dict[str, str]) -> Event:
-    """One wire event other than the list's and the instance's own start and stop."""
+def _parse_event(name: str, fields: dict[str, str]) -> Event:
+    """An event other than an instance's start and stop and its endpoint list.
+
+    Raises WireError, KeyError or ValueError.
+    """
     if name == "KNOCK":
         return RequestArrived(
-            pairs["handle"],
-            int(pairs["kind"]),
-            float(pairs["budget_ms"]),
-            int(pairs.get("party", 0)),
-            pairs.get("resent") == "1",
+            fields["handle"],
+            int(fields["kind"]),
+            float(fields["budget_ms"]),
+            int(fields.get("party", 0)),
+            fields.get("resent") == "1",
         )
     if name == "RESULT":
         return AttemptFinished(
-            pairs["handle"],
-            pairs["upstream"],
-            int(pairs["copy"]),
-            float(pairs["spent_ms"]),
-            OUTCOMES[pairs["how"]],
-            pairs.get("closed") == "1",
-            *_report(pairs.get("report")),
+            fields["handle"],
+            fields["upstream"],
+            int(fields["copy"]),
+            float(fields["spent_ms"]),
+            OUTCOMES[fields["how"]],
+            fields.get("closed") == "1",
+            *_parse_load_report(fields.get("report")),
         )
     if name == "TIMER":
-        return TimerFired(int(pairs["ctx"]))
+        return TimerFired(int(fields["ctx"]))
     if name == "LEFT":
-        return ClientDisconnected(pairs["handle"])
+        return ClientDisconnected(fields["handle"])
     if name == "HEAD_RECEIVED":
         return ResponseStarted(
-            pairs["handle"], pairs["upstream"], int(pairs["copy"]), float(pairs["spent_ms"])
+            fields["handle"], fields["upstream"], int(fields["copy"]), float(fields["spent_ms"])
         )
     raise WireError("expected an event of the wire")
 
 
-def _line(action: Action, at: str) -> str:
-    """One action as the wire writes it."""
+def _format_action(action: Action, balancer_id: str) -> str:
+    """The line of the wire for an action."""
     if isinstance(action, SendAttempt):
         return (
-            f"RELAY balancer_id={at} handle={action.request} "
+            f"RELAY balancer_id={balancer_id} handle={action.request} "
             f"try_for_ms={action.timeout_ms:.3f} upstream={action.endpoint}"
         )
     if isinstance(action, SetTimer):
-        return f"WAKE_ME balancer_id={at} at_ms={action.at_ms:.3f} ctx={action.token}"
+        return f"WAKE_ME balancer_id={balancer_id} at_ms={action.at_ms:.3f} ctx={action.token}"
     if isinstance(action, CancelAttempt):
-        return f"WITHDRAW balancer_id={at} handle={action.request} copy={action.attempt}"
+        return f"WITHDRAW balancer_id={balancer_id} handle={action.request} copy={action.attempt}"
     if isinstance(action, RejectRequest):
-        return f"TURN_AWAY balancer_id={at} handle={action.request} hold_off_ms={action.retry_after_ms:.3f}"
+        return (
+            f"TURN_AWAY balancer_id={balancer_id} handle={action.request} "
+            f"hold_off_ms={action.retry_after_ms:.3f}"
+        )
     if isinstance(action, FailRequest):
-        return f"GIVE_UP balancer_id={at} handle={action.request}"
-    return f"WATCH balancer_id={at} active=1"
+        return f"GIVE_UP balancer_id={balancer_id} handle={action.request}"
+    return f"WATCH balancer_id={balancer_id} active=1"
 
 
 class SimulatorAdapter:
-    """Reads batches, hands events to their instances, writes replies."""
+    """Reads batches of events, passes them to their balancers and writes the actions as replies."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        self.sink = sink
-        self.number = 0
-        self.source = source
-        self.sheets: dict[int, tuple[Endpoint, ...]] = {}
-        self.instances: dict[str, Balancer] = {}
-
-    def lines(self) -> Iterator[str]:
-        for raw in self.source:
-            self.number += 1
-            yield raw.rstrip("\n")
+        """Read from `source` and write to `sink` once `run` is called."""
+        self.line_number = 0  # of the line read last, from 1
+        self._source = source
+        self._sink = sink
+        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the wire's sheet number
+        self._balancers: dict[str, Balancer] = {}  # by instance
 
     def run(self) -> None:
-        lines = self.lines()
+        """Handle batches until the input ends.
+
+        Raises WireError, KeyError, ValueError or IndexError for a line that can't be read.
+        """
+        lines = self._read_lines()
         for line in lines:
             if not line:
                 continue
             if not line.startswith("BATCH "):
                 raise WireError("expected BATCH")
-            self.batch(float(_fields(line.split(" ")[1:])["at_time_ms"]), lines)
+            self._handle_batch(float(_parse_fields(line.split(" ")[1:])["at_time_ms"]), lines)
+
+    def _read_lines(self) -> Iterator[str]:
+        for raw in self._source:
+            self.line_number += 1
+            yield raw.rstrip("\n")
 
-    def batch(self, now: float, lines: Iterator[str]) -> None:
+    def _handle_batch(self, now: float, lines: Iterator[str]) -> None:
         reply: list[str] = []
         for line in lines:
             if line == "EOF_BATCH":
                 reply.append("DONE\n")
-                self.sink.write("\n".join(reply))
-                self.sink.flush()
+                self._sink.write("\n".join(reply))
+                self._sink.flush()
                 return
             if line:
-                self.event(now, line, lines, reply)
+                reply += self._handle_line(now, line, lines)
         raise WireError("expected EOF_BATCH before the end of input")
 
-    def event(self, now: float, line: str, lines: Iterator[str], reply: list[str]) -> None:
-        head, _, env = line.partition(" env=")
+    def _handle_line(self, now: float, line: str, lines: Iterator[str]) -> list[str]:
+        """Handle one event; return the lines of the reply. `lines` gives the rows of an endpoint list."""
+        head, _, settings_json = line.partition(" env=")
         parts = head.split(" ")
-        name, pairs = parts[0], _fields(parts[1:])
+        name, fields = parts[0], _parse_fields(parts[1:])
         if name == "REGISTER":
-            number = int(pairs["sheet"])
-            if not 0 <= number < SHEETS:
-                raise WireError(f"expected a sheet from 0 to {SHEETS - 1}")
-            rows = []
-            for _ in range(int(pairs["hosts"])):
-                row = next(lines, None)
-                if row is None:
-                    raise WireError("expected ROW before the end of input")
-                rows.append(_row(row))
-            self.sheets[number] = tuple(rows)
-            return
-        at = pairs["balancer_id"]
+            self._register_endpoint_list(fields, lines)
+            return []
+        balancer_id = fields["balancer_id"]
         event: Event
         if name == "LAUNCH":
-            self.instances[at] = Balancer(read_settings(json.loads(env)), int(pairs["seed"]))
+            settings = read_settings(json.loads(settings_json))
+            self._balancers[balancer_id] = Balancer(settings, int(fields["seed"]))
             event = BalancerStarted()
         elif name == "TEARDOWN":
-            self.instances.pop(at, None)
-            return
-        elif name in IGNORED:
-            return
+            self._balancers.pop(balancer_id, None)
+            return []
+        elif name in IGNORED_EVENTS:
+            return []
         elif name == "MEMBERSHIP":
-            listing = LISTINGS[pairs["how"]]
-            rows_held: tuple[Endpoint, ...] = ()
-            if listing is not MembershipKind.UNAVAILABLE:
-                number = int(pairs["sheet"])
-                if number not in self.sheets:
-                    raise WireError(f"expected a registered sheet, not {number}")
-                rows_held = self.sheets[number]
-            event = MembershipUpdate(listing, rows_held)
+            event = self._membership_update(fields)
         else:
-            event = _event(name, pairs)
-        balancer = self.instances.get(at)
+            event = _parse_event(name, fields)
+        balancer = self._balancers.get(balancer_id)
         if balancer is None:
-            raise WireError(f"expected LAUNCH before anything else for instance {at}")
-        for action in balancer.handle(now, event):
-            reply.append(_line(action, at))
+            raise WireError(f"expected LAUNCH before anything else for instance {balancer_id}")
+        return [_format_action(action, balancer_id) for action in balancer.handle(now, event)]
+
+    def _register_endpoint_list(self, fields: dict[str, str], lines: Iterator[str]) -> None:
+        number = int(fields["sheet"])
+        if not 0 <= number < MAX_SHEETS:
+            raise WireError(f"expected a sheet from 0 to {MAX_SHEETS - 1}")
+        endpoints = []
+        for _ in range(int(fields["hosts"])):
+            row = next(lines, None)
+            if row is None:
+                raise WireError("expected ROW before the end of input")
+            endpoints.append(_parse_row(row))
+        self._endpoint_lists[number] = tuple(endpoints)
+
+    def _membership_update(self, fields: dict[str, str]) -> MembershipUpdate:
+        kind = MEMBERSHIP_KINDS[fields["how"]]
+        if kind is MembershipKind.UNAVAILABLE:
+            return MembershipUpdate(kind)
+        number = int(fields["sheet"])
+        if number not in self._endpoint_lists:
+            raise WireError(f"expected a registered sheet, not {number}")
+        return MembershipUpdate(kind, self._endpoint_lists[number])
 
 
 def main() -> int:
-    link = SimulatorAdapter(sys.stdin, sys.stdout)
+    """Run on standard input and output; return the exit code: 0, or 2 after a line that can't be read."""
+    adapter = SimulatorAdapter(sys.stdin, sys.stdout)
     try:
-        link.run()
+        adapter.run()
     except WireError as error:
         problem = str(error)
     except KeyError as error:
@@ -222,7 +245,7 @@
         problem = str(error)
     else:
         return 0
-    print(f"line {link.number}: {problem}", file=sys.stderr)
+    print(f"line {adapter.line_number}: {problem}", file=sys.stderr)
     return 2
 
 
