--- a/limenotch/net/discovery/client.py
+++ b/limenotch/net/discovery/client.py
@@ -24,7 +24,18 @@
 from .. import http1
 from . import json_stream, schedule
 from .endpoint_list import EndpointList, merge_lists, parse_list
-from .schedule import Connected, DiscoveryState, Due, Ended, Heard, Listed, Moved, Order, Resumed, Wanted
+from .schedule import (
+    Action,
+    AddressChanged,
+    Connected,
+    DiscoveryState,
+    LineReceived,
+    ListReceived,
+    TimerExpired,
+    WatchEnded,
+    WatchRequested,
+    WatchResumed,
+)
 from .watch import Predecessors, Spare, Watch
 
 log = logs.get(__name__)
@@ -136,7 +147,7 @@
 
     def watch(self) -> None:
         """From now on there is a watch, or the directory is asked for one again and again."""
-        self._feed(Wanted())
+        self._feed(WatchRequested())
 
     def move(self, at: Address) -> None:
         """The directory is at another address from now on; the old one's word counts until that one answers."""
@@ -144,7 +155,7 @@
             return
         # The versions of the other address may be numbered anew: its whole list is asked for.
         self._at, self._version = at, 0
-        self._feed(Moved())
+        self._feed(AddressChanged())
 
     def set_pushed(self, pushed: bool) -> None:
         """Whether the directory is an agent whose word counts unheard, from the next failure on."""
@@ -159,17 +170,17 @@
 
     def _feed(self, event: schedule.Event) -> None:
         for order in self._state.handle(monotonic(), event):
-            if order is Order.OPEN:
+            if order is Action.OPEN_WATCH:
                 self._watch = watch = Watch(self._at)
                 watch.task = asyncio.get_running_loop().create_task(self._run(watch))
-            elif order is Order.RETIRE:
-                self._log_end("directory: watch left behind", moved=isinstance(event, Moved))
+            elif order is Action.RETIRE_WATCH:
+                self._log_end("directory: watch left behind", moved=isinstance(event, AddressChanged))
                 self._retire()
             else:
                 self._tell_broken()
         self._untime()
-        if self._state.due is not None:
-            self._timer = self._loop.call_later(max(self._state.due - monotonic(), 0.0), self._due)
+        if self._state.timer_at is not None:
+            self._timer = self._loop.call_later(max(self._state.timer_at - monotonic(), 0.0), self._due)
 
     def _log_end(self, event: str, **fields: object) -> None:
         """Why the call under way ends, how long after its beginning, and whether it had brought a list."""
@@ -182,7 +193,7 @@
         if self._watch is not None and self._watch.ready:
             self._loop.add_callback(self._due)  # a process that stood still has it all at once: the bytes come first
         else:
-            self._feed(Due())
+            self._feed(TimerExpired())
 
     def _untime(self) -> None:
         if self._timer is not None:
@@ -223,7 +234,7 @@
         if watch is self._watch:
             watch.task = None
             self._drop()
-            self._feed(Ended())
+            self._feed(WatchEnded())
 
     def _socket(self) -> socket.socket:
         """For the next call. Raises OSError; a predecessor gives its descriptor up before that."""
@@ -260,7 +271,7 @@
             if found or said:
                 self._word = monotonic()
             if answer.begun and not begun or said:
-                self._advance(watch, Heard())
+                self._advance(watch, LineReceived())
 
     def _advance(self, watch: Watch, event: schedule.Event) -> None:
         """A call is further; that of a predecessor is no more than a sign of life."""
@@ -318,4 +329,4 @@
             return
         self._live, self._version = True, told.version or self._version
         self._tell(told)
-        self._feed(Resumed() if resumed else Listed())
+        self._feed(WatchResumed() if resumed else ListReceived())
--- a/limenotch/net/discovery/schedule.py
+++ b/limenotch/net/discovery/schedule.py
@@ -1,20 +1,21 @@
-"""When discovery is asked: one state machine for the watch and for asking again, with one clock. No sockets here.
+"""When to query discovery: a state machine for the watch and its backoff, on one clock and without sockets.
 
-The clock is the time at which the watch was last heard of: a whole line, or the first byte of a list. A call that has
-brought no list yet is timed from its beginning. From any state, with discovery in reach and answering within `a`:
+The clock is the time at which the watch last received anything: a complete line, or the first byte of a list. A query
+that has received no list yet is timed from its start. From any state, with discovery reachable and answering within
+`a` seconds:
 
-    the call under way is left behind, fails, or is heard       LIST_S after its beginning at the latest
-    the next call begins                                        ASK_AGAIN_S after that beginning at the latest
-    its list is held                                            a later
+    the current query is retired, fails, or receives a line     LIST_TIMEOUT_S after its start at the latest
+    the next query starts                                       MAX_QUERY_INTERVAL_S after that start at the latest
+    its list is received                                        a later
 
-A change counts as told TOLD_S after discovery had it and could be reached, so `a` may be 1 s. A watch that falls
-silent is the same sum from its last line on, with `silence_s` for LIST_S; where the next call is lost too,
-`silence_s`, the longest first wait, LIST_S and LAST_WAIT_S leave half a second.
+A change has to be known CHANGE_DEADLINE_S after discovery had it and was reachable, so `a` may be 1 s. For a watch that
+falls silent the same sum holds from its last line on, with `silence_s` in place of LIST_TIMEOUT_S. Where the next query
+is lost too, `silence_s`, the longest first backoff, LIST_TIMEOUT_S and LAST_BACKOFF_S leave half a second.
 
-A call that is left behind goes on beside the next one: it keeps its place in discovery's queue, and its list counts if
-it comes first. At a new address a call that is lost costs MOVED_LIST_S + MOVED_WAIT_S of the 4 s that there are, after
-moves in a row up to MOVED_HELD_S more; what the old address tells counts until the new one has told its list. Where
-lists are pushed, the next call begins within the last of PUSHED_WAITS_S after one has failed.
+A query that is retired continues while the next one runs: it keeps its place in discovery's queue, and its list counts
+if it is received first. At a new address a lost query costs MOVE_LIST_TIMEOUT_S + MOVE_BACKOFF_S of the 4 s available,
+and up to MAX_MOVE_DELAY_S more after consecutive moves; updates from the old address count until the new one has sent
+its list. Where lists are pushed, the next query starts at most the last of PUSHED_MAX_BACKOFFS_S after a failure.
 """
 
 from __future__ import annotations
@@ -23,185 +24,235 @@
 from random import Random
 from typing import NamedTuple
 
-LIST_S = 2.25  # with its connection; a jammed discovery keeps a call for seconds, and it goes on beside the next one
-TOLD_S = 6.0  # after discovery had it and could be reached a change counts as told
-LAST_WAIT_S = 0.25  # the longest wait when little of that is left
-ASK_AGAIN_S = 5.0  # from a call to the next, at the latest: sooner, all callers keep a jam up that is longer than this
-# The longest waits after a first, a second and any further failure in a row: many in step keep discovery jammed.
-WAITS_S = (0.5, 1.0, 2.0)
-# After a second refusal, while the time lasts within which a change does not count as told yet: the longest wait is
-# so much and so much more for each second left. A full discovery has places for few, and they are to go to those that
-# have been without a list for longest; who has just had one can wait.
-REFUSED_S, REFUSED_PART, MOST_REFUSED_S = 0.6, 0.6, 4.0
-QUEUED_S = 1.0  # a call that fails after so long was kept in a queue: a discovery that is down refuses at once
-QUEUED_FACTOR = 1.5  # of the wait after such a call: it is the number of callers that keeps each waiting
-LEAST = 0.2  # part of the longest wait that is always waited; the rest is drawn
-LASTING_S = 0.5  # a watch that ends sooner after its call counts as one more failure in a row
-# At a new address the list must be had within 4 s, however many failures there were at the old one.
-MOVED_S = 3.0  # the failures of so long are the move's own, and told nobody
-MOVED_LIST_S = 2.25
-MOVED_WAIT_S = 0.25  # after a call that was lost; those that are refused at once wait as at any address
-# Moves in a row: each call makes discovery put a whole list together, and one that is moved from soon was for nobody.
-MOVED_SETTLE_S = 1.0  # without a further move, after which the new address is asked ...
-MOVED_HELD_S = 2.0  # ... at the latest so long after the first that was held back
-# Where lists are pushed an agent is near, and what it has counts at once: a quarter of a second is the least grace.
-PUSHED_CONNECT_S = 0.5
-PUSHED_WAITS_S = (0.05, 0.1, 0.2)
-
-
-class State(Enum):
-    IDLE = "idle"  # nobody wants the list yet
+# Seconds from the start of a query, connecting included, to its list. A congested discovery delays an answer for
+# seconds; such a query is retired, not closed.
+LIST_TIMEOUT_S = 2.25
+# Seconds after discovery had a change and was reachable, by which it has to be known here.
+CHANGE_DEADLINE_S = 6.0
+# Upper bound of the backoff, in seconds, when little of CHANGE_DEADLINE_S is left.
+LAST_BACKOFF_S = 0.25
+# Seconds from the start of a query to the next one at the latest. Shorter intervals of all sidecars together would
+# prolong any congestion of discovery that lasts longer than this.
+MAX_QUERY_INTERVAL_S = 5.0
+# Upper bounds of the backoff in seconds after the first, second and any later consecutive failure. Many sidecars in
+# step keep discovery congested.
+MAX_BACKOFFS_S = (0.5, 1.0, 2.0)
+# From the second consecutive failure on, when a query was rejected and CHANGE_DEADLINE_S has not passed, the upper
+# bound of the backoff is a base (seconds) plus a part of each second left, up to a maximum (seconds). A discovery at
+# capacity serves few, and those without a list for longest are to come first.
+REFUSED_BACKOFF_BASE_S = 0.6
+REFUSED_BACKOFF_PER_SECOND = 0.6
+MAX_REFUSED_BACKOFF_S = 4.0
+# Seconds: a query that fails after this or later was queued by discovery; one that is down rejects at once.
+MIN_QUEUED_S = 1.0
+# Factor of the backoff after a queued query: each one waits because of the number of queries.
+QUEUED_FACTOR = 1.5
+# Part of the upper bound that is always waited; the rest is drawn at random.
+MIN_BACKOFF_PART = 0.2
+# Seconds: a watch that ends sooner after the start of its query is one more consecutive failure.
+MIN_STABLE_WATCH_S = 0.5
+# Seconds after a move within which failures are attributed to the move and not reported. At a new address the list is
+# to be received within 4 s, however many failures there were at the old one.
+MOVE_GRACE_S = 3.0
+# Seconds from the start of a query to its list, within MOVE_GRACE_S.
+MOVE_LIST_TIMEOUT_S = 2.25
+# Upper bound of the backoff in seconds after a queued query within MOVE_GRACE_S. Queries that are rejected at once back
+# off as at any address.
+MOVE_BACKOFF_S = 0.25
+# Consecutive moves: each query makes discovery build a complete list, which is useless if the next move follows soon.
+# The new address is queried MOVE_SETTLE_S seconds after the last move, and at the latest MAX_MOVE_DELAY_S seconds
+# after the first move that was delayed.
+MOVE_SETTLE_S = 1.0
+MAX_MOVE_DELAY_S = 2.0
+# Seconds. Where lists are pushed the agent is near, and a change counts as soon as the agent has it; the shortest grace
+# period is a quarter of a second.
+PUSHED_CONNECT_TIMEOUT_S = 0.5
+PUSHED_MAX_BACKOFFS_S = (0.05, 0.1, 0.2)
+
+
+class WatchState(Enum):
+    """What the machine is doing."""
+
+    IDLE = "idle"  # no list was requested yet
     CONNECTING = "connecting"
-    ASKED = "asked"  # the call has no list yet
-    FOLLOWING = "following"
-    WAITING = "waiting"  # to ask again
+    QUERIED = "asked"  # connected, no list received yet
+    FOLLOWING = "following"  # a list was received, changes follow
+    BACKING_OFF = "waiting"  # until the next query
 
 
-class Wanted(NamedTuple):
-    """Somebody needs the list, and all changes from now on."""
+class WatchRequested(NamedTuple):
+    """The list, and all changes from now on, are needed."""
 
 
 class Connected(NamedTuple):
-    """The connection of the call is up."""
+    """The connection of the query is established."""
 
 
-class Listed(NamedTuple):
-    """The call brought a list, whole or of changes."""
+class ListReceived(NamedTuple):
+    """The query received a list, complete or of changes."""
 
 
-class Heard(NamedTuple):
-    """The call brought an empty line, or the first byte of a list."""
+class LineReceived(NamedTuple):
+    """The query received an empty line, or the first byte of a list."""
 
 
-class Ended(NamedTuple):
-    """The call failed, or the watch ended: refused, reset, closed, no list, not understood."""
+class WatchEnded(NamedTuple):
+    """The query failed, or the watch ended: rejected, reset, closed, no list, or not parseable."""
 
 
-class Moved(NamedTuple):
+class AddressChanged(NamedTuple):
     """Discovery is at another address."""
 
 
-class Due(NamedTuple):
-    """`DiscoveryState.due` is reached."""
+class TimerExpired(NamedTuple):
+    """`DiscoveryState.timer_at` is reached."""
 
 
-class Resumed(NamedTuple):
-    """A call that was left behind has brought its list before the next one began, and is followed."""
+class WatchResumed(NamedTuple):
+    """A retired query received its list before the next one started, and becomes the current watch."""
 
 
-Event = Wanted | Connected | Listed | Heard | Ended | Moved | Due | Resumed
+Event = (
+    WatchRequested | Connected | ListReceived | LineReceived | WatchEnded | AddressChanged | TimerExpired | WatchResumed
+)
 
 
-class Order(Enum):
-    """What is to be done, in the order given."""
+class Action(Enum):
+    """What the caller is to do, in the order returned."""
 
-    OPEN = "open"  # begin a call
-    RETIRE = "retire"  # the one under way goes on beside the next one, until that has brought its list
-    TELL = "tell"  # that the watch is broken
+    OPEN_WATCH = "open"  # start a query
+    RETIRE_WATCH = "retire"  # the current query continues until the next one has received its list
+    REPORT_BROKEN = "tell"  # report that the watch is broken
 
 
 class DiscoveryState:
-    """Feed it events with the time in seconds; carry out what it returns. At most one call is under way at a time."""
+    """Decides when to start and when to retire a query; at most one query is current at a time.
+
+    The caller passes events with the time in seconds and carries out the actions returned.
+    """
 
     def __init__(self, silence_s: float, random: Random, pushed: bool = False) -> None:
-        self.silence_s, self.pushed, self._random = silence_s, pushed, random
-        self.state = State.IDLE
-        self.due: float | None = None  # when to come with Due
-        self._began = self._heard = 0.0  # the call under way, or the last one
-        self._failures = 0  # in a row
-        self._blind = float("-inf")  # since when nothing is known: the last word of a watch
-        self._moving = float("-inf")  # until when failures are the move's own
-        self._moved = float("-inf")  # when discovery was moved, or a call begun that a move had held back
-        self._held_since: float | None = None  # moves in a row are held back since then
+        """`silence_s`: seconds without a line after which a watch is broken. `pushed`: discovery is a nearby agent."""
+        self.silence_s = silence_s
+        self.pushed = pushed
+        self.state = WatchState.IDLE
+        self.timer_at: float | None = None  # when TimerExpired is due
+        self._random = random
+        self._query_started_at = 0.0  # of the current query, or the last one
+        self._last_line_at = float("-inf")  # when a watch last received anything; nothing is known since
+        self._consecutive_failures = 0
+        self._move_grace_until = float("-inf")  # failures before that are attributed to the move
+        self._last_move_at = float("-inf")  # of the address, or of the start of the query that a move had delayed
+        self._move_delayed_since: float | None = None  # since when consecutive moves delay the next query
 
     @property
-    def calling(self) -> bool:
-        """Whether a call is under way."""
-        return self.state in (State.CONNECTING, State.ASKED, State.FOLLOWING)
-
-    def handle(self, now: float, event: Event) -> list[Order]:
-        """What to do about an event; one that does not concern the present state does nothing."""
-        if isinstance(event, Wanted):
-            return self._open(now) if self.state is State.IDLE else []
-        if isinstance(event, Moved):
-            return self._move(now)
-        if isinstance(event, Resumed):
-            if self.state is State.WAITING:
-                self._follow(now)
-            return []
-        if isinstance(event, Due):
-            return self._overdue(now) if self.due is not None and now >= self.due else []
-        if not self.calling:
-            return []
-        if isinstance(event, Ended):
-            return self._failed(now)
+    def query_in_progress(self) -> bool:
+        """Whether there is a current query."""
+        return self.state in (WatchState.CONNECTING, WatchState.QUERIED, WatchState.FOLLOWING)
+
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """The actions for an event; an event that does not concern the present state has none."""
+        match event:
+            case WatchRequested():
+                return self._open(now) if self.state is WatchState.IDLE else []
+            case AddressChanged():
+                return self._change_address(now)
+            case WatchResumed():
+                if self.state is WatchState.BACKING_OFF:
+                    self._follow(now)
+                return []
+            case TimerExpired():
+                return self._handle_timer(now) if self.timer_at is not None and now >= self.timer_at else []
+        return self._handle_query_event(now, event) if self.query_in_progress else []
+
+    def _handle_query_event(self, now: float, event: Event) -> list[Action]:
+        if isinstance(event, WatchEnded):
+            return self._fail(now)
         if isinstance(event, Connected):
-            self._connected(now)
-        elif isinstance(event, Listed):
+            self._handle_connected(now)
+        elif isinstance(event, ListReceived):
             self._follow(now)
-        elif self.state is State.FOLLOWING:
-            self._hear(now)
+        elif self.state is WatchState.FOLLOWING:
+            self._restart_silence_timer(now)
         return []
 
-    def _open(self, now: float) -> list[Order]:
-        self.state, self._began, self._held_since = State.CONNECTING, now, None
-        self.due = now + min(PUSHED_CONNECT_S if self.pushed else LIST_S, self._patience(now))
-        return [Order.OPEN]
+    def _open(self, now: float) -> list[Action]:
+        self.state = WatchState.CONNECTING
+        self._query_started_at = now
+        self._move_delayed_since = None
+        connect_timeout_s = PUSHED_CONNECT_TIMEOUT_S if self.pushed else LIST_TIMEOUT_S
+        self.timer_at = now + min(connect_timeout_s, self._list_timeout_s(now))
+        return [Action.OPEN_WATCH]
 
-    def _patience(self, now: float) -> float:
-        """How long a call may take to bring its list."""
-        return min(self.silence_s, MOVED_LIST_S if now < self._moving else LIST_S)
+    def _list_timeout_s(self, now: float) -> float:
+        """Seconds from the start of a query to its list."""
+        return min(self.silence_s, MOVE_LIST_TIMEOUT_S if now < self._move_grace_until else LIST_TIMEOUT_S)
 
-    def _connected(self, now: float) -> None:
-        if self.state is State.CONNECTING:
-            self.state, self.due = State.ASKED, self._began + self._patience(now)
+    def _handle_connected(self, now: float) -> None:
+        if self.state is WatchState.CONNECTING:
+            self.state = WatchState.QUERIED
+            self.timer_at = self._query_started_at + self._list_timeout_s(now)
 
     def _follow(self, now: float) -> None:
-        self.state, self._moving = State.FOLLOWING, float("-inf")
-        self._hear(now)
-
-    def _hear(self, now: float) -> None:
-        self._heard = self._blind = now
-        self.due = now + self.silence_s
-
-    def _move(self, now: float) -> list[Order]:
-        retire = [Order.RETIRE] if self.calling else []
-        self._failures, self._moving = 0, now + MOVED_S
-        in_a_row, self._moved = now < self._moved + MOVED_SETTLE_S, now
-        if in_a_row and (retire or self._held_since is not None):
-            # The old address serves on: to ask at each of them at once fills discovery's queue with lists for nobody.
-            self._held_since = now if self._held_since is None else self._held_since
-            self.state, self.due = State.WAITING, min(now + MOVED_SETTLE_S, self._held_since + MOVED_HELD_S)
+        self.state = WatchState.FOLLOWING
+        self._move_grace_until = float("-inf")
+        self._restart_silence_timer(now)
+
+    def _restart_silence_timer(self, now: float) -> None:
+        self._last_line_at = now
+        self.timer_at = now + self.silence_s
+
+    def _change_address(self, now: float) -> list[Action]:
+        retire = [Action.RETIRE_WATCH] if self.query_in_progress else []
+        consecutive = now < self._last_move_at + MOVE_SETTLE_S
+        self._consecutive_failures = 0
+        self._move_grace_until = now + MOVE_GRACE_S
+        self._last_move_at = now
+        if consecutive and (retire or self._move_delayed_since is not None):
+            # The old address still serves. Queries to each of the new ones would fill discovery's queue for nobody.
+            if self._move_delayed_since is None:
+                self._move_delayed_since = now
+            self.state = WatchState.BACKING_OFF
+            self.timer_at = min(now + MOVE_SETTLE_S, self._move_delayed_since + MAX_MOVE_DELAY_S)
             return retire
         return retire + self._open(now)
 
-    def _overdue(self, now: float) -> list[Order]:
-        if self.state is State.WAITING:
-            self._moved = now if self._held_since is not None else self._moved
-            return self._open(now)
-        return [Order.RETIRE, *self._failed(now)]
-
-    def _failed(self, now: float) -> list[Order]:
-        following = self.state is State.FOLLOWING
-        since = self._heard if following else self._began  # from when on nothing is known
-        lasted = following and now - self._began >= LASTING_S
-        self._failures = 1 if lasted else self._failures + 1
-        self.state = State.WAITING
-        queued = not following and now - since >= QUEUED_S
-        self.due = now + self._wait(now, now - since, queued, refused=not following and not queued)
-        return [] if now < self._moving else [Order.TELL]
-
-    def _wait(self, now: float, lost: float, queued: bool, refused: bool) -> float:
-        step = min(self._failures, len(WAITS_S)) - 1
+    def _handle_timer(self, now: float) -> list[Action]:
+        if self.state is not WatchState.BACKING_OFF:
+            return [Action.RETIRE_WATCH, *self._fail(now)]
+        if self._move_delayed_since is not None:
+            self._last_move_at = now
+        return self._open(now)
+
+    def _fail(self, now: float) -> list[Action]:
+        following = self.state is WatchState.FOLLOWING
+        lost_s = now - (self._last_line_at if following else self._query_started_at)
+        stable = following and now - self._query_started_at >= MIN_STABLE_WATCH_S
+        self._consecutive_failures = 1 if stable else self._consecutive_failures + 1
+        self.state = WatchState.BACKING_OFF
+        queued = not following and lost_s >= MIN_QUEUED_S
+        self.timer_at = now + self._draw_backoff_s(now, lost_s, queued, refused=not following and not queued)
+        return [] if now < self._move_grace_until else [Action.REPORT_BROKEN]
+
+    def _draw_backoff_s(self, now: float, lost_s: float, queued: bool, refused: bool) -> float:
+        max_backoff_s = self._max_backoff_s(now, lost_s, queued, refused)
+        return max_backoff_s * (MIN_BACKOFF_PART + (1 - MIN_BACKOFF_PART) * self._random.random())
+
+    def _max_backoff_s(self, now: float, lost_s: float, queued: bool, refused: bool) -> float:
+        """The upper bound of the backoff; `lost_s`: for how long nothing is known already."""
+        step = min(self._consecutive_failures, len(MAX_BACKOFFS_S)) - 1
+        deadline = self._last_line_at + CHANGE_DEADLINE_S
         if self.pushed:
-            longest = PUSHED_WAITS_S[step]
-        elif now < self._moving and queued:
-            longest = MOVED_WAIT_S
-        elif refused and step and self._moving <= now < self._blind + TOLD_S:
-            longest = min(REFUSED_S + REFUSED_PART * (self._blind + TOLD_S - now), MOST_REFUSED_S)
-        else:
-            longest = WAITS_S[step] * (QUEUED_FACTOR if queued else 1.0)
-            longest = min(longest, max(ASK_AGAIN_S - lost, WAITS_S[0]))
-            if queued and now < self._blind + TOLD_S:  # refused calls cost a full discovery the time that others need
-                longest = min(longest, max(ASK_AGAIN_S - (now - self._blind), LAST_WAIT_S))
-        return longest * (LEAST + (1 - LEAST) * self._random.random())
+            return PUSHED_MAX_BACKOFFS_S[step]
+        if now < self._move_grace_until and queued:
+            return MOVE_BACKOFF_S
+        if refused and step and self._move_grace_until <= now < deadline:
+            grown_s = REFUSED_BACKOFF_BASE_S + REFUSED_BACKOFF_PER_SECOND * (deadline - now)
+            return min(grown_s, MAX_REFUSED_BACKOFF_S)
+        max_backoff_s = MAX_BACKOFFS_S[step] * (QUEUED_FACTOR if queued else 1.0)
+        max_backoff_s = min(max_backoff_s, max(MAX_QUERY_INTERVAL_S - lost_s, MAX_BACKOFFS_S[0]))
+        if queued and now < deadline:
+            # A rejected query costs a discovery at capacity the time that others need; none is started too early.
+            silent_s = now - self._last_line_at
+            max_backoff_s = min(max_backoff_s, max(MAX_QUERY_INTERVAL_S - silent_s, LAST_BACKOFF_S))
+        return max_backoff_s
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -88,8 +88,8 @@
 
 
 def test_a_move_is_tried_again_before_the_module_hears_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(schedule, "MOVED_S", 2.0)
-    monkeypatch.setattr(schedule, "WAITS_S", (0.01, 0.01, 0.01))
+    monkeypatch.setattr(schedule, "MOVE_GRACE_S", 2.0)
+    monkeypatch.setattr(schedule, "MAX_BACKOFFS_S", (0.01, 0.01, 0.01))
 
     async def case() -> None:
         broken, asked = asyncio.Queue[None](), 0
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -68,7 +68,7 @@
         first.send(chunk(listing(8, "late", whole=False)))
         await first.ended()
         last = await third.calls.get()
-        assert time.monotonic() - began >= 0.5 * schedule.MOVED_SETTLE_S  # put together one list, not three
+        assert time.monotonic() - began >= 0.5 * schedule.MOVE_SETTLE_S  # put together one list, not three
         last.send(CHUNKED, chunk(listing(1, "c")))
         assert await held.heard.get() == (["c"], True)
         await call.ended()
@@ -93,14 +93,14 @@
 
 
 def test_no_more_than_a_few_old_addresses_are_followed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(schedule, "MOVED_SETTLE_S", 0.05)
+    monkeypatch.setattr(schedule, "MOVE_SETTLE_S", 0.05)
 
     async def body(peer: Discovery, held: Held) -> None:
         calls = [await peer.calls.get()]
         calls[0].send(CHUNKED, chunk(listing(7, "a")))
         await held.heard.get()
         for _ in range(Predecessors.MOST + 1):
-            await asyncio.sleep(2 * schedule.MOVED_SETTLE_S)
+            await asyncio.sleep(2 * schedule.MOVE_SETTLE_S)
             other = Discovery()
             held.directory.move(await other.begin())
             calls.append(await other.calls.get())
--- a/tests/test_discovery_states.py
+++ b/tests/test_discovery_states.py
@@ -17,18 +17,18 @@
 from limenotch.balancing.types import BalancerSettings, Effect, TrafficClass
 from limenotch.net.discovery import schedule
 from limenotch.net.discovery.schedule import (
+    Action,
+    AddressChanged,
     Connected,
     DiscoveryState,
-    Due,
-    Ended,
     Event,
-    Heard,
-    Listed,
-    Moved,
-    Order,
-    Resumed,
-    State,
-    Wanted,
+    LineReceived,
+    ListReceived,
+    TimerExpired,
+    WatchEnded,
+    WatchRequested,
+    WatchResumed,
+    WatchState,
 )
 
 SILENCE_S = 3.0
@@ -48,18 +48,18 @@
     if kind == "never up":
         return ()
     if kind == "refused":
-        return ((up, Ended()),)
+        return ((up, WatchEnded()),)
     if kind == "silent":
         return ((up, Connected()),)
     if kind == "error":
-        return ((up, Connected()), (up + draw(DELAY), Ended()))
+        return ((up, Connected()), (up + draw(DELAY), WatchEnded()))
     at = up + draw(DELAY)
-    events: list[tuple[float, Event]] = [(up, Connected()), (at, Listed())]
+    events: list[tuple[float, Event]] = [(up, Connected()), (at, ListReceived())]
     for gap in draw(st.lists(st.floats(0.1, 2.9), max_size=4)):
         at += gap
-        events.append((at, Listed() if draw(st.booleans()) else Heard()))
+        events.append((at, ListReceived() if draw(st.booleans()) else LineReceived()))
     if draw(st.booleans()):
-        events.append((at + draw(DELAY), Ended()))
+        events.append((at + draw(DELAY), WatchEnded()))
     return tuple(events)
 
 
@@ -87,44 +87,44 @@
 
     def run(self, end: float) -> None:
         while True:
-            due, at = self.machine.due, self.todo[0][0] if self.todo else end
+            due, at = self.machine.timer_at, self.todo[0][0] if self.todo else end
             if min(at, end if due is None else due) >= end:
                 return
             if due is not None and due <= at:
                 self.now = max(self.now, due)
-                self.feed(Due())
+                self.feed(TimerExpired())
                 continue
             self.now, _, call, event = heapq.heappop(self.todo)
             if call and call != self.call:
                 continue  # of a call that was given up
-            if isinstance(event, (Listed, Heard)):
+            if isinstance(event, (ListReceived, LineReceived)):
                 self.hear(event)
             self.feed(event)
 
     def hear(self, event: Event) -> None:
         if self.opened[-1] < self.back:
             self.word = self.now
-        elif self.held is None and isinstance(event, Listed):
+        elif self.held is None and isinstance(event, ListReceived):
             self.held = self.now
 
     def feed(self, event: Event) -> None:
-        if isinstance(event, Ended):
+        if isinstance(event, WatchEnded):
             self.call, self.failed = None, self.failed + 1
         for order in self.machine.handle(self.now, event):
-            if order is Order.TELL:
+            if order is Action.REPORT_BROKEN:
                 self.told += 1
-            elif order is Order.RETIRE:
+            elif order is Action.RETIRE_WATCH:
                 assert self.call is not None, "leaves behind what is not open"
                 self.call, self.failed = None, self.failed + 1
             else:
                 assert self.call is None, "two calls at once"
-                self.open(isinstance(event, Moved))
+                self.open(isinstance(event, AddressChanged))
 
     def open(self, moved: bool) -> None:
         self.opened.append(self.now)
         self.call = len(self.opened)
-        fate: Fate = ((0.0, Connected()), (self.answer_s, Listed()))
-        fate += tuple((self.answer_s + 2.0 * beat, Heard()) for beat in range(1, 8))
+        fate: Fate = ((0.0, Connected()), (self.answer_s, ListReceived()))
+        fate += tuple((self.answer_s + 2.0 * beat, LineReceived()) for beat in range(1, 8))
         if moved and self.lost is not None:
             fate = self.lost
         elif self.now < self.back:
@@ -143,9 +143,9 @@
     lost: Fate | None = None,
 ) -> Play:
     play = Play(DiscoveryState(SILENCE_S, Random(seed), pushed), fates, back, answer_s, lost)
-    play.put(0.0, Wanted())
+    play.put(0.0, WatchRequested())
     for at in moves:
-        play.put(at, Moved())
+        play.put(at, AddressChanged())
     play.run(back + 30.0)
     return play
 
@@ -164,15 +164,20 @@
     """
     play = played(fates, back, answer_s, seed, pushed)
     reach = max(back, play.word)
-    assert play.held is not None and play.held <= reach + schedule.ASK_AGAIN_S + answer_s + EPSILON
-    assert schedule.ASK_AGAIN_S + answer_s <= TOLD_S
+    assert play.held is not None and play.held <= reach + schedule.MAX_QUERY_INTERVAL_S + answer_s + EPSILON
+    assert schedule.MAX_QUERY_INTERVAL_S + answer_s <= TOLD_S
 
 
 @given(
     st.floats(0.0, 30.0),
     st.integers(0, 99),
     st.sampled_from(
-        ((), ((0.1, Connected()),), ((0.1, Connected()), (2.0, Ended())), ((0.1, Connected()), (1.0, Heard())))
+        (
+            (),
+            ((0.1, Connected()),),
+            ((0.1, Connected()), (2.0, WatchEnded())),
+            ((0.1, Connected()), (1.0, LineReceived())),
+        )
     ),
 )
 def test_a_watch_that_falls_silent_and_a_call_that_is_lost_leave_time_for_another(
@@ -180,14 +185,14 @@
 ) -> None:
     """Seen on loopback and by reading: 3 s of silence, a call of 3 s and the waits beside them were 7 s."""
     silence_s, answer_s = settings.DiscoverySettings().silence_s, 0.5
-    beats = tuple((at, Heard()) for at in (2.0 * beat for beat in range(1, 16)) if at <= lasted)
-    watch: Fate = ((0.0, Connected()), (0.0, Listed()), *beats)
+    beats = tuple((at, LineReceived()) for at in (2.0 * beat for beat in range(1, 16)) if at <= lasted)
+    watch: Fate = ((0.0, Connected()), (0.0, ListReceived()), *beats)
     last_word = beats[-1][0] if beats else 0.0
     play = Play(DiscoveryState(silence_s, Random(seed)), [watch, lost], last_word + 2 * silence_s - EPSILON, answer_s)
-    play.put(0.0, Wanted())
+    play.put(0.0, WatchRequested())
     play.run(60.0)
     lost_at = play.opened[1]
-    assert lost_at <= last_word + silence_s + schedule.WAITS_S[0]
+    assert lost_at <= last_word + silence_s + schedule.MAX_BACKOFFS_S[0]
     assert play.opened[2] + answer_s <= last_word + TOLD_S + EPSILON
 
 
@@ -201,9 +206,9 @@
         (
             (),
             ((0.1, Connected()),),
-            ((0.0, Ended()),),
-            ((0.1, Connected()), (2.0, Ended())),
-            ((0.1, Connected()), (1.0, Heard()), (2.0, Heard())),
+            ((0.0, WatchEnded()),),
+            ((0.1, Connected()), (2.0, WatchEnded())),
+            ((0.1, Connected()), (1.0, LineReceived()), (2.0, LineReceived())),
         )
     ),
 )
@@ -228,13 +233,13 @@
 
 
 def test_failures_of_a_move_are_told_only_when_its_time_is_over() -> None:
-    play = Play(DiscoveryState(SILENCE_S, Random(2)), [((0.0, Ended()),)], 100.0, 0.0)
-    play.put(0.0, Moved())
-    play.run(schedule.MOVED_S)
+    play = Play(DiscoveryState(SILENCE_S, Random(2)), [((0.0, WatchEnded()),)], 100.0, 0.0)
+    play.put(0.0, AddressChanged())
+    play.run(schedule.MOVE_GRACE_S)
     # Some tries within the time that there is, and no more: each refused call costs a full discovery time that others
     # need. On the bench 16 callers that came back within 0.25 s let it answer one in 0.9 s, in place of one in 0.35 s.
     assert play.told == 0 and 3 <= play.failed <= 8
-    play.run(schedule.MOVED_S + schedule.WAITS_S[-1])
+    play.run(schedule.MOVE_GRACE_S + schedule.MAX_BACKOFFS_S[-1])
     assert play.told == 1
 
 
@@ -250,17 +255,28 @@
     play = played([()], 0.0, answer_s, seed, moves=tuple(moves))
     last = next(at for at in play.opened if at >= moves[-1])
     opened = [at for at in play.opened if moves[0] <= at <= last]
-    assert opened[0] == moves[0] and last <= moves[-1] + schedule.MOVED_SETTLE_S
+    assert opened[0] == moves[0] and last <= moves[-1] + schedule.MOVE_SETTLE_S
     assert last + answer_s <= moves[-1] + MOVED_TOLD_S
     apart = [later - earlier for earlier, later in pairwise(opened)]
-    assert all(gap >= schedule.MOVED_SETTLE_S - EPSILON for gap in apart)
+    assert all(gap >= schedule.MOVE_SETTLE_S - EPSILON for gap in apart)
 
 
 @given(
     st.lists(
         st.tuples(
             st.floats(0.0, 5.0),
-            st.sampled_from((Wanted(), Connected(), Listed(), Heard(), Ended(), Moved(), Due(), Resumed())),
+            st.sampled_from(
+                (
+                    WatchRequested(),
+                    Connected(),
+                    ListReceived(),
+                    LineReceived(),
+                    WatchEnded(),
+                    AddressChanged(),
+                    TimerExpired(),
+                    WatchResumed(),
+                )
+            ),
         ),
         max_size=60,
     ),
@@ -271,41 +287,45 @@
     machine, now, calling = DiscoveryState(SILENCE_S, Random(seed)), 0.0, False
     for gap, event in events:
         now += gap
-        was, before = machine.calling, machine.state
+        was, before = machine.query_in_progress, machine.state
         orders = machine.handle(now, event)
-        calling = was and not isinstance(event, Ended)
-        calling |= isinstance(event, Resumed) and before is State.WAITING
+        calling = was and not isinstance(event, WatchEnded)
+        calling |= isinstance(event, WatchResumed) and before is WatchState.BACKING_OFF
         for order in orders:
-            if order is Order.OPEN:
+            if order is Action.OPEN_WATCH:
                 assert not calling
                 calling = True
-            elif order is Order.RETIRE:
+            elif order is Action.RETIRE_WATCH:
                 assert calling
                 calling = False
-        assert machine.calling == calling
-        assert (machine.state is State.IDLE) == (machine.due is None)
-        assert machine.due is None or machine.due <= now + max(SILENCE_S, schedule.ASK_AGAIN_S)
+        assert machine.query_in_progress == calling
+        assert (machine.state is WatchState.IDLE) == (machine.timer_at is None)
+        assert machine.timer_at is None or machine.timer_at <= now + max(SILENCE_S, schedule.MAX_QUERY_INTERVAL_S)
 
 
 def test_a_watch_goes_from_state_to_state() -> None:
     machine = DiscoveryState(SILENCE_S, Random(1))
 
-    def after(now: float, event: Event) -> tuple[list[Order], State, float | None]:
-        return machine.handle(now, event), machine.state, machine.due
-
-    assert after(0.0, Heard()) == ([], State.IDLE, None)
-    up, listed = 1.0 + schedule.LIST_S, 1.0 + schedule.LIST_S
-    assert after(1.0, Wanted()) == ([Order.OPEN], State.CONNECTING, up)
-    assert after(1.0, Wanted()) == ([], State.CONNECTING, up)
-    assert after(1.1, Connected()) == ([], State.ASKED, listed)
-    assert after(1.5, Heard()) == ([], State.ASKED, listed)  # an empty line is no list
-    assert after(2.0, Listed()) == ([], State.FOLLOWING, 5.0)
-    assert after(4.0, Heard()) == ([], State.FOLLOWING, 7.0)
-    assert after(6.9, Due()) == ([], State.FOLLOWING, 7.0)
-    orders, state, due = after(7.0, Due())
-    assert (orders, state) == ([Order.RETIRE, Order.TELL], State.WAITING) and due is not None and 7.0 < due <= 7.5
-    assert after(7.0, Wanted()) == ([], State.WAITING, due)
-    assert after(due, Due())[:2] == ([Order.OPEN], State.CONNECTING)
+    def after(now: float, event: Event) -> tuple[list[Action], WatchState, float | None]:
+        return machine.handle(now, event), machine.state, machine.timer_at
+
+    assert after(0.0, LineReceived()) == ([], WatchState.IDLE, None)
+    up, listed = 1.0 + schedule.LIST_TIMEOUT_S, 1.0 + schedule.LIST_TIMEOUT_S
+    assert after(1.0, WatchRequested()) == ([Action.OPEN_WATCH], WatchState.CONNECTING, up)
+    assert after(1.0, WatchRequested()) == ([], WatchState.CONNECTING, up)
+    assert after(1.1, Connected()) == ([], WatchState.QUERIED, listed)
+    assert after(1.5, LineReceived()) == ([], WatchState.QUERIED, listed)  # an empty line is no list
+    assert after(2.0, ListReceived()) == ([], WatchState.FOLLOWING, 5.0)
+    assert after(4.0, LineReceived()) == ([], WatchState.FOLLOWING, 7.0)
+    assert after(6.9, TimerExpired()) == ([], WatchState.FOLLOWING, 7.0)
+    orders, state, due = after(7.0, TimerExpired())
+    assert (
+        (orders, state) == ([Action.RETIRE_WATCH, Action.REPORT_BROKEN], WatchState.BACKING_OFF)
+        and due is not None
+        and 7.0 < due <= 7.5
+    )
+    assert after(7.0, WatchRequested()) == ([], WatchState.BACKING_OFF, due)
+    assert after(due, TimerExpired())[:2] == ([Action.OPEN_WATCH], WatchState.CONNECTING)
 
 
 def waits(failures: int, taken: float = 0.0, pushed: bool = False) -> list[float]:
@@ -313,13 +333,13 @@
     found = []
     for seed in range(200):
         machine, now = DiscoveryState(SILENCE_S, Random(seed), pushed), 0.0
-        machine.handle(now, Wanted())
+        machine.handle(now, WatchRequested())
         for _ in range(failures):
             now += taken
-            machine.handle(now, Ended())
-            assert machine.due is not None
-            wait, now = machine.due - now, machine.due
-            machine.handle(now, Due())
+            machine.handle(now, WatchEnded())
+            assert machine.timer_at is not None
+            wait, now = machine.timer_at - now, machine.timer_at
+            machine.handle(now, TimerExpired())
         found.append(wait)
     return sorted(found)
 
@@ -329,15 +349,15 @@
     found = []
     for seed in range(200):
         machine = DiscoveryState(SILENCE_S, Random(seed))
-        machine.handle(0.0, Wanted())
+        machine.handle(0.0, WatchRequested())
         machine.handle(0.0, Connected())
-        machine.handle(0.0, Listed())
-        machine.handle(since_s - 0.5, Ended())
-        assert machine.due is not None
-        refused = machine.due
-        machine.handle(refused, Due())
-        machine.handle(refused, Ended())
-        wait = machine.due - refused
+        machine.handle(0.0, ListReceived())
+        machine.handle(since_s - 0.5, WatchEnded())
+        assert machine.timer_at is not None
+        refused = machine.timer_at
+        machine.handle(refused, TimerExpired())
+        machine.handle(refused, WatchEnded())
+        wait = machine.timer_at - refused
         found.append(wait)
     return sorted(found)
 
@@ -346,8 +366,10 @@
     """On real days whoever had a list lately came first to a full discovery, and others were over the 6 s."""
     for later_s, earlier_s in ((5.5, 4.0), (4.0, 2.0), (2.0, 0.5)):
         assert refused_waits(later_s)[-1] < refused_waits(earlier_s)[-1]
-    assert 1.5 <= sum(refused_waits(0.5)) / 200 <= refused_waits(0.5)[-1] <= schedule.MOST_REFUSED_S
-    assert refused_waits(5.5)[-1] <= schedule.REFUSED_S + schedule.REFUSED_PART  # a second is left at most
+    assert 1.5 <= sum(refused_waits(0.5)) / 200 <= refused_waits(0.5)[-1] <= schedule.MAX_REFUSED_BACKOFF_S
+    assert (
+        refused_waits(5.5)[-1] <= schedule.REFUSED_BACKOFF_BASE_S + schedule.REFUSED_BACKOFF_PER_SECOND
+    )  # a second is left at most
     assert 0.9 <= refused_waits(30.0)[-1] <= 1.0  # over the time anyway: as after any second failure
 
 
@@ -356,15 +378,15 @@
     """In no tenth of the span that their waits have there are more than twice their even part."""
     found = waits(failures)
     span = found[-1] - found[0]
-    assert len(set(found)) == 200 and span >= 0.7 * schedule.WAITS_S[min(failures, 3) - 1]
+    assert len(set(found)) == 200 and span >= 0.7 * schedule.MAX_BACKOFFS_S[min(failures, 3) - 1]
     assert max(sum(at <= wait < at + span / 10 for wait in found) for at in found) <= 40
 
 
 def test_while_nothing_answers_the_pace_falls_and_no_call_is_late() -> None:
     assert sum(waits(30)) / 200 >= 1.0 and waits(30)[-1] <= 2.0  # refused at once
     jammed = waits(30, taken=2.0)
-    assert sum(jammed) / 200 >= 0.75 and jammed[-1] <= schedule.ASK_AGAIN_S - 2.0
-    assert waits(30, taken=3.0)[-1] <= schedule.ASK_AGAIN_S - 3.0  # as long as a call may hang
+    assert sum(jammed) / 200 >= 0.75 and jammed[-1] <= schedule.MAX_QUERY_INTERVAL_S - 2.0
+    assert waits(30, taken=3.0)[-1] <= schedule.MAX_QUERY_INTERVAL_S - 3.0  # as long as a call may hang
 
 
 @pytest.mark.parametrize("failures", [2, 3, 30])
@@ -372,7 +394,7 @@
     # Guards drains: on the bench the last lists came 5.9 to 7.1 s after discovery's return, with one wait for both.
     refused, queued = waits(failures), waits(failures, taken=2.0)
     assert queued[-1] > 1.4 * refused[-1] and sum(queued) > 1.4 * sum(refused)
-    assert max(2.0 + wait for wait in queued) <= schedule.ASK_AGAIN_S
+    assert max(2.0 + wait for wait in queued) <= schedule.MAX_QUERY_INTERVAL_S
 
 
 def test_where_lists_are_pushed_the_agent_is_asked_again_within_the_least_grace() -> None:
@@ -386,15 +408,15 @@
 def test_a_watch_that_ends_with_each_list_is_not_begun_again_without_pause() -> None:
     """Each call that brings a list and ends at once counts as one more failure: a poll of every second or so."""
     machine, now, gaps = DiscoveryState(SILENCE_S, Random(3)), 0.0, []
-    machine.handle(now, Wanted())
+    machine.handle(now, WatchRequested())
     for _ in range(40):
         machine.handle(now, Connected())
-        machine.handle(now + 0.01, Listed())
-        machine.handle(now + 0.02, Ended())
-        assert machine.due is not None
-        gaps.append(machine.due - now)
-        now = machine.due
-        machine.handle(now, Due())
+        machine.handle(now + 0.01, ListReceived())
+        machine.handle(now + 0.02, WatchEnded())
+        assert machine.timer_at is not None
+        gaps.append(machine.timer_at - now)
+        now = machine.timer_at
+        machine.handle(now, TimerExpired())
     assert sum(gaps[3:]) / len(gaps[3:]) >= 1.0 and max(gaps) <= 2.1
 
 
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -128,7 +128,7 @@
 
 
 def test_a_connection_that_never_comes_up_is_given_up_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(schedule, "LIST_S", 0.1)
+    monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
     async def whole() -> None:
         broken = asyncio.Queue[None]()
@@ -158,7 +158,7 @@
 
 def test_a_call_that_hangs_is_given_up_and_made_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """Discovery was down when it came, say, and has no memory of it."""
-    monkeypatch.setattr(schedule, "LIST_S", 0.1)
+    monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
     async def body(peer: Discovery, held: Held) -> None:
         first = await peer.calls.get()
@@ -174,14 +174,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards a jammed discovery against a call more from each caller that it has just answered.
-    monkeypatch.setattr(schedule, "LIST_S", 0.1)
+    monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         await held.broken.get()
         call.send(CHUNKED, chunk(listing(1, "a")))
         assert await held.heard.get() == (["a"], True)
-        await asyncio.sleep(schedule.WAITS_S[0] + 0.1)
+        await asyncio.sleep(schedule.MAX_BACKOFFS_S[0] + 0.1)
         assert peer.calls.empty() and held.directory.position()[1:3] == (1, True)
         call.send(chunk(listing(2, "b", whole=False)))
         assert await held.heard.get() == (["b"], False)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -18,7 +18,7 @@
 
 from limenotch import app, config
 from limenotch.net.discovery.client import DiscoveryClient
-from limenotch.net.discovery.schedule import ASK_AGAIN_S
+from limenotch.net.discovery.schedule import MAX_QUERY_INTERVAL_S
 
 from .helpers.http_peers import LOOK, SETTINGS, Handler, Reader, Writer, answering, ask, whole
 from .helpers.processes import free_port, run
@@ -251,7 +251,7 @@
                 agent, begun = Agent(), time.monotonic()
                 await agent.begin(down)
                 _, writer = await agent.calls.get()
-                assert time.monotonic() - begun < ASK_AGAIN_S
+                assert time.monotonic() - begun < MAX_QUERY_INTERVAL_S
                 writer.write(listing(4, [entry("a", server)], True))
                 assert (await ask(port, UP)).status == 200
                 for _, client in idle:
