--- a/limenotch/net/discovery/client.py
+++ b/limenotch/net/discovery/client.py
@@ -1,6 +1,6 @@
-"""The directory: a watch on the list of providers, for as long as its connection lives.
+"""The client of discovery: follows the endpoint list over a watch, as long as its connection lasts.
 
-`DiscoveryState` says when to ask and when to give up; here that is done on a socket.
+`DiscoveryState` decides when to query and when to give up a query; here that is carried out on sockets.
 """
 
 from __future__ import annotations
@@ -36,297 +36,328 @@
     WatchRequested,
     WatchResumed,
 )
-from .watch import Predecessors, Spare, Watch
+from .watch import RetiredWatches, SpareSocket, Watch
 
 log = logs.get(__name__)
 
-READ = 64 * 1024  # bytes at once
-Hear = Callable[[list[DiscoveredEndpoint], bool], None]
+MAX_READ = 64 * 1024  # bytes at once
+
+ListCallback = Callable[[list[DiscoveredEndpoint], bool], None]  # entries; whether the list is complete
 
 
 class DiscoveryClient:
-    """Owns the watch. Each watch that fails or ends is told once, by `broken`, and begun anew in its time.
+    """Owns the watch. Each watch that fails or ends is reported once by `on_broken`, and replaced after a backoff.
 
-    After a move the watch at the old address goes on until the new one has told its list. To end it first would lose
-    what it has told but nobody has read yet, and all that changes until a jammed discovery answers.
+    After a change of address the watch at the old one continues until the new one has sent its list. Ending it first
+    would lose what was received but not processed, and all changes until a congested discovery answers.
     """
 
     def __init__(
         self,
-        at: Address,
-        heard: Hear,
-        broken: Callable[[], None],
+        address: Address,
+        on_list: ListCallback,
+        on_broken: Callable[[], None],
         tuning: settings.DiscoverySettings = settings.DiscoverySettings(),  # noqa: B008 (frozen)
         pushed: bool = False,
         random: Random | None = None,
     ) -> None:
-        """An empty line comes every 2 s while nothing changes. A watch silent for `tuning.silence_s` is dead, though
-        its connection may stay open. `pushed`: the directory is an agent near by, and what it has counts as told.
+        """Discovery sends an empty line every 2 s while nothing changes; a watch silent for `tuning.silence_s` is
+        broken, though its connection may stay open. `pushed`: discovery is a nearby agent, and a change counts as known
+        as soon as the agent has it.
         """
-        self._at, self._heard, self._broken = at, heard, broken
+        self._address = address
+        self._on_list = on_list
+        self._on_broken = on_broken
         self._loop = IOLoop.current()
         self._state = DiscoveryState(tuning.silence_s, random or Random(), pushed)
         self._watch: Watch | None = None
-        self._predecessors = Predecessors(tuning.silence_s)
-        self._spare = Spare()
-        self._spare.keep(at)
+        self._retired = RetiredWatches(tuning.silence_s)
+        self._spare_socket = SpareSocket()
+        self._spare_socket.reserve(address)
         self._timer: object = None
-        self._earlier: EndpointList | None = None  # a list that is not told yet, to be used if the directory is silent
+        self._fallback_list: EndpointList | None = None  # not used yet; is if discovery stays silent
         self._version = 0
-        self._live = False  # whether the watch stands on which it told its list last
-        self._asked = monotonic()  # when that watch was asked for
-        self._word: float | None = None  # when discovery had its last word: a whole list, a change, or that none is new
+        self._current = False  # whether the watch that received the newest list still runs
+        self._queried_at = monotonic()  # s; when that watch sent its query
+        self._last_update_at: float | None = None  # s; when a list, a change, or an empty line was last received
         self._trace = logs.tracing()
 
     # The list
 
     def use_known_list(self, raw: dict[str, Any]) -> None:
-        """The list as it was held at an earlier time: served from until the directory answers."""
-        told = parse_list(raw)
-        if told is not None:
-            self._version = told.version or self._version
-            self._tell(told, whole=True)
+        """Uses a list received earlier until discovery answers."""
+        known = parse_list(raw)
+        if known is not None:
+            self._version = known.version or self._version
+            self._report_list(known, complete=True)
 
     def use_known_list_after(self, raw: dict[str, Any], wait_s: float) -> None:
-        """The same, but told only if the directory brings nothing for so long; till then changes count from it."""
-        told = parse_list(raw)
-        if told is not None:
-            self._version, self._earlier = told.version or self._version, told
-            self._loop.call_later(wait_s, self._use_earlier)
-
-    def _use_earlier(self) -> None:
-        earlier, self._earlier = self._earlier, None
-        if earlier is not None:
-            log.warning("directory: silent, an earlier list is used")
-            self._tell(earlier, whole=True)
-
-    def export_list(self, providers: Iterable[DiscoveredEndpoint]) -> dict[str, Any]:
-        """The list as it is held, for `known` of the next process, with where it is from."""
-        listed = [
+        """Uses it only if discovery sends nothing for `wait_s` seconds; changes from its version are requested."""
+        known = parse_list(raw)
+        if known is not None:
+            self._version = known.version or self._version
+            self._fallback_list = known
+            self._loop.call_later(wait_s, self._use_fallback_list)
+
+    def _use_fallback_list(self) -> None:
+        known = self._take_fallback_list()
+        if known is not None:
+            log.warning("discovery: silent; earlier list used")
+            self._report_list(known, complete=True)
+
+    def _take_fallback_list(self) -> EndpointList | None:
+        known = self._fallback_list
+        self._fallback_list = None
+        return known
+
+    def export_list(self, endpoints: Iterable[DiscoveredEndpoint]) -> dict[str, Any]:
+        """The list for `import_list` of the next process, with the address and version that it is from."""
+        entries = [
             {
-                "name": p.name,
-                "address": host_port(p.address),
-                "zone": p.zone,
-                "type": p.kind,
-                "group": p.group,
-                "status": p.status.value,
-                "weight": p.weight,
-                "since_ms": p.started_ms,
+                "name": endpoint.name,
+                "address": host_port(endpoint.address),
+                "zone": endpoint.zone,
+                "type": endpoint.kind,
+                "group": endpoint.group,
+                "status": endpoint.status.value,
+                "weight": endpoint.weight,
+                "since_ms": endpoint.started_ms,
             }
-            for p in providers
+            for endpoint in endpoints
         ]
-        return {"from": host_port(self._at), "index": self._version, "snapshot": True, "endpoints": listed}
+        return {"from": host_port(self._address), "index": self._version, "snapshot": True, "endpoints": entries}
 
     def import_list(self, raw: dict[str, Any]) -> None:
-        """What `held` told in another process. Its version counts only at the same directory."""
+        """Uses what `export_list` returned in another process. Its version counts only at the same address."""
         self.use_known_list(raw)
-        if raw.get("from") != host_port(self._at):
+        if raw.get("from") != host_port(self._address):
             self._version = 0
 
     def position(self) -> tuple[Address, int, bool, float]:
-        """Its address, the index up to which it told (0: it numbers nothing), whether the watch stands on which it did,
-        and how many ms ago that was asked for.
+        """Discovery's address, the version of the list (0: it has none), whether the watch that received it still runs,
+        and how many ms ago that sent its query.
         """
-        return self._at, self._version, self._live, (monotonic() - self._asked) * 1000.0
+        return self._address, self._version, self._current, (monotonic() - self._queried_at) * 1000.0
 
     def silence_ms(self) -> float:
-        """For how long discovery has said nothing, until what it is saying just now; infinite: it never did."""
-        return math.inf if self._word is None else (monotonic() - self._word) * 1000.0
+        """Milliseconds from the last update to the one being processed; infinite if there was none."""
+        return math.inf if self._last_update_at is None else (monotonic() - self._last_update_at) * 1000.0
 
-    def _tell(self, told: EndpointList, whole: bool = False) -> None:
+    def _report_list(self, received: EndpointList, complete: bool = False) -> None:
+        complete = received.complete or complete
         if self._trace:
             log.debug(
                 "told",
-                version=told.version,
-                whole=told.complete or whole,
-                entries=[[p.name, p.status.value, p.started_ms, p.kind, p.zone, p.weight] for p in told.entries],
+                version=received.version,
+                whole=complete,
+                entries=[[e.name, e.status.value, e.started_ms, e.kind, e.zone, e.weight] for e in received.entries],
             )
-        self._heard(told.entries, told.complete or whole)
+        self._on_list(received.entries, complete)
 
     # The watch
 
     def watch(self) -> None:
-        """From now on there is a watch, or the directory is asked for one again and again."""
-        self._feed(WatchRequested())
+        """Starts to follow the list; a watch that fails is replaced from now on."""
+        self._handle(WatchRequested())
 
-    def move(self, at: Address) -> None:
-        """The directory is at another address from now on; the old one's word counts until that one answers."""
-        if at == self._at:
+    def move(self, address: Address) -> None:
+        """Discovery is at another address from now on; updates from the old one count until that one answers."""
+        if address == self._address:
             return
-        # The versions of the other address may be numbered anew: its whole list is asked for.
-        self._at, self._version = at, 0
-        self._feed(AddressChanged())
+        self._address = address
+        self._version = 0  # the new address may number versions differently: a complete list is requested
+        self._handle(AddressChanged())
 
     def set_pushed(self, pushed: bool) -> None:
-        """Whether the directory is an agent whose word counts unheard, from the next failure on."""
+        """Whether discovery is an agent whose changes count before they are received; from the next failure on."""
         self._state.pushed = pushed
 
     def close(self) -> None:
-        """For good: the program ends."""
-        self._untime()
+        """Ends all watches for good."""
+        self._cancel_timer()
         self._drop()
-        self._predecessors.close()
-        self._spare.drop()
+        self._retired.close()
+        self._spare_socket.close()
 
-    def _feed(self, event: schedule.Event) -> None:
-        for order in self._state.handle(monotonic(), event):
-            if order is Action.OPEN_WATCH:
-                self._watch = watch = Watch(self._at)
+    def _handle(self, event: schedule.Event) -> None:
+        for action in self._state.handle(monotonic(), event):
+            if action is Action.OPEN_WATCH:
+                self._watch = watch = Watch(self._address)
                 watch.task = asyncio.get_running_loop().create_task(self._run(watch))
-            elif order is Action.RETIRE_WATCH:
-                self._log_end("directory: watch left behind", moved=isinstance(event, AddressChanged))
+            elif action is Action.RETIRE_WATCH:
+                self._log_end("discovery: watch retired", moved=isinstance(event, AddressChanged))
                 self._retire()
             else:
-                self._tell_broken()
-        self._untime()
+                self._report_broken()
+        self._cancel_timer()
         if self._state.timer_at is not None:
-            self._timer = self._loop.call_later(max(self._state.timer_at - monotonic(), 0.0), self._due)
+            delay_s = max(self._state.timer_at - monotonic(), 0.0)
+            self._timer = self._loop.call_later(delay_s, self._handle_timer)
 
     def _log_end(self, event: str, **fields: object) -> None:
-        """Why the call under way ends, how long after its beginning, and whether it had brought a list."""
+        """Logs the end of the current watch, how long it ran, and whether it received a list."""
         watch = self._watch
         if watch is not None:
-            after_ms = round((monotonic() - watch.began) * 1000.0)
-            log.warning(event, at=host_port(self._at), after_ms=after_ms, listed=watch.told, **fields)
+            after_ms = round((monotonic() - watch.started_at) * 1000.0)
+            log.warning(event, at=host_port(self._address), after_ms=after_ms, listed=watch.list_received, **fields)
 
-    def _due(self) -> None:
-        if self._watch is not None and self._watch.ready:
-            self._loop.add_callback(self._due)  # a process that stood still has it all at once: the bytes come first
+    def _handle_timer(self) -> None:
+        if self._watch is not None and self._watch.has_unprocessed_result:
+            # After a pause of the process timers and bytes are due together: the bytes come first.
+            self._loop.add_callback(self._handle_timer)
         else:
-            self._feed(TimerExpired())
+            self._handle(TimerExpired())
 
-    def _untime(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._loop.remove_timeout(self._timer)
             self._timer = None
 
+    def _detach_watch(self) -> Watch | None:
+        watch = self._watch
+        self._watch = None
+        self._current = False
+        return watch
+
     def _retire(self) -> None:
-        """The watch goes on until its successor has told its list."""
-        watch, self._watch, self._live = self._watch, None, False
+        """The watch continues until its successor has received its list."""
+        watch = self._detach_watch()
         if watch is not None:
-            self._predecessors.add(watch)
-            self._spare.keep(self._at)
+            self._retired.add(watch)
+            self._spare_socket.reserve(self._address)
 
     def _drop(self) -> None:
-        watch, self._watch, self._live = self._watch, None, False
+        watch = self._detach_watch()
         if watch is not None:
             watch.close()
-            self._spare.keep(self._at)
+            self._spare_socket.reserve(self._address)
 
-    def _tell_broken(self) -> None:
+    def _report_broken(self) -> None:
         try:
-            self._broken()
-        except Exception:  # whoever hears of it must not end the asking
-            log.exception("directory: fault")
+            self._on_broken()
+        except Exception:  # a fault of the callback must not end the queries
+            log.exception("discovery: fault")
 
     async def _run(self, watch: Watch) -> None:
         try:
             await self._follow(watch)
         except (StreamClosedError, OSError, http1.MalformedError) as error:
             if watch is self._watch:
-                self._log_end("directory: watch ended", error=str(getattr(error, "real_error", None) or error))
+                self._log_end("discovery: watch ended", error=str(getattr(error, "real_error", None) or error))
         except Exception:
-            log.exception("directory: fault")
+            log.exception("discovery: fault")
         finally:
             if watch.stream is not None:
                 watch.stream.close()
-            self._predecessors.discard(watch)
+            self._retired.discard(watch)
         if watch is self._watch:
             watch.task = None
             self._drop()
-            self._feed(WatchEnded())
+            self._handle(WatchEnded())
 
-    def _socket(self) -> socket.socket:
-        """For the next call. Raises OSError; a predecessor gives its descriptor up before that."""
+    def _take_socket(self) -> socket.socket:
+        """For the next query; retired watches release their descriptors for it. Raises OSError if none is left."""
         while True:
             try:
-                return self._spare.take(self._at)
+                return self._spare_socket.take(self._address)
             except OSError:
-                if not self._predecessors.drop_one():
+                if not self._retired.drop_one():
                     raise
 
     async def _follow(self, watch: Watch) -> None:
-        log.info("directory: asked", at=host_port(watch.at), since=self._version)
-        stream = watch.stream = IOStream(self._socket())
+        """Sends the query and processes the response to its end.
+
+        Raises StreamClosedError, OSError, or MalformedError for a response that is no stream of lists.
+        """
+        stream = await self._send_query(watch)
+        response = json_stream.JsonStreamResponse()
+        while not response.complete:
+            pending_before = response.pending_bytes
+            lines_before = response.lines_received
+            documents = response.feed(await watch.wait(stream.read_bytes(MAX_READ, partial=True)))
+            if response.head is not None and response.head.status != 200:
+                raise http1.MalformedError(502, f"no list: status {response.head.status}")
+            if documents:
+                self._process_documents(watch, documents)
+            if watch is not self._watch and watch not in self._retired:  # processing its list has ended it
+                return
+            # Empty lines keep a watch alive, but not one whose list is incomplete: its changes would never arrive.
+            line_received = response.lines_received > lines_before and not response.pending_bytes
+            if documents or line_received:
+                self._last_update_at = monotonic()
+            list_started = response.pending_bytes > 0 and pending_before == 0
+            if list_started or line_received:
+                self._handle_progress(watch, LineReceived())
+
+    async def _send_query(self, watch: Watch) -> IOStream:
+        log.info("directory: asked", at=host_port(watch.address), since=self._version)  # lab/timeline.py counts it
+        stream = watch.stream = IOStream(self._take_socket())
         watch.version = self._version
-        await watch.wait(stream.connect(watch.at))
-        self._advance(watch, Connected())
+        await watch.wait(stream.connect(watch.address))
+        self._handle_progress(watch, Connected())
         since = b"&since=%d" % watch.version if watch.version else b""
         if watch is self._watch:
-            self._asked = monotonic()
-        host = (b"Host", host_port(watch.at).encode())
+            self._queried_at = monotonic()
+        host = (b"Host", host_port(watch.address).encode())
         await watch.wait(stream.write(http1.write_request(b"GET", b"/discovery/hosts?follow=1" + since, [host])))
-        answer = json_stream.ChunkStream()
-        while not answer.done:
-            begun, lines = answer.begun, answer.lines
-            found = answer.feed(await watch.wait(stream.read_bytes(READ, partial=True)))
-            if answer.head is not None and answer.head.status != 200:
-                raise http1.MalformedError(502, f"no list: status {answer.head.status}")
-            if found:
-                self._documents(watch, found)
-            if watch is not self._watch and watch not in self._predecessors:  # what it told has ended it
-                return
-            # Empty lines keep a watch alive, but not one that owes the end of a list: it would stay deaf.
-            said = answer.lines > lines and not answer.begun
-            if found or said:
-                self._word = monotonic()
-            if answer.begun and not begun or said:
-                self._advance(watch, LineReceived())
-
-    def _advance(self, watch: Watch, event: schedule.Event) -> None:
-        """A call is further; that of a predecessor is no more than a sign of life."""
+        return stream
+
+    def _handle_progress(self, watch: Watch, event: schedule.Event) -> None:
+        """Progress of the current watch is an event; of a retired one it only shows that it is alive."""
         if watch is self._watch:
-            self._feed(event)
+            self._handle(event)
         else:
-            self._predecessors.heard(watch)
+            self._retired.restart_silence_timer(watch)
 
-    def _documents(self, watch: Watch, found: list[bytes]) -> None:
-        """What came in one piece is told as one: a list may change a thousand times within a second.
+    def _process_documents(self, watch: Watch, documents: list[bytes]) -> None:
+        """Reports documents that were received together as one list: it may change a thousand times within a second.
 
-        Raises MalformedError if there is one that is no list: what it told would be missing from then on.
+        Raises MalformedError if one is no list, after those before it: its changes would be missing from then on.
         """
-        listings = list[EndpointList]()
+        lists = list[EndpointList]()
         try:
-            for document in found:
-                listings.append(self._listing(watch, document))
+            for document in documents:
+                lists.append(self._parse_document(watch, document))
         finally:
-            told = merge_lists(listings)
-            if told is not None:
-                self._take(watch, told)
+            received = merge_lists(lists)
+            if received is not None:
+                self._accept_list(watch, received)
 
-    def _listing(self, watch: Watch, document: bytes) -> EndpointList:
-        told = None
+    def _parse_document(self, watch: Watch, document: bytes) -> EndpointList:
+        """Raises MalformedError if it is no list."""
+        received = None
         with contextlib.suppress(ValueError):
-            told = parse_list(json.loads(document))
-        if told is None:
-            if watch is self._watch and not watch.told:
-                self._version = 0  # the same changes would be as little understood again
+            received = parse_list(json.loads(document))
+        if received is None:
+            if watch is self._watch and not watch.list_received:
+                self._version = 0  # the same changes would be as unreadable again
             raise http1.MalformedError(502, "no list")
-        if not watch.told:
-            watch.told = True
+        if not watch.list_received:
+            watch.list_received = True
             log.info(
-                "directory: answered",
-                version=told.version,
-                whole=told.complete,
-                entries=len(told.entries),
-                predecessor=watch is not self._watch,
-                after_ms=round((monotonic() - watch.began) * 1000.0),
+                "discovery: list received",
+                version=received.version,
+                complete=received.complete,
+                entries=len(received.entries),
+                retired=watch is not self._watch,
+                after_ms=round((monotonic() - watch.started_at) * 1000.0),
             )
-        return told
-
-    def _take(self, watch: Watch, told: EndpointList) -> None:
-        """The newest call that has told a list is the one that counts."""
-        self._predecessors.drop_older(watch)
-        earlier, self._earlier = self._earlier, None
-        if earlier is not None and not told.complete:
-            self._tell(earlier, whole=True)  # what changed since then comes in the same moment
-        resumed = self._watch is None and watch.at == self._at  # nothing newer has been asked yet
+        return received
+
+    def _accept_list(self, watch: Watch, received: EndpointList) -> None:
+        """Reports the list; of the watches that have received one, only the newest goes on."""
+        self._retired.drop_older(watch)
+        known = self._take_fallback_list()
+        if known is not None and not received.complete:
+            self._report_list(known, complete=True)  # the changes since then follow at once
+        resumed = self._watch is None and watch.address == self._address  # no newer query was started
         if resumed:
-            self._predecessors.discard(watch)
+            self._retired.discard(watch)
             self._watch = watch
         if watch is not self._watch:
-            self._tell(told)
+            self._report_list(received)
             return
-        self._live, self._version = True, told.version or self._version
-        self._tell(told)
-        self._feed(WatchResumed() if resumed else ListReceived())
+        self._current = True
+        self._version = received.version or self._version
+        self._report_list(received)
+        self._handle(WatchResumed() if resumed else ListReceived())
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -1,4 +1,4 @@
-"""A response that brings JSON documents one after another, each of interest as it comes: the directory's watch."""
+"""A response that carries JSON documents one after another, each parsed as it arrives: the watch of discovery."""
 
 from __future__ import annotations
 
@@ -6,100 +6,113 @@
 
 from ..http1 import MAX_BODY, MalformedError, Message, ResponseParser, _Body
 
-MOST = 64 * MAX_BODY  # bytes of one document: a list of some ten thousand providers
-# Of strings alone (RFC 8259, section 7), which can't go over the end of a line; both in time linear in its length.
-ESCAPE, STRING = re.compile(rb"\\."), re.compile(rb'"[^"]*"')
-OPENS, CLOSES = (b"{", b"["), (b"}", b"]")
+# Bytes of one document: a list of some ten thousand endpoints.
+MAX_DOCUMENT_BYTES = 64 * MAX_BODY
+# Strings (RFC 8259, section 7) can't span lines; both patterns take time linear in the length of the line.
+ESCAPE = re.compile(rb"\\.")
+STRING = re.compile(rb'"[^"]*"')
+OPENING = (b"{", b"[")
+CLOSING = (b"}", b"]")
 
 
-def depth_of(line: bytes) -> int | None:
-    """How many objects and lists `line` opens more than it closes; None if it breaks off in a string."""
-    plain = ESCAPE.sub(b"", line)
-    if plain.count(b'"') % 2:
+def nesting_change(line: bytes) -> int | None:
+    """How many objects and arrays `line` opens more than it closes; None if it ends within a string."""
+    without_escapes = ESCAPE.sub(b"", line)
+    if without_escapes.count(b'"') % 2:
         return None
-    bare = STRING.sub(b"", plain)
-    return sum(map(bare.count, OPENS)) - sum(map(bare.count, CLOSES))
+    without_strings = STRING.sub(b"", without_escapes)
+    return sum(map(without_strings.count, OPENING)) - sum(map(without_strings.count, CLOSING))
 
 
-class JsonDocuments:
-    """Puts documents together from bytes cut anywhere. One may take a line or, indented, any number of them."""
+class JsonDocumentParser:
+    """Splits bytes into documents, however they are cut. A document takes one line or, indented, several."""
 
     def __init__(self) -> None:
-        self._rest = bytearray()  # a line whose end is yet to come
-        self._lines: list[bytes] = []  # of a document whose end is yet to come
-        self._depth = self._size = 0
-        self.lines = 0  # that have come, empty ones counted
+        """No bytes received yet."""
+        self.lines_received = 0  # empty ones included
+        self._incomplete_line = bytearray()
+        self._lines: list[bytes] = []  # of the incomplete document
+        self._lines_bytes = 0
+        self._depth = 0  # of nesting, after these lines
 
     @property
-    def begun(self) -> int:
-        """Bytes of a document whose end is yet to come, empty lines not counted."""
-        return self._size + len(self._rest.strip())
+    def pending_bytes(self) -> int:
+        """Bytes of the incomplete document, empty lines not counted."""
+        return self._lines_bytes + len(self._incomplete_line.strip())
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The documents that `data` completes, sound or not. Raises MalformedError if one has no end."""
-        self._rest += data
-        *lines, rest = self._rest.split(b"\n")
-        self._rest, found = rest, list[bytes]()
-        self.lines += len(lines)
+        """The documents that `data` completes, valid or not. Raises MalformedError if one is too long."""
+        self._incomplete_line += data
+        *lines, incomplete_line = self._incomplete_line.split(b"\n")
+        self._incomplete_line = incomplete_line
+        self.lines_received += len(lines)
+        documents = list[bytes]()
         for line in lines:
-            self._add(bytes(line), found)
-        # The last one's line need not end, or what it tells would wait for the next one.
-        if rest.endswith(b"}"):
-            depth = depth_of(bytes(rest))
-            if depth is not None and self._depth + depth <= 0:
-                self._rest = bytearray()
-                self._add(bytes(rest), found)
-        if self.begun > MOST:
+            self._add(bytes(line), documents)
+        # A document counts before the end of its last line, which may be sent only with the next one.
+        if incomplete_line.endswith(b"}"):
+            change = nesting_change(bytes(incomplete_line))
+            if change is not None and self._depth + change <= 0:
+                self._incomplete_line = bytearray()
+                self._add(bytes(incomplete_line), documents)
+        if self.pending_bytes > MAX_DOCUMENT_BYTES:
             raise MalformedError(413, "document too long")
-        return found
+        return documents
 
-    def _add(self, line: bytes, found: list[bytes]) -> None:
+    def _add(self, line: bytes, documents: list[bytes]) -> None:
+        """Appends the line to the incomplete document, and that to `documents` once it is complete."""
         if not line.strip():
             return
-        depth = depth_of(line)
+        change = nesting_change(line)
         self._lines.append(line)
-        self._size, self._depth = self._size + len(line), self._depth + (depth or 0)
-        if depth is None or self._depth <= 0:  # what breaks off in a string is no JSON, and hides nothing further
-            found.append(b"\n".join(self._lines))
-            self._lines, self._size, self._depth = [], 0, 0
+        self._lines_bytes += len(line)
+        self._depth += change or 0
+        # A line that ends within a string is not JSON: ending the document there leaves the next ones readable.
+        if change is None or self._depth <= 0:
+            documents.append(b"\n".join(self._lines))
+            self._lines = []
+            self._lines_bytes = 0
+            self._depth = 0
 
 
-class ChunkStream:
-    """The response: its head first, then the documents of its body."""
+class JsonStreamResponse:
+    """Parses the response: its head first, then the documents of its body."""
 
     def __init__(self) -> None:
-        self._parser = ResponseParser(MOST)  # a list may come as one chunk, or with its length
-        self._body: _Body | None = None
-        self._documents = JsonDocuments()
+        """No bytes received yet."""
         self.head: Message | None = None
+        self._parser = ResponseParser(MAX_DOCUMENT_BYTES)  # a list may be one chunk, or have a Content-Length
+        self._body: _Body | None = None
+        self._documents = JsonDocumentParser()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The documents that `data` completes."""
+        """The documents that `data` completes. Raises MalformedError where it is not HTTP or a document is too long."""
         parser = self._parser
         parser.feed(data)
         while self.head is None:
             head = parser._head()
             if head is None:
                 return []
-            if head.status >= 200:  # else interim: the response is yet to come
+            if head.status >= 200:  # else interim (RFC 9110, section 15.2): the final response follows
                 self.head, self._body = head, parser._framing(head)
         assert self._body is not None
-        self._body.size = 0  # a stream has no length to limit; its documents have
+        self._body.size = 0  # the stream as a whole has no limit of length, its documents have
         self._body.take(parser.buffer)
-        found = self._documents.feed(b"".join(self._body.parts))
+        documents = self._documents.feed(b"".join(self._body.parts))
         self._body.parts.clear()
-        return found
+        return documents
 
     @property
-    def begun(self) -> int:
-        """Bytes of a document whose end is yet to come."""
-        return self._documents.begun
+    def pending_bytes(self) -> int:
+        """Bytes of the incomplete document."""
+        return self._documents.pending_bytes
 
     @property
-    def lines(self) -> int:
-        """Lines that have come, empty ones counted."""
-        return self._documents.lines
+    def lines_received(self) -> int:
+        """Lines received, empty ones included."""
+        return self._documents.lines_received
 
     @property
-    def done(self) -> bool:
+    def complete(self) -> bool:
+        """Whether the body has ended."""
         return self._body is not None and self._body.done
--- a/limenotch/net/discovery/watch.py
+++ b/limenotch/net/discovery/watch.py
@@ -1,4 +1,4 @@
-"""One call to discovery with what belongs to it, and the socket that is held ready for the next one."""
+"""A query to discovery with the watch that follows it, retired ones, and the socket reserved for the next query."""
 
 from __future__ import annotations
 
@@ -18,44 +18,48 @@
 
 
 class Watch:
-    """One call to the directory, from its connection to its end."""
+    """One query to discovery, from its connection to its end."""
 
-    def __init__(self, at: Address) -> None:
-        self.at = at
+    def __init__(self, address: Address) -> None:
+        """The caller sets `task`, which owns the connection in `stream`."""
+        self.address = address
         self.stream: IOStream | None = None
         self.task: asyncio.Task[None] | None = None
-        self.version: int | None = None  # from which it asked for changes; 0: for the whole list
-        self.told = False  # at least one list
-        self.began = monotonic()
+        self.version: int | None = None  # from which changes were requested; 0: the complete list
+        self.list_received = False  # at least one
+        self.started_at = monotonic()  # s
         self._pending: asyncio.Future[Any] | None = None
 
     @property
-    def ready(self) -> bool:
-        """What it waits for has come and is yet to be looked at."""
+    def has_unprocessed_result(self) -> bool:
+        """Whether the operation it waits for is done, and its task has not run since."""
         return self._pending is not None and self._pending.done()
 
     async def wait(self, awaitable: Awaitable[T]) -> T:
+        """The result of `awaitable`, visible to `has_unprocessed_result` meanwhile."""
         pending = asyncio.ensure_future(awaitable)
         self._pending = pending
         return await pending
 
     def close(self) -> None:
-        """Nothing of it counts from now on; its descriptor is free at once."""
+        """Ends it: nothing received is used from now on; its descriptor is free at once."""
         if self.stream is not None:
             self.stream.close()
         if self.task is not None:
             self.task.cancel()
 
 
-class Predecessors:
-    """Calls at the addresses that discovery was moved away from, up to `MOST`, the oldest first.
+class RetiredWatches:
+    """Watches that a newer query has replaced, up to `MAX_WATCHES`, the oldest first.
 
-    Each is dropped when a later one has told its list, when it has been silent for too long, or when it ends.
+    Each is closed when a later one has received its list or when it has been silent for too long, and forgotten when it
+    ends.
     """
 
-    MOST = 3
+    MAX_WATCHES = 3
 
     def __init__(self, silence_s: float) -> None:
+        """`silence_s`: seconds without a line after which one is closed."""
         self._silence_s = silence_s
         self._watches: list[Watch] = []
         self._timers: dict[Watch, object] = {}
@@ -65,38 +69,39 @@
         return watch in self._watches
 
     def add(self, watch: Watch) -> None:
-        """A call that is out, later than those that are here."""
-        if len(self._watches) >= self.MOST:
+        """Adds a running watch, started after those that are here."""
+        if len(self._watches) >= self.MAX_WATCHES:
             self.drop_one()
         self._watches.append(watch)
-        self.heard(watch)
+        self.restart_silence_timer(watch)
 
-    def heard(self, watch: Watch) -> None:
-        """It has shown that it lives."""
+    def restart_silence_timer(self, watch: Watch) -> None:
+        """To be called whenever the watch has received something."""
         if watch in self._watches:
-            self._untime(watch)
+            self._cancel_timer(watch)
             self._timers[watch] = self._loop.call_later(self._silence_s, self._drop, watch)
 
     def drop_one(self) -> bool:
-        """The oldest of those that have told nothing, else the oldest; False if there is none."""
+        """Closes the oldest of those that have received no list, else the oldest; False if there is none."""
         if not self._watches:
             return False
-        self._drop(next((watch for watch in self._watches if not watch.told), self._watches[0]))
+        self._drop(next((watch for watch in self._watches if not watch.list_received), self._watches[0]))
         return True
 
     def drop_older(self, watch: Watch) -> None:
-        """All that are older than this one; all of them if it is none of them."""
+        """Closes those older than this one; all of them if it is not retired."""
         count = self._watches.index(watch) if watch in self._watches else len(self._watches)
         for older in self._watches[:count]:
             self._drop(older)
 
     def discard(self, watch: Watch) -> None:
-        """It has ended."""
-        self._untime(watch)
+        """Forgets the watch without closing it."""
+        self._cancel_timer(watch)
         if watch in self._watches:
             self._watches.remove(watch)
 
     def close(self) -> None:
+        """Closes all of them."""
         for watch in list(self._watches):
             self._drop(watch)
 
@@ -104,34 +109,41 @@
         self.discard(watch)
         watch.close()
 
-    def _untime(self, watch: Watch) -> None:
+    def _cancel_timer(self, watch: Watch) -> None:
         timer = self._timers.pop(watch, None)
         if timer is not None:
             self._loop.remove_timeout(timer)
 
 
-class Spare:
-    """A socket held ready for the next call: other connections may use up every descriptor meanwhile."""
+class SpareSocket:
+    """A socket reserved for the next query: other connections may use up all descriptors meanwhile."""
 
     def __init__(self) -> None:
+        """Nothing is reserved before `reserve`."""
         self._socket: socket.socket | None = None
 
-    def keep(self, at: Address) -> None:
-        """Have one for this address."""
-        family = socket.AF_INET6 if ":" in at[0] else socket.AF_INET
+    def reserve(self, address: Address) -> None:
+        """Reserves a socket of the address's family, if a descriptor is left."""
+        family = _family(address)
         if self._socket is not None and self._socket.family == family:
             return
-        self.drop()
-        with contextlib.suppress(OSError):  # then the next call has to find a descriptor
+        self.close()
+        with contextlib.suppress(OSError):  # then the next query has to find a descriptor
             self._socket = socket.socket(family, socket.SOCK_STREAM)
 
-    def take(self, at: Address) -> socket.socket:
-        """Raises OSError if none was held and no descriptor is left."""
-        self.keep(at)
-        held, self._socket = self._socket, None
-        return held or socket.socket(socket.AF_INET6 if ":" in at[0] else socket.AF_INET, socket.SOCK_STREAM)
+    def take(self, address: Address) -> socket.socket:
+        """The reserved socket, owned by the caller. Raises OSError if there is none and no descriptor is left."""
+        self.reserve(address)
+        reserved = self._socket
+        self._socket = None
+        return reserved or socket.socket(_family(address), socket.SOCK_STREAM)
 
-    def drop(self) -> None:
+    def close(self) -> None:
+        """Closes the reserved socket."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
+
+
+def _family(address: Address) -> socket.AddressFamily:
+    return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
--- a/tests/lab/test_emulate.py
+++ b/tests/lab/test_emulate.py
@@ -234,7 +234,7 @@
         assert port == await hosted.watcher((0, 0))
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /discovery/hosts?follow=1 HTTP/1.1\r\n\r\n")
-        stream = json_stream.ChunkStream()
+        stream = json_stream.JsonStreamResponse()
 
         async def line() -> dict[str, Any]:
             while True:
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -10,7 +10,7 @@
 import pytest
 
 from limenotch.net.discovery import schedule
-from limenotch.net.discovery.watch import Predecessors
+from limenotch.net.discovery.watch import RetiredWatches
 
 from .helpers.discovery_peer import CHUNKED, Discovery, Held, case, chunk, listing
 
@@ -99,7 +99,7 @@
         calls = [await peer.calls.get()]
         calls[0].send(CHUNKED, chunk(listing(7, "a")))
         await held.heard.get()
-        for _ in range(Predecessors.MOST + 1):
+        for _ in range(RetiredWatches.MAX_WATCHES + 1):
             await asyncio.sleep(2 * schedule.MOVE_SETTLE_S)
             other = Discovery()
             held.directory.move(await other.begin())
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -119,7 +119,7 @@
         except MalformedError as error:
             assert error.status in (400, 413, 431)
     try:
-        json_stream.ChunkStream().feed(b"".join(pieces))
+        json_stream.JsonStreamResponse().feed(b"".join(pieces))
     except MalformedError:
         pass
 
@@ -210,18 +210,20 @@
 ) -> None:
     body = b"".join(json.dumps(one, indent=indent).encode() + end for one, indent, end in told)
     wire = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body)
-    stream, found = json_stream.ChunkStream(), []
+    stream, found = json_stream.JsonStreamResponse(), []
     edges = [0, *sorted(cut % (len(wire) + 1) for cut in cuts), len(wire)]
     for start, end in zip(edges, edges[1:], strict=False):
         found += stream.feed(wire[start:end])
     assert [json.loads(one) for one in found] == [one for one, _, _ in told]
-    assert stream.done and not stream.begun
+    assert stream.complete and not stream.pending_bytes
 
 
 def test_documents_that_are_spoilt_hide_no_later_one() -> None:
-    stream = json_stream.JsonDocuments()
+    stream = json_stream.JsonDocumentParser()
     assert stream.feed(b'not json\n{"a":"{\n}\n') == [b"not json", b'{"a":"{', b"}"]
-    assert stream.feed(b'{\n "a": 1}') == [b'{\n "a": 1}'] and stream.begun == 0  # at once, with no end of its line
+    assert (
+        stream.feed(b'{\n "a": 1}') == [b'{\n "a": 1}'] and stream.pending_bytes == 0
+    )  # at once, with no end of its line
     with pytest.raises(MalformedError):
-        for _ in range(json_stream.MOST // 1000 + 1):
+        for _ in range(json_stream.MAX_DOCUMENT_BYTES // 1000 + 1):
             stream.feed(b"[" + b" " * 998 + b"1\n")
