--- a/limenotch/net/attempt_check.py
+++ b/limenotch/net/attempt_check.py
@@ -1,7 +1,7 @@
-"""The one check that stands right before an attempt's first byte. Nothing is sent to an endpoint around it.
+"""The check right before the first byte of an attempt. Nothing is sent to an endpoint without it.
 
-Between the choice of an endpoint and that moment lies the wait for a connection, in which the call may end, its client
-leave, its time run out, the endpoint begin to drain or start anew, and the time for a repeat pass.
+An attempt waits for a connection after its endpoint was chosen. Meanwhile the request may get its response, its client
+may disconnect, its deadline or the time for a retry may pass, and the endpoint may start draining or restart.
 """
 
 from __future__ import annotations
@@ -13,39 +13,40 @@
 
 
 class Obstacle(Enum):
-    """Why an attempt may not begin."""
+    """Why an attempt may not be sent."""
 
-    CALL_OVER = "its call has its answer"
-    CLIENT_GONE = "its client has gone"
-    ENDED = "the attempt has ended"
-    NO_TIME = "its time is over"
-    NOT_IN_SERVICE = "the endpoint takes nothing new"
-    RESTARTED = "the endpoint is not the process that was chosen"  # the cold budget was charged for another one
-    ANOTHER_OUT = "another attempt of the call is out"
-    MAY_HAVE_RUN = "an earlier attempt may have run, and no repeat is allowed there or any more"
+    REQUEST_ANSWERED = "the request has its response"
+    CLIENT_GONE = "the client has disconnected"
+    ATTEMPT_ENDED = "the attempt has ended"
+    DEADLINE_PASSED = "the deadline of the attempt has passed"
+    NOT_IN_SERVICE = "the endpoint accepts no requests"
+    RESTARTED = "the endpoint has restarted since it was chosen"  # slow start counted the attempt for another process
+    ANOTHER_IN_FLIGHT = "another attempt of the request is in flight"
+    RETRY_NOT_ALLOWED = "an earlier attempt may have run, and no retry is allowed there or any more"
 
 
 def obstacle_to(attempt: Attempt, endpoint: DiscoveredEndpoint | None, now: float) -> Obstacle | None:
-    """What stops the attempt now, by `time.monotonic`; None: it may begin.
+    """What prevents the attempt at `now`, in seconds of `time.monotonic`; None: it may be sent.
 
-    `endpoint` is the attempt's by the newest list; None if that takes nothing new.
+    `endpoint` is the attempt's in the newest list; None if that one accepts no requests.
     """
-    call, chosen = attempt.request, attempt.endpoint
-    if call.client_gone or not call.client_connected():
+    request = attempt.request
+    chosen = attempt.endpoint
+    if request.client_gone or not request.client_connected():
         return Obstacle.CLIENT_GONE
-    if call.final is not None:
-        return Obstacle.CALL_OVER
+    if request.final is not None:
+        return Obstacle.REQUEST_ANSWERED
     if attempt.ended:
-        return Obstacle.ENDED
+        return Obstacle.ATTEMPT_ENDED
     if now >= attempt.deadline:
-        return Obstacle.NO_TIME
+        return Obstacle.DEADLINE_PASSED
     if endpoint is None or chosen is None:
         return Obstacle.NOT_IN_SERVICE
     if (endpoint.address, endpoint.started_ms) != (chosen.address, chosen.started_ms):
         return Obstacle.RESTARTED
-    sent = call.possible_executions()
-    if not call.policy.allows_concurrent(sent):
-        return Obstacle.ANOTHER_OUT
-    if not call.policy.allows_retry(sent, endpoint.zone, endpoint.group, now * 1000.0):
-        return Obstacle.MAY_HAVE_RUN
+    sent = request.possible_executions()
+    if not request.policy.allows_concurrent(sent):
+        return Obstacle.ANOTHER_IN_FLIGHT
+    if not request.policy.allows_retry(sent, endpoint.zone, endpoint.group, now * 1000.0):
+        return Obstacle.RETRY_NOT_ALLOWED
     return None
--- a/limenotch/net/endpoint_connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: requests go out on it one at a time, what comes back is read all the time."""
+"""One connection to an endpoint: carries one request at a time, and reads at all times."""
 
 from __future__ import annotations
 
@@ -16,155 +16,169 @@
 
 log = logs.get(__name__)
 
-MAX_BUFFER = 512 * 1024
-SLOW_S = 0.3  # after its head an answer that may be long is passed on as it comes
+MAX_BUFFER = 512 * 1024  # bytes of one connection
+FORWARD_AFTER_S = 0.3  # seconds after its head, a response that may be long is forwarded as it arrives
 
 
 class EndpointConnection:
-    """One connection to a provider; owned by the pool while idle, by one invoker call otherwise.
+    """One connection to an endpoint; owned by the pool while idle, by one attempt otherwise.
 
-    It reads all the time, so that an idle one that the provider closed is never used again.
+    It reads all the time, so that an idle one that the endpoint has closed is never used again.
     """
 
     def __init__(
         self,
         stream: IOStream,
-        provider: str,
+        endpoint_name: str,
         address: tuple[str, int],
         answer_s: float = 0.5,
         stall_s: float = 10.0,
         budget: BufferBudget | None = None,
     ) -> None:
-        """An answer that has begun goes on within `answer_s`, and its head ends: heads that never end and bodies
-        shorter than announced would else hold their calls until nothing else can be tried. One that is passed on
-        can't be had elsewhere any more, and may stop for `stall_s`.
+        """A response that has begun has to continue, and its head to end, within `answer_s` seconds: endless heads and
+        bodies shorter than announced would block their requests until no retry is possible. A response being forwarded
+        can't be had from another endpoint any more, and may stall for `stall_s` seconds.
         """
-        self.stream, self.provider, self.address = stream, provider, address
-        self.since_ms = 0.0  # of the endpoint's process that it was opened to, as the list told
-        self.idle_since = 0.0
-        self._answer_s, self._stall_s = answer_s, stall_s
+        self.stream = stream
+        self.endpoint_name = endpoint_name
+        self.address = address
+        self.endpoint_started_ms = 0.0  # of the endpoint's process that it was opened to, as the list has it
+        self.idle_since = 0.0  # s
         self.idle_timer: object = None
-        self.passed: asyncio.Future[bool] | None = None  # of an answer that is passed on: whether it came whole
+        self.forwarded: asyncio.Future[bool] | None = None  # of a response being forwarded: whether it was complete
+        self._answer_s = answer_s
+        self._stall_s = stall_s
         self._parser = http1.ResponseParser(http1.MAX_LONG)
         self._budget = budget or BufferBudget(MAX_BUFFER)
-        self._answer: asyncio.Future[http1.Message | None] | None = None
+        self._response: asyncio.Future[http1.Message | None] | None = None
         self._head: http1.Message | None = None
-        self._began = 0.0  # when its head was there
-        self._held: list[bytes] = []
-        self._size = 0
+        self._head_received_at = 0.0  # s
+        self._buffered: list[bytes] = []  # of the body
+        self._buffered_bytes = 0
         self._pipe: BodyPipe | None = None
-        self._reading: asyncio.Future[bytes] | None = None
-        self._timer: object = None  # of an answer that has begun
+        self._pending_read: asyncio.Future[bytes] | None = None
+        self._timer: object = None  # of a response that has begun
 
     async def read(self) -> None:
-        """Until the connection ends."""
+        """Reads responses until the connection ends, and closes it."""
         try:
             while True:
-                self._reading = asyncio.ensure_future(self.stream.read_bytes(self._budget.piece, partial=True))
-                self._parser.feed(await self._reading)
-                if self._answer is None or (self._answer.done() and self._pipe is None):
-                    break  # bytes that nobody asked for
-                await self._take()
+                self._pending_read = asyncio.ensure_future(self.stream.read_bytes(self._budget.piece, partial=True))
+                self._parser.feed(await self._pending_read)
+                if self._response is None or (self._response.done() and self._pipe is None):
+                    break  # bytes without a request
+                await self._process_input()
         except StreamClosedError as error:
-            # Only an end in good order completes a body that has no length; a reset cuts it off.
+            # An orderly end completes a body without length (RFC 9112, section 6.3); a reset truncates it.
             if self._head is not None and error.real_error is None and self._parser.endless:
-                self._done(self._head)
+                self._complete(self._head)
         except BrokenError:
-            pass  # nobody takes the rest
+            pass  # nobody takes the rest of the body
         except http1.MalformedError as error:
-            log.warning("answer not understood", provider=self.provider, error=str(error))
+            log.warning("malformed response", endpoint=self.endpoint_name, error=str(error))
         finally:
-            self._untime()
+            self._cancel_timer()
             self.close()
 
-    async def _take(self) -> None:
-        """What has come of the answer."""
+    async def _process_input(self) -> None:
+        """Buffers or forwards what has been received of the response."""
         parser = self._parser
         if self._head is None:
             self._head = parser.head()
             if self._head is None:
-                if not parser.idle and self._timer is None:  # else only interim answers so far
-                    self._time(self._answer_s)
+                if not parser.idle and self._timer is None:  # else only interim responses so far
+                    self._start_timer(self._answer_s)
                 return
-            self._began = monotonic()
-        piece, whole = parser.pieces(), parser.complete
+            self._head_received_at = monotonic()
+        piece = parser.pieces()
+        complete = parser.complete
         if self._pipe is None:
-            self._held.append(piece)
-            self._size += len(piece)
-            if not whole and self._long():
-                self.pass_on()
+            self._buffer(piece, complete)
         else:
-            self._untime()
+            self._cancel_timer()
             await self._pipe.put(piece)
-        if whole:
-            self._untime()
+        if complete:
+            self._cancel_timer()
             parser.next()
-            self._done(self._head)
+            self._complete(self._head)
         else:
-            self._time(self._answer_s if self._pipe is None else self._stall_s)
+            self._start_timer(self._answer_s if self._pipe is None else self._stall_s)
 
-    def _long(self) -> bool:
-        """Whether what is held is not held any longer."""
-        return self._budget.beyond(self._size) or self.may_be_long and monotonic() > self._began + SLOW_S
+    def _buffer(self, piece: bytes, complete: bool) -> None:
+        self._buffered.append(piece)
+        self._buffered_bytes += len(piece)
+        if not complete and self._should_forward():
+            self.start_forwarding()
+
+    def _should_forward(self) -> bool:
+        """Whether the response is to be buffered no longer."""
+        if self._budget.beyond(self._buffered_bytes):
+            return True
+        return self.may_be_long and monotonic() > self._head_received_at + FORWARD_AFTER_S
 
     @property
     def may_be_long(self) -> bool:
-        """By its head, the answer under way may be more than is held."""
+        """Whether the current response, by its head, may be longer than what is buffered."""
         announced = self._head.length if self._head is not None else 0
         return announced is None or announced > HOLD
 
-    def pass_on(self) -> bool:
-        """Tell of the answer now, its rest to come by a pipe; False where there is no head or it is told already."""
-        if self._head is None or self._answer is None or self._answer.done():
+    def start_forwarding(self) -> bool:
+        """Hands over the response now, the rest of its body by a pipe; False if there is no head or it was handed over
+        before.
+        """
+        if self._head is None or self._response is None or self._response.done():
             return False
         self._pipe = self._head.rest = BodyPipe(self._budget)
-        self.passed = asyncio.get_running_loop().create_future()
-        self._head.body = b"".join(self._held)
-        self._answer.set_result(self._head)
+        self.forwarded = asyncio.get_running_loop().create_future()
+        self._head.body = b"".join(self._buffered)
+        self._response.set_result(self._head)
         return True
 
-    def _done(self, message: http1.Message) -> None:
+    def _complete(self, message: http1.Message) -> None:
         if self._pipe is not None:
             self._pipe.end()
             self._pipe = None
-            if self.passed is not None and not self.passed.done():
-                self.passed.set_result(True)
-        elif self._answer is not None and not self._answer.done():
-            message.body = b"".join(self._held)
+            self._finish_forwarding(complete=True)
+        elif self._response is not None and not self._response.done():
+            message.body = b"".join(self._buffered)
             message.length = len(message.body)
-            self._answer.set_result(message)
-        self._head, self._size = None, 0
-        self._held.clear()
+            self._response.set_result(message)
+        self._head = None
+        self._buffered_bytes = 0
+        self._buffered.clear()
+
+    def _finish_forwarding(self, complete: bool) -> None:
+        if self.forwarded is not None and not self.forwarded.done():
+            self.forwarded.set_result(complete)
 
     def close(self) -> None:
-        """An answer that is not whole by now will not be: what is there of it must not pass for one."""
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_result(None)
+        """Closes the connection; a response that is incomplete by now counts as none, or as truncated."""
+        if self._response is not None and not self._response.done():
+            self._response.set_result(None)
         if self._pipe is not None:
             self._pipe.cut()
             self._pipe = None
-        if self.passed is not None and not self.passed.done():
-            self.passed.set_result(False)
+        self._finish_forwarding(complete=False)
         self.stream.close()
 
-    def _time(self, wait: float) -> None:
-        self._untime()
-        self._timer = IOLoop.current().call_later(wait, self.close)
+    def _start_timer(self, delay_s: float) -> None:
+        self._cancel_timer()
+        self._timer = IOLoop.current().call_later(delay_s, self.close)
 
-    def _untime(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             IOLoop.current().remove_timeout(self._timer)
             self._timer = None
 
-    def expect(self) -> asyncio.Future[http1.Message | None]:
-        """The next response, whole or begun; None if the connection ends without one."""
-        self._answer = asyncio.get_running_loop().create_future()
-        self.passed = None
-        return self._answer
+    def expect_response(self) -> asyncio.Future[http1.Message | None]:
+        """The next response, complete or being forwarded; None if the connection ends without one."""
+        self._response = asyncio.get_running_loop().create_future()
+        self.forwarded = None
+        return self._response
 
-    def clean(self) -> bool:
-        """Still open and nothing unread, not even in the kernel: it would pass for the next call's answer."""
-        if self.stream.closed() or (self._reading is not None and self._reading.done()):
+    def is_clean(self) -> bool:
+        """Whether it is open with nothing unread, even in the kernel: that would pass for the next response."""
+        if self.stream.closed() or (self._pending_read is not None and self._pending_read.done()):
             return False
         try:
             self.stream.socket.recv(1, socket.MSG_PEEK)
@@ -174,9 +188,10 @@
             pass
         return False
 
-    def reaches(self, endpoint: DiscoveredEndpoint) -> bool:
-        """Whether it leads to the process that the list tells of: one that has started anew resets what is written."""
-        return (self.address, self.since_ms) == (endpoint.address, endpoint.started_ms)
+    def is_connected_to(self, endpoint: DiscoveredEndpoint) -> bool:
+        """Whether it leads to the listed process: the connections of an earlier one are reset."""
+        return (self.address, self.endpoint_started_ms) == (endpoint.address, endpoint.started_ms)
 
-    def reusable(self, response: http1.Message) -> bool:
+    def is_reusable(self, response: http1.Message) -> bool:
+        """Whether another request may be sent after `response`."""
         return response.keep_alive and self._parser.idle and not self.stream.closed()
--- a/limenotch/net/endpoint_pool.py
+++ b/limenotch/net/endpoint_pool.py
@@ -103,7 +103,7 @@
         for name in names:
             provider = self._usable(name)
             for connection in list(self._idle.get(name, ())):
-                if provider is None or not connection.reaches(provider):
+                if provider is None or not connection.is_connected_to(provider):
                     connection.close()
 
     # Invoker calls
@@ -125,7 +125,7 @@
             ending is AttemptEnding.TIMED_OUT
             and connection is not None
             and connection.may_be_long
-            and connection.pass_on()
+            and connection.start_forwarding()
         ):
             return  # its time is that of its first bytes, and they are there
         self._cut.setdefault(invoker_call, ending)
@@ -170,13 +170,13 @@
             if not self._admits(invoker_call):
                 return self._unsent(invoker_call, AttemptEnding.NOT_SENT), None
             invoker_call.sent_at = monotonic()
-            answer = connection.expect()
+            answer = connection.expect_response()
             written = await self._write(invoker_call, connection, answer)
             response = await answer
             if response is not None and response.rest is not None:
                 # A long one: passed on if it is the call's answer. No time limit cuts what it still gives.
                 self._unlimit(invoker_call)
-                passed = connection.passed
+                passed = connection.forwarded
                 if response.status != 200:
                     return attempt_ending(response), response
                 if passed is None or not self._calls.response_started(
@@ -291,7 +291,7 @@
             return None
         finally:
             self._loop.remove_timeout(timer)
-        if not connection.clean():  # what has come already answers no request of ours
+        if not connection.is_clean():  # what has come already answers no request of ours
             connection.close()
             return None
         task = asyncio.get_running_loop().create_task(connection.read())
@@ -310,7 +310,7 @@
             if connection.idle_since > rested_before:
                 continue
             self._not_idle(connection)
-            if connection.clean():
+            if connection.is_clean():
                 return connection
             connection.close()
         return None
@@ -328,30 +328,30 @@
         connection = EndpointConnection(
             stream, provider.name, provider.address, self._tuning.answer_s, self._tuning.stall_s, self._budget
         )
-        connection.since_ms = provider.started_ms
+        connection.endpoint_started_ms = provider.started_ms
         stream.set_close_callback(lambda: self._closed(connection))
         return connection
 
     def _release(self, connection: EndpointConnection, response: http1.Message | None) -> None:
         """Back to the idle ones if the exchange left it clean, else closed."""
-        endpoint = self._usable(connection.provider)
-        wanted = endpoint is not None and connection.reaches(endpoint)
-        if response is None or not wanted or not connection.reusable(response):
+        endpoint = self._usable(connection.endpoint_name)
+        wanted = endpoint is not None and connection.is_connected_to(endpoint)
+        if response is None or not wanted or not connection.is_reusable(response):
             connection.close()
             return
         connection.idle_since = monotonic()
         connection.idle_timer = self._loop.call_later(self._idle_s, connection.close)
-        self._idle.setdefault(connection.provider, []).append(connection)
+        self._idle.setdefault(connection.endpoint_name, []).append(connection)
         self._sockets.idle += 1
 
     def _not_idle(self, connection: EndpointConnection) -> None:
-        idle = self._idle.get(connection.provider, [])
+        idle = self._idle.get(connection.endpoint_name, [])
         if connection in idle:
             idle.remove(connection)
             self._sockets.idle -= 1
             self._loop.remove_timeout(connection.idle_timer)
             if not idle:
-                del self._idle[connection.provider]
+                del self._idle[connection.endpoint_name]
 
     def _closed(self, connection: EndpointConnection) -> None:
         """The one place where a connection's descriptor is given back."""
--- a/limenotch/net/response_outcome.py
+++ b/limenotch/net/response_outcome.py
@@ -1,16 +1,17 @@
-"""What an endpoint's answer says: how the attempt ended, and how loaded the endpoint is."""
+"""What an endpoint's response says: how the attempt ended, and the endpoint's load."""
 
 from __future__ import annotations
 
 from ..load_balancer import AttemptEnding
 from . import http1
 
-# No busy share of its cores is more, noise included, and no endpoint of one process serves more a second.
-MOST_REPORTED = {b"util": 4.0, b"qps": 1e6}
+# By metric of the load report: the largest plausible value. Utilization is a part of the endpoint's cores, noise
+# included; requests per second are those of an endpoint of one process.
+MAX_REPORTED = {b"util": 4.0, b"qps": 1e6}
 
 
 def attempt_ending(response: http1.Message) -> AttemptEnding:
-    """Only a response marked as rejected says that the call never ran."""
+    """How the attempt ended; only a response marked as rejected says that the request never ran."""
     if response.status == 200:
         return AttemptEnding.SERVED
     if response.status in (503, 504) and response.fields.get(b"x-rejected") == b"1":
@@ -19,19 +20,20 @@
 
 
 def load_report(report: bytes) -> tuple[float | None, float | None]:
-    """`util` and `qps` of a load report; None for what is missing or out of any range.
+    """Utilization (of its cores) and requests per second in an `X-Load-Report`; None for what is missing.
 
-    A report that is malformed in one of them is spoilt: neither counts.
+    If one of them is malformed or out of range, neither counts.
     """
-    found: dict[bytes, float] = {}
+    reported: dict[bytes, float] = {}
     for pair in report.removeprefix(b"TEXT ").split(b","):
         name, _, value = pair.strip().partition(b"=")
-        if name in MOST_REPORTED:
-            try:
-                number = float(value)
-            except ValueError:
-                return None, None
-            if not 0.0 <= number <= MOST_REPORTED[name]:
-                return None, None
-            found[name] = number
-    return found.get(b"util"), found.get(b"qps")
+        if name not in MAX_REPORTED:
+            continue
+        try:
+            number = float(value)
+        except ValueError:
+            return None, None
+        if not 0.0 <= number <= MAX_REPORTED[name]:
+            return None, None
+        reported[name] = number
+    return reported.get(b"util"), reported.get(b"qps")
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -109,9 +109,9 @@
     out = any(begun and ending is None for ending, begun, *_ in history)
     may = allowed_by_the_pages(cls, ran, now * 1000.0 + ARRIVAL_MS, "a", 1)
     if out and (not copies or cls.effect is Effect.AT_MOST_ONCE):
-        assert found is Obstacle.ANOTHER_OUT
+        assert found is Obstacle.ANOTHER_IN_FLIGHT
     else:
-        assert found is (None if may else Obstacle.MAY_HAVE_RUN)
+        assert found is (None if may else Obstacle.RETRY_NOT_ALLOWED)
 
 
 SAFE = TrafficClass("c", Effect.IDEMPOTENT, 100.0, 1000.0)
@@ -124,8 +124,8 @@
     assert obstacle_to(gone, CHOSEN, 1.0) is Obstacle.CLIENT_GONE
     over = attempt_of(call_of(SAFE))
     over.ended = True
-    assert obstacle_to(over, CHOSEN, 1.0) is Obstacle.ENDED
-    assert obstacle_to(attempt_of(call_of(SAFE)), CHOSEN, 90.0) is Obstacle.NO_TIME
+    assert obstacle_to(over, CHOSEN, 1.0) is Obstacle.ATTEMPT_ENDED
+    assert obstacle_to(attempt_of(call_of(SAFE)), CHOSEN, 90.0) is Obstacle.DEADLINE_PASSED
     assert obstacle_to(attempt_of(call_of(SAFE)), None, 1.0) is Obstacle.NOT_IN_SERVICE
     for changed in (CHOSEN._replace(started_ms=6.0), CHOSEN._replace(address=("127.0.0.1", 2))):
         assert obstacle_to(attempt_of(call_of(SAFE)), changed, 1.0) is Obstacle.RESTARTED
@@ -134,7 +134,7 @@
 def test_a_run_elsewhere_counts_as_an_earlier_attempt() -> None:
     once = call_of(replace(SAFE, effect=Effect.AT_MOST_ONCE))
     once.ran_elsewhere = SentAttempt("a", 1, 0.0)
-    assert obstacle_to(attempt_of(once), CHOSEN, 1.0) is Obstacle.MAY_HAVE_RUN
+    assert obstacle_to(attempt_of(once), CHOSEN, 1.0) is Obstacle.RETRY_NOT_ALLOWED
 
 
 def test_without_a_class_nothing_goes_out_twice() -> None:
@@ -142,7 +142,7 @@
     first = attempt_of(call)
     assert obstacle_to(first, CHOSEN, 1.0) is None
     first.sent_at, first.ended, first.ending = 1.0, True, AttemptEnding.RESET
-    assert obstacle_to(attempt_of(call), CHOSEN, 2.0) is Obstacle.MAY_HAVE_RUN
+    assert obstacle_to(attempt_of(call), CHOSEN, 2.0) is Obstacle.RETRY_NOT_ALLOWED
 
 
 # Names
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -398,11 +398,11 @@
         connection = EndpointConnection(IOStream(ours), "a", ("127.0.0.1", 1))
         reading = asyncio.create_task(connection.read())
         await asyncio.sleep(0)
-        assert connection.clean()
+        assert connection.is_clean()
         theirs.send(b"H")
-        assert not connection.clean()
+        assert not connection.is_clean()
         await reading
-        assert not connection.clean()
+        assert not connection.is_clean()
 
     run(case())
 
@@ -416,6 +416,6 @@
         connection = EndpointConnection(IOStream(ours), "a", ("127.0.0.1", 1))
         theirs.close()
         await connection.read()
-        assert not connection.reusable(http1.Message([], {}, status=200))
+        assert not connection.is_reusable(http1.Message([], {}, status=200))
 
     run(case())
