--- a/limenotch/net/endpoint_pool.py
+++ b/limenotch/net/endpoint_pool.py
@@ -1,13 +1,13 @@
-"""Providers: connections to them, and the invoker calls that these carry."""
+"""The pool of connections to endpoints, and the attempts that are sent over them."""
 
 from __future__ import annotations
 
 import asyncio
 import math
 import socket
-from collections.abc import Iterable, Iterator
+from collections.abc import Coroutine, Iterable, Iterator
 from time import monotonic
-from typing import Any
+from typing import Any, NamedTuple
 
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
@@ -25,318 +25,369 @@
 log = logs.get(__name__)
 
 
+class _Outcome(NamedTuple):
+    """Of an exchange on a connection."""
+
+    ending: AttemptEnding
+    response: http1.Message | None = None
+    complete: bool = False  # request and response were transferred to their last byte
+
+
 class EndpointPool:
-    """Owns the connections to providers and makes invoker calls over them."""
+    """Owns the connections to endpoints and sends attempts over them."""
 
     def __init__(
         self,
-        calls: RequestManager,
+        requests: RequestManager,
         sockets: DescriptorQuota,
         connect_ms: float,
         idle_ms: float,
         tuning: settings.EndpointSettings = settings.EndpointSettings(),  # noqa: B008 (frozen)
         budget: BufferBudget | None = None,
     ) -> None:
-        """`idle_ms` is the provider's own idle time, of which `tuning.idle_part` is used: a request that crosses the
-        provider's closing ends in a reset, after which only calls that are safe to repeat can go out again.
+        """`idle_ms` is the endpoint's own idle timeout, of which the part `tuning.idle_part` is used: a request sent
+        while the endpoint closes the connection ends in a reset, after which only idempotent requests can be retried.
         """
-        self._calls, self._sockets, self._tuning = calls, sockets, tuning
+        self._requests = requests
+        self._sockets = sockets
+        self._tuning = tuning
         self._budget = budget or BufferBudget(MAX_BUFFER)
         self._idle_part = tuning.idle_part
         self.set_timeouts(connect_ms, idle_ms)
         self._loop = IOLoop.current()
         self._listed: dict[str, DiscoveredEndpoint] = {}
-        self._banned: set[str] = set()  # by hand, listed or not
+        self._ejected: set[str] = set()  # by an operator, listed or not
         self._idle: dict[str, list[EndpointConnection]] = {}
-        self._used: dict[Attempt, EndpointConnection] = {}  # of those that have one now
+        self._used: dict[Attempt, EndpointConnection] = {}  # of attempts that have a connection now
         self._timers: dict[Attempt, object] = {}
-        self._cut: dict[Attempt, AttemptEnding] = {}  # those that end at our wish, and as what
+        self._cut: dict[Attempt, AttemptEnding] = {}  # attempts ended from this side, and how
         self._trace = logs.tracing()
         self._tasks: set[asyncio.Task[None]] = set()
         sockets.drop_idle = self._drop_oldest
 
     def set_timeouts(self, connect_ms: float, idle_ms: float) -> None:
-        """Also under way: a wait that has begun keeps its end."""
-        self._connect_s, self._idle_s = connect_ms / 1000.0, idle_ms * self._idle_part / 1000.0
+        """Changes the timeouts (ms) from now on; those already running are kept."""
+        self._connect_s = connect_ms / 1000.0
+        self._idle_s = idle_ms * self._idle_part / 1000.0
+
+    # The endpoint list
 
-    # The directory's list
+    def apply_list(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
+        """Applies a list, or changes if it is not `complete`, in time linear in its length.
 
-    def apply_list(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
-        """What the directory told; to be called before the facade hears of it. The cost follows what it tells."""
-        if whole:
+        To be called before the load balancer gets it, which may send attempts to a new endpoint at once.
+        """
+        if complete:
             self._listed.clear()
         names = list[str]()
-        for provider in providers:
-            names.append(provider.name)
-            if provider.status is DiscoveryStatus.TERMINATED:
-                self._listed.pop(provider.name, None)
+        for endpoint in endpoints:
+            names.append(endpoint.name)
+            if endpoint.status is DiscoveryStatus.TERMINATED:
+                self._listed.pop(endpoint.name, None)
             else:
-                self._listed[provider.name] = provider
-        self._drop_unusable(list(self._idle) if whole else names)
+                self._listed[endpoint.name] = endpoint
+        self._drop_unusable(list(self._idle) if complete else names)
 
     def knows(self, name: str) -> bool:
-        """Whether the directory lists it."""
+        """Whether the endpoint is listed."""
         return name in self._listed
 
     def __iter__(self) -> Iterator[DiscoveredEndpoint]:
+        """The listed endpoints."""
         return iter(list(self._listed.values()))
 
     def __len__(self) -> int:
         """How many are listed."""
         return len(self._listed)
 
-    def set_ejected(self, name: str, out: bool) -> None:
-        """Taken out by hand, or let back; to be called before the facade hears of it."""
-        if out:
-            self._banned.add(name)
+    def set_ejected(self, name: str, ejected: bool) -> None:
+        """An operator's ejection, or its end; to be called before the load balancer gets it."""
+        if ejected:
+            self._ejected.add(name)
         else:
-            self._banned.discard(name)
+            self._ejected.discard(name)
         self._drop_unusable([name])
 
     def _usable(self, name: str) -> DiscoveredEndpoint | None:
-        """The one of that name, if anything new may be sent to it now."""
-        provider = self._listed.get(name)
-        return provider if provider is not None and provider.accepts_requests and name not in self._banned else None
+        """The endpoint, if new attempts may be sent to it now."""
+        endpoint = self._listed.get(name)
+        if endpoint is None or not endpoint.accepts_requests or name in self._ejected:
+            return None
+        return endpoint
 
     def _drop_unusable(self, names: Iterable[str]) -> None:
-        """Idle connections to those of these names that take nothing new, or not where they lead to."""
+        """Closes idle connections to those of these endpoints that are not usable or have restarted."""
         for name in names:
-            provider = self._usable(name)
+            endpoint = self._usable(name)
             for connection in list(self._idle.get(name, ())):
-                if provider is None or not connection.is_connected_to(provider):
+                if endpoint is None or not connection.is_connected_to(endpoint):
                     connection.close()
 
-    # Invoker calls
+    # Attempts
 
-    def start(self, invoker_call: Attempt) -> None:
-        task = asyncio.get_running_loop().create_task(self._run(invoker_call))
+    def start(self, attempt: Attempt) -> None:
+        """Sends the attempt; its end is reported once, by `RequestManager.attempt_ended`, and not before it returns."""
+        self._start_task(self._run(attempt))
+
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)  # the loop itself holds tasks by weak references only
         task.add_done_callback(self._tasks.discard)
 
-    def cancel(self, invoker_call: Attempt) -> None:
-        self._cut_off(invoker_call, AttemptEnding.CANCELLED)
+    def cancel(self, attempt: Attempt) -> None:
+        """Ends the attempt, which is then reported as cancelled unless it ends otherwise first."""
+        self._cut_off(attempt, AttemptEnding.CANCELLED)
 
-    def _cut_off(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
-        """Ends it by closing its connection, which is how providers learn of it."""
-        if invoker_call.ended:
+    def _cut_off(self, attempt: Attempt, ending: AttemptEnding) -> None:
+        """Ends the attempt by closing its connection, which is how the endpoint notices."""
+        if attempt.ended:
             return
-        connection = self._used.get(invoker_call)
+        connection = self._used.get(attempt)
         if (
             ending is AttemptEnding.TIMED_OUT
             and connection is not None
             and connection.may_be_long
             and connection.start_forwarding()
         ):
-            return  # its time is that of its first bytes, and they are there
-        self._cut.setdefault(invoker_call, ending)
+            return  # the deadline is that of its head, which was received
+        self._cut.setdefault(attempt, ending)
         if connection is not None:
             connection.close()
 
-    async def _run(self, invoker_call: Attempt) -> None:
-        self._limit(invoker_call)
-        ending, response = AttemptEnding.RESET, None
+    async def _run(self, attempt: Attempt) -> None:
+        self._start_deadline(attempt)
+        ending = AttemptEnding.RESET
+        response = None
         try:
-            ending, response = await self._exchange(invoker_call)
+            ending, response = await self._exchange(attempt)
         except Exception:
-            name = invoker_call.request.request_id.decode("latin-1")
-            log.exception("fault in an invoker call", call=name, provider=invoker_call.endpoint_name)
+            name = attempt.request.request_id.decode("latin-1")
+            log.exception("fault in an attempt", request=name, endpoint=attempt.endpoint_name)
         finally:
-            self._unlimit(invoker_call)
-            self._used.pop(invoker_call, None)
-            self._cut.pop(invoker_call, None)
-            report = load_report(response.fields.get(b"x-load-report", b"")) if response is not None else (None, None)
-            self._calls.attempt_ended(invoker_call, ending, response, *report)
-
-    def _limit(self, invoker_call: Attempt) -> None:
-        """Its time runs, if it has an end yet."""
-        if invoker_call.deadline < math.inf:
-            wait = max(invoker_call.deadline - monotonic(), 0.0)
-            timer = self._loop.call_later(wait, self._cut_off, invoker_call, AttemptEnding.TIMED_OUT)
-            self._timers[invoker_call] = timer
-
-    def _unlimit(self, invoker_call: Attempt) -> None:
-        timer = self._timers.pop(invoker_call, None)
+            self._cancel_deadline(attempt)
+            self._used.pop(attempt, None)
+            self._cut.pop(attempt, None)
+            load = _load_of(response) if response is not None else (None, None)
+            self._requests.attempt_ended(attempt, ending, response, *load)
+
+    def _start_deadline(self, attempt: Attempt) -> None:
+        """Starts the timer of its deadline, if it has one yet."""
+        if attempt.deadline < math.inf:
+            delay_s = max(attempt.deadline - monotonic(), 0.0)
+            timer = self._loop.call_later(delay_s, self._cut_off, attempt, AttemptEnding.TIMED_OUT)
+            self._timers[attempt] = timer
+
+    def _cancel_deadline(self, attempt: Attempt) -> None:
+        timer = self._timers.pop(attempt, None)
         if timer is not None:
             self._loop.remove_timeout(timer)
 
-    async def _exchange(self, invoker_call: Attempt) -> tuple[AttemptEnding, http1.Message | None]:
-        connection = await self._connection(invoker_call)
+    async def _exchange(self, attempt: Attempt) -> tuple[AttemptEnding, http1.Message | None]:
+        connection = await self._acquire_connection(attempt)
         if connection is None:
-            return self._unsent(invoker_call, AttemptEnding.CONNECT_FAILED), None
-        response, whole = None, False
+            return self._unsent_ending(attempt, AttemptEnding.CONNECT_FAILED), None
+        outcome = None
         try:
-            # Getting a connection takes time in which the call may end or the provider begin to drain:
-            # nothing may be written then, or a drain is broken or a finished call runs.
-            if not self._admits(invoker_call):
-                return self._unsent(invoker_call, AttemptEnding.NOT_SENT), None
-            invoker_call.sent_at = monotonic()
-            answer = connection.expect_response()
-            written = await self._write(invoker_call, connection, answer)
-            response = await answer
-            if response is not None and response.rest is not None:
-                # A long one: passed on if it is the call's answer. No time limit cuts what it still gives.
-                self._unlimit(invoker_call)
-                passed = connection.forwarded
-                if response.status != 200:
-                    return attempt_ending(response), response
-                if passed is None or not self._calls.response_started(
-                    invoker_call, response, *load_report(response.fields.get(b"x-load-report", b""))
-                ):
-                    return AttemptEnding.CANCELLED, None
-                whole = await passed
-                cut = self._cut.get(invoker_call, AttemptEnding.RESET)
-                return (AttemptEnding.SERVED if whole else cut), response
-            if response is not None:
-                whole = written
-                return attempt_ending(response), response
-            if invoker_call in self._cut:
-                return self._cut[invoker_call], None
-            return (AttemptEnding.RESET if written else AttemptEnding.CONNECT_FAILED), None
+            outcome = await self._exchange_on(connection, attempt)
+            return outcome.ending, outcome.response
         finally:
-            self._used.pop(invoker_call, None)
-            self._release(connection, response if whole else None)
-
-    async def _write(
-        self, invoker_call: Attempt, connection: EndpointConnection, answer: asyncio.Future[http1.Message | None]
+            self._used.pop(attempt, None)
+            self._release(connection, outcome.response if outcome is not None and outcome.complete else None)
+
+    async def _exchange_on(self, connection: EndpointConnection, attempt: Attempt) -> _Outcome:
+        # While the connection was acquired the request may have ended or the endpoint begun to drain: nothing may be
+        # sent then.
+        if not self._may_send(attempt):
+            return _Outcome(self._unsent_ending(attempt, AttemptEnding.NOT_SENT))
+        attempt.sent_at = monotonic()
+        pending_response = connection.expect_response()
+        written = await self._send_request(attempt, connection, pending_response)
+        response = await pending_response
+        if response is None:
+            reset = AttemptEnding.RESET if written else AttemptEnding.CONNECT_FAILED
+            return _Outcome(self._cut.get(attempt, reset))
+        if response.rest is not None:
+            return await self._forward_response(attempt, connection, response)
+        return _Outcome(attempt_ending(response), response, complete=written)
+
+    async def _forward_response(
+        self, attempt: Attempt, connection: EndpointConnection, response: http1.Message
+    ) -> _Outcome:
+        """Forwards a long response if it is the final one of its request. No deadline applies to the rest of it."""
+        self._cancel_deadline(attempt)
+        forwarded = connection.forwarded
+        if response.status != 200:
+            return _Outcome(attempt_ending(response), response)
+        if forwarded is None or not self._requests.response_started(attempt, response, *_load_of(response)):
+            return _Outcome(AttemptEnding.CANCELLED)
+        if await forwarded:
+            return _Outcome(AttemptEnding.SERVED, response, complete=True)
+        return _Outcome(self._cut.get(attempt, AttemptEnding.RESET), response)
+
+    async def _send_request(
+        self, attempt: Attempt, connection: EndpointConnection, pending_response: asyncio.Future[http1.Message | None]
     ) -> bool:
-        """Whether the request was written to its last byte: an answer, or the end, may come before that."""
-        rest = invoker_call.request.body_pipe
+        """Whether the request was sent to its last byte: a response, or the end, may be received before that."""
+        body_pipe = attempt.request.body_pipe
         try:
-            await connection.stream.write(self._request(invoker_call))
-            if rest is not None:
-                upload = asyncio.ensure_future(self._upload(invoker_call, connection, rest))
-                either: list[asyncio.Future[Any]] = [upload, answer]
-                await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
-                if not upload.done():
-                    upload.cancel()
-                    await asyncio.wait([upload])
-                    return False
-                await upload
-                self._calls.upload_finished(invoker_call)
-                self._limit(invoker_call)
+            await connection.stream.write(self._encode_request(attempt))
+            if body_pipe is not None and not await self._upload(attempt, connection, body_pipe, pending_response):
+                return False
         except StreamClosedError:
             return False
-        except BrokenError:  # the consumer's end of it: nothing comes that could end this otherwise
+        except BrokenError:  # the client ended the body: no response will end the exchange
             connection.close()
             return False
-        self._calls.metrics.count_sent(invoker_call.request.class_name)
+        self._requests.metrics.count_sent(attempt.request.class_name)
+        return True
+
+    async def _upload(
+        self,
+        attempt: Attempt,
+        connection: EndpointConnection,
+        body_pipe: BodyPipe,
+        pending_response: asyncio.Future[http1.Message | None],
+    ) -> bool:
+        """Whether the rest of a long request was sent before its response was received.
+
+        Raises StreamClosedError, or BrokenError if the client ended the body.
+        """
+        upload = asyncio.ensure_future(self._write_body(attempt, connection, body_pipe))
+        either: list[asyncio.Future[Any]] = [upload, pending_response]
+        try:
+            await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
+        finally:
+            upload.cancel()  # if it is not done
+        if not upload.done():
+            await asyncio.wait([upload])
+            return False
+        await upload
+        self._requests.upload_finished(attempt)
+        self._start_deadline(attempt)
         return True
 
-    async def _upload(self, invoker_call: Attempt, connection: EndpointConnection, rest: BodyPipe) -> None:
-        """The rest of a long request, as it comes. A provider that does not read ends it."""
-        stream, framed = connection.stream, invoker_call.request.payload.length is None
-        while piece := await rest.get():
-            written = stream.write(http1.chunk(piece) if framed else piece)
+    async def _write_body(self, attempt: Attempt, connection: EndpointConnection, body_pipe: BodyPipe) -> None:
+        """Sends the body as it is received; closes the connection if the endpoint does not read for `stall_s`."""
+        stream = connection.stream
+        chunked = attempt.request.payload.length is None
+        while piece := await body_pipe.get():
+            written = stream.write(http1.chunk(piece) if chunked else piece)
             timer = self._loop.call_later(self._tuning.stall_s, stream.close)
             try:
                 await written
             finally:
                 self._loop.remove_timeout(timer)
-        if framed:
+        if chunked:
             await stream.write(http1.LAST_CHUNK)
 
-    def _admits(self, invoker_call: Attempt) -> bool:
-        """Whether its first byte may be written now."""
-        if invoker_call in self._cut:
+    def _may_send(self, attempt: Attempt) -> bool:
+        """Whether its first byte may be sent now."""
+        if attempt in self._cut:
             return False
-        endpoint = self._usable(invoker_call.endpoint_name)
-        hindrance = attempt_check.obstacle_to(invoker_call, endpoint, monotonic())
-        if hindrance is not None and self._trace:
+        endpoint = self._usable(attempt.endpoint_name)
+        obstacle = attempt_check.obstacle_to(attempt, endpoint, monotonic())
+        if obstacle is not None and self._trace:
             log.debug(
                 "not sent",
-                call=invoker_call.request.number,
-                provider=invoker_call.endpoint_name,
-                reason=hindrance.value,
+                call=attempt.request.number,
+                provider=attempt.endpoint_name,
+                reason=obstacle.value,
             )
-        return hindrance is None
+        return obstacle is None
 
-    def _unsent(self, invoker_call: Attempt, else_: AttemptEnding) -> AttemptEnding:
-        """What ended it before its first byte: one whose time is over then was never sent."""
-        ending = self._cut.get(invoker_call, else_)
+    def _unsent_ending(self, attempt: Attempt, default: AttemptEnding) -> AttemptEnding:
+        """How an attempt ended before its first byte; one that timed out was not sent."""
+        ending = self._cut.get(attempt, default)
         return AttemptEnding.NOT_SENT if ending is AttemptEnding.TIMED_OUT else ending
 
-    def _request(self, invoker_call: Attempt) -> bytes:
-        message: http1.Message = invoker_call.request.payload
-        left_us = max(int(min(invoker_call.deadline - monotonic(), invoker_call.request.budget_left_s) * 1e6), 1)
+    def _encode_request(self, attempt: Attempt) -> bytes:
+        """The request with the time left as `X-Budget` in microseconds; of a long one, what was received so far."""
+        message: http1.Message = attempt.request.payload
+        left_us = max(int(min(attempt.deadline - monotonic(), attempt.request.budget_left_s) * 1e6), 1)
         headers = [pair for pair in message.end_to_end() if pair[0].lower() != b"x-budget"]
         headers.append((b"X-Budget", b"%du" % left_us))
         if message.rest is None:
             return http1.write_request(message.method, message.target, headers, message.body)
-        held = message.body if message.length is not None else http1.chunk(message.body)
-        return http1.request_head(message.method, message.target, headers, message.length) + held
+        body = message.body if message.length is not None else http1.chunk(message.body)
+        return http1.request_head(message.method, message.target, headers, message.length) + body
 
     # Connections
 
-    async def _connection(self, invoker_call: Attempt) -> EndpointConnection | None:
+    async def _acquire_connection(self, attempt: Attempt) -> EndpointConnection | None:
         """An idle connection or a new one; None if there is none in time."""
-        provider = invoker_call.endpoint = self._usable(invoker_call.endpoint_name)
-        if provider is None or not self._admits(invoker_call):
-            self._cut.setdefault(invoker_call, AttemptEnding.NOT_SENT)
+        endpoint = attempt.endpoint = self._usable(attempt.endpoint_name)
+        if endpoint is None or not self._may_send(attempt):
+            self._cut.setdefault(attempt, AttemptEnding.NOT_SENT)
             return None
-        connection = self._settled(provider)
+        connection = self._take_settled(endpoint)
         if connection is not None:
-            self._used[invoker_call] = connection
+            self._used[attempt] = connection
             return connection
-        opened = self._open(provider) if self._sockets.take() else None
-        if opened is None:
-            self._cut.setdefault(invoker_call, AttemptEnding.NOT_SENT)
+        connection = self._open(endpoint) if self._sockets.take() else None
+        if connection is None:
+            self._cut.setdefault(attempt, AttemptEnding.NOT_SENT)
+            return None
+        self._used[attempt] = connection
+        if not await self._connect(connection, endpoint):
             return None
-        connection = opened
-        self._used[invoker_call], stream = connection, connection.stream
+        self._start_task(connection.read())
+        return connection
+
+    async def _connect(self, connection: EndpointConnection, endpoint: DiscoveredEndpoint) -> bool:
+        """Whether the connection was established in time; it is closed else."""
+        stream = connection.stream
         timer = self._loop.call_later(self._connect_s, stream.close)
         try:
-            await stream.connect(provider.address)
+            await stream.connect(endpoint.address)
         except (StreamClosedError, OSError):
             stream.close()
-            return None
+            return False
         finally:
             self._loop.remove_timeout(timer)
-        if not connection.is_clean():  # what has come already answers no request of ours
+        if not connection.is_clean():  # bytes received already are no response to a request of ours
             connection.close()
-            return None
-        task = asyncio.get_running_loop().create_task(connection.read())
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-        return connection
+            return False
+        return True
 
-    def _settled(self, endpoint: DiscoveredEndpoint) -> EndpointConnection | None:
-        """The latest used of those that have rested for long enough, so that the others get to be closed.
+    def _take_settled(self, endpoint: DiscoveredEndpoint) -> EndpointConnection | None:
+        """The last used connection of those idle for `settle_s`, so that the others reach their idle timeout.
 
-        An endpoint in trouble may answer a second time: right after the first answer nobody can tell whether what comes
-        is that or the next request's answer. Where no connection has rested yet, a new one is opened.
+        A faulty endpoint may respond twice: right after the first response nobody can tell whether more bytes are that
+        or the next request's response. Where no connection has been idle for so long, a new one is opened.
         """
-        rested_before = monotonic() - self._tuning.settle_s
+        idle_before = monotonic() - self._tuning.settle_s
         for connection in reversed(self._idle.get(endpoint.name, [])[:]):
-            if connection.idle_since > rested_before:
+            if connection.idle_since > idle_before:
                 continue
-            self._not_idle(connection)
+            self._remove_idle(connection)
             if connection.is_clean():
                 return connection
             connection.close()
         return None
 
-    def _open(self, provider: DiscoveredEndpoint) -> EndpointConnection | None:
-        family = socket.AF_INET6 if ":" in provider.address[0] else socket.AF_INET
+    def _open(self, endpoint: DiscoveredEndpoint) -> EndpointConnection | None:
+        """A connection that is not connected yet; None, and its descriptor given back, if no socket can be had."""
+        family = socket.AF_INET6 if ":" in endpoint.address[0] else socket.AF_INET
         try:
             sock = socket.socket(family, socket.SOCK_STREAM)
-        except OSError as error:  # no descriptor left after all: nothing was sent, so nothing can have run
-            log.warning("no descriptor", provider=provider.name, error=str(error))
+        except OSError as error:  # no descriptor left in spite of the quota: the request was not sent
+            log.warning("no descriptor", endpoint=endpoint.name, error=str(error))
             self._sockets.give_back()
             return None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = IOStream(sock, max_buffer_size=MAX_BUFFER)
         connection = EndpointConnection(
-            stream, provider.name, provider.address, self._tuning.answer_s, self._tuning.stall_s, self._budget
+            stream, endpoint.name, endpoint.address, self._tuning.answer_s, self._tuning.stall_s, self._budget
         )
-        connection.endpoint_started_ms = provider.started_ms
-        stream.set_close_callback(lambda: self._closed(connection))
+        connection.endpoint_started_ms = endpoint.started_ms
+        stream.set_close_callback(lambda: self._on_closed(connection))
         return connection
 
     def _release(self, connection: EndpointConnection, response: http1.Message | None) -> None:
-        """Back to the idle ones if the exchange left it clean, else closed."""
+        """Makes the connection idle after a complete `response` if it can be reused, and closes it otherwise."""
         endpoint = self._usable(connection.endpoint_name)
-        wanted = endpoint is not None and connection.is_connected_to(endpoint)
-        if response is None or not wanted or not connection.is_reusable(response):
+        usable = endpoint is not None and connection.is_connected_to(endpoint)
+        if response is None or not usable or not connection.is_reusable(response):
             connection.close()
             return
         connection.idle_since = monotonic()
@@ -344,7 +395,7 @@
         self._idle.setdefault(connection.endpoint_name, []).append(connection)
         self._sockets.idle += 1
 
-    def _not_idle(self, connection: EndpointConnection) -> None:
+    def _remove_idle(self, connection: EndpointConnection) -> None:
         idle = self._idle.get(connection.endpoint_name, [])
         if connection in idle:
             idle.remove(connection)
@@ -353,16 +404,21 @@
             if not idle:
                 del self._idle[connection.endpoint_name]
 
-    def _closed(self, connection: EndpointConnection) -> None:
+    def _on_closed(self, connection: EndpointConnection) -> None:
         """The one place where a connection's descriptor is given back."""
-        self._not_idle(connection)
+        self._remove_idle(connection)
         self._sockets.give_back()
 
     def _drop_oldest(self) -> bool:
+        """Closes an idle connection, the oldest of its endpoint; False if there is none."""
         for idle in list(self._idle.values()):
             for connection in list(idle):
-                self._not_idle(connection)
+                self._remove_idle(connection)
                 if not connection.stream.closed():
                     connection.close()
                     return True
         return False
+
+
+def _load_of(response: http1.Message) -> tuple[float | None, float | None]:
+    return load_report(response.fields.get(b"x-load-report", b""))
