--- a/limenotch/fleet_adapters/replicated_notes.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -6,7 +6,7 @@
 
 from ..fleet.consensus.tuning import Tuning
 from ..fleet.replicated_notes import LATE_MS, Answer, ReplicatedNotes
-from ..net.admin.log import PREFIX, LogQueries, refused
+from ..net.admin.log import PREFIX, LogQueries, unavailable
 from .base import SPARE_S, FleetAdapter, NodeContext
 
 
@@ -17,7 +17,7 @@
         super().__init__()
         self._promises = ReplicatedNotes()
         self._promised = LogQueries(among.tell, (tuning.ask_ms + LATE_MS) / 1000.0 + SPARE_S)
-        self.hears = {Answer: self._promised.heed}
+        self.hears = {Answer: self._promised.handle_answer}
         self.paths = self._promised.paths
 
     def part(self, state: bytes | None, index: int) -> ReplicatedNotes:
@@ -28,4 +28,4 @@
         return {"kept": len(self._promises), "unreadable": self._promises.bad}
 
     def refuse(self, why: str) -> bytes:
-        return refused(why)
+        return unavailable(why)
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -60,7 +60,7 @@
         self.beside = self._late
         self._counting = PeriodicCallback(self._count, COUNT_S * 1000.0)
         ruled = RulesQueries(among.tell, tuning.ask_ms / 1000.0 + SPARE_S, self.figures)
-        self.hears = {Answer: ruled.heed, InForce: self._in_force, Narrow: self._narrow}
+        self.hears = {Answer: ruled.handle_answer, InForce: self._in_force, Narrow: self._narrow}
         self.paths = {RULES: ruled.answer}
 
     def follow(self, acting: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -150,7 +150,7 @@
         self._wallet: Wallet | None = None
         self._till = Till(tuning, self._look, parts)
         paid = WalletQueries(among.tell, tuning.ask_ms / 1000.0 + SPARE_S, self._till.pays)
-        self.hears = {Answer: paid.heed}
+        self.hears = {Answer: paid.handle_answer}
         self.paths = paid.paths
         self.beside = self._till
 
--- a/limenotch/net/admin/log.py
+++ b/limenotch/net/admin/log.py
@@ -46,11 +46,11 @@
 
     def __init__(self, tell: Callable[[ComponentEvent], None], within_s: float) -> None:
         self._asking: OperatorQueries[Answer] = OperatorQueries(tell, PREFIX, within_s)
-        self.heed = self._asking.heed
+        self.handle_answer = self._asking.handle_answer
         self.paths: dict[str, RequestHandler] = {PROMISES: self._promise, VOTERS: self._voters}
 
     async def _ask(self, what: str, *more: str | bytes) -> bytes:
-        said = await self._asking.ask(lambda ticket: Ask(ticket, what, *more))  # type: ignore[arg-type]
+        said = await self._asking.query(lambda ticket: Ask(ticket, what, *more))  # type: ignore[arg-type]
         answer = said or Answer(0, "unknown", "no answer in time")
         fields = [(b"Index", str(answer.index).encode())] if answer.index else []
         if answer.word == "listed":
@@ -82,7 +82,7 @@
         return await self._ask("voters", change.add, b"", change.remove)
 
 
-def refused(why: str) -> bytes:
+def unavailable(why: str) -> bytes:
     """Where the log is not there."""
     return _says(503, why)
 
--- a/limenotch/net/admin/queries.py
+++ b/limenotch/net/admin/queries.py
@@ -1,4 +1,4 @@
-"""Operators' calls for a part of the fleet: a question with a ticket, and the wait for its one answer."""
+"""Operators' requests to a component of the fleet node: a query with a ticket, and the wait for its one answer."""
 
 from __future__ import annotations
 
@@ -14,36 +14,46 @@
 
 
 class Ticketed(Protocol):
+    """An answer that names its query."""
+
     @property
-    def ticket(self) -> int: ...
+    def ticket(self) -> int:
+        """Of the query, unique within its component and process."""
+        ...
 
 
-A = TypeVar("A", bound=Ticketed)
+AnswerT = TypeVar("AnswerT", bound=Ticketed)
 
 
-class OperatorQueries(Generic[A]):
-    """Owns what waits for an answer; each question waits `within_s` at most. One loop's."""
+class OperatorQueries(Generic[AnswerT]):
+    """Owns the queries that wait for an answer. For use on one event loop."""
 
-    def __init__(self, tell: Callable[[ComponentEvent], None], prefix: str, within_s: float) -> None:
-        self._tell, self._prefix, self._within_s = tell, prefix, within_s
+    def __init__(self, send_event: Callable[[ComponentEvent], None], prefix: str, within_s: float) -> None:
+        """`prefix` names the component; a query waits `within_s` seconds for its answer."""
+        self._send_event = send_event
+        self._prefix = prefix
+        self._within_s = within_s
         self._tickets = count(1)
-        self._waiting: dict[int, asyncio.Future[A]] = {}
+        self._waiting: dict[int, asyncio.Future[AnswerT]] = {}
+
+    def handle_answer(self, answer: AnswerT) -> None:
+        """Passes the component's answer to its query; dropped if that no longer waits."""
+        waiting = self._waiting.pop(answer.ticket, None)
+        if waiting is not None and not waiting.done():
+            waiting.set_result(answer)
 
-    def heed(self, answer: A) -> None:
-        """The part's answer; one that nobody waits for any more is dropped."""
-        waits = self._waiting.pop(answer.ticket, None)
-        if waits is not None and not waits.done():
-            waits.set_result(answer)
+    async def query(self, make_event: Callable[[int], Any]) -> AnswerT | None:
+        """The answer to the component's event that `make_event` makes of a ticket.
 
-    async def ask(self, question: Callable[[int], Any]) -> A | None:
-        """`question` makes the part's event from a ticket. None: no answer, the fleet is off by a fault or goes."""
+        None: no answer in time; the fleet node may have failed or be shutting down.
+        """
         ticket = next(self._tickets)
-        waits: asyncio.Future[A] = asyncio.get_running_loop().create_future()
-        self._waiting[ticket] = waits
-        self._tell(ComponentEvent(self._prefix, question(ticket)))
+        waiting: asyncio.Future[AnswerT] = asyncio.get_running_loop().create_future()
+        self._waiting[ticket] = waiting
+        self._send_event(ComponentEvent(self._prefix, make_event(ticket)))
         try:
             async with asyncio.timeout(self._within_s):
-                return await waits
+                return await waiting
         except TimeoutError:
             return None
         finally:
@@ -51,7 +61,7 @@
 
 
 def json_response(status: int, body: Mapping[str, Any]) -> bytes:
-    """JSON, as a person reads it."""
-    kind = [(b"Content-Type", b"application/json")]
+    """A response of indented JSON that closes the connection."""
+    content_type = [(b"Content-Type", b"application/json")]
     text = msgspec.json.format(msgspec.json.encode(dict(body)), indent=1) + b"\n"
-    return http1.write_response(status, kind, text, close=True)
+    return http1.write_response(status, content_type, text, close=True)
--- a/limenotch/net/admin/rules.py
+++ b/limenotch/net/admin/rules.py
@@ -33,7 +33,7 @@
     ) -> None:
         self._asking: OperatorQueries[Answer] = OperatorQueries(tell, PREFIX, within_s)
         self._state = state
-        self.heed = self._asking.heed
+        self.handle_answer = self._asking.handle_answer
 
     async def answer(self, request: http1.Message) -> bytes:
         if request.method == b"GET":
@@ -44,7 +44,7 @@
             call: Call = msgspec.json.decode(request.body if request.rest is None else b"", type=Call)
         except msgspec.MsgspecError as error:
             return json_response(400, {"ok": False, "text": str(error)})
-        said = await self._asking.ask(lambda ticket: Ask(ticket, call.what, call.document, call.id))
+        said = await self._asking.query(lambda ticket: Ask(ticket, call.what, call.document, call.id))
         if said is None:
             return json_response(504, {"ok": False, "text": "unknown: no answer in time"})
         status = 200 if said.ok else 504 if said.text.startswith("unknown") else 409
--- a/limenotch/net/admin/server.py
+++ b/limenotch/net/admin/server.py
@@ -1,7 +1,7 @@
-"""Operators: the second address, where the sidecar is asked how it is and told which providers to leave out.
+"""The operators' server: answers at the second address how the sidecar is, and takes ejections of endpoints.
 
-One call to a connection. Its connections are few and its own: under any load of consumers there is a place, and
-silent callers give way to the next.
+A connection carries one request. Connections are few and counted apart from clients': under any load of clients there
+is capacity, and a connection that has sent no request is closed for a new one.
 """
 
 from __future__ import annotations
@@ -22,22 +22,27 @@
 
 log = logs.get(__name__)
 
-BACKLOG = 128
-HEAD_S = 3.0  # from a connection to its whole call
-LINGER_S = 0.5  # to read the answer
-MAX_BUFFER = 256 * 1024
+BACKLOG = 128  # connections not accepted yet
+REQUEST_TIMEOUT_S = 3.0  # seconds from the connection to the complete request
+LINGER_S = 0.5  # seconds for the operator to read the response
+MAX_BUFFER = 256 * 1024  # bytes of one connection
+MAX_READ = 64 * 1024  # bytes at once
 
-HEALTH, STATS, ENDPOINTS = "/healthcheck", "/stats", "/endpoints/"
-ACTIONS = {"maint": True, "ready": False}  # the last part of the path: whether it takes the endpoint out
+HEALTH = "/healthcheck"
+STATS = "/stats"
+ENDPOINTS = "/endpoints/"
+EJECTING_ACTIONS = {"maint": True, "ready": False}  # by the last part of the path: whether it ejects the endpoint
 
-RequestHandler = Callable[[http1.Message], Awaitable[bytes]]  # a whole call to the whole answer, `close` in it
-Ban = Callable[[str, bool], Awaitable[bool | None]]  # None: nobody has that id; else whether it is kept for later
+RequestHandler = Callable[[http1.Message], Awaitable[bytes]]  # a complete request to the response, which closes
+EjectionHandler = Callable[[str, bool], Awaitable[bool | None]]  # None: unknown endpoint; else whether it was persisted
 
 
-class _Caller:
+class _Connection:
+    """One operator's connection."""
+
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
-        self.asking = True  # no whole call yet
+        self.request_pending = True  # no complete request yet
 
 
 class AdminServer:
@@ -47,109 +52,126 @@
         self,
         ready: Callable[[], bool],
         stats: Callable[[], bytes],
-        ban: Ban,
+        set_ejected: EjectionHandler,
         extra: Mapping[str, RequestHandler] = {},  # noqa: B006 (read only)
     ) -> None:
-        """`extra`: further paths, each with what answers any call for it; one that ends in `/` is for all below it."""
-        self._ready, self._stats, self._ban, self._extra = ready, stats, ban, extra
+        """`extra`: handlers of further paths, for all methods; a path that ends in `/` is for all paths below it."""
+        self._ready = ready
+        self._stats = stats
+        self._set_ejected = set_ejected
+        self._extra = extra
         self._loop = IOLoop.current()
         self._listener: Listener | None = None
-        self._open: dict[_Caller, asyncio.Task[None]] = {}  # the oldest first
+        self._connections: dict[_Connection, asyncio.Task[None]] = {}  # the oldest first
 
-    def listen(self, at: Address) -> None:
-        """Raises OSError if the address can't be had."""
-        self._listener = Listener(bind_sockets(at[1], at[0], backlog=BACKLOG)[0], self._accept)
+    def listen(self, address: Address) -> None:
+        """Starts to accept connections. Raises OSError if the address can't be bound."""
+        self._listener = Listener(bind_sockets(address[1], address[0], backlog=BACKLOG)[0], self._accept)
 
     def close(self) -> None:
+        """Closes the listener and all connections."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
-        for caller in list(self._open):
-            caller.stream.close()
+        for connection in list(self._connections):
+            connection.stream.close()
 
     def _accept(self) -> None:
         if self._listener is not None:
-            self._listener.take(OPERATORS, self._admit, self._refused)
-
-    def _refused(self, error: OSError) -> None:
-        log.warning("operators' listener", error=str(error))
-
-    def _admit(self, sock: socket.socket) -> None:
-        while len(self._open) >= OPERATORS:
-            self._give_way()
-        caller = _Caller(IOStream(sock, max_buffer_size=MAX_BUFFER))
-        self._open[caller] = asyncio.get_running_loop().create_task(self._serve(caller))
-
-    def _give_way(self) -> None:
-        """The oldest that has not said what it wants, else the oldest: one has to."""
-        caller = next((c for c in self._open if c.asking), next(iter(self._open)))
-        del self._open[caller]
-        caller.stream.close()
-
-    async def _serve(self, caller: _Caller) -> None:
-        stream, timer = caller.stream, self._loop.call_later(HEAD_S, self._overdue, caller)
+            self._listener.take(OPERATORS, self._open_connection, self._log_accept_error)
+
+    def _log_accept_error(self, error: OSError) -> None:
+        log.warning("operators' listener: accept failed", error=str(error))
+
+    def _open_connection(self, sock: socket.socket) -> None:
+        while len(self._connections) >= OPERATORS:
+            self._drop_one()
+        connection = _Connection(IOStream(sock, max_buffer_size=MAX_BUFFER))
+        self._connections[connection] = asyncio.get_running_loop().create_task(self._serve(connection))
+
+    def _drop_one(self) -> None:
+        """Closes the oldest connection without a complete request, else the oldest."""
+        oldest = next(iter(self._connections))
+        dropped = next((connection for connection in self._connections if connection.request_pending), oldest)
+        del self._connections[dropped]
+        dropped.stream.close()
+
+    async def _serve(self, connection: _Connection) -> None:
+        stream = connection.stream
+        timer = self._loop.call_later(REQUEST_TIMEOUT_S, self._handle_timeout, connection)
         try:
-            try:
-                answer = await self._answer(await self._request(caller))
-            except http1.MalformedError as error:
-                answer = http1.write_response(error.status, [], f"{error}\n".encode(), close=True)
-            except StreamClosedError:
-                return
-            except Exception:  # a fault of ours: the operator is told so rather than left without an answer
-                log.exception("fault at the operators' address")
-                answer = http1.write_response(500, [], b"internal fault\n", close=True)
+            response = await self._respond(connection)
             self._loop.remove_timeout(timer)
             timer = self._loop.call_later(LINGER_S, stream.close)
-            await stream.write(answer)
+            await stream.write(response)
             stream.socket.shutdown(socket.SHUT_WR)
-            await stream.read_bytes(65536, partial=True)  # closing on unread bytes would drop the answer
+            await stream.read_bytes(MAX_READ, partial=True)  # closing on unread bytes would reset the response
         except (StreamClosedError, OSError):
             pass
         finally:
             self._loop.remove_timeout(timer)
-            self._open.pop(caller, None)
+            self._connections.pop(connection, None)
             stream.close()
 
-    def _overdue(self, caller: _Caller) -> None:
-        if caller.asking and not caller.stream.closed():
-            caller.stream.write(http1.write_response(408, [], b"call not complete in time\n", close=True))
-            caller.stream.close()
-
-    async def _request(self, caller: _Caller) -> http1.Message:
+    async def _respond(self, connection: _Connection) -> bytes:
+        """The response to the connection's request. Raises StreamClosedError if it ends before that."""
+        try:
+            return await self._handle(await self._read_request(connection))
+        except http1.MalformedError as error:
+            return text_response(error.status, str(error))
+        except StreamClosedError:
+            raise
+        except Exception:  # a fault here is reported to the operator rather than left without a response
+            log.exception("operators' server: fault")
+            return text_response(500, "internal fault")
+
+    def _handle_timeout(self, connection: _Connection) -> None:
+        if connection.request_pending and not connection.stream.closed():
+            connection.stream.write(text_response(408, "call not complete in time"))
+            connection.stream.close()
+
+    async def _read_request(self, connection: _Connection) -> http1.Message:
         parser = http1.RequestParser()
         while (request := parser.take()) is None:
-            parser.feed(await caller.stream.read_bytes(65536, partial=True))
-        caller.asking = False
+            parser.feed(await connection.stream.read_bytes(MAX_READ, partial=True))
+        connection.request_pending = False
         return request
 
-    async def _answer(self, request: http1.Message) -> bytes:
+    async def _handle(self, request: http1.Message) -> bytes:
         path = request.target.partition(b"?")[0].decode("latin-1")
-        method = b"GET"
         if path == HEALTH:
-            if request.method == method:
-                return _says(200, "ready") if self._ready() else _says(503, "not ready")
-        elif path == STATS:
-            if request.method == method:
-                plain = (b"Content-Type", b"text/plain; charset=utf-8")
-                return http1.write_response(200, [plain], self._stats(), close=True)
-        elif path.startswith(ENDPOINTS) and path.rpartition("/")[2] in ACTIONS:
-            method = b"POST"
-            if request.method == method:
-                name, _, action = path.removeprefix(ENDPOINTS).rpartition("/")
-                return await self._act(unquote(name), ACTIONS[action])
-        elif (extra := self._extra.get(path) or self._extra.get(path[: path.rfind("/") + 1])) is not None:
-            return await extra(request)
-        else:
-            return _says(404, "no such path")
-        return http1.write_response(405, [(b"Allow", method)], b"", close=True)
-
-    async def _act(self, name: str, out: bool) -> bytes:
-        kept = await self._ban(name, out)
-        if kept is None:
-            return _says(404, f"no endpoint {name!r}")
-        said = f"{name} is out" if out else f"{name} may serve"
-        return _says(200, said if kept else f"{said}; not kept for the next process, see the log")
-
-
-def _says(status: int, text: str) -> bytes:
+            return self._health() if request.method == b"GET" else method_not_allowed(b"GET")
+        if path == STATS:
+            return self._metrics() if request.method == b"GET" else method_not_allowed(b"GET")
+        if path.startswith(ENDPOINTS) and path.rpartition("/")[2] in EJECTING_ACTIONS:
+            return await self._eject(path) if request.method == b"POST" else method_not_allowed(b"POST")
+        handler = self._extra.get(path) or self._extra.get(path[: path.rfind("/") + 1])
+        return await handler(request) if handler is not None else text_response(404, "no such path")
+
+    def _health(self) -> bytes:
+        return text_response(200, "ready") if self._ready() else text_response(503, "not ready")
+
+    def _metrics(self) -> bytes:
+        content_type = (b"Content-Type", b"text/plain; charset=utf-8")
+        return http1.write_response(200, [content_type], self._stats(), close=True)
+
+    async def _eject(self, path: str) -> bytes:
+        """Ejects the endpoint named in the path, or ends its ejection."""
+        quoted_name, _, action = path.removeprefix(ENDPOINTS).rpartition("/")
+        name = unquote(quoted_name)
+        ejected = EJECTING_ACTIONS[action]
+        persisted = await self._set_ejected(name, ejected)
+        if persisted is None:
+            return text_response(404, f"no endpoint {name!r}")
+        text = f"{name} is out" if ejected else f"{name} may serve"
+        return text_response(200, text if persisted else f"{text}; not kept for the next process, see the log")
+
+
+def text_response(status: int, text: str) -> bytes:
+    """A response of one line of text that closes the connection."""
     return http1.write_response(status, [], f"{text}\n".encode(), close=True)
+
+
+def method_not_allowed(allowed: bytes) -> bytes:
+    """A 405 (RFC 9110, section 15.5.6); `allowed` as in the header."""
+    return http1.write_response(405, [(b"Allow", allowed)], b"", close=True)
--- a/limenotch/net/admin/wallet.py
+++ b/limenotch/net/admin/wallet.py
@@ -44,11 +44,11 @@
         """`pays`: whether a tenant of that name does, by the settings."""
         self._asking: OperatorQueries[Answer] = OperatorQueries(tell, PREFIX, within_s)
         self._pays = pays
-        self.heed = self._asking.heed
+        self.handle_answer = self._asking.handle_answer
         self.paths: dict[str, RequestHandler] = {WALLETS: self._all, f"{WALLETS}/": self._one}
 
     async def _ask(self, what: str, tenant: str = "", amount: int = 0, ident: str = "") -> Answer:
-        said = await self._asking.ask(lambda ticket: Ask(ticket, what, tenant, amount, ident))
+        said = await self._asking.query(lambda ticket: Ask(ticket, what, tenant, amount, ident))
         return said or Answer(0, "unknown", "no answer in time")
 
     async def _all(self, request: http1.Message) -> bytes:
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -128,7 +128,7 @@
 
 
 def test_a_slow_caller_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("limenotch.net.admin.server.HEAD_S", 0.1)
+    monkeypatch.setattr("limenotch.net.admin.server.REQUEST_TIMEOUT_S", 0.1)
 
     async def use(port: int, admin: int) -> None:
         assert (await ask(admin, b"GET /healthch")).status == 408
