--- a/limenotch/net/admin/log.py
+++ b/limenotch/net/admin/log.py
@@ -1,4 +1,4 @@
-"""An operator's calls for promises and voters, between the operators' address and the part that answers."""
+"""Operators' requests for replicated notes and voters: HTTP to events of the component, and its answers to HTTP."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
 from ...fleet.replicated_notes import MOST_BYTES, Answer, Ask
 from .. import http1
 from .queries import OperatorQueries
-from .server import RequestHandler
+from .server import RequestHandler, method_not_allowed, text_response
 
-PREFIX = "pr."
-PROMISES, VOTERS = "/fleet/promises/", "/fleet/voters"
-IDENT = re.compile(r"[A-Za-z0-9._:-]{1,100}")
+PREFIX = "pr."  # the component's, in the hub
+PROMISES = "/fleet/promises/"
+VOTERS = "/fleet/voters"
+NOTE_ID = re.compile(r"[A-Za-z0-9._:-]{1,100}")
+# HTTP status by the component's answer.
 STATUS = {
     "kept": 200,
     "found": 200,
@@ -34,58 +36,62 @@
 Name = Annotated[str, Meta(max_length=64)]
 
 
-class Change(Struct, forbid_unknown_fields=True):
-    """One voter that comes, one that goes: first the one, then the other."""
+class VoterChange(Struct, forbid_unknown_fields=True):
+    """The body of a POST to VOTERS: `add` is added first, then `remove` removed; either may be empty."""
 
     add: Name = ""
     remove: Name = ""
 
 
 class LogQueries:
-    """What operators are answered at PROMISES and VOTERS."""
-
-    def __init__(self, tell: Callable[[ComponentEvent], None], within_s: float) -> None:
-        self._asking: OperatorQueries[Answer] = OperatorQueries(tell, PREFIX, within_s)
-        self.handle_answer = self._asking.handle_answer
-        self.paths: dict[str, RequestHandler] = {PROMISES: self._promise, VOTERS: self._voters}
-
-    async def _ask(self, what: str, *more: str | bytes) -> bytes:
-        said = await self._asking.query(lambda ticket: Ask(ticket, what, *more))  # type: ignore[arg-type]
-        answer = said or Answer(0, "unknown", "no answer in time")
-        fields = [(b"Index", str(answer.index).encode())] if answer.index else []
-        if answer.word == "listed":
-            fields.append((b"Content-Type", b"application/json"))
-        body = answer.body if answer.word in ("found", "listed") else f"{answer.text or answer.word}\n".encode()
-        return http1.write_response(STATUS[answer.word], fields, body, close=True)
-
-    async def _promise(self, request: http1.Message) -> bytes:
-        ident = unquote(request.target.partition(b"?")[0].decode("latin-1").removeprefix(PROMISES))
-        if not ident and request.method == b"GET":
-            return await self._ask("list")
-        if not IDENT.fullmatch(ident):
-            return _says(400, "an id is 1 to 100 letters, digits, or any of . _ : -")
+    """Answers operators' requests at PROMISES and VOTERS; `paths` has the handlers."""
+
+    def __init__(self, send_event: Callable[[ComponentEvent], None], within_s: float) -> None:
+        """`within_s`: seconds that a request waits for the component's answer."""
+        self._queries: OperatorQueries[Answer] = OperatorQueries(send_event, PREFIX, within_s)
+        self.handle_answer = self._queries.handle_answer
+        self.paths: dict[str, RequestHandler] = {PROMISES: self._handle_note, VOTERS: self._handle_voters}
+
+    async def _query(self, what: str, *arguments: str | bytes) -> bytes:
+        """The HTTP response to the query; `arguments` as in Ask."""
+        answer = await self._queries.query(lambda ticket: Ask(ticket, what, *arguments))  # type: ignore[arg-type]
+        return _encode_answer(answer or Answer(0, "unknown", "no answer in time"))
+
+    async def _handle_note(self, request: http1.Message) -> bytes:
+        note_id = unquote(request.target.partition(b"?")[0].decode("latin-1").removeprefix(PROMISES))
+        if not note_id and request.method == b"GET":
+            return await self._query("list")
+        if not NOTE_ID.fullmatch(note_id):
+            return text_response(400, "an id is 1 to 100 letters, digits, or any of . _ : -")
         if request.method == b"GET":
-            return await self._ask("read", ident)
+            return await self._query("read", note_id)
         if request.method != b"POST":
-            return http1.write_response(405, [(b"Allow", b"GET, POST")], b"", close=True)
+            return method_not_allowed(b"GET, POST")
         if request.rest is not None or len(request.body) > MOST_BYTES:
-            return _says(413, f"more than {MOST_BYTES} bytes")
-        return await self._ask("keep", ident, request.body)
+            return text_response(413, f"more than {MOST_BYTES} bytes")
+        return await self._query("keep", note_id, request.body)
 
-    async def _voters(self, request: http1.Message) -> bytes:
+    async def _handle_voters(self, request: http1.Message) -> bytes:
         if request.method != b"POST":
-            return http1.write_response(405, [(b"Allow", b"POST")], b"", close=True)
+            return method_not_allowed(b"POST")
         try:
-            change: Change = msgspec.json.decode(request.body if request.rest is None else b"", type=Change)
+            body = request.body if request.rest is None else b""  # a body too long to be buffered is no change
+            change: VoterChange = msgspec.json.decode(body, type=VoterChange)
         except msgspec.MsgspecError as error:
-            return _says(400, str(error))
-        return await self._ask("voters", change.add, b"", change.remove)
+            return text_response(400, str(error))
+        return await self._query("voters", change.add, b"", change.remove)
 
 
-def unavailable(why: str) -> bytes:
-    """Where the log is not there."""
-    return _says(503, why)
+def _encode_answer(answer: Answer) -> bytes:
+    headers = []
+    if answer.index:
+        headers.append((b"Index", str(answer.index).encode()))
+    if answer.word == "listed":
+        headers.append((b"Content-Type", b"application/json"))
+    body = answer.body if answer.word in ("found", "listed") else f"{answer.text or answer.word}\n".encode()
+    return http1.write_response(STATUS[answer.word], headers, body, close=True)
 
 
-def _says(status: int, text: str) -> bytes:
-    return http1.write_response(status, [], f"{text}\n".encode(), close=True)
+def unavailable(reason: str) -> bytes:
+    """The response where the replicated log is not running."""
+    return text_response(503, reason)
--- a/limenotch/net/admin/rules.py
+++ b/limenotch/net/admin/rules.py
@@ -1,4 +1,4 @@
-"""Operators' calls for the rules that the sidecars agree on, between the operators' address and the part."""
+"""Operators' requests for the fleet's versioned rules: HTTP to events of the component, and its answers to HTTP."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from ...fleet.rules.api import Answer, Ask
 from .. import http1
 from .queries import OperatorQueries, json_response
+from .server import method_not_allowed
 
-PREFIX = "ru."
+PREFIX = "ru."  # the component's, in the hub
 RULES = "/fleet/rules"
 
 
-class Call(Struct, forbid_unknown_fields=True):
-    """The body of a POST; `document` as the part's Ask says for each word. The same `id` again counts once."""
+class RulesRequest(Struct, forbid_unknown_fields=True):
+    """The body of a POST; `document` as the component's Ask has it for each `what`. A repeated `id` counts once."""
 
     what: Literal["propose", "back", "ban", "return", "diff"]
     document: dict[str, Any] = {}
@@ -26,26 +27,34 @@
 
 
 class RulesQueries:
-    """What operators are answered at RULES."""
+    """Answers operators' requests at RULES."""
 
     def __init__(
-        self, tell: Callable[[ComponentEvent], None], within_s: float, state: Callable[[], dict[str, Any]]
+        self, send_event: Callable[[ComponentEvent], None], within_s: float, state: Callable[[], dict[str, Any]]
     ) -> None:
-        self._asking: OperatorQueries[Answer] = OperatorQueries(tell, PREFIX, within_s)
+        """`within_s`: seconds that a request waits for the component's answer; `state`: what GET returns."""
+        self._queries: OperatorQueries[Answer] = OperatorQueries(send_event, PREFIX, within_s)
         self._state = state
-        self.handle_answer = self._asking.handle_answer
+        self.handle_answer = self._queries.handle_answer
 
     async def answer(self, request: http1.Message) -> bytes:
+        """The response to a request at RULES."""
         if request.method == b"GET":
             return json_response(200, self._state())
         if request.method != b"POST":
-            return http1.write_response(405, [(b"Allow", b"GET, POST")], b"", close=True)
+            return method_not_allowed(b"GET, POST")
         try:
-            call: Call = msgspec.json.decode(request.body if request.rest is None else b"", type=Call)
+            body = request.body if request.rest is None else b""  # a body too long to be buffered is no request
+            decoded: RulesRequest = msgspec.json.decode(body, type=RulesRequest)
         except msgspec.MsgspecError as error:
             return json_response(400, {"ok": False, "text": str(error)})
-        said = await self._asking.query(lambda ticket: Ask(ticket, call.what, call.document, call.id))
-        if said is None:
+        answer = await self._queries.query(lambda ticket: Ask(ticket, decoded.what, decoded.document, decoded.id))
+        if answer is None:
             return json_response(504, {"ok": False, "text": "unknown: no answer in time"})
-        status = 200 if said.ok else 504 if said.text.startswith("unknown") else 409
-        return json_response(status, {"ok": said.ok, "text": said.text, "version": said.version})
+        return json_response(_status_of(answer), {"ok": answer.ok, "text": answer.text, "version": answer.version})
+
+
+def _status_of(answer: Answer) -> int:
+    if answer.ok:
+        return 200
+    return 504 if answer.text.startswith("unknown") else 409
