--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -1,8 +1,8 @@
-"""The life of one call, in no protocol: taken, placed by invoker calls, answered exactly once.
+"""The life of requests, independent of the wire protocol: accepted, carried out by attempts, answered exactly once.
 
-A protocol takes calls here with whatever message it wants carried (`payload`), and gives an invoker that
-carries payloads to providers. Calls are kept by a counter of their own: ids of the consumers may repeat,
-though not while a call is open.
+A protocol passes requests here with the message to be carried (`payload`), and provides an `AttemptRunner` that carries
+such messages to endpoints. Requests are identified by a counter of their own: request ids chosen by clients may recur,
+though not while a request with the same id is open.
 """
 
 from __future__ import annotations
@@ -16,9 +16,19 @@
 
 from tornado.ioloop import IOLoop
 
-from .. import load_balancer as house
 from .. import logs
-from ..load_balancer import AttemptEnding, Commands, LoadBalancer, usable_budget_ms
+from ..load_balancer import (
+    AttemptEnding,
+    CancelAttempt,
+    Command,
+    Commands,
+    LoadBalancer,
+    RejectRequest,
+    ScheduleTimer,
+    StartAttempt,
+    WatchDiscovery,
+    usable_budget_ms,
+)
 from ..metrics import Metrics
 from ..request_policy import SentAttempt
 from .pipe import BodyPipe
@@ -37,314 +47,348 @@
 
 log = logs.get(__name__)
 
-FULL_MS = 1000.0  # when to come again while there is no room at all; less where the settings allow less
-ENDS = {Verdict.SERVED: "answered", Verdict.REJECTED: "deferred", Verdict.FAILED: "errored"}  # in the figures
+NO_CAPACITY_RETRY_AFTER_MS = 1000.0  # the settings may allow less
+METRIC_ENDINGS = {Verdict.SERVED: "answered", Verdict.REJECTED: "deferred", Verdict.FAILED: "errored"}
 
 
 class RequestManager:
-    """Owns all open calls; carries out what the facade orders."""
-
-    def __init__(self, facade: LoadBalancer, max_open: int, figures: Metrics | None = None) -> None:
-        self.load_balancer, self.max_open = facade, max_open
-        self.metrics = figures or Metrics()
-        self.last_deadline = (
-            math.inf
-        )  # while the program leaves: when calls still to come have to end, by time.monotonic
+    """Owns all open requests and executes the commands of the load balancer."""
+
+    def __init__(self, load_balancer: LoadBalancer, max_open: int, metrics: Metrics | None = None) -> None:
+        """`max_open`: how many requests may be open at once; further ones are rejected."""
+        self.load_balancer = load_balancer
+        self.max_open = max_open
+        self.metrics = metrics or Metrics()
+        # During shutdown: when requests accepted from now on have to end, in seconds of time.monotonic.
+        self.last_deadline = math.inf
         self.interceptors: tuple[RequestInterceptor, ...] = ()
         self.open: dict[int, Request] = {}
-        self.streaming: dict[int, Request] = {}  # their answers are being passed on
-        self._names = RequestIds()
+        self.streaming: dict[int, Request] = {}  # requests whose responses are being streamed to their clients
         self.attempt_runner: AttemptRunner
         self.watch_discovery: Callable[[], None]
+        self._request_ids = RequestIds()
         self._loop = IOLoop.current()
-        self._count = 0
-        self._out: dict[tuple[int, int], Attempt] = {}
-        self._todo: deque[house.Command] = deque()
-        self._working = False
+        self._last_number = 0
+        self._attempts_in_flight: dict[tuple[int, int], Attempt] = {}  # by the numbers of request and attempt
+        self._pending_commands: deque[Command] = deque()
+        self._executing = False
         self._trace = logs.tracing()
 
-    def is_known(self, name: bytes) -> bool:
-        """Whether a call of this name is open, or one that may not run again was."""
-        return self._names.taken(name, monotonic())
+    def is_known(self, request_id: bytes) -> bool:
+        """Whether a request with this id is open, or one that may have run and must not run again was."""
+        return self._request_ids.taken(request_id, monotonic())
 
     def accept(
         self,
-        name: bytes,
+        request_id: bytes,
         payload: Any,
         class_name: str,
         tenant: str,
         budget_ms: float,
-        answer: Callable[[FinalResponse], None],
-        room: bool = True,
-        rest: BodyPipe | None = None,
-        about: RequestDetails = NO_DETAILS,
+        respond: Callable[[FinalResponse], None],
+        has_capacity: bool = True,
+        body_pipe: BodyPipe | None = None,
+        details: RequestDetails = NO_DETAILS,
     ) -> Request:
-        """A call was taken; `answer` is called once unless it departs. Without `room`: rejected at once.
+        """Accept a request; `respond` is called exactly once unless its client disconnects first.
 
-        With `rest` its message is still coming, and its time begins when the message is whole.
+        Without `has_capacity` it is rejected at once. With a `body_pipe` its message is still being received, and its
+        time budget begins when the message is complete.
         """
-        budget_ms = min(budget_ms, self.load_balancer.deadline_ms(class_name))  # else a call could stay open for days
-        left = usable_budget_ms(budget_ms)
-        self._count += 1
-        end = math.inf if rest is not None else monotonic() + left / 1000.0
-        call = Request(self._count, name, class_name, payload, end, left / 1000.0, answer, rest, tenant, about)
-        call.policy = self.load_balancer.request_policy(class_name, bool(about.idempotency_key))
+        # Limited by its class: otherwise a request could stay open for days.
+        budget_ms = min(budget_ms, self.load_balancer.deadline_ms(class_name))
+        usable_ms = usable_budget_ms(budget_ms)
+        self._last_number += 1
+        request = Request(
+            number=self._last_number,
+            request_id=request_id,
+            class_name=class_name,
+            payload=payload,
+            deadline=math.inf if body_pipe is not None else monotonic() + usable_ms / 1000.0,
+            budget_left_s=usable_ms / 1000.0,
+            respond=respond,
+            body_pipe=body_pipe,
+            tenant=tenant,
+            details=details,
+        )
+        request.policy = self.load_balancer.request_policy(class_name, bool(details.idempotency_key))
         self.metrics.count_taken()
-        if not room or len(self.open) >= self.max_open or self.load_balancer.rejects_all:
-            self._close(
-                call,
-                FinalResponse(Verdict.REJECTED, retry_after_ms=min(FULL_MS, self.load_balancer.max_retry_after_ms)),
-            )
-            return call
-        self.open[call.number] = call
-        self._names.add(name)
+        if not has_capacity or len(self.open) >= self.max_open or self.load_balancer.rejects_all:
+            retry_after_ms = min(NO_CAPACITY_RETRY_AFTER_MS, self.load_balancer.max_retry_after_ms)
+            self._close(request, FinalResponse(Verdict.REJECTED, retry_after_ms=retry_after_ms))
+            return request
+        self.open[request.number] = request
+        self._request_ids.add(request_id)
+        self._trace_accepted(request, usable_ms)
+        try:
+            self._admit(request)
+        except Exception:
+            self.client_disconnected(request)  # the caller never received it, so nobody else would end it
+            raise
+        return request
+
+    def _trace_accepted(self, request: Request, usable_ms: float) -> None:
         if self._trace:
             log.debug(
                 "taken",
-                call=call.number,
-                id=name.decode("latin-1"),
-                kind=class_name,
-                account=tenant,
-                left_ms=round(left),
-                resent=about.is_retry,
+                call=request.number,
+                id=request.request_id.decode("latin-1"),
+                kind=request.class_name,
+                account=request.tenant,
+                left_ms=round(usable_ms),
+                resent=request.details.is_retry,
             )
-        try:
-            self._admit(call)
-        except Exception:
-            self.client_disconnected(call)  # whoever brought it never had it
-            raise
-        return call
-
-    def _admit(self, call: Request) -> None:
-        """Ask who has a say and has not said yet, then the decisions."""
-        for one in self.interceptors[len(call.interceptors) :]:
-            said = one.request_received(call)
-            if isinstance(said, RetryLater):
-                if monotonic() + said.delay_ms / 1000.0 < call.deadline:
-                    call.waited_ms += said.delay_ms
-                    self._loop.call_later(said.delay_ms / 1000.0, self._admit_later, call)
+
+    def _admit(self, request: Request) -> None:
+        """Ask the interceptors that have not admitted the request yet, then the load balancer."""
+        for interceptor in self.interceptors[len(request.interceptors) :]:
+            decision = interceptor.request_received(request)
+            if isinstance(decision, RetryLater):
+                delay_s = decision.delay_ms / 1000.0
+                if monotonic() + delay_s < request.deadline:
+                    request.waited_ms += decision.delay_ms
+                    self._loop.call_later(delay_s, self._resume_admission, request)
                     return
-                said = said.final
-            if said is not None:
-                advice = min(said.retry_after_ms, self.load_balancer.max_retry_after_ms)
-                self._close(call, replace(said, retry_after_ms=advice))
+                decision = decision.final
+            if decision is not None:
+                retry_after_ms = min(decision.retry_after_ms, self.load_balancer.max_retry_after_ms)
+                self._close(request, replace(decision, retry_after_ms=retry_after_ms))
                 return
-            call.interceptors.append(one)
-        if call.placement_hint is not None and call.placement_hint.may_have_run:
-            ran_at_ms = monotonic() * 1000.0 - call.placement_hint.age_ms
-            call.ran_elsewhere = SentAttempt(call.placement_hint.zone, call.placement_hint.group, ran_at_ms)
-        left = call.budget_left_s if call.body_pipe is not None else max(call.deadline - monotonic(), 0.0)
+            request.interceptors.append(interceptor)
+        self._pass_to_load_balancer(request)
+
+    def _resume_admission(self, request: Request) -> None:
+        if request.number in self.open:
+            self._admit(request)
+
+    def _pass_to_load_balancer(self, request: Request) -> None:
+        hint = request.placement_hint
+        if hint is not None and hint.may_have_run:
+            ran_at_ms = monotonic() * 1000.0 - hint.age_ms
+            request.ran_elsewhere = SentAttempt(hint.zone, hint.group, ran_at_ms)
+        if request.body_pipe is not None:
+            budget_left_s = request.budget_left_s
+        else:
+            budget_left_s = max(request.deadline - monotonic(), 0.0)
         self.execute(
             self.load_balancer.request_arrived(
-                call.number,
-                call.class_name,
-                call.tenant,
-                left * 1000.0,
-                call.details.is_retry,
-                call.body_pipe is not None,
-                call.placement_hint,
-                bool(call.details.idempotency_key),
+                request.number,
+                request.class_name,
+                request.tenant,
+                budget_left_s * 1000.0,
+                request.details.is_retry,
+                request.body_pipe is not None,
+                request.placement_hint,
+                bool(request.details.idempotency_key),
             )
         )
 
-    def _admit_later(self, call: Request) -> None:
-        if call.number in self.open:
-            self._admit(call)
-
-    def finish_by(self, last: float) -> None:
-        """The program leaves: every call, open ones included, has its answer by then (`time.monotonic`)."""
-        self.last_deadline = last
-        self._loop.call_later(max(last - monotonic(), 0.0), self._end_all)
+    def finish_by(self, last_deadline: float) -> None:
+        """Begin the shutdown: every request, open ones included, is answered by then (seconds of time.monotonic)."""
+        self.last_deadline = last_deadline
+        self._loop.call_later(max(last_deadline - monotonic(), 0.0), self._end_all)
 
     def _end_all(self) -> None:
-        for call in list(self.open.values()):
-            if call.deadline <= self.last_deadline:
-                continue  # its own time sees to it
-            ran = any(attempt.may_have_run for attempt in call.attempts)
-            self._close(call, FinalResponse(Verdict.FAILED, timed_out=True) if ran else FinalResponse(Verdict.REJECTED))
-            self.execute(self.load_balancer.client_disconnected(call.number))
-            self._release(call)
-
-    def client_disconnected(self, call: Request) -> None:
-        """The consumer is gone: nothing is owed, its invoker calls end."""
-        if call.number in self.streaming:
-            call.client_gone = True
-            self.stream_ended(call, "departed")
-        elif call.final is None and not call.client_gone:
-            call.client_gone = True
-            self.metrics.count_ended(call.class_name, "departed")
-            self._forget(call)
-            self._tell_end(call)
-            self.execute(self.load_balancer.client_disconnected(call.number))
+        for request in list(self.open.values()):
+            if request.deadline <= self.last_deadline:
+                continue  # its own timer ends it
+            if any(attempt.may_have_run for attempt in request.attempts):
+                final = FinalResponse(Verdict.FAILED, timed_out=True)
+            else:
+                final = FinalResponse(Verdict.REJECTED)
+            self._close(request, final)
+            self.execute(self.load_balancer.client_disconnected(request.number))
+            self._cancel_attempts(request)
+
+    def client_disconnected(self, request: Request) -> None:
+        """The client is gone: no response is owed, and the attempts of the request are cancelled."""
+        if request.number in self.streaming:
+            request.client_gone = True
+            self.stream_ended(request, "departed")
+        elif request.final is None and not request.client_gone:
+            request.client_gone = True
+            self.metrics.count_ended(request.class_name, "departed")
+            self._forget(request)
+            self._notify_closed(request)
+            self.execute(self.load_balancer.client_disconnected(request.number))
         else:
             return
-        self._release(call)
-
-    def _release(self, call: Request) -> None:
-        """Its attempts end, as nobody waits for their answers: also the one whose answer is passed on."""
-        for invoker_call in call.attempts:  # those the module may not cancel, too
-            if not invoker_call.ended:
-                self.attempt_runner.cancel(invoker_call)
-
-    def upload_finished(self, invoker_call: Attempt) -> None:
-        """The last byte of a long message was written: its time begins."""
-        invoker_call.started_at = monotonic()
-        call = invoker_call.request
-        invoker_call.deadline = call.deadline = min(invoker_call.started_at + call.budget_left_s, self.last_deadline)
-        left = max(call.deadline - invoker_call.started_at, 0.0)
-        self.execute(self.load_balancer.upload_finished(call.number, left * 1000.0))
+        self._cancel_attempts(request)
+
+    def _cancel_attempts(self, request: Request) -> None:
+        """Cancel its attempts, as nobody waits for their responses.
+
+        That includes those the load balancer does not cancel, such as one whose response is being streamed.
+        """
+        for attempt in request.attempts:
+            if not attempt.ended:
+                self.attempt_runner.cancel(attempt)
+
+    def upload_finished(self, attempt: Attempt) -> None:
+        """The last byte of a streamed message was written: the time budget of its request begins."""
+        attempt.started_at = monotonic()
+        request = attempt.request
+        request.deadline = min(attempt.started_at + request.budget_left_s, self.last_deadline)
+        attempt.deadline = request.deadline
+        budget_left_s = max(request.deadline - attempt.started_at, 0.0)
+        self.execute(self.load_balancer.upload_finished(request.number, budget_left_s * 1000.0))
 
     def response_started(
-        self, invoker_call: Attempt, payload: Any, utilisation: float | None = None, per_s: float | None = None
+        self, attempt: Attempt, payload: Any, utilisation: float | None = None, per_s: float | None = None
     ) -> bool:
-        """A long answer has begun; whether it is its call's final answer, to be passed on as it comes.
+        """A streamed response has begun; return whether it is the final response of its request, to be forwarded.
 
-        To the module that is the invoker call's end: its provider has done the work, and how long the consumer reads
-        is no sign of load. Whoever passes the answer on tells `passed_on` when that is over.
+        For the load balancer that is the end of the attempt: the endpoint has done the work, and how long the client
+        reads is no sign of load. Whoever forwards the response reports its end to `stream_ended`. `utilisation` and
+        `per_s` (requests per second) are from the endpoint's load report.
         """
-        call = invoker_call.request
-        if not invoker_call.wanted:
+        request = attempt.request
+        if not attempt.wanted:
             return False
-        invoker_call.response_began_at = monotonic()
-        self.streaming[call.number] = call
-        self._close(call, FinalResponse(Verdict.SERVED, payload))
-        self._report(invoker_call, AttemptEnding.SERVED, utilisation, per_s)
+        attempt.response_began_at = monotonic()
+        self.streaming[request.number] = request
+        self._close(request, FinalResponse(Verdict.SERVED, payload))
+        self._report(attempt, AttemptEnding.SERVED, utilisation, per_s)
         return True
 
-    def stream_ended(self, call: Request, end: str) -> None:
-        """A long answer is over, as one of the figures' ends."""
-        if self.streaming.pop(call.number, None) is not None:
-            self._names.discard(call.request_id)
-            self.metrics.count_ended(call.class_name, end)
+    def stream_ended(self, request: Request, ending: str) -> None:
+        """A streamed response is over; `ending` as named in the metrics."""
+        if self.streaming.pop(request.number, None) is not None:
+            self._request_ids.discard(request.request_id)
+            self.metrics.count_ended(request.class_name, ending)
 
     def attempt_ended(
         self,
-        invoker_call: Attempt,
+        attempt: Attempt,
         ending: AttemptEnding,
         payload: Any = None,
         utilisation: float | None = None,
         per_s: float | None = None,
     ) -> None:
-        """An invoker call ended; the first that served its call is its answer."""
-        if invoker_call.ended:
+        """An attempt ended; the first one that is served becomes the final response of its request."""
+        if attempt.ended:
             return
-        invoker_call.ended = True
-        invoker_call.ending = ending
-        call = invoker_call.request
-        del self._out[call.number, invoker_call.number]
-        for one in call.interceptors:
-            one.attempt_ended(invoker_call, ending)
-        if ending is AttemptEnding.SERVED and call.final is None and not call.client_gone:
-            self._close(call, FinalResponse(Verdict.SERVED, payload))
-        if not invoker_call.response_began_at:  # else it was reported when its answer began
-            self._report(invoker_call, ending, utilisation, per_s)
-
-    def _report(
-        self, invoker_call: Attempt, ending: AttemptEnding, utilisation: float | None, per_s: float | None
-    ) -> None:
-        call, spent = invoker_call.request, (monotonic() - invoker_call.started_at) * 1000.0
-        gone = call.body_pipe is not None and call.body_pipe.begun
+        attempt.ended = True
+        attempt.ending = ending
+        request = attempt.request
+        del self._attempts_in_flight[request.number, attempt.number]
+        for interceptor in request.interceptors:
+            interceptor.attempt_ended(attempt, ending)
+        if ending is AttemptEnding.SERVED and request.final is None and not request.client_gone:
+            self._close(request, FinalResponse(Verdict.SERVED, payload))
+        if not attempt.response_began_at:  # otherwise it was reported when its response began
+            self._report(attempt, ending, utilisation, per_s)
+
+    def _report(self, attempt: Attempt, ending: AttemptEnding, utilisation: float | None, per_s: float | None) -> None:
+        """Report the end of an attempt to the load balancer and execute what follows from it."""
+        request = attempt.request
+        spent_ms = (monotonic() - attempt.started_at) * 1000.0
+        body_consumed = request.body_pipe is not None and request.body_pipe.begun
         if self._trace:
             log.debug(
                 "invoked",
-                call=call.number,
-                number=invoker_call.number,
-                provider=invoker_call.endpoint_name,
+                call=request.number,
+                number=attempt.number,
+                provider=attempt.endpoint_name,
                 ending=ending.value,
-                spent_ms=round(spent, 1),
+                spent_ms=round(spent_ms, 1),
                 util=utilisation,
                 per_s=per_s,
             )
-        closed = call.final is not None or call.client_gone
+        closed = request.final is not None or request.client_gone
         self.execute(
             self.load_balancer.attempt_finished(
-                call.number,
-                invoker_call.number,
-                invoker_call.endpoint_name,
-                spent,
+                request.number,
+                attempt.number,
+                attempt.endpoint_name,
+                spent_ms,
                 ending,
                 closed,
                 utilisation,
                 per_s,
-                gone,
+                body_consumed,
             )
         )
 
-    def timer_fired(self, ticket: int) -> None:
-        self.execute(self.load_balancer.timer_fired(ticket))
+    def timer_fired(self, token: int) -> None:
+        """A timer that the load balancer scheduled is due."""
+        self.execute(self.load_balancer.timer_fired(token))
 
-    def execute(self, orders: Commands) -> None:
-        """In the order given, also where carrying out one brings further ones."""
-        self._todo.extend(orders)
-        if self._working:
+    def execute(self, commands: Commands) -> None:
+        """Execute commands in the order given, also where executing one produces further ones."""
+        self._pending_commands.extend(commands)
+        if self._executing:
             return
-        self._working = True
+        self._executing = True
         try:
-            while self._todo:
-                self._carry_out(self._todo.popleft())
+            while self._pending_commands:
+                self._execute_command(self._pending_commands.popleft())
         finally:
-            self._working = False
-
-    def _carry_out(self, order: house.Command) -> None:
-        if isinstance(order, house.StartAttempt):
-            self._invoke(order)
-        elif isinstance(order, house.ScheduleTimer):
-            self._loop.call_later(order.delay_ms / 1000.0, self.timer_fired, order.token)
-        elif isinstance(order, house.WatchDiscovery):
+            self._executing = False
+
+    def _execute_command(self, command: Command) -> None:
+        if isinstance(command, StartAttempt):
+            self._start_attempt(command)
+        elif isinstance(command, ScheduleTimer):
+            self._loop.call_later(command.delay_ms / 1000.0, self.timer_fired, command.token)
+        elif isinstance(command, WatchDiscovery):
             self.watch_discovery()
-        elif isinstance(order, house.CancelAttempt):
-            self._abandon(order)
+        elif isinstance(command, CancelAttempt):
+            self._cancel_attempt(command)
         else:
-            call = self.open.get(order.request)
-            if call is None:
+            request = self.open.get(command.request)
+            if request is None:
                 return
-            if isinstance(order, house.RejectRequest):
-                self._close(call, FinalResponse(Verdict.REJECTED, retry_after_ms=order.retry_after_ms))
+            if isinstance(command, RejectRequest):
+                self._close(request, FinalResponse(Verdict.REJECTED, retry_after_ms=command.retry_after_ms))
             else:
-                self._close(call, FinalResponse(Verdict.FAILED, timed_out=monotonic() >= call.deadline))
+                self._close(request, FinalResponse(Verdict.FAILED, timed_out=monotonic() >= request.deadline))
 
-    def _invoke(self, order: house.StartAttempt) -> None:
-        call = self.open.get(order.request)
-        if call is None:
+    def _start_attempt(self, command: StartAttempt) -> None:
+        request = self.open.get(command.request)
+        if request is None:
             return
         now = monotonic()
-        end = math.inf if call.deadline == math.inf else min(now + order.timeout_ms / 1000.0, call.deadline)
-        invoker_call = Attempt(call, len(call.attempts), order.endpoint, now, end)
-        call.attempts.append(invoker_call)
-        self._out[call.number, invoker_call.number] = invoker_call
-        for one in call.interceptors:
-            one.attempt_started(invoker_call)
-        self.attempt_runner.start(invoker_call)
-
-    def _abandon(self, order: house.CancelAttempt) -> None:
-        # Kept apart from the open calls: a loser is abandoned after its call was answered.
-        invoker_call = self._out.get((order.request, order.attempt))
-        if invoker_call is not None:
-            self.attempt_runner.cancel(invoker_call)
-
-    def _close(self, call: Request, final: FinalResponse) -> None:
-        call.final = final
-        if call.number not in self.streaming:
-            self.metrics.count_ended(call.class_name, ENDS[final.verdict])
+        deadline = math.inf
+        if request.deadline != math.inf:
+            deadline = min(now + command.timeout_ms / 1000.0, request.deadline)
+        attempt = Attempt(request, len(request.attempts), command.endpoint, now, deadline)
+        request.attempts.append(attempt)
+        self._attempts_in_flight[request.number, attempt.number] = attempt
+        for interceptor in request.interceptors:
+            interceptor.attempt_started(attempt)
+        self.attempt_runner.start(attempt)
+
+    def _cancel_attempt(self, command: CancelAttempt) -> None:
+        # Not looked up by the open requests: a losing hedged request is cancelled after its request was answered.
+        attempt = self._attempts_in_flight.get((command.request, command.attempt))
+        if attempt is not None:
+            self.attempt_runner.cancel(attempt)
+
+    def _close(self, request: Request, final: FinalResponse) -> None:
+        request.final = final
+        if request.number not in self.streaming:
+            self.metrics.count_ended(request.class_name, METRIC_ENDINGS[final.verdict])
         if self._trace:
             log.debug(
                 "final",
-                call=call.number,
+                call=request.number,
                 verdict=final.verdict.value,
-                invoked=len(call.attempts),
+                invoked=len(request.attempts),
                 **self.load_balancer.decision_metrics(),
             )
-        self._forget(call)
-        self._tell_end(call)
-        call.respond(final)
+        self._forget(request)
+        self._notify_closed(request)
+        request.respond(final)
 
-    def _tell_end(self, call: Request) -> None:
-        for one in call.interceptors:
-            one.request_closed(call)
+    def _notify_closed(self, request: Request) -> None:
+        for interceptor in request.interceptors:
+            interceptor.request_closed(request)
 
-    def _forget(self, call: Request) -> None:
-        if not call.policy.is_idempotent and any(attempt.may_have_run for attempt in call.attempts):
+    def _forget(self, request: Request) -> None:
+        """Remove the request from the open ones, and remember its id if it must not run again."""
+        if not request.policy.is_idempotent and any(attempt.may_have_run for attempt in request.attempts):
             now = monotonic()
-            self._names.remember(call.request_id, now, now + call.policy.deadline_s)
-        if self.open.pop(call.number, None) is not None and call.number not in self.streaming:
-            self._names.discard(call.request_id)
+            self._request_ids.remember(request.request_id, now, now + request.policy.deadline_s)
+        if self.open.pop(request.number, None) is not None and request.number not in self.streaming:
+            self._request_ids.discard(request.request_id)
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -143,7 +143,7 @@
             key, {name.encode(): value.encode() for name, value in (fields or {}).items()}, origin, resent
         )
         self.last = self.calls.accept(
-            b"%d" % next(self.names), None, kind, tenant, 900.0, final.set_result, about=about
+            b"%d" % next(self.names), None, kind, tenant, 900.0, final.set_result, details=about
         )
         return final
 
--- a/tests/helpers/scripted.py
+++ b/tests/helpers/scripted.py
@@ -90,4 +90,4 @@
     tenant: str = "acme",
     about: RequestDetails | None = None,
 ) -> Request:
-    return calls.accept(name, None, "look", tenant, 9000.0, answer, about=about or RequestDetails())
+    return calls.accept(name, None, "look", tenant, 9000.0, answer, details=about or RequestDetails())
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -235,7 +235,7 @@
         )
         call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append)
         (one,) = call.attempts
-        calls._invoke(StartAttempt(call.number, "b", 20000.0))
+        calls._start_attempt(StartAttempt(call.number, "b", 20000.0))
         two = call.attempts[1]
         assert calls.response_started(one, "the answer") and not calls.response_started(two, "another")
         calls.attempt_ended(two, AttemptEnding.CANCELLED)
@@ -263,7 +263,7 @@
                 [DiscoveredEndpoint(n, ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE) for n in "ab"], True
             )
         )
-        call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append, rest=BodyPipe(BufferBudget(1)))
+        call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append, body_pipe=BodyPipe(BufferBudget(1)))
         calls.last_deadline = monotonic() + 1.0  # SIGTERM came meanwhile
         calls.upload_finished(call.attempts[0])
         assert call.deadline == call.attempts[0].deadline == calls.last_deadline
