--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -50,7 +50,7 @@
     calls = RequestManager(facade, config.max_open, figures)
     budget = BufferBudget(buffered(config.memory_mb, 1))
     providers = EndpointPool(
-        calls, sockets.providers, config.connect_timeout_ms, config.endpoint_idle_ms, settings.providers, budget
+        calls, sockets.endpoints, config.connect_timeout_ms, config.endpoint_idle_ms, settings.providers, budget
     )
     listed = asyncio.Event()
 
@@ -110,7 +110,7 @@
 
     def limit(processes: int) -> None:
         """Of this sidecar, those alive: all of them are held to one sidecar's limits."""
-        sockets.limit_to(held.sockets // processes)
+        sockets.set_limit(held.sockets // processes)
         budget.limit = buffered(held.memory_mb, processes)
 
     def together(processes: int) -> None:
@@ -141,7 +141,7 @@
         held = new
         names = [cls.name for cls in new.settings.classes]
         log.info("reload", directory=host_port(new.discovery), sockets=new.sockets, classes=names)
-        limit(successor.processes)
+        limit(successor.process_count)
         if acting is not None:
             acting.renewed(new)
         else:
@@ -158,9 +158,9 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, end)
     calls.execute(facade.start())
-    inherited = await successor.ask()
+    inherited = await successor.request_handover()
     if inherited is not None:
-        together(successor.processes)
+        together(successor.process_count)
         take_over(inherited, directory, facade)
     if not listed.is_set() and config.known_list:
         if pushed(config):
@@ -174,18 +174,18 @@
     if config.admin is not None:
         operators.listen(config.admin)
         looking.start()
-    successor.offer(listener)
+    successor.offer_listener(listener)
     log.info("listening", listen=host_port(config.listen), layer=config.settings.tier_index, over=inherited is not None)
     if others is not None:
         others.start()
     gc.freeze()  # what stays for good is not looked through again
-    await successor.serving()
+    await successor.confirm_serving()
     serving = True
     await stop.wait()
-    log.info("leaving", open_calls=len(calls.open), handed_on=successor.serves)
+    log.info("leaving", open_calls=len(calls.open), handed_on=successor.successor_serves)
     if others is not None:
         others.leave()
-    await consumers.shut_down(successor.serves, told[0])
+    await consumers.shut_down(successor.successor_serves, told[0])
     looking.stop()
     operators.close()
     successor.close()
--- a/limenotch/net/admin/server.py
+++ b/limenotch/net/admin/server.py
@@ -18,7 +18,7 @@
 from ... import logs
 from ...config import Address
 from .. import http1
-from ..sockets import OPERATORS, Listener
+from ..sockets import MAX_OPERATOR_CONNECTIONS, Listener
 
 log = logs.get(__name__)
 
@@ -69,13 +69,13 @@
 
     def _accept(self) -> None:
         if self._listener is not None:
-            self._listener.take(OPERATORS, self._admit, self._refused)
+            self._listener.take(MAX_OPERATOR_CONNECTIONS, self._admit, self._refused)
 
     def _refused(self, error: OSError) -> None:
         log.warning("operators' listener", error=str(error))
 
     def _admit(self, sock: socket.socket) -> None:
-        while len(self._open) >= OPERATORS:
+        while len(self._open) >= MAX_OPERATOR_CONNECTIONS:
             self._give_way()
         caller = _Caller(IOStream(sock, max_buffer_size=MAX_BUFFER))
         self._open[caller] = asyncio.get_running_loop().create_task(self._serve(caller))
--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -15,11 +15,11 @@
 from ..config import host_port
 from . import http1
 from .client_connections import ClientConnections
-from .header_fields import budget_ms, check_once, name_in
+from .header_fields import budget_ms, check_once, decode_name
 from .pipe import BodyPipe, BrokenError
 from .read_ahead import ClientStream, Mode, ReadAhead
 from .request import FinalResponse, Request, RequestDetails, Verdict
-from .responses import passed_headers, write_final_response
+from .responses import forwarded_headers, write_final_response
 
 log = logs.get(__name__)
 
@@ -28,10 +28,10 @@
 LINGER_S = 0.5
 LINGER_BYTES = 256 * 1024
 
-READY = b"/up"
+READINESS_PATH = b"/up"
 
 
-class RestOverError(Exception):
+class IdleEndError(Exception):
     """The connection ends between two requests."""
 
 
@@ -58,7 +58,7 @@
         stream.ended = self._closed
 
     @property
-    def owes(self) -> bool:
+    def owes_response(self) -> bool:
         """A call is open, or its answer is being passed on."""
         return self._call is not None
 
@@ -67,7 +67,7 @@
         """Nothing of a further request has come, neither here nor in the kernel."""
         return self._parser.idle and self.reader.empty
 
-    def end_rest(self) -> bool:
+    def end_if_idle(self) -> bool:
         """End the connection if it is between two requests; whether it was.
 
         The one way to end an idle connection in order. From the look at what has come to the end of our sending
@@ -76,23 +76,23 @@
         if self._ending or self._final is not None or self.stream.closed() or self.stream.writing() or not self._quiet:
             return False
         self._shut()
-        self.reader.stop(RestOverError())
+        self.reader.fail(IdleEndError())
         return True
 
-    def give_way(self) -> bool:
+    def evict(self) -> bool:
         """The same at once, to give the descriptor back; the end of a connection that lingers is cut short."""
-        if not self._ending and not self.end_rest():
+        if not self._ending and not self.end_if_idle():
             return False
         self.stream.close()
         return True
 
-    def give_up(self) -> None:
+    def end_incomplete_request(self) -> None:
         """The program is about to end: a request that is not whole is turned off, and is not sent on."""
-        if self._ending or self.end_rest():
+        if self._ending or self.end_if_idle():
             return
         uploading = self._upload is not None and not self._upload.done()
         if self._final is None or uploading:
-            self.reader.stop(http1.MalformedError(503, "the sidecar is ending"))
+            self.reader.fail(http1.MalformedError(503, "the sidecar is ending"))
         if self._call is not None and uploading:
             self._call.payload.rest.cut()
 
@@ -100,7 +100,7 @@
         try:
             await self._answers()
             await self._finish()
-        except RestOverError:
+        except IdleEndError:
             await self._finish()
         except http1.MalformedError as error:
             await self._turn_off(error)
@@ -120,7 +120,7 @@
         while keep:
             request = await self._request()
             self.used = True
-            if request.target == READY:
+            if request.target == READINESS_PATH:
                 keep = self._keeps(request)
                 await self._write(http1.write_response(200 if self._all.ready() else 503, [], b"", not keep))
             else:
@@ -156,14 +156,14 @@
         self._call = self._final = self._upload = None
         if self.reader.dropped:
             return False
-        self.reader.go(Mode.REST)
+        self.reader.set_mode(Mode.LEAVE)
         return keep
 
     async def _pass_on(self, call: Request, response: http1.Message, keep: bool, minor: int) -> bool:
         """A long answer, as it comes. If it breaks off, so does the connection: the consumer must be able to tell."""
         chunked = response.length is None and minor == 1
         keep = keep and (chunked or response.length is not None)
-        head = http1.response_head(200, passed_headers(response), response.length, not keep, minor)
+        head = http1.response_head(200, forwarded_headers(response), response.length, not keep, minor)
         end, self._begun = "errored", True
         try:
             await self._write(head + (http1.chunk(response.body) if chunked and response.body else response.body))
@@ -254,7 +254,7 @@
                     await pipe.put(piece)
                 if parser.complete:
                     parser.next()
-                    self.reader.go(Mode.WATCH)
+                    self.reader.set_mode(Mode.BUFFER_OR_DROP)
                     pipe.end()
                     return
                 await self._read(size)
@@ -285,8 +285,8 @@
             return
         if not self.reader.empty:  # read in this turn of the loop, or about to be
             self._time(0.0)
-        elif not self.end_rest():
-            self.reader.stop(http1.MalformedError(408, "request not complete in time"))
+        elif not self.end_if_idle():
+            self.reader.fail(http1.MalformedError(408, "request not complete in time"))
 
     def _take(self, request: http1.Message) -> None:
         fields, facade = request.fields, self._all.load_balancer
@@ -295,8 +295,8 @@
         if request.minor == 1 and b"host" not in fields:
             raise http1.MalformedError(400, "Host: missing")
         check_once(request.headers)
-        class_name = name_in(fields.get(b"x-call-class", b""))
-        tenant = name_in(fields.get(b"x-caller", b""))
+        class_name = decode_name(fields.get(b"x-call-class", b""))
+        tenant = decode_name(fields.get(b"x-caller", b""))
         name = fields.get(b"x-call-id")
         if not name:
             raise http1.MalformedError(400, "X-Call-Id: missing")
@@ -306,7 +306,7 @@
             raise http1.MalformedError(400, "X-Call-Class: unknown")
         if not facade.knows_tenant(tenant):
             raise http1.MalformedError(400, "X-Caller: unknown")
-        self.reader.go(Mode.HOLD if request.rest is not None else Mode.WATCH)
+        self.reader.set_mode(Mode.BUFFER if request.rest is not None else Mode.BUFFER_OR_DROP)
         if self.stream.closed():  # its client has gone already
             raise StreamClosedError
         # One taken while leaving must not be found open by what ends the process.
@@ -317,7 +317,7 @@
         about = RequestDetails(
             fields.get(b"idempotency-key", b""), fields, self._origin(), fields.get(b"x-again") == b"1"
         )
-        room = self._all.descriptors.providers.has_capacity
+        room = self._all.descriptors.endpoints.has_capacity
         self._call = self._all.requests.accept(
             name, request, class_name, tenant, left, final.set_result, room, request.rest, about
         )
--- a/limenotch/net/client_listener.py
+++ b/limenotch/net/client_listener.py
@@ -24,10 +24,10 @@
 log = logs.get(__name__)
 
 BACKLOG = 1024
-ACCEPTS = 16  # in a row
-MAX_BUFFER = 512 * 1024
-NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE)
-REST_S = 0.02  # with no descriptor left and none to be had: the queue would call us in every turn of the loop
+MAX_ACCEPTS_IN_A_ROW = 16  # in a row
+MAX_BUFFER_BYTES = 512 * 1024
+NO_DESCRIPTOR_ERRORS = (errno.EMFILE, errno.ENFILE)
+LISTENER_PAUSE_S = 0.02  # with no descriptor left and none to be had: the queue would call us in every turn of the loop
 
 
 class ClientListener:
@@ -42,7 +42,7 @@
         tuning: settings.ClientSettings = settings.ClientSettings(),  # noqa: B008 (frozen)
         budget: BufferBudget | None = None,
     ) -> None:
-        self.budget = budget or BufferBudget(MAX_BUFFER)
+        self.budget = budget or BufferBudget(MAX_BUFFER_BYTES)
         self.requests, self.load_balancer, self.descriptors, self.settings = calls, facade, sockets, tuning
         self.shutting_down = False  # no more connections ...
         self.closing = False  # ... and each ends with its next answer, unless more of its client's has come
@@ -55,7 +55,7 @@
         self._open: dict[ClientConnection, asyncio.Task[None]] = {}
         self._waiting: dict[ClientConnection, None] = {}  # those between two requests, the longest first
         self._lingering: dict[ClientConnection, None] = {}  # those whose clients have not closed yet though we have
-        sockets.consumers.drop_idle = self._drop_idle
+        sockets.clients.drop_idle = self._drop_idle
 
     def listen(self, at: Address, inherited: socket.socket | None = None) -> socket.socket:
         """On this address only, or on the listener of the process before. Raises OSError if it can't be had.
@@ -73,7 +73,7 @@
     def _some_wait(self) -> None:
         self._accept()
 
-    def _accept(self, most: int = ACCEPTS) -> bool:
+    def _accept(self, most: int = MAX_ACCEPTS_IN_A_ROW) -> bool:
         """Some of those that wait: of many at once, each is read before the next ones push it out.
 
         Whether it came to the end of them.
@@ -83,20 +83,20 @@
     def _refused(self, error: OSError) -> None:
         """Aborted by the consumer, or no descriptor left: an idle one makes room."""
         log.warning("listener", error=str(error))
-        if error.errno in NO_DESCRIPTOR and not self._drop_idle() and self._listener is not None:
-            self._listener.rest(REST_S)
+        if error.errno in NO_DESCRIPTOR_ERRORS and not self._drop_idle() and self._listener is not None:
+            self._listener.pause(LISTENER_PAUSE_S)
 
     def _admit(self, sock: socket.socket) -> None:
-        if not self.descriptors.consumers.take():
+        if not self.descriptors.clients.take():
             sock.close()
             return
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:  # it has gone already
             sock.close()
-            self.descriptors.consumers.give_back()
+            self.descriptors.clients.give_back()
             return
-        consumer = ClientConnection(ClientStream(sock, max_buffer_size=MAX_BUFFER), self)
+        consumer = ClientConnection(ClientStream(sock, max_buffer_size=MAX_BUFFER_BYTES), self)
         self._open[consumer] = asyncio.get_running_loop().create_task(consumer.serve())
 
     def ended(self, consumer: ClientConnection) -> None:
@@ -104,7 +104,7 @@
         if self._open.pop(consumer, None) is not None:
             self.set_idle(consumer, False)
             self._lingering.pop(consumer, None)
-            self.descriptors.consumers.give_back()
+            self.descriptors.clients.give_back()
 
     def set_idle(self, consumer: ClientConnection, waiting: bool) -> None:
         """A connection begins or ends to be between two requests."""
@@ -121,7 +121,7 @@
     def _drop_idle(self) -> bool:
         """The first that can give way: those that linger, then those that never asked, then those that have."""
         waiting = sorted(self._waiting, key=lambda consumer: consumer.used)
-        return any(consumer.give_way() for consumer in [*self._lingering, *waiting])
+        return any(consumer.evict() for consumer in [*self._lingering, *waiting])
 
     async def shut_down(self, handed_on: bool = False, since: float | None = None) -> None:
         """Take no more, once those under way have arrived; return when every call is answered.
@@ -142,13 +142,13 @@
         await self._until(begun + times.close_s)
         self.closing = True
         for consumer in list(self._open):
-            consumer.end_rest()
+            consumer.end_if_idle()
         await self._until(begun + times.answer_s)
         self.over = True
         for consumer in list(self._open):
-            consumer.give_up()
+            consumer.end_incomplete_request()
         await self._until(begun + times.end_s)
-        for consumer in [consumer for consumer in self._open if not consumer.owes]:
+        for consumer in [consumer for consumer in self._open if not consumer.owes_response]:
             consumer.stream.close()
         await self._until(begun + times.wait_s)
 
@@ -159,7 +159,7 @@
 
     def _accept_all(self) -> None:
         """What waits in the queue would be reset with the listener."""
-        for _ in range(ACCEPTS):  # one that was aborted ends a turn, and must not cost those behind it
+        for _ in range(MAX_ACCEPTS_IN_A_ROW):  # one that was aborted ends a turn, and must not cost those behind it
             if self._accept(BACKLOG):
                 return
 
--- a/limenotch/net/endpoint_connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -12,7 +12,7 @@
 from .. import logs
 from ..load_balancer import DiscoveredEndpoint
 from . import http1
-from .pipe import HOLD, BodyPipe, BrokenError, BufferBudget
+from .pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe, BrokenError, BufferBudget
 
 log = logs.get(__name__)
 
@@ -111,7 +111,7 @@
     def may_be_long(self) -> bool:
         """By its head, the answer under way may be more than is held."""
         announced = self._head.length if self._head is not None else 0
-        return announced is None or announced > HOLD
+        return announced is None or announced > MAX_BUFFERED_BODY_BYTES
 
     def pass_on(self) -> bool:
         """Tell of the answer now, its rest to come by a pipe; False where there is no head or it is told already."""
--- a/limenotch/net/pipe.py
+++ b/limenotch/net/pipe.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections import deque
 
-HOLD = 64 * 1024  # up to here a body is held whole, so that it can be had or sent again
-PIECE = 64 * 1024  # of one read
-SMALL = 8 * 1024  # the same where memory is short
-MOST = 128 * 1024  # in one pipe
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # up to here a body is held whole, so that it can be had or sent again
+READ_BYTES = 64 * 1024  # of one read
+SMALL_READ_BYTES = 8 * 1024  # the same where memory is short
+MAX_PIPE_BYTES = 128 * 1024  # in one pipe
 
 
 class BrokenError(Exception):
@@ -28,11 +28,11 @@
     @property
     def piece(self) -> int:
         """How much to read at once now."""
-        return SMALL if self.exhausted else PIECE
+        return SMALL_READ_BYTES if self.exhausted else READ_BYTES
 
     def beyond(self, size: int) -> bool:
         """Whether a body of which `size` bytes are there is not held any longer."""
-        return size > HOLD or size > SMALL and self.exhausted
+        return size > MAX_BUFFERED_BODY_BYTES or size > SMALL_READ_BYTES and self.exhausted
 
 
 class BodyPipe:
@@ -52,7 +52,7 @@
             self._pieces.append(piece)
             self._count(len(piece))
             self._change.set()
-        while self._pieces and (self._size >= MOST or self._budget.exhausted) and not self._broken:
+        while self._pieces and (self._size >= MAX_PIPE_BYTES or self._budget.exhausted) and not self._broken:
             self._change.clear()
             await self._change.wait()
         if self._broken:
--- a/limenotch/net/read_ahead.py
+++ b/limenotch/net/read_ahead.py
@@ -13,20 +13,22 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from .pipe import PIECE, BufferBudget
+from .pipe import READ_BYTES, BufferBudget
 
 # What a client may send ahead of the answer that it waits for: several requests whole, of the size that is held whole.
 # More than one read brings is held only while the memory for bodies under way isn't used up.
-AHEAD = 256 * 1024
-PIECES = 4  # in a turn of the loop: an end behind all that may be held is noticed in it, and a flood leaves others room
+MAX_READ_AHEAD_BYTES = 256 * 1024
+MAX_READS_PER_TURN = (
+    4  # in a turn of the loop: an end behind all that may be held is noticed in it, and a flood leaves others room
+)
 
 
 class Mode(Enum):
     """What becomes of bytes that come while nobody asks for them."""
 
-    REST = "left in the kernel"
-    HOLD = "held up to a bound, and left in the kernel beyond"
-    WATCH = "held up to a bound, and dropped beyond, so that the end is always noticed"
+    LEAVE = "left in the kernel"
+    BUFFER = "held up to a bound, and left in the kernel beyond"
+    BUFFER_OR_DROP = "held up to a bound, and dropped beyond, so that the end is always noticed"
 
 
 class ClientStream(IOStream):
@@ -46,7 +48,7 @@
         self.stream = stream
         self.dropped = False  # bytes are missing: no request can be read any more
         self._budget = budget
-        self._mode = Mode.REST
+        self._mode = Mode.LEAVE
         self._held: list[bytes] = []
         self._size = 0  # of what is held
         self._pending: asyncio.Future[bytes] | None = None
@@ -72,12 +74,12 @@
         self._go_on()
         return data
 
-    def go(self, mode: Mode) -> None:
+    def set_mode(self, mode: Mode) -> None:
         """From now on. What has come already is read at once as far as it may be held, and an end behind it noticed."""
         self._mode = mode
         self._go_on()
 
-    def stop(self, error: Exception) -> None:
+    def fail(self, error: Exception) -> None:
         """The read under way, else the next one, raises this."""
         self._error = error
         self._wake()
@@ -96,7 +98,7 @@
 
     async def discard(self, most: int) -> None:
         """Read up to the connection's end, or so far, and keep nothing. Raises StreamClosedError at the end."""
-        self._error, self._mode = None, Mode.REST
+        self._error, self._mode = None, Mode.LEAVE
         self._drop()
         while most > 0:
             most -= len(await self.read())
@@ -153,7 +155,7 @@
         if future is None or future.cancelled() or future.exception() is not None:
             return  # the stream has closed
         piece = future.result()
-        if self._mode is Mode.WATCH and (self.dropped or self._size + len(piece) > self._room):
+        if self._mode is Mode.BUFFER_OR_DROP and (self.dropped or self._size + len(piece) > self._room):
             self.dropped = True
             self._drop()
         elif not self.stream.closed():
@@ -162,16 +164,16 @@
 
     @property
     def _room(self) -> int:
-        return PIECE if self._budget.exhausted else AHEAD
+        return READ_BYTES if self._budget.exhausted else MAX_READ_AHEAD_BYTES
 
     def _wants(self) -> bool:
-        if self._mode is Mode.HOLD:
+        if self._mode is Mode.BUFFER:
             return self._size < self._room
-        return self._mode is Mode.WATCH
+        return self._mode is Mode.BUFFER_OR_DROP
 
     def _go_on(self) -> None:
         """Some pieces at once, and the rest in the next turns."""
-        for left in range(PIECES, -1, -1):
+        for left in range(MAX_READS_PER_TURN, -1, -1):
             future = self._begin() if self._wants() else None
             if future is None:
                 return
--- a/limenotch/net/request_ids.py
+++ b/limenotch/net/request_ids.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-MOST_REMEMBERED = 10_000  # names; the oldest go first, as their clients are the likeliest to have given up
+MAX_REMEMBERED_IDS = 10_000  # names; the oldest go first, as their clients are the likeliest to have given up
 
 
 class RequestIds:
@@ -16,7 +16,7 @@
         self._open: set[bytes] = set()
         self._ran: dict[bytes, float] = {}  # until when, the oldest first
 
-    def taken(self, name: bytes, now: float) -> bool:
+    def is_known(self, name: bytes, now: float) -> bool:
         """Whether a call of this name is open, or may have run not long ago."""
         return name in self._open or self._ran.get(name, now) > now
 
@@ -32,6 +32,6 @@
         self._ran.pop(name, None)
         self._ran[name] = until
         for oldest in list(self._ran):
-            if self._ran[oldest] > now and len(self._ran) <= MOST_REMEMBERED:
+            if self._ran[oldest] > now and len(self._ran) <= MAX_REMEMBERED_IDS:
                 break
             del self._ran[oldest]
--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -76,7 +76,7 @@
 
     def is_known(self, request_id: bytes) -> bool:
         """Whether a request with this id is open, or one that may have run and must not run again was."""
-        return self._request_ids.taken(request_id, monotonic())
+        return self._request_ids.is_known(request_id, monotonic())
 
     def accept(
         self,
--- a/limenotch/net/responses.py
+++ b/limenotch/net/responses.py
@@ -10,7 +10,7 @@
     """A final answer as this protocol words it; a provider's 200 goes on with its body unchanged."""
     if final.verdict is Verdict.SERVED:
         response: http1.Message = final.payload
-        return http1.write_response(200, passed_headers(response), response.body, close)
+        return http1.write_response(200, forwarded_headers(response), response.body, close)
     if final.verdict is Verdict.REJECTED:
         advice: http1.Headers = []
         if final.retry_after_ms > 0:
@@ -19,5 +19,5 @@
     return http1.write_response(504 if final.timed_out else 502, [], b"", close)
 
 
-def passed_headers(response: http1.Message) -> http1.Headers:
+def forwarded_headers(response: http1.Message) -> http1.Headers:
     return [pair for pair in response.end_to_end() if pair[0].lower() != b"x-load-report"]
--- a/limenotch/net/sockets.py
+++ b/limenotch/net/sockets.py
@@ -63,7 +63,7 @@
             admit(sock)
         return False
 
-    def rest(self, wait_s: float) -> None:
+    def pause(self, wait_s: float) -> None:
         """Call `accept` no more for so long: who waits stays in the queue."""
         if not self._closed and not self._resting:
             self._resting = True
@@ -82,26 +82,31 @@
         self.socket.close()
 
 
-OPERATORS = 16  # connections of operators at once, beside everybody else's
+MAX_OPERATOR_CONNECTIONS = 16  # connections of operators at once, beside everybody else's
 
 
 class DescriptorLimits:
     """Shares the descriptors out to consumers and providers."""
 
-    def __init__(self, limit: int, tuning: DescriptorSettings = DescriptorSettings(), fleet: int = 0) -> None:  # noqa: B008
+    def __init__(
+        self,
+        limit: int,
+        tuning: DescriptorSettings = DescriptorSettings(),  # noqa: B008 (frozen)
+        fleet_connections: int = 0,
+    ) -> None:
         """OPERATORS are set apart, and `fleet` for other sidecars. `tuning.reserve`: standard streams, the loop's own,
         the listener, the directory, and what the interpreter holds. Neither side can use up the other's part:
         consumers that only stay connected would else leave no descriptor to reach a provider by, and every call
         would be rejected.
         """
-        self._tuning, self._apart = tuning, OPERATORS + fleet
-        self.consumers, self.providers = DescriptorQuota(), DescriptorQuota()
-        self.limit_to(limit)
+        self._tuning, self._apart = tuning, MAX_OPERATOR_CONNECTIONS + fleet_connections
+        self.clients, self.endpoints = DescriptorQuota(), DescriptorQuota()
+        self.set_limit(limit)
 
-    def limit_to(self, limit: int) -> None:
+    def set_limit(self, limit: int) -> None:
         """Also under way: what is open beyond a new limit stays until it closes."""
         whole = max(limit - self._tuning.reserve - self._apart, 8)
-        self.consumers.limit = int(whole * self._tuning.for_consumers)
-        self.providers.limit = whole - self.consumers.limit
-        while self.providers.used > self.providers.limit and self.providers.drop_idle():
+        self.clients.limit = int(whole * self._tuning.for_consumers)
+        self.endpoints.limit = whole - self.clients.limit
+        while self.endpoints.used > self.endpoints.limit and self.endpoints.drop_idle():
             pass  # no consumer notices
--- a/limenotch/net/successor.py
+++ b/limenotch/net/successor.py
@@ -26,12 +26,12 @@
 
 log = logs.get(__name__)
 
-NAME = ".sock"  # behind what all paths of this sidecar begin with
+SOCKET_SUFFIX = ".sock"  # behind what all paths of this sidecar begin with
 VERSION = 1
-ASK_S = 2.0  # to have it all: a stopped process must not keep the start
-MOST = 4 * 1024 * 1024  # of the line
+HANDOVER_TIMEOUT_S = 2.0  # to have it all: a stopped process must not keep the start
+MAX_STATE_BYTES = 4 * 1024 * 1024  # of the line
 SERVING, NOTED = b"serving\n", b"noted\n"
-LONGEST_PATH = 100  # of a Unix socket's address
+MAX_SOCKET_PATH_BYTES = 100  # of a Unix socket's address
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 @contextlib.contextmanager
 def _address(path: Path) -> Iterator[str]:
     """A path that fits into a Unix socket's address, however long the folder's is."""
-    if len(os.fsencode(path)) <= LONGEST_PATH:
+    if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield str(path)
         return
     held = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
@@ -67,7 +67,7 @@
         """`kept`: how its path begins; None: there is no handing over. `together` is told how many processes live,
         this one counted, whenever that changes.
         """
-        self._path = Path(kept + NAME) if kept else None
+        self._path = Path(kept + SOCKET_SUFFIX) if kept else None
         self._at, self._tell, self._together = at, tell, together
         self._loop = IOLoop.current()
         self._door: Listener | None = None
@@ -77,17 +77,17 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def serves(self) -> bool:
+    def successor_serves(self) -> bool:
         """Whether a later process has this one's listener and takes calls."""
         return any(self._next.values())
 
     @property
-    def processes(self) -> int:
+    def process_count(self) -> int:
         return 1 + (self._before is not None) + len(self._next)
 
     # As the new process
 
-    async def ask(self) -> InheritedState | None:
+    async def request_handover(self) -> InheritedState | None:
         """What the process before hands over; None if there is none, or it does not answer in time."""
         if self._path is None:
             return None
@@ -95,7 +95,7 @@
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             sock.setblocking(False)
-            return await asyncio.wait_for(self._ask(sock), ASK_S)
+            return await asyncio.wait_for(self._ask(sock), HANDOVER_TIMEOUT_S)
         except (FileNotFoundError, ConnectionRefusedError):
             log.info("no process before")
         except (TimeoutError, OSError, ValueError, StreamClosedError) as error:
@@ -124,8 +124,8 @@
             if sockets[0].getsockname()[:2] != self._at:
                 raise ValueError("the listener is of another address")
             sockets[0].setblocking(False)
-            stream = IOStream(sock, max_buffer_size=MOST)
-            told = json.loads(await stream.read_until(b"\n", max_bytes=MOST))
+            stream = IOStream(sock, max_buffer_size=MAX_STATE_BYTES)
+            told = json.loads(await stream.read_until(b"\n", max_bytes=MAX_STATE_BYTES))
             if not isinstance(told, dict) or told.get("version") != VERSION:
                 raise ValueError("of another version")
         except BaseException:
@@ -139,9 +139,9 @@
     def _lost_before(self) -> None:
         self._before = None
         log.info("the process before is gone")
-        self._together(self.processes)
+        self._together(self.process_count)
 
-    async def serving(self) -> None:
+    async def confirm_serving(self) -> None:
         """Tell the process before that this one takes calls; return when it knows, or seems not to answer.
 
         It has to know before anybody ends it: only then are the calls that wait in the queue safe.
@@ -149,7 +149,7 @@
         stream = self._before
         if stream is None:
             return
-        timer = self._loop.call_later(ASK_S, stream.close)
+        timer = self._loop.call_later(HANDOVER_TIMEOUT_S, stream.close)
         with contextlib.suppress(StreamClosedError):
             await stream.write(SERVING)
             await stream.read_until(NOTED, max_bytes=64)
@@ -159,7 +159,7 @@
 
     # As the one before
 
-    def offer(self, listener: socket.socket) -> None:
+    def offer_listener(self, listener: socket.socket) -> None:
         """From now on the next process finds this one. Without a folder or Unix sockets there is no handing over."""
         self._handed = listener
         if self._path is None:
@@ -194,7 +194,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _hand_over(self, stream: IOStream) -> None:
-        timer = self._loop.call_later(ASK_S, stream.close)
+        timer = self._loop.call_later(HANDOVER_TIMEOUT_S, stream.close)
         try:
             asked = await stream.read_until(b"\n", max_bytes=64)
             if asked != b"%d\n" % VERSION or self._handed is None or self._handed.fileno() < 0:
@@ -205,7 +205,7 @@
             self._loop.remove_timeout(timer)
             self._next[stream] = False
             log.info("handed over", size=len(told))
-            self._together(self.processes)
+            self._together(self.process_count)
             if await stream.read_until(SERVING, max_bytes=64):
                 self._next[stream] = True
                 log.info("the next process serves")
@@ -219,9 +219,9 @@
             self._loop.remove_timeout(timer)
             stream.close()
             if self._next.pop(stream, None) is not None:
-                self._together(self.processes)
+                self._together(self.process_count)
                 if self._handed is not None and self._handed.fileno() >= 0:
-                    self.offer(self._handed)  # the one that is gone had put its own door in place of ours
+                    self.offer_listener(self._handed)  # the one that is gone had put its own door in place of ours
 
     def _watch(self, stream: IOStream) -> None:
         """Its end is noticed though it says nothing more."""
--- a/tests/fleet/test_fleet_off.py
+++ b/tests/fleet/test_fleet_off.py
@@ -17,7 +17,7 @@
 import pytest
 
 from limenotch.lab.emulate.sidecars import free_port
-from limenotch.net.sockets import OPERATORS, DescriptorLimits
+from limenotch.net.sockets import MAX_OPERATOR_CONNECTIONS, DescriptorLimits
 from limenotch.settings import DescriptorSettings
 from tests.helpers.http_peers import LOOK, SETTINGS, answering, ask, whole
 
@@ -175,9 +175,11 @@
 def test_the_fleet_s_descriptors_are_taken_from_the_limit_only_where_it_is_on() -> None:
     for limit in (64, 1024):
         off, on = DescriptorLimits(limit), DescriptorLimits(limit, DescriptorSettings(), 74)
-        left = max(limit - DescriptorSettings().reserve - OPERATORS - 74, 8)
-        assert off.consumers.limit + off.providers.limit == limit - DescriptorSettings().reserve - OPERATORS
-        assert on.consumers.limit + on.providers.limit == left
+        left = max(limit - DescriptorSettings().reserve - MAX_OPERATOR_CONNECTIONS - 74, 8)
+        assert (
+            off.clients.limit + off.endpoints.limit == limit - DescriptorSettings().reserve - MAX_OPERATOR_CONNECTIONS
+        )
+        assert on.clients.limit + on.endpoints.limit == left
 
 
 @pytest.mark.parametrize("name", ["limenotch.settings", "limenotch.app", "limenotch.cli.serve"])
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -38,7 +38,7 @@
 from limenotch.metrics import Metrics
 from limenotch.net import http1
 from limenotch.net.admin.server import AdminServer
-from limenotch.net.sockets import OPERATORS as MOST
+from limenotch.net.sockets import MAX_OPERATOR_CONNECTIONS as MOST
 from limenotch.operator_ejections import FILE, LOCK, OperatorEjections, decode, encode
 
 from .helpers.http_peers import DELIVER, GET_HEALTH, LOOK, SETTINGS, answering, ask, renamed, whole
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -11,8 +11,8 @@
 import pytest
 
 from limenotch.net import http1
-from limenotch.net.pipe import HOLD
-from limenotch.net.read_ahead import AHEAD
+from limenotch.net.pipe import MAX_BUFFERED_BODY_BYTES
+from limenotch.net.read_ahead import MAX_READ_AHEAD_BYTES
 
 from .helpers.connections import Connections, until, with_connections
 from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, answer_from, answering, ask, whole
@@ -20,16 +20,18 @@
 from .test_admin_server import conserved
 
 NEXT = LOOK.replace(b"Id: 1", b"Id: 2")
-LONG = DELIVER.replace(b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * HOLD)) + bytes(3 * HOLD)
+LONG = DELIVER.replace(
+    b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * MAX_BUFFERED_BODY_BYTES)
+) + bytes(3 * MAX_BUFFERED_BODY_BYTES)
 BYTES = {
     "nothing": b"",
     "half a line": b"GET /ha",
     "a request": NEXT,
     "a request and a half": NEXT + b"GET /ha",
-    "much": bytes(AHEAD // 2),
+    "much": bytes(MAX_READ_AHEAD_BYTES // 2),
 }
 FEW = pytest.mark.parametrize("more", BYTES.values(), ids=BYTES)
-MORE = pytest.mark.parametrize("more", [*BYTES.values(), bytes(4 * AHEAD)], ids=[*BYTES, "a flood"])
+MORE = pytest.mark.parametrize("more", [*BYTES.values(), bytes(4 * MAX_READ_AHEAD_BYTES)], ids=[*BYTES, "a flood"])
 SOON_S = 20.0  # far from what it takes; a program that does not notice waits for the calls' end
 
 
@@ -63,7 +65,7 @@
 
 
 @MORE
-@pytest.mark.parametrize(("wire", "body"), [(LOOK, 0), (LONG, 3 * HOLD)], ids=["short", "long"])
+@pytest.mark.parametrize(("wire", "body"), [(LOOK, 0), (LONG, 3 * MAX_BUFFERED_BODY_BYTES)], ids=["short", "long"])
 def test_gone_while_an_attempt_is_out_ends_it(wire: bytes, body: int, more: bytes) -> None:
     # Guards against attempts for nobody: with more bytes behind its request, a client's end once went unnoticed.
     async def case() -> None:
@@ -264,7 +266,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(LOOK)
             await arrived.wait()
-            writer.write(bytes(32 * AHEAD))
+            writer.write(bytes(32 * MAX_READ_AHEAD_BYTES))
             await soon(sent(writer))
             release.set()
             answer = await reader.read()  # up to the end, which is no reset
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -13,7 +13,7 @@
 from limenotch.net import http1
 from limenotch.net.client_connection import ClientConnection
 from limenotch.net.client_listener import ClientListener
-from limenotch.net.pipe import HOLD, BodyPipe
+from limenotch.net.pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe
 from limenotch.settings import ClientSettings as Tuning
 
 from .helpers.connections import UP, Connections, received, until, with_connections
@@ -21,7 +21,9 @@
 from .helpers.processes import run, with_sidecar
 
 PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only the test ends anything
-BIG = DELIVER.replace(b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * HOLD)) + bytes(3 * HOLD)
+BIG = DELIVER.replace(
+    b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * MAX_BUFFERED_BODY_BYTES)
+) + bytes(3 * MAX_BUFFERED_BODY_BYTES)
 
 
 def timer(connections: Connections, consumer: ClientConnection) -> None:
@@ -33,7 +35,7 @@
 
 
 def leaving(connections: Connections, consumer: ClientConnection) -> None:
-    consumer.end_rest()
+    consumer.end_if_idle()
 
 
 def in_kernel(consumer: ClientConnection) -> None:
@@ -80,7 +82,7 @@
         assert await received(sock) == b""  # neither an answer nor a reset
         sock.close()
         await until(lambda: not connections.all._open)
-        assert connections.taken() == 0 and connections.sockets.consumers.used == 0
+        assert connections.taken() == 0 and connections.sockets.clients.used == 0
 
     run(with_connections(use, PATIENT))
 
@@ -168,7 +170,7 @@
         silent, _ = await connections.client()
         silent.sendall(UP.replace(b"\r\n\r\n", CLOSING))
         await received(silent)
-        while connections.sockets.consumers.used:
+        while connections.sockets.clients.used:
             await asyncio.sleep(0.01)
         silent.close()
 
@@ -191,7 +193,7 @@
             assert connections.all._drop_idle()
             order += before - set(connections.all._open)
         assert order == [gone, never, work] and not connections.all._drop_idle()
-        assert connections.sockets.consumers.used == 0
+        assert connections.sockets.clients.used == 0
         for sock in (working, silent, lingering):
             sock.close()
 
@@ -201,7 +203,7 @@
 def test_idle_clients_that_fill_the_descriptors_keep_nobody_out() -> None:
     # Neither one that has worked before, nor a new one that asks at once, nor one with a request in the kernel.
     async def use(connections: Connections) -> None:
-        limit = connections.sockets.consumers.limit
+        limit = connections.sockets.clients.limit
         working, work = await connections.client()
         working.sendall(UP)
         await received(working, b"\r\n\r\n")
@@ -209,7 +211,7 @@
         idle = []
         for _ in range(3 * limit):
             idle.append((await connections.client())[0])
-        assert connections.sockets.consumers.used <= limit
+        assert connections.sockets.clients.used <= limit
         working.sendall(UP)
         assert (await received(working, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         assert (await ask(connections.port, UP)).status == 200
@@ -250,7 +252,9 @@
     run(with_connections(use, PATIENT))
 
 
-@pytest.mark.parametrize("framing", [b"Content-Length: %d\r\n" % (4 * HOLD), b""], ids=["length", "until the end"])
+@pytest.mark.parametrize(
+    "framing", [b"Content-Length: %d\r\n" % (4 * MAX_BUFFERED_BODY_BYTES), b""], ids=["length", "until the end"]
+)
 @pytest.mark.parametrize("minor", [0, 1])
 def test_a_fault_of_ours_within_an_answer_adds_nothing_to_it(
     framing: bytes,
@@ -263,7 +267,7 @@
 
     async def handle(reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n" + bytes(2 * HOLD))
+        writer.write(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n" + bytes(2 * MAX_BUFFERED_BODY_BYTES))
         await reader.read()
         writer.close()
 
@@ -301,10 +305,10 @@
         sock, consumer = await connections.client()
         size = 32 * 1024 * 1024
         consumer.stream.write(bytes(size))
-        assert consumer.stream.writing() and not consumer.end_rest()
+        assert consumer.stream.writing() and not consumer.end_if_idle()
         got = asyncio.create_task(received(sock))
         await until(lambda: not consumer.stream.writing(), turns=None)
-        assert consumer.end_rest()
+        assert consumer.end_if_idle()
         assert len(await got) == size
         sock.close()
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -14,7 +14,7 @@
 from limenotch.load_balancer import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net.attempt_check import Obstacle, obstacle_to
 from limenotch.net.request import Attempt, Request
-from limenotch.net.request_ids import MOST_REMEMBERED, RequestIds
+from limenotch.net.request_ids import MAX_REMEMBERED_IDS, RequestIds
 from limenotch.request_policy import ARRIVAL_MS, RequestPolicy, SentAttempt
 
 EFFECTS = st.builds(
@@ -152,17 +152,17 @@
 def test_a_name_stays_taken_while_it_is_open_or_its_client_may_still_wait(still_open: bool) -> None:
     names = RequestIds()
     names.add(b"a")
-    assert names.taken(b"a", 1.0) and not names.taken(b"b", 1.0)
+    assert names.is_known(b"a", 1.0) and not names.is_known(b"b", 1.0)
     names.remember(b"a", 1.0, 5.0)
     if not still_open:
         names.discard(b"a")
-    assert names.taken(b"a", 4.9) and names.taken(b"a", 5.0) is still_open
+    assert names.is_known(b"a", 4.9) and names.is_known(b"a", 5.0) is still_open
 
 
 def test_names_are_bounded_and_the_oldest_go_first() -> None:
     names = RequestIds()
-    for number in range(MOST_REMEMBERED + 5):
+    for number in range(MAX_REMEMBERED_IDS + 5):
         names.remember(b"%d" % number, 1.0, 9.0)
-    assert not names.taken(b"4", 1.0) and names.taken(b"5", 1.0)
+    assert not names.is_known(b"4", 1.0) and names.is_known(b"5", 1.0)
     names.remember(b"new", 9.5, 12.0)  # all the others are over
     assert len(names._ran) == 1
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -17,8 +17,8 @@
 from limenotch.balancing.settings import read_settings
 from limenotch.net import http1
 from limenotch.net.client_listener import ClientListener
-from limenotch.net.pipe import HOLD
-from limenotch.net.shutdown_schedule import KILL_AFTER_S, KILL_MOST_S, Schedule, schedule
+from limenotch.net.pipe import MAX_BUFFERED_BODY_BYTES
+from limenotch.net.shutdown_schedule import KILL_GRACE_S, MAX_KILL_DELAY_S, Schedule, schedule
 from limenotch.settings import ClientSettings as Tuning
 from limenotch.settings import Settings
 
@@ -27,7 +27,9 @@
 from .helpers.processes import run, with_sidecar
 
 PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only leaving ends anything
-BIG = DELIVER.replace(b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * HOLD)) + bytes(3 * HOLD)
+BIG = DELIVER.replace(
+    b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * MAX_BUFFERED_BODY_BYTES)
+) + bytes(3 * MAX_BUFFERED_BODY_BYTES)
 OF_OLD_S = 1.8  # keep_s: connections were served on for so long, whatever the deadlines
 
 
@@ -49,16 +51,16 @@
 )
 def test_the_schedule_follows_from_the_longest_deadline(longest: float, expected: Schedule) -> None:
     assert schedule(longest, 0.5, 1.8) == pytest.approx(expected)
-    assert schedule(longest, 0.5, 1.8, handed_on=True) == pytest.approx(expected._replace(accept_s=0.0))
+    assert schedule(longest, 0.5, 1.8, handed_over=True) == pytest.approx(expected._replace(accept_s=0.0))
 
 
 @given(st.floats(0.001, 3600.0), st.floats(0.001, 3600.0), st.floats(0.0, 3600.0), st.booleans())
 def test_whatever_the_settings_all_is_over_before_the_kill(
     longest: float, accept: float, more: float, handed_on: bool
 ) -> None:
-    counted = min(longest, KILL_MOST_S)
+    counted = min(longest, MAX_KILL_DELAY_S)
     times = schedule(longest, accept, accept + more, handed_on)
-    assert 0.0 <= times.accept_s <= times.close_s < times.answer_s < times.end_s < counted + KILL_AFTER_S
+    assert 0.0 <= times.accept_s <= times.close_s < times.answer_s < times.end_s < counted + KILL_GRACE_S
     assert times.answer_s - times.close_s >= counted / 2 - 1e-9  # an honest chance for who comes last
     assert times.wait_s >= longest + times.end_s  # calls taken before, and answers that have begun
     if not handed_on:
@@ -145,7 +147,7 @@
 
     async def case() -> None:
         monkeypatch.setattr(ClientListener, "shut_down", leaves)
-        begun, release, size = asyncio.Event(), asyncio.Event(), 4 * HOLD
+        begun, release, size = asyncio.Event(), asyncio.Event(), 4 * MAX_BUFFERED_BODY_BYTES
 
         async def handle(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -21,7 +21,7 @@
 from limenotch.net.request import Attempt, FinalResponse, Request, Verdict
 from limenotch.net.requests import RequestManager
 from limenotch.net.response_outcome import attempt_ending, load_report
-from limenotch.net.sockets import OPERATORS, DescriptorLimits, DescriptorQuota
+from limenotch.net.sockets import MAX_OPERATOR_CONNECTIONS, DescriptorLimits, DescriptorQuota
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import DescriptorSettings, Settings
 from limenotch.settings import EndpointSettings as ProviderTuning
@@ -202,11 +202,11 @@
         all_ = ClientListener(calls, calls.load_balancer, sockets, lambda: True)
         port = free_port()
         all_.listen(("127.0.0.1", port))
-        many = range(sockets.consumers.limit + 3)
+        many = range(sockets.clients.limit + 3)
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in many]
         assert [await reader.read() for reader, _ in silent[:3]] == [b""] * 3
         assert (await ask(port, LOOK.replace(b"look", b"odd"))).status == 400
-        assert sockets.consumers.used <= sockets.consumers.limit + 1
+        assert sockets.clients.used <= sockets.clients.limit + 1
         for _, writer in silent:
             writer.close()
 
@@ -250,7 +250,7 @@
 
 
 def unlimited() -> DescriptorQuota:
-    return DescriptorLimits(1024).providers
+    return DescriptorLimits(1024).endpoints
 
 
 def invoker_call(end: float) -> Attempt:
@@ -318,19 +318,23 @@
     # Guards the way to the providers: consumers that only stay connected once used up every descriptor, and
     # all calls were rejected from then on.
     sockets, idle = DescriptorLimits(64), [1, 1]
-    while sockets.consumers.take():
+    while sockets.clients.take():
         pass
-    assert sockets.providers.has_capacity and sockets.providers.take()
+    assert sockets.endpoints.has_capacity and sockets.endpoints.take()
 
     def drop() -> bool:
-        sockets.providers.used -= bool(idle)
+        sockets.endpoints.used -= bool(idle)
         return bool(idle and idle.pop())
 
-    sockets.providers.drop_idle = drop
-    while sockets.providers.take():
+    sockets.endpoints.drop_idle = drop
+    while sockets.endpoints.take():
         pass
-    assert not idle and sockets.consumers.used + sockets.providers.used == 64 - DescriptorSettings().reserve - OPERATORS
-    assert not sockets.providers.has_capacity
+    assert (
+        not idle
+        and sockets.clients.used + sockets.endpoints.used
+        == 64 - DescriptorSettings().reserve - MAX_OPERATOR_CONNECTIONS
+    )
+    assert not sockets.endpoints.has_capacity
 
 
 def test_calls_over_the_limit_are_rejected_at_once() -> None:
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -15,7 +15,7 @@
 from limenotch.balancing.types import BalancerSettings, Endpoint, Outcome
 from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, LoadBalancer, StartAttempt
 from limenotch.net import http1
-from limenotch.net.pipe import HOLD, BodyPipe, BufferBudget
+from limenotch.net.pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe, BufferBudget
 from limenotch.net.request import Attempt, FinalResponse
 from limenotch.net.requests import RequestManager
 from limenotch.settings import ClientSettings as ConsumerTuning
@@ -114,7 +114,7 @@
     # Only what is marked as rejected, or breaks before the last byte was written, says that it never ran.
     async def early(reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        await reader.readexactly(HOLD + 1000)
+        await reader.readexactly(MAX_BUFFERED_BODY_BYTES + 1000)
         writer.write(answer)
         await writer.drain()
         if not answer:
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -10,7 +10,15 @@
 from hypothesis import strategies as st
 
 from limenotch.net import http1
-from limenotch.net.pipe import HOLD, MOST, PIECE, SMALL, BodyPipe, BrokenError, BufferBudget
+from limenotch.net.pipe import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_PIPE_BYTES,
+    READ_BYTES,
+    SMALL_READ_BYTES,
+    BodyPipe,
+    BrokenError,
+    BufferBudget,
+)
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import Settings
 
@@ -65,20 +73,20 @@
 
 def test_a_pipe_holds_a_bounded_part_and_gives_it_in_order() -> None:
     async def case() -> None:
-        budget = BufferBudget(10 * MOST)
+        budget = BufferBudget(10 * MAX_PIPE_BYTES)
         pipe = BodyPipe(budget)
 
         async def put() -> None:
             for number in range(40):
-                await pipe.put(bytes([number]) * PIECE)
+                await pipe.put(bytes([number]) * READ_BYTES)
             pipe.end()
 
         putting = asyncio.create_task(put())
         for number in range(40):
             for _ in range(3):
                 await asyncio.sleep(0)
-            assert budget.used <= MOST
-            assert await pipe.get() == bytes([number]) * PIECE
+            assert budget.used <= MAX_PIPE_BYTES
+            assert await pipe.get() == bytes([number]) * READ_BYTES
         assert await pipe.get() == b"" and putting.done() and budget.used == 0
 
     run(case())
@@ -86,14 +94,14 @@
 
 def test_no_pipe_stands_still_though_the_others_hold_the_whole_budget() -> None:
     async def case() -> None:
-        budget = BufferBudget(PIECE)
+        budget = BufferBudget(READ_BYTES)
         greedy, modest = BodyPipe(budget), BodyPipe(budget)
-        full = asyncio.create_task(greedy.put(b"g" * PIECE))
+        full = asyncio.create_task(greedy.put(b"g" * READ_BYTES))
         await asyncio.sleep(0)
-        assert budget.exhausted and budget.piece == SMALL and not full.done()
+        assert budget.exhausted and budget.piece == SMALL_READ_BYTES and not full.done()
         for _ in range(5):
-            putting = asyncio.create_task(modest.put(b"m" * SMALL))
-            assert await modest.get() == b"m" * SMALL
+            putting = asyncio.create_task(modest.put(b"m" * SMALL_READ_BYTES))
+            assert await modest.get() == b"m" * SMALL_READ_BYTES
             await putting
         greedy.cut()
         with pytest.raises(BrokenError):
@@ -185,20 +193,20 @@
         async def slow(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(OK + b"Content-Length: %d\r\n\r\n" % len(BODY))
-            for at in range(0, HOLD + 2000, 1000):
+            for at in range(0, MAX_BUFFERED_BODY_BYTES + 2000, 1000):
                 writer.write(BODY[at : at + 1000])
                 await writer.drain()
             await last.wait()
-            writer.write(BODY[HOLD + 2000 - (HOLD + 2000) % 1000 + 1000 :])
+            writer.write(BODY[MAX_BUFFERED_BODY_BYTES + 2000 - (MAX_BUFFERED_BODY_BYTES + 2000) % 1000 + 1000 :])
             writer.close()
 
         async def use(port: int) -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(LOOK)
             await reader.readuntil(b"\r\n\r\n")
-            assert await reader.readexactly(HOLD) == BODY[:HOLD]
+            assert await reader.readexactly(MAX_BUFFERED_BODY_BYTES) == BODY[:MAX_BUFFERED_BODY_BYTES]
             last.set()
-            assert await reader.readexactly(len(BODY) - HOLD) == BODY[HOLD:]
+            assert await reader.readexactly(len(BODY) - MAX_BUFFERED_BODY_BYTES) == BODY[MAX_BUFFERED_BODY_BYTES:]
             writer.close()
 
         await with_sidecar(slow, use)
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -64,23 +64,23 @@
         ours: list[int] = []
         theirs: list[int] = []
         before = member(folder / "n", at, ours, {"list": [1]})
-        before.offer(sock)
+        before.offer_listener(sock)
         after = member(folder / "n", at, theirs)
-        got = await after.ask()
+        got = await after.request_handover()
         assert got is not None and got.state == {"version": 1, "list": [1]}
         assert got.listener.getsockname() == at and got.listener.fileno() != sock.fileno()
-        assert ours == [2] and after.processes == 2 and not before.serves
-        await after.serving()
-        assert before.serves  # known before `serving` returns: the old one may be ended from then on
-        after.offer(got.listener)
+        assert ours == [2] and after.process_count == 2 and not before.successor_serves
+        await after.confirm_serving()
+        assert before.successor_serves  # known before `serving` returns: the old one may be ended from then on
+        after.offer_listener(got.listener)
         third = member(folder / "n", at, [])
-        assert (await third.ask()) is not None and after.processes == 3
+        assert (await third.request_handover()) is not None and after.process_count == 3
         after.close()
         third.close()
-        await until(lambda: before.processes == 1)
-        assert ours[-1] == 1 and not before.serves
+        await until(lambda: before.process_count == 1)
+        assert ours[-1] == 1 and not before.successor_serves
         # The one that died had put its door in place of ours: the next still finds us.
-        assert (await member(folder / "n", at, []).ask()) is not None
+        assert (await member(folder / "n", at, []).request_handover()) is not None
         before.close()
 
     run(case())
@@ -107,27 +107,27 @@
 def test_a_door_that_is_no_sidecars_is_given_up(
     tmp_path: Path, door: Callable[[Reader, Writer], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(successor, "ASK_S", 0.2)
+    monkeypatch.setattr(successor, "HANDOVER_TIMEOUT_S", 0.2)
 
     async def case() -> None:
         await asyncio.start_unix_server(door, tmp_path / "n.sock")
         after = member(tmp_path / "n", AT, [])
-        assert await after.ask() is None and after.processes == 1
-        await after.serving()
+        assert await after.request_handover() is None and after.process_count == 1
+        await after.confirm_serving()
 
     run(case())
 
 
 def test_stale_missing_and_unwritable_paths_stop_no_start(tmp_path: Path) -> None:
     async def case() -> None:
-        assert await member(tmp_path / "n", AT, []).ask() is None
+        assert await member(tmp_path / "n", AT, []).request_handover() is None
         with socket.socket(socket.AF_UNIX) as stale:
             stale.bind(str(tmp_path / "n.sock"))
-        assert await member(tmp_path / "n", AT, []).ask() is None
+        assert await member(tmp_path / "n", AT, []).request_handover() is None
         nowhere = member(tmp_path / "not there" / "n", AT, [])
-        assert await nowhere.ask() is None
-        nowhere.offer(listener())
-        assert await Successor(None, AT, dict, lambda _: None).ask() is None
+        assert await nowhere.request_handover() is None
+        nowhere.offer_listener(listener())
+        assert await Successor(None, AT, dict, lambda _: None).request_handover() is None
 
     run(case())
 
@@ -135,8 +135,8 @@
 def test_a_listener_of_another_address_is_not_taken(tmp_path: Path) -> None:
     async def case() -> None:
         before = member(tmp_path / "n", AT, [])
-        before.offer(listener())
-        assert await member(tmp_path / "n", AT, []).ask() is None
+        before.offer_listener(listener())
+        assert await member(tmp_path / "n", AT, []).request_handover() is None
         before.close()
 
     run(case())
