--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -42,7 +42,7 @@
 class ClientConnection:
     """One connection of a consumer; one call at a time."""
 
-    def __init__(self, stream: ClientStream, group: ClientConnections) -> None:
+    def __init__(self, stream: ClientStream, group: ClientConnections[ClientConnection]) -> None:
         self.stream, self._all = stream, group
         self.reader = ReadAhead(stream, group.budget)
         self._parser = http1.RequestParser(http1.MAX_LONG)
