--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a consumer: its requests read, its calls taken, their answers written."""
+"""One connection of a client: its requests are read and accepted, and their responses written (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -23,362 +23,416 @@
 
 log = logs.get(__name__)
 
-# A close over unread bytes resets the connection, and the client may lose the answer before it. So after the end of our
-# sending a client has this long to read it and close, and is read this far: more would be work for nothing.
+# Closing with unread bytes resets the connection, and the client may lose the response before it (RFC 9112, 9.6). So
+# after shutting down our sending side a client has this long to read the response and close, and is read this far.
 LINGER_S = 0.5
 LINGER_BYTES = 256 * 1024
 
 READINESS_PATH = b"/up"
+METHODS_WITHOUT_RESPONSE_BODY = (b"HEAD", b"CONNECT")  # their responses are framed by other rules (RFC 9112, 6.3)
 
 
 class IdleEndError(Exception):
-    """The connection ends between two requests."""
+    """The connection is ended while it is idle, between two requests."""
 
 
-def _printable(call: Request | None) -> str | None:
-    return call.request_id.decode("latin-1") if call is not None else None
+def _printable_id(request: Request | None) -> str | None:
+    return request.request_id.decode("latin-1") if request is not None else None
 
 
 class ClientConnection:
-    """One connection of a consumer; one call at a time."""
+    """One connection of a client; it carries one request at a time."""
 
-    def __init__(self, stream: ClientStream, group: ClientConnections[ClientConnection]) -> None:
-        self.stream, self._all = stream, group
-        self.reader = ReadAhead(stream, group.budget)
+    def __init__(self, stream: ClientStream, connections: ClientConnections[ClientConnection]) -> None:
+        self.stream = stream
+        self.reader = ReadAhead(stream, connections.budget)
+        self.used = False  # a request has arrived on it
+        self._connections = connections
         self._parser = http1.RequestParser(http1.MAX_LONG)
-        self._timer: object = None  # of the wait for a request, its head and its body
-        self._call: Request | None = None
+        self._timer: object = None  # limits the wait for a request, its head or its body
+        self._request: Request | None = None
         self._final: asyncio.Future[FinalResponse] | None = None
-        self._upload: asyncio.Task[None] | None = None  # of the rest of a long request
-        self._read_s = 0.0  # spent in waiting for a body
-        self._from: str | None = None  # where it comes from, once that was asked
-        self._begun = False  # a part of an answer is written
-        self._ending = False  # nothing more is written
-        self.used = False
+        self._upload: asyncio.Task[None] | None = None  # receives the rest of a streamed request
+        self._body_wait_s = 0.0  # time spent waiting for the present body
+        self._address: str | None = None  # of the client, once it was looked up; "" if it is unknown
+        self._within_response = False  # a response is partly written
+        self._shut_down = False  # nothing more is written
         stream.ended = self._closed
 
     @property
     def owes_response(self) -> bool:
-        """A call is open, or its answer is being passed on."""
-        return self._call is not None
+        """Whether a request is open, or its response is being forwarded."""
+        return self._request is not None
 
     @property
-    def _quiet(self) -> bool:
-        """Nothing of a further request has come, neither here nor in the kernel."""
+    def _nothing_received(self) -> bool:
+        """Whether no part of a further request has arrived, neither here nor in the kernel."""
         return self._parser.idle and self.reader.empty
 
     def end_if_idle(self) -> bool:
-        """End the connection if it is between two requests; whether it was.
+        """End the connection if it is between two requests; return whether it was.
 
-        The one way to end an idle connection in order. From the look at what has come to the end of our sending
-        nothing else runs: a request that is read later is not sent on, and its client knows that it was not.
+        This is the one orderly way to end an idle connection. Between the check of what has arrived and the shutdown
+        of our sending side nothing else runs: a request that is read later is not forwarded, and its client knows.
         """
-        if self._ending or self._final is not None or self.stream.closed() or self.stream.writing() or not self._quiet:
+        if self._shut_down or self._final is not None:
             return False
-        self._shut()
+        if self.stream.closed() or self.stream.writing() or not self._nothing_received:
+            return False
+        self._shut_down_sending()
         self.reader.fail(IdleEndError())
         return True
 
     def evict(self) -> bool:
-        """The same at once, to give the descriptor back; the end of a connection that lingers is cut short."""
-        if not self._ending and not self.end_if_idle():
+        """Close the connection at once if it is idle or lingers, to free its descriptor; return whether it was."""
+        if not self._shut_down and not self.end_if_idle():
             return False
         self.stream.close()
         return True
 
     def end_incomplete_request(self) -> None:
-        """The program is about to end: a request that is not whole is turned off, and is not sent on."""
-        if self._ending or self.end_if_idle():
+        """Before the process ends: reject a request that is not complete; it is not forwarded."""
+        if self._shut_down or self.end_if_idle():
             return
-        uploading = self._upload is not None and not self._upload.done()
+        uploading = self._uploading
         if self._final is None or uploading:
             self.reader.fail(http1.MalformedError(503, "the sidecar is ending"))
-        if self._call is not None and uploading:
-            self._call.payload.rest.cut()
+        if self._request is not None and uploading:
+            self._request.payload.rest.cut()
+
+    @property
+    def _uploading(self) -> bool:
+        return self._upload is not None and not self._upload.done()
 
     async def serve(self) -> None:
+        """Serve the connection up to its end; the stream is closed on return."""
         try:
-            await self._answers()
+            await self._serve_requests()
             await self._finish()
         except IdleEndError:
             await self._finish()
         except http1.MalformedError as error:
-            await self._turn_off(error)
+            await self._reject(error)
         except StreamClosedError:
             pass
-        except Exception:  # a fault of ours: the consumer is told so rather than left without an answer
-            log.exception("fault at a consumer", call=_printable(self._call))
-            await self._turn_off(http1.MalformedError(502, "internal fault"))
+        except Exception:  # an internal error: the client gets a response for it rather than none
+            log.exception("internal error on a client connection", call=_printable_id(self._request))
+            await self._reject(http1.MalformedError(502, "internal fault"))
         finally:
             if self._upload is not None:
                 self._upload.cancel()
             self.stream.close()
 
-    async def _answers(self) -> None:
-        """One after another, up to the last."""
-        keep = True
-        while keep:
-            request = await self._request()
+    async def _serve_requests(self) -> None:
+        """Serve requests one after another, up to the last one of the connection."""
+        keep_alive = True
+        while keep_alive:
+            message = await self._read_request()
             self.used = True
-            if request.target == READINESS_PATH:
-                keep = self._keeps(request)
-                await self._write(http1.write_response(200 if self._all.ready() else 503, [], b"", not keep))
+            if message.target == READINESS_PATH:
+                keep_alive = self._can_keep_alive(message)
+                status = 200 if self._connections.ready() else 503
+                await self._write(http1.write_response(status, [], b"", not keep_alive))
             else:
-                keep = await self._serve(request)
-            if self._all.closing and (self._all.over or self._quiet):  # since the answer was worded
+                keep_alive = await self._serve_request(message)
+            if self._draining:  # that may have begun after the response was composed
                 return
 
-    def _keeps(self, request: http1.Message) -> bool:
-        """Whether the connection serves on after the answer to this request."""
-        if not request.keep_alive or self.reader.dropped:
-            return False
-        return not self._all.closing or not (self._all.over or self._quiet)
+    @property
+    def _draining(self) -> bool:
+        """Whether the connection ends with its next response."""
+        return self._connections.closing and (self._connections.over or self._nothing_received)
 
-    async def _serve(self, request: http1.Message) -> bool:
-        """One call up to its answer; whether the connection can be used again."""
-        self._take(request)
-        assert self._final is not None and self._call is not None
-        call, final = self._call, await self._final
+    def _can_keep_alive(self, message: http1.Message) -> bool:
+        """Whether the connection serves further requests after the response to this one."""
+        if not message.keep_alive or self.reader.dropped:
+            return False
+        return not self._draining
+
+    async def _serve_request(self, message: http1.Message) -> bool:
+        """Serve one request up to its response; return whether the connection can be used again."""
+        self._accept(message)
+        assert self._final is not None and self._request is not None
+        request = self._request
+        final = await self._final
         if self.stream.closed():
             return False
-        # An answer may come before the end of what it answers: the rest is read, but no next call waits for that.
-        early = self._upload is not None and not self._upload.done()
-        if request.rest is not None:
-            request.rest.cut()
-        keep = not early and self._keeps(request)
+        # A response may come before the end of its request: the rest is read, but no further request waits for that.
+        early = self._uploading
+        if message.rest is not None:
+            message.rest.cut()
+        keep_alive = not early and self._can_keep_alive(message)
         if final.verdict is Verdict.SERVED and final.payload.rest is not None:
-            keep = await self._pass_on(call, final.payload, keep, request.minor)
+            keep_alive = await self._forward_response(request, final.payload, keep_alive, message.minor)
         else:
-            self._call = None
-            await self._write(write_final_response(final, not keep))
+            self._request = None
+            await self._write(write_final_response(final, not keep_alive))
         if self._upload is not None:
             await self._upload
-        self._call = self._final = self._upload = None
+        self._request = None
+        self._final = None
+        self._upload = None
         if self.reader.dropped:
             return False
         self.reader.set_mode(Mode.LEAVE)
-        return keep
-
-    async def _pass_on(self, call: Request, response: http1.Message, keep: bool, minor: int) -> bool:
-        """A long answer, as it comes. If it breaks off, so does the connection: the consumer must be able to tell."""
-        chunked = response.length is None and minor == 1
-        keep = keep and (chunked or response.length is not None)
-        head = http1.response_head(200, forwarded_headers(response), response.length, not keep, minor)
-        end, self._begun = "errored", True
+        return keep_alive
+
+    async def _forward_response(
+        self, request: Request, response: http1.Message, keep_alive: bool, minor_version: int
+    ) -> bool:
+        """Forward a streamed response as it arrives; return whether the connection can be used again.
+
+        If the response is cut short, the connection is reset or closed, so that the client can tell.
+        """
+        chunked = response.length is None and minor_version == 1
+        keep_alive = keep_alive and (chunked or response.length is not None)
+        head = http1.response_head(200, forwarded_headers(response), response.length, not keep_alive, minor_version)
+        ending = "errored"
+        self._within_response = True
         try:
             await self._write(head + (http1.chunk(response.body) if chunked and response.body else response.body))
             while piece := await response.rest.get():
                 await self._write(http1.chunk(piece) if chunked else piece)
             if chunked:
                 await self._write(http1.LAST_CHUNK)
-            end, self._begun = "answered", False
+            ending = "answered"
+            self._within_response = False
         except BrokenError:
-            log.info("long answer broke off", call=_printable(call))
-            keep = False
+            log.info("streamed response cut short", call=_printable_id(request))
+            keep_alive = False
         finally:
             response.rest.cut()
-            self._call = None
-            self._all.requests.stream_ended(call, end)
-            if self._begun and minor == 0:  # an end in good order would pass for the answer's
+            self._request = None
+            self._connections.requests.stream_ended(request, ending)
+            if self._within_response and minor_version == 0:  # an orderly end would pass for the end of the body
                 self._reset()
-        return keep
+        return keep_alive
 
     async def _write(self, response: bytes) -> None:
-        """One that does not read is not waited for: its connection would never be given back."""
+        """Write, for a limited time: the connection of a client that does not read would never be freed."""
         written = self.stream.write(response)
-        timer = IOLoop.current().call_later(self._all.settings.write_s, self.stream.close)
+        timer = IOLoop.current().call_later(self._connections.settings.write_s, self.stream.close)
         try:
             await written
         finally:
             IOLoop.current().remove_timeout(timer)
 
-    async def _request(self) -> http1.Message:
-        """The next request: whole, or of a long one what is held, with the rest to come. One that does not come in
-        time is turned off, or the connection closes.
+    async def _read_request(self) -> http1.Message:
+        """The next request: complete, or if it is long the part that is buffered, with the rest to follow.
+
+        One that does not arrive in time is rejected, or its connection ends.
         """
-        parser, begun, tuning = self._parser, not self.used, self._all.settings
-        self._time(tuning.request_s if begun else tuning.idle_s)
-        self._all.set_idle(self, parser.idle)
+        parser = self._parser
+        limits = self._connections.settings
+        begun = not self.used
+        self._start_timer(limits.request_s if begun else limits.idle_s)
+        self._connections.set_idle(self, parser.idle)
         try:
-            while (request := parser.head()) is None:
+            while (message := parser.head()) is None:
                 if not (begun or parser.idle):
                     begun = True
-                    self._time(tuning.request_s)
+                    self._start_timer(limits.request_s)
                 parser.feed(await self.reader.read())
-                self._all.set_idle(self, False)
-            if parser.asked and request.minor == 1:
-                self._untime()
+                self._connections.set_idle(self, False)
+            if parser.asked and message.minor == 1:
+                self._stop_timer()
                 await self._write(http1.CONTINUE)
-            return await self._body(request)
+            return await self._read_body(message)
         finally:
-            self._all.set_idle(self, False)
-            self._untime()
-
-    async def _body(self, request: http1.Message) -> http1.Message:
-        """The body up to its end, or as far as it is held."""
-        parser, budget, held, size = self._parser, self._all.budget, list[bytes](), 0
-        self._read_s = 0.0
+            self._connections.set_idle(self, False)
+            self._stop_timer()
+
+    async def _read_body(self, message: http1.Message) -> http1.Message:
+        """Read the body up to its end, or as far as it may be buffered."""
+        parser = self._parser
+        budget = self._connections.budget
+        pieces: list[bytes] = []
+        size = 0
+        self._body_wait_s = 0.0
         while True:
             piece = parser.pieces()
-            held.append(piece)
+            pieces.append(piece)
             size += len(piece)
             if parser.complete:
                 parser.next()
                 break
             if budget.beyond(size):
-                request.rest = BodyPipe(budget)
+                message.rest = BodyPipe(budget)
                 break
-            await self._read(size)
-        request.body = b"".join(held)
-        if request.rest is None:
-            request.length = size
-        return request
-
-    async def _read(self, size: int) -> None:
-        """More of a body of which `size` bytes are there; it may be slow, but not slower than its least rate."""
-        tuning, before = self._all.settings, monotonic()
-        left = tuning.body_s + size / tuning.body_rate - self._read_s
-        self._time(max(min(left, tuning.body_s), 0.0))
+            await self._read_more(size)
+        message.body = b"".join(pieces)
+        if message.rest is None:
+            message.length = size
+        return message
+
+    async def _read_more(self, size: int) -> None:
+        """Read more of a body of which `size` bytes are there; it must arrive at its minimum rate or faster."""
+        limits = self._connections.settings
+        started_at = monotonic()
+        left_s = limits.body_s + size / limits.body_rate - self._body_wait_s
+        self._start_timer(max(min(left_s, limits.body_s), 0.0))
         self._parser.feed(await self.reader.read())
-        self._untime()
-        self._read_s += monotonic() - before
-
-    async def _read_on(self, request: http1.Message) -> None:
-        """The rest of a long request: into its pipe while that is wanted, and to its end in any case."""
-        parser, pipe, size = self._parser, request.rest, len(request.body)
+        self._stop_timer()
+        self._body_wait_s += monotonic() - started_at
+
+    async def _receive_rest(self, message: http1.Message) -> None:
+        """Read the rest of a streamed request to its end, into its pipe while that is wanted."""
+        parser = self._parser
+        pipe = message.rest
+        size = len(message.body)
         try:
             while True:
                 piece = parser.pieces()
                 size += len(piece)
-                with contextlib.suppress(BrokenError):  # it is answered already
+                with contextlib.suppress(BrokenError):  # the request is answered already
                     await pipe.put(piece)
                 if parser.complete:
                     parser.next()
                     self.reader.set_mode(Mode.BUFFER_OR_DROP)
                     pipe.end()
                     return
-                await self._read(size)
+                await self._read_more(size)
         except StreamClosedError:
             pipe.cut()
-        except Exception as error:  # malformed or late, else a fault of ours: either way it never was whole
+        except Exception as error:  # malformed, late or an internal error: either way it was never complete
             pipe.cut()
             if self._final is not None and not self._final.done():
-                self._depart()
+                self._abandon_request()
                 self._final.set_exception(error)
             elif not isinstance(error, http1.MalformedError):
-                log.exception("fault at a consumer's upload")
+                log.exception("internal error while receiving a request body")
         finally:
-            self._untime()
+            self._stop_timer()
 
-    def _time(self, wait: float) -> None:
-        self._untime()
-        self._timer = IOLoop.current().call_later(wait, self._overdue)
+    def _start_timer(self, wait_s: float) -> None:
+        self._stop_timer()
+        self._timer = IOLoop.current().call_later(wait_s, self._overdue)
 
-    def _untime(self) -> None:
+    def _stop_timer(self) -> None:
         if self._timer is not None:
             IOLoop.current().remove_timeout(self._timer)
             self._timer = None
 
     def _overdue(self) -> None:
-        """Silent, or a head or body that does not end: such connections would use up the descriptors."""
+        """End a silent connection, or one whose head or body does not end: such ones would use up the descriptors."""
         if self.stream.closed():
             return
-        if not self.reader.empty:  # read in this turn of the loop, or about to be
-            self._time(0.0)
+        if not self.reader.empty:  # read in this turn of the event loop, or about to be
+            self._start_timer(0.0)
         elif not self.end_if_idle():
             self.reader.fail(http1.MalformedError(408, "request not complete in time"))
 
-    def _take(self, request: http1.Message) -> None:
-        fields, facade = request.fields, self._all.load_balancer
-        if request.method in (b"HEAD", b"CONNECT"):  # framed by other rules, and no call has them
+    def _accept(self, message: http1.Message) -> None:
+        """Validate a request and pass it to the request manager. Raises MalformedError or StreamClosedError."""
+        self._check(message)
+        fields = message.fields
+        streamed = message.rest is not None
+        self.reader.set_mode(Mode.BUFFER if streamed else Mode.BUFFER_OR_DROP)
+        if self.stream.closed():  # its client has disconnected already
+            raise StreamClosedError
+        requests = self._connections.requests
+        # A request accepted during shutdown must not be open when the process is ended.
+        usable_ms = min(
+            budget_ms(fields.get(b"x-budget", b"")), max((requests.last_deadline - monotonic()) * 1000.0, 1.0)
+        )
+        final = asyncio.get_running_loop().create_future()
+        self._final = final
+        self._request = requests.accept(
+            request_id=fields[b"x-call-id"],
+            payload=message,
+            class_name=decode_name(fields.get(b"x-call-class", b"")),
+            tenant=decode_name(fields.get(b"x-caller", b"")),
+            budget_ms=usable_ms,
+            respond=final.set_result,
+            has_capacity=self._connections.descriptors.endpoints.has_capacity,
+            body_pipe=message.rest,
+            details=RequestDetails(
+                idempotency_key=fields.get(b"idempotency-key", b""),
+                fields=fields,
+                connection=self._client_address(),
+                is_retry=fields.get(b"x-again") == b"1",
+            ),
+        )
+        self._request.client_connected = self._client_connected
+        if streamed:
+            self._upload = asyncio.get_running_loop().create_task(self._receive_rest(message))
+
+    def _check(self, message: http1.Message) -> None:
+        """Raises MalformedError if the request is not one that can be accepted."""
+        fields = message.fields
+        if message.method in METHODS_WITHOUT_RESPONSE_BODY:
             raise http1.MalformedError(405, "GET or POST expected")
-        if request.minor == 1 and b"host" not in fields:
+        if message.minor == 1 and b"host" not in fields:
             raise http1.MalformedError(400, "Host: missing")
-        check_once(request.headers)
-        class_name = decode_name(fields.get(b"x-call-class", b""))
-        tenant = decode_name(fields.get(b"x-caller", b""))
-        name = fields.get(b"x-call-id")
-        if not name:
+        check_once(message.headers)
+        request_id = fields.get(b"x-call-id")
+        if not request_id:
             raise http1.MalformedError(400, "X-Call-Id: missing")
-        if self._all.requests.is_known(name):  # it would reach a provider as one more copy of the other's call
+        if self._connections.requests.is_known(request_id):  # an endpoint would take it for a copy of the open one
             raise http1.MalformedError(409, "X-Call-Id: of a call that is open")
-        if not facade.knows_class(class_name):
+        load_balancer = self._connections.load_balancer
+        if not load_balancer.knows_class(decode_name(fields.get(b"x-call-class", b""))):
             raise http1.MalformedError(400, "X-Call-Class: unknown")
-        if not facade.knows_tenant(tenant):
+        if not load_balancer.knows_tenant(decode_name(fields.get(b"x-caller", b""))):
             raise http1.MalformedError(400, "X-Caller: unknown")
-        self.reader.set_mode(Mode.BUFFER if request.rest is not None else Mode.BUFFER_OR_DROP)
-        if self.stream.closed():  # its client has gone already
-            raise StreamClosedError
-        # One taken while leaving must not be found open by what ends the process.
-        left = min(
-            budget_ms(fields.get(b"x-budget", b"")), max((self._all.requests.last_deadline - monotonic()) * 1000.0, 1.0)
-        )
-        final = self._final = asyncio.get_running_loop().create_future()
-        about = RequestDetails(
-            fields.get(b"idempotency-key", b""), fields, self._origin(), fields.get(b"x-again") == b"1"
-        )
-        room = self._all.descriptors.endpoints.has_capacity
-        self._call = self._all.requests.accept(
-            name, request, class_name, tenant, left, final.set_result, room, request.rest, about
-        )
-        self._call.client_connected = self._present
-        if request.rest is not None:
-            self._upload = asyncio.get_running_loop().create_task(self._read_on(request))
 
-    def _present(self) -> bool:
-        """Whether the client is there as far as the kernel knows, which hears of its end before a busy loop does."""
+    def _client_connected(self) -> bool:
+        """Whether the client is there as far as the kernel knows, which learns of its end before a busy event loop."""
         try:
             return self.stream.socket.recv(1, socket.MSG_PEEK) != b""
         except BlockingIOError:
             return True
-        except (OSError, AttributeError):  # broken, or closed here
+        except (OSError, AttributeError):  # broken, or closed by us
             return False
 
-    def _origin(self) -> str:
-        """Where it comes from, if anybody asks."""
-        if not self._all.requests.interceptors:
+    def _client_address(self) -> str:
+        """The client's address, "host:port"; empty if it is unknown or no interceptor needs it."""
+        if not self._connections.requests.interceptors:
             return ""
-        if self._from is None:
-            self._from = ""
-            with contextlib.suppress(OSError):  # it has gone already
-                self._from = host_port(self.stream.socket.getpeername()[:2])
-        return self._from
+        if self._address is None:
+            self._address = ""
+            with contextlib.suppress(OSError):  # the client has disconnected already
+                self._address = host_port(self.stream.socket.getpeername()[:2])
+        return self._address
 
     def _closed(self) -> None:
+        """The stream has closed, from either side."""
         self.reader.close()
-        self._all.ended(self)
-        self._depart()
+        self._connections.ended(self)
+        self._abandon_request()
         if self._final is not None and not self._final.done():
             self._final.cancel()
-        if self._from:
-            self._all.connection_ended(self._from)
-
-    def _depart(self) -> None:
-        """Whatever was to come for this client's call is not wanted any more."""
-        call, self._call = self._call, None
-        if call is not None:
-            self._all.requests.client_disconnected(call)
-            if call.payload.rest is not None:
-                call.payload.rest.cut()
-
-    async def _turn_off(self, error: http1.MalformedError) -> None:
-        """Say why, and end; within an answer the words would be taken for a part of it."""
-        if self._begun:
+        if self._address:
+            self._connections.connection_ended(self._address)
+
+    def _abandon_request(self) -> None:
+        """The response to this client's request is not wanted any more: end the request."""
+        request = self._request
+        self._request = None
+        if request is None:
+            return
+        self._connections.requests.client_disconnected(request)
+        if request.payload.rest is not None:
+            request.payload.rest.cut()
+
+    async def _reject(self, error: http1.MalformedError) -> None:
+        """Answer with the reason and end the connection; within a response the text would pass for a part of it."""
+        if self._within_response:
             self._reset()
             return
-        self._depart()
+        self._abandon_request()
         body = (str(error) + "\n").encode()
         with contextlib.suppress(StreamClosedError):
             await self._write(http1.write_response(error.status, [], body, close=True))
             await self._finish()
 
     async def _finish(self) -> None:
-        """The end in order: what was written is sent, then our end, and what still comes is dropped for a while."""
+        """End in order: send what was written, shut down our sending side, and discard what arrives for a while."""
         if self.stream.closed():
             return
         if self._upload is not None:
             self._upload.cancel()
-        self._shut()
+        self._shut_down_sending()
         timer = IOLoop.current().call_later(LINGER_S, self.stream.close)
         try:
             with contextlib.suppress(StreamClosedError):
@@ -386,17 +440,17 @@
         finally:
             IOLoop.current().remove_timeout(timer)
 
-    def _shut(self) -> None:
-        """The end of our sending; the connection is the first to give way from then on."""
-        if self._ending:
+    def _shut_down_sending(self) -> None:
+        """Shut down our sending side; the connection is among the first to be evicted from then on."""
+        if self._shut_down:
             return
-        self._ending = True
-        self._all.set_lingering(self)
-        with contextlib.suppress(OSError):  # the client has gone already
+        self._shut_down = True
+        self._connections.set_lingering(self)
+        with contextlib.suppress(OSError):  # the client has disconnected already
             self.stream.socket.shutdown(socket.SHUT_WR)
 
     def _reset(self) -> None:
-        """End so that nobody takes what was written for the whole."""
+        """Reset the connection, so that the client does not take what was written for a complete response."""
         if not self.stream.closed():
             self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.stream.close()
