--- a/limenotch/net/header_fields.py
+++ b/limenotch/net/header_fields.py
@@ -1,4 +1,4 @@
-"""Header fields of a request that the protocol gives a meaning."""
+"""Header fields of requests that have a meaning for the sidecar."""
 
 from __future__ import annotations
 
@@ -7,31 +7,36 @@
 from . import http1
 
 BUDGET_PATTERN = re.compile(rb"([0-9]{1,18}(?:\.[0-9]{0,9})?)([mu])")
+MAX_BUDGET_MS = 1e9  # exclusive
+
+# Rejected if repeated, even with equal values: an endpoint may identify the request by the other one of the two.
+UNREPEATABLE_FIELDS = frozenset((b"x-call-id", b"x-call-class", b"x-caller", b"x-budget", b"idempotency-key"))
 
 
 def budget_ms(text: bytes) -> float:
-    """`480m` and `480000u`, in milliseconds."""
+    """The time budget in milliseconds, from milliseconds such as `480m` or microseconds such as `480000u`.
+
+    Raises MalformedError with status 400.
+    """
     match = BUDGET_PATTERN.fullmatch(text)
-    value = float(match[1]) * (1.0 if match[2] == b"m" else 0.001) if match else 0.0
-    if not 0 < value < 1e9:
+    value_ms = 0.0
+    if match:
+        value_ms = float(match[1]) * (1.0 if match[2] == b"m" else 0.001)
+    if not 0 < value_ms < MAX_BUDGET_MS:
         raise http1.MalformedError(400, "X-Budget: expected a number and m or u")
-    return value
+    return value_ms
 
 
 def decode_name(value: bytes) -> str:
-    """A name of the settings, which are UTF-8; other bytes stand each for itself, and name nothing there."""
+    """A name as the settings, which are UTF-8, write it; bytes that are not UTF-8 match no name there."""
     try:
         return value.decode("utf-8")
     except UnicodeDecodeError:
         return value.decode("latin-1")
 
 
-# Not twice, even where both say the same: an endpoint may know the request by the other one of the two.
-UNREPEATABLE_FIELDS = frozenset((b"x-call-id", b"x-call-class", b"x-caller", b"x-budget", b"idempotency-key"))
-
-
 def check_once(headers: http1.Headers) -> None:
-    """Raises MalformedError, which names the field, if one of those that identify a request is there twice."""
+    """Raise MalformedError (status 400, naming the field) if a field that identifies a request is repeated."""
     seen: set[bytes] = set()
     for name, _ in headers:
         key = name.lower()
--- a/limenotch/net/pipe.py
+++ b/limenotch/net/pipe.py
@@ -1,68 +1,71 @@
-"""Long bodies on their way from one connection to another, a bounded part at a time."""
+"""Streaming of long bodies from one connection to another, with bounded memory."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import deque
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # up to here a body is held whole, so that it can be had or sent again
-READ_BYTES = 64 * 1024  # of one read
-SMALL_READ_BYTES = 8 * 1024  # the same where memory is short
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a body up to this size is buffered completely, so that it can be sent again
+READ_BYTES = 64 * 1024  # in one read
+SMALL_READ_BYTES = 8 * 1024  # in one read while the budget is exhausted
 MAX_PIPE_BYTES = 128 * 1024  # in one pipe
 
 
 class BrokenError(Exception):
-    """The other end of a pipe is gone: of what was put in, or of who was to take it."""
+    """The other end of the pipe is gone: its writer before the end of the body, or its reader."""
 
 
 class BufferBudget:
-    """Bytes that all pipes may hold together. Beyond, each still gets a small piece at a time: none stands still."""
+    """The memory that all pipes and buffers share. Once exhausted, each still makes progress by small pieces."""
 
     def __init__(self, limit: int) -> None:
-        self.limit, self.used = limit, 0
+        self.limit = limit  # bytes
+        self.used = 0  # bytes
 
     @property
     def exhausted(self) -> bool:
+        """Whether the limit is reached."""
         return self.used >= self.limit
 
     @property
     def piece(self) -> int:
-        """How much to read at once now."""
+        """How many bytes to read at once now."""
         return SMALL_READ_BYTES if self.exhausted else READ_BYTES
 
     def beyond(self, size: int) -> bool:
-        """Whether a body of which `size` bytes are there is not held any longer."""
+        """Whether a body of which `size` bytes have arrived is to be streamed rather than buffered completely."""
         return size > MAX_BUFFERED_BODY_BYTES or size > SMALL_READ_BYTES and self.exhausted
 
 
 class BodyPipe:
-    """One body: `put` by the connection it comes from, `get` by the one it goes to."""
+    """One body: `put` by the connection it arrives on, `get` by the one it is forwarded on."""
 
     def __init__(self, budget: BufferBudget) -> None:
         self._budget = budget
         self._pieces: deque[bytes] = deque()
-        self._size = 0
-        self._ended = self._broken = False
-        self._change: asyncio.Event = asyncio.Event()
-        self.begun = False  # a piece was taken: what is left is not the whole any more
+        self._buffered_bytes = 0
+        self._ended = False
+        self._broken = False
+        self._changed: asyncio.Event = asyncio.Event()
+        self.begun = False  # a piece was taken: what is left is not the complete body
 
     async def put(self, piece: bytes) -> None:
-        """Returns when there is room for the next piece. Raises BrokenError once nobody takes any more."""
+        """Add a piece; returns when there is capacity for the next one. Raises BrokenError once the reader is gone."""
         if piece and not self._broken:
             self._pieces.append(piece)
             self._count(len(piece))
-            self._change.set()
-        while self._pieces and (self._size >= MAX_PIPE_BYTES or self._budget.exhausted) and not self._broken:
-            self._change.clear()
-            await self._change.wait()
+            self._changed.set()
+        while self._pieces and (self._buffered_bytes >= MAX_PIPE_BYTES or self._budget.exhausted) and not self._broken:
+            self._changed.clear()
+            await self._changed.wait()
         if self._broken:
             raise BrokenError
 
     async def get(self) -> bytes:
-        """The next piece; b"" at the end. Raises BrokenError if the end never comes."""
+        """The next piece; b"" at the end. Raises BrokenError if the body was cut short."""
         while not self._pieces and not self._ended and not self._broken:
-            self._change.clear()
-            await self._change.wait()
+            self._changed.clear()
+            await self._changed.wait()
         if self._broken:
             raise BrokenError
         if not self._pieces:
@@ -70,21 +73,21 @@
         self.begun = True
         piece = self._pieces.popleft()
         self._count(-len(piece))
-        self._change.set()
+        self._changed.set()
         return piece
 
     def end(self) -> None:
-        """All was put."""
+        """The body is complete: no further piece is put."""
         self._ended = True
-        self._change.set()
+        self._changed.set()
 
     def cut(self) -> None:
-        """From either end: what is in it is dropped. Of no effect once all was taken."""
-        self._count(-self._size)
+        """Break the pipe, from either end, and drop its content. Without effect once all was taken."""
+        self._count(-self._buffered_bytes)
         self._pieces.clear()
         self._broken = True
-        self._change.set()
+        self._changed.set()
 
     def _count(self, size: int) -> None:
-        self._size += size
+        self._buffered_bytes += size
         self._budget.used += size
--- a/limenotch/net/shutdown_schedule.py
+++ b/limenotch/net/shutdown_schedule.py
@@ -1,36 +1,43 @@
-"""What happens when between SIGTERM and the end of the process: a schedule that follows from the settings alone."""
+"""The schedule of a graceful shutdown, from SIGTERM to the end of the process; it follows from the settings alone."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# What ends a process after SIGTERM comes no earlier than the longest deadline, counted as so much at most ...
+# SIGKILL follows SIGTERM no earlier than after the longest deadline, of which at most MAX_KILL_DELAY_S count, plus
+# KILL_GRACE_S. The other two are margins before it; half of END_MARGIN_S is for writing and reading the responses.
 MAX_KILL_DELAY_S = 3.0
-KILL_GRACE_S = 0.7  # ... and so much more.
-ANSWER_MARGIN_S = 0.2  # before that the last answers are given ...
-END_MARGIN_S = 0.1  # ... and the connections ended: half of it is for writing and reading the answers
+KILL_GRACE_S = 0.7
+ANSWER_MARGIN_S = 0.2
+END_MARGIN_S = 0.1
 
 
 class Schedule(NamedTuple):
-    """In seconds after SIGTERM."""
+    """The steps of a graceful shutdown, in seconds after SIGTERM."""
 
-    accept_s: float  # new connections are taken until then
-    close_s: float  # from then on a connection without a call ends, each other one with its answer
-    answer_s: float  # until then calls taken while leaving are answered; requests that are not whole are turned off
-    end_s: float  # connections end of which nothing is owed, whatever their clients do
-    wait_s: float  # calls taken before SIGTERM, and answers that have begun, are waited for: what we leave is lost
+    accept_s: float  # new connections are accepted until then
+    close_s: float  # from then on idle connections end, and each other one with its next response
+    answer_s: float  # requests accepted during the shutdown are answered by then, incomplete ones rejected
+    end_s: float  # connections that owe no response are closed, whatever their clients do
+    wait_s: float  # limit for requests accepted before SIGTERM and responses that have begun
 
 
 def schedule(longest_deadline_s: float, accept_s: float, keep_s: float, handed_over: bool = False) -> Schedule:
-    """For classes whose longest deadline is `longest_s`. `accept_s` and `keep_s` are what operators wish at most.
+    """The schedule for request classes whose longest deadline is `longest_deadline_s`.
 
-    Whoever is taken last has half of the longest deadline left, be it long or short. With the listener `handed_on`
-    there is nothing to accept.
+    `accept_s` and `keep_s` are the operator's upper limits for accepting and keeping connections. The last request
+    accepted has half of the longest deadline left. With the listener `handed_over` there is nothing to accept.
     """
-    counted = min(longest_deadline_s, MAX_KILL_DELAY_S)
-    kill = counted + KILL_GRACE_S
-    answer = kill - ANSWER_MARGIN_S
-    latest = answer - counted / 2
-    accept = 0.0 if handed_over else min(accept_s, latest)
-    end = kill - END_MARGIN_S
-    return Schedule(accept, max(accept, min(keep_s, latest)), answer, end, end + longest_deadline_s)
+    counted_s = min(longest_deadline_s, MAX_KILL_DELAY_S)
+    kill_s = counted_s + KILL_GRACE_S
+    answer_s = kill_s - ANSWER_MARGIN_S
+    latest_s = answer_s - counted_s / 2
+    last_accept_s = 0.0 if handed_over else min(accept_s, latest_s)
+    end_s = kill_s - END_MARGIN_S
+    return Schedule(
+        accept_s=last_accept_s,
+        close_s=max(last_accept_s, min(keep_s, latest_s)),
+        answer_s=answer_s,
+        end_s=end_s,
+        wait_s=end_s + longest_deadline_s,
+    )
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -165,4 +165,4 @@
         names.remember(b"%d" % number, 1.0, 9.0)
     assert not names.is_known(b"4", 1.0) and names.is_known(b"5", 1.0)
     names.remember(b"new", 9.5, 12.0)  # all the others are over
-    assert len(names._ran) == 1
+    assert len(names._remembered_until) == 1
