--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -48,7 +48,7 @@
         self.reader = ReadAhead(stream, connections.budget)
         self.used = False  # a request has arrived on it
         self._connections = connections
-        self._parser = http1.RequestParser(http1.MAX_LONG)
+        self._parser = http1.RequestParser(http1.MAX_STREAMED_BODY_BYTES)
         self._timer: object = None  # limits the wait for a request, its head or its body
         self._request: Request | None = None
         self._final: asyncio.Future[FinalResponse] | None = None
@@ -234,7 +234,7 @@
                     self._start_timer(limits.request_s)
                 parser.feed(await self.reader.read())
                 self._connections.set_idle(self, False)
-            if parser.asked and message.minor == 1:
+            if parser.expects_continue and message.minor == 1:
                 self._stop_timer()
                 await self._write(http1.CONTINUE)
             return await self._read_body(message)
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -4,9 +4,9 @@
 
 import re
 
-from ..http1 import MAX_BODY, MalformedError, Message, ResponseParser, _Body
+from ..http1 import MAX_BODY_BYTES, MalformedError, Message, ResponseParser, _Body
 
-MOST = 64 * MAX_BODY  # bytes of one document: a list of some ten thousand providers
+MOST = 64 * MAX_BODY_BYTES  # bytes of one document: a list of some ten thousand providers
 # Of strings alone (RFC 8259, section 7), which can't go over the end of a line; both in time linear in its length.
 ESCAPE, STRING = re.compile(rb"\\."), re.compile(rb'"[^"]*"')
 OPENS, CLOSES = (b"{", b"["), (b"}", b"]")
--- a/limenotch/net/endpoint_connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -45,7 +45,7 @@
         self._answer_s, self._stall_s = answer_s, stall_s
         self.idle_timer: object = None
         self.passed: asyncio.Future[bool] | None = None  # of an answer that is passed on: whether it came whole
-        self._parser = http1.ResponseParser(http1.MAX_LONG)
+        self._parser = http1.ResponseParser(http1.MAX_STREAMED_BODY_BYTES)
         self._budget = budget or BufferBudget(MAX_BUFFER)
         self._answer: asyncio.Future[http1.Message | None] | None = None
         self._head: http1.Message | None = None
@@ -67,7 +67,7 @@
                 await self._take()
         except StreamClosedError as error:
             # Only an end in good order completes a body that has no length; a reset cuts it off.
-            if self._head is not None and error.real_error is None and self._parser.endless:
+            if self._head is not None and error.real_error is None and self._parser.ends_with_connection:
                 self._done(self._head)
         except BrokenError:
             pass  # nobody takes the rest
--- a/limenotch/net/http1.py
+++ b/limenotch/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: incremental parsers and writers. Bytes in, messages out; no sockets here."""
+"""HTTP/1.1 messages (RFC 9110, RFC 9112): incremental parsers and writers, without I/O."""
 
 from __future__ import annotations
 
@@ -7,17 +7,19 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024  # of a message that is taken whole, unless its parser is given another
-MAX_ANSWER = 1024 * 1024  # the same of a response
-MAX_LONG = 40 * 1024 * 1024  # of a body that is passed on in pieces
-MAX_LINE = 1024  # of a chunk's size line
+MAX_HEAD_BYTES = 16 * 1024  # of a start line with its headers; also of the trailers
+MAX_BODY_BYTES = 64 * 1024  # of a request that is taken complete, unless its parser is given another limit
+MAX_RESPONSE_BYTES = 1024 * 1024  # of the body of a response, likewise
+MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # of a body that is forwarded in pieces
+MAX_CHUNK_LINE_BYTES = 1024  # of a chunk's size line
+MAX_LENGTH_DIGITS = 15  # of Content-Length
+START_BYTES = 16  # of a message, checked before its head is complete
 
-TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110, 5.6.2
 TARGET = re.compile(rb"[!-~\x80-\xff]+")
 CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
-STATUS = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: [^\x00-\x08\x0a-\x1f\x7f]*)?")
-SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?")
+STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: [^\x00-\x08\x0a-\x1f\x7f]*)?")
+CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?")
 
 REASONS = {
     200: b"OK",
@@ -33,19 +35,19 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-# Of one connection only, or written anew by whoever frames the message.
+# Headers of one connection only (RFC 9110, 7.6.1), or written anew by whoever frames the message.
 HOP_BY_HOP = frozenset(
     b"connection content-length expect keep-alive proxy-connection te trailer transfer-encoding upgrade".split()
 )
 
-# Not twice, even where both say the same: what reads the message next may take the other.
-ONCE = frozenset((b"content-length", b"transfer-encoding", b"host"))
+# Rejected if repeated, even with equal values: the next recipient may use the other one.
+UNREPEATABLE_FIELDS = frozenset((b"content-length", b"transfer-encoding", b"host"))
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class MalformedError(Exception):
-    """Bytes that are no message within the limits; `status` is what a server answers to them."""
+    """Bytes that are no valid message within the limits; `status` is that of a server's response to them."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -54,118 +56,131 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request (method, target) or a response (status), whole."""
+    """A request (`method`, `target`) or a response (`status`)."""
 
     headers: Headers
     fields: dict[bytes, bytes]  # by lower-case name; of repeated ones the last
     method: bytes = b""
     target: bytes = b""
     status: int = 0
-    minor: int = 1
-    body: bytes = b""  # the whole, or of a long one what was held
-    length: int | None = 0  # of the body; None: known by its end only
-    rest: Any = None  # of a long body: where the pieces after `body` come from
+    minor: int = 1  # version of HTTP/1
+    body: bytes = b""  # complete, or the part of a long body that was buffered
+    length: int | None = 0  # of the body in bytes; None: known only at its end
+    rest: Any = None  # pipe of a streamed body, with the pieces after `body`
 
     @property
     def keep_alive(self) -> bool:
+        """Whether its sender keeps the connection open (RFC 9112, 9.3)."""
         options = self.fields.get(b"connection", b"").lower()
         return b"close" not in options and (self.minor == 1 or b"keep-alive" in options)
 
     def end_to_end(self) -> Headers:
-        """The headers that concern more than one connection."""
-        named = self.fields.get(b"connection", b"").lower()
-        dropped = HOP_BY_HOP.union(name.strip() for name in named.split(b",")) if named else HOP_BY_HOP
-        return [pair for pair in self.headers if pair[0].lower() not in dropped]
+        """The headers that are forwarded (RFC 9110, 7.6.1)."""
+        connection_options = self.fields.get(b"connection", b"").lower()
+        dropped = HOP_BY_HOP
+        if connection_options:
+            dropped = HOP_BY_HOP.union(name.strip() for name in connection_options.split(b","))
+        return [header for header in self.headers if header[0].lower() not in dropped]
 
 
 class _Body:
-    """A body's bytes as they come: of a known length, chunked, or all until the end (`length` None)."""
+    """A body's bytes as they arrive: of a known length, chunked, or all up to the connection's end (`length` None)."""
 
-    def __init__(self, chunked: bool, length: int | None, most: int = MAX_BODY) -> None:
-        self.chunked, self.length, self.most = chunked, length, most
+    def __init__(self, chunked: bool, length: int | None, limit: int = MAX_BODY_BYTES) -> None:
+        self.chunked = chunked
+        self.length = length
+        self.limit = limit  # bytes
         self.parts: list[bytes] = []
-        self.size = 0
-        self.left = 0 if chunked else length  # of the body or of the present chunk
-        self.state = "size" if chunked else "data"
+        self.size = 0  # bytes received
+        self.left = 0 if chunked else length  # bytes of the body or of the present chunk
+        self.state = "size" if chunked else "data"  # of a chunked body also "mark" (a chunk's end) and "trailer"
         self.done = not chunked and length == 0
-        self.trailers = 0
+        self.trailers = 0  # bytes
 
     def take(self, buffer: bytearray) -> None:
+        """Take the body's bytes from the front of the buffer. Raises MalformedError."""
         while not self.done:
             if self.state == "data":
-                piece = bytes(buffer) if self.left is None else bytes(buffer[: self.left])
-                del buffer[: len(piece)]
-                self.size += len(piece)
-                if self.size > self.most:
-                    raise MalformedError(413, "body too large")
-                self.parts.append(piece)
-                if self.left is None:
+                if not self._take_data(buffer):
                     return
-                self.left -= len(piece)
-                if self.left:
-                    return
-                self.done = not self.chunked
-                self.state = "mark"
                 continue
             end = buffer.find(b"\r\n")
             if end < 0:
-                if len(buffer) > MAX_LINE:
+                if len(buffer) > MAX_CHUNK_LINE_BYTES:
                     raise MalformedError(400, "chunk line too long")
                 return
             line = bytes(buffer[:end])
             del buffer[: end + 2]
-            self._line(line)
-
-    def _line(self, line: bytes) -> None:
+            self._take_line(line)
+
+    def _take_data(self, buffer: bytearray) -> bool:
+        """Take bytes of the body or of the present chunk; return whether that is complete."""
+        piece = bytes(buffer) if self.left is None else bytes(buffer[: self.left])
+        del buffer[: len(piece)]
+        self.size += len(piece)
+        if self.size > self.limit:
+            raise MalformedError(413, "body too large")
+        self.parts.append(piece)
+        if self.left is None:
+            return False
+        self.left -= len(piece)
+        if self.left:
+            return False
+        self.done = not self.chunked
+        self.state = "mark"
+        return True
+
+    def _take_line(self, line: bytes) -> None:
+        """Interpret a line of the chunked coding (RFC 9112, 7.1)."""
         if self.state == "mark":
             if line:
                 raise MalformedError(400, "chunk without its end")
             self.state = "size"
         elif self.state == "size":
-            match = SIZE.fullmatch(line)
+            match = CHUNK_SIZE.fullmatch(line)
             if match is None:
                 raise MalformedError(400, "bad chunk size")
             self.left = int(match[1], 16)
-            if self.size + self.left > self.most:
+            if self.size + self.left > self.limit:
                 raise MalformedError(413, "body too large")
             self.state = "data" if self.left else "trailer"
         else:
             self.trailers += len(line)
-            if self.trailers > MAX_HEAD:
+            if self.trailers > MAX_HEAD_BYTES:
                 raise MalformedError(431, "trailers too large")
             self.done = not line
 
 
 class _Parser:
-    """Feed it bytes as they come and take messages as they become whole."""
+    """Incremental parser: fed with bytes as they arrive, it returns messages as they become complete."""
 
-    MOST = MAX_BODY
+    DEFAULT_MAX_BODY_BYTES = MAX_BODY_BYTES
 
-    def __init__(self, most: int | None = None) -> None:
-        """`most`: of a body, in bytes."""
-        self.most = self.MOST if most is None else most
+    def __init__(self, max_body_bytes: int | None = None) -> None:
+        self.max_body_bytes = self.DEFAULT_MAX_BODY_BYTES if max_body_bytes is None else max_body_bytes
         self.buffer = bytearray()
         self._message: Message | None = None
         self._body = _Body(False, 0)
-        self._seen = 0
+        self._searched_bytes = 0  # of the buffer, without the end of a head
 
     @property
     def idle(self) -> bool:
-        """Between messages, with nothing left over."""
+        """Whether it is between messages and its buffer is empty."""
         return not self.buffer and self._message is None
 
     def feed(self, data: bytes) -> None:
+        """Append bytes that arrived."""
         self.buffer += data
 
     def take(self) -> Message | None:
-        """The next whole message, if it is there."""
+        """The next complete message, if it is there. Raises MalformedError."""
         if self._message is None and self.head() is None:
             return None
         self._body.take(self.buffer)
-        return self._whole() if self._body.done else None
+        return self._complete_message() if self._body.done else None
 
     def head(self) -> Message | None:
-        """The next message, as soon as its head is there; its body comes by `pieces`."""
+        """The next message as soon as its head is there; its body is read by `pieces`. Raises MalformedError."""
         if self._message is None:
             message = self._head()
             if message is not None:
@@ -175,7 +190,7 @@
         return self._message
 
     def pieces(self) -> bytes:
-        """What has come of the body since it was asked for last."""
+        """The bytes of the body that arrived since the last call. Raises MalformedError."""
         self._body.take(self.buffer)
         piece = b"".join(self._body.parts)
         self._body.parts.clear()
@@ -183,15 +198,16 @@
 
     @property
     def complete(self) -> bool:
-        """The body of the message under way has come whole."""
+        """Whether the body of the present message is complete."""
         return self._message is not None and self._body.done
 
     def next(self) -> None:
-        """Done with a complete message."""
+        """Go on to the next message after a complete one."""
         self._message = None
 
-    def _whole(self) -> Message | None:
-        message, self._message = self._message, None
+    def _complete_message(self) -> Message | None:
+        message = self._message
+        self._message = None
         if message is not None:
             message.body = b"".join(self._body.parts)
             message.length = len(message.body)
@@ -200,108 +216,122 @@
     def _head(self) -> Message | None:
         while self.buffer.startswith(b"\r\n"):
             del self.buffer[:2]
-        if self.buffer != b"\r" and not self._plausible(bytes(self.buffer[:16])):  # its end may never come
+        if self.buffer != b"\r" and not self._may_start(bytes(self.buffer[:START_BYTES])):  # its end may never come
             raise MalformedError(400, "no message of HTTP/1")
-        end = self.buffer.find(b"\r\n\r\n", max(self._seen - 3, 0))
+        end = self.buffer.find(b"\r\n\r\n", max(self._searched_bytes - 3, 0))
         if end < 0:
-            self._seen = len(self.buffer)
-            if self._seen > MAX_HEAD:
+            self._searched_bytes = len(self.buffer)
+            if self._searched_bytes > MAX_HEAD_BYTES:
                 raise MalformedError(431, "headers too large")
             return None
-        if end > MAX_HEAD:
+        if end > MAX_HEAD_BYTES:
             raise MalformedError(431, "headers too large")
         first, *lines = bytes(self.buffer[:end]).split(b"\r\n")
         del self.buffer[: end + 4]
-        self._seen = 0
+        self._searched_bytes = 0
+        message = self._parse_headers(lines)
+        self._parse_start_line(first, message)
+        return message
+
+    def _parse_headers(self, lines: list[bytes]) -> Message:
         headers: Headers = []
         fields: dict[bytes, bytes] = {}
         for line in lines:
             name, colon, value = line.partition(b":")
             if not colon or not TOKEN.fullmatch(name) or CONTROL.search(value):
-                if self._spare(name):
+                if self._ignores_malformed(name):
                     continue
                 raise MalformedError(400, "bad header line")
             value = value.strip(b" \t")
             key = name.lower()
-            if key in fields and key in ONCE:
+            if key in fields and key in UNREPEATABLE_FIELDS:
                 raise MalformedError(400, f"repeated {key.decode('latin-1')}")
             headers.append((name, value))
             fields[key] = value
-        message = Message(headers, fields)
-        self._first(first, message)
-        return message
+        return Message(headers, fields)
 
-    def _plausible(self, start: bytes) -> bool:
-        """Whether a message may begin like this; `start` may be cut short."""
+    def _may_start(self, start: bytes) -> bool:
+        """Whether a message may begin with these bytes, which may be cut short."""
         raise NotImplementedError
 
-    def _spare(self, name: bytes) -> bool:
-        """Whether a malformed header of this name is only left out."""
+    def _ignores_malformed(self, name: bytes) -> bool:
+        """Whether a malformed header with this name is left out rather than rejected."""
         return False
 
-    def _first(self, line: bytes, message: Message) -> None:
+    def _parse_start_line(self, line: bytes, message: Message) -> None:
         raise NotImplementedError
 
     def _framing(self, message: Message) -> _Body:
         raise NotImplementedError
 
-    def _length(self, message: Message, default: int | None) -> _Body:
-        """By the rules that requests and responses share."""
-        coding, length = message.fields.get(b"transfer-encoding"), message.fields.get(b"content-length")
+    def _shared_framing(self, message: Message, default: int | None) -> _Body:
+        """The framing by the rules that requests and responses share (RFC 9112, 6.3)."""
+        coding = message.fields.get(b"transfer-encoding")
+        length = message.fields.get(b"content-length")
         if coding is not None:
             if length is not None or coding.lower() != b"chunked":
                 raise MalformedError(400, "framing not understood")
-            return _Body(True, None, self.most)
+            return _Body(True, None, self.max_body_bytes)
         if length is None:
-            return _Body(False, default, self.most)
-        if not length.isdigit() or len(length) > 15:
+            return _Body(False, default, self.max_body_bytes)
+        if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
             raise MalformedError(400, "bad Content-Length")
-        if int(length) > self.most:
+        if int(length) > self.max_body_bytes:
             raise MalformedError(413, "body too large")
-        return _Body(False, int(length), self.most)
+        return _Body(False, int(length), self.max_body_bytes)
 
 
 class RequestParser(_Parser):
-    def _plausible(self, start: bytes) -> bool:
+    """Parses the requests of one connection."""
+
+    def _may_start(self, start: bytes) -> bool:
         return not start or TOKEN.fullmatch(start.partition(b" ")[0]) is not None
 
     @property
-    def asked(self) -> bool:
-        """A request's head is there and its sender waits for a word before it sends the body."""
+    def expects_continue(self) -> bool:
+        """Whether the present request waits for 100 (Continue) before its body is sent (RFC 9110, 10.1.1)."""
         message = self._message
         return message is not None and message.fields.get(b"expect", b"").lower() == b"100-continue"
 
-    def _first(self, line: bytes, message: Message) -> None:
+    def _parse_start_line(self, line: bytes, message: Message) -> None:
         parts = line.split(b" ")
         if len(parts) != 3 or not TOKEN.fullmatch(parts[0]) or not TARGET.fullmatch(parts[1]):
             raise MalformedError(400, "bad request line")
         if parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
             raise MalformedError(400, "not HTTP/1.1")
-        message.method, message.target, message.minor = parts[0], parts[1], parts[2][-1] - 48
+        message.method = parts[0]
+        message.target = parts[1]
+        message.minor = int(parts[2][-1:])
 
     def _framing(self, message: Message) -> _Body:
-        if message.minor == 0 and b"transfer-encoding" in message.fields:  # what it means there is anybody's guess
+        if (
+            message.minor == 0 and b"transfer-encoding" in message.fields
+        ):  # has no defined meaning there (RFC 9112, 6.1)
             raise MalformedError(400, "chunks in HTTP/1.0")
-        return self._length(message, 0)
+        return self._shared_framing(message, 0)
 
 
 class ResponseParser(_Parser):
-    MOST = MAX_ANSWER
+    """Parses the responses of one connection; interim ones (1xx) are skipped."""
 
-    def _plausible(self, start: bytes) -> bool:
+    DEFAULT_MAX_BODY_BYTES = MAX_RESPONSE_BYTES
+
+    def _may_start(self, start: bytes) -> bool:
         return b"HTTP/1.".startswith(start[:7])
 
-    def _spare(self, name: bytes) -> bool:
-        # A load report serves only the balancing: one that can't be read must not cost the answer.
+    def _ignores_malformed(self, name: bytes) -> bool:
+        # A load report serves load balancing only: a malformed one must not cost the response.
         return name.strip().lower() == b"x-load-report"
 
     def take(self) -> Message | None:
+        """The next complete final response, if it is there. Raises MalformedError."""
         message = super().take()
-        while message is not None and 100 <= message.status < 200:  # interim: the response is yet to come
+        while message is not None and 100 <= message.status < 200:  # interim: the final response follows
             message = super().take()
         return message
 
     def head(self) -> Message | None:
+        """The next final response as soon as its head is there. Raises MalformedError."""
         message = super().head()
         while message is not None and 100 <= message.status < 200:
             self.next()
@@ -309,54 +339,64 @@
         return message
 
     def end(self) -> Message | None:
-        """The connection ended: the response that only this end completes, if one was under way."""
-        return self._whole() if self._message is not None and self.endless else None
+        """The connection ended: the response that its end completes, if there is one."""
+        return self._complete_message() if self._message is not None and self.ends_with_connection else None
 
     @property
-    def endless(self) -> bool:
+    def ends_with_connection(self) -> bool:
+        """Whether the end of the connection is the end of the present response's body."""
         return not self._body.chunked and self._body.length is None
 
-    def _first(self, line: bytes, message: Message) -> None:
-        match = STATUS.fullmatch(line)
+    def _parse_start_line(self, line: bytes, message: Message) -> None:
+        match = STATUS_LINE.fullmatch(line)
         if match is None:
             raise MalformedError(400, "bad status line")
-        message.minor, message.status = int(match[1]), int(match[2])
+        message.minor = int(match[1])
+        message.status = int(match[2])
 
     def _framing(self, message: Message) -> _Body:
         if message.status < 200 or message.status in (204, 304):
             return _Body(False, 0)
-        return self._length(message, None)
+        return self._shared_framing(message, None)
 
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def _lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+def _header_lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
     return b"".join(name + b": " + value + b"\r\n" for name, value in headers)
 
 
 def write_request(method: bytes, target: bytes, headers: Headers, body: bytes = b"") -> bytes:
+    """A complete request; `headers` without those of its framing."""
     length = b"Content-Length: %d\r\n" % len(body) if body or method not in (b"GET", b"HEAD") else b""
-    return b"%b %b HTTP/1.1\r\n%b%b\r\n%b" % (method, target, _lines(headers), length, body)
+    return b"%b %b HTTP/1.1\r\n%b%b\r\n%b" % (method, target, _header_lines(headers), length, body)
 
 
 def request_head(method: bytes, target: bytes, headers: Headers, length: int | None) -> bytes:
-    """Of a request whose body follows in pieces; without a length they go as chunks."""
-    return b"%b %b HTTP/1.1\r\n%b%b\r\n" % (method, target, _lines(headers), _frame(length))
+    """The head of a request whose body follows in pieces; without a `length` (bytes) these are sent as chunks."""
+    return b"%b %b HTTP/1.1\r\n%b%b\r\n" % (method, target, _header_lines(headers), _framing_header(length))
 
 
 def response_head(status: int, headers: Headers, length: int | None, close: bool, minor: int = 1) -> bytes:
-    """The same of a response; to a reader of HTTP/1.0 the end of the connection is the end of the body."""
-    frame = b"" if length is None and minor == 0 else _frame(length)
-    last = b"Connection: close\r\n" if close else b""
-    return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (status, REASONS.get(status, b""), _lines(headers), frame, last)
+    """The same of a response; to a client of HTTP/1.0 the end of the connection is the end of the body."""
+    framing_header = b"" if length is None and minor == 0 else _framing_header(length)
+    connection_header = b"Connection: close\r\n" if close else b""
+    return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
+        status,
+        REASONS.get(status, b""),
+        _header_lines(headers),
+        framing_header,
+        connection_header,
+    )
 
 
-def _frame(length: int | None) -> bytes:
+def _framing_header(length: int | None) -> bytes:
     return b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
 
 
 def chunk(piece: bytes) -> bytes:
+    """One chunk of the chunked coding (RFC 9112, 7.1)."""
     return b"%x\r\n%b\r\n" % (len(piece), piece)
 
 
@@ -364,13 +404,14 @@
 
 
 def write_response(status: int, headers: Headers, body: bytes = b"", close: bool = False) -> bytes:
+    """A complete response; `headers` without those of its framing. With `close` it announces the connection's end."""
     reason = REASONS.get(status, b"")
-    last = b"Connection: close\r\n" if close else b""
+    connection_header = b"Connection: close\r\n" if close else b""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
         reason,
-        _lines(headers),
+        _header_lines(headers),
         len(body),
-        last,
+        connection_header,
         body,
     )
--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -96,15 +96,15 @@
         time budget begins when the message is complete.
         """
         # Limited by its class: otherwise a request could stay open for days.
-        budget_ms = min(budget_ms, self.load_balancer.deadline_ms(class_name))
-        usable_ms = usable_budget_ms(budget_ms)
+        usable_ms = usable_budget_ms(min(budget_ms, self.load_balancer.deadline_ms(class_name)))
         self._last_number += 1
+        deadline = math.inf if body_pipe is not None else monotonic() + usable_ms / 1000.0
         request = Request(
             number=self._last_number,
             request_id=request_id,
             class_name=class_name,
             payload=payload,
-            deadline=math.inf if body_pipe is not None else monotonic() + usable_ms / 1000.0,
+            deadline=deadline,
             budget_left_s=usable_ms / 1000.0,
             respond=respond,
             body_pipe=body_pipe,
@@ -114,18 +114,24 @@
         request.policy = self.load_balancer.request_policy(class_name, bool(details.idempotency_key))
         self.metrics.count_taken()
         if not has_capacity or len(self.open) >= self.max_open or self.load_balancer.rejects_all:
-            retry_after_ms = min(NO_CAPACITY_RETRY_AFTER_MS, self.load_balancer.max_retry_after_ms)
-            self._close(request, FinalResponse(Verdict.REJECTED, retry_after_ms=retry_after_ms))
-            return request
+            self._reject_without_capacity(request)
+        else:
+            self._open_request(request, usable_ms)
+        return request
+
+    def _reject_without_capacity(self, request: Request) -> None:
+        retry_after_ms = min(NO_CAPACITY_RETRY_AFTER_MS, self.load_balancer.max_retry_after_ms)
+        self._close(request, FinalResponse(Verdict.REJECTED, retry_after_ms=retry_after_ms))
+
+    def _open_request(self, request: Request, usable_ms: float) -> None:
         self.open[request.number] = request
-        self._request_ids.add(request_id)
+        self._request_ids.add(request.request_id)
         self._trace_accepted(request, usable_ms)
         try:
             self._admit(request)
         except Exception:
             self.client_disconnected(request)  # the caller never received it, so nobody else would end it
             raise
-        return request
 
     def _trace_accepted(self, request: Request, usable_ms: float) -> None:
         if self._trace:
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -72,7 +72,7 @@
     assert parser.take() is None and parser.end() is None
 
 
-@pytest.mark.parametrize(("size", "ends"), [(400_000, True), (http1.MAX_ANSWER + 1, False)])
+@pytest.mark.parametrize(("size", "ends"), [(400_000, True), (http1.MAX_RESPONSE_BYTES + 1, False)])
 def test_large_answers_are_taken_up_to_a_bound(size: int, ends: bool) -> None:
     # Guards answers of 128 to 400 KB, each of which once counted as spoilt, four times a call.
     parser = ResponseParser()
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize(
     ("wire", "status"),
     [
-        (b"GET / HTTP/1.1\r\nX: " + b"a" * http1.MAX_HEAD, 431),
+        (b"GET / HTTP/1.1\r\nX: " + b"a" * http1.MAX_HEAD_BYTES, 431),
         (b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
         (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", 413),
         (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -38,7 +38,7 @@
     """A provider that notes the bodies that it gets whole, and answers each so."""
 
     async def handle(reader: Reader, writer: Writer) -> None:
-        parser, body = http1.RequestParser(http1.MAX_LONG), bytearray()
+        parser, body = http1.RequestParser(http1.MAX_STREAMED_BODY_BYTES), bytearray()
         while data := await reader.read(65536):
             parser.feed(data)
             if parser.head() is None:
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -62,7 +62,9 @@
             assert message.length == (len(body) if framing == "length" else None)
             got += parser.pieces()
     assert bytes(got) == body
-    assert parser.complete is (framing != "until the end") and parser.endless is (framing == "until the end")
+    assert parser.complete is (framing != "until the end") and parser.ends_with_connection is (
+        framing == "until the end"
+    )
     if parser.complete:
         parser.next()
         assert parser.idle
@@ -148,7 +150,7 @@
     """Head, body and whether the body came whole, on one connection to its end."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(wire)
-    parser, got, head = http1.ResponseParser(http1.MAX_LONG), bytearray(), None
+    parser, got, head = http1.ResponseParser(http1.MAX_STREAMED_BODY_BYTES), bytearray(), None
     ended = False
     while not parser.complete and not ended:
         try:
@@ -161,7 +163,7 @@
         if head is not None:
             got += parser.pieces()
     writer.close()
-    return head, bytes(got), parser.complete or (ended and head is not None and parser.endless)
+    return head, bytes(got), parser.complete or (ended and head is not None and parser.ends_with_connection)
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
