--- a/limenotch/net/admin/server.py
+++ b/limenotch/net/admin/server.py
@@ -18,7 +18,7 @@
 from ... import logs
 from ...config import Address
 from .. import http1
-from ..sockets import OPERATORS, Listener
+from ..sockets import MAX_OPERATOR_CONNECTIONS, Listener
 
 log = logs.get(__name__)
 
@@ -78,13 +78,13 @@
 
     def _accept(self) -> None:
         if self._listener is not None:
-            self._listener.take(OPERATORS, self._open_connection, self._log_accept_error)
+            self._listener.take(MAX_OPERATOR_CONNECTIONS, self._open_connection, self._log_accept_error)
 
     def _log_accept_error(self, error: OSError) -> None:
         log.warning("operators' listener: accept failed", error=str(error))
 
     def _open_connection(self, sock: socket.socket) -> None:
-        while len(self._connections) >= OPERATORS:
+        while len(self._connections) >= MAX_OPERATOR_CONNECTIONS:
             self._drop_one()
         connection = _Connection(IOStream(sock, max_buffer_size=MAX_BUFFER))
         self._connections[connection] = asyncio.get_running_loop().create_task(self._serve(connection))
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -4,10 +4,10 @@
 
 import re
 
-from ..http1 import MAX_BODY, MalformedError, Message, ResponseParser, _Body
+from ..http1 import MAX_BODY_BYTES, MalformedError, Message, ResponseParser, _Body
 
 # Bytes of one document: a list of some ten thousand endpoints.
-MAX_DOCUMENT_BYTES = 64 * MAX_BODY
+MAX_DOCUMENT_BYTES = 64 * MAX_BODY_BYTES
 # Strings (RFC 8259, section 7) can't span lines; both patterns take time linear in the length of the line.
 ESCAPE = re.compile(rb"\\.")
 STRING = re.compile(rb'"[^"]*"')
--- a/limenotch/net/endpoint_connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -12,7 +12,7 @@
 from .. import logs
 from ..load_balancer import DiscoveredEndpoint
 from . import http1
-from .pipe import HOLD, BodyPipe, BrokenError, BufferBudget
+from .pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe, BrokenError, BufferBudget
 
 log = logs.get(__name__)
 
@@ -48,7 +48,7 @@
         self.forwarded: asyncio.Future[bool] | None = None  # of a response being forwarded: whether it was complete
         self._answer_s = answer_s
         self._stall_s = stall_s
-        self._parser = http1.ResponseParser(http1.MAX_LONG)
+        self._parser = http1.ResponseParser(http1.MAX_STREAMED_BODY_BYTES)
         self._budget = budget or BufferBudget(MAX_BUFFER)
         self._response: asyncio.Future[http1.Message | None] | None = None
         self._head: http1.Message | None = None
@@ -70,7 +70,7 @@
                 await self._process_input()
         except StreamClosedError as error:
             # An orderly end completes a body without length (RFC 9112, section 6.3); a reset truncates it.
-            if self._head is not None and error.real_error is None and self._parser.endless:
+            if self._head is not None and error.real_error is None and self._parser.ends_with_connection:
                 self._complete(self._head)
         except BrokenError:
             pass  # nobody takes the rest of the body
@@ -120,7 +120,7 @@
     def may_be_long(self) -> bool:
         """Whether the current response, by its head, may be longer than what is buffered."""
         announced = self._head.length if self._head is not None else 0
-        return announced is None or announced > HOLD
+        return announced is None or announced > MAX_BUFFERED_BODY_BYTES
 
     def start_forwarding(self) -> bool:
         """Hands over the response now, the rest of its body by a pipe; False if there is no head or it was handed over
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -15,7 +15,7 @@
 from limenotch.balancing.types import BalancerSettings, Endpoint, Outcome
 from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, LoadBalancer, StartAttempt
 from limenotch.net import http1
-from limenotch.net.pipe import HOLD, BodyPipe, BufferBudget
+from limenotch.net.pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe, BufferBudget
 from limenotch.net.request import Attempt, FinalResponse
 from limenotch.net.requests import RequestManager
 from limenotch.settings import ClientSettings as ConsumerTuning
@@ -38,7 +38,7 @@
     """A provider that notes the bodies that it gets whole, and answers each so."""
 
     async def handle(reader: Reader, writer: Writer) -> None:
-        parser, body = http1.RequestParser(http1.MAX_LONG), bytearray()
+        parser, body = http1.RequestParser(http1.MAX_STREAMED_BODY_BYTES), bytearray()
         while data := await reader.read(65536):
             parser.feed(data)
             if parser.head() is None:
@@ -114,7 +114,7 @@
     # Only what is marked as rejected, or breaks before the last byte was written, says that it never ran.
     async def early(reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        await reader.readexactly(HOLD + 1000)
+        await reader.readexactly(MAX_BUFFERED_BODY_BYTES + 1000)
         writer.write(answer)
         await writer.drain()
         if not answer:
@@ -235,7 +235,7 @@
         )
         call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append)
         (one,) = call.attempts
-        calls._invoke(StartAttempt(call.number, "b", 20000.0))
+        calls._start_attempt(StartAttempt(call.number, "b", 20000.0))
         two = call.attempts[1]
         assert calls.response_started(one, "the answer") and not calls.response_started(two, "another")
         calls.attempt_ended(two, AttemptEnding.CANCELLED)
@@ -263,7 +263,7 @@
                 [DiscoveredEndpoint(n, ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE) for n in "ab"], True
             )
         )
-        call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append, rest=BodyPipe(BufferBudget(1)))
+        call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append, body_pipe=BodyPipe(BufferBudget(1)))
         calls.last_deadline = monotonic() + 1.0  # SIGTERM came meanwhile
         calls.upload_finished(call.attempts[0])
         assert call.deadline == call.attempts[0].deadline == calls.last_deadline
