--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -34,16 +34,16 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reloader.reload)
     shutdown.install()
     components.requests.execute(components.load_balancer.start())
-    inherited = await components.successor.ask()
+    inherited = await components.successor.request_handover()
     if inherited is not None:
-        components.set_process_count(components.successor.processes)
+        components.set_process_count(components.successor.process_count)
         import_inherited_state(inherited, components.discovery, components.load_balancer)
     use_known_list(components)
     components.ejections.load()
     ejections_poll = PeriodicCallback(components.ejections.reload_if_changed, LOOK_S * 1000.0)
     components.discovery.watch()  # also where the load balancer expects the list unasked
     start_listening(components, inherited, ejections_poll)
-    await components.successor.serving()
+    await components.successor.confirm_serving()
     components.is_serving = True
     await shut_down(components, await shutdown.wait())
     ejections_poll.stop()
@@ -83,7 +83,7 @@
     if config.admin is not None:
         components.admin.listen(config.admin)
         ejections_poll.start()
-    components.successor.offer(listener)
+    components.successor.offer_listener(listener)
     log.info(
         "listening",
         listen=host_port(config.listen),
--- a/limenotch/shutdown.py
+++ b/limenotch/shutdown.py
@@ -40,7 +40,9 @@
 
 async def shut_down(components: Components, requested_at: float) -> None:
     """Finish the requests taken, then end all parts. `requested_at`: time.monotonic of the first signal."""
-    log.info("shutting down", open_requests=len(components.requests.open), handed_over=components.successor.serves)
+    log.info(
+        "shutting down", open_requests=len(components.requests.open), handed_over=components.successor.successor_serves
+    )
     if components.fleet_node is not None:
         components.fleet_node.leave()
-    await components.clients.shut_down(components.successor.serves, requested_at)
+    await components.clients.shut_down(components.successor.successor_serves, requested_at)
--- a/limenotch/wiring.py
+++ b/limenotch/wiring.py
@@ -89,7 +89,7 @@
     def _make_endpoint_pool(self, settings: Settings) -> EndpointPool:
         return EndpointPool(
             self.requests,
-            self.descriptors.providers,
+            self.descriptors.endpoints,
             self.config.connect_timeout_ms,
             self.config.endpoint_idle_ms,
             settings.providers,
@@ -172,8 +172,8 @@
 
     def limit_resources(self) -> None:
         """Hold all live processes of this sidecar together to the limits of one."""
-        processes = self.successor.processes
-        self.descriptors.limit_to(self.config.sockets // processes)
+        processes = self.successor.process_count
+        self.descriptors.set_limit(self.config.sockets // processes)
         self.buffers.limit = buffer_limit(self.config.memory_mb, processes)
 
     def set_process_count(self, processes: int) -> None:
