--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -15,7 +15,8 @@
 
 from . import logs
 from .config import Config, ConfigError, host_port, load
-from .load_balancer import DiscoveredEndpoint, LoadBalancer
+from .load_balancer import LoadBalancer
+from .load_balancer_types import DiscoveredEndpoint
 from .metrics import Metrics
 from .net.admin.server import AdminServer
 from .net.client_listener import ClientListener
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -31,7 +31,7 @@
 from ..fleet.affinity.tuning import Tuning
 from ..fleet.hub import ComponentEvent
 from ..fleet.interfaces import Part, Started
-from ..load_balancer import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, PlacementHint
+from ..load_balancer_types import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, PlacementHint
 from ..net.request import Attempt, FinalResponse, Request, Verdict
 from .base import FleetAdapter, NodeContext, message_types
 
--- a/limenotch/fleet_adapters/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -9,7 +9,7 @@
 from ..config import Config
 from ..fleet.hub import ComponentEvent
 from ..fleet.interfaces import Message, Part
-from ..load_balancer import DiscoveredEndpoint
+from ..load_balancer_types import DiscoveredEndpoint
 from ..net.admin.queries import json_response
 from ..net.admin.server import RequestHandler
 from ..net.request import RequestInterceptor
--- a/limenotch/fleet_adapters/endpoint_lists.py
+++ b/limenotch/fleet_adapters/endpoint_lists.py
@@ -16,7 +16,7 @@
 from ..fleet.rules.api import Voters
 from ..fleet.rules.endpoint_list_messages import Arrived, DirectorySilent, Listed, Named, PeerDrain
 from ..fleet.rules.endpoint_lists import Lists
-from ..load_balancer import DiscoveredEndpoint, DiscoveryStatus
+from ..load_balancer_types import DiscoveredEndpoint, DiscoveryStatus
 from .base import FleetAdapter, NodeContext, message_types
 
 PREFIX = "li."
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -14,7 +14,7 @@
 from ..fleet.rules import Rules, messages
 from ..fleet.rules.api import Answer, Counted, InForce, Narrow, Voters
 from ..fleet.rules.tuning import Tuning
-from ..load_balancer import AttemptEnding
+from ..load_balancer_types import AttemptEnding
 from ..net.admin.rules import PREFIX, RULES, RulesQueries
 from ..net.request import Attempt, FinalResponse, Request, Verdict
 from .base import SPARE_S, FleetAdapter, NodeContext, message_types
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -19,7 +19,7 @@
 from ..fleet.wallet import Wallet, messages
 from ..fleet.wallet.api import Answer, Look, Purse, Reservation, Turned, Witnesses
 from ..fleet.wallet.tuning import Tuning
-from ..load_balancer import AttemptEnding
+from ..load_balancer_types import AttemptEnding
 from ..net.admin.wallet import PREFIX, WalletQueries
 from ..net.request import Attempt, FinalResponse, Request, RetryLater, Verdict
 from .base import SPARE_S, FleetAdapter, NodeContext, message_types
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -32,7 +32,7 @@
 from .fleet_adapters.endpoint_lists import EndpointListsAdapter, Use, Where
 from .fleet_adapters.replicated_notes import ReplicatedNotesAdapter
 from .fleet_adapters.rules import RulesAdapter
-from .load_balancer import DiscoveredEndpoint
+from .load_balancer_types import DiscoveredEndpoint
 from .net import http1
 from .net.admin.queries import json_response
 from .net.admin.server import RequestHandler
--- a/limenotch/net/attempt_check.py
+++ b/limenotch/net/attempt_check.py
@@ -8,7 +8,7 @@
 
 from enum import Enum
 
-from ..load_balancer import DiscoveredEndpoint
+from ..load_balancer_types import DiscoveredEndpoint
 from .request import Attempt
 
 
--- a/limenotch/net/discovery/client.py
+++ b/limenotch/net/discovery/client.py
@@ -20,7 +20,7 @@
 
 from ... import logs, settings
 from ...config import Address, host_port
-from ...load_balancer import DiscoveredEndpoint
+from ...load_balancer_types import DiscoveredEndpoint
 from .. import http1
 from . import json_stream, schedule
 from .endpoint_list import EndpointList, merge_lists, parse_list
--- a/limenotch/net/discovery/endpoint_list.py
+++ b/limenotch/net/discovery/endpoint_list.py
@@ -8,7 +8,7 @@
 
 from ... import logs
 from ...config import ConfigError, address
-from ...load_balancer import DiscoveredEndpoint, DiscoveryStatus
+from ...load_balancer_types import DiscoveredEndpoint, DiscoveryStatus
 
 log = logs.get(__name__)
 
--- a/limenotch/net/endpoint_connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -10,7 +10,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from .. import logs
-from ..load_balancer import DiscoveredEndpoint
+from ..load_balancer_types import DiscoveredEndpoint
 from . import http1
 from .pipe import HOLD, BodyPipe, BrokenError, BufferBudget
 
--- a/limenotch/net/endpoint_pool.py
+++ b/limenotch/net/endpoint_pool.py
@@ -13,7 +13,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from .. import logs, settings
-from ..load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
+from ..load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from . import attempt_check, http1
 from .endpoint_connection import MAX_BUFFER, EndpointConnection
 from .pipe import BodyPipe, BrokenError, BufferBudget
--- a/limenotch/net/request.py
+++ b/limenotch/net/request.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
-from ..load_balancer import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, PlacementHint
+from ..load_balancer_types import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, PlacementHint
 from ..request_policy import RequestPolicy, SentAttempt
 from .pipe import BodyPipe
 
--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -16,9 +16,10 @@
 
 from tornado.ioloop import IOLoop
 
-from .. import load_balancer as house
+from .. import load_balancer_types as commands
 from .. import logs
-from ..load_balancer import AttemptEnding, Commands, LoadBalancer, usable_budget_ms
+from ..load_balancer import LoadBalancer, usable_budget_ms
+from ..load_balancer_types import AttemptEnding, Commands
 from ..metrics import Metrics
 from ..request_policy import SentAttempt
 from .pipe import BodyPipe
@@ -59,7 +60,7 @@
         self._loop = IOLoop.current()
         self._count = 0
         self._out: dict[tuple[int, int], Attempt] = {}
-        self._todo: deque[house.Command] = deque()
+        self._todo: deque[commands.Command] = deque()
         self._working = False
         self._trace = logs.tracing()
 
@@ -285,25 +286,25 @@
         finally:
             self._working = False
 
-    def _carry_out(self, order: house.Command) -> None:
-        if isinstance(order, house.StartAttempt):
+    def _carry_out(self, order: commands.Command) -> None:
+        if isinstance(order, commands.StartAttempt):
             self._invoke(order)
-        elif isinstance(order, house.ScheduleTimer):
+        elif isinstance(order, commands.ScheduleTimer):
             self._loop.call_later(order.delay_ms / 1000.0, self.timer_fired, order.token)
-        elif isinstance(order, house.WatchDiscovery):
+        elif isinstance(order, commands.WatchDiscovery):
             self.watch_discovery()
-        elif isinstance(order, house.CancelAttempt):
+        elif isinstance(order, commands.CancelAttempt):
             self._abandon(order)
         else:
             call = self.open.get(order.request)
             if call is None:
                 return
-            if isinstance(order, house.RejectRequest):
+            if isinstance(order, commands.RejectRequest):
                 self._close(call, FinalResponse(Verdict.REJECTED, retry_after_ms=order.retry_after_ms))
             else:
                 self._close(call, FinalResponse(Verdict.FAILED, timed_out=monotonic() >= call.deadline))
 
-    def _invoke(self, order: house.StartAttempt) -> None:
+    def _invoke(self, order: commands.StartAttempt) -> None:
         call = self.open.get(order.request)
         if call is None:
             return
@@ -316,7 +317,7 @@
             one.attempt_started(invoker_call)
         self.attempt_runner.start(invoker_call)
 
-    def _abandon(self, order: house.CancelAttempt) -> None:
+    def _abandon(self, order: commands.CancelAttempt) -> None:
         # Kept apart from the open calls: a loser is abandoned after its call was answered.
         invoker_call = self._out.get((order.request, order.attempt))
         if invoker_call is not None:
--- a/limenotch/net/response_outcome.py
+++ b/limenotch/net/response_outcome.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..load_balancer import AttemptEnding
+from ..load_balancer_types import AttemptEnding
 from . import http1
 
 # No busy share of its cores is more, noise included, and no endpoint of one process serves more a second.
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -15,7 +15,8 @@
 from limenotch.fleet.settings import Bindings as Table
 from limenotch.fleet_adapters.affinity import AffinityAdapter, joined
 from limenotch.fleet_adapters.base import NodeContext
-from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, LoadBalancer
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net.http1 import Message
 from limenotch.net.request import Attempt, FinalResponse, RequestDetails, Verdict
 from limenotch.net.requests import RequestManager
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -10,7 +10,7 @@
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.settings import Bindings as Table
 from limenotch.fleet_adapters.affinity import joined
-from limenotch.load_balancer import NEVER_RAN, AttemptEnding, DiscoveryStatus
+from limenotch.load_balancer_types import NEVER_RAN, AttemptEnding, DiscoveryStatus
 from limenotch.net.request import Verdict
 from limenotch.settings import parse as parse_settings
 
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -28,7 +28,8 @@
 from limenotch.fleet.wire import FrameCodec, tag_of
 from limenotch.fleet_adapters.base import message_types
 from limenotch.fleet_node import PATH
-from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, LoadBalancer, StartAttempt
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, StartAttempt
 from limenotch.metrics import Metrics
 from limenotch.net.admin import log, rules, server, wallet
 from limenotch.net.discovery.endpoint_list import parse_list
--- a/tests/helpers/discovery_peer.py
+++ b/tests/helpers/discovery_peer.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from limenotch import settings
-from limenotch.load_balancer import DiscoveredEndpoint
+from limenotch.load_balancer_types import DiscoveredEndpoint
 from limenotch.net.discovery.client import DiscoveryClient
 
 from .http_peers import Reader, Writer
--- a/tests/helpers/scripted.py
+++ b/tests/helpers/scripted.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any, cast
 
-from limenotch.load_balancer import AttemptEnding, Command, Commands, LoadBalancer, PlacementHint
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import AttemptEnding, Command, Commands, PlacementHint
 from limenotch.net.request import Attempt, FinalResponse, Request, RequestDetails, RequestInterceptor
 from limenotch.net.requests import RequestManager
 from limenotch.request_policy import RequestPolicy
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -17,7 +17,7 @@
 from tornado.iostream import IOStream
 
 from limenotch.balancing.types import DedupScope, Effect, TrafficClass
-from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
+from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net import endpoint_pool, http1
 from limenotch.net.endpoint_pool import EndpointPool
 from limenotch.net.request import Attempt, Request
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -12,7 +12,7 @@
 import pytest
 
 from limenotch import app, config, settings
-from limenotch.load_balancer import DiscoveredEndpoint, DiscoveryStatus
+from limenotch.load_balancer_types import DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net.discovery import schedule
 from limenotch.net.discovery.client import DiscoveryClient
 from limenotch.net.discovery.endpoint_list import EndpointList, merge_lists, parse_list
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
+from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net.discovery import schedule
 from limenotch.net.discovery.client import DiscoveryClient
 from limenotch.net.endpoint_pool import EndpointPool
--- a/tests/test_endpoint_ages.py
+++ b/tests/test_endpoint_ages.py
@@ -14,7 +14,8 @@
 from limenotch.balancing.settings import read_settings
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, SlowStart, TrafficClass
 from limenotch.endpoint_ages import EndpointAges
-from limenotch.load_balancer import DiscoveredEndpoint, DiscoveryStatus, LoadBalancer
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import DiscoveredEndpoint, DiscoveryStatus
 
 from .helpers.http_peers import SETTINGS
 
@@ -146,11 +147,11 @@
 
     before, after = facade(0.0), facade(HOUR)
     listed = [DiscoveredEndpoint("a", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE, "z", started_ms=UNIX - 7000)]
-    before.endpoints_listed(listed, whole=True)
+    before.endpoints_listed(listed, complete=True)
     told = json.loads(json.dumps(before.export_state()))
     after.import_endpoint_ages(told)
     after.import_endpoint_ages({key: value for key, value in told.items() if key != "starts"})
-    after.endpoints_listed(listed, whole=True)
+    after.endpoints_listed(listed, complete=True)
     assert after.export_state()["starts"] == {"a": [UNIX - 7000, 7000]}
     with pytest.raises(ValueError, match="starts"):
         after.import_endpoint_ages({**told, "starts": 3})
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -10,11 +10,11 @@
 from limenotch.balancing.actions import RejectRequest, SendAttempt
 from limenotch.balancing.events import MembershipKind, RequestArrived
 from limenotch.balancing.types import DedupScope, Effect, Endpoint, EndpointState, Outcome, PriorExecution, TrafficClass
-from limenotch.load_balancer import (
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import (
     AttemptEnding,
     DiscoveredEndpoint,
     DiscoveryStatus,
-    LoadBalancer,
     PlacementHint,
     StartAttempt,
 )
--- a/tests/test_request_interceptors.py
+++ b/tests/test_request_interceptors.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from limenotch.load_balancer import (
+from limenotch.load_balancer_types import (
     AttemptEnding,
     CancelAttempt,
     Command,
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from limenotch.load_balancer import AttemptEnding, Command, Commands, StartAttempt
+from limenotch.load_balancer_types import AttemptEnding, Command, Commands, StartAttempt
 from limenotch.net.request import FinalResponse, Request, Verdict
 from limenotch.net.requests import RequestManager
 
--- a/tests/test_restricted_mode.py
+++ b/tests/test_restricted_mode.py
@@ -9,13 +9,13 @@
 
 from limenotch.balancing import actions
 from limenotch.balancing.types import DedupScope, Effect, Outcome, TrafficClass
-from limenotch.load_balancer import (
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import (
     AttemptEnding,
     Command,
     DiscoveredEndpoint,
     DiscoveryStatus,
     FailRequest,
-    LoadBalancer,
     RejectRequest,
     ScheduleTimer,
     StartAttempt,
@@ -105,7 +105,7 @@
     facade.endpoints_listed(
         [DiscoveredEndpoint(f"p{n}", ("127.0.0.1", n), DiscoveryStatus.IN_SERVICE) for n in range(5)], True
     )
-    facade.set_lease(1500.0, refusing=refusing)
+    facade.set_lease(1500.0, reject_without_lease=refusing)
     return facade, clock
 
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -11,7 +11,7 @@
 
 from limenotch.balancing.retry_policy import may_repeat
 from limenotch.balancing.types import DedupScope, Effect, PriorAttempt, TrafficClass
-from limenotch.load_balancer import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
+from limenotch.load_balancer_types import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net.attempt_check import Obstacle, obstacle_to
 from limenotch.net.request import Attempt, Request
 from limenotch.net.request_ids import MOST_REMEMBERED, RequestIds
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -12,7 +12,8 @@
 import pytest
 
 from limenotch.balancing.settings import read_settings
-from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, LoadBalancer
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net import http1
 from limenotch.net.client_listener import ClientListener
 from limenotch.net.endpoint_connection import EndpointConnection
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -13,7 +13,8 @@
 from limenotch.balancing.events import AttemptFinished, MembershipKind, MembershipUpdate, RequestArrived, UploadFinished
 from limenotch.balancing.settings import read_settings
 from limenotch.balancing.types import BalancerSettings, Endpoint, Outcome
-from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, LoadBalancer, StartAttempt
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, StartAttempt
 from limenotch.net import http1
 from limenotch.net.pipe import HOLD, BodyPipe, BufferBudget
 from limenotch.net.request import Attempt, FinalResponse
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -26,7 +26,8 @@
 from limenotch.balancing.learned_state import export_state, import_state
 from limenotch.balancing.settings import read_settings
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, SlowStart, TrafficClass
-from limenotch.load_balancer import DiscoveredEndpoint, DiscoveryStatus, LoadBalancer
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net import http1, successor
 from limenotch.net.client_listener import BACKLOG
 from limenotch.net.successor import Successor
