--- a/limenotch/request_policy.py
+++ b/limenotch/request_policy.py
@@ -1,4 +1,4 @@
-"""What a call's class and settings let its attempts do, as both stood when the call came."""
+"""What a request's class and settings let its attempts do, as both stood when the request arrived."""
 
 from __future__ import annotations
 
@@ -10,45 +10,47 @@
 
 # A request counts at its endpoint with its last byte: what the way there and a busy core may take until then.
 ARRIVAL_MS = 20.0
+MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class SentAttempt:
-    """An attempt whose first byte has gone out, here or through another sidecar."""
+    """An attempt whose first byte has been sent, by this sidecar or another."""
 
     zone: str
     group: int
-    sent_ms: float
-    in_flight: bool = False  # it has not ended yet
+    sent_ms: float  # monotonic time
+    in_flight: bool = False
 
     def as_prior_attempt(self) -> PriorAttempt:
-        """The same in the decision module's terms."""
+        """The same attempt as the balancer's own type."""
         return PriorAttempt(self.zone, self.group, self.sent_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestPolicy:
-    """Asked right before an attempt's first byte. Without a class nothing may go out twice."""
+    """Checked right before an attempt's first byte is sent. Without a class nothing may be sent twice."""
 
     traffic_class: TrafficClass = TrafficClass("", Effect.AT_MOST_ONCE, 1.0, 1.0)
     may_hedge: bool = False
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a second run is harmless wherever and whenever it comes."""
+        """Whether a second execution is harmless wherever and whenever it happens."""
         return self.traffic_class.effect is Effect.IDEMPOTENT
 
     @property
     def deadline_s(self) -> float:
-        """How long a client waits, over all its tries."""
-        return self.traffic_class.deadline_ms / 1000.0
+        """How long, in seconds, a client waits over all its retries."""
+        return self.traffic_class.deadline_ms / MS_PER_S
 
     def allows_concurrent(self, sent: Iterable[SentAttempt]) -> bool:
-        """Whether a further attempt may be out together with those that are."""
-        once = self.traffic_class.effect is Effect.AT_MOST_ONCE
-        return not any(attempt.in_flight for attempt in sent) or (self.may_hedge and not once)
+        """Whether a hedged request may be in flight together with the attempts that are."""
+        if not any(attempt.in_flight for attempt in sent):
+            return True
+        return self.may_hedge and self.traffic_class.effect is not Effect.AT_MOST_ONCE
 
     def allows_retry(self, may_have_run: Iterable[SentAttempt], zone: str, group: int, now_ms: float) -> bool:
-        """Whether an attempt may begin now at an endpoint of this zone and group, after those that may have run."""
-        earlier = [attempt.as_prior_attempt() for attempt in may_have_run]
-        return may_repeat(self.traffic_class, earlier, now_ms + ARRIVAL_MS, zone, group)
+        """Whether an attempt may start now at an endpoint of this zone and group, after those that may have run."""
+        prior_attempts = [attempt.as_prior_attempt() for attempt in may_have_run]
+        return may_repeat(self.traffic_class, prior_attempts, now_ms + ARRIVAL_MS, zone, group)
--- a/tests/test_endpoint_ages.py
+++ b/tests/test_endpoint_ages.py
@@ -89,7 +89,7 @@
 
 
 def test_of_those_that_have_left_the_oldest_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoint_ages, "MOST_GONE", 2)
+    monkeypatch.setattr(endpoint_ages, "MAX_UNLISTED", 2)
     clocks = Clocks()
     for name in "abc":
         clocks.age(name, UNIX - 7000)
