--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -144,7 +144,7 @@
         log.info("reload", directory=host_port(new.discovery), sockets=new.sockets, classes=names)
         limit(successor.processes)
         if acting is not None:
-            acting.renewed(new)
+            acting.file_reloaded(new)
         else:
             parts.adopt(new)
 
--- a/limenotch/configuration_applier.py
+++ b/limenotch/configuration_applier.py
@@ -1,7 +1,8 @@
-"""What many sidecars have agreed on, put in force at this one: settings, bans, the directory, and the lease on it all.
+"""Puts the rules that a fleet has agreed on in force at this sidecar: settings, ejections, discovery, and their lease.
 
-The rules layer says what is in force and until when; here that becomes what the program's parts are told. A version is
-put in force whole or not at all, as a file read again is; one that this program can't read ends the lease at once.
+The fleet's rules say what is in force and until when; here that becomes what the program's parts are notified of. A
+version is put in force completely or not at all, as a file read again is; one that this program can't read ends the
+lease at once.
 """
 
 from __future__ import annotations
@@ -15,107 +16,121 @@
 
 log = logs.get(__name__)
 
-NEVER = -math.inf  # a lease that has run out
+# The end, in ms, of a lease that is already over.
+NEVER = -math.inf
+# By what the allowance of endpoints in slow start is divided where this sidecar gets no part of it.
+NO_PART = math.inf
 Document = Mapping[str, Any]
 
 
 class ConfigurationTarget(Protocol):
-    """What of the program follows the rules."""
+    """The part of the program that follows the rules."""
 
     def adopt(self, config: Config) -> None:
-        """Settings, permissions and the directory's address, for what comes from now on."""
+        """Use these settings, permissions and address of discovery for what comes from now on."""
 
     def ban(self, name: str, out: bool, at_ms: float) -> None:
-        """A provider is out, or back since `at_ms` of Unix time."""
+        """An endpoint is ejected, or was readmitted at `at_ms` of Unix time."""
 
     def lease(self, until_ms: float, cold_parts: float, refusing: bool) -> None:
-        """Until when the rules hold, by the host's monotonic clock in ms."""
+        """Until when the rules are in force, by the host's monotonic clock in ms."""
 
 
 class ConfigurationApplier:
-    """Owns what is in force of the agreed rules. `held` is the configuration of this sidecar's own file."""
+    """Owns what is in force of the agreed rules."""
 
-    def __init__(self, held: Config, parts: ConfigurationTarget) -> None:
-        self._held, self._parts = held, parts
-        self._refusing = False  # without a lease no call is taken, rather than taken under the narrow rules
+    def __init__(self, file_config: Config, target: ConfigurationTarget) -> None:
+        """`file_config` is the configuration of this sidecar's own file."""
+        self._file_config = file_config
+        self._target = target
+        self._rejects_without_lease = False  # rather than handling requests in restricted mode
         self._document: Document | None = None  # as put in force last
-        self._out: dict[str, float] = {}  # banned by the rules, and when they were
+        self._ejected: dict[str, float] = {}  # by the rules, and when, in ms of Unix time
         self.version = 0
-        self._aims = _aims(held)
+        self._latency_objectives = _latency_objectives(file_config)
 
-    def aim_ms(self, class_name: str) -> float:
-        """Of the rules in force; what they don't name has none."""
-        return self._aims.get(class_name, math.inf)
+    def latency_objective_ms(self, class_name: str) -> float:
+        """The latency objective of a class by the rules in force; infinite for a class that they don't name."""
+        return self._latency_objectives.get(class_name, math.inf)
 
-    def first(self) -> dict[str, Any]:
-        """The rules before any were agreed on: this file's. A group's files must agree in these."""
-        return common(self._held)
+    def initial_document(self) -> dict[str, Any]:
+        """The rules before any were agreed on: those of this file. The files of a group must agree in these."""
+        return common(self._file_config)
 
     def check(self, document: Document) -> str | None:
-        """What is wrong with a whole document, naming its key; None if it can be put in force here."""
+        """What is wrong with a complete document, naming its key; None if it can be put in force here."""
         try:
-            agreed(self._held, document)
+            agreed(self._file_config, document)
         except ConfigError as error:
             return str(error)
         return None
 
-    def alone(self, refuse: bool) -> None:
-        """At the start: nothing is agreed on with anybody yet, so the file's own rules are held narrowly.
+    def start_without_lease(self, refuse: bool) -> None:
+        """At the start: nothing is agreed on yet, so the file's own rules are in force in restricted mode.
 
-        `refuse`: now and whenever a lease runs out, no call is taken at all.
+        `refuse`: now and whenever a lease ends, all requests are rejected.
         """
-        self._refusing = refuse
-        self._parts.lease(NEVER, math.inf, refuse)
+        self._rejects_without_lease = refuse
+        self._target.lease(NEVER, NO_PART, refuse)
 
-    def in_force(self, document: Document, until_ms: float, parts: int, version: int) -> None:
-        """Act on `document` until then. `parts` 0: no part of what cold providers may be sent."""
-        if not self._put(document, version):
-            self._parts.lease(NEVER, math.inf, True)
+    def put_in_force(self, document: Document, until_ms: float, parts: int, version: int) -> None:
+        """Put `document` in force until then, by the host's monotonic clock.
+
+        `parts`: by what the allowance of endpoints in slow start is divided; 0: this sidecar gets no part of it.
+        """
+        if not self._apply(document, version):
+            self._target.lease(NEVER, NO_PART, True)
             return
-        self._parts.lease(until_ms, float(parts) if parts > 0 else math.inf, self._refusing)
+        self._target.lease(until_ms, float(parts) if parts > 0 else NO_PART, self._rejects_without_lease)
 
-    def narrow(self, document: Document, refuse: bool, version: int) -> None:
-        """No lease: the narrow rules, or none at all."""
-        if not self._put(document, version):
+    def restrict(self, document: Document, refuse: bool, version: int) -> None:
+        """There is no lease: restricted mode under `document`, or with `refuse` all requests are rejected."""
+        if not self._apply(document, version):
             refuse = True
-        self._parts.lease(NEVER, math.inf, refuse)
+        self._target.lease(NEVER, NO_PART, refuse)
 
-    def renewed(self, held: Config) -> None:
+    def file_reloaded(self, file_config: Config) -> None:
         """The file was read again: what is this sidecar's own follows it, what was agreed on does not."""
-        self._held = held
-        document, self._document = self._document, None
+        self._file_config = file_config
+        document = self._document
+        self._document = None
         if document is not None:
-            self._put(document, self.version)
+            self._apply(document, self.version)
 
-    def _put(self, document: Document, version: int) -> bool:
+    def _apply(self, document: Document, version: int) -> bool:
+        """Whether this program can read the document, which is then in force."""
         if document is self._document:
             return True
         try:
-            new = agreed(self._held, document)
+            config = agreed(self._file_config, document)
         except ConfigError as error:
-            # A newer program's rule. What narrows must act: so this sidecar does nothing rather than too much.
-            log.error("rules: not to be read by this program", version=version, error=str(error))
+            # The rule of a newer program. A restriction must take effect: so this sidecar does nothing rather than
+            # too much.
+            log.error("rules: not readable by this program; rejecting all requests", version=version, error=str(error))
             return False
-        before, self._document, self.version = self._document, document, version
-        self._aims = _aims(new)
-        self._bans(document.get("bans") or {})  # first: what is out gets nothing under the new settings
-        if before is None or _without_bans(before) != _without_bans(document):
-            self._parts.adopt(new)
+        before = self._document
+        self._document = document
+        self.version = version
+        self._latency_objectives = _latency_objectives(config)
+        self._apply_ejections(document.get("bans") or {})  # first: no requests to these under the new settings
+        if before is None or _without_ejections(before) != _without_ejections(document):
+            self._target.adopt(config)
         return True
 
-    def _bans(self, bans: Mapping[str, Any]) -> None:
-        out = {name: float(ban.get("at_ms", 0.0)) for name, ban in bans.items() if ban["out"]}
-        for name in sorted(out.keys() - self._out.keys()):
-            self._parts.ban(name, True, 0.0)
-        for name in sorted(self._out.keys() - out.keys()):
-            back = bans.get(name)
-            self._parts.ban(name, False, float(back.get("at_ms", 0.0)) if back is not None else 0.0)
-        self._out = out
+    def _apply_ejections(self, entries: Mapping[str, Any]) -> None:
+        ejected = {name: float(entry.get("at_ms", 0.0)) for name, entry in entries.items() if entry["out"]}
+        for name in sorted(ejected.keys() - self._ejected.keys()):
+            self._target.ban(name, True, 0.0)
+        for name in sorted(self._ejected.keys() - ejected.keys()):
+            entry = entries.get(name)
+            self._target.ban(name, False, float(entry.get("at_ms", 0.0)) if entry is not None else 0.0)
+        self._ejected = ejected
 
 
-def _without_bans(document: Document) -> dict[str, Any]:
+def _without_ejections(document: Document) -> dict[str, Any]:
     return {key: value for key, value in document.items() if key != "bans"}
 
 
-def _aims(config: Config) -> dict[str, float]:
+def _latency_objectives(config: Config) -> dict[str, float]:
+    """By traffic class, in ms."""
     return {cls.name: cls.latency_objective_ms for cls in config.settings.classes}
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -68,8 +68,8 @@
         these, and by late answers, a canary is judged.
         """
         self._acting = acting
-        self._late.aim_ms = acting.aim_ms
-        acting.alone(self._tuning.without_lease == "refuse")
+        self._late.aim_ms = acting.latency_objective_ms
+        acting.start_without_lease(self._tuning.without_lease == "refuse")
         self._counted = counted
         self._before = self._count_all()
 
@@ -77,7 +77,9 @@
         among, acting = self._among, self._acting
         if acting is None:
             return None
-        self._rules = Rules(among.name, among.life, among.voters, acting.first(), acting.check, self._tuning, state)
+        self._rules = Rules(
+            among.name, among.life, among.voters, acting.initial_document(), acting.check, self._tuning, state
+        )
         return self._rules
 
     def began(self) -> None:
@@ -101,11 +103,11 @@
 
     def _in_force(self, said: InForce) -> None:
         if self._acting is not None:
-            self._acting.in_force(said.document, said.lease_until_ms, said.parts, said.version)
+            self._acting.put_in_force(said.document, said.lease_until_ms, said.parts, said.version)
 
     def _narrow(self, said: Narrow) -> None:
         if self._acting is not None:
-            self._acting.narrow(said.document, said.refuse, said.version)
+            self._acting.restrict(said.document, said.refuse, said.version)
 
     def figures(self) -> dict[str, Any]:
         rules = self._rules
--- a/limenotch/operator_ejections.py
+++ b/limenotch/operator_ejections.py
@@ -1,7 +1,7 @@
-"""Bans: providers that operators have taken out, by id, kept in one file for the next process.
+"""Endpoints that operators have ejected, by name, persisted in one file for the next process.
 
 The file is replaced atomically under a lock, and read again when another process has replaced it. A file that is
-torn or not ours is logged and counts as none: it must not stop a start.
+torn or foreign is logged and counts as none: it must not prevent a start.
 """
 
 from __future__ import annotations
@@ -19,91 +19,108 @@
 
 log = logs.get(__name__)
 
-FILE, LOCK = ".bans.json", ".bans.lock"  # behind what all paths of this sidecar begin with
+# Suffixes of the two paths, after what all paths of this sidecar begin with.
+FILE_SUFFIX = ".bans.json"
+LOCK_SUFFIX = ".bans.lock"
+# Of the file's format.
 VERSION = 1
-LOOK_S = 0.1  # how often the file is looked at: another process's ban binds within the drain's grace
-LOCK_TRIES, LOCK_STEP_S = 40, 0.01  # a process that was stopped with the lock must not keep the answer
-MOST = 10_000  # ids; more is not what people did by hand
+# Seconds between two checks of the file: another process's ejection is in force within the time that a drain has.
+LOOK_S = 0.1
+# A process that was stopped while it had the lock must not delay the answer for longer than the product of the two.
+LOCK_TRIES = 40
+LOCK_STEP_S = 0.01
+# Names in the file; more is not what people did by hand.
+MAX_NAMES = 10_000
 
-Change = Callable[[str, bool, float], None]  # id, whether out, Unix time in ms of its return or 0
+# Called with the name, whether it is ejected now, and the Unix time in ms at which it was readmitted or 0.
+EjectionListener = Callable[[str, bool, float], None]
+# Of a file: its inode and its time of modification in ns.
+FileIdentity = tuple[int, int]
 
 
 class OperatorEjections:
-    """Owns the set and its file. `changed` is told of each ban and each return, whoever made it."""
-
-    def __init__(self, kept: str | None, changed: Change) -> None:
-        """`kept`: how its paths begin. Without, or where they can't be written, bans hold as long as the process."""
-        self._file = Path(kept + FILE) if kept else None
-        self._lock = Path(kept + LOCK) if kept else None
-        self._changed = changed
-        self._seen: tuple[int, int] | None = None  # the file as read last
+    """Owns the set and its file. The listener is notified of each ejection and readmission, whoever made it."""
+
+    def __init__(self, path_prefix: str | None, on_change: EjectionListener) -> None:
+        """`path_prefix`: how its paths begin.
+
+        Without one, or where the paths can't be written, ejections last as long as the process.
+        """
+        self._file = Path(path_prefix + FILE_SUFFIX) if path_prefix else None
+        self._lock = Path(path_prefix + LOCK_SUFFIX) if path_prefix else None
+        self._on_change = on_change
+        self._last_read: FileIdentity | None = None
         self.ejected: set[str] = set()
-        self.readmitted: dict[str, float] = {}  # when one came back, Unix time in ms: cold from then
+        self.readmitted: dict[str, float] = {}  # when, in ms of Unix time: slow start begins then
 
     def load(self) -> None:
-        """What the file holds now; told as changes. A missing file changes nothing."""
+        """Apply what the file has now; differences are notified as changes. A missing file changes nothing."""
         if self._file is None:
             return
         try:
             with open(self._file, "rb") as file:
-                stat = os.fstat(file.fileno())
-                self._seen = stat.st_ino, stat.st_mtime_ns
+                self._last_read = _identity(os.fstat(file.fileno()))
                 raw = file.read()
         except FileNotFoundError:
             return
         except OSError as error:
-            log.warning("bans: not readable", error=str(error))
+            log.warning("operator ejections: file not readable", error=str(error))
             return
         try:
-            out, back = decode(raw)
+            ejected, readmitted = decode(raw)
         except ValueError as error:
-            log.warning("bans: file passed over", error=str(error))
+            log.warning("operator ejections: file ignored", error=str(error))
             return
-        self._take(out, back)
-
-    def _take(self, out: set[str], back: dict[str, float]) -> None:
-        left, new = self.ejected - out, out - self.ejected
-        self.ejected, self.readmitted = out, back
-        for name in sorted(new):
-            self._changed(name, True, 0.0)
-        for name in sorted(left):
-            self._changed(name, False, back.get(name, 0.0))
+        self._apply(ejected, readmitted)
+
+    def _apply(self, ejected: set[str], readmitted: dict[str, float]) -> None:
+        no_longer_ejected = self.ejected - ejected
+        newly_ejected = ejected - self.ejected
+        self.ejected = ejected
+        self.readmitted = readmitted
+        for name in sorted(newly_ejected):
+            self._on_change(name, True, 0.0)
+        for name in sorted(no_longer_ejected):
+            self._on_change(name, False, readmitted.get(name, 0.0))
 
     def reload_if_changed(self) -> None:
-        """Whether another process has replaced the file; to be called every LOOK_S."""
+        """Load the file if another process has replaced it; to be called every LOOK_S."""
         if self._file is None:
             return
         try:
             stat = os.stat(self._file)
         except OSError:
             return
-        if (stat.st_ino, stat.st_mtime_ns) != self._seen:
+        if _identity(stat) != self._last_read:
             self.load()
 
-    async def set_ejected(self, name: str, out: bool, now_ms: float) -> bool:
-        """Take one out or let it back; whether that is kept for the next process.
+    async def set_ejected(self, name: str, ejected: bool, now_ms: float) -> bool:
+        """Eject an endpoint or readmit it at `now_ms` of Unix time; whether that is persisted for the next process.
 
-        In force on return either way. Repeated calls change nothing.
+        In force on return either way. Repeating it changes nothing.
         """
         async with self._locked() as locked:
             self.reload_if_changed()
-            if out != (name in self.ejected):
-                if out:
-                    self.ejected.add(name)
-                    self.readmitted.pop(name, None)
-                else:
-                    self.ejected.discard(name)
-                    self.readmitted[name] = now_ms
-                self._changed(name, out, 0.0 if out else now_ms)
-            elif self._seen is not None:
+            if ejected != (name in self.ejected):
+                self._change(name, ejected, now_ms)
+            elif self._last_read is not None:
                 return True
             return self._write() and locked
 
+    def _change(self, name: str, ejected: bool, now_ms: float) -> None:
+        if ejected:
+            self.ejected.add(name)
+            self.readmitted.pop(name, None)
+        else:
+            self.ejected.discard(name)
+            self.readmitted[name] = now_ms
+        self._on_change(name, ejected, 0.0 if ejected else now_ms)
+
     def _write(self) -> bool:
         if self._file is None:
             return False
         path = self._file.with_name(f"{self._file.name}.{os.getpid()}")
-        while len(self.readmitted) > MOST:
+        while len(self.readmitted) > MAX_NAMES:
             self.readmitted.pop(next(iter(self.readmitted)))
         try:
             with open(path, "wb") as file:
@@ -113,57 +130,68 @@
                 stat = os.fstat(file.fileno())
             os.replace(path, self._file)
         except OSError as error:
-            log.warning("bans: not kept, in force until this process ends", error=str(error))
+            log.warning("operator ejections: not persisted, in force until this process ends", error=str(error))
             with contextlib.suppress(OSError):
                 os.unlink(path)
             return False
-        self._seen = stat.st_ino, stat.st_mtime_ns
+        self._last_read = _identity(stat)
         return True
 
     @contextlib.asynccontextmanager
     async def _locked(self) -> AsyncIterator[bool]:
-        """Yields whether the lock was had; the ban is made without it too."""
+        """Yields whether the lock was acquired; the ejection is made without it too."""
         if self._lock is None:
             yield False
             return
         try:
             file = os.open(self._lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as error:
-            log.warning("bans: no lock", error=str(error))
+            log.warning("operator ejections: lock file can't be opened", error=str(error))
             yield False
             return
         try:
-            for _ in range(LOCK_TRIES):
-                try:
-                    fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                    break
-                except OSError:
-                    await asyncio.sleep(LOCK_STEP_S)
-            else:
-                log.warning("bans: lock not had in time")
-                yield False
-                return
-            yield True
+            acquired = await _acquire(file)
+            if not acquired:
+                log.warning("operator ejections: lock not acquired in time")
+            yield acquired
         finally:
             os.close(file)  # and with it the lock
 
 
-def encode(out: set[str], back: dict[str, float]) -> bytes:
-    return json.dumps({"limenotch_bans": VERSION, "out": sorted(out), "back": back}).encode()
+async def _acquire(file: int) -> bool:
+    """Wait for the lock on this descriptor, for a bounded time; whether it was acquired."""
+    for _ in range(LOCK_TRIES):
+        try:
+            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError:
+            await asyncio.sleep(LOCK_STEP_S)
+        else:
+            return True
+    return False
+
+
+def _identity(stat: os.stat_result) -> FileIdentity:
+    return stat.st_ino, stat.st_mtime_ns
+
+
+def encode(ejected: set[str], readmitted: dict[str, float]) -> bytes:
+    """The file's content: names that are ejected, and times of readmission in ms of Unix time by name."""
+    return json.dumps({"limenotch_bans": VERSION, "out": sorted(ejected), "back": readmitted}).encode()
 
 
 def decode(raw: bytes) -> tuple[set[str], dict[str, float]]:
-    """Raises ValueError on whatever `written` would not write."""
-    whole = json.loads(raw)
-    if not isinstance(whole, dict) or whole.get("limenotch_bans") != VERSION:
+    """The inverse of `encode`. Raises ValueError on whatever `encode` would not write."""
+    content = json.loads(raw)
+    if not isinstance(content, dict) or content.get("limenotch_bans") != VERSION:
         raise ValueError("not a file of bans of this version")
-    out, back = whole.get("out"), whole.get("back")
-    if not isinstance(out, list) or not all(isinstance(name, str) for name in out) or len(out) > MOST:
+    ejected = content.get("out")
+    if not isinstance(ejected, list) or not all(isinstance(name, str) for name in ejected) or len(ejected) > MAX_NAMES:
         raise ValueError("out: expected a list of ids")
-    if not isinstance(back, dict) or not all(_time(at) for at in back.values()):
+    readmitted = content.get("back")
+    if not isinstance(readmitted, dict) or not all(_is_time(at_ms) for at_ms in readmitted.values()):
         raise ValueError("back: expected times by id")
-    return set(out), {name: float(at) for name, at in back.items()}
+    return set(ejected), {name: float(at_ms) for name, at_ms in readmitted.items()}
 
 
-def _time(value: object) -> bool:
+def _is_time(value: object) -> bool:
     return isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
--- a/tests/fleet/test_rules_late.py
+++ b/tests/fleet/test_rules_late.py
@@ -34,9 +34,9 @@
     acting = ConfigurationApplier(parse(RAW, {}), Deeds())
     counts = [10, 1]
     layer.follow(acting, lambda: (counts[0], counts[1]))
-    document = deepcopy(acting.first())
+    document = deepcopy(acting.initial_document())
     document["settings"]["classes"][0]["target_ms"] = aim_s * 1000.0
-    acting.in_force(document, 1e12, 1, 2)
+    acting.put_in_force(document, 1e12, 1, 2)
     assert layer.beside is not None
     for spent_s, verdict in (
         (1.0, Verdict.SERVED),
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -39,7 +39,7 @@
 from limenotch.net import http1
 from limenotch.net.admin.server import AdminServer
 from limenotch.net.sockets import OPERATORS as MOST
-from limenotch.operator_ejections import FILE, LOCK, OperatorEjections, decode, encode
+from limenotch.operator_ejections import FILE_SUFFIX, LOCK_SUFFIX, OperatorEjections, decode, encode
 
 from .helpers.http_peers import DELIVER, GET_HEALTH, LOOK, SETTINGS, answering, ask, renamed, whole
 from .helpers.processes import free_port, run, with_sidecar
@@ -59,7 +59,7 @@
 
 
 def file_of(folder: Path, port: int) -> Path:
-    return folder / f"limenotch-127.0.0.1-{port}{FILE}"
+    return folder / f"limenotch-127.0.0.1-{port}{FILE_SUFFIX}"
 
 
 async def conserved(admin: int) -> dict[str, tuple[float, str]]:
@@ -255,7 +255,7 @@
     monkeypatch.setattr(bans_module, "LOCK_STEP_S", 0.0)
 
     async def case() -> None:
-        held = os.open(tmp_path / ("n" + LOCK), os.O_RDWR | os.O_CREAT)
+        held = os.open(tmp_path / ("n" + LOCK_SUFFIX), os.O_RDWR | os.O_CREAT)
         fcntl.flock(held, fcntl.LOCK_EX)
         one, told = kept(tmp_path)
         assert not await one.set_ejected("a", True, 1.0)  # in force, and said not to be sure to last
@@ -281,7 +281,7 @@
     ],
 )
 def test_a_foreign_or_torn_file_counts_as_none(tmp_path: Path, raw: bytes) -> None:
-    (tmp_path / ("n" + FILE)).write_bytes(raw)
+    (tmp_path / ("n" + FILE_SUFFIX)).write_bytes(raw)
     bans, told = kept(tmp_path)
     bans.load()
     assert not told and not bans.ejected
