--- a/limenotch/cli/check_config.py
+++ b/limenotch/cli/check_config.py
@@ -18,7 +18,7 @@
 from docopt import docopt
 
 from ..config import Config, ConfigError, host_port, load
-from ..settings import check_as, effective, load_settings
+from ..settings_file import check_as, effective, load_settings
 from ..toml import FaultError
 
 
--- a/limenotch/cli/serve.py
+++ b/limenotch/cli/serve.py
@@ -23,7 +23,7 @@
 
 from ..config import ConfigError, load
 from ..logs import FORMS, configure
-from ..settings import check_as, load_settings
+from ..settings_file import check_as, load_settings
 from ..toml import FaultError
 
 
--- a/limenotch/logs.py
+++ b/limenotch/logs.py
@@ -18,14 +18,14 @@
 
 
 def tracing() -> bool:
-    """Whether `debug` is on: asked once at the start, as each line per call costs its making."""
+    """Whether the level is `debug`: checked once at the start, as each line of each request costs time to build."""
     return logging.getLogger().isEnabledFor(logging.DEBUG)
 
 
 def configure(form: str, level: str, name: str) -> None:
-    """For the whole process. `name` is the sidecar's, on every line."""
+    """Set logging up for the whole process: one of FORMS, one of LEVELS, and the sidecar's name for every line."""
 
-    def named(_: Any, __: str, event: Any) -> Any:
+    def add_sidecar(_: Any, __: str, event: Any) -> Any:
         event["sidecar"] = name
         return event
 
@@ -33,7 +33,7 @@
         structlog.stdlib.add_log_level,
         structlog.stdlib.PositionalArgumentsFormatter(),
         structlog.processors.TimeStamper(fmt="iso", utc=True),
-        named,
+        add_sidecar,
         structlog.processors.StackInfoRenderer(),
     ]
     structlog.configure(
@@ -42,14 +42,17 @@
         wrapper_class=structlog.stdlib.BoundLogger,
         cache_logger_on_first_use=True,
     )
-    last: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
-    if form == "json":
-        last += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=repr)]
-    else:
-        plain = structlog.dev.plain_traceback
-        last.append(structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty(), exception_formatter=plain))
+    processors = [structlog.stdlib.ProcessorFormatter.remove_processors_meta, *_renderers(form)]
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(structlog.stdlib.ProcessorFormatter(foreign_pre_chain=shared, processors=last))
+    handler.setFormatter(structlog.stdlib.ProcessorFormatter(foreign_pre_chain=shared, processors=processors))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
+
+
+def _renderers(form: str) -> list[Any]:
+    """The last steps, which turn an event into one line or, with a traceback, several."""
+    if form == "json":
+        return [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=repr)]
+    traceback = structlog.dev.plain_traceback
+    return [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty(), exception_formatter=traceback)]
--- /dev/null
+++ b/limenotch/settings_file.py
@@ -0,0 +1,71 @@
+"""Reads the program's settings from TOML and prints those in force.
+
+Only this module knows both the plain settings and the `[fleet]` table's; it imports the latter only where a file has
+that table.
+"""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from . import toml
+from .settings import Settings
+
+# Keys that TOML allows without quotes.
+BARE_KEY = re.compile(r"[A-Za-z0-9_-]+")
+
+
+def parse(text: str, name: str) -> Settings:
+    """The settings of a text. Raises toml.FaultError, whose text names file, line and key."""
+    if "fleet" not in toml.decode_table(text, name):
+        return toml.decode(text, name, Settings)
+    from .fleet.settings import parse_with
+
+    return parse_with(text, name)
+
+
+def load_settings(path: str | None, environ: Mapping[str, str]) -> Settings:
+    """The settings of the file given, else of the one that LIMENOTCH_SETTINGS names, else the defaults.
+
+    Raises toml.FaultError.
+    """
+    path = path or environ.get("LIMENOTCH_SETTINGS")
+    if not path:
+        return Settings()
+    return parse(toml.read(Path(path)), path)
+
+
+def check_as(settings: Settings, sidecar: str) -> None:
+    """Check what depends on the sidecar's name. Raises toml.FaultError."""
+    if settings.fleet is not None:
+        from .fleet.settings import place
+
+        place(settings.fleet, sidecar)
+
+
+def effective(settings: Settings) -> str:
+    """The settings as TOML, every key with the value in force; without tables that are absent."""
+    tables = msgspec.to_builtins(settings)
+    return "\n".join("\n".join(_lines(name, table)) for name, table in tables.items() if table is not None)
+
+
+def _lines(path: str, table: dict[str, Any]) -> list[str]:
+    """A table and those within it. What is None has no form in TOML and is left out."""
+    inner = {key: value for key, value in table.items() if isinstance(value, dict)}
+    plain = {key: value for key, value in table.items() if key not in inner and value is not None}
+    lines = [f"[{path}]"]
+    lines += [f"{_quoted_key(key)} = {msgspec.json.encode(value).decode()}" for key, value in plain.items()]
+    lines.append("")
+    for key, value in inner.items():
+        if value:
+            lines += _lines(f"{path}.{_quoted_key(key)}", value)
+    return lines
+
+
+def _quoted_key(name: str) -> str:
+    return name if BARE_KEY.fullmatch(name) else msgspec.json.encode(name).decode()
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -12,7 +12,7 @@
 from limenotch.fleet_adapters.affinity import joined
 from limenotch.load_balancer_types import NEVER_RAN, AttemptEnding, DiscoveryStatus
 from limenotch.net.request import Verdict
-from limenotch.settings import parse as parse_settings
+from limenotch.settings_file import parse as parse_settings
 
 from .affinity_node import ANSWER, CLASSES, FAR, NEAR, SERVED, SETTINGS, House, config, provider, run
 
--- a/tests/fleet/test_fleet_settings.py
+++ b/tests/fleet/test_fleet_settings.py
@@ -12,7 +12,8 @@
 
 from limenotch import toml
 from limenotch.fleet.settings import Agreement, Fleet, Membership, Rules, Wallet, place, read_key
-from limenotch.settings import Settings, effective, parse
+from limenotch.settings import Settings
+from limenotch.settings_file import effective, parse
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "fleet.toml"
 KEY = b"sixteen bytes ok"
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -19,7 +19,7 @@
 from limenotch.fleet_adapters.wallet import Till
 from limenotch.net import http1
 from limenotch.net.request import FinalResponse, Verdict
-from limenotch.settings import parse
+from limenotch.settings_file import parse
 from tests.helpers.http_peers import DELIVER, LOOK, SETTINGS, Handler, answering, ask, renamed, whole
 from tests.helpers.processes import free_port, run, with_sidecar
 
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -35,7 +35,8 @@
 from limenotch.net.discovery.endpoint_list import parse_list
 from limenotch.operator_ejections import decode as read_bans
 from limenotch.operator_ejections import encode as written_bans
-from limenotch.settings import Settings, effective
+from limenotch.settings import Settings
+from limenotch.settings_file import effective
 from limenotch.store import records
 from limenotch.store.files import RealFiles
 from limenotch.store.log import Store
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,8 @@
 import pytest
 
 from limenotch import logs, toml
-from limenotch.settings import Settings, effective, load_settings, parse
+from limenotch.settings import Settings
+from limenotch.settings_file import effective, load_settings, parse
 
 from .helpers.processes import printed_by
 
