--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -1,8 +1,8 @@
-"""The fleet's side of the program: parts, hub, wire and sockets put together. Imported only where `[fleet]` is set.
+"""The fleet's side of the program: components, hub, frames and sockets put together. Imported only for `[fleet]`.
 
-The log and the layers above it are there only where `voters` are set, and join when the store has been read: until
-then, and for good where it can't be read, this process is a member without a log. A layer is there where its table is
-(`fleet_adapters/`); those that stand on no log are there from the start.
+The replicated log and the adapters that need it exist only where `voters` are set, and start when the store has been
+read: until then, and for good where it can't be read, this process is a member without a log. An adapter
+(`fleet_adapters/`) exists where its table does; those that need no log start with the process.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from tornado.ioloop import PeriodicCallback
 
 from . import logs, toml
-from .config import Address, Config, host_port
+from .config import Config, host_port
 from .configuration_applier import ConfigurationApplier
 from .fleet import log_multiplexer
 from .fleet.consensus import Agreement
-from .fleet.consensus import messages as of_the_log
+from .fleet.consensus import messages as consensus_messages
 from .fleet.hub import LOG, ComponentHub
+from .fleet.interfaces import Part
 from .fleet.membership import Membership
 from .fleet.membership.messages import Spoken
 from .fleet.settings import Fleet, Placed, place
@@ -43,228 +44,278 @@
 
 log = logs.get(__name__)
 
-LEAVE_S = 0.5  # from the word that this process goes to the end of its sockets
+# From the notice that this process leaves to the closing of its sockets.
+LEAVE_S = 0.5
+# Where GET gives this node's state to operators.
 PATH = "/fleet"
-LOOK_S = 1.0  # between two looks at who votes
+# Between two checks of who votes.
+LOOK_S = 1.0
+MS_PER_S = 1000.0
 
 
 def members(membership: Membership, now: float) -> list[dict[str, Any]]:
+    """The members of the group as this process sees them, for GET /fleet. `now` in ms of the fleet's clock."""
     return [
         {
-            "name": seen.name,
-            "state": seen.state.value,
-            "incarnation": seen.incarnation,
-            "life": seen.life,
-            "address": host_port(seen.address),
-            "since_ms": round(now - seen.since),
+            "name": member.name,
+            "state": member.state.value,
+            "incarnation": member.incarnation,
+            "life": member.life,
+            "address": host_port(member.address),
+            "since_ms": round(now - member.since),
         }
-        for seen in membership.members()
+        for member in membership.members()
     ]
 
 
 class FleetNode:
-    """One process among others. Made on the loop's thread."""
+    """One process of a fleet. To be made on the loop's thread."""
 
     def __init__(self, table: Fleet, sidecar: str) -> None:
         """Raises toml.FaultError on settings that can't be used."""
-        self._placed = placed = place(table, sidecar)
-        self.name, self.group = placed.name, placed.group
+        self._placed = place(table, sidecar)
+        self.name = self._placed.name
+        self.group = self._placed.group
         # Of two processes of one name the later has the higher one, unless the wall clock was set back in between:
         # the only use of that clock here, and to membership it is just a number.
-        self.life = time.time_ns() // 1000
-        self._membership = Membership(
-            placed.name, placed.at, self.life, placed.seeds, table.membership, _seed(), placed.addresses
-        )
+        self.process_epoch = time.time_ns() // 1000
+        self._membership = self._create_membership(table)
         self._hub = ComponentHub([("mb.", self._membership)], self._membership)
-        self._among = NodeContext(placed.name, self.life, table.voters, placed.key, self._tell, self.now)
-        self._rules = RulesAdapter(self._among, table.rules) if table.rules is not None else None
-        self._lists = EndpointListsAdapter(self._among) if table.rules is not None else None
-        self._layers = self._made(table)
-        messages = (
-            *get_args(Spoken),
-            *message_types(of_the_log),
-            *(m for layer in self._layers for m in layer.messages),
+        self._context = NodeContext(
+            self.name, self.process_epoch, table.voters, self._placed.key, self._notify, self.now
         )
-        wire = FrameCodec(placed.key, placed.group, messages)
-        self._others = PeerTransport(
-            placed.listen, placed.name, self.life, self._hub, wire, table.streams, at=placed.at
-        )
-        self._disk = _disk(placed)
+        self._rules = RulesAdapter(self._context, table.rules) if table.rules is not None else None
+        self._lists = EndpointListsAdapter(self._context) if table.rules is not None else None
+        self._adapters = self._create_adapters(table)
+        self._transport = self._create_transport(table)
+        self._disk = _open_disk(self._placed)
         self._agreement: Agreement | None = None
-        self._why = "the log is not read yet" if self._disk is not None else "no log: fleet.voters has none"
+        # Why there is no log; empty while there is one.
+        self._no_log_reason = "the log is not read yet" if self._disk is not None else "no log: fleet.voters has none"
         self._voters: tuple[str, ...] = table.voters
-        self._looking = PeriodicCallback(self._look, LOOK_S * 1000.0)
-        self._end: asyncio.TimerHandle | None = None
+        self._voter_check = PeriodicCallback(self._check_voters, LOOK_S * MS_PER_S)
+        self._closing: asyncio.TimerHandle | None = None
         self.descriptors = table.descriptors
         self.paths: dict[str, RequestHandler] = {PATH: self._answer}
-        for layer in self._layers:
-            for kind, told in layer.hears.items():
-                self._hub.hears(kind, told)
-            self.paths |= {path: self._through(layer, answer) for path, answer in layer.paths.items()}
-            if not layer.above and (part := layer.part(None, 0)) is not None:
-                self._hub.add(layer.prefix, part)
-                layer.began()
-
-    def _made(self, table: Fleet) -> list[FleetAdapter]:
-        """Those that the table has, in the order in which they hear of what all are told."""
-        layers: list[FleetAdapter] = []
+        for adapter in self._adapters:
+            self._register(adapter)
+
+    def _create_membership(self, table: Fleet) -> Membership:
+        placed = self._placed
+        return Membership(
+            placed.name,
+            placed.at,
+            self.process_epoch,
+            placed.seeds,
+            table.membership,
+            _random_seed(),
+            placed.addresses,
+        )
+
+    def _create_adapters(self, table: Fleet) -> list[FleetAdapter]:
+        """Those that the table has, in the order in which they are notified."""
+        adapters: list[FleetAdapter] = []
         if table.bindings is not None:
             from .fleet_adapters.affinity import AffinityAdapter
 
-            layers.append(AffinityAdapter(self._among, table.bindings))
+            adapters.append(AffinityAdapter(self._context, table.bindings))
         if table.voters:
-            layers.append(ReplicatedNotesAdapter(self._among, table.agreement))
+            adapters.append(ReplicatedNotesAdapter(self._context, table.agreement))
         if self._rules is not None:
-            layers.append(self._rules)
+            adapters.append(self._rules)
         if table.wallet is not None:
             from .fleet_adapters.wallet import WalletAdapter
 
-            layers.append(WalletAdapter(self._among, table.wallet, self._hub))
+            adapters.append(WalletAdapter(self._context, table.wallet, self._hub))
         if self._lists is not None:
-            layers.append(self._lists)
-        return layers
+            adapters.append(self._lists)
+        return adapters
 
-    def _tell(self, event: Any) -> None:
-        self._others.tell(event)
+    def _create_transport(self, table: Fleet) -> PeerTransport:
+        placed = self._placed
+        messages = (
+            *get_args(Spoken),
+            *message_types(consensus_messages),
+            *(message for adapter in self._adapters for message in adapter.messages),
+        )
+        codec = FrameCodec(placed.key, placed.group, messages)
+        return PeerTransport(
+            placed.listen, placed.name, self.process_epoch, self._hub, codec, table.streams, at=placed.at
+        )
+
+    def _register(self, adapter: FleetAdapter) -> None:
+        """Connect an adapter's actions and paths, and start its component if that needs no log."""
+        for kind, listener in adapter.hears.items():
+            self._hub.hears(kind, listener)
+        self.paths |= {path: self._guarded(adapter, handler) for path, handler in adapter.paths.items()}
+        if not adapter.above:
+            self._start_component(adapter, adapter.part(None, 0))
+
+    def _start_component(self, adapter: FleetAdapter, component: Part | None) -> None:
+        if component is not None:
+            self._hub.add(adapter.prefix, component)
+            adapter.began()
+
+    def _notify(self, event: Any) -> None:
+        self._transport.tell(event)
 
     def now(self) -> float:
         """The clock that leases are counted on, in ms."""
-        return self._others.now()
+        return self._transport.now()
 
     # For the program
 
     @property
     def ruled(self) -> bool:
-        """Whether this sidecar's rules are those that many agree on."""
+        """Whether this sidecar's rules are those that the fleet agrees on."""
         return self._rules is not None
 
-    def follow(self, acting: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
-        """Put what is agreed on in force there. To be called before `start`; without `[fleet.rules]` nothing is."""
+    def follow(self, applier: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
+        """Put what is agreed on in force there. To be called before `start`; no effect without `[fleet.rules]`.
+
+        `counted` gives the requests accepted so far, and those rejected or failed.
+        """
         if self._rules is not None:
-            self._rules.follow(acting, counted)
+            self._rules.follow(applier, counted)
 
     def lists(self, use: Use, where: Where) -> None:
-        """`use` is told what of the list changes by others' word; nothing without `[fleet.rules]`."""
+        """Notify `use` of what peers change of the endpoint list; no effect without `[fleet.rules]`."""
         if self._lists is not None:
             self._lists.follow(use, where)
 
-    def over(self, entries: list[DiscoveredEndpoint], whole: bool) -> list[DiscoveredEndpoint]:
-        """What of the directory's word the program is to use instead, as others said more."""
-        return self._lists.over(entries, whole) if self._lists is not None else entries
+    def over(self, entries: list[DiscoveredEndpoint], complete: bool) -> list[DiscoveredEndpoint]:
+        """What the program is to use instead of discovery's entries, where peers reported more."""
+        return self._lists.over(entries, complete) if self._lists is not None else entries
 
     def silent(self) -> None:
-        """The watch on the directory ended."""
+        """The watch on discovery ended."""
         if self._lists is not None:
             self._lists.silent()
 
     @property
     def beside(self) -> tuple[RequestInterceptor, ...]:
-        """Who has a say in calls."""
-        return tuple(layer.beside for layer in self._layers if layer.beside is not None)
+        """The interceptors of requests."""
+        return tuple(adapter.beside for adapter in self._adapters if adapter.beside is not None)
 
-    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
-        """This sidecar's own directory told its whole list, or what changed."""
-        for layer in self._layers:
-            layer.listed(providers, whole)
+    def listed(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
+        """This sidecar's own discovery sent its complete list, or what changed."""
+        for adapter in self._adapters:
+            adapter.listed(endpoints, complete)
 
-    def banned(self, name: str, out: bool, at_ms: float) -> None:
-        for layer in self._layers:
-            layer.banned(name, out, at_ms)
+    def banned(self, name: str, ejected: bool, at_ms: float) -> None:
+        """An endpoint was ejected by an operator or the rules, or readmitted at `at_ms` of Unix time."""
+        for adapter in self._adapters:
+            adapter.banned(name, ejected, at_ms)
 
     def adopted(self, config: Config) -> None:
-        """What is in force for the calls to come. To be called before `start`, too."""
-        for layer in self._layers:
-            layer.adopted(config)
+        """What is in force for the requests to come. To be called before `start`, too."""
+        for adapter in self._adapters:
+            adapter.adopted(config)
 
     def gone(self, origin: str) -> None:
-        """A consumer's connection of which calls came has ended."""
-        for layer in self._layers:
-            layer.gone(origin)
+        """A client's connection that had brought requests has ended."""
+        for adapter in self._adapters:
+            adapter.gone(origin)
 
-    # Life
+    # Start and shutdown
 
     def start(self) -> None:
-        self._others.start(self._found if self._disk is not None else None)
+        """Open the sockets and begin to read the store."""
+        self._transport.start(self._open_log if self._disk is not None else None)
 
-    async def _found(self) -> Disk | None:
-        """The log and the layers above it, from what the disk has. A disk that can't be read costs the log alone."""
-        disk, placed = self._disk, self._placed
+    async def _open_log(self) -> Disk | None:
+        """The log and the adapters above it, from what the disk has. An unreadable disk costs the log alone."""
+        disk = self._disk
+        placed = self._placed
         assert disk is not None
         try:
-            held = await disk.open() if isinstance(disk, FolderStorage) else StoredLog(entries=[])
-            agreement = Agreement(placed.name, placed.table.voters, held, placed.table.agreement, _seed())
+            stored = await disk.open() if isinstance(disk, FolderStorage) else StoredLog(entries=[])
+            agreement = Agreement(placed.name, placed.table.voters, stored, placed.table.agreement, _random_seed())
             states = log_multiplexer.split_states(agreement.state)
-            parts = [
-                (layer, layer.part(states.get(layer.prefix), agreement.index)) for layer in self._layers if layer.above
+            components = [
+                (adapter, adapter.part(states.get(adapter.prefix), agreement.index))
+                for adapter in self._adapters
+                if adapter.above
             ]
         except (UnreadableError, msgspec.DecodeError, ValueError) as error:
-            self._why = f"no log: {error}"
+            self._no_log_reason = f"no log: {error}"
             log.error("fleet: goes on without the log", folder=placed.table.folder, error=str(error))
             disk.close()
             return None
         self._hub.add(LOG, agreement)
-        for layer, part in parts:
-            if part is not None:
-                self._hub.add(layer.prefix, part)
-                layer.began()
+        for adapter, component in components:
+            self._start_component(adapter, component)
         self._hub.found(states)
-        self._agreement, self._why = agreement, ""
-        self._looking.start()
+        self._agreement = agreement
+        self._no_log_reason = ""
+        self._voter_check.start()
         return disk
 
-    def _look(self) -> None:
-        """Whether a voter was replaced."""
+    def _check_voters(self) -> None:
+        """Notify the adapters if a voter was replaced."""
         assert self._agreement is not None
         voters = tuple(self._agreement.voters)
         if voters != self._voters:
             self._voters = voters
-            for layer in self._layers:
-                layer.voted(voters)
+            for adapter in self._adapters:
+                adapter.voted(voters)
 
     def leave(self) -> None:
-        """Tell the others. A little later the address is free: the next process of this sidecar may wait for it."""
-        if self._end is None:
-            self._others.leave()
-            self._end = asyncio.get_running_loop().call_later(LEAVE_S, self._others.close)
+        """Notify the peers that this process leaves, and close the sockets LEAVE_S later.
+
+        The address is free only then: the next process of this sidecar may wait for it.
+        """
+        if self._closing is None:
+            self._transport.leave()
+            self._closing = asyncio.get_running_loop().call_later(LEAVE_S, self._transport.close)
 
     def close(self) -> None:
-        self._looking.stop()
-        for layer in self._layers:
-            layer.close()
-        if self._end is not None:
-            self._end.cancel()
-        self._others.close()
+        """Close everything at once."""
+        self._voter_check.stop()
+        for adapter in self._adapters:
+            adapter.close()
+        if self._closing is not None:
+            self._closing.cancel()
+        self._transport.close()
 
     # For operators
 
     def state(self) -> dict[str, Any]:
-        at: Address = self._placed.at
+        """The answer to GET /fleet."""
         parts: dict[str, Any] = {"membership": self._membership.figures()}
         if self._disk is not None:
             parts["agreement"] = self._log_state()
-        for layer in self._layers:
-            gone = layer.above and self._why
-            parts[layer.name] = {"state": "none", "why": self._why} if gone else layer.figures()
+        for adapter in self._adapters:
+            parts[adapter.name] = self._adapter_state(adapter)
         return {
             "name": self.name,
             "group": self.group,
-            "life": self.life,
-            "at": host_port(at),
-            "members": members(self._membership, self._others.now()),
-            **self._others.state(),
+            "life": self.process_epoch,
+            "at": host_port(self._placed.at),
+            "members": members(self._membership, self._transport.now()),
+            **self._transport.state(),
             "parts": parts,
         }
 
+    def _adapter_state(self, adapter: FleetAdapter) -> dict[str, Any]:
+        if adapter.above and self._no_log_reason:
+            return {"state": "none", "why": self._no_log_reason}
+        return adapter.figures()
+
     def _log_state(self) -> dict[str, Any]:
         if self._agreement is None:
-            return {"role": "none", "why": self._why}
+            return {"role": "none", "why": self._no_log_reason}
         return {**self._agreement.figures(), "store": self._disk.state() if self._disk is not None else ""}
 
-    def _through(self, layer: FleetAdapter, answer: RequestHandler) -> RequestHandler:
-        async def through(request: http1.Message) -> bytes:
-            return layer.refuse(self._why) if layer.above and self._why else await answer(request)
+    def _guarded(self, adapter: FleetAdapter, handler: RequestHandler) -> RequestHandler:
+        """The handler, or the adapter's own refusal while it lacks the log that it needs."""
+
+        async def handle(request: http1.Message) -> bytes:
+            if adapter.above and self._no_log_reason:
+                return adapter.refuse(self._no_log_reason)
+            return await handler(request)
 
-        return through
+        return handle
 
     async def _answer(self, request: http1.Message) -> bytes:
         if request.method != b"GET":
@@ -272,17 +323,17 @@
         return json_response(200, self.state())
 
 
-def _seed() -> int:
+def _random_seed() -> int:
     return int.from_bytes(os.urandom(8), "big")
 
 
-def _disk(placed: Placed) -> FolderStorage | MemoryStorage | None:
-    """None: no voters, so no log. Raises toml.FaultError where a library is not there."""
+def _open_disk(placed: Placed) -> FolderStorage | MemoryStorage | None:
+    """None: no voters, so no log. Raises toml.FaultError where a library is missing."""
     table = placed.table
     if not table.voters:
         return None
     if table.folder is None:
-        log.info("fleet: no folder, what is agreed is held in memory only")
+        log.info("fleet: no folder, what is agreed on is kept in memory only")
         return MemoryStorage(placed.name)
     try:
         return FolderStorage(Path(table.folder))
