--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -51,7 +51,7 @@
     calls = RequestManager(facade, config.max_open, figures)
     budget = BufferBudget(buffered(config.memory_mb, 1))
     providers = EndpointPool(
-        calls, sockets.providers, config.connect_timeout_ms, config.endpoint_idle_ms, settings.providers, budget
+        calls, sockets.providers, config.connect_timeout_ms, config.endpoint_idle_ms, settings.endpoints, budget
     )
     listed = asyncio.Event()
 
@@ -63,31 +63,31 @@
 
     def heard(entries: list[DiscoveredEndpoint], whole: bool) -> None:
         if others is not None:
-            others.listed(entries, whole)
-            entries = others.over(entries, whole)
+            others.endpoints_listed(entries, whole)
+            entries = others.override_entries(entries, whole)
         use(entries, whole)
 
     def broken() -> None:
         calls.execute(facade.discovery_failed())
         if others is not None:
-            others.silent()
+            others.discovery_failed()
 
     # Of its own by seed and name: where the system's random numbers are alike everywhere, all would ask in step.
     random = Random(f"{config.seed:x}/{config.name}/{host_port(config.listen)}")
-    directory = DiscoveryClient(config.discovery, heard, broken, settings.directory, pushed(config), random)
+    directory = DiscoveryClient(config.discovery, heard, broken, settings.discovery, pushed(config), random)
     calls.attempt_runner, calls.watch_discovery = providers, directory.watch
     if others is not None:
-        calls.interceptors = others.beside
-        others.lists(use, directory.position)
-    consumers = ClientListener(calls, facade, sockets, listed.is_set, settings.consumers, budget)
+        calls.interceptors = others.request_interceptors
+        others.follow_endpoint_lists(use, directory.position)
+    consumers = ClientListener(calls, facade, sockets, listed.is_set, settings.clients, budget)
     if others is not None:
-        consumers.connection_ended = others.gone
+        consumers.connection_ended = others.client_connection_closed
 
     def banned(name: str, out: bool, at_ms: float) -> None:
         log.info("taken out" if out else "may serve again", provider=name)
         providers.set_ejected(name, out)
         if others is not None:
-            others.banned(name, out, at_ms)
+            others.ejection_changed(name, out, at_ms)
         calls.execute(facade.set_ejected(name, out, at_ms))
 
     bans = OperatorEjections(config.state_path, banned)
@@ -125,7 +125,7 @@
 
     parts = Following(figures, providers, calls, facade, directory, banned)
     if others is not None:
-        parts.adopted = others.adopted
+        parts.adopted = others.config_applied
         parts.adopted(config)
     acting = follow(others, config, parts) if others is not None else None
 
@@ -252,13 +252,13 @@
 
 def follow(others: FleetNode, config: Config, parts: Following) -> ConfigurationApplier | None:
     """Where `[fleet.rules]` is set, what is agreed on takes the place of the file's rules."""
-    if not others.ruled:
+    if not others.has_agreed_rules:
         return None
     from .configuration_applier import ConfigurationApplier
 
     parts.now, parts.ruled = others.now, True
     acting = ConfigurationApplier(config, parts)
-    others.follow(acting, parts.counted)
+    others.follow_rules(acting, parts.counted)
     return acting
 
 
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -166,11 +166,11 @@
     # For the program
 
     @property
-    def ruled(self) -> bool:
+    def has_agreed_rules(self) -> bool:
         """Whether this sidecar's rules are those that the fleet agrees on."""
         return self._rules is not None
 
-    def follow(self, applier: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
+    def follow_rules(self, applier: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
         """Put what is agreed on in force there. To be called before `start`; no effect without `[fleet.rules]`.
 
         `counted` gives the requests accepted so far, and those rejected or failed.
@@ -178,41 +178,41 @@
         if self._rules is not None:
             self._rules.follow(applier, counted)
 
-    def lists(self, use: Use, where: Where) -> None:
+    def follow_endpoint_lists(self, use: Use, where: Where) -> None:
         """Notify `use` of what peers change of the endpoint list; no effect without `[fleet.rules]`."""
         if self._lists is not None:
             self._lists.follow(use, where)
 
-    def over(self, entries: list[DiscoveredEndpoint], complete: bool) -> list[DiscoveredEndpoint]:
+    def override_entries(self, entries: list[DiscoveredEndpoint], complete: bool) -> list[DiscoveredEndpoint]:
         """What the program is to use instead of discovery's entries, where peers reported more."""
         return self._lists.over(entries, complete) if self._lists is not None else entries
 
-    def silent(self) -> None:
+    def discovery_failed(self) -> None:
         """The watch on discovery ended."""
         if self._lists is not None:
             self._lists.silent()
 
     @property
-    def beside(self) -> tuple[RequestInterceptor, ...]:
+    def request_interceptors(self) -> tuple[RequestInterceptor, ...]:
         """The interceptors of requests."""
         return tuple(adapter.beside for adapter in self._adapters if adapter.beside is not None)
 
-    def listed(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
+    def endpoints_listed(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
         """This sidecar's own discovery sent its complete list, or what changed."""
         for adapter in self._adapters:
             adapter.listed(endpoints, complete)
 
-    def banned(self, name: str, ejected: bool, at_ms: float) -> None:
+    def ejection_changed(self, name: str, ejected: bool, at_ms: float) -> None:
         """An endpoint was ejected by an operator or the rules, or readmitted at `at_ms` of Unix time."""
         for adapter in self._adapters:
             adapter.banned(name, ejected, at_ms)
 
-    def adopted(self, config: Config) -> None:
+    def config_applied(self, config: Config) -> None:
         """What is in force for the requests to come. To be called before `start`, too."""
         for adapter in self._adapters:
             adapter.adopted(config)
 
-    def gone(self, origin: str) -> None:
+    def client_connection_closed(self, origin: str) -> None:
         """A client's connection that had brought requests has ended."""
         for adapter in self._adapters:
             adapter.gone(origin)
--- a/limenotch/net/sockets.py
+++ b/limenotch/net/sockets.py
@@ -101,7 +101,7 @@
     def limit_to(self, limit: int) -> None:
         """Also under way: what is open beyond a new limit stays until it closes."""
         whole = max(limit - self._tuning.reserve - self._apart, 8)
-        self.consumers.limit = int(whole * self._tuning.for_consumers)
+        self.consumers.limit = int(whole * self._tuning.client_part)
         self.providers.limit = whole - self.consumers.limit
         while self.providers.used > self.providers.limit and self.providers.drop_idle():
             pass  # no consumer notices
--- a/limenotch/settings.py
+++ b/limenotch/settings.py
@@ -9,7 +9,7 @@
 
 from typing import Annotated, Any, Literal
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
 Part = Annotated[float, Meta(gt=0, lt=1)]
@@ -58,15 +58,15 @@
     """The table `[descriptors]`: how the process's limit of file descriptors is divided."""
 
     reserve: Annotated[int, Meta(ge=16, le=512)] = 24
-    for_consumers: Part = 0.5
+    client_part: Part = field(default=0.5, name="for_consumers")  # of what the reserve leaves, to clients
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
     """All tables of the file."""
 
     log: LogSettings = LogSettings()
-    consumers: ClientSettings = ClientSettings()
-    providers: EndpointSettings = EndpointSettings()
-    directory: DiscoverySettings = DiscoverySettings()
+    clients: ClientSettings = field(default=ClientSettings(), name="consumers")
+    endpoints: EndpointSettings = field(default=EndpointSettings(), name="providers")
+    discovery: DiscoverySettings = field(default=DiscoverySettings(), name="directory")
     descriptors: DescriptorSettings = DescriptorSettings()
     fleet: Any = None  # fleet.settings.Fleet where the file has that table; otherwise nothing of the fleet is imported
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -26,7 +26,7 @@
 
 def test_what_is_in_force_can_be_read_again() -> None:
     settings = parse('[log]\nform = "json"\n[providers]\nanswer_s = 1.5\n', "x")
-    assert parse(effective(settings), "x") == settings and settings.providers.answer_s == 1.5
+    assert parse(effective(settings), "x") == settings and settings.endpoints.answer_s == 1.5
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
     path = tmp_path / "s.toml"
     path.write_text("[providers]\nanswer_s = 2")
     assert load_settings(None, {}) == Settings()
-    assert load_settings(None, {"LIMENOTCH_SETTINGS": str(path)}).providers.answer_s == 2
+    assert load_settings(None, {"LIMENOTCH_SETTINGS": str(path)}).endpoints.answer_s == 2
     with pytest.raises(toml.FaultError, match="No such file"):
         load_settings(str(tmp_path / "none.toml"), {"LIMENOTCH_SETTINGS": str(path)})
     path.write_bytes(b"\xff")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -127,7 +127,7 @@
             staying[1].close()
 
         ended: list[float] = []
-        tuning, more = Settings(consumers=PATIENT), {"settings": deadlines(0.3)}
+        tuning, more = Settings(clients=PATIENT), {"settings": deadlines(0.3)}
         await with_sidecar(handle, use, ends=True, tuning=tuning, more=more)
         assert monotonic() - ended[0] < OF_OLD_S
         assert not any(b"Id: half" in request for request in seen)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -127,7 +127,7 @@
             answer = await asked
             assert answer.status == 200
 
-        await with_sidecar(handler, use, ends=True, tuning=Settings(consumers=ConsumerTuning(keep_s=0.6)))
+        await with_sidecar(handler, use, ends=True, tuning=Settings(clients=ConsumerTuning(keep_s=0.6)))
 
     run(case())
 
@@ -146,7 +146,7 @@
                 os.kill(os.getpid(), signal.SIGTERM)
         assert await reader.read() == b"" and await idle.read() == b""
 
-    tuning = Settings(consumers=ConsumerTuning(keep_s=0.6))
+    tuning = Settings(clients=ConsumerTuning(keep_s=0.6))
     run(with_sidecar(answering(whole(200))[0], use, ends=True, tuning=tuning))
 
 
@@ -185,7 +185,7 @@
 )
 def test_connections_without_a_call_are_ended(sent: bytes, answer: bytes) -> None:
     # Guards the descriptors: consumers that ask once and stay, or never ask, once used them up for good.
-    tuning = Settings(consumers=ConsumerTuning(request_s=0.2, idle_s=0.0))
+    tuning = Settings(clients=ConsumerTuning(request_s=0.2, idle_s=0.0))
 
     async def use(port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -144,7 +144,7 @@
         while (await conserved(admin))["lb.current"][0]:
             pass
 
-    tuning = Settings(consumers=ConsumerTuning(body_s=0.2))
+    tuning = Settings(clients=ConsumerTuning(body_s=0.2))
     run(with_sidecar(reading(whole(200), got), use, tuning=tuning, more={"admin_addr": f"127.0.0.1:{admin}"}))
     assert not got
 
@@ -161,7 +161,7 @@
         assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 503 ")
         writer.close()
 
-    run(with_sidecar(stuck, use, tuning=Settings(providers=ProviderTuning(stall_s=0.2))))
+    run(with_sidecar(stuck, use, tuning=Settings(endpoints=ProviderTuning(stall_s=0.2))))
 
 
 def test_many_long_bodies_at_once_in_a_budget_of_next_to_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -292,7 +292,7 @@
             await gone.wait()
             writer.close()
 
-        await with_sidecar(long, use, tuning=Settings(consumers=ConsumerTuning(write_s=0.2)))
+        await with_sidecar(long, use, tuning=Settings(clients=ConsumerTuning(write_s=0.2)))
 
     run(case())
 
