--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -26,7 +26,7 @@
 from .net.requests import RequestManager
 from .net.sockets import DescriptorLimits
 from .net.successor import InheritedState, Successor
-from .operator_ejections import LOOK_S, OperatorEjections
+from .operator_ejections import CHECK_INTERVAL_S, OperatorEjections
 from .settings import Settings
 
 if TYPE_CHECKING:
@@ -146,7 +146,7 @@
         if acting is not None:
             acting.file_reloaded(new)
         else:
-            parts.adopt(new)
+            parts.apply_config(new)
 
     stop, told = asyncio.Event(), list[float]()
 
@@ -169,7 +169,7 @@
         else:
             directory.use_known_list(config.known_list)
     bans.load()
-    looking = PeriodicCallback(bans.reload_if_changed, LOOK_S * 1000.0)
+    looking = PeriodicCallback(bans.reload_if_changed, CHECK_INTERVAL_S * 1000.0)
     directory.watch()  # also where the module expects the list unasked: nobody else brings it here
     listener = consumers.listen(config.listen, inherited.listener if inherited is not None else None)
     if config.admin is not None:
@@ -217,13 +217,13 @@
         banned: Callable[[str, bool, float], None],
     ) -> None:
         self._figures, self._providers, self._calls = figures, providers, calls
-        self._facade, self._directory, self.ban = facade, directory, banned
+        self._facade, self._directory, self.set_ejected = facade, directory, banned
         self.now: Callable[[], float] = lambda: 0.0  # the clock of leases, in ms
         self.adopted: Callable[[Config], None] = lambda config: None  # hears of what many hold, or of the file alone
         self.ruled = False
         self._unheard: Config | None = None
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """For what comes from now on; open calls go on under what they were taken with."""
         if self.ruled:
             self._unheard = config
@@ -241,7 +241,7 @@
         count = self._figures.count
         return count("taken"), count("deferred") + count("errored")
 
-    def lease(self, until_ms: float, cold_parts: float, refusing: bool) -> None:
+    def set_lease(self, until_ms: float, cold_parts: float, refusing: bool) -> None:
         if self._unheard is not None and until_ms > self.now():
             # Without a lease classes are narrower than what is agreed on, and than what providers do.
             heard, self._unheard = self._unheard, None
--- a/limenotch/config.py
+++ b/limenotch/config.py
@@ -21,7 +21,7 @@
 
 MAX_PORT = 65535
 
-# Of a file that does not say otherwise: sockets and open requests are counts.
+# Where the file gives none; sockets and open requests are counts, memory is in MB of 10^6 bytes.
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_MAX_OPEN = 20_000
@@ -50,7 +50,7 @@
     sockets: int = DEFAULT_SOCKETS
     memory_mb: float = DEFAULT_MEMORY_MB
     max_open: int = DEFAULT_MAX_OPEN
-    key_paths: frozenset[str] = frozenset()  # the keys of the file, see shape_of
+    key_paths: frozenset[str] = frozenset()  # the keys of the file, see key_paths_of
     raw_settings: dict[str, Any] = field(default_factory=dict)  # `settings` as the file has them
     endpoint_idle_ms: float = DEFAULT_IDLE_MS
     connect_timeout_ms: float = DEFAULT_CONNECT_MS
@@ -147,7 +147,7 @@
         settings=settings,
         zones=_names(raw_settings, "zones", "settings.zones"),
         kinds=_names(raw_settings, "skus", "settings.skus"),
-        key_paths=shape_of(raw),
+        key_paths=key_paths_of(raw),
         raw_settings=raw_settings,
         known_list=_object(raw, "known", "known"),
         admin=None if admin is None else address(admin, admin_key),
@@ -161,18 +161,18 @@
 
 
 # Settings that depend on where a sidecar stands: no rule that a fleet agrees on has them.
-OWN = ("balancers", "rank", "layer", "locality")
+SIDECAR_SETTINGS = ("balancers", "rank", "layer", "locality")
 
 
-def common(config: Config) -> dict[str, Any]:
+def initial_document(config: Config) -> dict[str, Any]:
     """What a fleet may agree on, as this sidecar's file has it: settings, and discovery's address."""
-    settings = {key: value for key, value in config.raw_settings.items() if key not in OWN}
+    settings = {key: value for key, value in config.raw_settings.items() if key not in SIDECAR_SETTINGS}
     return {"settings": settings, "bans": {}, "directory": host_port(config.discovery)}
 
 
-def agreed(config: Config, document: Mapping[str, Any]) -> Config:
+def with_document(config: Config, document: Mapping[str, Any]) -> Config:
     """This sidecar's configuration with what was agreed on in place of its file's. Raises ConfigError."""
-    own_settings = {key: config.raw_settings[key] for key in OWN if key in config.raw_settings}
+    own_settings = {key: config.raw_settings[key] for key in SIDECAR_SETTINGS if key in config.raw_settings}
     raw = {
         "listen": host_port(config.listen),
         "discovery": document.get("directory", host_port(config.discovery)),
@@ -191,12 +191,12 @@
 
 
 # Keys that matter at the start only, or may come and go: a file read again may lack them.
-OF_THE_START = frozenset({"name", "listen", "admin_addr", "seed", "known"})
+START_ONLY_KEYS = frozenset({"name", "listen", "admin_addr", "seed", "known"})
 
 
-def shape_of(raw: Mapping[str, Any]) -> frozenset[str]:
+def key_paths_of(raw: Mapping[str, Any]) -> frozenset[str]:
     """The keys that a file has, by path: of all objects of `settings`, and of its classes those that all have."""
-    paths = {key for key in raw if key not in OF_THE_START}
+    paths = {key for key in raw if key not in START_ONLY_KEYS}
     settings = raw.get("settings")
     if not isinstance(settings, dict):
         return frozenset(paths)
@@ -237,7 +237,7 @@
         raise ConfigError("LB_CONFIG: missing, expected the path of the configuration file")
     raw = _read_file(path)
     if again is not None:
-        missing = sorted(again.key_paths - shape_of(raw))
+        missing = sorted(again.key_paths - key_paths_of(raw))
         if missing:
             raise ConfigError(f"{missing[0]}: missing, the file in force has it")
         if raw.get("discovery"):
--- a/limenotch/configuration_applier.py
+++ b/limenotch/configuration_applier.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from . import logs
-from .config import Config, ConfigError, agreed, common
+from .config import Config, ConfigError, initial_document, with_document
 
 log = logs.get(__name__)
 
@@ -26,14 +26,18 @@
 class ConfigurationTarget(Protocol):
     """The part of the program that follows the rules."""
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """Use these settings, permissions and address of discovery for what comes from now on."""
 
-    def ban(self, name: str, out: bool, at_ms: float) -> None:
+    def set_ejected(self, name: str, ejected: bool, at_ms: float) -> None:
         """An endpoint is ejected, or was readmitted at `at_ms` of Unix time."""
 
-    def lease(self, until_ms: float, cold_parts: float, refusing: bool) -> None:
-        """Until when the rules are in force, by the host's monotonic clock in ms."""
+    def set_lease(self, until_ms: float, slow_start_divisor: float, reject_without_lease: bool) -> None:
+        """Until when the rules are in force, by the host's monotonic clock in ms.
+
+        `slow_start_divisor`: by what the allowance of endpoints in slow start is divided. `reject_without_lease`:
+        whether all requests are rejected from then on, rather than handled in restricted mode.
+        """
 
 
 class ConfigurationApplier:
@@ -55,12 +59,12 @@
 
     def initial_document(self) -> dict[str, Any]:
         """The rules before any were agreed on: those of this file. The files of a group must agree in these."""
-        return common(self._file_config)
+        return initial_document(self._file_config)
 
     def check(self, document: Document) -> str | None:
         """What is wrong with a complete document, naming its key; None if it can be put in force here."""
         try:
-            agreed(self._file_config, document)
+            with_document(self._file_config, document)
         except ConfigError as error:
             return str(error)
         return None
@@ -71,7 +75,7 @@
         `refuse`: now and whenever a lease ends, all requests are rejected.
         """
         self._rejects_without_lease = refuse
-        self._target.lease(NEVER, NO_PART, refuse)
+        self._target.set_lease(NEVER, NO_PART, refuse)
 
     def put_in_force(self, document: Document, until_ms: float, parts: int, version: int) -> None:
         """Put `document` in force until then, by the host's monotonic clock.
@@ -79,15 +83,15 @@
         `parts`: by what the allowance of endpoints in slow start is divided; 0: this sidecar gets no part of it.
         """
         if not self._apply(document, version):
-            self._target.lease(NEVER, NO_PART, True)
+            self._target.set_lease(NEVER, NO_PART, True)
             return
-        self._target.lease(until_ms, float(parts) if parts > 0 else NO_PART, self._rejects_without_lease)
+        self._target.set_lease(until_ms, float(parts) if parts > 0 else NO_PART, self._rejects_without_lease)
 
     def restrict(self, document: Document, refuse: bool, version: int) -> None:
         """There is no lease: restricted mode under `document`, or with `refuse` all requests are rejected."""
         if not self._apply(document, version):
             refuse = True
-        self._target.lease(NEVER, NO_PART, refuse)
+        self._target.set_lease(NEVER, NO_PART, refuse)
 
     def file_reloaded(self, file_config: Config) -> None:
         """The file was read again: what is this sidecar's own follows it, what was agreed on does not."""
@@ -102,7 +106,7 @@
         if document is self._document:
             return True
         try:
-            config = agreed(self._file_config, document)
+            config = with_document(self._file_config, document)
         except ConfigError as error:
             # The rule of a newer program. A restriction must take effect: so this sidecar does nothing rather than
             # too much.
@@ -114,16 +118,16 @@
         self._latency_objectives = _latency_objectives(config)
         self._apply_ejections(document.get("bans") or {})  # first: no requests to these under the new settings
         if before is None or _without_ejections(before) != _without_ejections(document):
-            self._target.adopt(config)
+            self._target.apply_config(config)
         return True
 
     def _apply_ejections(self, entries: Mapping[str, Any]) -> None:
         ejected = {name: float(entry.get("at_ms", 0.0)) for name, entry in entries.items() if entry["out"]}
         for name in sorted(ejected.keys() - self._ejected.keys()):
-            self._target.ban(name, True, 0.0)
+            self._target.set_ejected(name, True, 0.0)
         for name in sorted(self._ejected.keys() - ejected.keys()):
             entry = entries.get(name)
-            self._target.ban(name, False, float(entry.get("at_ms", 0.0)) if entry is not None else 0.0)
+            self._target.set_ejected(name, False, float(entry.get("at_ms", 0.0)) if entry is not None else 0.0)
         self._ejected = ejected
 
 
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -18,6 +18,7 @@
 from tornado.ioloop import PeriodicCallback
 
 from . import logs, toml
+from .clocks import MS_PER_S
 from .config import Config, host_port
 from .configuration_applier import ConfigurationApplier
 from .fleet import log_multiplexer
@@ -49,8 +50,7 @@
 # Where GET gives this node's state to operators.
 PATH = "/fleet"
 # Between two checks of who votes.
-LOOK_S = 1.0
-MS_PER_S = 1000.0
+VOTER_CHECK_INTERVAL_S = 1.0
 
 
 def members(membership: Membership, now: float) -> list[dict[str, Any]]:
@@ -93,7 +93,7 @@
         # Why there is no log; empty while there is one.
         self._no_log_reason = "the log is not read yet" if self._disk is not None else "no log: fleet.voters has none"
         self._voters: tuple[str, ...] = table.voters
-        self._voter_check = PeriodicCallback(self._check_voters, LOOK_S * MS_PER_S)
+        self._voter_check = PeriodicCallback(self._check_voters, VOTER_CHECK_INTERVAL_S * MS_PER_S)
         self._closing: asyncio.TimerHandle | None = None
         self.descriptors = table.descriptors
         self.paths: dict[str, RequestHandler] = {PATH: self._answer}
--- a/limenotch/operator_ejections.py
+++ b/limenotch/operator_ejections.py
@@ -25,7 +25,7 @@
 # Of the file's format.
 VERSION = 1
 # Seconds between two checks of the file: another process's ejection is in force within the time that a drain has.
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # A process that was stopped while it had the lock must not delay the answer for longer than the product of the two.
 LOCK_TRIES = 40
 LOCK_STEP_S = 0.01
@@ -84,7 +84,7 @@
             self._on_change(name, False, readmitted.get(name, 0.0))
 
     def reload_if_changed(self) -> None:
-        """Load the file if another process has replaced it; to be called every LOOK_S."""
+        """Load the file if another process has replaced it; to be called every CHECK_INTERVAL_S."""
         if self._file is None:
             return
         try:
--- a/limenotch/request_policy.py
+++ b/limenotch/request_policy.py
@@ -7,10 +7,10 @@
 
 from .balancing.retry_policy import may_repeat
 from .balancing.types import Effect, PriorAttempt, TrafficClass
+from .clocks import MS_PER_S
 
 # A request counts at its endpoint with its last byte: what the way there and a busy core may take until then.
 ARRIVAL_MS = 20.0
-MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_configuration_applier.py
+++ b/tests/test_configuration_applier.py
@@ -27,13 +27,13 @@
     def __init__(self) -> None:
         self.done: list[tuple[Any, ...]] = []
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         self.done.append(("adopt", config))
 
-    def ban(self, name: str, out: bool, at_ms: float) -> None:
+    def set_ejected(self, name: str, out: bool, at_ms: float) -> None:
         self.done.append(("ban", name, out, at_ms))
 
-    def lease(self, until_ms: float, cold_parts: float, refusing: bool) -> None:
+    def set_lease(self, until_ms: float, cold_parts: float, refusing: bool) -> None:
         self.done.append(("lease", until_ms, cold_parts, refusing))
 
     def took(self) -> list[tuple[Any, ...]]:
