--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -13,7 +13,7 @@
 from .load_balancer import LoadBalancer
 from .net.discovery.client import DiscoveryClient
 from .net.successor import InheritedState
-from .operator_ejections import LOOK_S
+from .operator_ejections import CHECK_INTERVAL_S
 from .reload import ConfigurationReloader
 from .settings import Settings
 from .shutdown import ShutdownRequest, shut_down
@@ -40,7 +40,7 @@
         import_inherited_state(inherited, components.discovery, components.load_balancer)
     use_known_list(components)
     components.ejections.load()
-    ejections_poll = PeriodicCallback(components.ejections.reload_if_changed, LOOK_S * 1000.0)
+    ejections_poll = PeriodicCallback(components.ejections.reload_if_changed, CHECK_INTERVAL_S * 1000.0)
     components.discovery.watch()  # also where the load balancer expects the list unasked
     start_listening(components, inherited, ejections_poll)
     await components.successor.confirm_serving()
--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -17,17 +17,16 @@
 from tornado.ioloop import IOLoop
 
 from .. import logs
-from ..load_balancer import (
+from ..load_balancer import LoadBalancer, usable_budget_ms
+from ..load_balancer_types import (
     AttemptEnding,
     CancelAttempt,
     Command,
     Commands,
-    LoadBalancer,
     RejectRequest,
     ScheduleTimer,
     StartAttempt,
     WatchDiscovery,
-    usable_budget_ms,
 )
 from ..metrics import Metrics
 from ..request_policy import SentAttempt
--- a/limenotch/net/response_outcome.py
+++ b/limenotch/net/response_outcome.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..load_balancer import AttemptEnding
+from ..load_balancer_types import AttemptEnding
 from . import http1
 
 # By metric of the load report: the largest plausible value. Utilization is a part of the endpoint's cores, noise
--- a/limenotch/reload.py
+++ b/limenotch/reload.py
@@ -34,9 +34,9 @@
     def announce(self, config: Config) -> None:
         """Report to the fleet's parts what is in force for the requests to come."""
         if self._components.fleet_node is not None:
-            self._components.fleet_node.adopted(config)
+            self._components.fleet_node.config_applied(config)
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """Put it in force for the requests to come; open ones keep the rules that they arrived under."""
         if self._follows_agreed_rules:
             self._unannounced = config
@@ -52,11 +52,11 @@
         components.discovery.set_pushed(is_pushed(config))
         components.discovery.move(config.discovery)
 
-    def ban(self, name: str, out: bool, at_ms: float) -> None:
+    def set_ejected(self, name: str, ejected: bool, at_ms: float) -> None:
         """Eject an endpoint by agreed rules, or readmit it at `at_ms` of Unix time."""
-        self._components.set_ejected(name, out, at_ms)
+        self._components.set_ejected(name, ejected, at_ms)
 
-    def lease(self, until_ms: float, cold_parts: float, refusing: bool) -> None:
+    def set_lease(self, until_ms: float, slow_start_divisor: float, reject_without_lease: bool) -> None:
         """The agreed rules hold until `until_ms` of the lease clock; see LoadBalancer.set_lease."""
         now_ms = self._lease_clock_ms()
         if self._unannounced is not None and until_ms > now_ms:
@@ -66,7 +66,9 @@
             self.announce(announced)
         load_balancer = self._components.load_balancer
         until_unix_ms = load_balancer.now_ms() + (until_ms - self._lease_clock_ms())
-        self._components.requests.execute(load_balancer.set_lease(until_unix_ms, cold_parts, refusing))
+        self._components.requests.execute(
+            load_balancer.set_lease(until_unix_ms, slow_start_divisor, reject_without_lease)
+        )
 
     def request_counts(self) -> tuple[int, int]:
         """Requests taken so far, and those of them rejected or failed."""
@@ -78,13 +80,13 @@
     fleet_node: FleetNode, config: Config, active: ActiveConfiguration
 ) -> ConfigurationApplier | None:
     """Where `[fleet.rules]` is set, what the fleet agrees on takes the place of the file's rules; else None."""
-    if not fleet_node.ruled:
+    if not fleet_node.has_agreed_rules:
         return None
     from .configuration_applier import ConfigurationApplier
 
     active.follow_agreed_rules(fleet_node.now)
     applier = ConfigurationApplier(config, active)
-    fleet_node.follow(applier, active.request_counts)
+    fleet_node.follow_rules(applier, active.request_counts)
     return applier
 
 
@@ -118,6 +120,6 @@
         )
         components.limit_resources()
         if self._applier is not None:
-            self._applier.renewed(config)
+            self._applier.file_reloaded(config)
         else:
-            self._active.adopt(config)
+            self._active.apply_config(config)
--- a/limenotch/wiring.py
+++ b/limenotch/wiring.py
@@ -9,7 +9,8 @@
 
 from . import logs
 from .config import Config, host_port
-from .load_balancer import DiscoveredEndpoint, LoadBalancer
+from .load_balancer import LoadBalancer
+from .load_balancer_types import DiscoveredEndpoint
 from .metrics import Metrics
 from .net.admin.server import AdminServer, RequestHandler
 from .net.client_listener import ClientListener
@@ -77,7 +78,7 @@
             self.load_balancer,
             self.descriptors,
             self.has_endpoint_list.is_set,
-            settings.consumers,
+            settings.clients,
             self.buffers,
         )
         self.ejections = OperatorEjections(config.state_path, self.set_ejected)
@@ -92,7 +93,7 @@
             self.descriptors.endpoints,
             self.config.connect_timeout_ms,
             self.config.endpoint_idle_ms,
-            settings.providers,
+            settings.endpoints,
             self.buffers,
         )
 
@@ -104,15 +105,15 @@
             self.config.discovery,
             self.receive_endpoints,
             self.discovery_failed,
-            settings.directory,
+            settings.discovery,
             is_pushed(self.config),
             random,
         )
 
     def _connect_fleet_node(self, fleet_node: FleetNode) -> None:
-        self.requests.interceptors = fleet_node.beside
-        self.clients.connection_ended = fleet_node.gone
-        fleet_node.lists(self.apply_endpoints, self.discovery.position)
+        self.requests.interceptors = fleet_node.request_interceptors
+        self.clients.connection_ended = fleet_node.client_connection_closed
+        fleet_node.follow_endpoint_lists(self.apply_endpoints, self.discovery.position)
 
     def _admin_paths(self) -> Mapping[str, RequestHandler]:
         return self.fleet_node.paths if self.fleet_node is not None else {}
@@ -122,8 +123,8 @@
     def receive_endpoints(self, endpoints: list[DiscoveredEndpoint], complete: bool) -> None:
         """This process's discovery sent its complete list, or what changed; peers may know more."""
         if self.fleet_node is not None:
-            self.fleet_node.listed(endpoints, complete)
-            endpoints = self.fleet_node.over(endpoints, complete)
+            self.fleet_node.endpoints_listed(endpoints, complete)
+            endpoints = self.fleet_node.override_entries(endpoints, complete)
         self.apply_endpoints(endpoints, complete)
 
     def apply_endpoints(self, endpoints: list[DiscoveredEndpoint], complete: bool) -> None:
@@ -137,7 +138,7 @@
         """A query of discovery failed, or the watch ended."""
         self.requests.execute(self.load_balancer.discovery_failed())
         if self.fleet_node is not None:
-            self.fleet_node.silent()
+            self.fleet_node.discovery_failed()
 
     # Operators
 
@@ -146,7 +147,7 @@
         log.info("endpoint ejected by operator" if ejected else "endpoint readmitted by operator", endpoint=name)
         self.endpoint_pool.set_ejected(name, ejected)
         if self.fleet_node is not None:
-            self.fleet_node.banned(name, ejected, readmitted_at_ms)
+            self.fleet_node.ejection_changed(name, ejected, readmitted_at_ms)
         self.requests.execute(self.load_balancer.set_ejected(name, ejected, readmitted_at_ms))
 
     async def request_ejection(self, name: str, ejected: bool) -> bool | None:
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -28,13 +28,15 @@
 from limenotch.fleet.wire import FrameCodec, tag_of
 from limenotch.fleet_adapters.base import message_types
 from limenotch.fleet_node import PATH
-from limenotch.load_balancer import AttemptEnding, DiscoveredEndpoint, LoadBalancer, StartAttempt
+from limenotch.load_balancer import LoadBalancer
+from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, StartAttempt
 from limenotch.metrics import Metrics
 from limenotch.net.admin import log, rules, server, wallet
 from limenotch.net.discovery.endpoint_list import parse_list
 from limenotch.operator_ejections import decode as read_bans
 from limenotch.operator_ejections import encode as written_bans
-from limenotch.settings import Settings, effective
+from limenotch.settings import Settings
+from limenotch.settings_file import effective
 from limenotch.store import records
 from limenotch.store.files import RealFiles
 from limenotch.store.log import Store
