--- a/limenotch/balancing/rates.py
+++ b/limenotch/balancing/rates.py
@@ -29,11 +29,11 @@
         self._window_answers += 1
         self.answers.add(now)
 
-    def end_window(self, span: float, good: float, bad: float) -> None:
-        """End a window of `span` ms; `good` answers in time and `bad` misses are fading counts."""
+    def end_window(self, span: float, successes: float, misses: float) -> None:
+        """End a window of `span` ms; `successes` (answers in time) and `misses` are fading counts."""
         smoothing = 0.4 if self.goodput else 1.0
         self.goodput += (self._window_answers / span - self.goodput) * smoothing
-        decay = 0.9 if good >= MIN_ANSWERS_PER_MISS * bad else 0.5
+        decay = 0.9 if successes >= MIN_ANSWERS_PER_MISS * misses else 0.5
         self.sustained_goodput = max(self.goodput, self.sustained_goodput * decay)
         self._window_answers = 0
 
--- a/limenotch/balancing/retry_policy.py
+++ b/limenotch/balancing/retry_policy.py
@@ -17,7 +17,7 @@
 
 
 def may_repeat(
-    cls: TrafficClass,
+    traffic_class: TrafficClass,
     earlier: Iterable[PriorAttempt],
     at_ms: float,
     zone: Hashable = None,
@@ -28,11 +28,11 @@
     Without a zone and a cell the answer is for an endpoint anywhere.
     """
     may_have_run = [attempt for attempt in earlier if attempt.may_have_run]
-    if not may_have_run or cls.effect is not Effect.DEDUPLICATED:
-        return not may_have_run or cls.effect is Effect.IDEMPOTENT
-    group = dedup_group(cls.dedup_scope, zone, cell)
+    if not may_have_run or traffic_class.effect is not Effect.DEDUPLICATED:
+        return not may_have_run or traffic_class.effect is Effect.IDEMPOTENT
+    group = dedup_group(traffic_class.dedup_scope, zone, cell)
     return all(
-        at_ms < attempt.sent_ms + cls.dedup_window_ms
-        and dedup_group(cls.dedup_scope, attempt.zone, attempt.cell) == group
+        at_ms < attempt.sent_ms + traffic_class.dedup_window_ms
+        and dedup_group(traffic_class.dedup_scope, attempt.zone, attempt.cell) == group
         for attempt in may_have_run
     )
