--- a/limenotch/net/admin/__init__.py
+++ b/limenotch/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Operators at the second address: the server and what it is asked about the fleet's parts."""
+"""The operators' address: its server, and the requests that components of the fleet node answer."""
--- a/limenotch/net/discovery/__init__.py
+++ b/limenotch/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: when the endpoint list is asked for, the watch, and what it brings."""
+"""Discovery: when the endpoint list is queried, the watch that follows it, and the parsing of what it sends."""
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -94,7 +94,8 @@
             if head is None:
                 return []
             if head.status >= 200:  # else interim (RFC 9110, section 15.2): the final response follows
-                self.head, self._body = head, parser._framing(head)
+                self.head = head
+                self._body = parser._framing(head)
         assert self._body is not None
         self._body.size = 0  # the stream as a whole has no limit of length, its documents have
         self._body.take(parser.buffer)
