--- a/limenotch/net/client_listener.py
+++ b/limenotch/net/client_listener.py
@@ -57,6 +57,7 @@
         self._has_endpoint_list = has_endpoint_list
         self._listener: Listener | None = None
         self._open: dict[ClientConnection, asyncio.Task[None]] = {}
+        self._tasks: set[asyncio.Task[None]] = set()  # also those that end after their connections closed
         self._waiting: dict[ClientConnection, None] = {}  # idle ones, the longest idle first
         self._lingering: dict[ClientConnection, None] = {}  # shut down by us and not yet closed by their clients
         descriptors.clients.drop_idle = self._drop_idle
@@ -103,7 +104,10 @@
             self.descriptors.clients.give_back()
             return
         connection = ClientConnection(ClientStream(sock, max_buffer_size=MAX_BUFFER_BYTES), self)
-        self._open[connection] = asyncio.get_running_loop().create_task(connection.serve())
+        task = asyncio.get_running_loop().create_task(connection.serve())
+        self._open[connection] = task
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     def ended(self, connection: ClientConnection) -> None:
         """The connection is closed: give its descriptor back."""
