--- a/limenotch/cli/__init__.py
+++ b/limenotch/cli/__init__.py
@@ -62,4 +62,5 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command line `argv`, by default the process's own; the exit code."""
     return dispatch(USAGE, MODULES, __package__ or "limenotch.cli", sys.argv[1:] if argv is None else argv)
--- a/limenotch/cli/check_config.py
+++ b/limenotch/cli/check_config.py
@@ -23,6 +23,7 @@
 
 
 def describe(config: Config) -> str:
+    """What a configuration comes to, in lines for a person."""
     listed = config.known_list.get("endpoints") or []
     return "\n".join(
         [
@@ -39,6 +40,7 @@
 
 
 def command(arguments: list[str]) -> int:
+    """Run the sub-command with its whole command line; the exit code."""
     given = docopt(__doc__ or "", arguments)
     try:
         settings = load_settings(given["--settings"], os.environ)
--- a/limenotch/cli/serve.py
+++ b/limenotch/cli/serve.py
@@ -28,6 +28,7 @@
 
 
 def command(arguments: list[str]) -> int:
+    """Run the sub-command with its whole command line; the exit code."""
     given = docopt(__doc__ or "", arguments)
     try:
         settings = load_settings(given["--settings"], os.environ)
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -58,7 +58,9 @@
 class Names(Protocol):
     """What membership answers beside its events."""
 
-    def address_of(self, name: str) -> Address | None: ...
+    def address_of(self, name: str) -> Address | None:
+        """Where a member is reached; None if none is known."""
+        ...
 
 
 class ComponentEvent(NamedTuple):
--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -24,6 +24,8 @@
 
 
 class Carrier(Enum):
+    """How a message travels."""
+
     DATAGRAM = "datagram"  # one message, MOST_DATAGRAM bytes at most; may be lost, late, doubled, out of order
     STREAM = "stream"  # a kept connection: in order while it lasts; lost with it, and its sender is not told
 
@@ -107,6 +109,8 @@
 
 
 class SetTimer(NamedTuple):
+    """A timer: TimerFired(token) is due at `at_ms` of the host's clock."""
+
     at_ms: float
     token: int  # the part's own; the hub keeps parts apart
 
@@ -133,6 +137,8 @@
 
 
 class Part(Protocol):
+    """A state machine of the fleet, as its host sees it."""
+
     def handle(self, now: float, event: Any) -> list[Any]:
         """Raises TypeError on what is no event of the part, ValueError where `now` runs backwards."""
         ...
--- a/limenotch/fleet/leases.py
+++ b/limenotch/fleet/leases.py
@@ -23,6 +23,7 @@
         self._asked: dict[int, float] = {}
 
     def holds(self, now: float) -> bool:
+        """Whether the lease has not run out."""
         return now < self.until
 
     def ask(self, now: float) -> int:
@@ -58,4 +59,5 @@
         self.since = NEVER  # never: it is no leader
 
     def settled(self, now: float) -> bool:
+        """Whether every lease that an earlier leader may have granted has run out by now."""
         return now >= self.since + self.held_ms
--- a/limenotch/fleet/log_multiplexer.py
+++ b/limenotch/fleet/log_multiplexer.py
@@ -26,6 +26,7 @@
 
 
 def add_prefix(prefix: str, data: bytes) -> bytes:
+    """An entry's data as it goes into the log; `split_prefix` takes it apart."""
     return prefix.encode() + data
 
 
@@ -36,6 +37,7 @@
 
 
 def join_states(states: Mapping[str, bytes]) -> bytes:
+    """A snapshot's state, of the states by prefix; `split_states` takes it apart."""
     return msgspec.msgpack.encode(dict(states))
 
 
--- a/limenotch/fleet/replicated_notes.py
+++ b/limenotch/fleet/replicated_notes.py
@@ -43,6 +43,8 @@
 
 
 class Answer(NamedTuple):
+    """What became of an Ask, as the table above says."""
+
     ticket: int
     word: str
     text: str = ""  # why; for `refused` with the leader's name, if one is known
@@ -65,6 +67,8 @@
 
 
 class ReplicatedNotes:
+    """The notes that the fleet keeps: a state machine above the log."""
+
     def __init__(self, state: bytes | None = None, index: int = 0) -> None:
         """`state`: of the snapshot found at the start, which was made after `index`. Raises msgspec.DecodeError."""
         self._kept: dict[str, tuple[int, bytes]] = _table.decode(state) if state else {}
@@ -79,6 +83,7 @@
         return len(self._kept)
 
     def state(self) -> bytes:
+        """All notes as bytes, for a snapshot of the log."""
         return msgspec.msgpack.encode(self._kept)
 
     def handle(self, now: float, event: Any) -> list[Any]:
--- a/limenotch/fleet/settings.py
+++ b/limenotch/fleet/settings.py
@@ -50,6 +50,8 @@
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
+    """The `[fleet]` table."""
+
     group: Name
     listen: str
     key_file: str
--- a/limenotch/fleet/wire.py
+++ b/limenotch/fleet/wire.py
@@ -159,6 +159,7 @@
         self._held = bytearray()
 
     def feed(self, data: bytes) -> None:
+        """Take bytes that the stream has brought."""
         self._held += data
 
     def take(self) -> bytes | FrameFault | None:
--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -4,21 +4,19 @@
 
 import asyncio
 import contextlib
-import socket
-import struct
 from time import monotonic
 
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
 
 from .. import logs
-from ..config import host_port
 from . import http1
 from .client_connections import ClientConnections
-from .header_fields import budget_ms, check_once, decode_name
+from .header_fields import budget_ms, decode_name
 from .pipe import BodyPipe, BrokenError
-from .read_ahead import ClientStream, Mode, ReadAhead
-from .request import FinalResponse, Request, RequestDetails, Verdict
+from .read_ahead import ClientStream, IdleEndError, Mode, ReadAhead
+from .request import FinalResponse, Request, Verdict
+from .request_check import check_request, details_of
 from .responses import forwarded_headers, write_final_response
 
 log = logs.get(__name__)
@@ -29,11 +27,6 @@
 LINGER_BYTES = 256 * 1024
 
 READINESS_PATH = b"/up"
-METHODS_WITHOUT_RESPONSE_BODY = (b"HEAD", b"CONNECT")  # their responses are framed by other rules (RFC 9112, 6.3)
-
-
-class IdleEndError(Exception):
-    """The connection is ended while it is idle, between two requests."""
 
 
 def _printable_id(request: Request | None) -> str | None:
@@ -145,9 +138,7 @@
 
     def _can_keep_alive(self, message: http1.Message) -> bool:
         """Whether the connection serves further requests after the response to this one."""
-        if not message.keep_alive or self.reader.dropped:
-            return False
-        return not self._draining
+        return message.keep_alive and not self.reader.dropped and not self._draining
 
     async def _serve_request(self, message: http1.Message) -> bool:
         """Serve one request up to its response; return whether the connection can be used again."""
@@ -190,7 +181,9 @@
         ending = "errored"
         self._within_response = True
         try:
-            await self._write(head + (http1.chunk(response.body) if chunked and response.body else response.body))
+            await self._write(
+                head + (http1.chunk(response.body) if chunked and response.body else response.body),
+            )
             while piece := await response.rest.get():
                 await self._write(http1.chunk(piece) if chunked else piece)
             if chunked:
@@ -205,17 +198,11 @@
             self._request = None
             self._connections.requests.stream_ended(request, ending)
             if self._within_response and minor_version == 0:  # an orderly end would pass for the end of the body
-                self._reset()
+                self.stream.reset()
         return keep_alive
 
     async def _write(self, response: bytes) -> None:
-        """Write, for a limited time: the connection of a client that does not read would never be freed."""
-        written = self.stream.write(response)
-        timer = IOLoop.current().call_later(self._connections.settings.write_s, self.stream.close)
-        try:
-            await written
-        finally:
-            IOLoop.current().remove_timeout(timer)
+        await self.stream.write_within(self._connections.settings.write_s, response)
 
     async def _read_request(self) -> http1.Message:
         """The next request: complete, or if it is long the part that is buffered, with the rest to follow.
@@ -324,7 +311,7 @@
 
     def _accept(self, message: http1.Message) -> None:
         """Validate a request and pass it to the request manager. Raises MalformedError or StreamClosedError."""
-        self._check(message)
+        check_request(message, self._connections.requests, self._connections.load_balancer)
         fields = message.fields
         streamed = message.rest is not None
         self.reader.set_mode(Mode.BUFFER if streamed else Mode.BUFFER_OR_DROP)
@@ -332,11 +319,9 @@
             raise StreamClosedError
         requests = self._connections.requests
         # A request accepted during shutdown must not be open when the process is ended.
-        usable_ms = min(
-            budget_ms(fields.get(b"x-budget", b"")), max((requests.last_deadline - monotonic()) * 1000.0, 1.0)
-        )
-        final = asyncio.get_running_loop().create_future()
-        self._final = final
+        until_end_ms = max((requests.last_deadline - monotonic()) * 1000.0, 1.0)
+        usable_ms = min(budget_ms(fields.get(b"x-budget", b"")), until_end_ms)
+        final = self._final = asyncio.get_running_loop().create_future()
         self._request = requests.accept(
             request_id=fields[b"x-call-id"],
             payload=message,
@@ -346,53 +331,18 @@
             respond=final.set_result,
             has_capacity=self._connections.descriptors.endpoints.has_capacity,
             body_pipe=message.rest,
-            details=RequestDetails(
-                idempotency_key=fields.get(b"idempotency-key", b""),
-                fields=fields,
-                connection=self._client_address(),
-                is_retry=fields.get(b"x-again") == b"1",
-            ),
+            details=details_of(fields, self._client_address()),
         )
-        self._request.client_connected = self._client_connected
+        self._request.client_connected = self.stream.peer_connected
         if streamed:
             self._upload = asyncio.get_running_loop().create_task(self._receive_rest(message))
 
-    def _check(self, message: http1.Message) -> None:
-        """Raises MalformedError if the request is not one that can be accepted."""
-        fields = message.fields
-        if message.method in METHODS_WITHOUT_RESPONSE_BODY:
-            raise http1.MalformedError(405, "GET or POST expected")
-        if message.minor == 1 and b"host" not in fields:
-            raise http1.MalformedError(400, "Host: missing")
-        check_once(message.headers)
-        request_id = fields.get(b"x-call-id")
-        if not request_id:
-            raise http1.MalformedError(400, "X-Call-Id: missing")
-        if self._connections.requests.is_known(request_id):  # an endpoint would take it for a copy of the open one
-            raise http1.MalformedError(409, "X-Call-Id: of a call that is open")
-        load_balancer = self._connections.load_balancer
-        if not load_balancer.knows_class(decode_name(fields.get(b"x-call-class", b""))):
-            raise http1.MalformedError(400, "X-Call-Class: unknown")
-        if not load_balancer.knows_tenant(decode_name(fields.get(b"x-caller", b""))):
-            raise http1.MalformedError(400, "X-Caller: unknown")
-
-    def _client_connected(self) -> bool:
-        """Whether the client is there as far as the kernel knows, which learns of its end before a busy event loop."""
-        try:
-            return self.stream.socket.recv(1, socket.MSG_PEEK) != b""
-        except BlockingIOError:
-            return True
-        except (OSError, AttributeError):  # broken, or closed by us
-            return False
-
     def _client_address(self) -> str:
         """The client's address, "host:port"; empty if it is unknown or no interceptor needs it."""
         if not self._connections.requests.interceptors:
             return ""
         if self._address is None:
-            self._address = ""
-            with contextlib.suppress(OSError):  # the client has disconnected already
-                self._address = host_port(self.stream.socket.getpeername()[:2])
+            self._address = self.stream.peer_address()
         return self._address
 
     def _closed(self) -> None:
@@ -418,7 +368,7 @@
     async def _reject(self, error: http1.MalformedError) -> None:
         """Answer with the reason and end the connection; within a response the text would pass for a part of it."""
         if self._within_response:
-            self._reset()
+            self.stream.reset()
             return
         self._abandon_request()
         body = (str(error) + "\n").encode()
@@ -446,11 +396,4 @@
             return
         self._shut_down = True
         self._connections.set_lingering(self)
-        with contextlib.suppress(OSError):  # the client has disconnected already
-            self.stream.socket.shutdown(socket.SHUT_WR)
-
-    def _reset(self) -> None:
-        """Reset the connection, so that the client does not take what was written for a complete response."""
-        if not self.stream.closed():
-            self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self.stream.close()
+        self.stream.shut_down_sending()
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -4,7 +4,8 @@
 
 import re
 
-from ..http1 import MAX_BODY_BYTES, MalformedError, Message, ResponseParser, _Body
+from ..http1 import MAX_BODY_BYTES, MalformedError, Message, ResponseParser
+from ..http1_body import Body
 
 # Bytes of one document: a list of some ten thousand endpoints.
 MAX_DOCUMENT_BYTES = 64 * MAX_BODY_BYTES
@@ -82,7 +83,7 @@
         """No bytes received yet."""
         self.head: Message | None = None
         self._parser = ResponseParser(MAX_DOCUMENT_BYTES)  # a list may be one chunk, or have a Content-Length
-        self._body: _Body | None = None
+        self._body: Body | None = None
         self._documents = JsonDocumentParser()
 
     def feed(self, data: bytes) -> list[bytes]:
--- a/limenotch/net/endpoint_pool.py
+++ b/limenotch/net/endpoint_pool.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Coroutine, Iterable, Iterator
 from time import monotonic
-from typing import Any, NamedTuple
+from typing import Any
 
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
@@ -15,24 +15,17 @@
 from .. import logs, settings
 from ..load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from . import attempt_check, http1
+from .attempt_message import encode_request
 from .endpoint_connection import MAX_BUFFER, EndpointConnection
 from .pipe import BodyPipe, BrokenError, BufferBudget
 from .request import Attempt
 from .requests import RequestManager
-from .response_outcome import attempt_ending, load_report
+from .response_outcome import ExchangeOutcome, attempt_ending, load_of
 from .sockets import DescriptorQuota
 
 log = logs.get(__name__)
 
 
-class _Outcome(NamedTuple):
-    """Of an exchange on a connection."""
-
-    ending: AttemptEnding
-    response: http1.Message | None = None
-    complete: bool = False  # request and response were transferred to their last byte
-
-
 class EndpointPool:
     """Owns the connections to endpoints and sends attempts over them."""
 
@@ -167,7 +160,7 @@
             self._cancel_deadline(attempt)
             self._used.pop(attempt, None)
             self._cut.pop(attempt, None)
-            load = _load_of(response) if response is not None else (None, None)
+            load = load_of(response) if response is not None else (None, None)
             self._requests.attempt_ended(attempt, ending, response, *load)
 
     def _start_deadline(self, attempt: Attempt) -> None:
@@ -194,35 +187,35 @@
             self._used.pop(attempt, None)
             self._release(connection, outcome.response if outcome is not None and outcome.complete else None)
 
-    async def _exchange_on(self, connection: EndpointConnection, attempt: Attempt) -> _Outcome:
+    async def _exchange_on(self, connection: EndpointConnection, attempt: Attempt) -> ExchangeOutcome:
         # While the connection was acquired the request may have ended or the endpoint begun to drain: nothing may be
         # sent then.
         if not self._may_send(attempt):
-            return _Outcome(self._unsent_ending(attempt, AttemptEnding.NOT_SENT))
+            return ExchangeOutcome(self._unsent_ending(attempt, AttemptEnding.NOT_SENT))
         attempt.sent_at = monotonic()
         pending_response = connection.expect_response()
         written = await self._send_request(attempt, connection, pending_response)
         response = await pending_response
         if response is None:
             reset = AttemptEnding.RESET if written else AttemptEnding.CONNECT_FAILED
-            return _Outcome(self._cut.get(attempt, reset))
+            return ExchangeOutcome(self._cut.get(attempt, reset))
         if response.rest is not None:
             return await self._forward_response(attempt, connection, response)
-        return _Outcome(attempt_ending(response), response, complete=written)
+        return ExchangeOutcome(attempt_ending(response), response, complete=written)
 
     async def _forward_response(
         self, attempt: Attempt, connection: EndpointConnection, response: http1.Message
-    ) -> _Outcome:
+    ) -> ExchangeOutcome:
         """Forwards a long response if it is the final one of its request. No deadline applies to the rest of it."""
         self._cancel_deadline(attempt)
         forwarded = connection.forwarded
         if response.status != 200:
-            return _Outcome(attempt_ending(response), response)
-        if forwarded is None or not self._requests.response_started(attempt, response, *_load_of(response)):
-            return _Outcome(AttemptEnding.CANCELLED)
+            return ExchangeOutcome(attempt_ending(response), response)
+        if forwarded is None or not self._requests.response_started(attempt, response, *load_of(response)):
+            return ExchangeOutcome(AttemptEnding.CANCELLED)
         if await forwarded:
-            return _Outcome(AttemptEnding.SERVED, response, complete=True)
-        return _Outcome(self._cut.get(attempt, AttemptEnding.RESET), response)
+            return ExchangeOutcome(AttemptEnding.SERVED, response, complete=True)
+        return ExchangeOutcome(self._cut.get(attempt, AttemptEnding.RESET), response)
 
     async def _send_request(
         self, attempt: Attempt, connection: EndpointConnection, pending_response: asyncio.Future[http1.Message | None]
@@ -230,7 +223,7 @@
         """Whether the request was sent to its last byte: a response, or the end, may be received before that."""
         body_pipe = attempt.request.body_pipe
         try:
-            await connection.stream.write(self._encode_request(attempt))
+            await connection.stream.write(encode_request(attempt))
             if body_pipe is not None and not await self._upload(attempt, connection, body_pipe, pending_response):
                 return False
         except StreamClosedError:
@@ -287,12 +280,8 @@
         endpoint = self._usable(attempt.endpoint_name)
         obstacle = attempt_check.obstacle_to(attempt, endpoint, monotonic())
         if obstacle is not None and self._trace:
-            log.debug(
-                "not sent",
-                call=attempt.request.number,
-                provider=attempt.endpoint_name,
-                reason=obstacle.value,
-            )
+            request = attempt.request.number
+            log.debug("not sent", call=request, provider=attempt.endpoint_name, reason=obstacle.value)
         return obstacle is None
 
     def _unsent_ending(self, attempt: Attempt, default: AttemptEnding) -> AttemptEnding:
@@ -300,17 +289,6 @@
         ending = self._cut.get(attempt, default)
         return AttemptEnding.NOT_SENT if ending is AttemptEnding.TIMED_OUT else ending
 
-    def _encode_request(self, attempt: Attempt) -> bytes:
-        """The request with the time left as `X-Budget` in microseconds; of a long one, what was received so far."""
-        message: http1.Message = attempt.request.payload
-        left_us = max(int(min(attempt.deadline - monotonic(), attempt.request.budget_left_s) * 1e6), 1)
-        headers = [pair for pair in message.end_to_end() if pair[0].lower() != b"x-budget"]
-        headers.append((b"X-Budget", b"%du" % left_us))
-        if message.rest is None:
-            return http1.write_request(message.method, message.target, headers, message.body)
-        body = message.body if message.length is not None else http1.chunk(message.body)
-        return http1.request_head(message.method, message.target, headers, message.length) + body
-
     # Connections
 
     async def _acquire_connection(self, attempt: Attempt) -> EndpointConnection | None:
@@ -418,7 +396,3 @@
                     connection.close()
                     return True
         return False
-
-
-def _load_of(response: http1.Message) -> tuple[float | None, float | None]:
-    return load_report(response.fields.get(b"x-load-report", b""))
--- a/limenotch/net/http1.py
+++ b/limenotch/net/http1.py
@@ -7,11 +7,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_HEAD_BYTES = 16 * 1024  # of a start line with its headers; also of the trailers
-MAX_BODY_BYTES = 64 * 1024  # of a request that is taken complete, unless its parser is given another limit
+from .http1_body import MAX_BODY_BYTES as MAX_BODY_BYTES
+from .http1_body import MAX_HEAD_BYTES as MAX_HEAD_BYTES
+from .http1_body import Body
+from .http1_body import MalformedError as MalformedError
+
 MAX_RESPONSE_BYTES = 1024 * 1024  # of the body of a response, likewise
 MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # of a body that is forwarded in pieces
-MAX_CHUNK_LINE_BYTES = 1024  # of a chunk's size line
 MAX_LENGTH_DIGITS = 15  # of Content-Length
 START_BYTES = 16  # of a message, checked before its head is complete
 
@@ -19,7 +21,6 @@
 TARGET = re.compile(rb"[!-~\x80-\xff]+")
 CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: [^\x00-\x08\x0a-\x1f\x7f]*)?")
-CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?")
 
 REASONS = {
     200: b"OK",
@@ -46,14 +47,6 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class MalformedError(Exception):
-    """Bytes that are no valid message within the limits; `status` is that of a server's response to them."""
-
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
-        self.status = status
-
-
 @dataclass(slots=True)
 class Message:
     """A request (`method`, `target`) or a response (`status`)."""
@@ -83,74 +76,6 @@
         return [header for header in self.headers if header[0].lower() not in dropped]
 
 
-class _Body:
-    """A body's bytes as they arrive: of a known length, chunked, or all up to the connection's end (`length` None)."""
-
-    def __init__(self, chunked: bool, length: int | None, limit: int = MAX_BODY_BYTES) -> None:
-        self.chunked = chunked
-        self.length = length
-        self.limit = limit  # bytes
-        self.parts: list[bytes] = []
-        self.size = 0  # bytes received
-        self.left = 0 if chunked else length  # bytes of the body or of the present chunk
-        self.state = "size" if chunked else "data"  # of a chunked body also "mark" (a chunk's end) and "trailer"
-        self.done = not chunked and length == 0
-        self.trailers = 0  # bytes
-
-    def take(self, buffer: bytearray) -> None:
-        """Take the body's bytes from the front of the buffer. Raises MalformedError."""
-        while not self.done:
-            if self.state == "data":
-                if not self._take_data(buffer):
-                    return
-                continue
-            end = buffer.find(b"\r\n")
-            if end < 0:
-                if len(buffer) > MAX_CHUNK_LINE_BYTES:
-                    raise MalformedError(400, "chunk line too long")
-                return
-            line = bytes(buffer[:end])
-            del buffer[: end + 2]
-            self._take_line(line)
-
-    def _take_data(self, buffer: bytearray) -> bool:
-        """Take bytes of the body or of the present chunk; return whether that is complete."""
-        piece = bytes(buffer) if self.left is None else bytes(buffer[: self.left])
-        del buffer[: len(piece)]
-        self.size += len(piece)
-        if self.size > self.limit:
-            raise MalformedError(413, "body too large")
-        self.parts.append(piece)
-        if self.left is None:
-            return False
-        self.left -= len(piece)
-        if self.left:
-            return False
-        self.done = not self.chunked
-        self.state = "mark"
-        return True
-
-    def _take_line(self, line: bytes) -> None:
-        """Interpret a line of the chunked coding (RFC 9112, 7.1)."""
-        if self.state == "mark":
-            if line:
-                raise MalformedError(400, "chunk without its end")
-            self.state = "size"
-        elif self.state == "size":
-            match = CHUNK_SIZE.fullmatch(line)
-            if match is None:
-                raise MalformedError(400, "bad chunk size")
-            self.left = int(match[1], 16)
-            if self.size + self.left > self.limit:
-                raise MalformedError(413, "body too large")
-            self.state = "data" if self.left else "trailer"
-        else:
-            self.trailers += len(line)
-            if self.trailers > MAX_HEAD_BYTES:
-                raise MalformedError(431, "trailers too large")
-            self.done = not line
-
-
 class _Parser:
     """Incremental parser: fed with bytes as they arrive, it returns messages as they become complete."""
 
@@ -160,7 +85,7 @@
         self.max_body_bytes = self.DEFAULT_MAX_BODY_BYTES if max_body_bytes is None else max_body_bytes
         self.buffer = bytearray()
         self._message: Message | None = None
-        self._body = _Body(False, 0)
+        self._body = Body(False, 0)
         self._searched_bytes = 0  # of the buffer, without the end of a head
 
     @property
@@ -261,24 +186,24 @@
     def _parse_start_line(self, line: bytes, message: Message) -> None:
         raise NotImplementedError
 
-    def _framing(self, message: Message) -> _Body:
+    def _framing(self, message: Message) -> Body:
         raise NotImplementedError
 
-    def _shared_framing(self, message: Message, default: int | None) -> _Body:
+    def _shared_framing(self, message: Message, default: int | None) -> Body:
         """The framing by the rules that requests and responses share (RFC 9112, 6.3)."""
         coding = message.fields.get(b"transfer-encoding")
         length = message.fields.get(b"content-length")
         if coding is not None:
             if length is not None or coding.lower() != b"chunked":
                 raise MalformedError(400, "framing not understood")
-            return _Body(True, None, self.max_body_bytes)
+            return Body(True, None, self.max_body_bytes)
         if length is None:
-            return _Body(False, default, self.max_body_bytes)
+            return Body(False, default, self.max_body_bytes)
         if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
             raise MalformedError(400, "bad Content-Length")
         if int(length) > self.max_body_bytes:
             raise MalformedError(413, "body too large")
-        return _Body(False, int(length), self.max_body_bytes)
+        return Body(False, int(length), self.max_body_bytes)
 
 
 class RequestParser(_Parser):
@@ -303,7 +228,7 @@
         message.target = parts[1]
         message.minor = int(parts[2][-1:])
 
-    def _framing(self, message: Message) -> _Body:
+    def _framing(self, message: Message) -> Body:
         if (
             message.minor == 0 and b"transfer-encoding" in message.fields
         ):  # has no defined meaning there (RFC 9112, 6.1)
@@ -354,9 +279,9 @@
         message.minor = int(match[1])
         message.status = int(match[2])
 
-    def _framing(self, message: Message) -> _Body:
+    def _framing(self, message: Message) -> Body:
         if message.status < 200 or message.status in (204, 304):
-            return _Body(False, 0)
+            return Body(False, 0)
         return self._shared_framing(message, None)
 
 
--- a/limenotch/net/log_storage.py
+++ b/limenotch/net/log_storage.py
@@ -39,6 +39,7 @@
         self._refusing = False
 
     def submit(self, ticket: int, records: tuple[Record, ...], done: Done) -> None:
+        """Hold them in memory; `done(None)` at once, or with a reason."""
         for record in records:
             if isinstance(record, Append):
                 for entry in record.entries:
@@ -49,9 +50,11 @@
         done("no folder" if self._refusing else None)
 
     def state(self) -> str:
+        """In a few words, for operators."""
         return "memory"
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Nothing is held that needs an end."""
 
 
 class FolderStorage:
@@ -114,12 +117,14 @@
         log.warning("fleet: the disk is slow", seconds=round(seconds, 3), folder=str(self._folder))
 
     def submit(self, ticket: int, records: tuple[Record, ...], done: Done) -> None:
+        """Write them on the store's thread; see StoreThread.submit."""
         if self._thread is None:
             done("closed")
             return
         self._thread.submit(ticket, records, done)
 
     def state(self) -> str:
+        """In a few words, for operators."""
         return f"{self._folder}, {self._thread.waiting_bytes if self._thread is not None else 0} bytes wait"
 
     def close(self) -> None:
--- a/limenotch/net/peer_streams.py
+++ b/limenotch/net/peer_streams.py
@@ -52,10 +52,12 @@
 
 
 def counts() -> dict[str, int]:
+    """All counters of streams, at 0."""
     return dict.fromkeys(COUNTS, 0)
 
 
 def family(at: Address) -> socket.AddressFamily:
+    """The address family of a numeric address."""
     return socket.AF_INET6 if ":" in at[0] else socket.AF_INET
 
 
@@ -224,6 +226,7 @@
         self.counts = counts()
 
     def send(self, at: Address, frame: bytes) -> None:
+        """Send a frame to the peer at this address, on its stream or a new one; dropped where it can't be."""
         link = self._links.get(at)
         if link is None:
             if len(self._links) >= self._most:
@@ -309,6 +312,7 @@
         return {**self.counts, "in": len(self._callers), "out": links}
 
     def close(self) -> None:
+        """Close all streams, and listen no more."""
         for link in list(self._links.values()):
             link.close()
         self._links.clear()
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -58,7 +58,9 @@
         """Never waits. `done` is called once, on any thread: None for stored, else why not."""
         ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """The storage is not used any more."""
+        ...
 
 
 @lru_cache(1024)
@@ -324,6 +326,7 @@
     # For operators
 
     def state(self) -> dict[str, Any]:
+        """What `GET /fleet` tells of the sockets."""
         return {
             "listening": self._listener is not None,
             "off": "all" if self._off else ", ".join(self._hub.off),
--- a/limenotch/net/read_ahead.py
+++ b/limenotch/net/read_ahead.py
@@ -7,12 +7,16 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
+import struct
 from collections.abc import Callable
 from enum import Enum
 
+from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
+from ..config import host_port
 from .pipe import READ_BYTES, BufferBudget
 
 # Bytes that a client may send ahead of the response it waits for: several complete requests of buffered size.
@@ -31,6 +35,10 @@
     BUFFER_OR_DROP = "buffered up to a limit, and dropped beyond, so that the end of the connection is always noticed"
 
 
+class IdleEndError(Exception):
+    """The connection is ended while it is idle, between two requests."""
+
+
 class ClientStream(IOStream):
     """Reports its end at once: Tornado's close callback runs a turn of the event loop later, after timers then due."""
 
@@ -41,6 +49,45 @@
         super().close_fd()
         self.ended()
 
+    async def write_within(self, limit_s: float, data: bytes) -> None:
+        """Write, for a limited time: the connection of a client that does not read would never be freed.
+
+        Raises StreamClosedError.
+        """
+        written = self.write(data)
+        timer = IOLoop.current().call_later(limit_s, self.close)
+        try:
+            await written
+        finally:
+            IOLoop.current().remove_timeout(timer)
+
+    def peer_connected(self) -> bool:
+        """Whether the client is there as far as the kernel knows, which learns of its end before a busy event loop."""
+        try:
+            return self.socket.recv(1, socket.MSG_PEEK) != b""
+        except BlockingIOError:
+            return True
+        except (OSError, AttributeError):  # broken, or closed by us
+            return False
+
+    def peer_address(self) -> str:
+        """The client's address, "host:port"; empty if it has disconnected already."""
+        try:
+            return host_port(self.socket.getpeername()[:2])
+        except OSError:
+            return ""
+
+    def shut_down_sending(self) -> None:
+        """Shut down our sending side, unless the client has disconnected already."""
+        with contextlib.suppress(OSError):
+            self.socket.shutdown(socket.SHUT_WR)
+
+    def reset(self) -> None:
+        """Reset the connection, so that the client does not take what was written for a complete response."""
+        if not self.closed():
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            self.close()
+
 
 class ReadAhead:
     """The bytes of one stream in order, as they arrive."""
--- a/limenotch/net/response_outcome.py
+++ b/limenotch/net/response_outcome.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from ..load_balancer_types import AttemptEnding
 from . import http1
 
@@ -10,6 +12,14 @@
 MAX_REPORTED = {b"util": 4.0, b"qps": 1e6}
 
 
+class ExchangeOutcome(NamedTuple):
+    """How an exchange of request and response on a connection ended."""
+
+    ending: AttemptEnding
+    response: http1.Message | None = None
+    complete: bool = False  # request and response were transferred to their last byte
+
+
 def attempt_ending(response: http1.Message) -> AttemptEnding:
     """How the attempt ended; only a response marked as rejected says that the request never ran."""
     if response.status == 200:
@@ -37,3 +47,8 @@
             return None, None
         reported[name] = number
     return reported.get(b"util"), reported.get(b"qps")
+
+
+def load_of(response: http1.Message) -> tuple[float | None, float | None]:
+    """The load report that a response carries; see load_report."""
+    return load_report(response.fields.get(b"x-load-report", b""))
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import json
 from typing import Any
 
@@ -12,7 +13,6 @@
 from limenotch.net import http1
 from limenotch.net.discovery import json_stream
 from limenotch.net.http1 import MalformedError, Message, RequestParser, ResponseParser
-import contextlib
 
 BODIES = st.binary(max_size=300)
 VALUES = st.text("abcXYZ019 =,;-", max_size=30).map(lambda text: text.strip().encode())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -16,16 +16,12 @@
 from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from limenotch.net import http1
 from limenotch.net.client_listener import ClientListener
-from limenotch.net.endpoint_connection import EndpointConnection
 from limenotch.net.endpoint_pool import EndpointPool
-from limenotch.net.header_fields import budget_ms
 from limenotch.net.request import Attempt, FinalResponse, Request, Verdict
 from limenotch.net.requests import RequestManager
-from limenotch.net.response_outcome import attempt_ending, load_report
 from limenotch.net.sockets import MAX_OPERATOR_CONNECTIONS, DescriptorLimits, DescriptorQuota
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import DescriptorSettings, Settings
-from limenotch.settings import EndpointSettings as ProviderTuning
 
 from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
 from .helpers.processes import free_port, run, with_sidecar
@@ -348,79 +344,3 @@
         assert final.verdict is Verdict.REJECTED and final.retry_after_ms == 0  # these settings allow no advice
 
     run(case())
-
-
-def test_words_of_the_protocol() -> None:
-    assert (budget_ms(b"480m"), budget_ms(b"480000u")) == (480.0, 480.0)
-    for text in (b"", b"m", b"480", b"-1m", b"0m", b"infm", b"1e400m"):
-        with pytest.raises(http1.MalformedError):
-            budget_ms(text)
-    assert load_report(b"TEXT qps=3, util=0.5, latency_ms=x") == (0.5, 3.0)
-    assert load_report(b"TEXT util=0.5") == (0.5, None)
-    for text in (b"", b"util", b"TEXT util=x", b"util=nan", b"util=9e9", b"util=-1", b"\xff=,="):
-        assert load_report(text) == (None, None)
-    marked = http1.Message([], {b"x-rejected": b"1"}, status=503)
-    assert attempt_ending(marked) is AttemptEnding.REJECTED
-    marked.status = 500
-    assert attempt_ending(marked) is AttemptEnding.ERROR
-
-
-@pytest.mark.parametrize(
-    "sent",
-    [
-        b"HTTP/1.1 200 OK\r\nX-Pad: p\r\n",
-        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbo",
-        b"HTTP/1.1 200 OK\r\n\r\nbo",
-    ],
-    ids=["endless head", "short body", "no length"],
-)
-def test_an_answer_that_does_not_end_is_a_reset(sent: bytes) -> None:
-    # Guards calls with time left to try elsewhere, and consumers: what there is of a body without a length
-    # once passed for the whole when we closed the connection ourselves.
-
-    async def case() -> None:
-        calls, sockets = Heard(), unlimited()
-
-        async def handler(reader: Reader, writer: Writer) -> None:
-            writer.write(sent)
-            await reader.read()
-
-        server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool = EndpointPool(calls, sockets, 9000.0, 9000.0, ProviderTuning(answer_s=0.0))
-        pool.apply_list([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
-        pool.start(invoker_call(monotonic() + 20))
-        assert await calls.endings.get() is AttemptEnding.RESET
-
-    run(case())
-
-
-def test_a_connection_with_unread_bytes_is_not_clean() -> None:
-    # Guards against a second copy of an answer, still in the kernel, that would be the next call's answer.
-    async def case() -> None:
-        from tornado.iostream import IOStream
-
-        ours, theirs = socket.socketpair()
-        connection = EndpointConnection(IOStream(ours), "a", ("127.0.0.1", 1))
-        reading = asyncio.create_task(connection.read())
-        await asyncio.sleep(0)
-        assert connection.is_clean()
-        theirs.send(b"H")
-        assert not connection.is_clean()
-        await reading
-        assert not connection.is_clean()
-
-    run(case())
-
-
-def test_a_connection_that_ended_idle_is_not_reusable() -> None:
-    # Guards against a request that is written to a connection its provider has closed: it would be a reset.
-    async def case() -> None:
-        from tornado.iostream import IOStream
-
-        ours, theirs = socket.socketpair()
-        connection = EndpointConnection(IOStream(ours), "a", ("127.0.0.1", 1))
-        theirs.close()
-        await connection.read()
-        assert not connection.is_reusable(http1.Message([], {}, status=200))
-
-    run(case())
