--- a/limenotch/net/successor.py
+++ b/limenotch/net/successor.py
@@ -114,7 +114,7 @@
         except (FileNotFoundError, ConnectionRefusedError):
             log.info("no predecessor")
         except (TimeoutError, OSError, ValueError, StreamClosedError) as error:
-            log.warning("predecessor state rejected; starting without it", error=str(error) or type(error).__name__)
+            log.warning("hand-over failed; starting without a predecessor", error=str(error) or type(error).__name__)
         if sock is not None:
             sock.close()
         return None
