--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -26,11 +26,11 @@
 class Carrier(Enum):
     """How a message travels."""
 
-    DATAGRAM = "datagram"  # one message, MOST_DATAGRAM bytes at most; may be lost, late, doubled, out of order
+    DATAGRAM = "datagram"  # one message, MAX_DATAGRAM_BYTES bytes at most; may be lost, late, doubled, out of order
     STREAM = "stream"  # a kept connection: in order while it lasts; lost with it, and its sender is not told
 
 
-MOST_DATAGRAM = 1200  # bytes of a frame: under every path's limit, and loopback is held to the same
+MAX_DATAGRAM_BYTES = 1200  # bytes of a frame: under every path's limit, and loopback is held to the same
 
 
 # Events
--- a/limenotch/fleet/membership/dissemination.py
+++ b/limenotch/fleet/membership/dissemination.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from ..interfaces import MOST_DATAGRAM
+from ..interfaces import MAX_DATAGRAM_BYTES
 from .messages import MOST_NEWS, Claim
 
 OVERHEAD = 400  # bytes of a frame for its head, its digest, and the message's other fields with names at their longest
-ROOM = MOST_DATAGRAM - OVERHEAD
+ROOM = MAX_DATAGRAM_BYTES - OVERHEAD
 
 _encoder = msgspec.msgpack.Encoder()
 
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -13,7 +13,7 @@
 MOST_NEWS = 40  # claims in one datagram; more is nonsense
 LONGEST_NAME = 64
 LONGEST_HOST = 255
-MOST_LIFE = 1 << 52
+MAX_PROCESS_EPOCH = 1 << 52
 MOST_INCARNATION = 1 << 31
 MOST_AGE_MS = 1 << 40
 ALIVE, SUSPECT, DEAD, LEFT = range(len(CODES))
@@ -105,7 +105,7 @@
         0 < len(claim.name) <= LONGEST_NAME
         and 0 <= claim.state < len(CODES)
         and _address(claim.at)
-        and 0 <= claim.life <= MOST_LIFE
+        and 0 <= claim.life <= MAX_PROCESS_EPOCH
         and 0 <= claim.incarnation <= MOST_INCARNATION
         and len(claim.by) <= LONGEST_NAME
         and 0 <= claim.age_ms <= MOST_AGE_MS
@@ -113,4 +113,4 @@
 
 
 def sound_me(me: Me) -> bool:
-    return _address(me.at) and 0 <= me.life <= MOST_LIFE and 0 <= me.incarnation <= MOST_INCARNATION
+    return _address(me.at) and 0 <= me.life <= MAX_PROCESS_EPOCH and 0 <= me.incarnation <= MOST_INCARNATION
--- a/limenotch/fleet/membership/self_member.py
+++ b/limenotch/fleet/membership/self_member.py
@@ -22,7 +22,7 @@
 from ..interfaces import Carrier
 from .context import Ground, Phase
 from .health import REFUTED
-from .messages import MOST_INCARNATION, MOST_LIFE, Ack, Ask, Claim, Ping
+from .messages import MAX_PROCESS_EPOCH, MOST_INCARNATION, Ack, Ask, Claim, Ping
 from .states import FINAL, State
 
 JOIN_PERIODS = 2  # that seeds have to answer
@@ -76,7 +76,7 @@
     def enter(self, now: float) -> None:
         ground = self.ground
         if self.other is not None:
-            ground.life = max(ground.life, min(self.other.life + 1, MOST_LIFE))
+            ground.life = max(ground.life, min(self.other.life + 1, MAX_PROCESS_EPOCH))
         self.other, self.asked, self.unanswered = None, 0, 0
         ground.incarnation = 0
         ground.phase = Phase.INSIDE
@@ -154,7 +154,7 @@
     def _reborn(self, claim: Claim) -> None:
         ground = self.ground
         ground.fenced(by=claim.by, life=ground.life)
-        ground.life, ground.incarnation = min(claim.life + 1, MOST_LIFE), 0
+        ground.life, ground.incarnation = min(claim.life + 1, MAX_PROCESS_EPOCH), 0
         ground.changed(State.ALIVE)
         ground.tell(ground.own_claim())
 
--- a/limenotch/fleet/wallet/messages.py
+++ b/limenotch/fleet/wallet/messages.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from ..interfaces import MOST_DATAGRAM, Carrier, Message
+from ..interfaces import MAX_DATAGRAM_BYTES, Carrier, Message
 
 MOST = 256  # tenants' items in one message
 
@@ -82,4 +82,4 @@
 def carrier(names: Sequence[str]) -> Carrier:
     """For a message with so many items, each of a tenant of that name and a few numbers."""
     size = 300 + sum(4 * len(name) + 40 for name in names)
-    return Carrier.DATAGRAM if size <= MOST_DATAGRAM else Carrier.STREAM
+    return Carrier.DATAGRAM if size <= MAX_DATAGRAM_BYTES else Carrier.STREAM
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -19,7 +19,7 @@
 from ..config import Address, host_port
 from ..fleet.hub import OFF, ComponentEvent, ComponentHub
 from ..fleet.interfaces import (
-    MOST_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     Action,
     Carrier,
     Event,
@@ -247,13 +247,13 @@
             if self._datagrams is None:
                 return
             try:
-                frame, at = self._datagrams.recvfrom(MOST_DATAGRAM + 1)
+                frame, at = self._datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:  # an earlier datagram's peer was not there: nothing to do with what comes
                 continue
             self.counts["received"] += 1
-            said = self._wire.decode(frame, MOST_DATAGRAM)
+            said = self._wire.decode(frame, MAX_DATAGRAM_BYTES)
             if isinstance(said, FrameFault):
                 continue
             if isinstance(said[1], Hello):
@@ -293,7 +293,7 @@
             self.counts["send_failed"] += 1
             return
         frame = self._wire.encode(self._name, action.message)
-        if len(frame) > (MOST_DATAGRAM if action.carrier is Carrier.DATAGRAM else MOST_FRAME):
+        if len(frame) > (MAX_DATAGRAM_BYTES if action.carrier is Carrier.DATAGRAM else MOST_FRAME):
             self.counts["too_long"] += 1
             return
         if action.carrier is Carrier.STREAM:
--- a/tests/fleet/test_affinity_last_seen.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -16,7 +16,7 @@
 from limenotch.fleet.affinity.rows import NIL
 from limenotch.fleet.affinity.tuning import Ages
 from limenotch.fleet.interfaces import (
-    MOST_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     Fenced,
     MemberChanged,
     MessageReceived,
@@ -263,7 +263,7 @@
         part.table.see(1050.0, S, b"%d" % number, "p1", State.OPEN)
     for batch in rounds(part, 1100.0):
         assert len(msgspec.msgpack.encode(batch)) < 64 * 1024
-    assert len(msgspec.msgpack.encode(say.Pong(1 << 60, 1e9, 1e9))) < MOST_DATAGRAM
+    assert len(msgspec.msgpack.encode(say.Pong(1 << 60, 1e9, 1e9))) < MAX_DATAGRAM_BYTES
 
 
 def test_events_that_are_none_and_time_that_runs_back() -> None:
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from limenotch.fleet.interfaces import (
-    MOST_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     MemberChanged,
     MessageReceived,
     Note,
@@ -29,7 +29,7 @@
 from limenotch.fleet.membership.health import ANSWERED, UNHEARD, Health
 from limenotch.fleet.membership.messages import (
     LONGEST_HOST,
-    MOST_LIFE,
+    MAX_PROCESS_EPOCH,
     Ack,
     Answer,
     Ask,
@@ -138,10 +138,14 @@
 def test_a_message_with_news_fits_a_datagram(sizes: list[int], longest: int) -> None:
     queue, name, host = Broadcasts(), "n" * longest, "h" * longest
     for number, size in enumerate(sizes):
-        queue.add(Claim(f"{number:03}" + "n" * (size - 3), 1, ("h" * size, 65535), MOST_LIFE, 1 << 31, "b" * size))
-    first = Claim(name, 2, (host, 65535), MOST_LIFE, 1 << 31, name)
-    message = PingReq(1 << 40, name, (host, 65535), Me((host, 65535), MOST_LIFE, 1 << 31), queue.take(3, first))
-    assert len(msgspec.msgpack.encode(message)) + longest + 60 <= MOST_DATAGRAM  # 60: version, digest, group's and tags
+        queue.add(
+            Claim(f"{number:03}" + "n" * (size - 3), 1, ("h" * size, 65535), MAX_PROCESS_EPOCH, 1 << 31, "b" * size)
+        )
+    first = Claim(name, 2, (host, 65535), MAX_PROCESS_EPOCH, 1 << 31, name)
+    message = PingReq(1 << 40, name, (host, 65535), Me((host, 65535), MAX_PROCESS_EPOCH, 1 << 31), queue.take(3, first))
+    assert (
+        len(msgspec.msgpack.encode(message)) + longest + 60 <= MAX_DATAGRAM_BYTES
+    )  # 60: version, digest, group's and tags
 
 
 def test_the_agenda_asks_for_one_timer() -> None:
--- a/tests/fleet/test_membership_runs.py
+++ b/tests/fleet/test_membership_runs.py
@@ -15,7 +15,7 @@
 from limenotch.fleet.membership import states as table_of_states
 from limenotch.fleet.membership.core import Membership
 from limenotch.fleet.membership.member_states import Holder
-from limenotch.fleet.membership.messages import MOST_LIFE
+from limenotch.fleet.membership.messages import MAX_PROCESS_EPOCH
 from limenotch.fleet.membership.probing import Prober
 from limenotch.fleet.membership.self_member import Own
 from limenotch.fleet.membership.states import Needs, State
@@ -267,7 +267,7 @@
 
 def fence_untold(self: Own, claim: Any) -> None:
     ground = self.ground
-    ground.life, ground.incarnation = min(claim.life + 1, MOST_LIFE), 0
+    ground.life, ground.incarnation = min(claim.life + 1, MAX_PROCESS_EPOCH), 0
     ground.changed(State.ALIVE)
     ground.tell(ground.own_claim())
 
