--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -28,16 +28,16 @@
 SETTLE_MS = 20_000.0
 
 
-def hub_of(names: list[str], name: str, seed: int, life: int, held: StoredLog) -> ComponentHub:
+def hub_of(names: list[str], name: str, seed: int, process_epoch: int, held: StoredLog) -> ComponentHub:
     voters = tuple(names[:3])
-    members = Membership(name, address(name), life, [address(one) for one in names[:2]], Tuning(), seed)
+    members = Membership(name, address(name), process_epoch, [address(one) for one in names[:2]], Tuning(), seed)
     log = consensus.Agreement(name, voters, held, consensus.Tuning(), seed)
     hub = ComponentHub(
         [
             ("mb.", members),
             (LOG, log),
-            ("ru.", Rules(name, life, voters, FIRST, settings_check)),
-            ("li.", Lists(name, life, "d1", voters)),
+            ("ru.", Rules(name, process_epoch, voters, FIRST, settings_check)),
+            ("li.", Lists(name, process_epoch, "d1", voters)),
         ],
         members,
     )
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -43,8 +43,8 @@
     def one(self, count: int, loss: float, seed: int, tuning: Tuning) -> None:
         names = [f"m{number}" for number in range(count)]
 
-        def make(name: str, seed: int, life: int, held: StoredLog) -> Membership:
-            return Membership(name, address(name), life, [address(one) for one in names[:2]], tuning, seed)
+        def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Membership:
+            return Membership(name, address(name), process_epoch, [address(one) for one in names[:2]], tuning, seed)
 
         began = process_time()
         world = World(names, make, seed)
--- a/limenotch/fleet/affinity/context.py
+++ b/limenotch/fleet/affinity/context.py
@@ -16,12 +16,14 @@
 
 
 class Ground:
-    def __init__(self, name: str, life: int, key: bytes, tuning: Tuning, seed: int, noted: Noted | None) -> None:
-        self.name, self.life, self.tuning = name, life, tuning
+    def __init__(
+        self, name: str, process_epoch: int, key: bytes, tuning: Tuning, seed: int, noted: Noted | None
+    ) -> None:
+        self.name, self.process_epoch, self.tuning = name, process_epoch, tuning
         self.table = Shared(name, key, tuning, noted=noted)
         self.peers = Peers(name, tuning.drift)
-        self.teller = Teller(self.table, life, 0.0)
-        self.random = Random(f"{seed} {name} {life} bindings")
+        self.teller = Teller(self.table, process_epoch, 0.0)
+        self.random = Random(f"{seed} {name} {process_epoch} bindings")
         self.now = -INFINITE
         self.inside = INFINITE  # since when one is a member
         self.out: list[Any] = []
--- a/limenotch/fleet/affinity/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -49,9 +49,15 @@
     """`key`: the group's, 1 to 64 bytes: all have the same hash of a key, and nobody outside can make keys meet."""
 
     def __init__(
-        self, name: str, life: int, key: bytes, tuning: Tuning | None = None, seed: int = 0, noted: Noted | None = None
+        self,
+        name: str,
+        process_epoch: int,
+        key: bytes,
+        tuning: Tuning | None = None,
+        seed: int = 0,
+        noted: Noted | None = None,
     ) -> None:
-        self.ground = Ground(name, life, key, tuning or Tuning(), seed, noted)
+        self.ground = Ground(name, process_epoch, key, tuning or Tuning(), seed, noted)
         self.missing, self.repair = Missing(self.ground), Repair(self.ground)
         self._begun = False
         self._armed = INFINITE
@@ -120,7 +126,7 @@
     def _started(self, event: interfaces.Started) -> None:
         self._begun = True
         self.table.clear(self.ground.now)
-        self._new_life(self.ground.life, kept=False)
+        self._start_process_epoch(self.ground.process_epoch, kept=False)
         self.missing.begin(kept=False)
         self.repair.begin()
         self._arm(self.ground.now + self.ground.tuning.batch_ms)
@@ -128,18 +134,18 @@
     def _member(self, event: interfaces.MemberChanged) -> None:
         ground = self.ground
         if event.name != ground.name:
-            ground.peers.changed(ground.now, event.name, event.life, event.state)
+            ground.peers.changed(ground.now, event.name, event.process_epoch, event.state)
         else:
-            if event.life != ground.life:
-                self._new_life(event.life, kept=self.table.live > 0)
+            if event.process_epoch != ground.process_epoch:
+                self._start_process_epoch(event.process_epoch, kept=self.table.live > 0)
             ground.inside = min(ground.inside, ground.now)
         ground.least()
 
-    def _new_life(self, life: int, kept: bool) -> None:
+    def _start_process_epoch(self, process_epoch: int, kept: bool) -> None:
         """Its words are counted anew, and what the old one had not told yet goes first."""
         ground = self.ground
         ground.teller.hand_back()
-        ground.life, ground.teller = life, Teller(ground.table, life, ground.now, kept)
+        ground.process_epoch, ground.teller = process_epoch, Teller(ground.table, process_epoch, ground.now, kept)
 
     def _fenced(self) -> None:
         """The new life is told next: what is said till then bears the old one, and nobody takes it."""
@@ -180,7 +186,7 @@
         if not isinstance(message, say.BINDINGS) or not self._begun:
             ground.table.count("no message of bindings")
             return
-        peer = ground.peers.speaks(ground.now, event.sender, message.life)
+        peer = ground.peers.speaks(ground.now, event.sender, message.process_epoch)
         if peer is None:
             ground.table.count("of a life that is over")
         elif peer.clock.known or isinstance(message, (say.Ping, say.Pong)):
@@ -200,11 +206,11 @@
         ground, tuning = self.ground, self.ground.tuning
         if ground.now >= peer.ping_at:
             peer.ping_at = ground.now + (tuning.digest_ms if peer.clock.known else tuning.batch_ms) * ground.scale
-            ground.say(peer, say.Ping(ground.life, ground.now), Carrier.DATAGRAM)
+            ground.say(peer, say.Ping(ground.process_epoch, ground.now), Carrier.DATAGRAM)
 
     def _ping(self, peer: Peer, ping: say.Ping) -> None:
         peer.clock.heard(self.ground.now, ping.sent)
-        self.ground.say(peer, say.Pong(self.ground.life, ping.sent, self.ground.now), Carrier.DATAGRAM)
+        self.ground.say(peer, say.Pong(self.ground.process_epoch, ping.sent, self.ground.now), Carrier.DATAGRAM)
 
     def _pong(self, peer: Peer, pong: say.Pong) -> None:
         now = self.ground.now
--- a/limenotch/fleet/affinity/join.py
+++ b/limenotch/fleet/affinity/join.py
@@ -72,7 +72,7 @@
         ground.table.count("late page")
 
     def _next(self, fetch: Fetch) -> None:
-        if (ask := fetch.ask(self.ground.now, self.ground.life)) is not None:
+        if (ask := fetch.ask(self.ground.now, self.ground.process_epoch)) is not None:
             self.ground.say(fetch.peer, ask)
 
     def _close(self, fetch: Fetch) -> None:
@@ -82,7 +82,7 @@
             return
         for known in first.knows:
             of = ground.peers.get(known.name)
-            if of is None or of.life != known.life or fetch.floor > of.upto or known.covered < 0:
+            if of is None or of.process_epoch != known.process_epoch or fetch.floor > of.upto or known.covered < 0:
                 continue
             if not 0 <= known.counter < MOST_COUNT:
                 continue
@@ -112,7 +112,7 @@
                 return
             self._join = None
             if join.done:
-                self._asked.add((join.peer.name, join.peer.life))
+                self._asked.add((join.peer.name, join.peer.process_epoch))
                 self._close(join)
                 if join.whole:
                     self._whole()
@@ -122,7 +122,7 @@
                 self._join_at = now + ground.tuning.batch_ms
                 return
         live = ground.peers.live()
-        others = [peer for peer in live if (peer.name, peer.life) not in self._asked]
+        others = [peer for peer in live if (peer.name, peer.process_epoch) not in self._asked]
         if self._kept and self._asked and all(peer.seq >= 0 and not peer.gap for peer in live):
             others = []  # what it has, and what is known now of all since then, is all there is
         if not others:
--- a/limenotch/fleet/affinity/last_seen.py
+++ b/limenotch/fleet/affinity/last_seen.py
@@ -113,9 +113,9 @@
 class Teller:
     """One's own sights, in rounds. Of one life."""
 
-    def __init__(self, table: Shared, life: int, now: float, kept: bool = False) -> None:
+    def __init__(self, table: Shared, process_epoch: int, now: float, kept: bool = False) -> None:
         """`kept`: it has rows that it saw in an earlier life, which others may not have heard of."""
-        self.table, self.life, self.kept = table, life, kept
+        self.table, self.process_epoch, self.kept = table, process_epoch, kept
         self.seq = 0
         self.born = table.counter
         self.covered = now
@@ -149,7 +149,7 @@
                 ended = tuple(Undone(key.to_bytes(16, "big"), *rest) for key, *rest in undone)
                 out.append(
                     Sights(
-                        self.life,
+                        self.process_epoch,
                         self.seq,
                         table.counter,
                         self.born,
@@ -171,7 +171,9 @@
 
     def cover(self, now: float) -> Cover:
         born = self.born if self.seq else self.table.counter
-        return Cover(self.life, self.seq, self.table.counter, born, now, self.covered, self.table.whole, self.kept)
+        return Cover(
+            self.process_epoch, self.seq, self.table.counter, born, now, self.covered, self.table.whole, self.kept
+        )
 
     @property
     def behind(self) -> bool:
--- a/limenotch/fleet/affinity/messages.py
+++ b/limenotch/fleet/affinity/messages.py
@@ -1,4 +1,4 @@
-"""What sidecars say to each other about bindings. Each bears its sender's `life`; ages are counted back from `sent`.
+"""What sidecars say to each other about bindings. Each bears its sender's `process_epoch`; ages are counted back from `sent`.
 
 `sent` is the sender's own monotonic time in ms; an age is in tenths of a ms before it. By datagram go Ping and Pong
 alone. Sights and covers go by stream: a cover must not pass the sights that it speaks of.
@@ -47,7 +47,7 @@
     `kept`: it has rows of an earlier life, which must be asked for from what was last known of that life.
     """
 
-    life: int
+    process_epoch: int
     seq: int
     counter: int
     born: int
@@ -64,7 +64,7 @@
 class Cover(Message, frozen=True, array_like=True, tag="bi.cover"):
     """To all, where nothing else is to be told. `seq`: of the last Sights. All told later has a higher stamp."""
 
-    life: int
+    process_epoch: int
     seq: int
     counter: int
     born: int
@@ -75,12 +75,12 @@
 
 
 class Ping(Message, frozen=True, array_like=True, tag="bi.ping"):
-    life: int
+    process_epoch: int
     sent: float
 
 
 class Pong(Message, frozen=True, array_like=True, tag="bi.pong"):
-    life: int
+    process_epoch: int
     echo: float
     sent: float
 
@@ -91,27 +91,27 @@
     `of`: whose sights are missing here; who does not know all of that life gives nothing. Empty: all is missing.
     """
 
-    life: int
+    process_epoch: int
     serial: int
     floor: int
     stamp: int
     key: bytes
     of: str = ""
-    of_life: int = 0
+    of_process_epoch: int = 0
 
 
 class Knows(Struct, frozen=True, array_like=True):
     """All Sights of that life up to `seq` are known, and those of its earlier lives. `covered`: age of its cover."""
 
     name: str
-    life: int
+    process_epoch: int
     seq: int
     counter: int
     covered: int
 
 
 class Page(Message, frozen=True, array_like=True, tag="bi.page"):
-    life: int
+    process_epoch: int
     serial: int
     sent: float
     providers: tuple[Place, ...]
@@ -123,21 +123,21 @@
 
 
 class Compare(Message, frozen=True, array_like=True, tag="bi.compare"):
-    life: int
+    process_epoch: int
     serial: int
 
 
 class Digests(Message, frozen=True, array_like=True, tag="bi.digests"):
     """8 bytes for each of 256 ranges of the hash, by its first byte."""
 
-    life: int
+    process_epoch: int
     serial: int
     values: bytes
     whole: bool
 
 
 class AskKeys(Message, frozen=True, array_like=True, tag="bi.askkeys"):
-    life: int
+    process_epoch: int
     serial: int
     range: int
     part: int = 0
@@ -146,7 +146,7 @@
 class Keys(Message, frozen=True, array_like=True, tag="bi.keys"):
     """What the range has, KEY_BYTES each. In `parts` by the hash's second byte where it has much."""
 
-    life: int
+    process_epoch: int
     serial: int
     range: int
     part: int
@@ -155,7 +155,7 @@
 
 
 class Want(Message, frozen=True, array_like=True, tag="bi.want"):
-    life: int
+    process_epoch: int
     serial: int
     keys: bytes  # 16 each
     settle: float = 0.0  # ms: what was told since comes by itself
@@ -164,7 +164,7 @@
 class Copies(Message, frozen=True, array_like=True, tag="bi.copies"):
     """Asked for by Want, or what the other was found to lack (`serial` 0)."""
 
-    life: int
+    process_epoch: int
     serial: int
     sent: float
     providers: tuple[Place, ...]
--- a/limenotch/fleet/affinity/pages.py
+++ b/limenotch/fleet/affinity/pages.py
@@ -30,9 +30,9 @@
     def age(covered: float) -> int:
         return int(max(0.0, now - covered) * TENTHS) + 1
 
-    known = [Knows(ground.name, ground.life, teller.seq, ground.table.counter, age(teller.covered))]
+    known = [Knows(ground.name, ground.process_epoch, teller.seq, ground.table.counter, age(teller.covered))]
     known += [
-        Knows(peer.name, peer.life, peer.seq, peer.upto, age(peer.covered))
+        Knows(peer.name, peer.process_epoch, peer.seq, peer.upto, age(peer.covered))
         for peer in ground.peers.live()
         if peer.seq >= 0 and not peer.gap and now - peer.covered < 1e12
     ]
@@ -47,8 +47,8 @@
     rows, key = table.rows, int.from_bytes(ask.key, "big")
     if ask.of and ask.of != ground.name:
         of = ground.peers.get(ask.of)
-        if of is None or of.life != ask.of_life or of.gap or of.seq < 0:
-            return Page(ground.life, ask.serial, now, (), (), (), True, table.whole)
+        if of is None or of.process_epoch != ask.of_process_epoch or of.gap or of.seq < 0:
+            return Page(ground.process_epoch, ask.serial, now, (), (), (), True, table.whole)
     newest = merge(
         *(order.newest(ask.floor, ask.stamp, key) for order in table.orders),
         key=lambda row: (-rows.stamp[row], -rows.key(row)),
@@ -56,7 +56,7 @@
     chosen = list(islice(newest, MOST_PAGE + 1))
     knows = _knows(ground) if ask.stamp == MOST_COUNT else ()
     return Page(
-        ground.life,
+        ground.process_epoch,
         ask.serial,
         now,
         *pack(table, chosen[:MOST_PAGE], now),
@@ -79,13 +79,13 @@
         self._next = now
         self._waits = False
 
-    def ask(self, now: float, life: int) -> Ask | None:
+    def ask(self, now: float, process_epoch: int) -> Ask | None:
         """The next question, when its time has come."""
         if self.done or self._waits or now < self._next:
             return None
         self._waits, self.asked = True, now
-        of = ("", 0) if self.of is None else (self.of.name, self.of.life)
-        return Ask(life, self.serial, self.floor, self._stamp, self._key.to_bytes(16, "big"), *of)
+        of = ("", 0) if self.of is None else (self.of.name, self.of.process_epoch)
+        return Ask(process_epoch, self.serial, self.floor, self._stamp, self._key.to_bytes(16, "big"), *of)
 
     @property
     def due(self) -> float:
--- a/limenotch/fleet/affinity/peers.py
+++ b/limenotch/fleet/affinity/peers.py
@@ -22,8 +22,8 @@
 
 
 class Peer:
-    def __init__(self, name: str, life: int, state: str, now: float, drift: float, floor: int = -1) -> None:
-        self.name, self.life, self.state, self.since = name, life, state, now
+    def __init__(self, name: str, process_epoch: int, state: str, now: float, drift: float, floor: int = -1) -> None:
+        self.name, self.process_epoch, self.state, self.since = name, process_epoch, state, now
         self.clock = Clock(drift)
         self.doubt = INFINITE  # ms between the bounds of its clock, as of its latest answer
         self.spoke = -INFINITE  # last word in this life
@@ -57,28 +57,30 @@
     def get(self, name: str) -> Peer | None:
         return self._peers.get(name)
 
-    def changed(self, now: float, name: str, life: int, state: str) -> None:
+    def changed(self, now: float, name: str, process_epoch: int, state: str) -> None:
         """What membership holds of it."""
         peer = self._peers.get(name)
         self._live = self._last = None
-        if peer is None or peer.life < life:
+        if peer is None or peer.process_epoch < process_epoch:
             if peer is None and len(self._peers) >= MOST:
                 self._forget()
-            self._peers[name] = Peer(name, life, state, now, self._drift, peer.upto if peer is not None else -1)
-        elif peer.life == life or (state in LIVE and not peer.live):
+            self._peers[name] = Peer(
+                name, process_epoch, state, now, self._drift, peer.upto if peer is not None else -1
+            )
+        elif peer.process_epoch == process_epoch or (state in LIVE and not peer.live):
             peer.state = state
 
-    def speaks(self, now: float, name: str, life: int) -> Peer | None:
+    def speaks(self, now: float, name: str, process_epoch: int) -> Peer | None:
         """None if its word is not to be taken."""
         peer = self._peers.get(name)
-        if name == self._name or (peer is not None and life < peer.life):
+        if name == self._name or (peer is not None and process_epoch < peer.process_epoch):
             return None
-        if peer is None or life > peer.life:
+        if peer is None or process_epoch > peer.process_epoch:
             if peer is None and len(self._peers) >= MOST:
                 return None
             state = peer.state if peer is not None and peer.live else ""
             floor = peer.upto if peer is not None else -1
-            peer = self._peers[name] = Peer(name, life, state, now, self._drift, floor)
+            peer = self._peers[name] = Peer(name, process_epoch, state, now, self._drift, floor)
             self._live = self._last = None
         if peer.state == "dead":
             return None
@@ -98,7 +100,7 @@
     def fenced(self, now: float) -> None:
         """One's own new life: what they told while one was held dead went to others only."""
         for name, peer in list(self._peers.items()):
-            self._peers[name] = Peer(name, peer.life, peer.state, now, self._drift, peer.upto)
+            self._peers[name] = Peer(name, peer.process_epoch, peer.state, now, self._drift, peer.upto)
         self._live = self._last = None
 
     def _forget(self) -> None:
--- a/limenotch/fleet/affinity/repair.py
+++ b/limenotch/fleet/affinity/repair.py
@@ -24,19 +24,19 @@
 DIGEST_BYTES = 8
 
 
-def digests(table: Shared, life: int, serial: int) -> Digests:
+def digests(table: Shared, process_epoch: int, serial: int) -> Digests:
     packed = b"".join(each.to_bytes(DIGEST_BYTES, "big") for each in table.rows.digests)
-    return Digests(life, serial, packed, table.whole)
+    return Digests(process_epoch, serial, packed, table.whole)
 
 
-def keys(table: Shared, life: int, ask: AskKeys) -> Keys | None:
+def keys(table: Shared, process_epoch: int, ask: AskKeys) -> Keys | None:
     if not 0 <= ask.range < RANGES:
         return None
     parts = min(RANGES, table.rows.held(ask.range) // MOST_KEYS + 1)
     if not 0 <= ask.part < parts:
         return None
     return Keys(
-        life,
+        process_epoch,
         ask.serial,
         ask.range,
         ask.part,
@@ -58,12 +58,12 @@
     }
 
 
-def copies(table: Shared, life: int, serial: int, wanted: Sequence[int], now: float, settle: float) -> Copies:
+def copies(table: Shared, process_epoch: int, serial: int, wanted: Sequence[int], now: float, settle: float) -> Copies:
     """Of those that are here, not over, and not told within `settle` ms."""
     rows = table.rows
     found = [row for key in wanted[:MOST_PAGE] if (row := rows.find(key)) != NIL and not rows.what[row] & GRAVE]
     given = [row for row in found if now < table.ends(row) and now - rows.told[row] >= settle]
-    return Copies(life, serial, now, *pack(table, given, now))
+    return Copies(process_epoch, serial, now, *pack(table, given, now))
 
 
 class Exchange:
@@ -81,20 +81,22 @@
         self._said: type | None = None  # the question that is open
         self._begun = False
 
-    def ask(self, now: float, life: int) -> list[Any]:
+    def ask(self, now: float, process_epoch: int) -> list[Any]:
         """The next question, when its time has come."""
         if self.done or self._said is not None or now < self._next:
             return []
         question: Any
         if not self._begun:
-            self._begun, question = True, Compare(life, self.serial)
+            self._begun, question = True, Compare(process_epoch, self.serial)
             self._said = Digests
         elif self._want:
             wanted = [self._want.popleft() for _ in range(min(len(self._want), MOST_PAGE))]
-            question = Want(life, self.serial, b"".join(key.to_bytes(16, "big") for key in wanted), self.settle)
+            question = Want(
+                process_epoch, self.serial, b"".join(key.to_bytes(16, "big") for key in wanted), self.settle
+            )
             self._said = Copies
         elif self._ranges:
-            question, self._said = AskKeys(life, self.serial, self._ranges[0], self._part), Keys
+            question, self._said = AskKeys(process_epoch, self.serial, self._ranges[0], self._part), Keys
         else:
             self.done = True
             return []
@@ -122,7 +124,7 @@
         self._ranges.extend(each for each in range(RANGES) if theirs[each] != table.rows.digests[each])
         self._paid(now, len(answer.values))
 
-    def keys(self, table: Shared, life: int, now: float, answer: Keys) -> list[Copies]:
+    def keys(self, table: Shared, process_epoch: int, now: float, answer: Keys) -> list[Copies]:
         """What the other lacks; what is lacked here is wanted next."""
         if (
             not self._ranges
@@ -148,7 +150,7 @@
             self._part = 0
             self._ranges.popleft()
         pages = [lacks[at : at + MOST_PAGE] for at in range(0, len(lacks), MOST_PAGE)]
-        out = [copies(table, life, 0, wanted, now, self.settle) for wanted in pages]
+        out = [copies(table, process_epoch, 0, wanted, now, self.settle) for wanted in pages]
         out = [each for each in out if each.rows]
         sent = sum(len(each.rows) for each in out)
         self.mended += sent
@@ -199,7 +201,7 @@
         self._go_on(self._exchange)
 
     def _go_on(self, exchange: Exchange) -> None:
-        for question in exchange.ask(self.ground.now, self.ground.life):
+        for question in exchange.ask(self.ground.now, self.ground.process_epoch):
             self.ground.say(exchange.peer, question)
 
     @property
@@ -214,7 +216,7 @@
         return exchange
 
     def compared(self, peer: Peer, compare: Compare) -> None:
-        self.ground.say(peer, digests(self.ground.table, self.ground.life, compare.serial))
+        self.ground.say(peer, digests(self.ground.table, self.ground.process_epoch, compare.serial))
 
     def digests(self, peer: Peer, answer: Digests) -> None:
         if (exchange := self._open(peer, answer)) is not None:
@@ -222,21 +224,21 @@
             self._go_on(exchange)
 
     def keys_asked(self, peer: Peer, ask: AskKeys) -> None:
-        answer = keys(self.ground.table, self.ground.life, ask)
+        answer = keys(self.ground.table, self.ground.process_epoch, ask)
         if answer is not None:
             self.ground.say(peer, answer)
 
     def keys(self, peer: Peer, answer: Keys) -> None:
         ground = self.ground
         if (exchange := self._open(peer, answer)) is not None:
-            for given in exchange.keys(ground.table, ground.life, ground.now, answer):
+            for given in exchange.keys(ground.table, ground.process_epoch, ground.now, answer):
                 ground.say(peer, given)
             self._go_on(exchange)
 
     def wanted(self, peer: Peer, want: Want) -> None:
         ground = self.ground
         wanted = [int.from_bytes(want.keys[at : at + 16], "big") for at in range(0, len(want.keys) // 16 * 16, 16)]
-        ground.say(peer, copies(ground.table, ground.life, want.serial, wanted, ground.now, want.settle))
+        ground.say(peer, copies(ground.table, ground.process_epoch, want.serial, wanted, ground.now, want.settle))
 
     def copies(self, peer: Peer, given: Copies) -> None:
         ground, table = self.ground, self.ground.table
--- a/limenotch/fleet/consensus/client_requests.py
+++ b/limenotch/fleet/consensus/client_requests.py
@@ -28,7 +28,7 @@
 class Asker:
     ticket: int
     name: str = ""  # who forwarded it; empty: oneself
-    life: int = 0
+    process_epoch: int = 0
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
         if asker.name:
             if kind in ("promised", "read"):  # the asker wants it applied, not at the next heartbeat
                 self._leading.inform(asker.name)
-            node.tell(asker.name, say.Answer(kind, asker.ticket, asker.life, index, why, hint), Carrier.STREAM)
+            node.tell(asker.name, say.Answer(kind, asker.ticket, asker.process_epoch, index, why, hint), Carrier.STREAM)
         elif kind == "promised":
             node.out.append(api.ProposalCommitted(asker.ticket, index))
         elif kind == "read":
@@ -79,7 +79,7 @@
 
     def on_answer(self, message: say.Answer) -> None:
         node = self._node
-        if message.life == node.life and self._forwarded.pop(message.ticket, None) is not None:
+        if message.process_epoch == node.process_epoch and self._forwarded.pop(message.ticket, None) is not None:
             if message.kind == "refused":
                 node.out.append(api.ProposalRejected(message.ticket, message.why, message.leader or None))
             else:
@@ -88,7 +88,7 @@
     # Questions
 
     def on_ask(self, sender: str, message: say.Ask, change: Any) -> None:
-        asker = Asker(message.ticket, sender, message.life)
+        asker = Asker(message.ticket, sender, message.process_epoch)
         if not self._node.leads:
             self.answer(asker, "refused", why=self._why())
         elif message.kind == "propose":
@@ -109,7 +109,7 @@
             self.answer(asker, "refused", why="busy")
         else:
             self._forwarded[asker.ticket] = Forwarded(kind, node.now + node.tuning.ask_ms)
-            node.tell(node.leader, say.Ask(kind, asker.ticket, node.life, data, ident, other), Carrier.STREAM)
+            node.tell(node.leader, say.Ask(kind, asker.ticket, node.process_epoch, data, ident, other), Carrier.STREAM)
 
     def propose(self, asker: Asker, data: bytes, ident: str) -> None:
         node, tuning = self._node, self._node.tuning
--- a/limenotch/fleet/consensus/messages.py
+++ b/limenotch/fleet/consensus/messages.py
@@ -110,7 +110,7 @@
 class Ask(Message, frozen=True, array_like=True, tag="ag.ask"):
     kind: str  # propose, read, change
     ticket: int
-    life: int
+    process_epoch: int
     data: bytes = b""
     id: str = ""
     other: str = ""
@@ -119,7 +119,7 @@
 class Answer(Message, frozen=True, array_like=True, tag="ag.answer"):
     kind: str  # promised, read, refused, unknown
     ticket: int
-    life: int
+    process_epoch: int
     index: int = 0
     why: str = ""
     leader: str = ""
--- a/limenotch/fleet/consensus/node.py
+++ b/limenotch/fleet/consensus/node.py
@@ -41,7 +41,7 @@
     def __init__(self, name: str, named: tuple[str, ...], held: StoredLog, tuning: Tuning, seed: int) -> None:
         self.name, self.named, self.tuning = name, named, tuning
         self.random = Random(seed)
-        self.life = self.random.getrandbits(48)
+        self.process_epoch = self.random.getrandbits(48)
         self.log = Log(held)
         vote, mark, birth = held.term_vote.vote.partition(MARK)
         self.newborn = held == StoredLog(entries=[])
--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -82,7 +82,7 @@
     state: str  # one of membership.states.State's values
     at: Address
     incarnation: int
-    life: int  # differs between two processes of one name; a duty is held by (name, life)
+    process_epoch: int  # differs between two processes of one name; a duty is held by (name, life)
 
 
 class Fenced(NamedTuple):
--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -31,16 +31,16 @@
         self,
         name: str,
         at: Address,
-        life: int,
+        process_epoch: int,
         seeds: Iterable[Address],
         tuning: Tuning,
         seed: int,
         addresses: Mapping[str, Address],
     ) -> None:
-        self.name, self.at, self.life, self.incarnation = name, at, life, 0
+        self.name, self.at, self.process_epoch, self.incarnation = name, at, process_epoch, 0
         self.seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != at))
         self.tuning, self.addresses = tuning, addresses
-        self.random = Random(f"{seed} {name} {life}")
+        self.random = Random(f"{seed} {name} {process_epoch}")
         self.phase = Phase.JOINING
         self.table = Table(tuning.most_members - 1)
         self.agenda = Agenda()
@@ -58,7 +58,7 @@
 
     @property
     def me(self) -> Me:
-        return Me(self.at, self.life, self.incarnation, self.phase is Phase.INSIDE)
+        return Me(self.at, self.process_epoch, self.incarnation, self.phase is Phase.INSIDE)
 
     def seq(self) -> int:
         self._seq += 1
@@ -80,7 +80,7 @@
         self.acts.append(SendToAddress(at, message, carrier))
 
     def own_claim(self, state: State = State.ALIVE) -> Claim:
-        return Claim(self.name, CODES.index(state), self.at, self.life, self.incarnation)
+        return Claim(self.name, CODES.index(state), self.at, self.process_epoch, self.incarnation)
 
     def against(self, name: str, me: Me | None, now: float) -> Claim | None:
         """What is held of somebody that beats what it says of itself: it must hear of that first."""
@@ -89,7 +89,7 @@
             return None
         if me is None:
             return None if held.state is State.ALIVE else held.claim(now)
-        return held.claim(now) if wins(held.standing, (me.life, State.ALIVE, me.incarnation)) else None
+        return held.claim(now) if wins(held.standing, (me.process_epoch, State.ALIVE, me.incarnation)) else None
 
     def may_tell_off(self, name: str, now: float) -> bool:
         """Whether to tell it now what is held against it: MOST_TOLD_OFF times a period and member, then counted.
@@ -122,7 +122,7 @@
 
     def changed(self, state: State) -> None:
         """Oneself, for the parts above."""
-        self.acts.append(MemberChanged(self.name, state.value, self.at, self.incarnation, self.life))
+        self.acts.append(MemberChanged(self.name, state.value, self.at, self.incarnation, self.process_epoch))
 
     def fenced(self, **fields: Any) -> None:
         self.acts.append(Fenced())
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -40,28 +40,29 @@
     name: str
     state: State
     incarnation: int
-    life: int
+    process_epoch: int
     address: Address
     since: float
 
 
 class Membership:
-    """`life` should be higher than that of any process of this name before (say, ms of the wall clock); where it is
-    not, it is raised. `addresses` says where to send to instead of what a member advertises (a laboratory's relays)."""
+    """`process_epoch` should be higher than that of any process of this name before (say, ms of the wall clock); where
+    it is not, it is raised. `addresses` says where to send to instead of what a member advertises (a laboratory's
+    relays)."""
 
     def __init__(
         self,
         name: str,
         at: Address,
-        life: int,
+        process_epoch: int,
         seeds: Iterable[Address],
         tuning: Tuning,
         seed: int,
         addresses: Mapping[str, Address] | None = None,
     ) -> None:
-        if not sound(Claim(name, 0, at, life, 0)):
-            raise ValueError(f"name {name!r}, address {at} or life {life} can't be a member's")
-        self.ground = Ground(name, at, life, seeds, tuning, seed, addresses or {})
+        if not sound(Claim(name, 0, at, process_epoch, 0)):
+            raise ValueError(f"name {name!r}, address {at} or life {process_epoch} can't be a member's")
+        self.ground = Ground(name, at, process_epoch, seeds, tuning, seed, addresses or {})
         self.own = Own(self.ground, self._entered)
         self.prober = Prober(self.ground, lambda now, name: self.holder.unanswered(now, name))
         self.holder = Holder(self.ground, self.own, self.prober)
@@ -78,8 +79,8 @@
         return self.ground.name
 
     @property
-    def life(self) -> int:
-        return self.ground.life
+    def process_epoch(self) -> int:
+        return self.ground.process_epoch
 
     @property
     def phase(self) -> Phase:
@@ -97,8 +98,10 @@
     def members(self) -> list[Seen]:
         """All that is held, oneself first if inside."""
         ground = self.ground
-        own = Seen(ground.name, State.ALIVE, ground.incarnation, ground.life, ground.at, self._since)
-        return [own] * self.inside + [Seen(m.name, m.state, m.incarnation, m.life, m.at, m.since) for m in ground.table]
+        own = Seen(ground.name, State.ALIVE, ground.incarnation, ground.process_epoch, ground.at, self._since)
+        return [own] * self.inside + [
+            Seen(m.name, m.state, m.incarnation, m.process_epoch, m.at, m.since) for m in ground.table
+        ]
 
     def address_of(self, name: str) -> Address | None:
         """Where to send to: the settings' own address before what it advertises."""
@@ -112,7 +115,7 @@
             states[member.state.value] += 1
         return {
             "phase": ground.phase.value,
-            "life": ground.life,
+            "life": ground.process_epoch,
             "incarnation": ground.incarnation,
             **states,
             "health": ground.health.score,
@@ -311,14 +314,14 @@
     def _namesake(self, now: float, message: Spoken) -> None:
         """Another process has this name, or a message came back to its sender."""
         ground, me = self.ground, message.me
-        if me.at == ground.at and me.life == ground.life:
+        if me.at == ground.at and me.process_epoch == ground.process_epoch:
             return
         if isinstance(message, Ack):
             if me.inside:
                 self.own.answered(message)
             return
         if me.inside:
-            self.own.hear(now, Claim(ground.name, ALIVE, me.at, me.life, me.incarnation))
+            self.own.hear(now, Claim(ground.name, ALIVE, me.at, me.process_epoch, me.incarnation))
         if isinstance(message, Ping) and ground.phase is Phase.INSIDE:
             ground.say(me.at, Ack(message.seq, ground.name, ground.me))
         elif isinstance(message, Ask):
@@ -326,8 +329,10 @@
 
     def _speaker(self, now: float, name: str, me: Me) -> None:
         held = self.ground.table.get(name)
-        if me.inside and (held is None or (held.life, held.incarnation, held.at) != (me.life, me.incarnation, me.at)):
-            self.holder.hear(now, Claim(name, ALIVE, me.at, me.life, me.incarnation))
+        if me.inside and (
+            held is None or (held.process_epoch, held.incarnation, held.at) != (me.process_epoch, me.incarnation, me.at)
+        ):
+            self.holder.hear(now, Claim(name, ALIVE, me.at, me.process_epoch, me.incarnation))
 
     def _answer(self, now: float, event: MessageReceived, message: Spoken) -> None:
         ground = self.ground
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -23,7 +23,7 @@
     """The speaker of a message; its name is its frame's."""
 
     at: Address  # as it wants to be spoken to
-    life: int
+    process_epoch: int
     incarnation: int
     inside: bool = True  # False: it asks before it joins, or stays out; not to be taken for a member
 
@@ -34,7 +34,7 @@
     name: str
     state: int  # index in states.CODES
     at: Address
-    life: int
+    process_epoch: int
     incarnation: int
     by: str = ""  # who found it: independent finders of one suspicion shorten it
     age_ms: int = 0  # in tables, of the dead and left: how long ago, so that all forget them together
@@ -105,7 +105,7 @@
         0 < len(claim.name) <= LONGEST_NAME
         and 0 <= claim.state < len(CODES)
         and _address(claim.at)
-        and 0 <= claim.life <= MAX_PROCESS_EPOCH
+        and 0 <= claim.process_epoch <= MAX_PROCESS_EPOCH
         and 0 <= claim.incarnation <= MOST_INCARNATION
         and len(claim.by) <= LONGEST_NAME
         and 0 <= claim.age_ms <= MOST_AGE_MS
@@ -113,4 +113,4 @@
 
 
 def sound_me(me: Me) -> bool:
-    return _address(me.at) and 0 <= me.life <= MAX_PROCESS_EPOCH and 0 <= me.incarnation <= MOST_INCARNATION
+    return _address(me.at) and 0 <= me.process_epoch <= MAX_PROCESS_EPOCH and 0 <= me.incarnation <= MOST_INCARNATION
--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -26,10 +26,10 @@
 
 
 class Flight:
-    __slots__ = ("asked", "life", "nacks", "name")
+    __slots__ = ("asked", "nacks", "name", "process_epoch")
 
-    def __init__(self, name: str, life: int) -> None:
-        self.name, self.life = name, life
+    def __init__(self, name: str, process_epoch: int) -> None:
+        self.name, self.process_epoch = name, process_epoch
         self.asked: tuple[str, ...] = ()
         self.nacks: set[str] = set()
 
@@ -55,7 +55,7 @@
         if name is None:
             return
         ground = self.ground
-        seq, flight = ground.seq(), Flight(name, ground.table[name].life)
+        seq, flight = ground.seq(), Flight(name, ground.table[name].process_epoch)
         self.flights[seq] = flight
         self.probed[name] = seq
         ground.say(ground.at_of(name), self._ping(seq, name, now))
@@ -142,7 +142,7 @@
 
     def _stands(self, flight: Flight) -> bool:
         held = self.ground.table.get(flight.name)
-        return held is not None and held.state not in FINAL and held.life == flight.life
+        return held is not None and held.state not in FINAL and held.process_epoch == flight.process_epoch
 
     def _end(self, seq: int) -> None:
         flight = self.flights.pop(seq, None)
--- a/limenotch/fleet/membership/self_member.py
+++ b/limenotch/fleet/membership/self_member.py
@@ -76,11 +76,11 @@
     def enter(self, now: float) -> None:
         ground = self.ground
         if self.other is not None:
-            ground.life = max(ground.life, min(self.other.life + 1, MAX_PROCESS_EPOCH))
+            ground.process_epoch = max(ground.process_epoch, min(self.other.process_epoch + 1, MAX_PROCESS_EPOCH))
         self.other, self.asked, self.unanswered = None, 0, 0
         ground.incarnation = 0
         ground.phase = Phase.INSIDE
-        ground.note("joined", life=ground.life)
+        ground.note("joined", life=ground.process_epoch)
         ground.changed(State.ALIVE)
         ground.tell(ground.own_claim())
         self.entered(now)
@@ -90,9 +90,9 @@
         ground = self.ground
         if ground.phase in (Phase.JOINING, Phase.OUT):
             self._hear_of_other(now, claim)
-        elif ground.phase is Phase.INSIDE and claim.life >= ground.life:
+        elif ground.phase is Phase.INSIDE and claim.process_epoch >= ground.process_epoch:
             here, final = claim.at == ground.at, claim.says in FINAL
-            if claim.life > ground.life:
+            if claim.process_epoch > ground.process_epoch:
                 if final or here:
                     self._reborn(claim)
                 else:
@@ -116,9 +116,9 @@
         if ground.phase not in (Phase.JOINING, Phase.OUT) or message.me.at == ground.at:
             return
         self.unanswered = 0
-        self.other = Claim(ground.name, 0, message.me.at, message.me.life, message.me.incarnation)
+        self.other = Claim(ground.name, 0, message.me.at, message.me.process_epoch, message.me.incarnation)
         if not self.noted:
-            ground.note(f"twin {ground.name}", at=message.me.at, life=message.me.life)
+            ground.note(f"twin {ground.name}", at=message.me.at, life=message.me.process_epoch)
             self.noted = True
         ground.phase = Phase.OUT
 
@@ -126,7 +126,7 @@
 
     def _hear_of_other(self, now: float, claim: Claim) -> None:
         held = self.other
-        if held is None or (claim.life, claim.says in FINAL) > (held.life, held.says in FINAL):
+        if held is None or (claim.process_epoch, claim.says in FINAL) > (held.process_epoch, held.says in FINAL):
             self.other = claim
         if self.ground.phase is Phase.OUT and self.other is claim and claim.says in FINAL:
             self.enter(now)
@@ -153,14 +153,14 @@
 
     def _reborn(self, claim: Claim) -> None:
         ground = self.ground
-        ground.fenced(by=claim.by, life=ground.life)
-        ground.life, ground.incarnation = min(claim.life + 1, MAX_PROCESS_EPOCH), 0
+        ground.fenced(by=claim.by, life=ground.process_epoch)
+        ground.process_epoch, ground.incarnation = min(claim.process_epoch + 1, MAX_PROCESS_EPOCH), 0
         ground.changed(State.ALIVE)
         ground.tell(ground.own_claim())
 
     def _step_out(self, now: float, claim: Claim) -> None:
         ground = self.ground
-        ground.fenced(by=claim.name, life=ground.life)
+        ground.fenced(by=claim.name, life=ground.process_epoch)
         ground.queue.drop(ground.name)
         ground.phase, self.other, self.unanswered, self.noted = Phase.OUT, claim, 0, False
         self._ask_other()
--- a/limenotch/fleet/membership/table.py
+++ b/limenotch/fleet/membership/table.py
@@ -12,7 +12,7 @@
 
 
 class Member:
-    __slots__ = ("at", "by", "incarnation", "life", "name", "since", "state", "suspicion")
+    __slots__ = ("at", "by", "incarnation", "name", "process_epoch", "since", "state", "suspicion")
 
     def __init__(self, claim: Claim, since: float) -> None:
         self.name = claim.name
@@ -20,16 +20,16 @@
         self.take(claim, since)
 
     def take(self, claim: Claim, since: float) -> None:
-        self.at, self.life, self.state = claim.at, claim.life, claim.says
+        self.at, self.process_epoch, self.state = claim.at, claim.process_epoch, claim.says
         self.incarnation, self.by, self.since = claim.incarnation, claim.by, since
 
     @property
     def standing(self) -> Standing:
-        return (self.life, self.state, self.incarnation)
+        return (self.process_epoch, self.state, self.incarnation)
 
     def claim(self, now: float) -> Claim:
         age = int(max(0.0, now - self.since)) if self.state in FINAL else 0
-        return Claim(self.name, CODES.index(self.state), self.at, self.life, self.incarnation, self.by, age)
+        return Claim(self.name, CODES.index(self.state), self.at, self.process_epoch, self.incarnation, self.by, age)
 
 
 class Came(Enum):
@@ -67,13 +67,13 @@
             self.members[claim.name] = Member(claim, since)
             self._count()
             return Came.NEW
-        said = (claim.life, claim.says, claim.incarnation)
+        said = (claim.process_epoch, claim.says, claim.incarnation)
         if said == held.standing and claim.says is State.SUSPECT:
             return Came.SAME_SUSPICION
         if not wins(said, held.standing):
             return Came.OLD
-        same = held.life == claim.life and held.state is claim.says and held.at == claim.at
-        before = held.incarnation if held.life == claim.life else 0
+        same = held.process_epoch == claim.process_epoch and held.state is claim.says and held.at == claim.at
+        before = held.incarnation if held.process_epoch == claim.process_epoch else 0
         held.take(claim, held.since if same else since)
         held.incarnation = max(held.incarnation, before)  # a death may come of an older one than was heard of
         held.suspicion = None
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -44,7 +44,7 @@
     def __init__(
         self,
         name: str,
-        life: int,
+        process_epoch: int,
         voters: tuple[str, ...],
         first: Document,
         check: Check,
@@ -52,7 +52,7 @@
         state: bytes | None = None,
     ) -> None:
         """Raises ValueError on a first document or a state that can't be."""
-        self.name, self.life, self.tuning = name, life, tuning or Tuning()
+        self.name, self.process_epoch, self.tuning = name, process_epoch, tuning or Tuning()
         self.book = Book(first, self.tuning.most_versions, self.tuning.most_document_bytes)
         if state is not None:
             self.book.install(state)
@@ -229,7 +229,7 @@
         serial = holder.ask(self._now)
         parts = holder.parts if holder.holds(self._now) else 0
         ask = say.AskLease(
-            serial, self.life, self.book.newest, self.book.active, parts, holder.granted, self.telling.riding()
+            serial, self.process_epoch, self.book.newest, self.book.active, parts, holder.granted, self.telling.riding()
         )
         self._ask_at = self._now + self.tuning.lease_ms / 3
         if self.leads:
@@ -248,7 +248,7 @@
         self._bans(self.telling.heard(ask.bans))
         if not self.leads:
             return
-        key = (sender, ask.life)
+        key = (sender, ask.process_epoch)
         known = self._waiting.get(key)
         if len(self._waiting) < self.tuning.most_holders and (known is None or known.serial < ask.serial):
             self._waiting[key] = ask
@@ -297,7 +297,7 @@
     # Operators
 
     def _ask(self, ask: Ask) -> None:
-        ident = ask.id or f"{self.name}.{self.life}.{ask.ticket}"
+        ident = ask.id or f"{self.name}.{self.process_epoch}.{ask.ticket}"
         try:
             if ask.what == "ban":
                 self._ask_ban(ask, upstream_of(ask.document))
--- a/limenotch/fleet/rules/drain_notices.py
+++ b/limenotch/fleet/rules/drain_notices.py
@@ -38,7 +38,7 @@
 @dataclass(slots=True)
 class Peer:
     state: str = "absent"
-    life: int = 0  # as membership has it: another one after a fence, too
+    process_epoch: int = 0  # as membership has it: another one after a fence, too
     begun: int = 0  # differs between two processes of its name
     serial: int = -1  # the latest word's, of that process
     live: bool = False  # its directory answers, by its own word
@@ -69,17 +69,19 @@
             >= ENOUGH
         )
 
-    def member(self, name: str, state: str, life: int) -> bool:
+    def member(self, name: str, state: str, process_epoch: int) -> bool:
         """Whether somebody is there who was not."""
         peer = self.peers.get(name)
         if peer is None:
             if len(self.peers) >= self._most:
                 return False
             peer = self.peers[name] = Peer()
-        new = state in ("alive", "suspect") and (peer.state not in ("alive", "suspect") or peer.life != life)
-        if peer.life != life:
+        new = state in ("alive", "suspect") and (
+            peer.state not in ("alive", "suspect") or peer.process_epoch != process_epoch
+        )
+        if peer.process_epoch != process_epoch:
             peer.live = False  # until it says so: it may have begun anew
-        peer.state, peer.life = state, life
+        peer.state, peer.process_epoch = state, process_epoch
         return new
 
     def vouched(self, teller: str, claim: Claim) -> bool:
--- a/limenotch/fleet/rules/ejection_gossip.py
+++ b/limenotch/fleet/rules/ejection_gossip.py
@@ -78,8 +78,8 @@
         before = self.members.get(event.name)
         if before is None and len(self.members) >= self._most_members:
             return []
-        self.members[event.name] = (event.state, event.life)
-        new = before is None or before[0] in GONE or before[1] != event.life
+        self.members[event.name] = (event.state, event.process_epoch)
+        new = before is None or before[0] in GONE or before[1] != event.process_epoch
         if event.name == self.name or event.state in GONE or not new:
             return []
         since, many = self._exchanged if now - self._exchanged[0] < SPAN_MS else (now, 0)
--- a/limenotch/fleet/rules/endpoint_lists.py
+++ b/limenotch/fleet/rules/endpoint_lists.py
@@ -247,7 +247,7 @@
     # From the others
 
     def _member(self, event: interfaces.MemberChanged) -> None:
-        if self.drains.member(event.name, event.state, event.life) and event.name != self.name:
+        if self.drains.member(event.name, event.state, event.process_epoch) and event.name != self.name:
             since, many = self._pulls if self._now - self._pulls[0] < PULL_MS else (self._now, 0)
             if many < PULLED:
                 self._pulls = (since, many + 1)
--- a/limenotch/fleet/rules/leases.py
+++ b/limenotch/fleet/rules/leases.py
@@ -83,7 +83,7 @@
     def grant(self, now: float, name: str, ask: AskLease, version: int) -> Grant | None:
         """To who has said that it holds `version`, the newest. None: too many hold one."""
         self.prune(now)
-        key = (name, ask.life)
+        key = (name, ask.process_epoch)
         record = self.records.get(key)
         if record is None:
             if len(self.records) >= self._tuning.most_holders:
--- a/limenotch/fleet/rules/messages.py
+++ b/limenotch/fleet/rules/messages.py
@@ -10,7 +10,7 @@
 
 class AskLease(Message, frozen=True, array_like=True, tag="ru.ask"):
     serial: int
-    life: int  # differs between two processes of one name
+    process_epoch: int  # differs between two processes of one name
     version: int  # the newest held
     active: int
     parts: int  # acted under now, 0: none
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -12,8 +12,8 @@
 - A lease counts from when it was asked for, and only once all is applied here that its granter had applied.
 - A slice ends by its holder's word, or when its holder surely spends nothing and its witnesses were asked.
 - What narrows (a recall, a fence, a leave) acts in the event that tells it, and for good: it is settled afterwards.
-- `life` is the process's: marks and slices end with it. The lives of members after a fence are other numbers, so a
-  voter's life is taken from its asks for a lease.
+- `process_epoch` is the process's: marks and slices end with it. The lives of members after a fence are other numbers,
+  so a voter's life is taken from its asks for a lease.
 
 Source: docs/fleet/wallet-design.md. Messages: messages.py. Entries: entries.py.
 """
@@ -49,12 +49,12 @@
     def __init__(
         self,
         name: str,
-        life: int,
+        process_epoch: int,
         tuning: Tuning | None = None,
         voters: tuple[str, ...] = (),
         state: bytes | None = None,
     ) -> None:
-        self.name, self.life, self.tuning = name, life, tuning or Tuning()
+        self.name, self.process_epoch, self.tuning = name, process_epoch, tuning or Tuning()
         self.book = Book()
         if state is not None:
             self.book.install(state)
@@ -64,9 +64,9 @@
         self.counts: dict[str, int] = {}
         self.leader: str | None = None
         self.epoch = 0
-        own = (name, life)
+        own = (name, process_epoch)
         self.holding = Holding(own, self.book, self.purse, self.memory, self.tuning, self._propose)
-        self.granting = Granting(name, life, self.book, self.tuning, tuple(voters), self._propose)
+        self.granting = Granting(name, process_epoch, self.book, self.tuning, tuple(voters), self._propose)
         self.asks = Asks(self.book, self.tuning, self._number)
         self._out: list[Any] = []
         self._now = -NEVER
@@ -202,8 +202,8 @@
                 self._out.append(Note(f"paid {entry.tenant} {entry.amount}", {"id": entry.id}))
                 self.holding.paid(entry.tenant)
         elif applied.ok:
-            mine = (entry.name, entry.life) == (self.name, self.life)
-            owner = (entry.name, entry.life)
+            mine = (entry.name, entry.process_epoch) == (self.name, self.process_epoch)
+            owner = (entry.name, entry.process_epoch)
             if isinstance(entry, entries.Grant):
                 self.memory.granted(entry.tenant, owner, entry.serial)
                 one = self.book.slice(entry.tenant, *owner, entry.serial)
@@ -246,14 +246,14 @@
             self._ask_at = NEVER
             return
         self._out.append(
-            SendToMember(self.leader, say.AskLease(self.lease.ask(self._now), self.life), Carrier.DATAGRAM)
+            SendToMember(self.leader, say.AskLease(self.lease.ask(self._now), self.process_epoch), Carrier.DATAGRAM)
         )
         self._ask_at = self._now + self.tuning.lease_ms / 3
 
     def _asked(self, sender: str, ask: say.AskLease) -> None:
         if not self.leads:
             return
-        key = (sender, ask.life)
+        key = (sender, ask.process_epoch)
         known = self._waiting.get(key)
         if len(self._waiting) < self.tuning.most_holders and (known is None or known.serial < ask.serial):
             self._waiting[key] = ask
@@ -271,31 +271,34 @@
                 self._out.append(SendToMember(name, lease, Carrier.DATAGRAM))
 
     def _leased(self, sender: str, lease: say.Lease) -> None:
-        if lease.life == self.life:
+        if lease.process_epoch == self.process_epoch:
             self.lease.grant(lease)
 
     # Marks and recalls
 
     def _marked(self, sender: str, mark: say.Mark) -> None:
-        owner = (sender, mark.life)
+        owner = (sender, mark.process_epoch)
         held = tuple(one for one in mark.marks[: say.MOST] if self.memory.tell(one[0], owner, one[1], one[2]))
         if held:
             carrier = say.carrier([one[0] for one in held])
-            self._out.append(SendToMember(sender, say.Held(self.life, mark.life, held), carrier))
+            self._out.append(SendToMember(sender, say.Held(self.process_epoch, mark.process_epoch, held), carrier))
 
     def _held(self, sender: str, held: say.Held) -> None:
-        if held.holder == self.life:
-            self.holding.held((sender, held.life), held.marks)
+        if held.holder == self.process_epoch:
+            self.holding.held((sender, held.process_epoch), held.marks)
 
     def _recalled(self, sender: str, recall: say.Recall) -> None:
-        if recall.life == self.life:
+        if recall.process_epoch == self.process_epoch:
             self.holding.recalled(self._now, recall.recalls)
 
     def _questioned(self, sender: str, asked: say.Question) -> None:
         marks = tuple(
-            self.memory.mark(tenant, (asked.name, asked.life), serial) for tenant, serial in asked.slices[: say.MOST]
+            self.memory.mark(tenant, (asked.name, asked.process_epoch), serial)
+            for tenant, serial in asked.slices[: say.MOST]
+        )
+        self._out.append(
+            SendToMember(sender, say.Told(asked.number, asked.asker, self.process_epoch, marks), Carrier.STREAM)
         )
-        self._out.append(SendToMember(sender, say.Told(asked.number, asked.asker, self.life, marks), Carrier.STREAM))
 
     # After each event
 
--- a/limenotch/fleet/wallet/entries.py
+++ b/limenotch/fleet/wallet/entries.py
@@ -32,7 +32,7 @@
 
     tenant: str
     name: str
-    life: int
+    process_epoch: int
     serial: int
     amount: int
     witnesses: tuple[tuple[str, int], ...]  # names and lives
@@ -45,7 +45,7 @@
 
     tenant: str
     name: str
-    life: int
+    process_epoch: int
     serial: int
     spent: int
     close: bool
@@ -57,7 +57,7 @@
 
     tenant: str
     name: str
-    life: int
+    process_epoch: int
     serial: int
     mark: int
     epoch: int
@@ -69,7 +69,7 @@
 
     tenant: str
     name: str
-    life: int
+    process_epoch: int
     serial: int
     amount: int
 
--- a/limenotch/fleet/wallet/lease.py
+++ b/limenotch/fleet/wallet/lease.py
@@ -71,6 +71,6 @@
         """Whether that holder surely spends nothing, and will not without asking."""
         return self.settled(now) and self.records.get(owner, -NEVER) <= now
 
-    def lives(self, now: float) -> dict[str, int]:
+    def process_epochs(self, now: float) -> dict[str, int]:
         """By name, the life of who asked last."""
-        return {name: life for (name, life), until in self.records.items() if until > now}
+        return {name: process_epoch for (name, process_epoch), until in self.records.items() if until > now}
--- a/limenotch/fleet/wallet/ledger.py
+++ b/limenotch/fleet/wallet/ledger.py
@@ -26,7 +26,7 @@
 
 class Slice(Struct, array_like=True):
     name: str
-    life: int
+    process_epoch: int
     serial: int
     top: int  # what of it may be spent at all
     spent: int  # settled so far
@@ -38,7 +38,7 @@
 
     @property
     def owner(self) -> Owner:
-        return (self.name, self.life)
+        return (self.name, self.process_epoch)
 
     @property
     def quorum(self) -> int:
@@ -102,10 +102,10 @@
             for one in wallet.slices.values():
                 self.owners.setdefault(one.owner, set()).add((tenant, one.serial))
 
-    def slice(self, tenant: str, name: str, life: int, serial: int) -> Slice | None:
+    def slice(self, tenant: str, name: str, process_epoch: int, serial: int) -> Slice | None:
         wallet = self.wallets.get(tenant)
         one = wallet.slices.get(serial) if wallet is not None else None
-        return one if one is not None and one.owner == (name, life) else None
+        return one if one is not None and one.owner == (name, process_epoch) else None
 
     def told(self, tenant: str, owner: Owner) -> int:
         """The serial of its last Advance."""
@@ -158,12 +158,12 @@
             return Applied(entry, "bad")
         wallet.serial = entry.serial
         wallet.left -= amount
-        wallet.slices[entry.serial] = Slice(entry.name, entry.life, entry.serial, amount, 0, entry.witnesses)
-        self.owners.setdefault((entry.name, entry.life), set()).add((entry.tenant, entry.serial))
+        wallet.slices[entry.serial] = Slice(entry.name, entry.process_epoch, entry.serial, amount, 0, entry.witnesses)
+        self.owners.setdefault((entry.name, entry.process_epoch), set()).add((entry.tenant, entry.serial))
         return Applied(entry, "done", amount)
 
     def _settle(self, wallet: Wallet, entry: Settle) -> Applied:
-        one = self.slice(entry.tenant, entry.name, entry.life, entry.serial)
+        one = self.slice(entry.tenant, entry.name, entry.process_epoch, entry.serial)
         if one is None or entry.spent < 0 or entry.keep < 0:
             return Applied(entry, "bad")
         self._spend(wallet, one, entry.spent)
@@ -173,7 +173,7 @@
         return Applied(entry, "done", back)
 
     def _expire(self, wallet: Wallet, entry: Expire, epoch: int) -> Applied:
-        one = self.slice(entry.tenant, entry.name, entry.life, entry.serial)
+        one = self.slice(entry.tenant, entry.name, entry.process_epoch, entry.serial)
         if one is None or entry.epoch != epoch or entry.mark < 0:
             return Applied(entry, "bad")
         held = one.held
@@ -183,12 +183,15 @@
         return Applied(entry, "done", back if entry.told else held)
 
     def _advance(self, wallet: Wallet, entry: Advance) -> Applied:
-        if entry.serial <= self.told(entry.tenant, (entry.name, entry.life)) or not 0 < entry.amount <= MOST_CREDIT:
+        if (
+            entry.serial <= self.told(entry.tenant, (entry.name, entry.process_epoch))
+            or not 0 < entry.amount <= MOST_CREDIT
+        ):
             return Applied(entry, "bad")
-        lives = wallet.advanced.pop(entry.name, {})
-        lives.pop(entry.life, None)
-        lives[entry.life] = entry.serial
-        wallet.advanced[entry.name] = lives  # the one told last stands last
+        process_epochs = wallet.advanced.pop(entry.name, {})
+        process_epochs.pop(entry.process_epoch, None)
+        process_epochs[entry.process_epoch] = entry.serial
+        wallet.advanced[entry.name] = process_epochs  # the one told last stands last
         while sum(map(len, wallet.advanced.values())) > MOST_ADVANCED:
             first = next(iter(wallet.advanced))
             del wallet.advanced[first][next(iter(wallet.advanced[first]))]
--- a/limenotch/fleet/wallet/messages.py
+++ b/limenotch/fleet/wallet/messages.py
@@ -14,13 +14,13 @@
 
 class AskLease(Message, frozen=True, array_like=True, tag="wa.ask"):
     serial: int
-    life: int
+    process_epoch: int
 
 
 class Lease(Message, frozen=True, array_like=True, tag="wa.lease"):
     """Counts once the holder has applied the log up to `index`."""
 
-    life: int
+    process_epoch: int
     serial: int
     lease_ms: float
     index: int
@@ -30,21 +30,21 @@
     """To the leader: tenant, the newest slice that the holder knows of, units, the least that helps (0: nobody was
     turned away), and what it uses in `slice_ms`."""
 
-    life: int
+    process_epoch: int
     wants: tuple[tuple[str, int, int, int, int], ...]
 
 
 class Mark(Message, frozen=True, array_like=True, tag="wa.mark"):
     """To witnesses: so much of these slices may be spent. Tenant, serial, mark."""
 
-    life: int
+    process_epoch: int
     marks: tuple[tuple[str, int, int], ...]
 
 
 class Held(Message, frozen=True, array_like=True, tag="wa.held"):
     """A witness, in its life: it holds these. To the holder of that other life."""
 
-    life: int
+    process_epoch: int
     holder: int
     marks: tuple[tuple[str, int, int], ...]
 
@@ -53,7 +53,7 @@
     """There is little left: give back all but what is used of it within so many ms, and want no more than that for a
     lease's time. Tenant, ms."""
 
-    life: int
+    process_epoch: int
     recalls: tuple[tuple[str, float], ...]
 
 
@@ -63,7 +63,7 @@
     number: int
     asker: int  # its life
     name: str
-    life: int
+    process_epoch: int
     slices: tuple[tuple[str, int], ...]
 
 
@@ -72,7 +72,7 @@
 
     number: int
     asker: int
-    life: int
+    process_epoch: int
     marks: tuple[int, ...]
 
 
--- a/limenotch/fleet/wallet/quota_grants.py
+++ b/limenotch/fleet/wallet/quota_grants.py
@@ -53,9 +53,9 @@
 
 class Granting:
     def __init__(
-        self, name: str, life: int, book: Book, tuning: Tuning, voters: tuple[str, ...], propose: Propose
+        self, name: str, process_epoch: int, book: Book, tuning: Tuning, voters: tuple[str, ...], propose: Propose
     ) -> None:
-        self._own: Owner = (name, life)
+        self._own: Owner = (name, process_epoch)
         self._book, self._tuning, self._propose = book, tuning, propose
         self.voters = voters
         self.members: dict[str, str] = {}
@@ -102,7 +102,7 @@
 
     def lease(self, now: float, name: str, ask: say.AskLease) -> say.Lease | None:
         """The log has said since the ask that this process leads."""
-        owner = (name, ask.life)
+        owner = (name, ask.process_epoch)
         if owner in self._expiring.values():
             return None
         if owner not in self.leases.records:
@@ -110,14 +110,14 @@
         if not self.leases.grant(now, owner):
             return None
         self._gone.pop(owner, None)
-        return say.Lease(ask.life, ask.serial, self._tuning.lease_ms, self._book.index)
+        return say.Lease(ask.process_epoch, ask.serial, self._tuning.lease_ms, self._book.index)
 
     # Wants
 
     def wanted(self, now: float, name: str, want: say.Want) -> None:
         if not self.leads:
             return
-        owner, until = (name, want.life), now + self._tuning.lease_ms
+        owner, until = (name, want.process_epoch), now + self._tuning.lease_ms
         for tenant, newest, amount, least, pace in want.wants:
             if tenant not in self._book.wallets or amount <= 0 or least < 0 or pace < 0:
                 continue
@@ -153,10 +153,12 @@
                 self._dirty.add(tenant)
         if self._dirty:
             self._grant(now)
-        for (name, life), recalls in self._recalls.items():
+        for (name, process_epoch), recalls in self._recalls.items():
             for at in range(0, len(recalls), say.MOST):
                 part = tuple(recalls[at : at + say.MOST])
-                self.out.append(SendToMember(name, say.Recall(life, part), say.carrier([recall[0] for recall in part])))
+                self.out.append(
+                    SendToMember(name, say.Recall(process_epoch, part), say.carrier([recall[0] for recall in part]))
+                )
         self._recalls.clear()
         if now >= self._gone_at:
             self._look(now)
@@ -168,9 +170,9 @@
 
     def witnesses(self, now: float) -> tuple[Owner, ...]:
         """The voters that have asked for a lease lately, as they live now; none if those are not most of the voters."""
-        lives = self.leases.lives(now)
-        lives[self._own[0]] = self._own[1]
-        found = tuple((name, lives[name]) for name in self.voters if name in lives)
+        process_epochs = self.leases.process_epochs(now)
+        process_epochs[self._own[0]] = self._own[1]
+        found = tuple((name, process_epochs[name]) for name in self.voters if name in process_epochs)
         return found if 2 * len(found) > len(self.voters) else ()
 
     def _grant(self, now: float) -> None:
@@ -196,7 +198,7 @@
             for grant in part:
                 assert isinstance(grant, entries.Grant)
                 flying[grant.tenant] = flying.get(grant.tenant, 0) + grant.amount
-                self._granting[grant.tenant, (grant.name, grant.life)] = ticket
+                self._granting[grant.tenant, (grant.name, grant.process_epoch)] = ticket
             self._flying[ticket] = flying
 
     def _shares(self, now: float, tenant: str, wallet: Wallet, witnesses: tuple[Owner, ...]) -> list[entries.Grant]:
@@ -279,10 +281,10 @@
     def _lost(self, now: float, gone: Gone, witness: Owner) -> bool:
         """Whether that witness can't tell any more: another life is under its name, or it is held dead, for long
         enough, by one that is itself in reach of most voters."""
-        name, life = witness
+        name, process_epoch = witness
         if witness == self._own or now < self.leases.records.get(witness, -NEVER):
             return False
-        if name == self._own[0] or self.leases.lives(now).get(name, life) != life:
+        if name == self._own[0] or self.leases.process_epochs(now).get(name, process_epoch) != process_epoch:
             return True
         late = now >= gone.since + self._tuning.held_ms
         return late and self.members.get(name) in GONE and bool(self.witnesses(now))
@@ -309,8 +311,8 @@
                 self._resolve(now, gone)
                 continue
             gone.asked_at = now
-            for name, life in sorted(gone.witnesses()):
-                if not self._lost(now, gone, (name, life)):
+            for name, process_epoch in sorted(gone.witnesses()):
+                if not self._lost(now, gone, (name, process_epoch)):
                     self._ask(name, gone)
             self._resolve(now, gone)
 
@@ -323,7 +325,7 @@
         gone = next((gone for gone in self._gone.values() if gone.number == told.number), None)
         if not self.leads or told.asker != self._own[1] or gone is None or len(told.marks) != len(gone.slices):
             return
-        gone.told((name, told.life), dict(zip(gone.keys, told.marks, strict=True)))
+        gone.told((name, told.process_epoch), dict(zip(gone.keys, told.marks, strict=True)))
         self._resolve(now, gone)
 
     def _resolve(self, now: float, gone: Gone) -> None:
--- a/limenotch/fleet/wire.py
+++ b/limenotch/fleet/wire.py
@@ -47,7 +47,7 @@
 class Hello(Message, frozen=True, tag="wire.hello"):
     """The first frame of a stream: which process speaks on it, and where that process itself listens."""
 
-    life: int
+    process_epoch: int
     at: Address
 
 
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -99,7 +99,9 @@
     def __init__(self, among: NodeContext, tuning: Tuning) -> None:
         super().__init__()
         self._among, self._tuning = among, tuning
-        self._bindings = Bindings(among.name, among.life, among.key, tuning, int.from_bytes(os.urandom(8), "big"))
+        self._bindings = Bindings(
+            among.name, among.process_epoch, among.key, tuning, int.from_bytes(os.urandom(8), "big")
+        )
         self._table = self._bindings.table
         self._header = tuning.session.lower().encode("latin-1")
         self._windows: dict[str, float] = {}  # of keyed classes
@@ -204,7 +206,7 @@
             kept = self._conns.get(about.connection)
             if kept is None:
                 self._conn += 1
-                own = b"%d %d" % (self._among.life, self._conn)  # another connection from there is another one
+                own = b"%d %d" % (self._among.process_epoch, self._conn)  # another connection from there is another one
                 kept = self._conns[about.connection] = Kept(joined(self._among.name.encode(), b"", own))
             self.counts["connections"] += 1
             if call.placement_hint is None and kept.provider:
--- a/limenotch/fleet_adapters/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -21,7 +21,7 @@
     """Who this process is among the others, and the way to its parts."""
 
     name: str
-    life: int
+    process_epoch: int
     voters: tuple[str, ...]  # as the settings have them
     key: bytes
     tell: Callable[[ComponentEvent], None]  # raises nothing
--- a/limenotch/fleet_adapters/endpoint_lists.py
+++ b/limenotch/fleet_adapters/endpoint_lists.py
@@ -57,7 +57,7 @@
 
     def part(self, state: bytes | None, index: int) -> Lists:
         among = self._among
-        self._lists = Lists(among.name, among.life, host_port(self._where()[0]), among.voters, state=state)
+        self._lists = Lists(among.name, among.process_epoch, host_port(self._where()[0]), among.voters, state=state)
         return self._lists
 
     def began(self) -> None:
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -78,7 +78,7 @@
         if acting is None:
             return None
         self._rules = Rules(
-            among.name, among.life, among.voters, acting.initial_document(), acting.check, self._tuning, state
+            among.name, among.process_epoch, among.voters, acting.initial_document(), acting.check, self._tuning, state
         )
         return self._rules
 
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -156,7 +156,7 @@
 
     def part(self, state: bytes | None, index: int) -> Wallet:
         among = self._among
-        self._wallet = Wallet(among.name, among.life, self._tuning, among.voters, state)
+        self._wallet = Wallet(among.name, among.process_epoch, self._tuning, among.voters, state)
         return self._wallet
 
     def began(self) -> None:
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -60,7 +60,7 @@
             "name": member.name,
             "state": member.state.value,
             "incarnation": member.incarnation,
-            "life": member.life,
+            "life": member.process_epoch,
             "address": host_port(member.address),
             "since_ms": round(now - member.since),
         }
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -164,8 +164,8 @@
     prober = Prober(scenario)
     seeds = [address(name) for name in scenario.nodes[:2]]
 
-    def make(name: str, seed: int, life: int, held: StoredLog) -> Told:
-        members = Membership(name, address(name), life, seeds, MEMBERS, seed)
-        return Told(members, Bindings(name, life, SECRET, tuning, seed))
+    def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Told:
+        members = Membership(name, address(name), process_epoch, seeds, MEMBERS, seed)
+        return Told(members, Bindings(name, process_epoch, SECRET, tuning, seed))
 
     return (check if exact else play)(scenario, make, prober.ask, prober.begin)
--- a/limenotch/lab/fleet/bindings_history.py
+++ b/limenotch/lab/fleet/bindings_history.py
@@ -34,7 +34,7 @@
     at: float
     node: str
     process: int
-    life: int  # membership's
+    process_epoch: int  # membership's
     provider: str
     state: int
 
@@ -57,7 +57,7 @@
 @dataclass
 class Process:
     number: int
-    life: int
+    process_epoch: int
     since: float
     found: dict[Key, tuple[float, str]] = field(default_factory=dict)  # when last, and the provider
     over: dict[Key, float] = field(default_factory=dict)  # not found although or because it was over in truth: when
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -93,7 +93,7 @@
         if isinstance(event, Fenced):
             checker.fenced(at, self.name)
         elif isinstance(event, MemberChanged):
-            checker.holds(at, self.name, event.name, event.state, event.life)
+            checker.holds(at, self.name, event.name, event.state, event.process_epoch)
         elif isinstance(event, Providers):
             checker.providers(at, self.name, event.there)
         return self.part.handle(now, event)
@@ -129,11 +129,13 @@
         self._seeing: Key | None = None
         self.world = World(self.names, self.make, seed, delay_ms=delay_ms, **weather)
 
-    def make(self, name: str, seed: int, life: int, held: StoredLog) -> Member:
-        members = Membership(name, address(name), life, [address(one) for one in self.names[:2]], self.members, seed)
-        bindings = Bindings(name, life, SECRET, self.tuning, seed)
+    def make(self, name: str, seed: int, process_epoch: int, held: StoredLog) -> Member:
+        members = Membership(
+            name, address(name), process_epoch, [address(one) for one in self.names[:2]], self.members, seed
+        )
+        bindings = Bindings(name, process_epoch, SECRET, self.tuning, seed)
         bindings.watch = lambda why, mark: self._ended(name, bindings, why, mark)
-        self.checker.began(self.world.now, name, life)
+        self.checker.began(self.world.now, name, process_epoch)
         recorded = Recorded(self, name, bindings)
         hub = ComponentHub([("mb.", members), (PREFIX, recorded)], members)
         self.world.kernel.at(self.world.now, self._settings, name)
--- a/limenotch/lab/fleet/checks_bindings.py
+++ b/limenotch/lab/fleet/checks_bindings.py
@@ -61,15 +61,15 @@
 
     # Processes, members, ways
 
-    def began(self, at: float, node: str, life: int) -> None:
+    def began(self, at: float, node: str, process_epoch: int) -> None:
         """A process begins, or begins anew after a fence: what it held before is not its own word any more."""
         number = self._numbers[node] = self._numbers.get(node, 0) + 1
-        self.processes[node] = Process(number, life, at, changed=at)
+        self.processes[node] = Process(number, process_epoch, at, changed=at)
 
     def fenced(self, at: float, node: str) -> None:
         held = self.processes[node]
         assert held is not None
-        self.began(at, node, held.life + 1)
+        self.began(at, node, held.process_epoch + 1)
         now = self.processes[node]
         assert now is not None
         now.there, now.gone, now.holds, now.over = held.there, held.gone, held.holds, held.over
@@ -78,14 +78,14 @@
     def ended(self, at: float, node: str) -> None:
         self.processes[node] = None
 
-    def holds(self, at: float, node: str, other: str, state: str, life: int) -> None:
+    def holds(self, at: float, node: str, other: str, state: str, process_epoch: int) -> None:
         process = self.processes[node]
         if process is None:
             return
         if other == node:
-            process.life = life
-        elif process.holds.get(other) != (state, life):
-            process.holds[other] = (state, life)
+            process.process_epoch = process_epoch
+        elif process.holds.get(other) != (state, process_epoch):
+            process.holds[other] = (state, process_epoch)
             if state != "suspect":
                 process.changed = at
 
@@ -126,7 +126,7 @@
         if process is None or not taken:
             return
         stated = self.stated
-        sight = Sight(at, node, process.number, process.life, provider, state)
+        sight = Sight(at, node, process.number, process.process_epoch, provider, state)
         truth = self.truths.get(key)
         if truth is None or at >= self._over(key, truth):
             sure = not any(
@@ -261,8 +261,8 @@
                 continue
             if seer is None or seer.number == sight.process:
                 # One that fell is waited for too, until it is held dead. One that was fenced is somebody else now.
-                state, life = process.holds.get(sight.node, ("dead", 0))
-                if state not in DEAD and life == sight.life:
+                state, process_epoch = process.holds.get(sight.node, ("dead", 0))
+                if state not in DEAD and process_epoch == sight.process_epoch:
                     self._wrong(
                         at,
                         "none early",
--- a/limenotch/lab/fleet/checks_wallet.py
+++ b/limenotch/lab/fleet/checks_wallet.py
@@ -88,7 +88,7 @@
         self.step, self.advance, self.least = step, advance, least
         self.sums: dict[str, Sums] = defaultdict(Sums)
         self.slices: dict[Key, Slice] = {}
-        self.lives: dict[str, int] = {}  # the latest of each name
+        self.process_epochs: dict[str, int] = {}  # the latest of each name
         self.ended: set[tuple[str, int]] = set()
         self.away: set[str] = set()  # paused or cut off, now or a moment ago
         self.index = 0
@@ -99,14 +99,14 @@
 
     # Sidecars
 
-    def started(self, name: str, life: int) -> None:
-        for before in range(self.lives.get(name, life), life):
+    def started(self, name: str, process_epoch: int) -> None:
+        for before in range(self.process_epochs.get(name, process_epoch), process_epoch):
             self.ended.add((name, before))
-        self.lives[name] = life
+        self.process_epochs[name] = process_epoch
 
     def died(self, name: str) -> None:
-        if name in self.lives:
-            self.ended.add((name, self.lives[name]))
+        if name in self.process_epochs:
+            self.ended.add((name, self.process_epochs[name]))
 
     # Operators
 
@@ -122,19 +122,19 @@
     # Calls
 
     def reserved(
-        self, at: float, name: str, life: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]
+        self, at: float, name: str, process_epoch: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]
     ) -> None:
         """`slices`: serial and units; serial 0 is the advance."""
-        sums, who = self.sums[tenant], f"{at:.1f}: {name}.{life} {tenant}"
-        self._is((name, life) not in self.ended, f"{who}: reserves after its end")
-        self._open.add((name, life, number))
+        sums, who = self.sums[tenant], f"{at:.1f}: {name}.{process_epoch} {tenant}"
+        self._is((name, process_epoch) not in self.ended, f"{who}: reserves after its end")
+        self._open.add((name, process_epoch, number))
         for serial, units in slices:
             self._is(units > 0, f"{who}: reserves {units}")
             sums.reserved += units
             if not serial:
                 sums.ahead += units
                 continue
-            part = self.slices.get((tenant, name, life, serial))
+            part = self.slices.get((tenant, name, process_epoch, serial))
             self._is(part is not None, f"{who}: reserves of slice {serial}, which is agreed nowhere")
             assert part is not None
             part.taken += units
@@ -144,7 +144,7 @@
                 f"{who}: slice {serial} has {part.top}{' and is closed' * part.closed}, {part.taken} are taken",
             )
         whole = sums.charged + sums.reserved
-        bound = sums.credit + self.advance * max(1, len(self.ended) + len(self.lives))
+        bound = sums.credit + self.advance * max(1, len(self.ended) + len(self.process_epochs))
         self._is(
             whole <= bound,
             f"{who}: overspent: {whole} charged and reserved, {sums.credit} credited, {sums.ahead} of them ahead of it",
@@ -152,18 +152,22 @@
         if sum(units for _, units in slices):
             sums.served.append((at, name))
 
-    def charged(self, name: str, life: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]) -> None:
-        self._end(name, life, number)
+    def charged(
+        self, name: str, process_epoch: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]
+    ) -> None:
+        self._end(name, process_epoch, number)
         for _, units in slices:
             self.sums[tenant].reserved -= units
             self.sums[tenant].charged += units
 
-    def given_back(self, name: str, life: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]) -> None:
-        self._end(name, life, number)
+    def given_back(
+        self, name: str, process_epoch: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]
+    ) -> None:
+        self._end(name, process_epoch, number)
         for serial, units in slices:
             self.sums[tenant].reserved -= units
             if serial:
-                self.slices[(tenant, name, life, serial)].taken -= units
+                self.slices[(tenant, name, process_epoch, serial)].taken -= units
             else:
                 self.sums[tenant].ahead -= units
 
@@ -175,9 +179,9 @@
         else:
             sums.turned.append((at, name, sums.charged + sums.reserved))
 
-    def _end(self, name: str, life: int, number: int) -> None:
-        self._is((name, life, number) in self._open, f"{name}.{life}: call {number} ends twice")
-        self._open.discard((name, life, number))
+    def _end(self, name: str, process_epoch: int, number: int) -> None:
+        self._is((name, process_epoch, number) in self._open, f"{name}.{process_epoch}: call {number} ends twice")
+        self._open.discard((name, process_epoch, number))
 
     # Agreed states
 
@@ -259,12 +263,16 @@
         self._is(rest == 0 or rest > 0 and self.advance > 0, f"{where}: spent is {rest} more than its slices tell")
 
     def _bound(self, part: Slice) -> int:
-        there = sum(not self._gone(name, life) for name, life in part.witnesses)
+        there = sum(not self._gone(name, process_epoch) for name, process_epoch in part.witnesses)
         step = max(self.least, ceil(self.step * part.amount))
         return part.amount if 2 * there <= len(part.witnesses) else min(part.amount, step + part.peak - part.taken)
 
-    def _gone(self, name: str, life: int) -> bool:
-        return (name, life) in self.ended or self.lives.get(name, life) != life or name in self.away
+    def _gone(self, name: str, process_epoch: int) -> bool:
+        return (
+            (name, process_epoch) in self.ended
+            or self.process_epochs.get(name, process_epoch) != process_epoch
+            or name in self.away
+        )
 
     # The end
 
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -86,7 +86,7 @@
 class _Node:
     part: Any = None
     mark: Hashable = None  # the part's digest
-    life: int = 0
+    process_epoch: int = 0
     now: float = 0.0
     timers: tuple[tuple[float, int], ...] = ()
     held: StoredLog = field(default_factory=lambda: StoredLog(entries=[]))
@@ -190,7 +190,7 @@
         nodes = tuple(
             (
                 node.mark,
-                node.life,
+                node.process_epoch,
                 tuple((at - node.now, token) for at, token in node.timers),
                 _ENCODER.encode((node.held.term_vote, node.held.snapshot, node.held.entries, node.waiting)),
             )
@@ -235,7 +235,7 @@
                     held = node.held
                     for _, records in node.waiting[:many]:
                         held = _with(held, records)
-                    down = _Node(life=node.life, now=node.now, held=held)
+                    down = _Node(process_epoch=node.process_epoch, now=node.now, held=held)
                     flying = tuple(one for one in state.flying if not (one.stream and name in (one.frm, one.to)))
                     yield replace(
                         state,
@@ -283,8 +283,10 @@
     def _start(self, state: _State, name: str, choice: str) -> _State:
         node = state.nodes[name]
         held = StoredLog(node.held.term_vote, node.held.snapshot, list(node.held.entries))
-        part = self.make(name, self.seed, node.life + 1, held)
-        after = replace(state, nodes={**state.nodes, name: replace(node, part=part, life=node.life + 1)})
+        part = self.make(name, self.seed, node.process_epoch + 1, held)
+        after = replace(
+            state, nodes={**state.nodes, name: replace(node, part=part, process_epoch=node.process_epoch + 1)}
+        )
         return self._told(after, state, name, Started(), choice)
 
     def _told(self, after: _State, before: _State, name: str, event: Any, choice: str) -> _State:
--- a/limenotch/lab/fleet/explore_log.py
+++ b/limenotch/lab/fleet/explore_log.py
@@ -66,8 +66,8 @@
 
 
 def maker(names: Sequence[str]) -> Make:
-    def make(name: str, seed: int, life: int, held: StoredLog) -> Member:
-        return Member(name, names, held, seed + 100 * life + names.index(name))
+    def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Member:
+        return Member(name, names, held, seed + 100 * process_epoch + names.index(name))
 
     return make
 
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -58,11 +58,13 @@
         self.made: dict[str, Lists] = {}
         self.uses: dict[str, tuple[dict[str, str], set[str]]] = {}
 
-    def make(self, name: str, seed: int, life: int, held: StoredLog) -> ComponentHub:
-        members = Membership(name, address(name), life, [address(one) for one in self.nodes[:3]], MEMBERS, seed)
+    def make(self, name: str, seed: int, process_epoch: int, held: StoredLog) -> ComponentHub:
+        members = Membership(
+            name, address(name), process_epoch, [address(one) for one in self.nodes[:3]], MEMBERS, seed
+        )
         log = consensus.Agreement(name, self.voters, held, OF_THE_LOG, seed)
         states = split_states(log.state)
-        lists = self.made[name] = Lists(name, life, "d1", self.voters, state=states.get(PREFIX))
+        lists = self.made[name] = Lists(name, process_epoch, "d1", self.voters, state=states.get(PREFIX))
         hub = ComponentHub([("mb.", members), (LOG, log), (PREFIX, lists)], members)
         hub.found(states)
         self.uses[name] = ({}, set())
--- a/limenotch/lab/fleet/log_drawings.py
+++ b/limenotch/lab/fleet/log_drawings.py
@@ -70,7 +70,7 @@
     """The first three nodes are the voters named. AssertionError where it did not come out, if `exact`."""
     voters = scenario.nodes[:3]
 
-    def make(name: str, seed: int, life: int, held: StoredLog) -> Told:
+    def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Told:
         return Told(name, tuple(voters), seed, held)
 
     return (check if exact else play)(scenario, make, ask)
--- a/limenotch/lab/fleet/log_run.py
+++ b/limenotch/lab/fleet/log_run.py
@@ -96,7 +96,9 @@
         self.names = list(nodes)
         self.random = Random(f"{seed} run")
         self.checker = Checker(lambda: {name: node.disk.held for name, node in self.world.nodes.items()})
-        self.world = World(self.names, lambda name, seed, life, held: Member(self, name, seed, held), seed, **weather)
+        self.world = World(
+            self.names, lambda name, seed, process_epoch, held: Member(self, name, seed, held), seed, **weather
+        )
         self.ticket = 0
         self.asked: dict[int, float] = {}
         self.spans: list[float] = []  # ms from proposal to promise
--- a/limenotch/lab/fleet/members.py
+++ b/limenotch/lab/fleet/members.py
@@ -34,13 +34,13 @@
     seeds: Iterable[str] = ("a", "b"),
     tuning: Tuning = TUNING,
     names: Mapping[str, str] | None = None,
-    lives: str = "grow",
+    process_epochs: str = "grow",
 ) -> Make:
     known, named = [address(seed) for seed in seeds], dict(names or {})
 
-    def make(name: str, seed: int, life: int, held: StoredLog) -> Named:
-        life = 1 if lives == "same" else life
-        return Named(Membership(named.get(name, name), address(name), life, known, tuning, seed), named)
+    def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Named:
+        process_epoch = 1 if process_epochs == "same" else process_epoch
+        return Named(Membership(named.get(name, name), address(name), process_epoch, known, tuning, seed), named)
 
     return make
 
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -85,11 +85,17 @@
 
 
 class Member:
-    def __init__(self, run: Run, name: str, seed: int, life: int, held: StoredLog) -> None:
+    def __init__(self, run: Run, name: str, seed: int, process_epoch: int, held: StoredLog) -> None:
         self.run, self.name = run, name
         self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
         self.rules = Rules(
-            name, life, run.voters, FIRST, run.checks.get(name, settings_check), run.tuning, self.agreement.state
+            name,
+            process_epoch,
+            run.voters,
+            FIRST,
+            run.checks.get(name, settings_check),
+            run.tuning,
+            self.agreement.state,
         )
 
     def handle(self, now: float, event: Any) -> list[Any]:
@@ -172,8 +178,8 @@
         if seed is not None:
             self.world = World(self.names, self.make, seed, **weather)
 
-    def make(self, name: str, seed: int, life: int, held: StoredLog) -> Member:
-        return Member(self, name, seed, life, held)
+    def make(self, name: str, seed: int, process_epoch: int, held: StoredLog) -> Member:
+        return Member(self, name, seed, process_epoch, held)
 
     def rules(self, name: str) -> Rules | None:
         part = self.world.part(name)
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -81,7 +81,7 @@
             wallet.spent,
             wallet.left,
             {
-                (one.name, one.life, one.serial): Part(one.top, one.spent, one.witnesses)
+                (one.name, one.process_epoch, one.serial): Part(one.top, one.spent, one.witnesses)
                 for one in wallet.slices.values()
             },
         )
@@ -95,7 +95,7 @@
     for entry in entries.decode(data) or ():
         if isinstance(entry, (entries.Settle, entries.Expire)):
             expired = isinstance(entry, entries.Expire)
-            key = (entry.tenant, entry.name, entry.life, entry.serial)
+            key = (entry.tenant, entry.name, entry.process_epoch, entry.serial)
             claims[key] = Claim(entry.mark if isinstance(entry, entries.Expire) else entry.spent, expired)
     return claims
 
@@ -119,13 +119,13 @@
 class Member:
     """A part for the world. Hosts the purse as the program does: calls first, `Look` when it wants something."""
 
-    def __init__(self, run: Run, name: str, seed: int, life: int, held: StoredLog) -> None:
-        self.run, self.name, self.life = run, name, life
+    def __init__(self, run: Run, name: str, seed: int, process_epoch: int, held: StoredLog) -> None:
+        self.run, self.name, self.process_epoch = run, name, process_epoch
         seeds = [address(one) for one in run.names[:2]]
-        self.membership = Membership(name, address(name), life, seeds, run.members, seed)
+        self.membership = Membership(name, address(name), process_epoch, seeds, run.members, seed)
         self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
         state = split_states(self.agreement.state).get(PREFIX)
-        self.wallet = Wallet(name, life, run.tuning, run.voters, state)
+        self.wallet = Wallet(name, process_epoch, run.tuning, run.voters, state)
         self.purse = self.wallet.purse
         self.hub = ComponentHub(
             [("mb.", self.membership), ("ag.", self.agreement), (PREFIX, Watched(self, self.wallet))], self.membership
@@ -135,7 +135,7 @@
         self.serving: dict[str, bool] = {}
         self._notes: list[Any] = []
         self._wanted = False
-        run.checker.started(name, life)
+        run.checker.started(name, process_epoch)
 
     def agreed(self, event: log.EntryCommitted | log.SnapshotInstalled) -> None:
         run = self.run
@@ -173,7 +173,7 @@
         if isinstance(got, api.Turned):
             run.checker.turned(at, self.name, call.tenant, got.coming)
         else:
-            run.checker.reserved(at, self.name, self.life, call.number, call.tenant, got.slices)
+            run.checker.reserved(at, self.name, self.process_epoch, call.number, call.tenant, got.slices)
             self.open[call.number] = got
             run.later(call.span_ms, self.name, Over(call.number, call.served))
         served = not isinstance(got, api.Turned)
@@ -188,10 +188,10 @@
             return  # it was taken by an earlier process of this name
         if over.served:
             self.purse.charge(now, held)
-            self.run.checker.charged(self.name, self.life, over.number, held.tenant, held.slices)
+            self.run.checker.charged(self.name, self.process_epoch, over.number, held.tenant, held.slices)
         else:
             self.purse.give_back(now, held)
-            self.run.checker.given_back(self.name, self.life, over.number, held.tenant, held.slices)
+            self.run.checker.given_back(self.name, self.process_epoch, over.number, held.tenant, held.slices)
 
     def _answered(self, answer: api.Answer) -> None:
         self.run.answered(answer)
@@ -233,8 +233,8 @@
     def begin(self, seed: int, **weather: Any) -> None:
         self.world = World(self.names, self.make, seed, **weather)
 
-    def make(self, name: str, seed: int, life: int, held: StoredLog) -> Member:
-        return Member(self, name, seed, life, held)
+    def make(self, name: str, seed: int, process_epoch: int, held: StoredLog) -> Member:
+        return Member(self, name, seed, process_epoch, held)
 
     def now(self) -> float:
         return self.world.now
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -91,7 +91,7 @@
         self.address = address(name)
         self.disk = disk
         self.part: Any = None  # None: no process
-        self.life = 0
+        self.process_epoch = 0
         self.paused = False
         self.ahead = ahead
         self.rate = rate
@@ -251,7 +251,7 @@
             whole.update(repr(change).encode())
         whole.update(repr((self._history, sorted(self.counts.items()), self.kernel.events)).encode())
         for each in self.nodes.values():
-            whole.update(repr((each.name, each.life, each.traffic.bytes, each.disk.held)).encode())
+            whole.update(repr((each.name, each.process_epoch, each.traffic.bytes, each.disk.held)).encode())
         return whole.hexdigest()
 
     # Processes
@@ -273,10 +273,10 @@
     def _start(self, node: Node) -> None:
         if node.part is not None:
             raise ValueError(f"start {node.name}: it runs already")
-        node.life += 1
+        node.process_epoch += 1
         node.now = node.clock(self.kernel.now)
-        seed = crc32(f"{self.seed} {node.name} {node.life}".encode())
-        node.part = self.make(node.name, seed, node.life, node.disk.copy())
+        seed = crc32(f"{self.seed} {node.name} {node.process_epoch}".encode())
+        node.part = self.make(node.name, seed, node.process_epoch, node.disk.copy())
         self._handle(node, Started())
 
     def _end(self, node: Node, what: str) -> None:
@@ -294,9 +294,9 @@
         # By when they were due; a sort keeps the order of those due at one time.
         timers: list[Any] = [TimerFired(token) for _, token in sorted(node.late, key=lambda timer: timer[0])]
         heard, node.late, node.buffer, node.buffered = node.buffer, [], [], 0
-        life = node.life
+        process_epoch = node.process_epoch
         for event in timers + heard if self._wake_first == "timers" else heard + timers:
-            if node.life == life and node.part is not None:
+            if node.process_epoch == process_epoch and node.part is not None:
                 self._handle(node, event)
 
     # Events and actions
@@ -371,10 +371,10 @@
             self._count("buffer full")
 
     def _set(self, node: Node, action: SetTimer) -> None:
-        self.kernel.at((action.at_ms - node.ahead) / node.rate, self._fire, node, node.life, action)
+        self.kernel.at((action.at_ms - node.ahead) / node.rate, self._fire, node, node.process_epoch, action)
 
-    def _fire(self, node: Node, life: int, timer: SetTimer) -> None:
-        if node.life != life or node.part is None:
+    def _fire(self, node: Node, process_epoch: int, timer: SetTimer) -> None:
+        if node.process_epoch != process_epoch or node.part is None:
             return
         if node.paused:
             node.late.append((timer.at_ms, timer.token))
--- a/limenotch/net/peer_streams.py
+++ b/limenotch/net/peer_streams.py
@@ -299,7 +299,7 @@
         return True
 
     def _greeted(self, caller: _Caller, sender: str, hello: Hello) -> None:
-        caller.hello, caller.who = hello, (sender, hello.life)
+        caller.hello, caller.who = hello, (sender, hello.process_epoch)
         for other in [each for each in self._callers if each is not caller and each.who == caller.who]:
             self._shut(other)
 
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -80,7 +80,7 @@
         self,
         listen: Address,
         name: str,
-        life: int,
+        process_epoch: int,
         hub: ComponentHub,
         wire: FrameCodec,
         streams: int = 32,
@@ -88,7 +88,7 @@
         at: Address | None = None,
     ) -> None:
         """`at`: where others reach this process, if not at `listen`. `disk` is closed with this."""
-        self._listen, self._name, self._life = listen, name, life
+        self._listen, self._name, self._process_epoch = listen, name, process_epoch
         self._at, self._most = at, streams
         self._hub, self._wire, self._disk = hub, wire, disk
         self._loop = asyncio.get_running_loop()
@@ -134,7 +134,7 @@
                 log.warning("fleet: not listening yet", listen=host_port(self._listen), error=str(error), wait_s=wait)
             await asyncio.sleep(wait)
             wait = min(2 * wait, MOST_WAIT_S)
-        log.info("fleet: listening", listen=host_port(self._listen), life=self._life)
+        log.info("fleet: listening", listen=host_port(self._listen), life=self._process_epoch)
         if ready is not None:
             disk = await ready()
             if self._closed:
@@ -162,7 +162,7 @@
                 sock.close()
             raise
         at = self._at or taken[0].getsockname()[:2]
-        hello = self._wire.encode(self._name, Hello(self._life, at))
+        hello = self._wire.encode(self._name, Hello(self._process_epoch, at))
         self._streams = PeerStreams(self._wire, hello, self._most, self._heed)
         self._listener = Listener(taken[0], self._accept)
         self._datagrams = taken[1]
--- a/tests/fleet/affinity_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -43,16 +43,16 @@
 class Told:
     """A member whose membership is what `Fleet` says."""
 
-    def __init__(self, fleet: Fleet, name: str, life: int) -> None:
-        self.fleet, self.name, self.life = fleet, name, life
-        self.bindings = Bindings(name, life, KEY, fleet.tuning, 5)
+    def __init__(self, fleet: Fleet, name: str, process_epoch: int) -> None:
+        self.fleet, self.name, self.process_epoch = fleet, name, process_epoch
+        self.bindings = Bindings(name, process_epoch, KEY, fleet.tuning, 5)
 
     def handle(self, now: float, event: Any) -> list[Any]:
         out = self.bindings.handle(now, event)
         if isinstance(event, Started):
             for other in sorted(self.fleet.there | {self.name}):
-                life = self.life if other == self.name else self.fleet.lives.get(other, 1)
-                out += self.bindings.handle(now, MemberChanged(other, "alive", address(other), 0, life))
+                process_epoch = self.process_epoch if other == self.name else self.fleet.process_epochs.get(other, 1)
+                out += self.bindings.handle(now, MemberChanged(other, "alive", address(other), 0, process_epoch))
             out += self.bindings.handle(now, Providers(THERE))
         return out
 
@@ -60,9 +60,9 @@
 class Hubbed:
     """A member with the real membership below."""
 
-    def __init__(self, fleet: Fleet, name: str, seed: int, life: int) -> None:
-        membership = Membership(name, address(name), life, [address("a"), address("b")], TUNING, seed)
-        self.bindings = Bindings(name, life, KEY, fleet.tuning, seed)
+    def __init__(self, fleet: Fleet, name: str, seed: int, process_epoch: int) -> None:
+        membership = Membership(name, address(name), process_epoch, [address("a"), address("b")], TUNING, seed)
+        self.bindings = Bindings(name, process_epoch, KEY, fleet.tuning, seed)
         self.hub = ComponentHub((("mb.", membership), ("bi.", self.bindings)), membership)
 
     def handle(self, now: float, event: Any) -> list[Any]:
@@ -85,13 +85,13 @@
         """`mute`: of `later`, held alive all the same."""
         self.names, self.tuning = list(names), tuning
         self.there = set(self.names) - set(weather.get("later", "")) | set(mute)
-        self.lives: dict[str, int] = {}
+        self.process_epochs: dict[str, int] = {}
         self._real = real
         self.world = World(self.names, self._make, seed, **weather)
 
-    def _make(self, name: str, seed: int, life: int, held: StoredLog) -> Any:
-        self.lives[name] = life
-        return Hubbed(self, name, seed, life) if self._real else Told(self, name, life)
+    def _make(self, name: str, seed: int, process_epoch: int, held: StoredLog) -> Any:
+        self.process_epochs[name] = process_epoch
+        return Hubbed(self, name, seed, process_epoch) if self._real else Told(self, name, process_epoch)
 
     def of(self, name: str) -> Bindings:
         part: Bindings = self.world.part(name).bindings
@@ -112,15 +112,15 @@
             if self.world.alive(name):
                 self.world.poke(name, ComponentEvent("bi.", event) if self._real else event)
 
-    def changed(self, who: str, state: str, life: int, *names: str) -> None:
+    def changed(self, who: str, state: str, process_epoch: int, *names: str) -> None:
         self.there.add(who)
-        self.say(MemberChanged(who, state, address(who), 0, life), *names)
+        self.say(MemberChanged(who, state, address(who), 0, process_epoch), *names)
 
     def fence(self, who: str) -> None:
         """It has been dead to the others; all hear of its next life."""
-        self.lives[who] += 1
+        self.process_epochs[who] += 1
         self.say(Fenced(), who)
-        self.changed(who, "alive", self.lives[who])
+        self.changed(who, "alive", self.process_epochs[who])
 
     def see(
         self,
--- a/tests/fleet/fake_nodes.py
+++ b/tests/fleet/fake_nodes.py
@@ -21,11 +21,11 @@
 class One:
     """A process: its parts, and a book of who is where."""
 
-    def __init__(self, name: str, life: int = 1, at: tuple[str, int] = (HOST, 0), **more: Any) -> None:
+    def __init__(self, name: str, process_epoch: int = 1, at: tuple[str, int] = (HOST, 0), **more: Any) -> None:
         self.toy, self.log, self.book = Toy(), Toy(), Book({})
         self.wire = FrameCodec(KEY, "g", ALL)
         self.hub = ComponentHub([("mb.", self.toy), ("ag.", self.log)], self.book)
-        self.others = PeerTransport(at, name, life, self.hub, self.wire, **more)
+        self.others = PeerTransport(at, name, process_epoch, self.hub, self.wire, **more)
 
     @property
     def at(self) -> tuple[str, int]:
--- a/tests/fleet/fake_parts.py
+++ b/tests/fleet/fake_parts.py
@@ -79,7 +79,7 @@
 
 
 def listeners(*names: str, carrier: Carrier = Carrier.DATAGRAM) -> Callable[[str, int, int, StoredLog], Listener]:
-    return lambda name, seed, life, held: Listener(name, tuple(one for one in names if one != name), carrier)
+    return lambda name, seed, process_epoch, held: Listener(name, tuple(one for one in names if one != name), carrier)
 
 
 class Put(NamedTuple):
--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -116,16 +116,16 @@
             return
         wallet = self.wallets[name]
         for action in wallet.handle(self.now, event):
-            self._act(name, wallet.life, action)
+            self._act(name, wallet.process_epoch, action)
         for tenant, held in wallet.book.wallets.items():
             assert held.sound, (tenant, held)
 
-    def _act(self, name: str, life: int, action: Any) -> None:
+    def _act(self, name: str, process_epoch: int, action: Any) -> None:
         if isinstance(action, SendToMember):
             if action.to in self.wallets and not self.lost(name, action.to, action.message):
                 self.tell(action.to, MessageReceived((name, 1), name, action.message, action.carrier))
         elif isinstance(action, SetTimer):
-            self._timers.append((action.at_ms, name, life, action.token))
+            self._timers.append((action.at_ms, name, process_epoch, action.token))
         elif isinstance(action, Note):
             self.said.append((self.now, name, action.text))
         elif isinstance(action, api.Answer):
@@ -165,7 +165,7 @@
             first = min(due)
             self._timers.remove(first)
             self.now = max(self.now, first[0])
-            if first[1] in self.wallets and self.wallets[first[1]].life == first[2]:
+            if first[1] in self.wallets and self.wallets[first[1]].process_epoch == first[2]:
                 self.tell(first[1], TimerFired(first[3]))
         self.now = until
 
--- a/tests/fleet/rules_bugs.py
+++ b/tests/fleet/rules_bugs.py
@@ -48,7 +48,11 @@
     real = core.Rules._grant
 
     def grant(self: core.Rules, name: str, ask: say.AskLease) -> None:
-        real(self, name, say.AskLease(ask.serial, ask.life, self.book.newest, self.book.active, ask.parts, ask.granted))
+        real(
+            self,
+            name,
+            say.AskLease(ask.serial, ask.process_epoch, self.book.newest, self.book.active, ask.parts, ask.granted),
+        )
 
     patch.setattr(core.Rules, "_grant", grant)
 
--- a/tests/fleet/test_endpoint_lists.py
+++ b/tests/fleet/test_endpoint_lists.py
@@ -29,8 +29,8 @@
     assert len(FILES) >= 6 and all(path.name in page for path in FILES)
 
 
-def member(name: str, state: str = "alive", life: int = 1) -> MemberChanged:
-    return MemberChanged(name, state, (name, 1), 1, life)
+def member(name: str, state: str = "alive", process_epoch: int = 1) -> MemberChanged:
+    return MemberChanged(name, state, (name, 1), 1, process_epoch)
 
 
 def held(*members: str, voters: tuple[str, ...] = ("a", "b", "c")) -> Lists:
@@ -123,7 +123,7 @@
     if end in ("dead", "left"):
         assert PeerDrain({}) not in lists.handle(2.0, member("b", end))
     elif end == "anew":
-        lists.handle(2.0, member("b", life=2))
+        lists.handle(2.0, member("b", process_epoch=2))
         assert heard(lists, word(1, directory="d2", begun=2, whole=True), now=2.0) == [], "it knows nothing of before"
     else:
         assert heard(lists, word(1, directory="d2", serial=2, live=False), now=2.0) == []
--- a/tests/fleet/test_endpoint_lists_storms.py
+++ b/tests/fleet/test_endpoint_lists_storms.py
@@ -140,11 +140,11 @@
     def any_list(self: drain_notices.Drains, directory: str, index: int, ready: set[str], asked: float) -> None:
         listed(self, directory, index, ready, asked if asked == -float("inf") else float("inf"))
 
-    def forgets(self: drain_notices.Drains, name: str, state: str, life: int) -> bool:
+    def forgets(self: drain_notices.Drains, name: str, state: str, process_epoch: int) -> bool:
         if state == "dead":
             for provider in [one for one, told in self.claims.items() if name in told]:
                 self._end(provider, name)
-        return member_(self, name, state, life)
+        return member_(self, name, state, process_epoch)
 
     if name == "a list asked for before ends a drain":
         monkeypatch.setattr(drain_notices.Drains, "listed", any_list)
--- a/tests/fleet/test_explore.py
+++ b/tests/fleet/test_explore.py
@@ -25,7 +25,12 @@
 
 def explore(bounds: Bounds, bug: str = "", no: str = "c", clocks: str = "free") -> Explored:
     return Explorer(
-        NODES, lambda name, seed, life, held: Voter(name, held, bug, no), Voter.digest, agreed, bounds, clocks=clocks
+        NODES,
+        lambda name, seed, process_epoch, held: Voter(name, held, bug, no),
+        Voter.digest,
+        agreed,
+        bounds,
+        clocks=clocks,
     ).run()
 
 
@@ -93,7 +98,7 @@
 def test_streams_keep_order_and_datagrams_do_not(carrier: Carrier) -> None:
     found = Explorer(
         ("a", "b"),
-        lambda name, seed, life, held: Order(name, carrier),
+        lambda name, seed, process_epoch, held: Order(name, carrier),
         lambda part: tuple(part.heard),
         lambda view: "order" if ("b", "wrong order") in view.notes else None,
     ).run()
@@ -113,7 +118,7 @@
 
     found = Explorer(
         ("a", "b"),
-        lambda name, seed, life, held: Asked(name, Carrier.STREAM),
+        lambda name, seed, process_epoch, held: Asked(name, Carrier.STREAM),
         lambda part: tuple(part.heard),
         check,
         asks=[("b", "now")],
--- a/tests/fleet/test_fleet_node.py
+++ b/tests/fleet/test_fleet_node.py
@@ -69,8 +69,8 @@
         assert not told["listening"] and told["members"] == []
         await before.end()
         await seen([a, after], a="alive", b="alive")
-        lives = {member["name"]: member["life"] for member in (await a.told())["members"]}
-        assert lives["b"] == (await after.told())["parts"]["membership"]["life"] >= told["life"]
+        process_epochs = {member["name"]: member["life"] for member in (await a.told())["members"]}
+        assert process_epochs["b"] == (await after.told())["parts"]["membership"]["life"] >= told["life"]
 
     run(case)
 
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -48,8 +48,8 @@
 AT = ("h", 1)
 
 
-def claim(name: str = "b", state: int = 0, life: int = 1, incarnation: int = 0, by: str = "") -> Claim:
-    return Claim(name, state, AT, life, incarnation, by)
+def claim(name: str = "b", state: int = 0, process_epoch: int = 1, incarnation: int = 0, by: str = "") -> Claim:
+    return Claim(name, state, AT, process_epoch, incarnation, by)
 
 
 def test_states_are_in_one_order() -> None:
@@ -73,10 +73,10 @@
 
     def end(order: list[Standing]) -> Standing:
         table = Table(5)
-        for life, state, incarnation in order:
-            table.hear(claim(state=list(State).index(state), life=life, incarnation=incarnation), 0.0)
-        life, state, incarnation = table["b"].standing
-        return (life, state, 0 if state in FINAL else incarnation)
+        for process_epoch, state, incarnation in order:
+            table.hear(claim(state=list(State).index(state), process_epoch=process_epoch, incarnation=incarnation), 0.0)
+        process_epoch, state, incarnation = table["b"].standing
+        return (process_epoch, state, 0 if state in FINAL else incarnation)
 
     assert end(some) == end(list(reversed(some))) == end(some + some)
 
@@ -191,7 +191,7 @@
     ("message", "why"),
     [
         (News(ME, (claim("c", state=9),)), "unsound claim"),
-        (News(ME, (claim("c", life=-1),)), "unsound claim"),
+        (News(ME, (claim("c", process_epoch=-1),)), "unsound claim"),
         (News(ME, (claim("c", incarnation=1 << 60),)), "unsound claim"),
         (News(ME, (claim(""),)), "unsound claim"),
         (News(ME, (Claim("c", 0, ("x" * (LONGEST_HOST + 1), 1), 1, 0),)), "unsound claim"),
--- a/tests/fleet/test_membership_runs.py
+++ b/tests/fleet/test_membership_runs.py
@@ -53,30 +53,30 @@
         elif isinstance(what, Fenced):
             ended[node][node] = last[node][node][0]
         else:
-            now = (what.life, what.incarnation)
+            now = (what.process_epoch, what.incarnation)
             if now < last[node].get(what.name, (0, 0)):
                 return f"{node} held {what.name} at {last[node][what.name]}, then at {now}"
-            if what.state in ("alive", "suspect") and what.life <= ended[node].get(what.name, 0):
-                return f"{node} reports {what.name} {what.state} with life {what.life}, which had ended"
+            if what.state in ("alive", "suspect") and what.process_epoch <= ended[node].get(what.name, 0):
+                return f"{node} reports {what.name} {what.state} with life {what.process_epoch}, which had ended"
             if what.state in ("dead", "left"):
-                ended[node][what.name] = what.life
+                ended[node][what.name] = what.process_epoch
             last[node][what.name] = now
     return None
 
 
 def fences(history: History) -> str | None:
     """A process says a higher life of its own only after it was fenced."""
-    lives: dict[str, int] = {}
+    process_epochs: dict[str, int] = {}
     fenced: set[str] = set()
     for node, what in history:
         if isinstance(what, Started):
-            lives.pop(node, None)
+            process_epochs.pop(node, None)
         elif isinstance(what, Fenced):
             fenced.add(node)
         elif what.name == node:
-            if what.life > lives.get(node, what.life) and node not in fenced:
-                return f"{node} came back as life {what.life} and was not fenced"
-            lives[node] = what.life
+            if what.process_epoch > process_epochs.get(node, what.process_epoch) and node not in fenced:
+                return f"{node} came back as life {what.process_epoch} and was not fenced"
+            process_epochs[node] = what.process_epoch
             fenced.discard(node)
     return None
 
@@ -161,7 +161,7 @@
     world.run(40_000.0)
     if not all_alive(world, nodes):
         return "not all hold all alive"
-    if any(part(world, node).life < 2 for node in nodes):
+    if any(part(world, node).process_epoch < 2 for node in nodes):
         return "somebody goes on with a life that was declared dead"
     return fences(history) or grows(history)
 
@@ -216,14 +216,14 @@
 
 def test_all_restart_at_once_with_their_clocks_set_back() -> None:
     nodes = names(5)
-    world = World(nodes, maker(lives="same"), 1)
+    world = World(nodes, maker(process_epochs="same"), 1)
     world.run(3000.0)
     for node in nodes[1:]:
         world.kill(node)
         world.start(node)
     world.run(6000.0)
     assert all_alive(world, nodes) and not deaths(world)
-    assert [part(world, node).life for node in nodes] == [1, 2, 2, 2, 2]
+    assert [part(world, node).process_epoch for node in nodes] == [1, 2, 2, 2, 2]
 
 
 def test_two_of_one_name_that_meet_after_a_cut() -> None:
@@ -267,7 +267,7 @@
 
 def fence_untold(self: Own, claim: Any) -> None:
     ground = self.ground
-    ground.life, ground.incarnation = min(claim.life + 1, MAX_PROCESS_EPOCH), 0
+    ground.process_epoch, ground.incarnation = min(claim.process_epoch + 1, MAX_PROCESS_EPOCH), 0
     ground.changed(State.ALIVE)
     ground.tell(ground.own_claim())
 
--- a/tests/fleet/test_peer_streams.py
+++ b/tests/fleet/test_peer_streams.py
@@ -30,7 +30,7 @@
             await until(lambda: a.streams["lost"] == 1)
             a.act(SendToMember("b", Line("while gone")))
             await until(lambda: a.streams["connect_failed"] >= 3)
-            again = One("b", life=2, at=at)
+            again = One("b", process_epoch=2, at=at)
             again.others.start()
             try:
                 await until(lambda: again.log.heard)
@@ -174,9 +174,9 @@
         b, wire = One("b"), FrameCodec(KEY, "g", ALL)
         async with several(b):
             opened = []
-            for life in (1, 2, 1):
+            for process_epoch in (1, 2, 1):
                 reader, writer = await asyncio.open_connection(*b.at)
-                writer.write(with_length(wire.encode("a", Hello(life, (HOST, 9)))))
+                writer.write(with_length(wire.encode("a", Hello(process_epoch, (HOST, 9)))))
                 opened.append((reader, writer))
                 await until(lambda: b.streams["accepted"] == len(opened))
             assert await opened[0][0].read() == b""  # the first of life 1
--- a/tests/fleet/test_peer_transport.py
+++ b/tests/fleet/test_peer_transport.py
@@ -35,7 +35,7 @@
 
 def test_datagrams_and_streams_are_carried_in_order_and_whole() -> None:
     async def case() -> None:
-        a, b = One("a"), One("b", life=7)
+        a, b = One("a"), One("b", process_epoch=7)
         async with several(a, b):
             assert a.toy.told == [Started()] == a.log.told
             a.act(SendToAddress(b.at, Probe(5, "x")))
@@ -251,7 +251,7 @@
     async def case() -> None:
         a = One("a")
         async with several(a):
-            after = One("a", life=2, at=a.at)
+            after = One("a", process_epoch=2, at=a.at)
             after.others.start()
             await asyncio.sleep(0)
             assert after.others.at is None and not after.toy.told and not after.others.state()["listening"]
--- a/tests/fleet/test_rules_leases.py
+++ b/tests/fleet/test_rules_leases.py
@@ -15,8 +15,8 @@
 TUNING = Tuning(lease_ms=1000, drift=0.1, grace_ms=50)
 
 
-def ask(serial: int, parts: int = 0, granted: int = 0, life: int = 1) -> AskLease:
-    return AskLease(serial, life, 1, 1, parts, granted)
+def ask(serial: int, parts: int = 0, granted: int = 0, process_epoch: int = 1) -> AskLease:
+    return AskLease(serial, process_epoch, 1, 1, parts, granted)
 
 
 def test_counts_from_the_ask_and_ends_without_a_timer() -> None:
@@ -78,7 +78,7 @@
     granter = Granter(Tuning(most_holders=2))
     granter.begin(0.0)
     assert granter.grant(1.0, "a", ask(1), 1)
-    assert granter.grant(1.0, "a", ask(1, life=2), 1)
+    assert granter.grant(1.0, "a", ask(1, process_epoch=2), 1)
     assert granter.grant(1.0, "b", ask(1), 1) is None
 
 
--- a/tests/fleet/test_wallet_any_order.py
+++ b/tests/fleet/test_wallet_any_order.py
@@ -80,7 +80,7 @@
             wallet.purse.charge(self.group.now, got)
             self.charged += got.cost
             for serial, units in got.slices:
-                key = (wallet.name, wallet.life, serial)
+                key = (wallet.name, wallet.process_epoch, serial)
                 self.taken[key] = self.taken.get(key, 0) + units
         else:
             wallet.purse.give_back(self.group.now, got)
@@ -157,7 +157,7 @@
             book.index = 0
             book.apply(1, one.epoch, (entry,))
             if isinstance(entry, (entries.Settle, entries.Expire)):
-                key = (entry.name, entry.life, entry.serial)
+                key = (entry.name, entry.process_epoch, entry.serial)
                 spent[key] = spent.get(key, 0) + book.wallets[entry.tenant].spent - before
     return spent
 
--- a/tests/fleet/test_wallet_core.py
+++ b/tests/fleet/test_wallet_core.py
@@ -236,9 +236,9 @@
     group.serve("b")
     group.asleep.add("b")
     group.run(QUICK.held_ms + QUICK.lease_ms)
-    life = group.wallets["b"].life
+    process_epoch = group.wallets["b"].process_epoch
     serial = group.wallets["a"].book.wallets["acme"].serial + 1
-    group.agree(entries.Grant("acme", "b", life, serial, 7, (("a", 1), ("c", 3)), 1))
+    group.agree(entries.Grant("acme", "b", process_epoch, serial, 7, (("a", 1), ("c", 3)), 1))
     group._kept = []
     group.asleep.clear()
     group.tell("b", log.SnapshotInstalled(len(group.log), group.wallets["a"].state()))
@@ -297,13 +297,13 @@
     for _ in range(3):
         group.serve("b")
     before = group.wallets["b"].state()
-    life = group.wallets["b"].life
+    process_epoch = group.wallets["b"].process_epoch
     for message in (
-        say.Lease(life, 99, float("nan"), 0),
-        say.Lease(life + 1, 1, 600, 0),
-        say.Held(1, life, (("acme", 77, 5), ("odd", 1, 5), ("acme", 1, -5))),
-        say.Recall(life, (("acme", float("nan")), ("odd", 5.0))),
-        say.Recall(life + 1, (("acme", 0.0),)),
+        say.Lease(process_epoch, 99, float("nan"), 0),
+        say.Lease(process_epoch + 1, 1, 600, 0),
+        say.Held(1, process_epoch, (("acme", 77, 5), ("odd", 1, 5), ("acme", 1, -5))),
+        say.Recall(process_epoch, (("acme", float("nan")), ("odd", 5.0))),
+        say.Recall(process_epoch + 1, (("acme", 0.0),)),
         say.Told(1, 1, 1, (5,)),
         say.Question(1, 1, "x", 1, (("acme", 1),) * 500),
         say.Mark(5, (("t" * 900, 1, 5), ("acme", 900, -1))),
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -71,7 +71,7 @@
     assert not granter.free(2299.0, ("a", 1))
     assert granter.free(2300.0, ("a", 1))
     assert granter.grant(2300.0, ("c", 1))
-    assert granter.lives(2300.0) == {"b": 1, "c": 1}
+    assert granter.process_epochs(2300.0) == {"b": 1, "c": 1}
     granter.end()
     assert not granter.free(1e9, ("b", 1))
 
@@ -160,11 +160,11 @@
     group.start("b")  # the old one runs on: it hears nothing that is told to that name
     group.run(QUICK.lease_ms / 2)
     assert spends(group, "b")
-    assert {life for name, life in group.wallets["a"].book.owners if name == "b"} == {2, 4}
+    assert {process_epoch for name, process_epoch in group.wallets["a"].book.owners if name == "b"} == {2, 4}
     assert old.purse.accounts["acme"].slices.keys().isdisjoint(group.wallets["b"].purse.accounts["acme"].slices)
     group.run(QUICK.held_ms + QUICK.lease_ms)
     assert isinstance(old.purse.reserve(group.now, "acme", "call"), api.Turned)
-    assert {life for name, life in group.wallets["a"].book.owners if name == "b"} <= {4}
+    assert {process_epoch for name, process_epoch in group.wallets["a"].book.owners if name == "b"} <= {4}
 
 
 def test_no_lease_while_an_expiry_is_on_its_way() -> None:
@@ -218,12 +218,13 @@
     group.wake("b")
     group.run(QUICK.lease_ms / 2)
     held = group.wallets["b"]
-    assert ("b", held.life) in group.wallets["a"].granting.leases.records
+    assert ("b", held.process_epoch) in group.wallets["a"].granting.leases.records
     assert held.purse.accounts["acme"].slices, "of which it does not know that it has ended"
     assert held.purse.until <= group.now
     assert isinstance(group.call("b"), api.Turned)
     group.catch_up("b")
     assert held.purse.until > group.now
     assert not held.purse.accounts["acme"].slices or all(
-        group.wallets["a"].book.slice("acme", "b", held.life, serial) for serial in held.purse.accounts["acme"].slices
+        group.wallets["a"].book.slice("acme", "b", held.process_epoch, serial)
+        for serial in held.purse.accounts["acme"].slices
     )
--- a/tests/fleet/test_wallet_ledger.py
+++ b/tests/fleet/test_wallet_ledger.py
@@ -139,8 +139,8 @@
 
 def test_holders_whose_advances_are_told_apart_are_bounded() -> None:
     told = Told(Credit("acme", "x", 3))
-    for life in range(MOST_ADVANCED + 20):
-        told.one(Advance("acme", f"n{life % 7}", life, 1, 1))
+    for process_epoch in range(MOST_ADVANCED + 20):
+        told.one(Advance("acme", f"n{process_epoch % 7}", process_epoch, 1, 1))
     assert sum(map(len, told.book.wallets["acme"].advanced.values())) == MOST_ADVANCED
 
 
--- a/tests/fleet/test_wallet_spend_witness.py
+++ b/tests/fleet/test_wallet_spend_witness.py
@@ -229,9 +229,9 @@
     group.run(QUICK.held_ms + QUICK.lease_ms)
     first = told[0]
     for wrong in (
-        say.Told(first.number, first.asker + 1, first.life, first.marks),
-        say.Told(first.number + 99, first.asker, first.life, first.marks),
-        say.Told(first.number, first.asker, first.life, first.marks + (1,)),
+        say.Told(first.number, first.asker + 1, first.process_epoch, first.marks),
+        say.Told(first.number + 99, first.asker, first.process_epoch, first.marks),
+        say.Told(first.number, first.asker, first.process_epoch, first.marks + (1,)),
     ):
         group.wallets["a"].granting.told(group.now, "b", wrong)
         group.wallets["a"].granting.told(group.now, "c", wrong)
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -148,12 +148,12 @@
 
 
 def test_a_killed_process_is_gone_with_its_timers_and_its_next_life_is_another() -> None:
-    lives: list[tuple[int, int]] = []
+    process_epochs: list[tuple[int, int]] = []
 
-    def make(name: str, seed: int, life: int, held: StoredLog) -> Listener:
+    def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Listener:
         if name == "c":
-            lives.append((life, seed))
-        return listeners(*NODES)(name, seed, life, held)
+            process_epochs.append((process_epoch, seed))
+        return listeners(*NODES)(name, seed, process_epoch, held)
 
     made = World(NODES, make, drift_ppm=0)
     for at, text in ((1000, "kill c"), (2000, "start c")):
@@ -161,7 +161,9 @@
     made.run(1500)
     assert not made.alive("c") and made.part("c") is None and made.counts["no process"] > 0
     made.run(3000)
-    assert [life for life, _ in lives] == [1, 2] and lives[0][1] != lives[1][1]
+    assert [process_epoch for process_epoch, _ in process_epochs] == [1, 2] and process_epochs[0][1] != process_epochs[
+        1
+    ][1]
     assert made.part("c").beats == 11
     for at, text in ((3050, "kill c"), (3060, "start c")):
         made.at(at, parse(text))
@@ -310,7 +312,7 @@
 
 
 def keeper(*faults: tuple[float, str], puts: list[tuple[float, Put]], until: float = 1000, seed: int = 0) -> World:
-    made = World("a", lambda name, seed, life, held: Keeper(held), seed, fsync_ms=10)
+    made = World("a", lambda name, seed, process_epoch, held: Keeper(held), seed, fsync_ms=10)
     for at, text in faults:
         made.at(at, parse(text))
     for at, put in puts:
@@ -388,7 +390,7 @@
     """No clock is looked at: the count of events is what would grow if each message cost several."""
     names = tuple(f"n{number}" for number in range(200))
 
-    def make(name: str, seed: int, life: int, held: StoredLog) -> Listener:
+    def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Listener:
         place = names.index(name)
         return Listener(name, tuple(names[(place + step) % 200] for step in (1, 50, 120)))
 
