--- a/limenotch/fleet/consensus/api.py
+++ b/limenotch/fleet/consensus/api.py
@@ -48,7 +48,7 @@
     """In order, each once in a process's life, from the snapshot found at the start on."""
 
     index: int  # type: ignore[assignment]
-    epoch: int
+    term: int
     data: bytes
     id: str
 
@@ -86,7 +86,7 @@
 
 class LeaderChanged(NamedTuple):
     name: str | None
-    epoch: int
+    term: int
 
 
 class SnapshotRequested(NamedTuple):
--- a/limenotch/fleet/consensus/client_requests.py
+++ b/limenotch/fleet/consensus/client_requests.py
@@ -133,7 +133,7 @@
             index = node.log.last + 1
             if ident:
                 self._by_id[ident] = index
-            node.append((LogEntry(index, node.epoch, COMMAND, encode(ident, data)),))
+            node.append((LogEntry(index, node.term, COMMAND, encode(ident, data)),))
             self._leading.send_all()
         self._by_index.setdefault(index, []).append(asker)
         self._waiting += 1
--- a/limenotch/fleet/consensus/core.py
+++ b/limenotch/fleet/consensus/core.py
@@ -83,7 +83,7 @@
             say.Ack: leading.on_ack,
             say.Chunk: following.on_chunk,
             say.ChunkAck: leading.on_chunk_ack,
-            say.Stand: lambda sender, message: elections.told(message.epoch) if sender == node.leader else None,
+            say.Stand: lambda sender, message: elections.told(message.term) if sender == node.leader else None,
             say.Ask: lambda sender, message: self._asks.on_ask(sender, message, self._changing.ask),
             say.Answer: lambda sender, message: self._asks.on_answer(message),
         }
@@ -99,8 +99,8 @@
         return self._node.leader
 
     @property
-    def epoch(self) -> int:
-        return self._node.epoch
+    def term(self) -> int:
+        return self._node.term
 
     @property
     def agreed(self) -> int:
@@ -120,7 +120,7 @@
         return {
             "role": node.role.value,
             "leader": node.leader,
-            "epoch": node.epoch,
+            "epoch": node.term,
             "voters": sorted(self.voters),
             "agreed": node.applied,
             "last": log.last,
--- a/limenotch/fleet/consensus/elections.py
+++ b/limenotch/fleet/consensus/elections.py
@@ -50,12 +50,12 @@
         if set(message.voters) != set(node.named):
             node.count("found: other voters named")
         elif node.blank and node.on_disk is not None and not node.ill:
-            node.tell(sender, say.Blank(node.named, node.birth, node.epoch))
+            node.tell(sender, say.Blank(node.named, node.birth, node.term))
 
     def on_blank(self, sender: str, message: say.Blank) -> None:
         if self.founder and set(message.voters) == set(self._node.named):
             self._blanks[sender] = message.birth
-            self._latest = max(self._latest, message.epoch)
+            self._latest = max(self._latest, message.term)
             self._found()
 
     def _found(self) -> None:
@@ -63,8 +63,8 @@
         births = {name: self._blanks.get(name, "") for name in node.named}
         births[node.name] = node.birth
         if self.founder and not node.ill and all(births.values()):
-            node.cast(max(self._latest, node.epoch) + 1, node.name)
-            node.append((LogEntry(1, node.epoch, VOTERS, pack(Voters(births))),))
+            node.cast(max(self._latest, node.term) + 1, node.name)
+            node.append((LogEntry(1, node.term, VOTERS, pack(Voters(births))),))
             node.become(Cause.FOUNDS)
             self._won()
 
@@ -82,15 +82,15 @@
         self._ask(pre=True)
         self._pre_count()
 
-    def told(self, epoch: int) -> None:
+    def told(self, term: int) -> None:
         node = self._node
-        if epoch == node.epoch and node.role is Role.FOLLOWER and node.standing and not node.ill:
+        if term == node.term and node.role is Role.FOLLOWER and node.standing and not node.ill:
             node.become(Cause.TOLD)
             self._stand(handed=True)
 
     def _stand(self, handed: bool) -> None:
         node = self._node
-        node.cast(node.epoch + 1, node.name)
+        node.cast(node.term + 1, node.name)
         node.follow(None)
         node.wait()
         self._yes = set()
@@ -103,9 +103,9 @@
             if name == node.name:
                 continue
             if pre:
-                node.tell(name, say.PreVote(node.epoch + 1, log.last, log.last_epoch, birth))
+                node.tell(name, say.PreVote(node.term + 1, log.last, log.last_term, birth))
             else:
-                node.tell(name, say.Vote(node.epoch, log.last, log.last_epoch, birth, handed))
+                node.tell(name, say.Vote(node.term, log.last, log.last_term, birth, handed))
 
     def _pre_count(self) -> None:
         node = self._node
@@ -129,7 +129,7 @@
             message.birth == node.birth
             and not node.ill
             and node.on_disk is not None
-            and (message.last_epoch, message.last) >= (log.last_epoch, log.last)
+            and (message.last_term, message.last) >= (log.last_term, log.last)
         )
 
     def _led(self) -> bool:
@@ -138,45 +138,45 @@
 
     def on_pre(self, sender: str, message: say.PreVote) -> None:
         node = self._node
-        yes = message.epoch > node.epoch and not self._led() and self._able(message)
-        node.tell(sender, say.PreVoted(message.epoch if yes else node.epoch, yes))
+        yes = message.term > node.term and not self._led() and self._able(message)
+        node.tell(sender, say.PreVoted(message.term if yes else node.term, yes))
         if not yes and node.leader is not None:  # it may have been removed, and nobody told it
-            node.tell(sender, say.Leads(node.epoch, node.leader, tuple(node.log.voters.births)))
+            node.tell(sender, say.Leads(node.term, node.leader, tuple(node.log.voters.births)))
 
     def on_vote(self, sender: str, message: say.Vote) -> None:
         node = self._node
-        if message.epoch < node.epoch:
-            node.tell(sender, say.Voted(node.epoch, False))
+        if message.term < node.term:
+            node.tell(sender, say.Voted(node.term, False))
             return
         if self._led() and not message.handed:
             return
-        if message.epoch > node.epoch:
-            node.adopt(message.epoch)
+        if message.term > node.term:
+            node.adopt(message.term)
         elif node.role is Role.PRE:
             node.become(Cause.EPOCH)
         yes = node.vote in ("", sender) and node.role in (Role.FOLLOWER, Role.LEARNER) and self._able(message)
         if not yes:
-            node.tell(sender, say.Voted(node.epoch, False))
+            node.tell(sender, say.Voted(node.term, False))
             return
         if node.vote != sender:
-            node.cast(node.epoch, sender)
+            node.cast(node.term, sender)
         node.wait()
-        self._promise = (node.epoch, sender)
+        self._promise = (node.term, sender)
         self.stored()
 
     def on_prevoted(self, sender: str, message: say.PreVoted) -> None:
         node = self._node
-        if message.epoch > node.epoch and not message.yes:
-            node.adopt(message.epoch)
-        elif message.yes and message.epoch == node.epoch + 1 and node.role is Role.PRE:
+        if message.term > node.term and not message.yes:
+            node.adopt(message.term)
+        elif message.yes and message.term == node.term + 1 and node.role is Role.PRE:
             self._yes.add(sender)
             self._pre_count()
 
     def on_voted(self, sender: str, message: say.Voted) -> None:
         node = self._node
-        if message.epoch > node.epoch:
-            node.adopt(message.epoch)
-        elif message.yes and message.epoch == node.epoch and node.role is Role.CANDIDATE:
+        if message.term > node.term:
+            node.adopt(message.term)
+        elif message.yes and message.term == node.term and node.role is Role.CANDIDATE:
             self._yes.add(sender)
             self._count()
 
@@ -186,10 +186,10 @@
         if not node.ballot_stored:
             return
         if self._promise is not None:
-            epoch, candidate = self._promise
-            if (epoch, candidate) == node.on_disk:
-                node.tell(candidate, say.Voted(epoch, True))
+            term, candidate = self._promise
+            if (term, candidate) == node.on_disk:
+                node.tell(candidate, say.Voted(term, True))
             self._promise = None
-        if node.role is Role.CANDIDATE and node.on_disk == (node.epoch, node.name):
+        if node.role is Role.CANDIDATE and node.on_disk == (node.term, node.name):
             self._yes.add(node.name)
             self._count()
--- a/limenotch/fleet/consensus/follower.py
+++ b/limenotch/fleet/consensus/follower.py
@@ -28,20 +28,20 @@
         self.search_at = NEVER
         self.incoming = Incoming(node.tuning)
 
-    def _heard(self, sender: str, epoch: int, number: int) -> bool:
+    def _heard(self, sender: str, term: int, number: int) -> bool:
         """Whether the sender leads now; then it is followed."""
         node = self._node
-        if epoch < node.epoch:
+        if term < node.term:
             return False
-        if epoch > node.epoch:
-            node.adopt(epoch)
+        if term > node.term:
+            node.adopt(term)
         if node.leads or (node.leader not in (None, sender)):
             node.count("two leaders")  # never, unless a rule of this package is broken
             return False
         if node.role in (Role.CANDIDATE, Role.PRE):
             node.become(Cause.HEARD)
-        if self._epoch != epoch or node.leader is None:
-            self._epoch, self._same, self._round = epoch, 0, 0
+        if self._epoch != term or node.leader is None:
+            self._epoch, self._same, self._round = term, 0, 0
         node.follow(sender)
         node.heard_at = node.now
         self._round = max(self._round, number)
@@ -53,23 +53,23 @@
 
     def on_append(self, sender: str, message: say.Append) -> None:
         node = self._node
-        if not self._heard(sender, message.epoch, message.round):
-            if message.epoch < node.epoch:
+        if not self._heard(sender, message.term, message.round):
+            if message.term < node.term:
                 self._answer(sender, False, 0)
             return
         log = node.log
-        entries, prev, prev_epoch = message.entries, message.prev, message.prev_epoch
+        entries, prev, prev_term = message.entries, message.prev, message.prev_term
         if prev < log.snapped:  # all up to a snapshot is agreed, so the same
             skip = min(len(entries), log.snapped - prev)
             entries, prev = entries[skip:], prev + skip
             if prev < log.snapped:
                 self._answer(sender, True, 0)
                 return
-            prev_epoch = log.epoch_of(prev) or 0
-        mine = log.epoch_of(prev)
+            prev_term = log.term_of(prev) or 0
+        mine = log.term_of(prev)
         if message.commit > node.commit + BEHIND:
             self._behind = True
-        if mine != prev_epoch:
+        if mine != prev_term:
             self._answer(sender, False, log.last if mine is None else self._before(prev, mine))
             return
         place = log.conflict(entries)
@@ -91,11 +91,11 @@
             node.note(f"caught up {node.commit}")
         self._answer(sender, True, 0)
 
-    def _before(self, index: int, epoch: int) -> int:
+    def _before(self, index: int, term: int) -> int:
         """The last index before those of that epoch: none of them can be the leader's."""
         log = self._node.log
         least = max(log.snapped, self._node.commit)
-        while index > least and log.epoch_of(index) == epoch:
+        while index > least and log.term_of(index) == term:
             index -= 1
         return index
 
@@ -104,16 +104,16 @@
         if not node.ballot_stored:
             return
         match = min(self._same, node.log.stored)
-        node.tell(leader, say.Ack(node.epoch, ok, match, self._same if ok else hint, self._round, node.birth))
+        node.tell(leader, say.Ack(node.term, ok, match, self._same if ok else hint, self._round, node.birth))
 
     def stored(self) -> None:
         node = self._node
-        if node.leader is not None and not node.leads and self._epoch == node.epoch:
+        if node.leader is not None and not node.leads and self._epoch == node.term:
             self._answer(node.leader, True, 0)
 
     def on_chunk(self, sender: str, message: say.Chunk) -> None:
         node = self._node
-        if not self._heard(sender, message.epoch, message.round):
+        if not self._heard(sender, message.term, message.round):
             return
         if message.index <= node.commit:  # has it: the leader's next append finds where they agree
             self.incoming.drop()
@@ -128,7 +128,7 @@
             self._same = message.index
             self._answer(sender, True, 0)
         elif node.ballot_stored:
-            node.tell(sender, say.ChunkAck(node.epoch, message.index, wanted, self._round, node.birth))
+            node.tell(sender, say.ChunkAck(node.term, message.index, wanted, self._round, node.birth))
 
     # In search of a leader
 
@@ -153,5 +153,5 @@
     def on_leads(self, message: say.Leads) -> None:
         node = self._node
         lost = node.role in (Role.LEARNER, Role.PRE) and node.leader is None
-        if message.epoch >= node.epoch and lost and message.leader != node.name:
+        if message.term >= node.term and lost and message.leader != node.name:
             node.tell(message.leader, say.Follow(node.birth, node.log.last))
--- a/limenotch/fleet/consensus/log.py
+++ b/limenotch/fleet/consensus/log.py
@@ -59,7 +59,7 @@
     def __init__(self, held: StoredLog) -> None:
         self.snapshot = held.snapshot
         self.base = held.base
-        self.base_epoch = held.snapshot.term if held.snapshot else 0
+        self.base_term = held.snapshot.term if held.snapshot else 0
         self.entries: list[LogEntry] = list(held.entries)
         self.bytes = sum(len(entry.data) for entry in self.entries)
         self.stored = self.last
@@ -72,8 +72,8 @@
         return self.base + len(self.entries)
 
     @property
-    def last_epoch(self) -> int:
-        return self.entries[-1].term if self.entries else self.base_epoch
+    def last_term(self) -> int:
+        return self.entries[-1].term if self.entries else self.base_term
 
     @property
     def voters(self) -> Voters:
@@ -94,10 +94,10 @@
         """Those in force at `index`, and all later ones."""
         return [self.voters_as_of(index), *(voters for at, voters in self._voters if at > index)]
 
-    def epoch_of(self, index: int) -> int | None:
+    def term_of(self, index: int) -> int | None:
         """None where the log does not reach, on either side."""
         if index == self.base:
-            return self.base_epoch
+            return self.base_term
         return self.entries[index - self.base - 1].term if self.base < index <= self.last else None
 
     def get(self, index: int) -> LogEntry:
@@ -117,7 +117,7 @@
     def conflict(self, entries: tuple[LogEntry, ...]) -> int:
         """The place among `entries` of the first that is not held here; their number where all are."""
         for place, entry in enumerate(entries):
-            if entry.index > self.base and self.epoch_of(entry.index) != entry.term:
+            if entry.index > self.base and self.term_of(entry.index) != entry.term:
                 return place
         return len(entries)
 
@@ -139,7 +139,7 @@
         drop = max(0, snapshot.index - tail - self.base)
         if drop:
             under = self.voters_as_of(self.base + drop)
-            self.base_epoch = self.entries[drop - 1].term
+            self.base_term = self.entries[drop - 1].term
             self.bytes -= sum(len(entry.data) for entry in self.entries[:drop])
             self.base += drop
             del self.entries[:drop]
@@ -147,10 +147,10 @@
 
     def install(self, snapshot: Snapshot, voters: Voters) -> None:
         """Instead of all that is held here, unless it goes on from the snapshot (figure 13, rule 6)."""
-        if self.epoch_of(snapshot.index) == snapshot.term:
+        if self.term_of(snapshot.index) == snapshot.term:
             self.compact(snapshot, 0)
             return
-        self.snapshot, self.base, self.base_epoch = snapshot, snapshot.index, snapshot.term
+        self.snapshot, self.base, self.base_term = snapshot, snapshot.index, snapshot.term
         self.entries, self.bytes, self.stored = [], 0, 0
         self._voters = [(self.base, voters)]
 
--- a/limenotch/fleet/consensus/messages.py
+++ b/limenotch/fleet/consensus/messages.py
@@ -27,7 +27,7 @@
 class Blank(Message, frozen=True, array_like=True, tag="ag.blank"):
     voters: tuple[str, ...]
     birth: str
-    epoch: int = 0  # more than 0: a founder was heard that lost its disk before its first line was stored here
+    term: int = 0  # more than 0: a founder was heard that lost its disk before its first line was stored here
 
 
 class Follow(Message, frozen=True, array_like=True, tag="ag.follow"):
@@ -36,47 +36,47 @@
 
 
 class Leads(Message, frozen=True, array_like=True, tag="ag.leads"):
-    epoch: int
+    term: int
     leader: str
     voters: tuple[str, ...] = ()
 
 
 class PreVote(Message, frozen=True, array_like=True, tag="ag.pre"):
-    epoch: int  # that it would stand in
+    term: int  # that it would stand in
     last: int
-    last_epoch: int
+    last_term: int
     birth: str  # of the one asked, as the asker's log has it
 
 
 class PreVoted(Message, frozen=True, array_like=True, tag="ag.pred"):
-    epoch: int  # that was asked about, or where refused the answerer's
+    term: int  # that was asked about, or where refused the answerer's
     yes: bool
 
 
 class Vote(Message, frozen=True, array_like=True, tag="ag.vote"):
-    epoch: int
+    term: int
     last: int
-    last_epoch: int
+    last_term: int
     birth: str
     handed: bool = False  # the leader itself told it to stand
 
 
 class Voted(Message, frozen=True, array_like=True, tag="ag.voted"):
-    epoch: int
+    term: int
     yes: bool
 
 
 class Append(Message, frozen=True, array_like=True, tag="ag.append"):
-    epoch: int
+    term: int
     prev: int
-    prev_epoch: int
+    prev_term: int
     entries: tuple[LogEntry, ...]
     commit: int
     round: int
 
 
 class Ack(Message, frozen=True, array_like=True, tag="ag.ack"):
-    epoch: int
+    term: int
     ok: bool
     match: int  # on disk, and the same as the leader's
     held: int  # the same, on disk or not; where not ok: try from here
@@ -85,9 +85,9 @@
 
 
 class Chunk(Message, frozen=True, array_like=True, tag="ag.chunk"):
-    epoch: int
+    term: int
     index: int
-    index_epoch: int
+    index_term: int
     total: int
     offset: int
     data: bytes
@@ -96,7 +96,7 @@
 
 
 class ChunkAck(Message, frozen=True, array_like=True, tag="ag.chunked"):
-    epoch: int
+    term: int
     index: int
     offset: int  # wanted next
     round: int
@@ -104,7 +104,7 @@
 
 
 class Stand(Message, frozen=True, array_like=True, tag="ag.stand"):
-    epoch: int
+    term: int
 
 
 class Ask(Message, frozen=True, array_like=True, tag="ag.ask"):
--- a/limenotch/fleet/consensus/node.py
+++ b/limenotch/fleet/consensus/node.py
@@ -46,8 +46,8 @@
         vote, mark, birth = held.term_vote.vote.partition(MARK)
         self.newborn = held == StoredLog(entries=[])
         self.birth = f"{self.random.getrandbits(48):x}" if self.newborn else birth
-        self.epoch, self.vote = held.term_vote.term, vote
-        self.on_disk: tuple[int, str] | None = None if self.newborn else (self.epoch, self.vote)
+        self.term, self.vote = held.term_vote.term, vote
+        self.on_disk: tuple[int, str] | None = None if self.newborn else (self.term, self.vote)
         self.snapped_on_disk = self.log.snapped
         self.leader: str | None = None
         self.told: tuple[str | None, int] = (None, -1)
@@ -84,7 +84,7 @@
 
     @property
     def ballot_stored(self) -> bool:
-        return self.on_disk == (self.epoch, self.vote)
+        return self.on_disk == (self.term, self.vote)
 
     def others(self) -> list[str]:
         return [name for name in self.log.voters.births if name != self.name]
@@ -125,24 +125,24 @@
 
     def follow(self, leader: str | None) -> None:
         self.leader = leader
-        if self.told == (leader, self.epoch) or leader is None and self.told[0] is None:
+        if self.told == (leader, self.term) or leader is None and self.told[0] is None:
             return
-        self.told = (leader, self.epoch)
-        self.out.append(api.LeaderChanged(leader, self.epoch))
+        self.told = (leader, self.term)
+        self.out.append(api.LeaderChanged(leader, self.term))
         if leader is None:
-            self.note("no leader", epoch=self.epoch)
+            self.note("no leader", epoch=self.term)
         elif leader == self.name:
-            self.note(f"leads {self.epoch}")
+            self.note(f"leads {self.term}")
         else:
-            self.note(f"follows {leader} {self.epoch}")
+            self.note(f"follows {leader} {self.term}")
 
-    def adopt(self, epoch: int) -> None:
+    def adopt(self, term: int) -> None:
         """Somebody is in a later one."""
         if self.role in (Role.LEADER, Role.CANDIDATE, Role.PRE):
             self.become(Cause.EPOCH)
             self.wait()
         self.follow(None)
-        self.cast(epoch, "")
+        self.cast(term, "")
 
     def settle(self) -> None:
         """Takes the role that the log's voters give; a leader stays one until its removal is agreed."""
@@ -156,8 +156,8 @@
 
     # The disk
 
-    def cast(self, epoch: int, vote: str) -> None:
-        self.epoch, self.vote = epoch, vote
+    def cast(self, term: int, vote: str) -> None:
+        self.term, self.vote = term, vote
         self._store(self._ballot())
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
@@ -218,7 +218,7 @@
         return "disk slow" if len(self.writes) >= MOST_TICKETS else ""
 
     def _ballot(self) -> TermVote:
-        return TermVote(self.epoch, f"{self.vote}{MARK}{self.birth}" if self.birth else self.vote)
+        return TermVote(self.term, f"{self.vote}{MARK}{self.birth}" if self.birth else self.vote)
 
     def _store_all(self) -> None:
         log = self.log
@@ -236,7 +236,7 @@
 
     def _write(self, *records: Any) -> None:
         self.ticket += 1
-        self.writes.append(Write(self.ticket, (self.epoch, self.vote), self.log.last, self.log.snapped))
+        self.writes.append(Write(self.ticket, (self.term, self.vote), self.log.last, self.log.snapped))
         self.out.append(Store(self.ticket, records))
 
     # What is agreed
@@ -268,18 +268,18 @@
         if self.frozen is None or self.frozen[0] != index:
             self.count("compact not asked for")
             return
-        at, epoch, ids, voters = self.frozen
+        at, term, ids, voters = self.frozen
         self.frozen = None
         whole = pack(State(state, ids, voters))
         if len(whole) > self.tuning.most_snapshot_bytes:
             self.note("snapshot too large", bytes=len(whole))
         elif at > self.log.snapped:
-            snapshot = Snapshot(at, epoch, whole, tuple(voters.births))
+            snapshot = Snapshot(at, term, whole, tuple(voters.births))
             self.log.compact(snapshot, self.tuning.tail_entries)
             self.snap(snapshot)
 
     def install(self, snapshot: Snapshot, state: State) -> None:
-        if self.log.epoch_of(snapshot.index) != snapshot.term:
+        if self.log.term_of(snapshot.index) != snapshot.term:
             for write in self.writes:
                 write.last = 0  # of a log that is gone
         self.log.install(snapshot, state.voters)
@@ -294,9 +294,9 @@
         log, tuning = self.log, self.tuning
         due = self.applied - log.snapped >= tuning.snapshot_entries
         if due or log.bytes >= tuning.snapshot_bytes and self.applied > log.snapped:
-            epoch = log.epoch_of(self.applied)
-            assert epoch is not None
-            self.frozen = (self.applied, epoch, list(self.ids.items()), log.voters_as_of(self.applied))
+            term = log.term_of(self.applied)
+            assert term is not None
+            self.frozen = (self.applied, term, list(self.ids.items()), log.voters_as_of(self.applied))
             self.out.append(api.SnapshotRequested(self.applied))
 
 
--- a/limenotch/fleet/consensus/replicate.py
+++ b/limenotch/fleet/consensus/replicate.py
@@ -68,11 +68,11 @@
         self.outgoing = Outgoing(node.tuning)
         self.peers = {name: Peer(node.log.last + 1, now) for name in node.others()}
         node.follow(node.name)
-        if node.log.last_epoch == node.epoch:
+        if node.log.last_term == node.term:
             self.first = node.log.last
         else:
             self.first = node.log.last + 1
-            node.append((LogEntry(self.first, node.epoch, EMPTY),))
+            node.append((LogEntry(self.first, node.term, EMPTY),))
         self.beat()
 
     @property
@@ -96,7 +96,7 @@
     def change(self, voters: Voters) -> int:
         node = self._node
         index = node.log.last + 1
-        node.append((LogEntry(index, node.epoch, VOTERS, pack(voters)),))
+        node.append((LogEntry(index, node.term, VOTERS, pack(voters)),))
         for name in node.others():
             self.peers.setdefault(name, Peer(index, node.now))
         self.send_all()
@@ -192,9 +192,9 @@
 
     def _append(self, name: str, prev: int, entries: tuple[LogEntry, ...]) -> None:
         node = self._node
-        epoch = node.log.epoch_of(prev) or 0
+        term = node.log.term_of(prev) or 0
         carrier = Carrier.STREAM if entries else Carrier.DATAGRAM
-        node.tell(name, say.Append(node.epoch, prev, epoch, entries, node.commit, self.lease.round), carrier)
+        node.tell(name, say.Append(node.term, prev, term, entries, node.commit, self.lease.round), carrier)
 
     def _probe(self, peer: Peer, index: int) -> None:
         peer.mode, peer.next, peer.flying = Mode.PROBE, index, 0
@@ -207,7 +207,7 @@
             node.tell(
                 name,
                 say.Chunk(
-                    node.epoch,
+                    node.term,
                     snapshot.index,
                     snapshot.term,
                     len(snapshot.state),
@@ -225,7 +225,7 @@
         node = self._node
         if not node.leads:
             if node.leader is not None:
-                node.tell(sender, say.Leads(node.epoch, node.leader, tuple(node.log.voters.births)))
+                node.tell(sender, say.Leads(node.term, node.leader, tuple(node.log.voters.births)))
             return
         peer = self.peers.get(sender)
         if peer is None:
@@ -246,15 +246,15 @@
             peer.match = peer.held = 0
         peer.birth = birth
 
-    def _current(self, sender: str, epoch: int) -> Peer | None:
+    def _current(self, sender: str, term: int) -> Peer | None:
         node = self._node
-        if epoch > node.epoch:
-            node.adopt(epoch)
+        if term > node.term:
+            node.adopt(term)
             return None
-        return self.peers.get(sender) if node.leads and epoch == node.epoch else None
+        return self.peers.get(sender) if node.leads and term == node.term else None
 
     def on_ack(self, sender: str, message: say.Ack) -> None:
-        peer = self._current(sender, message.epoch)
+        peer = self._current(sender, message.term)
         if peer is None:
             return
         node = self._node
@@ -290,7 +290,7 @@
         return held >= self._node.log.base or transfer is not None and held >= transfer.snapshot.index
 
     def on_chunk_ack(self, sender: str, message: say.ChunkAck) -> None:
-        peer = self._current(sender, message.epoch)
+        peer = self._current(sender, message.term)
         if peer is not None:
             self._speaks(peer, message.birth)
             peer.heard_at = peer.moved_at = self._node.now
@@ -303,7 +303,7 @@
         """Moves `commit` to what a quorum has on disk, if that is of this epoch."""
         node = self._node
         index = self.majority()
-        if index > node.commit and node.log.epoch_of(index) == node.epoch:
+        if index > node.commit and node.log.term_of(index) == node.term:
             node.commit = index
             if self._news_at == NEVER:
                 self._news_at = node.now + node.tuning.learner_batch_ms
@@ -339,7 +339,7 @@
         best = self.best()
         self.lease.void = True
         if best is not None:
-            node.tell(best, say.Stand(node.epoch), Carrier.STREAM)
+            node.tell(best, say.Stand(node.term), Carrier.STREAM)
         if node.role is Role.LEADER:
             node.become(Cause.GOES)
             node.wait()
--- a/limenotch/fleet/consensus/snapshots.py
+++ b/limenotch/fleet/consensus/snapshots.py
@@ -84,7 +84,7 @@
 
     def take(self, chunk: say.Chunk) -> tuple[int, tuple[Snapshot, State] | None]:
         """The offset wanted next, and the snapshot once it is whole. What can't be read begins anew."""
-        of = (chunk.index, chunk.index_epoch, chunk.total)
+        of = (chunk.index, chunk.index_term, chunk.total)
         if chunk.total > self._tuning.most_snapshot_bytes:
             return 0, None
         if of != self._of:
@@ -93,7 +93,7 @@
             self._data += chunk.data
         if len(self._data) < chunk.total:
             return len(self._data), None
-        snapshot = Snapshot(chunk.index, chunk.index_epoch, bytes(self._data), chunk.voters)
+        snapshot = Snapshot(chunk.index, chunk.index_term, bytes(self._data), chunk.voters)
         self.drop()
         try:
             return chunk.total, (snapshot, unpack(snapshot))
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -59,7 +59,7 @@
         self.holder, self.granter = Holder(self.tuning), Granter(self.tuning)
         self.watch = Watch(self.tuning.canary)
         self.leader: str | None = None
-        self.epoch = 0
+        self.term = 0
         self.counts: dict[str, int] = {}
         self.telling = Telling(
             name, self.book, self.tuning.most_bans, self.tuning.most_holders, self.tuning.lease_ms, self._count
@@ -167,7 +167,7 @@
 
     def _ended(self, ticket: int, why: str | None) -> None:
         what, ident = self._tickets.pop(ticket, ("", ""))
-        epoch, asks = self._reads.pop(ticket, (0, {}))
+        term, asks = self._reads.pop(ticket, (0, {}))
         if what == "Activate":
             self._activating = 0
             # Not again at once: a log that refuses would be asked without end.
@@ -204,9 +204,9 @@
         return self.book.state()
 
     def _led(self, event: log.LeaderChanged) -> None:
-        if (event.name, event.epoch) == (self.leader, self.epoch):
+        if (event.name, event.term) == (self.leader, self.term):
             return
-        self.leader, self.epoch = event.name, event.epoch
+        self.leader, self.term = event.name, event.term
         self._waiting.clear()
         self._reads.clear()
         self.watch.forget()
@@ -254,8 +254,8 @@
             self._waiting[key] = ask
 
     def _ready(self, event: log.ReadReady) -> None:
-        epoch, asks = self._reads.pop(event.ticket, (0, {}))
-        if not self.leads or epoch != self.epoch:
+        term, asks = self._reads.pop(event.ticket, (0, {}))
+        if not self.leads or term != self.term:
             return
         for (name, _), ask in asks.items():
             self._grant(name, ask)
@@ -354,7 +354,7 @@
             self._spread()
         if self._waiting and len(self._reads) < 2:
             self._ticket += 1
-            self._reads[self._ticket] = (self.epoch, self._waiting)
+            self._reads[self._ticket] = (self.term, self._waiting)
             self._waiting = {}
             self._out.append(log.ReadIndex(self._ticket))
         self._activate()
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -63,7 +63,7 @@
         self.memory = Memory(self.book, self.tuning.most_tenants)
         self.counts: dict[str, int] = {}
         self.leader: str | None = None
-        self.epoch = 0
+        self.term = 0
         own = (name, process_epoch)
         self.holding = Holding(own, self.book, self.purse, self.memory, self.tuning, self._propose)
         self.granting = Granting(name, process_epoch, self.book, self.tuning, tuple(voters), self._propose)
@@ -189,7 +189,7 @@
         if told is None:
             self._count("no entry of the wallet")
             return
-        for applied in self.book.apply(event.index, event.epoch, told):
+        for applied in self.book.apply(event.index, event.term, told):
             if not applied.ok:
                 self._count(f"{type(applied.entry).__name__} {applied.word}")
             self._applied(event.index, applied)
@@ -228,13 +228,13 @@
         self.holding.installed(self._now)
 
     def _led(self, event: log.LeaderChanged) -> None:
-        if (event.name, event.epoch) == (self.leader, self.epoch):
+        if (event.name, event.term) == (self.leader, self.term):
             return
-        self.leader, self.epoch = event.name, event.epoch
+        self.leader, self.term = event.name, event.term
         self._waiting.clear()
         self._reads.clear()
         if self.leads:
-            self.granting.begin(self._now, event.epoch)
+            self.granting.begin(self._now, event.term)
         else:
             self.granting.end()
         self._ask_at = self._now if event.name is not None else NEVER
@@ -262,8 +262,8 @@
         if event.ticket not in self._reads:
             self.asks.ready(event.ticket)
             return
-        epoch, asks = self._reads.pop(event.ticket)
-        if not self.leads or epoch != self.epoch:
+        term, asks = self._reads.pop(event.ticket)
+        if not self.leads or term != self.term:
             return
         for (name, _), ask in asks.items():
             lease = self.granting.lease(self._now, name, ask)
@@ -314,7 +314,7 @@
         self._want(False)
         if self._waiting and len(self._reads) < 2:
             ticket = self._number()
-            self._reads[ticket] = (self.epoch, self._waiting)
+            self._reads[ticket] = (self.term, self._waiting)
             self._waiting = {}
             self._out.append(log.ReadIndex(ticket))
         self.granting.tick(now)
--- a/limenotch/fleet/wallet/entries.py
+++ b/limenotch/fleet/wallet/entries.py
@@ -1,7 +1,7 @@
 """What the wallet puts into the log: a few entries at a time, as msgpack. Fields are only ever added at the end, with
 defaults.
 
-Bounds travel in the entry: whoever applies it decides as its proposer did, whatever its own settings are. `epoch` is
+Bounds travel in the entry: whoever applies it decides as its proposer did, whatever its own settings are. `term` is
 the leader's that proposed it: it counts only if the log took it in that epoch. So what an old leader asked for and
 never heard of again can't come true under a new one, which has granted other leases since.
 """
@@ -36,7 +36,7 @@
     serial: int
     amount: int
     witnesses: tuple[tuple[str, int], ...]  # names and lives
-    epoch: int
+    term: int
 
 
 class Settle(Struct, frozen=True, array_like=True, tag="settle"):
@@ -60,7 +60,7 @@
     process_epoch: int
     serial: int
     mark: int
-    epoch: int
+    term: int
     told: bool = True
 
 
--- a/limenotch/fleet/wallet/ledger.py
+++ b/limenotch/fleet/wallet/ledger.py
@@ -112,25 +112,25 @@
         wallet = self.wallets.get(tenant)
         return wallet.advanced.get(owner[0], {}).get(owner[1], 0) if wallet is not None else 0
 
-    def apply(self, index: int, epoch: int, entries: tuple[Entry, ...]) -> list[Applied]:
+    def apply(self, index: int, term: int, entries: tuple[Entry, ...]) -> list[Applied]:
         """Each index once: one that was applied changes nothing, and nothing is returned."""
         if index <= self.index:
             return []
         self.index = index
-        return [self._apply(entry, epoch) for entry in entries]
+        return [self._apply(entry, term) for entry in entries]
 
-    def _apply(self, entry: Entry, epoch: int) -> Applied:
+    def _apply(self, entry: Entry, term: int) -> Applied:
         if isinstance(entry, Credit):
             return self._credit(entry)
         wallet = self.wallets.get(entry.tenant)
         if wallet is None:
             return Applied(entry, "bad")
         if isinstance(entry, Grant):
-            return self._grant(wallet, entry, epoch)
+            return self._grant(wallet, entry, term)
         if isinstance(entry, Settle):
             return self._settle(wallet, entry)
         if isinstance(entry, Expire):
-            return self._expire(wallet, entry, epoch)
+            return self._expire(wallet, entry, term)
         return self._advance(wallet, entry)
 
     def _credit(self, entry: Credit) -> Applied:
@@ -152,9 +152,9 @@
         wallet.left += entry.amount
         return Applied(entry, "done", entry.amount)
 
-    def _grant(self, wallet: Wallet, entry: Grant, epoch: int) -> Applied:
+    def _grant(self, wallet: Wallet, entry: Grant, term: int) -> Applied:
         amount = min(entry.amount, wallet.left)
-        if entry.epoch != epoch or entry.serial <= wallet.serial or amount <= 0 or not entry.witnesses:
+        if entry.term != term or entry.serial <= wallet.serial or amount <= 0 or not entry.witnesses:
             return Applied(entry, "bad")
         wallet.serial = entry.serial
         wallet.left -= amount
@@ -172,9 +172,9 @@
         self._narrow(entry.tenant, wallet, one, top)
         return Applied(entry, "done", back)
 
-    def _expire(self, wallet: Wallet, entry: Expire, epoch: int) -> Applied:
+    def _expire(self, wallet: Wallet, entry: Expire, term: int) -> Applied:
         one = self.slice(entry.tenant, entry.name, entry.process_epoch, entry.serial)
-        if one is None or entry.epoch != epoch or entry.mark < 0:
+        if one is None or entry.term != term or entry.mark < 0:
             return Applied(entry, "bad")
         held = one.held
         self._spend(wallet, one, entry.mark)
--- a/limenotch/fleet/wallet/quota_grants.py
+++ b/limenotch/fleet/wallet/quota_grants.py
@@ -61,7 +61,7 @@
         self.members: dict[str, str] = {}
         self.leases = Granter(tuning)
         self.out: list[Any] = []
-        self.epoch = 0
+        self.term = 0
         self.leads = False
         self._wants: dict[str, dict[Owner, Wanted]] = {}  # those who came first, first
         self._dirty: set[str] = set()
@@ -75,9 +75,9 @@
         self._number = 0
         self._gone_at = NEVER
 
-    def begin(self, now: float, epoch: int) -> None:
+    def begin(self, now: float, term: int) -> None:
         self.end()
-        self.leads, self.epoch = True, epoch
+        self.leads, self.term = True, term
         self.leases.begin(now)
         self._gone_at = now + self._tuning.held_ms
 
@@ -234,7 +234,7 @@
             if amount <= 0:
                 break
             serial = self._serials[tenant] = max(wallet.serial, self._serials.get(tenant, 0)) + 1
-            grants.append(entries.Grant(tenant, *owner, serial, amount, witnesses, self.epoch))
+            grants.append(entries.Grant(tenant, *owner, serial, amount, witnesses, self.term))
             del wants[owner]
             free -= amount
         if short is not None and now >= short.at:
@@ -329,7 +329,7 @@
         self._resolve(now, gone)
 
     def _resolve(self, now: float, gone: Gone) -> None:
-        ends = gone.ends(self.epoch, lambda witness: self._lost(now, gone, witness))
+        ends = gone.ends(self.term, lambda witness: self._lost(now, gone, witness))
         if ends and self.leases.free(now, gone.owner):
             del self._gone[gone.owner]
             self._expiring[self._propose(tuple(ends), "expire")] = gone.owner
--- a/limenotch/fleet/wallet/spend_witness.py
+++ b/limenotch/fleet/wallet/spend_witness.py
@@ -97,16 +97,16 @@
     def told(self, witness: Owner, marks: dict[tuple[str, int], int]) -> None:
         self._told[witness] = marks
 
-    def ends(self, epoch: int, lost: Callable[[Owner], bool]) -> list[Expire]:
+    def ends(self, term: int, lost: Callable[[Owner], bool]) -> list[Expire]:
         """Of those slices of which enough is known; `lost`: that witness, in that life, can't tell any more."""
         ends: list[Expire] = []
         for (tenant, serial), one in self.slices.items():
             told = [marks.get((tenant, serial), 0) for witness, marks in self._told.items() if witness in one.witnesses]
             if len(told) >= one.quorum:
-                ends.append(Expire(tenant, *self.owner, serial, max(0, min(one.top, max(told))), epoch))
+                ends.append(Expire(tenant, *self.owner, serial, max(0, min(one.top, max(told))), term))
             elif (
                 len(told) + sum(1 for witness in one.witnesses if witness not in self._told and not lost(witness))
                 < one.quorum
             ):
-                ends.append(Expire(tenant, *self.owner, serial, one.top, epoch, False))
+                ends.append(Expire(tenant, *self.owner, serial, one.top, term, False))
         return ends
--- a/limenotch/lab/fleet/checks_log.py
+++ b/limenotch/lab/fleet/checks_log.py
@@ -85,8 +85,8 @@
         self._reads[node, what.ticket] = max(self.promised, default=0)
 
     def _see_leader(self, node: str, what: Any) -> None:
-        if what.name == node and self._leaders.setdefault(what.epoch, node) != node:
-            self._wrong(f"epoch {what.epoch} led by {self._leaders[what.epoch]} and {node}")
+        if what.name == node and self._leaders.setdefault(what.term, node) != node:
+            self._wrong(f"epoch {what.term} led by {self._leaders[what.term]} and {node}")
 
     def _see_message(self, node: str, what: Any) -> None:
         message = what.message
@@ -94,10 +94,10 @@
             return
         ballot = self._disks()[node].term_vote
         vote, _, birth = ballot.vote.partition("?")
-        if (ballot.term, vote) != (message.epoch, what.to):
-            self._wrong(f"vote of {node} for {what.to} in {message.epoch} told before it was on disk")
-        if self._votes.setdefault((node, birth, message.epoch), what.to) != what.to:
-            self._wrong(f"{node} voted twice in {message.epoch}")
+        if (ballot.term, vote) != (message.term, what.to):
+            self._wrong(f"vote of {node} for {what.to} in {message.term} told before it was on disk")
+        if self._votes.setdefault((node, birth, message.term), what.to) != what.to:
+            self._wrong(f"{node} voted twice in {message.term}")
 
     def _see_stored(self, node: str, what: Any) -> None:
         for record in what.records:
@@ -106,7 +106,7 @@
                     self._later[entry.index] = _voters(entry)
 
     def _see_committed(self, node: str, what: Any) -> None:
-        entry = (what.epoch, what.data, what.id)
+        entry = (what.term, what.data, what.id)
         if self._entries.setdefault(what.index, entry) != entry:
             self._wrong(f"two entries agreed at {what.index}")
         if what.id and self._by_id.setdefault(what.id, what.index) != what.index:
--- a/limenotch/lab/fleet/explore_log.py
+++ b/limenotch/lab/fleet/explore_log.py
@@ -50,7 +50,7 @@
         out = []
         for action in self.agreement.handle(now, event):
             if isinstance(action, api.EntryCommitted):
-                self.told += ((action.index, action.epoch, action.id),)
+                self.told += ((action.index, action.term, action.id),)
             elif isinstance(action, api.ProposalCommitted):
                 self.promised |= {action.index}
             elif isinstance(action, (SendToMember, SetTimer, Store, Note)):
@@ -96,7 +96,7 @@
         rest(leading._news_at) if leads else NEVER,
     )
     return (
-        node.epoch,
+        node.term,
         node.vote,
         node.on_disk,
         node.role.value,
@@ -134,25 +134,25 @@
         for name, text in view.notes:
             if text.startswith("leads "):
                 led.setdefault(int(text.split()[1]), set()).add(name)
-        for epoch, names in sorted(led.items()):
+        for term, names in sorted(led.items()):
             if len(names) > 1:
-                return f"epoch {epoch} was led by {' and '.join(sorted(names))}"
+                return f"epoch {term} was led by {' and '.join(sorted(names))}"
             name = next(iter(names))
             voted = [
                 one
                 for one, held in view.disks.items()
-                if held.term_vote.term > epoch
-                or (held.term_vote.term, held.term_vote.vote.partition("?")[0]) == (epoch, name)
+                if held.term_vote.term > term
+                or (held.term_vote.term, held.term_vote.vote.partition("?")[0]) == (term, name)
             ]
             if len(voted) < self.quorum:
-                return f"{name} leads {epoch} by the disks of {', '.join(sorted(voted)) or 'nobody'}"
+                return f"{name} leads {term} by the disks of {', '.join(sorted(voted)) or 'nobody'}"
         return None
 
     def _agreed(self, view: View) -> str | None:
         seen: dict[int, tuple[int, str]] = {}
         for part in view.parts.values():
-            for index, epoch, ident in part.told if part is not None else ():
-                if seen.setdefault(index, (epoch, ident)) != (epoch, ident):
+            for index, term, ident in part.told if part is not None else ():
+                if seen.setdefault(index, (term, ident)) != (term, ident):
                     return f"two entries at {index}"
         return None
 
--- a/limenotch/lab/fleet/log_run.py
+++ b/limenotch/lab/fleet/log_run.py
@@ -129,7 +129,7 @@
     def leader(self) -> str | None:
         """The one in the latest epoch of those that say they lead."""
         leading = [
-            (part.epoch, name) for name in self.names if (part := self.of(name)) is not None and part.leader == name
+            (part.term, name) for name in self.names if (part := self.of(name)) is not None and part.leader == name
         ]
         return max(leading)[1] if leading else None
 
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -201,7 +201,7 @@
         self.checker.ended(self.world.now, name)
 
     def leader(self) -> str | None:
-        leading = [(rules.epoch, name) for name in self.names if (rules := self.rules(name)) and rules.leads]
+        leading = [(rules.term, name) for name in self.names if (rules := self.rules(name)) and rules.leads]
         return max(leading)[1] if leading else None
 
     def settled(self, most_ms: float = 10_000.0) -> None:
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -348,7 +348,7 @@
 
     def leader(self) -> str | None:
         leading = [
-            (part.agreement.epoch, name)
+            (part.agreement.term, name)
             for name in self.names
             if (part := self.world.part(name)) is not None and part.agreement.leader == name
         ]
--- a/tests/fleet/fake_disk.py
+++ b/tests/fleet/fake_disk.py
@@ -157,28 +157,28 @@
         self._sync(file)
 
 
-def entries(first: int, count: int, epoch: int, size: int = 5) -> Append:
-    return Append(tuple(LogEntry(first + n, epoch, "command", b"%d" % epoch * size) for n in range(count)))
+def entries(first: int, count: int, term: int, size: int = 5) -> Append:
+    return Append(tuple(LogEntry(first + n, term, "command", b"%d" % term * size) for n in range(count)))
 
 
 @st.composite
 def histories(draw: st.DrawFn, batches: int = 6) -> list[list[Record]]:
     """Batches of records that follow each other: ballots, appends that may replace, snapshots that may leap ahead."""
-    held, epoch, history = StoredLog(), 1, []
+    held, term, history = StoredLog(), 1, []
     for _ in range(draw(st.integers(1, batches))):
         batch: list[Record] = []
         for _ in range(draw(st.integers(1, 4))):
             kind = draw(st.integers(0, 7))
             record: Record
             if kind == 0:
-                epoch += 1
-                record = TermVote(epoch, draw(st.sampled_from(["", "a", "b"])))
+                term += 1
+                record = TermVote(term, draw(st.sampled_from(["", "a", "b"])))
             elif kind == 1 and held.last > 0:
                 index = draw(st.integers(max(held.base, 1), held.last + 3))
-                record = Snapshot(index, epoch, b"s" * draw(st.integers(0, 150)), ("a", "b"))
+                record = Snapshot(index, term, b"s" * draw(st.integers(0, 150)), ("a", "b"))
             else:
                 first = draw(st.integers(held.base + 1, held.last + 1))
-                record = entries(first, draw(st.integers(1, 3)), epoch, draw(st.integers(0, 60)))
+                record = entries(first, draw(st.integers(1, 3)), term, draw(st.integers(0, 60)))
             held.apply(record)
             batch.append(record)
         history.append(batch)
--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -30,7 +30,7 @@
     def __init__(self, names: str = "abc", voters: str = "abc", tuning: Tuning = QUICK) -> None:
         self.tuning, self.voters = tuning, tuple(voters)
         self.now = 0.0
-        self.epoch = 0
+        self.term = 0
         self.leader: str | None = None
         self.log: list[log.EntryCommitted] = []
         self.said: list[tuple[float, str, str]] = []  # notes: when, whose, text
@@ -59,7 +59,7 @@
             [
                 (name, Started()),
                 *((name, agreed) for agreed in self.log),
-                (name, log.LeaderChanged(self.leader, self.epoch)),
+                (name, log.LeaderChanged(self.leader, self.term)),
             ]
         )
         return self.wallets[name]
@@ -84,13 +84,13 @@
         self._tell(now)
 
     def lead(self, name: str | None) -> None:
-        self.epoch += 1
+        self.term += 1
         self.leader = name
-        self._tell([(other, log.LeaderChanged(name, self.epoch)) for other in self.wallets])
+        self._tell([(other, log.LeaderChanged(name, self.term)) for other in self.wallets])
 
-    def agree(self, *told: entries.Entry, epoch: int | None = None) -> int:
+    def agree(self, *told: entries.Entry, term: int | None = None) -> int:
         """The index."""
-        agreed = log.EntryCommitted(len(self.log) + 1, self.epoch if epoch is None else epoch, entries.encode(told), "")
+        agreed = log.EntryCommitted(len(self.log) + 1, self.term if term is None else term, entries.encode(told), "")
         self.log.append(agreed)
         self._tell([(name, agreed) for name in self.wallets])
         return agreed.index
@@ -149,12 +149,12 @@
         if fate == "promised":
             self.tell(name, log.ProposalCommitted(action.ticket, self.agree(*told)))
         elif fate == "unknown":
-            self.late.append((name, action, self.epoch))
+            self.late.append((name, action, self.term))
             self.tell(name, log.OutcomeUnknown(action.ticket))
         elif fate == "refused":
             self.tell(name, log.ProposalRejected(action.ticket, "busy", self.leader))
         else:
-            self.late.append((name, action, self.epoch))  # not answered yet
+            self.late.append((name, action, self.term))  # not answered yet
 
     def run(self, ms: float) -> None:
         until = self.now + ms
--- a/tests/fleet/log_bugs.py
+++ b/tests/fleet/log_bugs.py
@@ -16,10 +16,10 @@
 
 
 def vote_not_persisted(patch: pytest.MonkeyPatch) -> None:
-    def cast(self: node.Node, epoch: int, vote: str) -> None:
-        self.epoch, self.vote = epoch, vote
-        self.on_disk = (epoch, vote)
-        self._store(TermVote(epoch, f"?{self.birth}"))
+    def cast(self: node.Node, term: int, vote: str) -> None:
+        self.term, self.vote = term, vote
+        self.on_disk = (term, vote)
+        self._store(TermVote(term, f"?{self.birth}"))
 
     patch.setattr(node.Node, "cast", cast)
 
@@ -65,7 +65,7 @@
     real = elections.Elections.on_vote
 
     def on_vote(self: elections.Elections, sender: str, message: Any) -> None:
-        if message.epoch == self._node.epoch and self._node.role.value == "follower":
+        if message.term == self._node.term and self._node.role.value == "follower":
             self._node.vote = ""
         real(self, sender, message)
 
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -60,7 +60,7 @@
         member = one_of_three()
         run_to(member, role_before)
         member.handle(600.0, heard("b", message))
-        assert member.role is states.Role.FOLLOWER and member.epoch == 99
+        assert member.role is states.Role.FOLLOWER and member.term == 99
     assert states.TABLE.keys() - SEEN == set()
     with pytest.raises(ValueError, match="no way from learner: ELECTED"):
         states.next_role(states.Role.LEARNER, states.Cause.ELECTED)
@@ -76,12 +76,12 @@
         assert member.role is states.Role.FOLLOWER and not member.leases(member._node.now)
 
 
-def one_of_three(epoch: int = 3, entries: int = 0) -> Agreement:
+def one_of_three(term: int = 3, entries: int = 0) -> Agreement:
     """Restarted with the log of a group of three."""
     births = {"a": "1", "b": "2", "c": "3"}
     log = [LogEntry(1, 1, VOTERS, pack(Voters(births)))]
     log += [LogEntry(2 + number, 2, "cmd", node_module.encode(f"i{number}", b"x")) for number in range(entries)]
-    member = Agreement("a", ("a", "b", "c"), StoredLog(TermVote(epoch, "?1"), None, log), QUICK, 1)
+    member = Agreement("a", ("a", "b", "c"), StoredLog(TermVote(term, "?1"), None, log), QUICK, 1)
     member.handle(0.0, interfaces.Started())
     return member
 
@@ -94,11 +94,11 @@
     out = member.handle(500.0, interfaces.TimerFired(1))
     if role == "pre-candidate":
         return out
-    out = member.handle(501.0, heard("b", say.PreVoted(member.epoch + 1, True)))
+    out = member.handle(501.0, heard("b", say.PreVoted(member.term + 1, True)))
     if role == "leader":
         ticket = next(action.ticket for action in out if isinstance(action, interfaces.Store))
         member.handle(502.0, interfaces.Stored(ticket))
-        out = member.handle(503.0, heard("b", say.Voted(member.epoch, True)))
+        out = member.handle(503.0, heard("b", say.Voted(member.term, True)))
     return out
 
 
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -134,8 +134,8 @@
     disk = Disk()
     store = Store(disk, max_bytes=4000, segment_bytes=500)
     store.open()
-    for epoch in range(1, 400):
-        store.write([TermVote(epoch, "a"), entries(1, 2, epoch, 10)])
+    for term in range(1, 400):
+        store.write([TermVote(term, "a"), entries(1, 2, term, 10)])
         assert store.disk_bytes <= 4000 + TERM_VOTE_RESERVE_BYTES
     held = Store(disk.fall(), max_bytes=4000).open()
     assert held.term_vote.term == 399 and [one.term for one in held.entries] == [399, 399]
--- a/tests/fleet/test_wallet_any_order.py
+++ b/tests/fleet/test_wallet_any_order.py
@@ -42,14 +42,14 @@
     def _late(self, forwarded: bool) -> None:
         """Some of what was not answered comes true: in its own epoch, or taken by a later leader."""
         late, self.group.late = self.group.late, []
-        for name, propose, epoch in late:
+        for name, propose, term in late:
             told = entries.decode(propose.data)
             assert told is not None
             if self.random.random() < 0.5:
-                if forwarded or epoch == self.group.epoch:
+                if forwarded or term == self.group.term:
                     self.group.agree(*told)
             elif forwarded and self.random.random() < 0.5:
-                self.group.late.append((name, propose, epoch))
+                self.group.late.append((name, propose, term))
 
     def lead(self, name: str) -> None:
         if name in self.group.behind:
@@ -155,7 +155,7 @@
             wallet = book.wallets.get(entry.tenant)
             before = wallet.spent if wallet is not None else 0
             book.index = 0
-            book.apply(1, one.epoch, (entry,))
+            book.apply(1, one.term, (entry,))
             if isinstance(entry, (entries.Settle, entries.Expire)):
                 key = (entry.name, entry.process_epoch, entry.serial)
                 spent[key] = spent.get(key, 0) + book.wallets[entry.tenant].spent - before
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -143,12 +143,12 @@
     group = ready()
     group.lost = lambda frm, to, message: to == "a"
     group.leader = "c"  # a has not heard of it: the log does not tell it that it leads
-    group.epoch += 1
-    group.tell("c", log.LeaderChanged(group.leader, group.epoch))
+    group.term += 1
+    group.tell("c", log.LeaderChanged(group.leader, group.term))
     group.run(QUICK.lease_ms + 1)
     until = group.wallets["b"].purse.until
     assert until <= group.now
-    group.tell("b", log.LeaderChanged(group.leader, group.epoch))
+    group.tell("b", log.LeaderChanged(group.leader, group.term))
     group.run(1)
     assert group.wallets["b"].purse.until > group.now
 
@@ -178,10 +178,10 @@
     group.wake("b")
     group.run(QUICK.lease_ms)
     assert group.wallets["b"].purse.until <= group.now
-    name, expire, epoch = group.late.pop()
+    name, expire, term = group.late.pop()
     told = entries.decode(expire.data)
     assert told is not None
-    index = group.agree(*told, epoch=epoch)
+    index = group.agree(*told, term=term)
     group.tell(name, log.ProposalCommitted(expire.ticket, index))
     group.run(QUICK.lease_ms)
     assert group.wallets["b"].purse.until > group.now
--- a/tests/fleet/test_wallet_ledger.py
+++ b/tests/fleet/test_wallet_ledger.py
@@ -23,8 +23,8 @@
         for entry in first:
             self.one(entry)
 
-    def one(self, entry: Entry, epoch: int = 1) -> Applied:
-        applied = self.book.apply(self.book.index + 1, epoch, (entry,))
+    def one(self, entry: Entry, term: int = 1) -> Applied:
+        applied = self.book.apply(self.book.index + 1, term, (entry,))
         assert all(wallet.sound for wallet in self.book.wallets.values())
         return applied[0]
 
@@ -35,8 +35,8 @@
         return wallet.credit, wallet.spent, wallet.left, wallet.held
 
 
-def grant(serial: int, amount: int, name: str = "a", epoch: int = 1) -> Grant:
-    return Grant("acme", name, 1, serial, amount, WITNESSES, epoch)
+def grant(serial: int, amount: int, name: str = "a", term: int = 1) -> Grant:
+    return Grant("acme", name, 1, serial, amount, WITNESSES, term)
 
 
 def settle(serial: int, spent: int, close: bool = False, keep: int = 0, name: str = "a") -> Settle:
@@ -92,9 +92,9 @@
 
 def test_grants_and_expiries_of_another_epoch_change_nothing() -> None:
     told = Told(Credit("acme", "x", 10))
-    assert not told.one(grant(1, 7, epoch=1), epoch=2).ok
-    assert told.one(grant(1, 7, epoch=2), epoch=2).ok
-    assert not told.one(Expire("acme", "a", 1, 1, 0, 2), epoch=3).ok
+    assert not told.one(grant(1, 7, term=1), term=2).ok
+    assert told.one(grant(1, 7, term=2), term=2).ok
+    assert not told.one(Expire("acme", "a", 1, 1, 0, 2), term=3).ok
     assert told.acme == (10, 0, 3, 7)
 
 
@@ -181,11 +181,11 @@
         self.spent: dict[tuple[str, int], int] = {}  # the highest word of it, by tenant and serial
         self.old: list[tuple[Entry, int]] = []
 
-    def tell(self, entry: Entry, epoch: int = 1) -> Applied:
+    def tell(self, entry: Entry, term: int = 1) -> Applied:
         self.index += 1
-        self.old.append((entry, epoch))
+        self.old.append((entry, term))
         before = {tenant: (wallet.spent, wallet.credit) for tenant, wallet in self.book.wallets.items()}
-        applied = self.book.apply(self.index, epoch, (entry,))[0]
+        applied = self.book.apply(self.index, term, (entry,))[0]
         for tenant, (spent, credit) in before.items():
             assert self.book.wallets[tenant].spent >= spent
             assert self.book.wallets[tenant].credit >= credit
@@ -203,10 +203,10 @@
         name=some.sampled_from("ab"),
         serial=some.integers(0, 12),
         amount=some.integers(0, 30),
-        epoch=some.integers(1, 2),
+        term=some.integers(1, 2),
     )
-    def grant(self, tenant: str, name: str, serial: int, amount: int, epoch: int) -> None:
-        self.tell(Grant(tenant, name, 1, serial, amount, WITNESSES, 1), epoch)
+    def grant(self, tenant: str, name: str, serial: int, amount: int, term: int) -> None:
+        self.tell(Grant(tenant, name, 1, serial, amount, WITNESSES, 1), term)
 
     @rule(
         tenant=some.sampled_from("xy"),
@@ -224,12 +224,12 @@
         name=some.sampled_from("ab"),
         serial=some.integers(0, 12),
         mark=some.integers(0, 30),
-        epoch=some.integers(1, 2),
+        term=some.integers(1, 2),
     )
-    def expire(self, tenant: str, name: str, serial: int, mark: int, epoch: int) -> None:
+    def expire(self, tenant: str, name: str, serial: int, mark: int, term: int) -> None:
         held = self.book.slice(tenant, name, 1, serial)
-        applied = self.tell(Expire(tenant, name, 1, serial, mark, 1), epoch)
-        assert applied.ok == (held is not None and epoch == 1)
+        applied = self.tell(Expire(tenant, name, 1, serial, mark, 1), term)
+        assert applied.ok == (held is not None and term == 1)
         if applied.ok:
             assert self.book.slice(tenant, name, 1, serial) is None
 
@@ -242,10 +242,10 @@
     def again(self, which: int) -> None:
         """Any entry from before: what counts of it has counted, but for a credit's none."""
         if self.old:
-            entry, epoch = self.old[which % len(self.old)]
+            entry, term = self.old[which % len(self.old)]
             credit = self.book.wallets.get(entry.tenant)
             before = credit.credit if credit is not None else 0
-            applied = self.tell(entry, epoch)
+            applied = self.tell(entry, term)
             if isinstance(entry, Advance):
                 self.lent[entry.tenant] += entry.amount if applied.ok else 0
             elif isinstance(entry, Credit) and entry.amount:
--- a/tests/fleet/test_wallet_quota_grants.py
+++ b/tests/fleet/test_wallet_quota_grants.py
@@ -292,7 +292,7 @@
     group = ready()
     group.fate = lambda frm, told: "unknown" if isinstance(told[0], Grant) else "promised"
     assert not group.serve("b")
-    [(_, propose, epoch)] = group.late
+    [(_, propose, term)] = group.late
     told = entries.decode(propose.data)
     assert told is not None
     group.fate = lambda frm, told: "promised"
@@ -309,11 +309,11 @@
     group = ready()
     group.fate = lambda frm, told: "unknown" if isinstance(told[0], Grant) else "promised"
     assert not group.serve("b")
-    [(_, propose, epoch)] = group.late
+    [(_, propose, term)] = group.late
     told = entries.decode(propose.data)
     assert told is not None
     group.fate = lambda frm, told: "promised"
-    group.agree(*told, epoch=epoch)
+    group.agree(*told, term=term)
     group.lead("c")
     group.run(QUICK.lease_ms / 2)
     assert spend(group, "b", 20, 5) == 4
--- a/tests/fleet/wallet_bugs.py
+++ b/tests/fleet/wallet_bugs.py
@@ -57,9 +57,9 @@
 def expired_without_the_witnesses(patch: pytest.MonkeyPatch) -> None:
     """What its holder had settled counts."""
 
-    def ends(self: spend_witness.Gone, epoch: int, lost: Any) -> list[entries.Expire]:
+    def ends(self: spend_witness.Gone, term: int, lost: Any) -> list[entries.Expire]:
         return [
-            entries.Expire(tenant, *self.owner, serial, one.spent, epoch)
+            entries.Expire(tenant, *self.owner, serial, one.spent, term)
             for (tenant, serial), one in self.slices.items()
         ]
 
@@ -85,8 +85,8 @@
     forgets: dict[int, Callable[[], None]] = {}
     real = quota_grants.Granting.begin
 
-    def begin(self: quota_grants.Granting, now: float, epoch: int) -> None:
-        real(self, now, epoch)
+    def begin(self: quota_grants.Granting, now: float, term: int) -> None:
+        real(self, now, term)
         forgets[id(self._book)]()
 
     made = spend_witness.Memory.__init__
@@ -115,8 +115,8 @@
     """It knows no leases, and takes that for there being none."""
     real = quota_grants.Granting.begin
 
-    def begin(self: quota_grants.Granting, now: float, epoch: int) -> None:
-        real(self, now, epoch)
+    def begin(self: quota_grants.Granting, now: float, term: int) -> None:
+        real(self, now, term)
         self._gone_at = now
 
     patch.setattr(quota_grants.Granting, "begin", begin)
