--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -11,7 +11,7 @@
   (`above.py`). What they ask is told to the log when all that the event brought about is told: never in between.
 - A snapshot is made of the state of all of them. Where some entry is of a part that is not here, or is off, none is
   made: its state would be lost. The log then grows until it refuses what is proposed.
-- Asked(part, event) is the host's own way to a part; actions of further types go to who `hears` them.
+- ComponentEvent(component, event) is the host's own way to a part; actions of further types go to who `hears` them.
 
 A part that raises: where the host gave `faulty` it is told so and the part hears nothing more; if it was the first
 part, none does, as nobody would tell the others of a fence. Without `faulty` the exception goes through: in simulated
@@ -29,12 +29,12 @@
 from .interfaces import (
     Action,
     Address,
+    Component,
     Event,
     Fenced,
     MemberChanged,
     MessageReceived,
     Note,
-    Part,
     SendToAddress,
     SendToMember,
     SetTimer,
@@ -66,7 +66,7 @@
 class ComponentEvent(NamedTuple):
     """An event for one part, from its host."""
 
-    part: str  # its prefix
+    component: str  # its prefix
     event: Any
 
 
@@ -74,10 +74,10 @@
     """A part made of parts."""
 
     def __init__(
-        self, parts: Sequence[tuple[str, Part]], names: Names | None = None, faulty: Faulty | None = None
+        self, components: Sequence[tuple[str, Component]], names: Names | None = None, faulty: Faulty | None = None
     ) -> None:
-        """`parts` with the prefix of their messages' tags, membership first. Raises ValueError on a prefix twice."""
-        self._parts: list[Part] = []
+        """`components` with the prefix of their messages' tags, membership first. Raises ValueError on a prefix twice."""
+        self._components: list[Component] = []
         self._prefixes: list[str] = []
         self._places: dict[str, int] = {}
         self._names, self.faulty = names, faulty
@@ -86,18 +86,18 @@
         self._asking: deque[tuple[int, Any]] = deque()  # what is still to be told: part, event
         self._hears: dict[type, Callable[[Any], None]] = {}
         self._whole = True  # every entry and every state so far was of a part that is here
-        for prefix, part in parts:
-            self.add(prefix, part)
+        for prefix, component in components:
+            self.add(prefix, component)
         self.off: tuple[str, ...] = ()  # prefixes of the parts stopped
         self.untold = 0  # messages to names without an address
         self.unheard = 0  # messages of no part, or of one that is off
 
-    def add(self, prefix: str, part: Part) -> None:
+    def add(self, prefix: str, component: Component) -> None:
         """Before Started alone: numbers of timers hang on how many parts there are."""
         if self._begun or prefix in self._places:
             raise ValueError(f"{prefix}: begun already, or two parts with one prefix")
-        self._places[prefix] = len(self._parts)
-        self._parts.append(part)
+        self._places[prefix] = len(self._components)
+        self._components.append(component)
         self._prefixes.append(prefix)
 
     def hears(self, kind: type, told: Callable[[Any], None]) -> None:
@@ -136,9 +136,9 @@
             ticket, place = self._back(event.ticket)
             return ((place, StoreFailed(ticket, event.why)),)
         if isinstance(event, (Started, ShutdownStarted)):
-            return [(place, event) for place in range(len(self._parts))]
-        if isinstance(event, ComponentEvent) and event.part in self._places:
-            return ((self._places[event.part], event.event),)
+            return [(place, event) for place in range(len(self._components))]
+        if isinstance(event, ComponentEvent) and event.component in self._places:
+            return ((self._places[event.component], event.event),)
         raise TypeError(f"no event of the hub: {event!r}")
 
     def _tell(self, now: float, number: int, event: Any, out: list[Action]) -> None:
@@ -146,7 +146,7 @@
         if number in self._off:
             return
         try:
-            for action in self._parts[number].handle(now, event):
+            for action in self._components[number].handle(now, event):
                 self._carry(now, number, action, out)
         except Exception as error:
             if self.faulty is None:
@@ -167,7 +167,7 @@
         elif isinstance(action, (SendToAddress, Note)):
             out.append(action)
         elif isinstance(action, (MemberChanged, Fenced)) and number == 0:
-            for other in range(1, len(self._parts)):
+            for other in range(1, len(self._components)):
                 self._tell(now, other, action, out)
         elif type(action) in self._hears:
             self._hears[type(action)](action)
@@ -195,7 +195,7 @@
         self._asking.append((log, action))
 
     def _of_the_log(self, now: float, log: int, action: Any, out: list[Action]) -> None:
-        layers = range(log + 1, len(self._parts))
+        layers = range(log + 1, len(self._components))
         if isinstance(action, ENDS):
             ticket, number = self._back(action.ticket)
             self._tell(now, number, action._replace(ticket=ticket), out)
@@ -220,7 +220,7 @@
                 out.append(Note("no snapshot: entries of a part that is not here"))
                 return
             states = {
-                self._prefixes[number]: cast(log_multiplexer.ReplicatedComponent, self._parts[number]).state()
+                self._prefixes[number]: cast(log_multiplexer.ReplicatedComponent, self._components[number]).state()
                 for number in layers
             }
             self._asking.append((log, api.SnapshotState(action.index, log_multiplexer.join_states(states))))
@@ -229,16 +229,16 @@
 
     def _stop(self, number: int, event: Any, error: Exception, out: list[Action]) -> None:
         assert self.faulty is not None
-        self._stopped(set(range(len(self._parts))) if number == 0 else {number})
+        self._stopped(set(range(len(self._components))) if number == 0 else {number})
         self.faulty(self._prefixes[number], event, error)
         out.append(Note(OFF, {"part": self._prefixes[number], "off": ", ".join(self.off)}))
         if number == self._places.get(LOG):
-            layers = range(number + 1, len(self._parts))
+            layers = range(number + 1, len(self._components))
             self._asking.extend((layer, api.LeaderChanged(None, 0)) for layer in layers)
 
     def halt(self) -> None:
         """The host tells no part anything more."""
-        self._stopped(set(range(len(self._parts))))
+        self._stopped(set(range(len(self._components))))
 
     def _stopped(self, numbers: set[int]) -> None:
         self._off |= numbers
@@ -247,7 +247,7 @@
     # A number of a part's own, and the part, in one number: nothing has to be kept, whatever parts ask for
 
     def _forth(self, own: int, number: int) -> int:
-        return own * len(self._parts) + number
+        return own * len(self._components) + number
 
     def _back(self, both: int) -> tuple[int, int]:
-        return divmod(both, len(self._parts))
+        return divmod(both, len(self._components))
--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -136,7 +136,7 @@
 Action = Union[SendToAddress, SendToMember, SetTimer, Store, Note, MemberChanged, Fenced]
 
 
-class Part(Protocol):
+class Component(Protocol):
     """A state machine of the fleet, as its host sees it."""
 
     def handle(self, now: float, event: Any) -> list[Any]:
--- a/limenotch/fleet/log_multiplexer.py
+++ b/limenotch/fleet/log_multiplexer.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from .interfaces import Part
+from .interfaces import Component
 
 _states: msgspec.msgpack.Decoder[dict[str, bytes]] = msgspec.msgpack.Decoder(dict[str, bytes])
 
 
-class ReplicatedComponent(Part, Protocol):
+class ReplicatedComponent(Component, Protocol):
     """A layer above the log. Its events are besides the usual ones what `agreement.api` calls actions, but for
     WantSnapshot: that is answered for it by `state`. Its actions may be the events there, but for Compact."""
 
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -30,7 +30,7 @@
 from ..fleet.affinity.core import Bindings
 from ..fleet.affinity.tuning import Tuning
 from ..fleet.hub import ComponentEvent
-from ..fleet.interfaces import Part, Started
+from ..fleet.interfaces import Component, Started
 from ..load_balancer_types import NEVER_RAN, AttemptEnding, DiscoveredEndpoint, DiscoveryStatus, PlacementHint
 from ..net.request import Attempt, FinalResponse, Request, Verdict
 from .base import FleetAdapter, NodeContext, message_types
@@ -119,7 +119,7 @@
 
     # As a layer
 
-    def part(self, state: bytes | None, index: int) -> Part:
+    def part(self, state: bytes | None, index: int) -> Component:
         return Begun(self, self._bindings)
 
     def first(self) -> list[Any]:
--- a/limenotch/fleet_adapters/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -8,7 +8,7 @@
 
 from ..config import Config
 from ..fleet.hub import ComponentEvent
-from ..fleet.interfaces import Message, Part
+from ..fleet.interfaces import Component, Message
 from ..load_balancer_types import DiscoveredEndpoint
 from ..net.admin.queries import json_response
 from ..net.admin.server import RequestHandler
@@ -41,7 +41,7 @@
         self.paths: dict[str, RequestHandler] = {}  # at the operators' address
         self.beside: RequestInterceptor | None = None  # who has a say in calls
 
-    def part(self, state: bytes | None, index: int) -> Part | None:
+    def part(self, state: bytes | None, index: int) -> Component | None:
         """Its decisions, from the state that the log was found with; None: it has nothing to do here.
 
         Raises msgspec.DecodeError or ValueError on a state that can't be read.
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -25,7 +25,7 @@
 from .fleet.consensus import Agreement
 from .fleet.consensus import messages as consensus_messages
 from .fleet.hub import LOG, ComponentHub
-from .fleet.interfaces import Part
+from .fleet.interfaces import Component
 from .fleet.membership import Membership
 from .fleet.membership.messages import Spoken
 from .fleet.settings import Fleet, Placed, place
@@ -151,7 +151,7 @@
         if not adapter.above:
             self._start_component(adapter, adapter.part(None, 0))
 
-    def _start_component(self, adapter: FleetAdapter, component: Part | None) -> None:
+    def _start_component(self, adapter: FleetAdapter, component: Component | None) -> None:
         if component is not None:
             self._hub.add(adapter.prefix, component)
             adapter.began()
