--- a/limenotch/fleet/affinity/context.py
+++ b/limenotch/fleet/affinity/context.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from ..interfaces import Carrier, Message, Note, SendToMember
+from ..interfaces import Carrier, LogLine, Message, SendToMember
 from .clocks import INFINITE
 from .entries import Noted
 from .expiry import pace
@@ -45,7 +45,7 @@
             self.say(peer, message)
 
     def note(self, text: str, **fields: Any) -> None:
-        self.out.append(Note(text, fields))
+        self.out.append(LogLine(text, fields))
 
     def least(self) -> None:
         """What others have covered, and how far ages from them may be out."""
--- a/limenotch/fleet/consensus/node.py
+++ b/limenotch/fleet/consensus/node.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from ...store.records import Append, LogEntry, Snapshot, StoredLog, TermVote
-from ..interfaces import Carrier, Message, Note, SendToMember, SetTimer, Store
+from ..interfaces import Carrier, LogLine, Message, SendToMember, SetTimer, Store
 from . import api
 from .log import COMMAND, NOBODY, Log, State, Voters, pack, unpack
 from .states import Cause, Role, next_role
@@ -95,7 +95,7 @@
         self.out.append(SendToMember(to, message, carrier))
 
     def note(self, text: str, **fields: Any) -> None:
-        self.out.append(Note(text, fields))
+        self.out.append(LogLine(text, fields))
 
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -32,9 +32,9 @@
     Component,
     Event,
     Fenced,
+    LogLine,
     MemberChanged,
     MessageReceived,
-    Note,
     SendToAddress,
     SendToMember,
     SetTimer,
@@ -109,7 +109,7 @@
         self._whole = self._whole and all(prefix in self._places for prefix in states)
 
     def handle(self, now: float, event: Event | ComponentEvent) -> list[Action]:
-        """Send, SetTimer, Store and Note only: the rest stays in here. Raises TypeError on what is no event."""
+        """Send, SetTimer, Store and LogLine only: the rest stays in here. Raises TypeError on what is no event."""
         out: list[Action] = []
         self._begun = self._begun or isinstance(event, Started)
         for number, inner in self._route(event):
@@ -164,7 +164,7 @@
             out.append(SetTimer(action.at_ms, self._forth(action.token, number)))
         elif isinstance(action, Store):
             out.append(Store(self._forth(action.ticket, number), action.records))
-        elif isinstance(action, (SendToAddress, Note)):
+        elif isinstance(action, (SendToAddress, LogLine)):
             out.append(action)
         elif isinstance(action, (MemberChanged, Fenced)) and number == 0:
             for other in range(1, len(self._components)):
@@ -217,7 +217,7 @@
                 self._tell(now, number, action, out)
         elif isinstance(action, api.SnapshotRequested):
             if not self._whole or self._off:
-                out.append(Note("no snapshot: entries of a part that is not here"))
+                out.append(LogLine("no snapshot: entries of a part that is not here"))
                 return
             states = {
                 self._prefixes[number]: cast(log_multiplexer.ReplicatedComponent, self._components[number]).state()
@@ -231,7 +231,7 @@
         assert self.faulty is not None
         self._stopped(set(range(len(self._components))) if number == 0 else {number})
         self.faulty(self._prefixes[number], event, error)
-        out.append(Note(OFF, {"part": self._prefixes[number], "off": ", ".join(self.off)}))
+        out.append(LogLine(OFF, {"part": self._prefixes[number], "off": ", ".join(self.off)}))
         if number == self._places.get(LOG):
             layers = range(number + 1, len(self._components))
             self._asking.extend((layer, api.LeaderChanged(None, 0)) for layer in layers)
--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -122,7 +122,7 @@
     records: tuple[Any, ...]
 
 
-class Note(NamedTuple):
+class LogLine(NamedTuple):
     """Something an operator would want to see: a structured log line, and a cell of a drawing.
 
     `text` is short and fixed in form ("suspects b", "b dead", "leads 4"); figures go into `fields`.
@@ -133,7 +133,7 @@
 
 
 Event = Union[Started, MessageReceived, TimerFired, ShutdownStarted, Stored, StoreFailed, MemberChanged, Fenced]
-Action = Union[SendToAddress, SendToMember, SetTimer, Store, Note, MemberChanged, Fenced]
+Action = Union[SendToAddress, SendToMember, SetTimer, Store, LogLine, MemberChanged, Fenced]
 
 
 class Component(Protocol):
--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from ..interfaces import Action, Address, Carrier, Fenced, MemberChanged, Message, Note, SendToAddress
+from ..interfaces import Action, Address, Carrier, Fenced, LogLine, MemberChanged, Message, SendToAddress
 from .dissemination import Broadcasts
 from .health import Health
 from .messages import Claim, Me
@@ -68,7 +68,7 @@
         self.counts[why] = self.counts.get(why, 0) + 1
 
     def note(self, text: str, **fields: Any) -> None:
-        self.acts.append(Note(text, fields))
+        self.acts.append(LogLine(text, fields))
 
     def where(self, name: str, otherwise: Address) -> Address:
         return self.addresses.get(name, otherwise)
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -24,7 +24,7 @@
 
 from .. import interfaces
 from ..consensus import api as log
-from ..interfaces import Carrier, Note, SendToMember, SetTimer
+from ..interfaces import Carrier, LogLine, SendToMember, SetTimer
 from ..leases import NEVER
 from . import entries
 from . import messages as say
@@ -185,18 +185,18 @@
         self._acts = None
         if self.book.newest != newest:
             self._activate_at = -NEVER
-            self._out.append(Note(f"holds {self.book.newest}"))
+            self._out.append(LogLine(f"holds {self.book.newest}"))
         self.changes.applied(applied)
         if applied.ok and isinstance(entry, (entries.Try, entries.EndTry)):
             word = "" if isinstance(entry, entries.Try) else " kept" if entry.keep else " back"
-            self._out.append(Note(f"canary {entry.id}{word}"))
+            self._out.append(LogLine(f"canary {entry.id}{word}"))
         if self.book.newest != newest or self.book.active != active:
             self._ask_at = min(self._ask_at, self._now)
 
     def _install(self, event: log.SnapshotInstalled) -> None:
         self.book.install(event.state)
         self._acts = None
-        self._out.append(Note(f"holds {self.book.newest}"))
+        self._out.append(LogLine(f"holds {self.book.newest}"))
         self._ask_at = min(self._ask_at, self._now)
 
     def state(self) -> bytes:
@@ -286,7 +286,7 @@
 
     def _bans(self, out: list[Any]) -> None:
         """What came of bans heard."""
-        if any(isinstance(action, Note) for action in out):
+        if any(isinstance(action, LogLine) for action in out):
             self._acts = None
         self._out += out
 
@@ -340,7 +340,7 @@
         if self.leads and trial is not None and trial.id == count.id:
             end = self.watch.counted(self._now, trial.id, sender in trial.names, count.taken, count.bad)
             if end:
-                self._out.append(Note(f"canary {trial.id} should {end}", self.watch.figures()))
+                self._out.append(LogLine(f"canary {trial.id} should {end}", self.watch.figures()))
                 self._propose(entries.EndTry(trial.id, end == "keep", end), "", 0)
 
     # After each event
@@ -379,11 +379,11 @@
         if leased:
             self._out.append(InForce(document, holder.until, holder.parts, narrow, book.newest, book.active))
             if not self._leased or self._noted != book.active:
-                self._out.append(Note(f"rules {book.active}", {"newest": book.newest}))
+                self._out.append(LogLine(f"rules {book.active}", {"newest": book.newest}))
         else:
             self._out.append(Narrow(narrow, self.tuning.without_lease == "refuse", book.newest))
             if self._leased or not self._noted:
-                self._out.append(Note("narrow"))
+                self._out.append(LogLine("narrow"))
         self._leased, self._noted = leased, book.active
 
     def _arm(self) -> None:
--- a/limenotch/fleet/rules/ejection_gossip.py
+++ b/limenotch/fleet/rules/ejection_gossip.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..interfaces import Carrier, MemberChanged, Note, SendToMember
+from ..interfaces import Carrier, LogLine, MemberChanged, SendToMember
 from . import entries
 from . import messages as say
 from .versioned_rules import Book
@@ -53,7 +53,7 @@
             if held[0] or after < self.book.returned(upstream):
                 continue
             if self.book.tell_ban(upstream, after, self._most):
-                out.append(Note(f"heard ban {upstream}"))
+                out.append(LogLine(f"heard ban {upstream}"))
         return out
 
     def spread(
--- a/limenotch/fleet/rules/endpoint_lists.py
+++ b/limenotch/fleet/rules/endpoint_lists.py
@@ -20,7 +20,7 @@
 
 from .. import interfaces
 from ..consensus import api as log
-from ..interfaces import Carrier, Note, SendToMember, SetTimer
+from ..interfaces import Carrier, LogLine, SendToMember, SetTimer
 from .api import Voters
 from .drain_notices import Drains
 from .endpoint_additions import NEVER, Arrivals
@@ -142,7 +142,7 @@
                 return
             self.runs += 1
             self.drains.restarted(self.directory)
-            self._out.append(Note("directory begun anew"))
+            self._out.append(LogLine("directory begun anew"))
         if not self.live:
             self.live, self._state_again = True, AGAIN + 1
         self.silent, self.index, self._pull_at = False, event.index, NEVER
@@ -190,7 +190,7 @@
         if event.directory != self.directory:
             self._move(event.directory)
         if not self.silent:
-            self._out.append(Note("directory silent"))
+            self._out.append(LogLine("directory silent"))
             self._pull_at = self._now
         if self.live:
             self._state_again, self._again_at = AGAIN + 1, self._now
@@ -283,7 +283,7 @@
         if drained != self._drained:
             for name in sorted(drained.keys() | self._drained.keys()):
                 if drained.get(name) != self._drained.get(name):
-                    self._out.append(Note(f"heard {name} {drained.get(name, 'free')}"))
+                    self._out.append(LogLine(f"heard {name} {drained.get(name, 'free')}"))
             self._drained = drained
             self._out.append(PeerDrain(dict(drained)))
         arrived: tuple[Named, ...] = ()
@@ -291,7 +291,7 @@
             arrived = self.arrivals.missing(self.directory, lambda name: name in self.own)
         if arrived != self._arrived:
             new = {named.name for named in arrived} - {named.name for named in self._arrived}
-            self._out += [Note(f"uses {name} as agreed") for name in sorted(new)]
+            self._out += [LogLine(f"uses {name} as agreed") for name in sorted(new)]
             self._arrived = arrived
             self._out.append(Arrived(arrived))
 
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -26,7 +26,7 @@
 
 from .. import interfaces
 from ..consensus import api as log
-from ..interfaces import Carrier, MessageReceived, Note, SendToMember, SetTimer
+from ..interfaces import Carrier, LogLine, MessageReceived, SendToMember, SetTimer
 from ..leases import NEVER
 from . import entries
 from . import messages as say
@@ -199,7 +199,7 @@
         if isinstance(entry, entries.Credit):
             self.asks.applied(index, applied)
             if applied.ok:
-                self._out.append(Note(f"paid {entry.tenant} {entry.amount}", {"id": entry.id}))
+                self._out.append(LogLine(f"paid {entry.tenant} {entry.amount}", {"id": entry.id}))
                 self.holding.paid(entry.tenant)
         elif applied.ok:
             mine = (entry.name, entry.process_epoch) == (self.name, self.process_epoch)
@@ -215,7 +215,7 @@
             else:
                 if isinstance(entry, entries.Expire):
                     what = "back" if entry.told else "lost"
-                    self._out.append(Note(f"{what} {entry.tenant} {applied.amount}", {"of": entry.name}))
+                    self._out.append(LogLine(f"{what} {entry.tenant} {applied.amount}", {"of": entry.name}))
                 if self.book.slice(entry.tenant, *owner, entry.serial) is None:
                     self.memory.ended(entry.tenant, owner, entry.serial)
                     if mine:
--- a/limenotch/fleet/wallet/quota_holder.py
+++ b/limenotch/fleet/wallet/quota_holder.py
@@ -15,7 +15,7 @@
 from math import ceil
 from typing import Any
 
-from ..interfaces import Note, SendToMember
+from ..interfaces import LogLine, SendToMember
 from ..leases import NEVER
 from . import entries
 from . import messages as say
@@ -53,7 +53,7 @@
         account.ramp *= 2
         account.dry = False
         self._wants.pop(tenant, None)
-        self.out.append(Note(f"holds {tenant} {agreed.held}", {"serial": serial}))
+        self.out.append(LogLine(f"holds {tenant} {agreed.held}", {"serial": serial}))
         if self.leaving:
             account.slices[serial].narrow(0)
 
@@ -206,14 +206,14 @@
             account.noted = True
             account.ramp = max(1, tuning.least_slice // 2)  # doubled with each slice
             why = "nothing left" if self._purse.until > now else "no lease"
-            self.out.append(Note(f"pauses {account.tenant}", {"why": why}))
+            self.out.append(LogLine(f"pauses {account.tenant}", {"why": why}))
         room = account.room
         if room and room >= account.need:
             account.need = 0
             account.dry = False
             if account.paused and self._purse.until > now:
                 account.paused = account.noted = False
-                self.out.append(Note(f"resumes {account.tenant}"))
+                self.out.append(LogLine(f"resumes {account.tenant}"))
         pace = ceil(account.rate * tuning.slice_ms)
         target = max(pace, tuning.least_slice)
         if now < account.span_until:  # there is little left
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -20,8 +20,8 @@
 
 from limenotch.fleet.interfaces import (
     Carrier,
+    LogLine,
     MessageReceived,
-    Note,
     SendToAddress,
     SendToMember,
     SetTimer,
@@ -309,7 +309,7 @@
                 timers.append((max(action.at_ms, node.now), action.token))
             elif isinstance(action, Store):
                 waiting.append((action.ticket, action.records))
-            elif isinstance(action, Note):
+            elif isinstance(action, LogLine):
                 noted.append((name, action.text))
         timers.sort(key=lambda timer: timer[0])
         told = replace(node, part=part, mark=self.digest(part), timers=tuple(timers), waiting=tuple(waiting))
--- a/limenotch/lab/fleet/explore_log.py
+++ b/limenotch/lab/fleet/explore_log.py
@@ -13,7 +13,7 @@
 from limenotch.fleet.consensus import api
 from limenotch.fleet.consensus.log import VOTERS, Voters, pack
 from limenotch.fleet.consensus.states import Role
-from limenotch.fleet.interfaces import Note, SendToMember, SetTimer, Store
+from limenotch.fleet.interfaces import LogLine, SendToMember, SetTimer, Store
 from limenotch.lab.fleet.explore import View
 from limenotch.lab.fleet.world import Make
 from limenotch.store.records import LogEntry, StoredLog, TermVote
@@ -53,7 +53,7 @@
                 self.told += ((action.index, action.term, action.id),)
             elif isinstance(action, api.ProposalCommitted):
                 self.promised |= {action.index}
-            elif isinstance(action, (SendToMember, SetTimer, Store, Note)):
+            elif isinstance(action, (SendToMember, SetTimer, Store, LogLine)):
                 out.append(action)
         return out
 
--- a/limenotch/lab/fleet/log_drawings.py
+++ b/limenotch/lab/fleet/log_drawings.py
@@ -9,7 +9,7 @@
 
 from limenotch.fleet import consensus
 from limenotch.fleet.consensus import api
-from limenotch.fleet.interfaces import Note
+from limenotch.fleet.interfaces import LogLine
 from limenotch.lab.fleet.drawing import Scenario
 from limenotch.lab.fleet.scenario import Outcome, check, play
 from limenotch.lab.fleet.world import World
@@ -39,11 +39,11 @@
             elif isinstance(action, api.SnapshotRequested):
                 out += self.handle(now, api.SnapshotState(action.index, msgspec.msgpack.encode(self.count)))
             elif isinstance(action, api.ProposalCommitted):
-                out += [Note(f"promised {word}")] if word else []
+                out += [LogLine(f"promised {word}")] if word else []
             elif isinstance(action, api.ProposalRejected):
-                out.append(Note(f"refused {word}: {action.why}"))
+                out.append(LogLine(f"refused {word}: {action.why}"))
             elif isinstance(action, api.OutcomeUnknown):
-                out.append(Note(f"unknown {word}"))
+                out.append(LogLine(f"unknown {word}"))
             elif not isinstance(action, (api.LeaderChanged, api.ReadReady)):
                 out.append(action)
         return out
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -16,9 +16,9 @@
 from limenotch.fleet.consensus import api as log
 from limenotch.fleet.interfaces import (
     Fenced,
+    LogLine,
     MemberChanged,
     MessageReceived,
-    Note,
     SendToMember,
     SetTimer,
     ShutdownStarted,
@@ -144,12 +144,12 @@
             if run.hosted:
                 run.answers.append((run.world.now, self.name, action))
             yes = f"yes {action.version}" + (f": {action.text}" if action.text else "")
-            out.append(Note(yes if action.ok else f"no: {action.text}"))
+            out.append(LogLine(yes if action.ok else f"no: {action.text}"))
         elif isinstance(action, SetTimer):
             out.append(SetTimer(action.at_ms, action.token + TOKEN))
         elif isinstance(action, (log.Propose, log.ReadIndex)):
             waiting.append((False, action))
-        elif isinstance(action, (SendToMember, Note)):
+        elif isinstance(action, (SendToMember, LogLine)):
             out.append(action)
         else:
             raise TypeError(f"no action of rules: {action!r}")
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -13,7 +13,7 @@
 from limenotch.fleet import consensus
 from limenotch.fleet.consensus import api as log
 from limenotch.fleet.hub import ComponentEvent, ComponentHub
-from limenotch.fleet.interfaces import Note, Started
+from limenotch.fleet.interfaces import LogLine, Started
 from limenotch.fleet.log_multiplexer import split_states
 from limenotch.fleet.membership import Membership
 from limenotch.fleet.membership import Tuning as Members
@@ -149,7 +149,7 @@
             self._call(now, event)
         elif isinstance(event, Calls):
             taken = sum([self._call(now, call) for call in event.calls])
-            self._notes.append(Note(f"takes {taken} of {len(event.calls)}"))
+            self._notes.append(LogLine(f"takes {taken} of {len(event.calls)}"))
         elif isinstance(event, Over):
             self._over(now, event)
         else:
@@ -179,7 +179,7 @@
         served = not isinstance(got, api.Turned)
         if self.serving.get(call.tenant) != served:
             self.serving[call.tenant] = served
-            self._notes.append(Note(f"{'serves' if served else 'turns away'} {call.tenant}"))
+            self._notes.append(LogLine(f"{'serves' if served else 'turns away'} {call.tenant}"))
         return served
 
     def _over(self, now: float, over: Over) -> None:
@@ -199,7 +199,7 @@
         text, shown = answer.word, told.get(self.run.asks[answer.ticket].tenant)
         if shown is not None:
             text = "shown: " + " ".join(f"{key} {shown[key]}" for key in ("spent", "left", "held"))
-        self._notes.append(Note(text, {"text": answer.text}))
+        self._notes.append(LogLine(text, {"text": answer.text}))
 
 
 class Run:
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -20,10 +20,10 @@
     Address,
     Carrier,
     Fenced,
+    LogLine,
     MemberChanged,
     Message,
     MessageReceived,
-    Note,
     SendToAddress,
     SendToMember,
     SetTimer,
@@ -146,7 +146,7 @@
             SendToAddress: self._send,
             SendToMember: self._tell,
             SetTimer: self._set,
-            Note: self._note,
+            LogLine: self._note,
             Store: self._store,
             MemberChanged: self._changed,
             Fenced: self._changed,
@@ -383,7 +383,7 @@
             node.now = timer.at_ms
         self._handle(node, TimerFired(timer.token))
 
-    def _note(self, node: Node, note: Note) -> None:
+    def _note(self, node: Node, note: LogLine) -> None:
         self.seen.append(Seen(self.kernel.now, node.name, note.text, note.fields))
 
     def _store(self, node: Node, action: Store) -> None:
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -23,9 +23,9 @@
     Action,
     Carrier,
     Event,
+    LogLine,
     Message,
     MessageReceived,
-    Note,
     SendToAddress,
     SetTimer,
     ShutdownStarted,
@@ -280,7 +280,7 @@
             )
         elif isinstance(action, Store):
             self._store(action)
-        elif isinstance(action, Note):
+        elif isinstance(action, LogLine):
             fields = {f"{key}_" if key == "event" else key: value for key, value in action.fields.items()}
             log.info(action.text, **{**fields, "fleet": True, "mono_ms": round(self._now, 1)})
         else:
--- a/tests/fleet/fake_parts.py
+++ b/tests/fleet/fake_parts.py
@@ -7,9 +7,9 @@
 
 from limenotch.fleet.interfaces import (
     Carrier,
+    LogLine,
     Message,
     MessageReceived,
-    Note,
     SendToAddress,
     SendToMember,
     SetTimer,
@@ -56,12 +56,12 @@
             self.heard[event.sender] = now
             if event.sender in self.suspected:
                 self.suspected.discard(event.sender)
-                return [Note(f"{event.sender} back")]
+                return [LogLine(f"{event.sender} back")]
             return []
         if isinstance(event, ShutdownStarted):
-            return [Note("leaves")]
+            return [LogLine("leaves")]
         if isinstance(event, str):
-            return [Note(event)]
+            return [LogLine(event)]
         raise TypeError(event)
 
     def _beat(self, now: float) -> list[Any]:
@@ -75,7 +75,7 @@
     def _look(self, now: float) -> list[Any]:
         silent = [one for one in self.others if now - self.heard[one] >= 350 and one not in self.suspected]
         self.suspected.update(silent)
-        return [Note(f"suspects {one}") for one in silent]
+        return [LogLine(f"suspects {one}") for one in silent]
 
 
 def listeners(*names: str, carrier: Carrier = Carrier.DATAGRAM) -> Callable[[str, int, int, StoredLog], Listener]:
@@ -100,7 +100,7 @@
 
     def handle(self, now: float, event: Any) -> list[Any]:
         if isinstance(event, Started):
-            return [Note(f"found {self.held.last}")]
+            return [LogLine(f"found {self.held.last}")]
         if isinstance(event, Put):
             self.tickets += 1
             self.batches[self.tickets] = self.last + 1
@@ -109,10 +109,10 @@
             return [Store(self.tickets, records)]
         self.answers.append(event)
         if isinstance(event, Stored):
-            return [Note(f"kept {event.ticket}")]
+            return [LogLine(f"kept {event.ticket}")]
         if isinstance(event, StoreFailed):
             self.last = min(self.last, self.batches[event.ticket] - 1)
-            return [Note(f"refused {event.ticket} {event.why}")]
+            return [LogLine(f"refused {event.ticket} {event.why}")]
         raise TypeError(event)
 
 
@@ -164,8 +164,8 @@
             return []
         self.asked = "asked"
         if self.name == self.no:
-            return [SendToMember("a", Vote(False), Carrier.DATAGRAM), Note("votes no")]
-        return [Note("votes yes"), Store(1, (TermVote(1, "yes"),))]
+            return [SendToMember("a", Vote(False), Carrier.DATAGRAM), LogLine("votes no")]
+        return [LogLine("votes yes"), Store(1, (TermVote(1, "yes"),))]
 
     def _voted(self, sender: str, yes: bool) -> list[Any]:
         if not yes:
@@ -179,10 +179,10 @@
         if self.decided:
             return []
         self.decided = "yes" if yes else "no"
-        return [Note(f"decides {self.decided}"), *(SendToMember(to, Outcome(yes)) for to in ("b", "c"))]
+        return [LogLine(f"decides {self.decided}"), *(SendToMember(to, Outcome(yes)) for to in ("b", "c"))]
 
     def _told(self, yes: bool) -> list[Any]:
         if self.decided:
             return []
         self.decided = "yes" if yes else "no"
-        return [Note(f"did {self.decided}")]
+        return [LogLine(f"did {self.decided}")]
--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from limenotch.fleet.consensus import api as log
-from limenotch.fleet.interfaces import MessageReceived, Note, SendToMember, SetTimer, Started, TimerFired
+from limenotch.fleet.interfaces import LogLine, MessageReceived, SendToMember, SetTimer, Started, TimerFired
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries
 
 QUICK = Tuning(
@@ -126,7 +126,7 @@
                 self.tell(action.to, MessageReceived((name, 1), name, action.message, action.carrier))
         elif isinstance(action, SetTimer):
             self._timers.append((action.at_ms, name, process_epoch, action.token))
-        elif isinstance(action, Note):
+        elif isinstance(action, LogLine):
             self.said.append((self.now, name, action.text))
         elif isinstance(action, api.Answer):
             self.answers.append(action)
--- a/tests/fleet/test_affinity_eviction.py
+++ b/tests/fleet/test_affinity_eviction.py
@@ -12,7 +12,7 @@
 from limenotch.fleet.affinity.eviction import GOING, KEPT, OPENED, OPENING, Order, class_of
 from limenotch.fleet.affinity.rows import ENDED, GRAVE, NIL, STATE_AT, Rows
 from limenotch.fleet.affinity.tuning import Ages
-from limenotch.fleet.interfaces import Note, TimerFired
+from limenotch.fleet.interfaces import LogLine, TimerFired
 from tests.fleet.affinity_worlds import THERE, alone
 
 SMALL = Tuning(most=16, most_opening=0.25, flow=Ages(opening=60_000))
@@ -153,6 +153,6 @@
     for number in range(20):
         now += 100.0
         part.table.see(now, Kind.CONN, b"n%d" % number, "p2", State.OPEN)
-        notes += [act.text for act in part.handle(now, TimerFired(1)) if isinstance(act, Note)]
+        notes += [act.text for act in part.handle(now, TimerFired(1)) if isinstance(act, LogLine)]
     assert notes == ["full"]
     assert part.table.live == 16
--- a/tests/fleet/test_explore.py
+++ b/tests/fleet/test_explore.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limenotch.fleet.interfaces import Carrier, MessageReceived, Note, SendToMember, Started
+from limenotch.fleet.interfaces import Carrier, LogLine, MessageReceived, SendToMember, Started
 from limenotch.lab.fleet.explore import Bounds, Explored, Explorer, View
 
 from .fake_parts import Beat, Voter
@@ -90,7 +90,7 @@
             return [SendToMember("b", Beat(number), self.carrier) for number in (2, 1)]
         if isinstance(event, MessageReceived):
             self.heard.append(event.message.number)  # type: ignore[attr-defined]
-            return [Note("wrong order")] if self.heard == [1, 2] else []
+            return [LogLine("wrong order")] if self.heard == [1, 2] else []
         return []
 
 
@@ -113,7 +113,7 @@
     class Asked(Order):
         def handle(self, now: float, event: Any) -> list[Any]:
             if isinstance(event, str):
-                return [] if self.heard else [Note("asked early")]
+                return [] if self.heard else [LogLine("asked early")]
             return super().handle(now, event)
 
     found = Explorer(
--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -27,9 +27,9 @@
 from limenotch.fleet.interfaces import (
     Carrier,
     Fenced,
+    LogLine,
     MemberChanged,
     MessageReceived,
-    Note,
     SendToAddress,
     SendToMember,
     SetTimer,
@@ -69,14 +69,14 @@
         SendToMember("b", Line("x")),
         SendToMember("z", Line("y")),
         SendToAddress(B, Probe(2)),
-        Note("n"),
+        LogLine("n"),
         SendToMember("b", Probe(3), Carrier.DATAGRAM),
     ]
     both, _ = hub(lambda *_: [], lambda *_: list(said))
     assert both.handle(0.0, MessageReceived(B, "b", Line("q"))) == [
         SendToAddress(B, Line("x"), Carrier.STREAM),
         SendToAddress(B, Probe(2)),
-        Note("n"),
+        LogLine("n"),
         SendToAddress(B, Probe(3), Carrier.DATAGRAM),
     ]
     assert both.untold == 1
@@ -110,14 +110,16 @@
 
 def test_what_membership_finds_is_told_to_the_others_at_its_place() -> None:
     def members(_: float, event: Any) -> list[Any]:
-        return [Note("before"), DEAD, Note("between"), Fenced(), Note("after")]
+        return [LogLine("before"), DEAD, LogLine("between"), Fenced(), LogLine("after")]
 
     three, toys = hub(
         members,
-        lambda _, event: [Note(f"log {type(event).__name__}")],
-        lambda _, event: [Note(f"rules {type(event).__name__}")],
+        lambda _, event: [LogLine(f"log {type(event).__name__}")],
+        lambda _, event: [LogLine(f"rules {type(event).__name__}")],
     )
-    notes = [action.text for action in three.handle(0.0, MessageReceived(B, "b", Probe(1))) if isinstance(action, Note)]
+    notes = [
+        action.text for action in three.handle(0.0, MessageReceived(B, "b", Probe(1))) if isinstance(action, LogLine)
+    ]
     assert notes == [
         "before",
         "log MemberChanged",
@@ -143,19 +145,21 @@
 def raising(_: float, event: Any) -> list[Any]:
     if isinstance(event, (MessageReceived, MemberChanged)):
         raise KeyError("broken")
-    return [Note("lives")]
+    return [LogLine("lives")]
 
 
 def test_a_part_that_raises_is_off_alone_and_membership_takes_all_with_it() -> None:
     seen: list[tuple[str, Any, Exception]] = []
-    both, (members, log) = hub(lambda *_: [DEAD, Note("goes on")], raising, faulty=lambda *told: seen.append(told))
+    both, (members, log) = hub(lambda *_: [DEAD, LogLine("goes on")], raising, faulty=lambda *told: seen.append(told))
     out = both.handle(0.0, MessageReceived(B, "b", Probe(1)))
-    assert out == [Note(hubs.OFF, {"part": "ag.", "off": "ag."}), Note("goes on")] and both.off == ("ag.",)
+    assert out == [LogLine(hubs.OFF, {"part": "ag.", "off": "ag."}), LogLine("goes on")] and both.off == ("ag.",)
     assert [(part, event, str(error)) for part, event, error in seen] == [("ag.", DEAD, "'broken'")]
-    assert both.handle(1.0, MessageReceived(B, "b", Probe(1))) == [Note("goes on")] and len(log.told) == 1
+    assert both.handle(1.0, MessageReceived(B, "b", Probe(1))) == [LogLine("goes on")] and len(log.told) == 1
     assert both.handle(1.0, MessageReceived(B, "b", Line(""))) == [] and both.unheard == 1
     both, (members, log) = hub(raising, raising, faulty=lambda *told: seen.append(told))
-    assert both.handle(0.0, MessageReceived(B, "b", Probe(1)))[0] == Note(hubs.OFF, {"part": "mb.", "off": "mb., ag."})
+    assert both.handle(0.0, MessageReceived(B, "b", Probe(1)))[0] == LogLine(
+        hubs.OFF, {"part": "mb.", "off": "mb., ag."}
+    )
     assert both.handle(0.0, ShutdownStarted()) == [] and log.told == []
 
 
@@ -255,12 +259,12 @@
 def test_no_snapshot_is_made_where_a_layer_is_missing_or_off(before: Any) -> None:
     hub, of_log, _ = with_log(on(Started, before, SnapshotRequested(1)), on(int), on(int))
     (note,) = hub.handle(0.0, Started())
-    assert isinstance(note, Note) and note.text.startswith("no snapshot")
+    assert isinstance(note, LogLine) and note.text.startswith("no snapshot")
     assert not any(isinstance(told, SnapshotState) for told in of_log.told)
     hub, of_log, _ = with_log(on(ShutdownStarted, SnapshotRequested(1)), raising)
     hub.faulty = lambda *about: None
     hub.handle(0.0, MessageReceived(B, "b", Rule("")))
-    assert hub.off == ("ru.",) and isinstance(hub.handle(1.0, ShutdownStarted())[0], Note)
+    assert hub.off == ("ru.",) and isinstance(hub.handle(1.0, ShutdownStarted())[0], LogLine)
     assert not any(isinstance(told, SnapshotState) for told in of_log.told)
 
 
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -14,9 +14,9 @@
 
 from limenotch.fleet.interfaces import (
     MAX_DATAGRAM_BYTES,
+    LogLine,
     MemberChanged,
     MessageReceived,
-    Note,
     SendToAddress,
     SetTimer,
     ShutdownStarted,
@@ -170,7 +170,7 @@
 
 def alone(**tuning: float) -> Membership:
     member = Membership("a", ("a", 1), 5, [], msgspec.convert(tuning, Tuning), 1)
-    notes = [act.text for act in member.handle(0.0, Started()) if isinstance(act, Note)]
+    notes = [act.text for act in member.handle(0.0, Started()) if isinstance(act, LogLine)]
     assert notes == ["joined"] and member.size() == 1
     return member
 
--- a/tests/fleet/test_peer_transport.py
+++ b/tests/fleet/test_peer_transport.py
@@ -13,9 +13,9 @@
 from limenotch.fleet.interfaces import (
     Carrier,
     Fenced,
+    LogLine,
     Message,
     MessageReceived,
-    Note,
     SendToAddress,
     SendToMember,
     SetTimer,
@@ -221,7 +221,7 @@
             a.act(*[SetTimer(1e12, n) for n in range(4)])
             assert a.others.state()["off"] == "all" and a.others.state()["timers"] == 0
             told = len(a.toy.told)
-            a.act(Note("nobody hears"))
+            a.act(LogLine("nobody hears"))
             assert len(a.toy.told) == told
         left = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
         async with asyncio.timeout(5):
@@ -235,7 +235,7 @@
     async def case() -> None:
         a = One("a")
         async with several(a):
-            a.act(Note("suspects b", {"by": "c", "event": 3, "mono_ms": "not the part's to say"}))
+            a.act(LogLine("suspects b", {"by": "c", "event": 3, "mono_ms": "not the part's to say"}))
 
     with caplog.at_level(logging.INFO):
         run(case)
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -10,8 +10,8 @@
 
 from limenotch.fleet.interfaces import (
     Carrier,
+    LogLine,
     MessageReceived,
-    Note,
     SendToAddress,
     SetTimer,
     ShutdownStarted,
@@ -177,7 +177,7 @@
     class Parting(Listener):
         def handle(self, now: float, event: Any) -> list[Any]:
             if isinstance(event, ShutdownStarted):
-                return [SendToAddress(address("a"), Beat(999), Carrier.STREAM), Note("leaves")]
+                return [SendToAddress(address("a"), Beat(999), Carrier.STREAM), LogLine("leaves")]
             return super().handle(now, event)
 
     made = World(NODES, lambda name, *_: Parting(name, tuple(one for one in NODES if one != name)), drift_ppm=0)
