--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -73,7 +73,7 @@
             event = MessageReceived((frm, 1), frm, event)
         actions = self.parts[name].handle(self.now, event)
         out = [
-            (action.to, name.encode() + self._encoder.encode(action.message))
+            (action.member, name.encode() + self._encoder.encode(action.message))
             for action in actions
             if isinstance(action, SendToMember)
         ]
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -155,11 +155,11 @@
 
     def _carry(self, now: float, number: int, action: Any, out: list[Action]) -> None:
         if isinstance(action, SendToMember):
-            at = self._names.address_of(action.to) if self._names is not None else None
-            if at is None:
+            address = self._names.address_of(action.member) if self._names is not None else None
+            if address is None:
                 self.untold += 1
             else:
-                out.append(SendToAddress(at, action.message, action.carrier))
+                out.append(SendToAddress(address, action.message, action.carrier))
         elif isinstance(action, SetTimer):
             out.append(SetTimer(action.at_ms, self._forth(action.token, number)))
         elif isinstance(action, Store):
--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -43,7 +43,7 @@
 class MessageReceived(NamedTuple):
     """A message came whose digest and version were sound. `sender` is the name its frame bears."""
 
-    at: Address
+    address: Address
     sender: str
     message: Message
     carrier: Carrier = Carrier.DATAGRAM
@@ -80,7 +80,7 @@
 
     name: str
     state: str  # one of membership.states.State's values
-    at: Address
+    address: Address
     incarnation: int
     process_epoch: int  # differs between two processes of one name; a duty is held by (name, life)
 
@@ -95,7 +95,7 @@
 class SendToAddress(NamedTuple):
     """To an address; membership's, which knows addresses before names."""
 
-    at: Address
+    address: Address
     message: Message
     carrier: Carrier = Carrier.DATAGRAM
 
@@ -103,7 +103,7 @@
 class SendToMember(NamedTuple):
     """To a member by name; dropped where membership knows no address."""
 
-    to: str
+    member: str
     message: Message
     carrier: Carrier = Carrier.STREAM
 
--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -30,15 +30,15 @@
     def __init__(
         self,
         name: str,
-        at: Address,
+        address: Address,
         process_epoch: int,
         seeds: Iterable[Address],
         tuning: Tuning,
         seed: int,
         addresses: Mapping[str, Address],
     ) -> None:
-        self.name, self.at, self.process_epoch, self.incarnation = name, at, process_epoch, 0
-        self.seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != at))
+        self.name, self.address, self.process_epoch, self.incarnation = name, address, process_epoch, 0
+        self.seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != address))
         self.tuning, self.addresses = tuning, addresses
         self.random = Random(f"{seed} {name} {process_epoch}")
         self.phase = Phase.JOINING
@@ -58,7 +58,7 @@
 
     @property
     def me(self) -> Me:
-        return Me(self.at, self.process_epoch, self.incarnation, self.phase is Phase.INSIDE)
+        return Me(self.address, self.process_epoch, self.incarnation, self.phase is Phase.INSIDE)
 
     def seq(self) -> int:
         self._seq += 1
@@ -74,13 +74,13 @@
         return self.addresses.get(name, otherwise)
 
     def at_of(self, name: str) -> Address:
-        return self.where(name, self.table[name].at)
+        return self.where(name, self.table[name].address)
 
-    def say(self, at: Address, message: Message, carrier: Carrier = Carrier.DATAGRAM) -> None:
-        self.acts.append(SendToAddress(at, message, carrier))
+    def say(self, address: Address, message: Message, carrier: Carrier = Carrier.DATAGRAM) -> None:
+        self.acts.append(SendToAddress(address, message, carrier))
 
     def own_claim(self, state: State = State.ALIVE) -> Claim:
-        return Claim(self.name, CODES.index(state), self.at, self.process_epoch, self.incarnation)
+        return Claim(self.name, CODES.index(state), self.address, self.process_epoch, self.incarnation)
 
     def against(self, name: str, me: Me | None, now: float) -> Claim | None:
         """What is held of somebody that beats what it says of itself: it must hear of that first."""
@@ -122,7 +122,7 @@
 
     def changed(self, state: State) -> None:
         """Oneself, for the parts above."""
-        self.acts.append(MemberChanged(self.name, state.value, self.at, self.incarnation, self.process_epoch))
+        self.acts.append(MemberChanged(self.name, state.value, self.address, self.incarnation, self.process_epoch))
 
     def fenced(self, **fields: Any) -> None:
         self.acts.append(Fenced())
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -53,16 +53,16 @@
     def __init__(
         self,
         name: str,
-        at: Address,
+        address: Address,
         process_epoch: int,
         seeds: Iterable[Address],
         tuning: Tuning,
         seed: int,
         addresses: Mapping[str, Address] | None = None,
     ) -> None:
-        if not sound(Claim(name, 0, at, process_epoch, 0)):
-            raise ValueError(f"name {name!r}, address {at} or life {process_epoch} can't be a member's")
-        self.ground = Ground(name, at, process_epoch, seeds, tuning, seed, addresses or {})
+        if not sound(Claim(name, 0, address, process_epoch, 0)):
+            raise ValueError(f"name {name!r}, address {address} or life {process_epoch} can't be a member's")
+        self.ground = Ground(name, address, process_epoch, seeds, tuning, seed, addresses or {})
         self.own = Own(self.ground, self._entered)
         self.prober = Prober(self.ground, lambda now, name: self.holder.unanswered(now, name))
         self.holder = Holder(self.ground, self.own, self.prober)
@@ -98,9 +98,9 @@
     def members(self) -> list[Seen]:
         """All that is held, oneself first if inside."""
         ground = self.ground
-        own = Seen(ground.name, State.ALIVE, ground.incarnation, ground.process_epoch, ground.at, self._since)
+        own = Seen(ground.name, State.ALIVE, ground.incarnation, ground.process_epoch, ground.address, self._since)
         return [own] * self.inside + [
-            Seen(m.name, m.state, m.incarnation, m.process_epoch, m.at, m.since) for m in ground.table
+            Seen(m.name, m.state, m.incarnation, m.process_epoch, m.address, m.since) for m in ground.table
         ]
 
     def address_of(self, name: str) -> Address | None:
@@ -186,8 +186,8 @@
         """Inside: begins to probe, and gives its table to the seeds."""
         ground, tuning = self.ground, self.ground.tuning
         self._since = now
-        for at in ground.seeds:
-            ground.say(at, Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
+        for address in ground.seeds:
+            ground.say(address, Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
         part = ground.random.random
         ground.agenda.at(now + part() * self._gap, ("probe", ""))
         ground.agenda.at(now + part() * tuning.reconnect * tuning.period_ms, ("reconnect", ""))
@@ -237,8 +237,8 @@
             if len(self._knocks) >= MOST_KNOCKS:
                 del self._knocks[next(iter(self._knocks))]
             self._knocks[self.prober.knock(now, name)] = name
-        alive = {ground.table[name].at for name in ground.table.live}
-        missing = [at for at in ground.seeds if at not in alive]
+        alive = {ground.table[name].address for name in ground.table.live}
+        missing = [address for address in ground.seeds if address not in alive]
         if missing:
             ground.say(ground.random.choice(missing), Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
         periods = tuning.reconnect if ground.table.live else 1.0  # alone: sooner
@@ -314,50 +314,51 @@
     def _namesake(self, now: float, message: Spoken) -> None:
         """Another process has this name, or a message came back to its sender."""
         ground, me = self.ground, message.me
-        if me.at == ground.at and me.process_epoch == ground.process_epoch:
+        if me.address == ground.address and me.process_epoch == ground.process_epoch:
             return
         if isinstance(message, Ack):
             if me.inside:
                 self.own.answered(message)
             return
         if me.inside:
-            self.own.hear(now, Claim(ground.name, ALIVE, me.at, me.process_epoch, me.incarnation))
+            self.own.hear(now, Claim(ground.name, ALIVE, me.address, me.process_epoch, me.incarnation))
         if isinstance(message, Ping) and ground.phase is Phase.INSIDE:
-            ground.say(me.at, Ack(message.seq, ground.name, ground.me))
+            ground.say(me.address, Ack(message.seq, ground.name, ground.me))
         elif isinstance(message, Ask):
-            ground.say(me.at, Answer(ground.me, ground.all_known(now)), Carrier.STREAM)
+            ground.say(me.address, Answer(ground.me, ground.all_known(now)), Carrier.STREAM)
 
     def _speaker(self, now: float, name: str, me: Me) -> None:
         held = self.ground.table.get(name)
         if me.inside and (
-            held is None or (held.process_epoch, held.incarnation, held.at) != (me.process_epoch, me.incarnation, me.at)
+            held is None
+            or (held.process_epoch, held.incarnation, held.address) != (me.process_epoch, me.incarnation, me.address)
         ):
-            self.holder.hear(now, Claim(name, ALIVE, me.at, me.process_epoch, me.incarnation))
+            self.holder.hear(now, Claim(name, ALIVE, me.address, me.process_epoch, me.incarnation))
 
     def _answer(self, now: float, event: MessageReceived, message: Spoken) -> None:
         ground = self.ground
-        at = ground.where(event.sender, message.me.at) if message.me.inside else message.me.at
+        address = ground.where(event.sender, message.me.address) if message.me.inside else message.me.address
         against = ground.against(event.sender, message.me, now) if message.me.inside else None
         if isinstance(message, Ping):
             if message.target != ground.name:
                 ground.count("ping for another")
             elif ground.phase is Phase.INSIDE:
-                ground.say(at, Ack(message.seq, ground.name, ground.me, ground.news(against)), event.carrier)
+                ground.say(address, Ack(message.seq, ground.name, ground.me, ground.news(against)), event.carrier)
             return
         if isinstance(message, Ask):
-            ground.say(at, Answer(ground.me, ground.all_known(now)), Carrier.STREAM)
+            ground.say(address, Answer(ground.me, ground.all_known(now)), Carrier.STREAM)
             return
         if isinstance(message, PingReq) and ground.phase is Phase.INSIDE:
-            if sound(Claim(message.target, ALIVE, message.at, 0, 0)):
+            if sound(Claim(message.target, ALIVE, message.address, 0, 0)):
                 self.prober.asked(now, event.sender, message)
             else:
                 ground.count("unsound message")
         elif isinstance(message, Ack):
             if self._knocks.pop(message.seq, None) == event.sender:
-                ground.say(at, Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
+                ground.say(address, Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
             else:
                 self.prober.ack(event.sender, message)
         elif isinstance(message, Nack):
             self.prober.nack(event.sender, message)
         if against is not None and ground.phase is Phase.INSIDE and ground.may_tell_off(event.sender, now):
-            ground.say(at, News(ground.me, (against,)))
+            ground.say(address, News(ground.me, (against,)))
--- a/limenotch/fleet/membership/member_states.py
+++ b/limenotch/fleet/membership/member_states.py
@@ -75,7 +75,9 @@
             return
         text = f"suspects {name}" if member.state is State.SUSPECT else f"{name} {member.state.value}"
         ground.note(text, life=member.process_epoch, incarnation=member.incarnation, by=member.by)
-        ground.acts.append(MemberChanged(name, member.state.value, member.at, member.incarnation, member.process_epoch))
+        ground.acts.append(
+            MemberChanged(name, member.state.value, member.address, member.incarnation, member.process_epoch)
+        )
 
     def _confirm(self, now: float, claim: Claim) -> None:
         member = self.ground.table[claim.name]
@@ -88,7 +90,7 @@
         """A probe failed."""
         held = self.ground.table.get(name)
         if held is not None and held.state not in FINAL and self.ground.phase is Phase.INSIDE:
-            self.hear(now, Claim(name, SUSPECT, held.at, held.process_epoch, held.incarnation, self.ground.name))
+            self.hear(now, Claim(name, SUSPECT, held.address, held.process_epoch, held.incarnation, self.ground.name))
 
     def over(self, now: float, name: str) -> None:
         held = self.ground.table.get(name)
@@ -100,7 +102,7 @@
         if self.ground.phase is not Phase.INSIDE:
             self.ground.agenda.at(now + self.ground.tuning.period_ms, ("suspect", name))
             return
-        self.hear(now, Claim(name, DEAD, held.at, held.process_epoch, held.incarnation, self.ground.name))
+        self.hear(now, Claim(name, DEAD, held.address, held.process_epoch, held.incarnation, self.ground.name))
 
     def ask(self, now: float, name: str) -> None:
         held = self.ground.table.get(name)
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -22,7 +22,7 @@
 class Me(Struct, frozen=True, array_like=True):
     """The speaker of a message; its name is its frame's."""
 
-    at: Address  # as it wants to be spoken to
+    address: Address  # as it wants to be spoken to
     process_epoch: int
     incarnation: int
     inside: bool = True  # False: it asks before it joins, or stays out; not to be taken for a member
@@ -33,7 +33,7 @@
 
     name: str
     state: int  # index in states.CODES
-    at: Address
+    address: Address
     process_epoch: int
     incarnation: int
     by: str = ""  # who found it: independent finders of one suspicion shorten it
@@ -54,7 +54,7 @@
 class PingReq(Message, frozen=True, tag="mb.ping-req"):
     seq: int
     target: str
-    at: Address
+    address: Address
     me: Me
     news: tuple[Claim, ...] = ()
 
@@ -95,8 +95,8 @@
 Spoken = Ping | PingReq | Ack | Nack | News | Ask | Answer
 
 
-def _address(at: Address) -> bool:
-    return 0 < len(at[0]) <= LONGEST_HOST and 0 < at[1] < 65536
+def _address(address: Address) -> bool:
+    return 0 < len(address[0]) <= LONGEST_HOST and 0 < address[1] < 65536
 
 
 def sound(claim: Claim) -> bool:
@@ -104,7 +104,7 @@
     return (
         0 < len(claim.name) <= LONGEST_NAME
         and 0 <= claim.state < len(CODES)
-        and _address(claim.at)
+        and _address(claim.address)
         and 0 <= claim.process_epoch <= MAX_PROCESS_EPOCH
         and 0 <= claim.incarnation <= MOST_INCARNATION
         and len(claim.by) <= LONGEST_NAME
@@ -113,4 +113,6 @@
 
 
 def sound_me(me: Me) -> bool:
-    return _address(me.at) and 0 <= me.process_epoch <= MAX_PROCESS_EPOCH and 0 <= me.incarnation <= MOST_INCARNATION
+    return (
+        _address(me.address) and 0 <= me.process_epoch <= MAX_PROCESS_EPOCH and 0 <= me.incarnation <= MOST_INCARNATION
+    )
--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -36,7 +36,7 @@
 
 class Relayed(NamedTuple):
     origin: str
-    at: Address
+    address: Address
     seq: int
     target: str
 
@@ -67,10 +67,10 @@
         if flight is None or not self._stands(flight):
             self._end(seq)
             return
-        at = ground.table[flight.name].at
+        address = ground.table[flight.name].address
         flight.asked = tuple(ground.table.some(ground.random, ground.tuning.indirect, flight.name))
         for relay in flight.asked:
-            ground.say(ground.at_of(relay), PingReq(seq, flight.name, at, ground.me, ground.news()))
+            ground.say(ground.at_of(relay), PingReq(seq, flight.name, address, ground.me, ground.news()))
         ground.say(ground.at_of(flight.name), self._ping(seq, flight.name, now), Carrier.STREAM)
 
     def fail(self, now: float, seq: int) -> None:
@@ -95,7 +95,7 @@
             ground.count("ack of nothing")  # late, mostly
             return
         self.unrelay(message.seq)
-        ground.say(relayed.at, Ack(relayed.seq, relayed.target, ground.me, ground.news()))
+        ground.say(relayed.address, Ack(relayed.seq, relayed.target, ground.me, ground.news()))
 
     def nack(self, sender: str, message: Nack) -> None:
         flight = self.flights.get(message.seq)
@@ -108,15 +108,15 @@
             ground.count("too many ping-reqs")
             return
         seq = ground.seq()
-        self.relayed[seq] = Relayed(sender, ground.where(sender, message.me.at), message.seq, message.target)
-        ground.say(ground.where(message.target, message.at), self._ping(seq, message.target, now))
+        self.relayed[seq] = Relayed(sender, ground.where(sender, message.me.address), message.seq, message.target)
+        ground.say(ground.where(message.target, message.address), self._ping(seq, message.target, now))
         ground.agenda.at(now + NACK_AT * ground.tuning.timeout_ms, ("nack", seq))
         ground.agenda.at(now + 3 * ground.tuning.timeout_ms, ("relayed", seq))
 
     def say_nack(self, seq: int) -> None:
         relayed, ground = self.relayed.get(seq), self.ground
         if relayed is not None:
-            ground.say(relayed.at, Nack(relayed.seq, relayed.target, ground.me, ground.news()))
+            ground.say(relayed.address, Nack(relayed.seq, relayed.target, ground.me, ground.news()))
 
     def unrelay(self, seq: int) -> None:
         self.relayed.pop(seq, None)
--- a/limenotch/fleet/membership/self_member.py
+++ b/limenotch/fleet/membership/self_member.py
@@ -68,7 +68,7 @@
         """A member answered, and what it knows of this name was heard."""
         if self.ground.phase is not Phase.JOINING or self.asked:
             return
-        if self.other is None or self.other.says in FINAL or self.other.at == self.ground.at:
+        if self.other is None or self.other.says in FINAL or self.other.address == self.ground.address:
             self.enter(now)
         else:
             self._ask_other()
@@ -91,7 +91,7 @@
         if ground.phase in (Phase.JOINING, Phase.OUT):
             self._hear_of_other(now, claim)
         elif ground.phase is Phase.INSIDE and claim.process_epoch >= ground.process_epoch:
-            here, final = claim.at == ground.at, claim.says in FINAL
+            here, final = claim.address == ground.address, claim.says in FINAL
             if claim.process_epoch > ground.process_epoch:
                 if final or here:
                     self._reborn(claim)
@@ -100,7 +100,7 @@
             elif final:
                 self._reborn(claim)
             elif not here:
-                if ground.at > claim.at:
+                if ground.address > claim.address:
                     self._step_out(now, claim)
                 else:
                     ground.count("twin of the same life")
@@ -113,12 +113,12 @@
     def answered(self, message: Ack) -> None:
         """By a process of the same name."""
         ground = self.ground
-        if ground.phase not in (Phase.JOINING, Phase.OUT) or message.me.at == ground.at:
+        if ground.phase not in (Phase.JOINING, Phase.OUT) or message.me.address == ground.address:
             return
         self.unanswered = 0
-        self.other = Claim(ground.name, 0, message.me.at, message.me.process_epoch, message.me.incarnation)
+        self.other = Claim(ground.name, 0, message.me.address, message.me.process_epoch, message.me.incarnation)
         if not self.noted:
-            ground.note(f"twin {ground.name}", at=message.me.at, life=message.me.process_epoch)
+            ground.note(f"twin {ground.name}", at=message.me.address, life=message.me.process_epoch)
             self.noted = True
         ground.phase = Phase.OUT
 
@@ -138,12 +138,12 @@
         self.asked = ground.seq()
         self.unanswered += 1
         for carrier in Carrier:
-            ground.say(self.other.at, Ping(self.asked, ground.name, ground.me), carrier)
+            ground.say(self.other.address, Ping(self.asked, ground.name, ground.me), carrier)
 
     def _ask_seeds(self) -> None:
         ground = self.ground
-        for at in ground.seeds:
-            ground.say(at, Ask(ground.me), Carrier.STREAM)
+        for address in ground.seeds:
+            ground.say(address, Ask(ground.me), Carrier.STREAM)
 
     def _refute(self, claim: Claim) -> None:
         ground = self.ground
--- a/limenotch/fleet/membership/table.py
+++ b/limenotch/fleet/membership/table.py
@@ -12,7 +12,7 @@
 
 
 class Member:
-    __slots__ = ("at", "by", "incarnation", "name", "process_epoch", "since", "state", "suspicion")
+    __slots__ = ("address", "by", "incarnation", "name", "process_epoch", "since", "state", "suspicion")
 
     def __init__(self, claim: Claim, since: float) -> None:
         self.name = claim.name
@@ -20,7 +20,7 @@
         self.take(claim, since)
 
     def take(self, claim: Claim, since: float) -> None:
-        self.at, self.process_epoch, self.state = claim.at, claim.process_epoch, claim.says
+        self.address, self.process_epoch, self.state = claim.address, claim.process_epoch, claim.says
         self.incarnation, self.by, self.since = claim.incarnation, claim.by, since
 
     @property
@@ -29,7 +29,9 @@
 
     def claim(self, now: float) -> Claim:
         age = int(max(0.0, now - self.since)) if self.state in FINAL else 0
-        return Claim(self.name, CODES.index(self.state), self.at, self.process_epoch, self.incarnation, self.by, age)
+        return Claim(
+            self.name, CODES.index(self.state), self.address, self.process_epoch, self.incarnation, self.by, age
+        )
 
 
 class Came(Enum):
@@ -72,7 +74,7 @@
             return Came.SAME_SUSPICION
         if not wins(said, held.standing):
             return Came.OLD
-        same = held.process_epoch == claim.process_epoch and held.state is claim.says and held.at == claim.at
+        same = held.process_epoch == claim.process_epoch and held.state is claim.says and held.address == claim.address
         before = held.incarnation if held.process_epoch == claim.process_epoch else 0
         held.take(claim, held.since if same else since)
         held.incarnation = max(held.incarnation, before)  # a death may come of an older one than was heard of
--- a/limenotch/fleet/settings.py
+++ b/limenotch/fleet/settings.py
@@ -84,7 +84,7 @@
     group: str
     key: bytes
     listen: Address
-    at: Address  # where others reach it
+    address: Address  # where others reach it
     seeds: tuple[Address, ...]
     addresses: dict[str, Address]
     table: Fleet
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -331,8 +331,8 @@
         own: deque[Any] = deque()
 
         def sort() -> None:
-            kept = [one for one in self._out if not (isinstance(one, SendToMember) and one.to == self.name)]
-            own.extend(one.message for one in self._out if isinstance(one, SendToMember) and one.to == self.name)
+            kept = [one for one in self._out if not (isinstance(one, SendToMember) and one.member == self.name)]
+            own.extend(one.message for one in self._out if isinstance(one, SendToMember) and one.member == self.name)
             self._out[:] = kept
 
         sort()
--- a/limenotch/fleet/wire.py
+++ b/limenotch/fleet/wire.py
@@ -48,7 +48,7 @@
     """The first frame of a stream: which process speaks on it, and where that process itself listens."""
 
     process_epoch: int
-    at: Address
+    address: Address
 
 
 def tag_of(message: Message | type[Message]) -> str:
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -104,7 +104,7 @@
         placed = self._placed
         return Membership(
             placed.name,
-            placed.at,
+            placed.address,
             self.process_epoch,
             placed.seeds,
             table.membership,
@@ -140,7 +140,7 @@
         )
         codec = FrameCodec(placed.key, placed.group, messages)
         return PeerTransport(
-            placed.listen, placed.name, self.process_epoch, self._hub, codec, table.streams, at=placed.at
+            placed.listen, placed.name, self.process_epoch, self._hub, codec, table.streams, address=placed.address
         )
 
     def _register(self, adapter: FleetAdapter) -> None:
@@ -291,7 +291,7 @@
             "name": self.name,
             "group": self.group,
             "life": self.process_epoch,
-            "at": host_port(self._placed.at),
+            "at": host_port(self._placed.address),
             "members": members(self._membership, self._transport.now()),
             **self._transport.state(),
             "parts": parts,
--- a/limenotch/lab/fleet/checks_log.py
+++ b/limenotch/lab/fleet/checks_log.py
@@ -94,9 +94,9 @@
             return
         ballot = self._disks()[node].term_vote
         vote, _, birth = ballot.vote.partition("?")
-        if (ballot.term, vote) != (message.term, what.to):
-            self._wrong(f"vote of {node} for {what.to} in {message.term} told before it was on disk")
-        if self._votes.setdefault((node, birth, message.term), what.to) != what.to:
+        if (ballot.term, vote) != (message.term, what.member):
+            self._wrong(f"vote of {node} for {what.member} in {message.term} told before it was on disk")
+        if self._votes.setdefault((node, birth, message.term), what.member) != what.member:
             self._wrong(f"{node} voted twice in {message.term}")
 
     def _see_stored(self, node: str, what: Any) -> None:
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -298,7 +298,7 @@
         flying, noted = list(after.flying), []
         for action in part.handle(node.now, event):
             if isinstance(action, (SendToAddress, SendToMember)):
-                to = action.at[0] if isinstance(action, SendToAddress) else action.to
+                to = action.address[0] if isinstance(action, SendToAddress) else action.member
                 if to in after.nodes:
                     flying.append(
                         _Flight(
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -319,14 +319,14 @@
                 self.watch(self.kernel.now, node.name, action)
 
     def _send(self, node: Node, action: SendToAddress) -> None:
-        to = self.nodes.get(action.at[0])
-        if to is None or to.address != action.at:
+        to = self.nodes.get(action.address[0])
+        if to is None or to.address != action.address:
             self._count("no such address")
             return
         self._carry(node, to, action.message, action.carrier)
 
     def _tell(self, node: Node, action: SendToMember) -> None:
-        to = self.nodes.get(action.to)
+        to = self.nodes.get(action.member)
         if to is None:
             self._count("no such name")
             return
--- a/limenotch/net/peer_streams.py
+++ b/limenotch/net/peer_streams.py
@@ -56,16 +56,16 @@
     return dict.fromkeys(COUNTS, 0)
 
 
-def family(at: Address) -> socket.AddressFamily:
+def family(address: Address) -> socket.AddressFamily:
     """The address family of a numeric address."""
-    return socket.AF_INET6 if ":" in at[0] else socket.AF_INET
+    return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 class _Link:
     """What goes to one address: a queue, and a task that connects, writes and waits."""
 
-    def __init__(self, at: Address, hello: bytes, counted: dict[str, int], ended: Callable[[_Link], None]) -> None:
-        self.at, self._hello, self._counted, self._ended = at, hello, counted, ended
+    def __init__(self, address: Address, hello: bytes, counted: dict[str, int], ended: Callable[[_Link], None]) -> None:
+        self.address, self._hello, self._counted, self._ended = address, hello, counted, ended
         self._queue: deque[tuple[float, bytes]] = deque()
         self._bytes = 0
         self._wake = asyncio.Event()
@@ -131,7 +131,7 @@
         try:
             await self._run()
         except Exception:
-            log.exception("fault in a stream to a sidecar", at=host_port(self.at))
+            log.exception("fault in a stream to a sidecar", at=host_port(self.address))
         finally:
             self._ended(self)  # before anything more can be put
 
@@ -156,16 +156,16 @@
     async def _connect(self) -> IOStream | None:
         stream = None
         try:
-            stream = IOStream(socket.socket(family(self.at), socket.SOCK_STREAM), max_buffer_size=READ)
+            stream = IOStream(socket.socket(family(self.address), socket.SOCK_STREAM), max_buffer_size=READ)
             stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if USER_TIMEOUT is not None:  # what is sent into a cut would else wait for TCP's own, ever rarer attempts
                 stream.socket.setsockopt(socket.IPPROTO_TCP, USER_TIMEOUT, int(STALL_S * 1000))
             async with asyncio.timeout(CONNECT_S):
-                await stream.connect(self.at)
+                await stream.connect(self.address)
                 await stream.write(with_length(self._hello))
         except (OSError, StreamClosedError, TimeoutError) as error:
             self._counted["connect_failed"] += 1
-            log.debug("no stream to a sidecar", at=host_port(self.at), error=str(error) or type(error).__name__)
+            log.debug("no stream to a sidecar", at=host_port(self.address), error=str(error) or type(error).__name__)
             if stream is not None:
                 stream.close()
             return None
@@ -225,23 +225,23 @@
         self._loop = asyncio.get_running_loop()
         self.counts = counts()
 
-    def send(self, at: Address, frame: bytes) -> None:
+    def send(self, address: Address, frame: bytes) -> None:
         """Send a frame to the peer at this address, on its stream or a new one; dropped where it can't be."""
-        link = self._links.get(at)
+        link = self._links.get(address)
         if link is None:
             if len(self._links) >= self._most:
                 self._give_up(min(self._links.values(), key=lambda each: each.used))
-            link = self._links[at] = _Link(at, self._hello, self.counts, self._ended)
+            link = self._links[address] = _Link(address, self._hello, self.counts, self._ended)
         link.put(frame)
 
     def _give_up(self, link: _Link) -> None:
         self.counts["given_up"] += 1
-        self._links.pop(link.at, None)
+        self._links.pop(link.address, None)
         link.close()
 
     def _ended(self, link: _Link) -> None:
-        if self._links.get(link.at) is link:
-            del self._links[link.at]
+        if self._links.get(link.address) is link:
+            del self._links[link.address]
 
     def admit(self, sock: socket.socket) -> None:
         """A connection that came; when places are out the one that was silent for longest gives way."""
@@ -295,7 +295,7 @@
                 return False
             else:
                 self.counts["heard"] += 1
-                self._heed(sender, caller.hello.at, message)
+                self._heed(sender, caller.hello.address, message)
         return True
 
     def _greeted(self, caller: _Caller, sender: str, hello: Hello) -> None:
@@ -306,8 +306,8 @@
     def state(self) -> dict[str, object]:
         """For operators: counts, and each own stream."""
         links = {
-            host_port(at): {"connected": link.connected, "messages": link.queued[0], "bytes": link.queued[1]}
-            for at, link in self._links.items()
+            host_port(address): {"connected": link.connected, "messages": link.queued[0], "bytes": link.queued[1]}
+            for address, link in self._links.items()
         }
         return {**self.counts, "in": len(self._callers), "out": links}
 
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -85,11 +85,11 @@
         wire: FrameCodec,
         streams: int = 32,
         disk: Disk | None = None,
-        at: Address | None = None,
+        address: Address | None = None,
     ) -> None:
-        """`at`: where others reach this process, if not at `listen`. `disk` is closed with this."""
+        """`address`: where others reach this process, if not at `listen`. `disk` is closed with this."""
         self._listen, self._name, self._process_epoch = listen, name, process_epoch
-        self._at, self._most = at, streams
+        self._address, self._most = address, streams
         self._hub, self._wire, self._disk = hub, wire, disk
         self._loop = asyncio.get_running_loop()
         self._datagrams: socket.socket | None = None
@@ -106,7 +106,7 @@
         hub.faulty = self._faulty
 
     @property
-    def at(self) -> Address | None:
+    def address(self) -> Address | None:
         """Where it listens; None as long as it does not."""
         return self._listener.socket.getsockname()[:2] if self._listener is not None else None
 
@@ -161,8 +161,8 @@
             for sock in taken:
                 sock.close()
             raise
-        at = self._at or taken[0].getsockname()[:2]
-        hello = self._wire.encode(self._name, Hello(self._process_epoch, at))
+        address = self._address or taken[0].getsockname()[:2]
+        hello = self._wire.encode(self._name, Hello(self._process_epoch, address))
         self._streams = PeerStreams(self._wire, hello, self._most, self._heed)
         self._listener = Listener(taken[0], self._accept)
         self._datagrams = taken[1]
@@ -232,8 +232,8 @@
     def _faulty(self, part: str, event: Any, error: Exception) -> None:
         log.error("fault in the fleet's decisions", part=part, fleet_event=repr(event)[:2000], exc_info=error)
 
-    def _heed(self, sender: str, at: Address, message: Message) -> None:
-        self.tell(MessageReceived(at, sender, message, Carrier.STREAM))
+    def _heed(self, sender: str, address: Address, message: Message) -> None:
+        self.tell(MessageReceived(address, sender, message, Carrier.STREAM))
 
     def _accept(self) -> None:
         if self._listener is not None and self._streams is not None:
@@ -247,7 +247,7 @@
             if self._datagrams is None:
                 return
             try:
-                frame, at = self._datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
+                frame, address = self._datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:  # an earlier datagram's peer was not there: nothing to do with what comes
@@ -259,7 +259,7 @@
             if isinstance(said[1], Hello):
                 self._wire.count(FrameFault.KIND)  # of streams only
                 continue
-            self.tell(MessageReceived(at[:2], said[0], said[1], Carrier.DATAGRAM))
+            self.tell(MessageReceived(address[:2], said[0], said[1], Carrier.DATAGRAM))
 
     def _fired(self, key: int, at_ms: float, token: int) -> None:
         del self._timers[key]
@@ -289,7 +289,7 @@
     def _send(self, action: SendToAddress) -> None:
         if self._datagrams is None or self._streams is None:
             return
-        if not _numeric(action.at[0]) or not 0 < action.at[1] < 65536:
+        if not _numeric(action.address[0]) or not 0 < action.address[1] < 65536:
             self.counts["send_failed"] += 1
             return
         frame = self._wire.encode(self._name, action.message)
@@ -297,10 +297,10 @@
             self.counts["too_long"] += 1
             return
         if action.carrier is Carrier.STREAM:
-            self._streams.send(action.at, frame)
+            self._streams.send(action.address, frame)
             return
         try:
-            self._datagrams.sendto(frame, action.at)
+            self._datagrams.sendto(frame, action.address)
             self.counts["sent"] += 1
         except OSError:  # a full buffer, no way there
             self.counts["send_failed"] += 1
--- a/tests/fleet/fake_nodes.py
+++ b/tests/fleet/fake_nodes.py
@@ -21,16 +21,16 @@
 class One:
     """A process: its parts, and a book of who is where."""
 
-    def __init__(self, name: str, process_epoch: int = 1, at: tuple[str, int] = (HOST, 0), **more: Any) -> None:
+    def __init__(self, name: str, process_epoch: int = 1, address: tuple[str, int] = (HOST, 0), **more: Any) -> None:
         self.toy, self.log, self.book = Toy(), Toy(), Book({})
         self.wire = FrameCodec(KEY, "g", ALL)
         self.hub = ComponentHub([("mb.", self.toy), ("ag.", self.log)], self.book)
-        self.others = PeerTransport(at, name, process_epoch, self.hub, self.wire, **more)
+        self.others = PeerTransport(address, name, process_epoch, self.hub, self.wire, **more)
 
     @property
-    def at(self) -> tuple[str, int]:
-        assert self.others.at is not None
-        return self.others.at
+    def address(self) -> tuple[str, int]:
+        assert self.others.address is not None
+        return self.others.address
 
     def act(self, *actions: Any) -> None:
         """As if a part answered these."""
@@ -58,7 +58,7 @@
             one.others.start()
         await until(lambda: all(one.toy.told for one in ones))
         for one in ones:
-            one.book.known.update({other.others._name: other.at for other in ones})
+            one.book.known.update({other.others._name: other.address for other in ones})
         yield
     finally:
         for one in ones:
--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -122,8 +122,8 @@
 
     def _act(self, name: str, process_epoch: int, action: Any) -> None:
         if isinstance(action, SendToMember):
-            if action.to in self.wallets and not self.lost(name, action.to, action.message):
-                self.tell(action.to, MessageReceived((name, 1), name, action.message, action.carrier))
+            if action.member in self.wallets and not self.lost(name, action.member, action.message):
+                self.tell(action.member, MessageReceived((name, 1), name, action.message, action.carrier))
         elif isinstance(action, SetTimer):
             self._timers.append((action.at_ms, name, process_epoch, action.token))
         elif isinstance(action, LogLine):
--- a/tests/fleet/test_endpoint_lists.py
+++ b/tests/fleet/test_endpoint_lists.py
@@ -76,7 +76,7 @@
     lists.handle(1.0, member("e", "dead"))
     lists.handle(4 * AGAIN_MS, log.LeaderChanged(None, 1))  # that its directory answers was told by now
     told = [action for action in lists.handle(5000.0, event_of("change 6 -u")) if isinstance(action, SendToMember)]
-    assert {one.to for one in told} == {"b", "c"}
+    assert {one.member for one in told} == {"b", "c"}
     assert all(isinstance(one.message, Word) and one.message.names == (U,) for one in told)
     more = [
         action
--- a/tests/fleet/test_fleet_settings.py
+++ b/tests/fleet/test_fleet_settings.py
@@ -51,7 +51,12 @@
     assert settings.fleet.rules == Rules() and settings.fleet.wallet == Wallet()
     assert settings.fleet.streams == Fleet("g", "h", "k").streams  # a value that stands there is the default
     placed = place(settings.fleet, "sidecar")
-    assert (placed.name, placed.key, placed.listen, placed.at) == ("a", KEY, ("10.0.0.1", 7400), ("10.0.0.1", 7400))
+    assert (placed.name, placed.key, placed.listen, placed.address) == (
+        "a",
+        KEY,
+        ("10.0.0.1", 7400),
+        ("10.0.0.1", 7400),
+    )
     assert placed.seeds == (("10.0.0.2", 7400), ("10.0.0.3", 7400)) and placed.addresses["c"] == ("10.0.0.3", 7400)
 
 
@@ -105,7 +110,7 @@
 
 def test_the_sidecar_s_name_has_a_say(key: Path) -> None:
     anywhere = parse(table(key).replace("127.0.0.1", "0.0.0.0") + '[fleet.addresses]\nn = "127.0.0.1:7"\n', "x").fleet
-    assert place(anywhere, "n").at == ("127.0.0.1", 7)
+    assert place(anywhere, "n").address == ("127.0.0.1", 7)
     voter = parse(table(key, 'voters = ["v"]'), "x").fleet
     assert place(voter, "n").name == "n"
     for fleet, name, says in [
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -246,7 +246,7 @@
         ]
         return sum(
             isinstance(act, SendToAddress)
-            and act.at == (name, 1)
+            and act.address == (name, 1)
             and isinstance(act.message, News)
             and [one.name for one in act.message.news] == [name]
             for act in acts
@@ -272,7 +272,7 @@
     member = Membership("a", ("a", 1), 5, [], Tuning(), 1, {"b": ("relay", 9)})
     member.handle(0.0, Started())
     acts = member.handle(1.0, MessageReceived(("seen", 4), "b", Ping(3, "a", ME)))
-    assert {act.at for act in acts if isinstance(act, SendToAddress)} == {("relay", 9)}
+    assert {act.address for act in acts if isinstance(act, SendToAddress)} == {("relay", 9)}
     assert member.members()[1].address == ("b", 1)
 
 
--- a/tests/fleet/test_peer_streams.py
+++ b/tests/fleet/test_peer_streams.py
@@ -25,12 +25,12 @@
         async with several(a, b):
             a.act(SendToMember("b", Line("first")))
             await until(lambda: b.log.heard)
-            at = b.at
+            at = b.address
             b.others.close()
             await until(lambda: a.streams["lost"] == 1)
             a.act(SendToMember("b", Line("while gone")))
             await until(lambda: a.streams["connect_failed"] >= 3)
-            again = One("b", process_epoch=2, at=at)
+            again = One("b", process_epoch=2, address=at)
             again.others.start()
             try:
                 await until(lambda: again.log.heard)
@@ -74,11 +74,11 @@
     async def case() -> None:
         a, b = One("a"), One("b")
         async with several(a, b):
-            at = b.at
+            at = b.address
             b.others.close()
             a.act(SendToMember("b", Line("old")))
             await until(lambda: a.streams["connect_failed"])
-            again = One("b", at=at)
+            again = One("b", address=at)
             again.others.start()
             try:
                 await until(lambda: a.streams["dropped_old"] == 1)
@@ -121,8 +121,8 @@
             await until(lambda: b.log.heard)
             a.act(SendToMember("c", Line("2")))
             await until(lambda: c.log.heard)
-            assert list(a.streams["out"]) == [f"{HOST}:{c.at[1]}"] and a.streams["given_up"] == 1
-            strangers = [socket.create_connection(b.at) for _ in range(3)]
+            assert list(a.streams["out"]) == [f"{HOST}:{c.address[1]}"] and a.streams["given_up"] == 1
+            strangers = [socket.create_connection(b.address) for _ in range(3)]
             await until(lambda: b.streams["accepted"] == 4)
             c.act(SendToMember("b", Line("3")))
             await until(lambda: len(b.log.heard) == 2)
@@ -140,7 +140,7 @@
 
         async def come(name: str, *, greets: bool = True) -> None:
             heard, accepted = len(b.log.heard), b.streams["accepted"]
-            opened[name] = await asyncio.open_connection(*b.at)
+            opened[name] = await asyncio.open_connection(*b.address)
             await until(lambda: b.streams["accepted"] == accepted + 1)
             if greets:
                 opened[name][1].write(with_length(wire.encode(name, Hello(1, (HOST, 9)))))
@@ -175,7 +175,7 @@
         async with several(b):
             opened = []
             for process_epoch in (1, 2, 1):
-                reader, writer = await asyncio.open_connection(*b.at)
+                reader, writer = await asyncio.open_connection(*b.address)
                 writer.write(with_length(wire.encode("a", Hello(process_epoch, (HOST, 9)))))
                 opened.append((reader, writer))
                 await until(lambda: b.streams["accepted"] == len(opened))
@@ -209,7 +209,7 @@
     async def case() -> None:
         b = One("b")
         async with several(b):
-            reader, writer = await asyncio.open_connection(*b.at)
+            reader, writer = await asyncio.open_connection(*b.address)
             writer.write(sent)
             with contextlib.suppress(ConnectionError):
                 assert await asyncio.wait_for(reader.read(), 10) == b""
@@ -226,7 +226,7 @@
     async def case() -> None:
         b = One("b")
         async with several(b):
-            reader, _ = await asyncio.open_connection(*b.at)
+            reader, _ = await asyncio.open_connection(*b.address)
             assert await asyncio.wait_for(reader.read(), 5) == b""
 
     run(case)
--- a/tests/fleet/test_peer_transport.py
+++ b/tests/fleet/test_peer_transport.py
@@ -38,9 +38,9 @@
         a, b = One("a"), One("b", process_epoch=7)
         async with several(a, b):
             assert a.toy.told == [Started()] == a.log.told
-            a.act(SendToAddress(b.at, Probe(5, "x")))
+            a.act(SendToAddress(b.address, Probe(5, "x")))
             await until(lambda: b.toy.heard)
-            assert b.toy.told[1] == MessageReceived(a.at, "a", Probe(5, "x"), Carrier.DATAGRAM)
+            assert b.toy.told[1] == MessageReceived(a.address, "a", Probe(5, "x"), Carrier.DATAGRAM)
             big = Block(bytes(range(256)) * 3900)  # 998,400 bytes
             b.act(
                 SendToMember("a", Line("1")),
@@ -50,7 +50,7 @@
             await until(lambda: len(a.log.heard) == 600)
             assert a.log.heard == [Line("1"), big, *[Line(str(n)) for n in range(2, 600)]]
             heard = a.log.told[-1]  # the address is where b listens, not that of its connection
-            assert (heard.at, heard.sender, heard.carrier) == (b.at, "b", Carrier.STREAM)
+            assert (heard.address, heard.sender, heard.carrier) == (b.address, "b", Carrier.STREAM)
             assert b.streams["connected"] == a.streams["accepted"] == 1 and b.streams["sent"] == 600
             assert not any({**a.others.state()["dropped"], **b.others.state()["dropped"]}.values())
 
@@ -62,13 +62,13 @@
         a, b = One("a"), One("b")
         async with several(a, b):
             a.act(
-                SendToAddress(b.at, Block(bytes(1200))),
+                SendToAddress(b.address, Block(bytes(1200))),
                 SendToMember("b", Block(bytes(1024 * 1024))),
                 SendToMember("nobody", Line("x")),
             )
             assert a.others.counts["too_long"] == 2 and a.hub.untold == 1
             bad: list[tuple[Any, int]] = [("localhost", 7), ("", 7), (HOST, 0), (HOST, 70000), ("::1", 7), ("a\0b", 1)]
-            a.act(*[SendToAddress(at, Probe(1)) for at in bad], SendToAddress(b.at, Probe(2)))
+            a.act(*[SendToAddress(at, Probe(1)) for at in bad], SendToAddress(b.address, Probe(2)))
             await until(lambda: b.toy.heard)
             assert a.others.counts["send_failed"] == len(bad) and a.others.counts["sent"] == 1
 
@@ -82,7 +82,7 @@
     async def case() -> None:
         b, wire = One("b"), FrameCodec(KEY, "g", (*ALL, Newer))
         async with several(b):
-            _, writer = await asyncio.open_connection(*b.at)
+            _, writer = await asyncio.open_connection(*b.address)
             writer.write(HELLO + with_length(wire.encode("a", Newer(1))) + with_length(wire.encode("a", Line("heard"))))
             await until(lambda: b.log.heard)
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -95,7 +95,7 @@
                     wire.encode("a", Hello(1, (HOST, 9))),
                     wire.encode("a", Probe(1)),
                 ):
-                    sock.sendto(data, b.at)
+                    sock.sendto(data, b.address)
             await until(lambda: b.toy.heard)
             assert b.wire.faults == {
                 **dict.fromkeys(FrameFault, 0),
@@ -177,7 +177,7 @@
             a.act(SendToMember("b", Line("x")), SendToMember("b", Line("y")))
             await until(lambda: b.hub.unheard == 1)
             assert len(b.log.heard) == 1 and b.others.state()["off"] == "ag."
-            a.act(SendToAddress(b.at, Probe(1)))
+            a.act(SendToAddress(b.address, Probe(1)))
             await until(lambda: b.toy.heard)  # the other part goes on
             b.act(object())  # what no host can do, of membership: the end of all
             assert b.others.state()["off"] == "mb., ag."
@@ -226,7 +226,7 @@
         left = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
         async with asyncio.timeout(5):
             await asyncio.gather(*left, return_exceptions=True)
-        assert a.others.at is None
+        assert a.others.address is None
 
     run(case)
 
@@ -251,10 +251,10 @@
     async def case() -> None:
         a = One("a")
         async with several(a):
-            after = One("a", process_epoch=2, at=a.at)
+            after = One("a", process_epoch=2, address=a.address)
             after.others.start()
             await asyncio.sleep(0)
-            assert after.others.at is None and not after.toy.told and not after.others.state()["listening"]
+            assert after.others.address is None and not after.toy.told and not after.others.state()["listening"]
             after.others.leave()  # nothing to say yet
             a.others.close()
             await until(lambda: after.toy.told)
--- a/tests/fleet/test_wallet_quota_grants.py
+++ b/tests/fleet/test_wallet_quota_grants.py
@@ -53,7 +53,7 @@
 
     def recalls(self) -> dict[str, float]:
         return {
-            one.to: one.message.recalls[0][1]
+            one.member: one.message.recalls[0][1]
             for one in self.granting.out
             if isinstance(one, SendToMember) and isinstance(one.message, say.Recall)
         }
