--- a/limenotch/fleet/leases.py
+++ b/limenotch/fleet/leases.py
@@ -12,52 +12,52 @@
 NEVER = float("inf")
 
 
-class Held:
-    """The holder's side. `until` is the one number that each act is held against."""
+class HeldLease:
+    """The holder's side. `expires_at_ms` is the one number that each act is held against."""
 
     def __init__(self, lease_ms: float) -> None:
         self.lease_ms = lease_ms
-        self.until = -NEVER
-        self.granted = 0  # serial of the grant acted under
+        self.expires_at_ms = -NEVER
+        self.granted_serial = 0  # serial of the grant acted under
         self.serial = 0
         self._asked: dict[int, float] = {}
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether the lease has not run out."""
-        return now < self.until
+        return now < self.expires_at_ms
 
-    def ask(self, now: float) -> int:
+    def request(self, now: float) -> int:
         """The serial of a new ask; those whose lease would be over are forgotten."""
         self.serial += 1
         self._asked = {serial: at for serial, at in self._asked.items() if now - at < self.lease_ms}
         self._asked[self.serial] = now
         return self.serial
 
-    def take(self, now: float, serial: int, lease_ms: float) -> bool:
+    def accept(self, now: float, serial: int, lease_ms: float) -> bool:
         """Whether it counts: it answers an ask that is newer than the one acted on, and is not over yet."""
         asked = self._asked.get(serial)
-        if asked is None or serial <= self.granted:
+        if asked is None or serial <= self.granted_serial:
             return False
         until = asked + min(lease_ms, self.lease_ms)
         if until <= now:
             return False
         self._asked = {other: at for other, at in self._asked.items() if other > serial}
-        self.until, self.granted = until, serial
+        self.expires_at_ms, self.granted_serial = until, serial
         return True
 
-    def drop(self) -> None:
+    def release(self) -> None:
         """All that is held, and all that was asked for, is void."""
-        self.until = -NEVER
+        self.expires_at_ms = -NEVER
         self._asked.clear()
 
 
-class Reign:
+class LeaseGranter:
     """The granter's side: since when it leads, and whether leases of others before it may still be held."""
 
-    def __init__(self, held_ms: float) -> None:
-        self.held_ms = held_ms
-        self.since = NEVER  # never: it is no leader
+    def __init__(self, max_lease_ms: float) -> None:
+        self.max_lease_ms = max_lease_ms
+        self.leader_since_ms = NEVER  # never: it is no leader
 
-    def settled(self, now: float) -> bool:
+    def earlier_leases_expired(self, now: float) -> bool:
         """Whether every lease that an earlier leader may have granted has run out by now."""
-        return now >= self.since + self.held_ms
+        return now >= self.leader_since_ms + self.max_lease_ms
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -151,7 +151,7 @@
         self._out += self.telling.member(self._now, event)
 
     def _fenced(self) -> None:
-        self.holder.drop()
+        self.holder.release()
         self._reads.clear()
         self._waiting.clear()
         self._ask_at = self._now
@@ -226,10 +226,16 @@
             self._ask_at = NEVER
             return
         holder = self.holder
-        serial = holder.ask(self._now)
-        parts = holder.parts if holder.holds(self._now) else 0
+        serial = holder.request(self._now)
+        parts = holder.parts if holder.is_valid(self._now) else 0
         ask = say.AskLease(
-            serial, self.process_epoch, self.book.newest, self.book.active, parts, holder.granted, self.telling.riding()
+            serial,
+            self.process_epoch,
+            self.book.newest,
+            self.book.active,
+            parts,
+            holder.granted_serial,
+            self.telling.riding(),
         )
         self._ask_at = self._now + self.tuning.lease_ms / 3
         if self.leads:
@@ -308,7 +314,7 @@
                 changed = self.book.diff(whole_number(ask.document, "one"), whole_number(ask.document, "two"))
                 self._answer(ask, True, ", ".join(f"{key} {word}" for key, word in changed))
             elif ask.what == "status":
-                self._answer(ask, True, "leased" if self.holder.holds(self._now) else "narrow")
+                self._answer(ask, True, "leased" if self.holder.is_valid(self._now) else "narrow")
             else:
                 raise ValueError(f"{ask.what}: none of propose, back, ban, return, diff, status")
         except ValueError as error:
@@ -371,13 +377,13 @@
                 self._last, self._number = acts, self._number + 1
             self._acts = self._last
         document, narrow = self._acts
-        leased = holder.holds(self._now)
-        told = (self._number, book.newest, holder.until if leased else -NEVER, holder.parts, book.active)
+        leased = holder.is_valid(self._now)
+        told = (self._number, book.newest, holder.expires_at_ms if leased else -NEVER, holder.parts, book.active)
         if told == self._told:
             return
         self._told = told
         if leased:
-            self._out.append(InForce(document, holder.until, holder.parts, narrow, book.newest, book.active))
+            self._out.append(InForce(document, holder.expires_at_ms, holder.parts, narrow, book.newest, book.active))
             if not self._leased or self._noted != book.active:
                 self._out.append(LogLine(f"rules {book.active}", {"newest": book.newest}))
         else:
@@ -388,8 +394,8 @@
 
     def _arm(self) -> None:
         due = min(self._ask_at, self.telling.at, self.changes.due())
-        if self.holder.holds(self._now):
-            due = min(due, self.holder.until)
+        if self.holder.is_valid(self._now):
+            due = min(due, self.holder.expires_at_ms)
         if self.leads and not self._activating and self.book.newest > self.book.active:
             due = min(due, max(self._now, self._activate_at, self.granter.due(self.book.newest, self._now)))
         if due < self._armed:
--- a/limenotch/fleet/rules/leases.py
+++ b/limenotch/fleet/rules/leases.py
@@ -21,14 +21,14 @@
 from fractions import Fraction
 from math import ceil
 
-from ..leases import NEVER, Held, Reign
+from ..leases import NEVER, HeldLease, LeaseGranter
 from .messages import AskLease, Grant
 from .tuning import Tuning
 
 MOST_OUT = 8  # grants of one holder that are told apart; further ones are counted as the widest of them
 
 
-class Holder(Held):
+class Holder(HeldLease):
     """A sidecar's own lease."""
 
     def __init__(self, tuning: Tuning) -> None:
@@ -37,12 +37,12 @@
 
     def grant(self, now: float, grant: Grant) -> bool:
         """Whether it counts."""
-        if not self.take(now, grant.serial, grant.lease_ms):
+        if not self.accept(now, grant.serial, grant.lease_ms):
             return False
         self.parts = max(0, grant.parts)
         return True
 
-    def drop(self) -> None:
+    def release(self) -> None:
         super().drop()
         self.parts = 0
 
@@ -60,7 +60,7 @@
         return Fraction(1, min(held)) if held else Fraction(0)
 
 
-class Granter(Reign):
+class Granter(LeaseGranter):
     """The leader's record of leases."""
 
     def __init__(self, tuning: Tuning) -> None:
@@ -69,11 +69,11 @@
         self.records: dict[tuple[str, int], Record] = {}
 
     def begin(self, now: float) -> None:
-        self.since = now
+        self.leader_since_ms = now
         self.records = {}
 
     def end(self) -> None:
-        self.since = NEVER
+        self.leader_since_ms = NEVER
         self.records = {}
 
     def prune(self, now: float) -> None:
@@ -89,7 +89,7 @@
             if len(self.records) >= self._tuning.most_holders:
                 return None
             record = self.records[key] = Record(version)
-            if ask.parts and not self.settled(now):
+            if ask.parts and not self.earlier_leases_expired(now):
                 # Of a leader before: how long it may act under that is not known, one lease at the most.
                 record.out.append((ask.granted, ask.parts, now + self._tuning.held_ms))
         record.out = [one for one in record.out if one[0] >= ask.granted and one[2] > now]
@@ -103,7 +103,7 @@
         return Grant(ask.serial, self._tuning.lease_ms, parts)
 
     def _parts(self, now: float, key: tuple[str, int], ask: AskLease) -> int:
-        if not self.settled(now):
+        if not self.earlier_leases_expired(now):
             return max(ask.parts, len(self.records)) if ask.parts else 0
         free = 1 - sum((record.share(now) for other, record in self.records.items() if other != key), Fraction(0))
         if free <= 0:
@@ -112,11 +112,11 @@
 
     def may_activate(self, number: int, now: float) -> bool:
         """Whether every lease that may be held is of a sidecar that holds this version."""
-        return self.settled(now) and all(
+        return self.earlier_leases_expired(now) and all(
             record.version >= number or record.until <= now for record in self.records.values()
         )
 
     def due(self, number: int, now: float) -> float:
         """When `may_activate` may come true by time alone."""
         late = [record.until for record in self.records.values() if record.version < number]
-        return max([self.since + self._tuning.held_ms, *late], default=now)
+        return max([self.leader_since_ms + self._tuning.held_ms, *late], default=now)
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -147,7 +147,7 @@
 
     def _fenced(self) -> None:
         """What others said of this process is void for leases; its memory as a witness is as true as before."""
-        self.lease.drop()
+        self.lease.release()
         self.purse.until = -NEVER
         self.holding.void()
         self._reads.clear()
@@ -246,7 +246,7 @@
             self._ask_at = NEVER
             return
         self._out.append(
-            SendToMember(self.leader, say.AskLease(self.lease.ask(self._now), self.process_epoch), Carrier.DATAGRAM)
+            SendToMember(self.leader, say.AskLease(self.lease.request(self._now), self.process_epoch), Carrier.DATAGRAM)
         )
         self._ask_at = self._now + self.tuning.lease_ms / 3
 
@@ -308,7 +308,7 @@
             self._ask_lease()
             self._want(True)
         if self.lease.look(now, self.book.index):
-            self.purse.until = self.lease.until
+            self.purse.until = self.lease.expires_at_ms
             self.holding.leased(now)
         self.holding.tick(now, self.leader is not None)
         self._want(False)
--- a/limenotch/fleet/wallet/lease.py
+++ b/limenotch/fleet/wallet/lease.py
@@ -6,14 +6,14 @@
 
 from __future__ import annotations
 
-from ..leases import NEVER, Held, Reign
+from ..leases import NEVER, HeldLease, LeaseGranter
 from .messages import Lease
 from .tuning import Tuning
 
 MOST_WAITING = 8  # grants that wait for the log
 
 
-class Holder(Held):
+class Holder(HeldLease):
     def __init__(self, tuning: Tuning) -> None:
         super().__init__(tuning.lease_ms)
         self._waiting: list[Lease] = []
@@ -27,14 +27,14 @@
         if not ready:
             return False
         self._waiting = [lease for lease in self._waiting if lease.index > index]
-        return any([self.take(now, lease.serial, lease.lease_ms) for lease in ready])
+        return any([self.accept(now, lease.serial, lease.lease_ms) for lease in ready])
 
-    def drop(self) -> None:
+    def release(self) -> None:
         super().drop()
         self._waiting.clear()
 
 
-class Granter(Reign):
+class Granter(LeaseGranter):
     """The leader's record: until when which holder (name, life) may spend."""
 
     def __init__(self, tuning: Tuning) -> None:
@@ -43,11 +43,11 @@
         self.records: dict[tuple[str, int], float] = {}
 
     def begin(self, now: float) -> None:
-        self.since = now
+        self.leader_since_ms = now
         self.records = {}
 
     def end(self) -> None:
-        self.since = NEVER
+        self.leader_since_ms = NEVER
         self.records = {}
 
     def grant(self, now: float, owner: tuple[str, int]) -> bool:
@@ -56,7 +56,7 @@
         if owner not in self.records and len(self.records) >= self._most:
             return False
         self.records.pop(owner, None)
-        self.records[owner] = now + self.held_ms  # the latest stands last
+        self.records[owner] = now + self.max_lease_ms  # the latest stands last
         return True
 
     def prune(self, now: float) -> None:
@@ -69,7 +69,7 @@
 
     def free(self, now: float, owner: tuple[str, int]) -> bool:
         """Whether that holder surely spends nothing, and will not without asking."""
-        return self.settled(now) and self.records.get(owner, -NEVER) <= now
+        return self.earlier_leases_expired(now) and self.records.get(owner, -NEVER) <= now
 
     def process_epochs(self, now: float) -> dict[str, int]:
         """By name, the life of who asked last."""
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -114,7 +114,7 @@
         if rules is None:
             return {"state": "none"}
         book, holder, now = rules.book, rules.holder, self._among.now()
-        left = max(holder.until - now, 0.0) if holder.holds(now) else 0.0
+        left = max(holder.expires_at_ms - now, 0.0) if holder.is_valid(now) else 0.0
         return {
             "state": "leased" if left else "narrow",
             "newest": book.newest,
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -211,7 +211,7 @@
             held = [rules for name in self.names if (rules := self.rules(name)) is not None]
             newest = max((rules.book.newest for rules in held), default=0)
             if len(held) == len(self.names) and all(
-                rules.book.active == newest and rules.holder.parts and rules.holder.holds(self._clock(rules.name))
+                rules.book.active == newest and rules.holder.parts and rules.holder.is_valid(self._clock(rules.name))
                 for rules in held
             ):
                 return
--- a/tests/fleet/test_rules_core.py
+++ b/tests/fleet/test_rules_core.py
@@ -162,7 +162,7 @@
     run.world.start("d")
     run.world.run(run.world.now + 10)
     rules = run.rules("d")
-    assert rules is not None and not rules.holder.holds(run.world.nodes["d"].clock(run.world.now))
+    assert rules is not None and not rules.holder.is_valid(run.world.nodes["d"].clock(run.world.now))
     assert set(rules.book.told) == {f"u{number}" for number in range(20)}
     assert all(rules.book.narrow()[("bans", name)][0] for name in rules.book.told)
     run.world.fault(faults.parse("heal"))
--- a/tests/fleet/test_rules_leases.py
+++ b/tests/fleet/test_rules_leases.py
@@ -21,23 +21,23 @@
 
 def test_counts_from_the_ask_and_ends_without_a_timer() -> None:
     holder = Holder(TUNING)
-    assert not holder.holds(0.0)
-    serial = holder.ask(100.0)
+    assert not holder.is_valid(0.0)
+    serial = holder.request(100.0)
     assert holder.grant(900.0, Grant(serial, 1000, 1))
-    assert holder.holds(1099.9)
-    assert not holder.holds(1100.0)
-    late = holder.ask(1200.0)
+    assert holder.is_valid(1099.9)
+    assert not holder.is_valid(1100.0)
+    late = holder.request(1200.0)
     assert not holder.grant(2300.0, Grant(late, 1000, 1)), "a pause between ask and grant: it is over already"
 
 
 def test_an_older_grant_that_comes_late_counts_nothing() -> None:
     holder = Holder(TUNING)
-    first, second = holder.ask(0.0), holder.ask(300.0)
+    first, second = holder.request(0.0), holder.request(300.0)
     assert holder.grant(310.0, Grant(second, 1000, 3))
     assert not holder.grant(320.0, Grant(first, 1000, 1))
     assert holder.parts == 3
-    holder.drop()
-    assert not holder.holds(330.0)
+    holder.release()
+    assert not holder.is_valid(330.0)
     assert not holder.grant(330.0, Grant(second, 1000, 3))
 
 
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -20,33 +20,33 @@
 
 def test_counts_from_the_ask_and_once_all_is_applied() -> None:
     holder = Holder(TUNING)
-    first, second = holder.ask(100.0), holder.ask(200.0)
+    first, second = holder.request(100.0), holder.request(200.0)
     holder.grant(lease(second, 7))
     holder.grant(lease(first, 5))
     assert not holder.look(300.0, 4)
     assert holder.look(300.0, 5)
-    assert holder.until == 1100.0
+    assert holder.expires_at_ms == 1100.0
     assert holder.look(400.0, 7)
-    assert holder.until == 1200.0
+    assert holder.expires_at_ms == 1200.0
     assert not holder.look(500.0, 9), "each counts once"
-    assert not holder.holds(1200.0)
+    assert not holder.is_valid(1200.0)
 
 
 def test_one_that_was_applied_too_late_is_over() -> None:
     holder = Holder(TUNING)
-    holder.grant(lease(holder.ask(0.0), 5))
+    holder.grant(lease(holder.request(0.0), 5))
     assert not holder.look(1000.0, 5)
-    assert not holder.holds(1000.0)
+    assert not holder.is_valid(1000.0)
 
 
 def test_drops_what_it_has_and_what_it_waits_for() -> None:
     holder = Holder(TUNING)
-    one, two = holder.ask(0.0), holder.ask(1.0)
+    one, two = holder.request(0.0), holder.request(1.0)
     holder.grant(lease(one))
     assert holder.look(1.0, 0)
     holder.grant(lease(two, 9))
-    holder.drop()
-    assert not holder.holds(2.0)
+    holder.release()
+    assert not holder.is_valid(2.0)
     assert not holder.look(2.0, 9)
     holder.grant(lease(two, 9))
     assert not holder.look(2.0, 9), "asked for before it was fenced"
@@ -55,7 +55,7 @@
 def test_grants_that_wait_are_bounded() -> None:
     holder = Holder(TUNING)
     for _ in range(MOST_WAITING + 5):
-        holder.grant(lease(holder.ask(0.0), 9))
+        holder.grant(lease(holder.request(0.0), 9))
     assert len(holder._waiting) == MOST_WAITING
 
 
--- a/tests/fleet/wallet_bugs.py
+++ b/tests/fleet/wallet_bugs.py
@@ -18,14 +18,14 @@
 
 def lease_kept_over_a_pause(patch: pytest.MonkeyPatch) -> None:
     """Counted from when the answer is handled, not from when it was asked for."""
-    real = leases.Held.take
+    real = leases.HeldLease.accept
 
     def take(self: leases.Held, now: float, serial: int, lease_ms: float) -> bool:
         if serial in self._asked:
             self._asked[serial] = now
         return real(self, now, serial, lease_ms)
 
-    patch.setattr(leases.Held, "take", take)
+    patch.setattr(leases.HeldLease, "accept", take)
 
 
 def lease_not_looked_at(patch: pytest.MonkeyPatch) -> None:
@@ -120,7 +120,7 @@
         self._gone_at = now
 
     patch.setattr(quota_grants.Granting, "begin", begin)
-    patch.setattr(leases.Reign, "settled", lambda self, now: now >= self.since)
+    patch.setattr(leases.LeaseGranter, "earlier_leases_expired", lambda self, now: now >= self.leader_since_ms)
 
 
 def expired_during_a_lease(patch: pytest.MonkeyPatch) -> None:
@@ -130,7 +130,7 @@
     def grant(self: lease.Granter, now: float, owner: tuple[str, int]) -> bool:
         found = real(self, now, owner)
         if found:
-            self.records[owner] = now + self.held_ms / 4
+            self.records[owner] = now + self.max_lease_ms / 4
         return found
 
     patch.setattr(lease.Granter, "grant", grant)
