--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -42,7 +42,7 @@
         members,
     )
     for kind in (InForce, Narrow, PeerDrain, Arrived):
-        hub.hears(kind, lambda said: None)
+        hub.register_action_handler(kind, lambda said: None)
     return hub
 
 
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -11,11 +11,11 @@
   (`above.py`). What they ask is told to the log when all that the event brought about is told: never in between.
 - A snapshot is made of the state of all of them. Where some entry is of a part that is not here, or is off, none is
   made: its state would be lost. The log then grows until it refuses what is proposed.
-- ComponentEvent(component, event) is the host's own way to a part; actions of further types go to who `hears` them.
+- ComponentEvent(component, event) is the host's own way to a part; actions of further types go to their `register_action_handler`.
 
-A part that raises: where the host gave `faulty` it is told so and the part hears nothing more; if it was the first
-part, none does, as nobody would tell the others of a fence. Without `faulty` the exception goes through: in simulated
-time it is a find.
+A part that raises: where the host gave `on_fault` it is told so and the part hears nothing more; if it was the first
+part, none does, as nobody would tell the others of a fence. Without `on_fault` the exception goes through: in
+simulated time it is a find.
 """
 
 from __future__ import annotations
@@ -47,10 +47,10 @@
 )
 from .wire import tag_of
 
-OFF = "fleet off: fault"  # the note's text
+COMPONENT_STOPPED = "fleet off: fault"  # the note's text
 LOG = "ag."
-ASKS = (api.Propose, api.ReadIndex, api.ChangeVoters)
-ENDS = (api.ProposalCommitted, api.ProposalRejected, api.OutcomeUnknown, api.ReadReady)
+LOG_REQUESTS = (api.Propose, api.ReadIndex, api.ChangeVoters)
+LOG_RESPONSES = (api.ProposalCommitted, api.ProposalRejected, api.OutcomeUnknown, api.ReadReady)
 
 Faulty = Callable[[str, Any, Exception], None]  # the part's prefix, the event, what it raised
 
@@ -74,23 +74,23 @@
     """A part made of parts."""
 
     def __init__(
-        self, components: Sequence[tuple[str, Component]], names: Names | None = None, faulty: Faulty | None = None
+        self, components: Sequence[tuple[str, Component]], names: Names | None = None, on_fault: Faulty | None = None
     ) -> None:
         """`components` with the prefix of their messages' tags, membership first. Raises ValueError on a prefix twice."""
         self._components: list[Component] = []
         self._prefixes: list[str] = []
         self._places: dict[str, int] = {}
-        self._names, self.faulty = names, faulty
+        self._names, self.on_fault = names, on_fault
         self._off: set[int] = set()
         self._begun = False
         self._asking: deque[tuple[int, Any]] = deque()  # what is still to be told: part, event
-        self._hears: dict[type, Callable[[Any], None]] = {}
+        self._action_handlers: dict[type, Callable[[Any], None]] = {}
         self._whole = True  # every entry and every state so far was of a part that is here
         for prefix, component in components:
             self.add(prefix, component)
         self.off: tuple[str, ...] = ()  # prefixes of the parts stopped
-        self.untold = 0  # messages to names without an address
-        self.unheard = 0  # messages of no part, or of one that is off
+        self.undeliverable_messages = 0  # messages to names without an address
+        self.unhandled_messages = 0  # messages of no part, or of one that is off
 
     def add(self, prefix: str, component: Component) -> None:
         """Before Started alone: numbers of timers hang on how many parts there are."""
@@ -100,11 +100,11 @@
         self._components.append(component)
         self._prefixes.append(prefix)
 
-    def hears(self, kind: type, told: Callable[[Any], None]) -> None:
+    def register_action_handler(self, kind: type, told: Callable[[Any], None]) -> None:
         """Actions of this type, of any part, are told to the host so, in order. `told` must not call `handle`."""
-        self._hears[kind] = told
+        self._action_handlers[kind] = told
 
-    def found(self, states: Iterable[str]) -> None:
+    def record_snapshot_prefixes(self, states: Iterable[str]) -> None:
         """Prefixes of the states that the snapshot found at the start had."""
         self._whole = self._whole and all(prefix in self._places for prefix in states)
 
@@ -123,7 +123,7 @@
             tag = tag_of(event.message)
             place = self._places.get(tag[: tag.find(".") + 1])
             if place is None or place in self._off:
-                self.unheard += 1
+                self.unhandled_messages += 1
                 return ()
             return ((place, event),)
         if isinstance(event, TimerFired):
@@ -149,7 +149,7 @@
             for action in self._components[number].handle(now, event):
                 self._carry(now, number, action, out)
         except Exception as error:
-            if self.faulty is None:
+            if self.on_fault is None:
                 raise
             self._stop(number, event, error, out)
 
@@ -157,7 +157,7 @@
         if isinstance(action, SendToMember):
             address = self._names.address_of(action.member) if self._names is not None else None
             if address is None:
-                self.untold += 1
+                self.undeliverable_messages += 1
             else:
                 out.append(SendToAddress(address, action.message, action.carrier))
         elif isinstance(action, SetTimer):
@@ -169,11 +169,11 @@
         elif isinstance(action, (MemberChanged, Fenced)) and number == 0:
             for other in range(1, len(self._components)):
                 self._tell(now, other, action, out)
-        elif type(action) in self._hears:
-            self._hears[type(action)](action)
+        elif type(action) in self._action_handlers:
+            self._action_handlers[type(action)](action)
         elif number == self._places.get(LOG):
             self._of_the_log(now, number, action, out)
-        elif isinstance(action, ASKS) and number:
+        elif isinstance(action, LOG_REQUESTS) and number:
             self._to_the_log(number, action)
         else:
             raise TypeError(f"no action of {self._prefixes[number]}: {action!r}")
@@ -196,7 +196,7 @@
 
     def _of_the_log(self, now: float, log: int, action: Any, out: list[Action]) -> None:
         layers = range(log + 1, len(self._components))
-        if isinstance(action, ENDS):
+        if isinstance(action, LOG_RESPONSES):
             ticket, number = self._back(action.ticket)
             self._tell(now, number, action._replace(ticket=ticket), out)
         elif isinstance(action, api.EntryCommitted):
@@ -208,7 +208,7 @@
                 self._whole = False
         elif isinstance(action, api.SnapshotInstalled):
             states = log_multiplexer.split_states(action.state)
-            self.found(states)
+            self.record_snapshot_prefixes(states)
             for number in layers:
                 if (state := states.get(self._prefixes[number])) is not None:
                     self._tell(now, number, action._replace(state=state), out)
@@ -228,15 +228,15 @@
             raise TypeError(f"no action of {LOG}: {action!r}")
 
     def _stop(self, number: int, event: Any, error: Exception, out: list[Action]) -> None:
-        assert self.faulty is not None
+        assert self.on_fault is not None
         self._stopped(set(range(len(self._components))) if number == 0 else {number})
-        self.faulty(self._prefixes[number], event, error)
-        out.append(LogLine(OFF, {"part": self._prefixes[number], "off": ", ".join(self.off)}))
+        self.on_fault(self._prefixes[number], event, error)
+        out.append(LogLine(COMPONENT_STOPPED, {"part": self._prefixes[number], "off": ", ".join(self.off)}))
         if number == self._places.get(LOG):
             layers = range(number + 1, len(self._components))
             self._asking.extend((layer, api.LeaderChanged(None, 0)) for layer in layers)
 
-    def halt(self) -> None:
+    def stop_all(self) -> None:
         """The host tells no part anything more."""
         self._stopped(set(range(len(self._components))))
 
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -146,7 +146,7 @@
     def _register(self, adapter: FleetAdapter) -> None:
         """Connect an adapter's actions and paths, and start its component if that needs no log."""
         for kind, listener in adapter.hears.items():
-            self._hub.hears(kind, listener)
+            self._hub.register_action_handler(kind, listener)
         self.paths |= {path: self._guarded(adapter, handler) for path, handler in adapter.paths.items()}
         if not adapter.above:
             self._start_component(adapter, adapter.part(None, 0))
@@ -245,7 +245,7 @@
         self._hub.add(LOG, agreement)
         for adapter, component in components:
             self._start_component(adapter, component)
-        self._hub.found(states)
+        self._hub.record_snapshot_prefixes(states)
         self._agreement = agreement
         self._no_log_reason = ""
         self._voter_check.start()
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -66,7 +66,7 @@
         states = split_states(log.state)
         lists = self.made[name] = Lists(name, process_epoch, "d1", self.voters, state=states.get(PREFIX))
         hub = ComponentHub([("mb.", members), (LOG, log), (PREFIX, lists)], members)
-        hub.found(states)
+        hub.record_snapshot_prefixes(states)
         self.uses[name] = ({}, set())
 
         def heard(said: Any) -> None:
@@ -77,8 +77,8 @@
                 arrived = {entry.name for entry in said.entries}
             self.uses[name] = (drained, arrived)
 
-        hub.hears(PeerDrain, heard)
-        hub.hears(Arrived, heard)
+        hub.register_action_handler(PeerDrain, heard)
+        hub.register_action_handler(Arrived, heard)
         return hub
 
 
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -130,7 +130,7 @@
         self.hub = ComponentHub(
             [("mb.", self.membership), ("ag.", self.agreement), (PREFIX, Watched(self, self.wallet))], self.membership
         )
-        self.hub.hears(api.Answer, self._answered)
+        self.hub.register_action_handler(api.Answer, self._answered)
         self.open: dict[int, api.Reservation] = {}
         self.serving: dict[str, bool] = {}
         self._notes: list[Any] = []
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -17,7 +17,7 @@
 
 from .. import logs
 from ..config import Address, host_port
-from ..fleet.hub import OFF, ComponentEvent, ComponentHub
+from ..fleet.hub import COMPONENT_STOPPED, ComponentEvent, ComponentHub
 from ..fleet.interfaces import (
     MAX_DATAGRAM_BYTES,
     Action,
@@ -103,7 +103,7 @@
         self._off = self._closed = self._begun = False
         self._events: deque[Event | ComponentEvent] = deque()  # the first is being handled
         self.counts = dict.fromkeys(COUNTS, 0)
-        hub.faulty = self._faulty
+        hub.on_fault = self._faulty
 
     @property
     def address(self) -> Address | None:
@@ -222,10 +222,10 @@
                 self._carry_out(action)
         except Exception as error:  # not a part's own, which the hub holds back: what came of it can't be carried out
             self._off = True
-            self._hub.halt()
+            self._hub.stop_all()
             self._quiet()
             self._faulty("", event, error)
-            log.error(OFF, fleet=True, mono_ms=round(self._now, 1), off="all")
+            log.error(COMPONENT_STOPPED, fleet=True, mono_ms=round(self._now, 1), off="all")
 
     _timed = 0.0  # the deadline of the timer that fires: the loop may call it up to its clock's grain early
 
@@ -332,8 +332,8 @@
             "off": "all" if self._off else ", ".join(self._hub.off),
             "timers": len(self._timers),
             "storing": self._storing,
-            "untold": self._hub.untold,
-            "unheard": self._hub.unheard,
+            "untold": self._hub.undeliverable_messages,
+            "unheard": self._hub.unhandled_messages,
             "datagrams": dict(self.counts),
             "streams": self._streams.state() if self._streams is not None else {},
             "dropped": {fault.value: count for fault, count in self._wire.faults.items()},
--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -61,7 +61,7 @@
     assert members.told == [Started(), MessageReceived(B, "b", Probe(1)), ShutdownStarted()]
     assert log.told == [Started(), MessageReceived(B, "b", Line("x"), Carrier.STREAM), ShutdownStarted()]
     alone, (only,) = hub(lambda *_: [])
-    assert alone.handle(0.0, MessageReceived(B, "b", Line("x"))) == [] == only.told and alone.unheard == 1
+    assert alone.handle(0.0, MessageReceived(B, "b", Line("x"))) == [] == only.told and alone.unhandled_messages == 1
 
 
 def test_names_become_addresses_by_what_membership_knows() -> None:
@@ -79,7 +79,7 @@
         LogLine("n"),
         SendToAddress(B, Probe(3), Carrier.DATAGRAM),
     ]
-    assert both.untold == 1
+    assert both.undeliverable_messages == 1
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(-(2**40), 2**40), st.sampled_from("tsf")), max_size=20))
@@ -152,13 +152,15 @@
     seen: list[tuple[str, Any, Exception]] = []
     both, (members, log) = hub(lambda *_: [DEAD, LogLine("goes on")], raising, faulty=lambda *told: seen.append(told))
     out = both.handle(0.0, MessageReceived(B, "b", Probe(1)))
-    assert out == [LogLine(hubs.OFF, {"part": "ag.", "off": "ag."}), LogLine("goes on")] and both.off == ("ag.",)
+    assert out == [LogLine(hubs.COMPONENT_STOPPED, {"part": "ag.", "off": "ag."}), LogLine("goes on")] and both.off == (
+        "ag.",
+    )
     assert [(part, event, str(error)) for part, event, error in seen] == [("ag.", DEAD, "'broken'")]
     assert both.handle(1.0, MessageReceived(B, "b", Probe(1))) == [LogLine("goes on")] and len(log.told) == 1
-    assert both.handle(1.0, MessageReceived(B, "b", Line(""))) == [] and both.unheard == 1
+    assert both.handle(1.0, MessageReceived(B, "b", Line(""))) == [] and both.unhandled_messages == 1
     both, (members, log) = hub(raising, raising, faulty=lambda *told: seen.append(told))
     assert both.handle(0.0, MessageReceived(B, "b", Probe(1)))[0] == LogLine(
-        hubs.OFF, {"part": "mb.", "off": "mb., ag."}
+        hubs.COMPONENT_STOPPED, {"part": "mb.", "off": "mb., ag."}
     )
     assert both.handle(0.0, ShutdownStarted()) == [] and log.told == []
 
@@ -262,7 +264,7 @@
     assert isinstance(note, LogLine) and note.text.startswith("no snapshot")
     assert not any(isinstance(told, SnapshotState) for told in of_log.told)
     hub, of_log, _ = with_log(on(ShutdownStarted, SnapshotRequested(1)), raising)
-    hub.faulty = lambda *about: None
+    hub.on_fault = lambda *about: None
     hub.handle(0.0, MessageReceived(B, "b", Rule("")))
     assert hub.off == ("ru.",) and isinstance(hub.handle(1.0, ShutdownStarted())[0], LogLine)
     assert not any(isinstance(told, SnapshotState) for told in of_log.told)
@@ -273,7 +275,7 @@
     ComponentHub([("mb.", Toy()), ("ru.", layer)]).handle(0.0, Started())
     assert layer.told == [Started(), ProposalRejected(1, "no log", None)]
     hub, _, (rules,) = with_log(raising, on(ShutdownStarted, ReadIndex(2)))
-    hub.faulty = lambda *about: None
+    hub.on_fault = lambda *about: None
     hub.handle(0.0, MessageReceived(B, "b", Line("")))
     assert rules.told == [LeaderChanged(None, 0)]
     hub.handle(1.0, ShutdownStarted())
@@ -283,7 +285,7 @@
 def test_the_host_asks_a_part_and_hears_its_own_actions() -> None:
     hub, _, (rules,) = with_log(on(int), lambda _, event: [DEAD] if event == "who" else [])
     heard: list[Any] = []
-    hub.hears(MemberChanged, heard.append)
+    hub.register_action_handler(MemberChanged, heard.append)
     assert hub.handle(0.0, ComponentEvent("ru.", "who")) == [] and heard == [DEAD]
     with pytest.raises(TypeError, match="no event"):
         hub.handle(0.0, ComponentEvent("zz.", "who"))
--- a/tests/fleet/test_peer_transport.py
+++ b/tests/fleet/test_peer_transport.py
@@ -66,7 +66,7 @@
                 SendToMember("b", Block(bytes(1024 * 1024))),
                 SendToMember("nobody", Line("x")),
             )
-            assert a.others.counts["too_long"] == 2 and a.hub.untold == 1
+            assert a.others.counts["too_long"] == 2 and a.hub.undeliverable_messages == 1
             bad: list[tuple[Any, int]] = [("localhost", 7), ("", 7), (HOST, 0), (HOST, 70000), ("::1", 7), ("a\0b", 1)]
             a.act(*[SendToAddress(at, Probe(1)) for at in bad], SendToAddress(b.address, Probe(2)))
             await until(lambda: b.toy.heard)
@@ -175,7 +175,7 @@
 
             b.log.answer = broken
             a.act(SendToMember("b", Line("x")), SendToMember("b", Line("y")))
-            await until(lambda: b.hub.unheard == 1)
+            await until(lambda: b.hub.unhandled_messages == 1)
             assert len(b.log.heard) == 1 and b.others.state()["off"] == "ag."
             a.act(SendToAddress(b.address, Probe(1)))
             await until(lambda: b.toy.heard)  # the other part goes on
@@ -202,7 +202,7 @@
             return []
 
         # As rules that come into force make another part be told of it, while that is to hear what came with them.
-        a.hub.hears(Said, lambda said: a.others.tell(Stored(3)))
+        a.hub.register_action_handler(Said, lambda said: a.others.tell(Stored(3)))
         async with several(a):
             a.log.answer = answer
             a.act(Said("in force"), Fenced())
