--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -150,7 +150,7 @@
     pair.run(pair.now + 500_000)
     pair.longest["a"] = pair.cpu["a"] = 0.0
     pair.run(pair.now + 200_000)
-    assert not table.figures()["held"], table.figures()
+    assert not table.status()["held"], table.status()
     return (size, *(1e6 * spent / count for spent in (bound, found, again, pair.cpu["a"])), 1e3 * pair.longest["a"])
 
 
@@ -183,7 +183,7 @@
             f"own, or {1e6 / heard:,.0f} of others",
             flush=True,
         )
-    assert pair.parts["b"].table.figures()["held"] == count
+    assert pair.parts["b"].table.status()["held"] == count
 
 
 def takeover(most: int) -> None:
@@ -200,7 +200,7 @@
         pair.begin("b")
         pair.meet("a", "b")
         took = pair.until_whole("b", 120_000)
-        assert pair.parts["b"].table.figures()["held"] == count
+        assert pair.parts["b"].table.status()["held"] == count
         print(
             f"{count:8} {took:16.0f} {(pair.bytes['a'] - size) / 1e6:6.1f} {pair.cpu['a'] - cpu['a']:15.2f} "
             f"{pair.cpu['b'] - cpu['b']:15.2f} {1e3 * max(pair.longest.values()):15.1f}",
--- a/limenotch/fleet/affinity/table.py
+++ b/limenotch/fleet/affinity/table.py
@@ -101,7 +101,7 @@
         self.to_undo.append((rows.key(row), rows.gen[row], rows.move[row], rows.count[row]))
         self.bury(now, row, "undo")
 
-    def figures(self) -> Mapping[str, Any]:
+    def status(self) -> Mapping[str, Any]:
         return {
             "held": self.live,
             "graves": len(self.rows) - self.live,
--- a/limenotch/fleet/consensus/core.py
+++ b/limenotch/fleet/consensus/core.py
@@ -114,7 +114,7 @@
     def counts(self) -> dict[str, int]:
         return self._node.counts
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Of operators: indexes are those of the log's entries; `disk` is `ok` or why nothing is written."""
         node, log = self._node, self._node.log
         return {
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -107,7 +107,7 @@
         """Where to send to: the settings' own address before what it advertises."""
         return self.ground.at_of(name) if self.ground.table.get(name) is not None else None
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """For operators: numbers of what is held, of what was not believed, and the own health (0 is well)."""
         ground = self.ground
         states = {state.value: 0 for state in State}
--- a/limenotch/fleet/rules/endpoint_lists.py
+++ b/limenotch/fleet/rules/endpoint_lists.py
@@ -119,7 +119,7 @@
     def counts(self) -> dict[str, int]:
         return {**self.drains.counts, **self.arrivals.counts}
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         return {
             "directory": self.directory,
             "index": self.index,
--- a/limenotch/fleet/wallet/allocations.py
+++ b/limenotch/fleet/wallet/allocations.py
@@ -325,7 +325,7 @@
         """`first` is the oldest slice with room."""
         account.first = next((one for one in account.slices.values() if one.room), None)
 
-    def figures(self) -> Mapping[str, Any]:
+    def status(self) -> Mapping[str, Any]:
         """Units by tenant: reserved and not ended yet, free under slices held, open for the next calls."""
         return {
             "open": self.open,
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -93,7 +93,7 @@
 
 
 class AffinityAdapter(FleetAdapter):
-    name, prefix, above = "bindings", PREFIX, False
+    name, prefix, is_replicated = "bindings", PREFIX, False
     messages = message_types(messages)
 
     def __init__(self, among: NodeContext, tuning: Tuning) -> None:
@@ -115,11 +115,11 @@
         self._conns: dict[str, Kept] = {}
         self._conn = 0
         self.counts = dict.fromkeys(COUNTS, 0)
-        self.beside = self
+        self.interceptor = self
 
     # As a layer
 
-    def part(self, state: bytes | None, index: int) -> Component:
+    def component(self, state: bytes | None, index: int) -> Component:
         return Begun(self, self._bindings)
 
     def first(self) -> list[Any]:
@@ -132,7 +132,7 @@
         for (kind, key), (provider, state, charged) in early.items():
             self._table.see(now, kind, key, provider, state, charged)
 
-    def adopted(self, config: Config) -> None:
+    def configuration_applied(self, config: Config) -> None:
         windows = {
             cls.name: cls.dedup_window_ms
             for cls in config.settings.classes
@@ -141,15 +141,15 @@
         if windows != self._windows:
             self._windows = windows
             self._classes |= windows.keys()
-            self._among.tell(ComponentEvent(PREFIX, Window(max(windows.values(), default=0.0))))
+            self._among.dispatch(ComponentEvent(PREFIX, Window(max(windows.values(), default=0.0))))
 
-    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
+    def endpoints_listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         held = {} if whole else self._listed
         held.update((provider.name, provider) for provider in providers)
         self._listed = {name: each for name, each in held.items() if each.status is not DiscoveryStatus.TERMINATED}
         self._tell()
 
-    def banned(self, name: str, out: bool, at_ms: float) -> None:
+    def ejection_changed(self, name: str, out: bool, at_ms: float) -> None:
         if out:
             self._out.add(name)
         else:
@@ -165,18 +165,18 @@
         }
         if there != self._there:
             self._there = there
-            self._among.tell(ComponentEvent(PREFIX, Providers(there)))
+            self._among.dispatch(ComponentEvent(PREFIX, Providers(there)))
 
-    def gone(self, origin: str) -> None:
+    def connection_closed(self, origin: str) -> None:
         kept = self._conns.pop(origin, None)
         if kept is not None and kept.provider:
             self._see(Kind.CONN, kept.key, kept.provider, State.CLOSING)
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         ground = self._bindings.ground
         return {
             "state": "whole" if self._table.whole else "joining",
-            **self._table.figures(),
+            **self._table.status(),
             "calls": {**self.counts, "open": len(self._mine)},
             "consumers": len(self._conns),
             "providers": len(self._there),
--- a/limenotch/fleet_adapters/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -24,7 +24,7 @@
     process_epoch: int
     voters: tuple[str, ...]  # as the settings have them
     key: bytes
-    tell: Callable[[ComponentEvent], None]  # raises nothing
+    dispatch: Callable[[ComponentEvent], None]  # raises nothing
     now: Callable[[], float]  # the clock that parts are told, ms
 
 
@@ -33,47 +33,47 @@
 
     name = ""  # among the parts that `GET /fleet` tells of
     prefix = ""  # of its messages' tags, entries and state
-    above = True  # it stands on the log, and is there once that has been read
+    is_replicated = True  # it stands on the log, and is there once that has been read
     messages: tuple[type[Message], ...] = ()
 
     def __init__(self) -> None:
-        self.hears: dict[type, Callable[[Any], None]] = {}  # actions of its part that are for the host
-        self.paths: dict[str, RequestHandler] = {}  # at the operators' address
-        self.beside: RequestInterceptor | None = None  # who has a say in calls
+        self.action_handlers: dict[type, Callable[[Any], None]] = {}  # actions of its part that are for the host
+        self.routes: dict[str, RequestHandler] = {}  # at the operators' address
+        self.interceptor: RequestInterceptor | None = None  # who has a say in calls
 
-    def part(self, state: bytes | None, index: int) -> Component | None:
+    def component(self, state: bytes | None, index: int) -> Component | None:
         """Its decisions, from the state that the log was found with; None: it has nothing to do here.
 
         Raises msgspec.DecodeError or ValueError on a state that can't be read.
         """
         return None
 
-    def began(self) -> None:
+    def started(self) -> None:
         """Its part stands in the hub."""
 
     def close(self) -> None:
         """The program ends."""
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """For `GET /fleet`."""
         return {}
 
-    def voted(self, voters: tuple[str, ...]) -> None:
+    def voters_changed(self, voters: tuple[str, ...]) -> None:
         """Who votes on the log, when that has changed."""
 
-    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
+    def endpoints_listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         """This sidecar's own directory told its whole list, or what changed."""
 
-    def banned(self, name: str, out: bool, at_ms: float) -> None:
+    def ejection_changed(self, name: str, out: bool, at_ms: float) -> None:
         """A provider is out by hand or by the rules, or back since `at_ms` of Unix time."""
 
-    def adopted(self, config: Config) -> None:
+    def configuration_applied(self, config: Config) -> None:
         """What is in force for the calls to come: at the start, of a file read again, by rules under a lease."""
 
-    def gone(self, origin: str) -> None:
+    def connection_closed(self, origin: str) -> None:
         """A consumer's connection of which calls came has ended."""
 
-    def refuse(self, why: str) -> bytes:
+    def unavailable_response(self, why: str) -> bytes:
         """What its paths are answered where its part is not there."""
         return json_response(503, {"ok": False, "text": why})
 
--- a/limenotch/fleet_adapters/endpoint_lists.py
+++ b/limenotch/fleet_adapters/endpoint_lists.py
@@ -49,18 +49,18 @@
         self._arrived: dict[str, DiscoveredEndpoint] = {}
         self._told: dict[str, DiscoveredEndpoint] = {}  # as the program has them
         self._silent = False
-        self.hears = {PeerDrain: self._drains, Arrived: self._arrives}
+        self.action_handlers = {PeerDrain: self._drains, Arrived: self._arrives}
 
     def follow(self, use: Use, where: Where) -> None:
         """`use` is told what changes by others' word."""
         self._use, self._where = use, where
 
-    def part(self, state: bytes | None, index: int) -> Lists:
+    def component(self, state: bytes | None, index: int) -> Lists:
         among = self._among
         self._lists = Lists(among.name, among.process_epoch, host_port(self._where()[0]), among.voters, state=state)
         return self._lists
 
-    def began(self) -> None:
+    def started(self) -> None:
         """What the directory did before the log was read is told once the part hears events."""
         asyncio.get_running_loop().call_soon(self._catch_up)
 
@@ -70,10 +70,10 @@
         else:
             self._tell(self._own.values(), whole=True)
 
-    def voted(self, voters: tuple[str, ...]) -> None:
-        self._among.tell(ComponentEvent(PREFIX, Voters(voters)))
+    def voters_changed(self, voters: tuple[str, ...]) -> None:
+        self._among.dispatch(ComponentEvent(PREFIX, Voters(voters)))
 
-    def listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
+    def endpoints_listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         if self._lists is not None:
             self._tell(providers, whole)
         elif self._where()[2]:
@@ -86,13 +86,13 @@
             ready = tuple(_named(p) for p in told if p.accepts_requests)
             stages = {p.name: STAGES[p.status] for p in told}
             asked = self._among.now() - ago_ms
-            self._among.tell(ComponentEvent(PREFIX, Listed(host_port(at), index, whole, stages, ready, asked)))
+            self._among.dispatch(ComponentEvent(PREFIX, Listed(host_port(at), index, whole, stages, ready, asked)))
 
     def silent(self) -> None:
         """The own directory's watch ended."""
         self._silent = True
         if self._lists is not None:
-            self._among.tell(ComponentEvent(PREFIX, DirectorySilent(host_port(self._where()[0]))))
+            self._among.dispatch(ComponentEvent(PREFIX, DirectorySilent(host_port(self._where()[0]))))
 
     def over(self, entries: list[DiscoveredEndpoint], whole: bool) -> list[DiscoveredEndpoint]:
         """What of the own directory's list is to be told the program instead."""
@@ -144,8 +144,8 @@
             self._remember(changed)
             self._use(changed, False)
 
-    def figures(self) -> dict[str, Any]:
-        return self._lists.figures() if self._lists is not None else {"state": "none"}
+    def status(self) -> dict[str, Any]:
+        return self._lists.status() if self._lists is not None else {"state": "none"}
 
 
 def _gone(provider: DiscoveredEndpoint) -> DiscoveredEndpoint:
--- a/limenotch/fleet_adapters/replicated_notes.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -16,16 +16,16 @@
     def __init__(self, among: NodeContext, tuning: Tuning) -> None:
         super().__init__()
         self._promises = ReplicatedNotes()
-        self._promised = LogQueries(among.tell, (tuning.ask_ms + LATE_MS) / 1000.0 + SPARE_S)
-        self.hears = {Answer: self._promised.handle_answer}
-        self.paths = self._promised.paths
+        self._promised = LogQueries(among.dispatch, (tuning.ask_ms + LATE_MS) / 1000.0 + SPARE_S)
+        self.action_handlers = {Answer: self._promised.handle_answer}
+        self.routes = self._promised.paths
 
-    def part(self, state: bytes | None, index: int) -> ReplicatedNotes:
+    def component(self, state: bytes | None, index: int) -> ReplicatedNotes:
         self._promises = ReplicatedNotes(state, index)
         return self._promises
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         return {"kept": len(self._promises), "unreadable": self._promises.bad}
 
-    def refuse(self, why: str) -> bytes:
+    def unavailable_response(self, why: str) -> bytes:
         return unavailable(why)
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -57,11 +57,11 @@
         self._counted: Callable[[], tuple[int, int]] = lambda: (0, 0)
         self._before = (0, 0)
         self._late = Late()
-        self.beside = self._late
+        self.interceptor = self._late
         self._counting = PeriodicCallback(self._count, COUNT_S * 1000.0)
-        ruled = RulesQueries(among.tell, tuning.ask_ms / 1000.0 + SPARE_S, self.figures)
-        self.hears = {Answer: ruled.handle_answer, InForce: self._in_force, Narrow: self._narrow}
-        self.paths = {RULES: ruled.answer}
+        ruled = RulesQueries(among.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self.status)
+        self.action_handlers = {Answer: ruled.handle_answer, InForce: self._in_force, Narrow: self._narrow}
+        self.routes = {RULES: ruled.answer}
 
     def follow(self, acting: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
         """Put what is agreed on in force there. `counted`: calls taken so far, and those of them rejected or failed: by
@@ -73,7 +73,7 @@
         self._counted = counted
         self._before = self._count_all()
 
-    def part(self, state: bytes | None, index: int) -> Rules | None:
+    def component(self, state: bytes | None, index: int) -> Rules | None:
         among, acting = self._among, self._acting
         if acting is None:
             return None
@@ -82,7 +82,7 @@
         )
         return self._rules
 
-    def began(self) -> None:
+    def started(self) -> None:
         self._counting.start()
 
     def close(self) -> None:
@@ -95,11 +95,11 @@
     def _count(self) -> None:
         (taken, bad), (taken_before, bad_before) = self._count_all(), self._before
         self._before = taken, bad
-        self._among.tell(ComponentEvent(PREFIX, Counted(taken - taken_before, bad - bad_before)))
+        self._among.dispatch(ComponentEvent(PREFIX, Counted(taken - taken_before, bad - bad_before)))
 
-    def voted(self, voters: tuple[str, ...]) -> None:
+    def voters_changed(self, voters: tuple[str, ...]) -> None:
         """Who votes on the log checks changes."""
-        self._among.tell(ComponentEvent(PREFIX, Voters(voters)))
+        self._among.dispatch(ComponentEvent(PREFIX, Voters(voters)))
 
     def _in_force(self, said: InForce) -> None:
         if self._acting is not None:
@@ -109,7 +109,7 @@
         if self._acting is not None:
             self._acting.restrict(said.document, said.refuse, said.version)
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         rules = self._rules
         if rules is None:
             return {"state": "none"}
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -136,7 +136,7 @@
             log.error("fault in the purse: who pays is turned away", exc_info=error)
         self.fault = True
 
-    def figures(self) -> dict[str, int]:
+    def status(self) -> dict[str, int]:
         return {"reserved": len(self._open), **self.counts}
 
 
@@ -149,38 +149,38 @@
         self._among, self._tuning = among, tuning
         self._wallet: Wallet | None = None
         self._till = Till(tuning, self._look, parts)
-        paid = WalletQueries(among.tell, tuning.ask_ms / 1000.0 + SPARE_S, self._till.pays)
-        self.hears = {Answer: paid.handle_answer}
-        self.paths = paid.paths
-        self.beside = self._till
+        paid = WalletQueries(among.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self._till.pays)
+        self.action_handlers = {Answer: paid.handle_answer}
+        self.routes = paid.paths
+        self.interceptor = self._till
 
-    def part(self, state: bytes | None, index: int) -> Wallet:
+    def component(self, state: bytes | None, index: int) -> Wallet:
         among = self._among
         self._wallet = Wallet(among.name, among.process_epoch, self._tuning, among.voters, state)
         return self._wallet
 
-    def began(self) -> None:
+    def started(self) -> None:
         self._till.purse = self._wallet.purse if self._wallet is not None else None
 
     def _look(self) -> None:
-        self._among.tell(ComponentEvent(PREFIX, Look()))
+        self._among.dispatch(ComponentEvent(PREFIX, Look()))
 
-    def voted(self, voters: tuple[str, ...]) -> None:
-        self._among.tell(ComponentEvent(PREFIX, Witnesses(voters)))
+    def voters_changed(self, voters: tuple[str, ...]) -> None:
+        self._among.dispatch(ComponentEvent(PREFIX, Witnesses(voters)))
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         wallet = self._wallet
         if wallet is None:
             return {"state": "none"}
         left = max(wallet.purse.until - self._among.now(), 0.0)
-        purse = dict(wallet.purse.figures())
+        purse = dict(wallet.purse.status())
         tenants = purse.pop("tenants", {})
         return {
             "state": "off" if self._till.off else "leased" if left else "no lease",
             "lease_left_ms": round(left),
             "leader": wallet.leader,
             "wallets": len(wallet.book.wallets),
-            "calls": self._till.figures(),
+            "calls": self._till.status(),
             "purse": {**purse, "tenants": dict(sorted(tenants.items())[:MOST_SHOWN])},
             "counts": dict(wallet.counts),
         }
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -145,16 +145,16 @@
 
     def _register(self, adapter: FleetAdapter) -> None:
         """Connect an adapter's actions and paths, and start its component if that needs no log."""
-        for kind, listener in adapter.hears.items():
+        for kind, listener in adapter.action_handlers.items():
             self._hub.register_action_handler(kind, listener)
-        self.paths |= {path: self._guarded(adapter, handler) for path, handler in adapter.paths.items()}
-        if not adapter.above:
-            self._start_component(adapter, adapter.part(None, 0))
+        self.paths |= {path: self._guarded(adapter, handler) for path, handler in adapter.routes.items()}
+        if not adapter.is_replicated:
+            self._start_component(adapter, adapter.component(None, 0))
 
     def _start_component(self, adapter: FleetAdapter, component: Component | None) -> None:
         if component is not None:
             self._hub.add(adapter.prefix, component)
-            adapter.began()
+            adapter.started()
 
     def _notify(self, event: Any) -> None:
         self._transport.tell(event)
@@ -195,27 +195,27 @@
     @property
     def request_interceptors(self) -> tuple[RequestInterceptor, ...]:
         """The interceptors of requests."""
-        return tuple(adapter.beside for adapter in self._adapters if adapter.beside is not None)
+        return tuple(adapter.interceptor for adapter in self._adapters if adapter.interceptor is not None)
 
     def endpoints_listed(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
         """This sidecar's own discovery sent its complete list, or what changed."""
         for adapter in self._adapters:
-            adapter.listed(endpoints, complete)
+            adapter.endpoints_listed(endpoints, complete)
 
     def ejection_changed(self, name: str, ejected: bool, at_ms: float) -> None:
         """An endpoint was ejected by an operator or the rules, or readmitted at `at_ms` of Unix time."""
         for adapter in self._adapters:
-            adapter.banned(name, ejected, at_ms)
+            adapter.ejection_changed(name, ejected, at_ms)
 
     def config_applied(self, config: Config) -> None:
         """What is in force for the requests to come. To be called before `start`, too."""
         for adapter in self._adapters:
-            adapter.adopted(config)
+            adapter.configuration_applied(config)
 
     def client_connection_closed(self, origin: str) -> None:
         """A client's connection that had brought requests has ended."""
         for adapter in self._adapters:
-            adapter.gone(origin)
+            adapter.connection_closed(origin)
 
     # Start and shutdown
 
@@ -233,9 +233,9 @@
             agreement = Agreement(placed.name, placed.table.voters, stored, placed.table.agreement, _random_seed())
             states = log_multiplexer.split_states(agreement.state)
             components = [
-                (adapter, adapter.part(states.get(adapter.prefix), agreement.index))
+                (adapter, adapter.component(states.get(adapter.prefix), agreement.index))
                 for adapter in self._adapters
-                if adapter.above
+                if adapter.is_replicated
             ]
         except (UnreadableError, msgspec.DecodeError, ValueError) as error:
             self._no_log_reason = f"no log: {error}"
@@ -258,7 +258,7 @@
         if voters != self._voters:
             self._voters = voters
             for adapter in self._adapters:
-                adapter.voted(voters)
+                adapter.voters_changed(voters)
 
     def leave(self) -> None:
         """Notify the peers that this process leaves, and close the sockets LEAVE_S later.
@@ -282,7 +282,7 @@
 
     def state(self) -> dict[str, Any]:
         """The answer to GET /fleet."""
-        parts: dict[str, Any] = {"membership": self._membership.figures()}
+        parts: dict[str, Any] = {"membership": self._membership.status()}
         if self._disk is not None:
             parts["agreement"] = self._log_state()
         for adapter in self._adapters:
@@ -298,21 +298,21 @@
         }
 
     def _adapter_state(self, adapter: FleetAdapter) -> dict[str, Any]:
-        if adapter.above and self._no_log_reason:
+        if adapter.is_replicated and self._no_log_reason:
             return {"state": "none", "why": self._no_log_reason}
-        return adapter.figures()
+        return adapter.status()
 
     def _log_state(self) -> dict[str, Any]:
         if self._agreement is None:
             return {"role": "none", "why": self._no_log_reason}
-        return {**self._agreement.figures(), "store": self._disk.state() if self._disk is not None else ""}
+        return {**self._agreement.status(), "store": self._disk.state() if self._disk is not None else ""}
 
     def _guarded(self, adapter: FleetAdapter, handler: RequestHandler) -> RequestHandler:
         """The handler, or the adapter's own refusal while it lacks the log that it needs."""
 
         async def handle(request: http1.Message) -> bytes:
-            if adapter.above and self._no_log_reason:
-                return adapter.refuse(self._no_log_reason)
+            if adapter.is_replicated and self._no_log_reason:
+                return adapter.unavailable_response(self._no_log_reason)
             return await handler(request)
 
         return handle
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -103,7 +103,7 @@
             now[key] = f"{key} {bound.provider}" if bound is not None else f"{key} none"
             if bound is None and key not in last:
                 last[key] = now[key]
-        figures = node.part.bindings.table.figures()
+        figures = node.part.bindings.table.status()
         now["changes"] = f"{figures['held']} {figures['graves']}"
         for group, most in self.groups.items():
             now[group] = last.get(group, f"0 of {group}")
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -72,7 +72,7 @@
     def __init__(self, table: Table | None = None, begun: bool = True, whole: bool = True) -> None:
         self.skew = 0.0
         self.layer = AffinityAdapter(NodeContext("a", 7, (), KEY, self.tell, self.now), table or Table())
-        self.part = self.layer.part(None, 0)
+        self.part = self.layer.component(None, 0)
         self.begun = False
         held = config(SETTINGS)
         self.facade = LoadBalancer(held.settings, 5, held.zones, held.kinds, clock=self.now)
@@ -83,7 +83,7 @@
         self.made: list[Attempt] = []
         self.bound_when_made: list[Bound | None] = []
         self.calls.execute(self.facade.start())
-        self.layer.adopted(held)
+        self.layer.configuration_applied(held)
         self.names = itertools.count()
         if begun:
             self.begin(whole)
@@ -101,7 +101,7 @@
             for _ in range(5):  # alone, it is whole a cover later
                 self.skew += 60.0
                 self.part.handle(self.now(), TimerFired(1))
-            assert self.layer.figures()["state"] == "whole"
+            assert self.layer.status()["state"] == "whole"
 
     def tell(self, asked: ComponentEvent) -> None:
         if self.begun:
@@ -109,7 +109,7 @@
 
     def list(self, names: list[str], status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE, whole: bool = False) -> None:
         entries = [provider(name, status) for name in names]
-        self.layer.listed(entries, whole)
+        self.layer.endpoints_listed(entries, whole)
         self.calls.execute(self.facade.endpoints_listed(entries, whole))
 
     def start(self, invoker_call: Attempt) -> None:
--- a/tests/fleet/test_affinity_core.py
+++ b/tests/fleet/test_affinity_core.py
@@ -197,7 +197,7 @@
         assert set(fleet.who(b"%d" % number)) == {None if number % 2 == 0 else "p2"}
     assert fleet.who(b"key", Kind.KEY) == ["p1"] * 3
     fleet.run(250)
-    assert fleet.table("a").figures()["ended"] == 150
+    assert fleet.table("a").status()["ended"] == 150
     fleet.see("b", b"0", "p3")  # the agreed way afterwards: whoever comes first moves it, for all
     fleet.run(300)
     assert fleet.who(b"0") == ["p3"] * 3
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -157,7 +157,7 @@
 def test_while_the_table_is_not_whole_a_marked_repeat_of_an_unknown_key_is_rejected() -> None:
     async def case() -> None:
         house = House(whole=False)
-        assert house.layer.figures()["state"] == "joining"
+        assert house.layer.status()["state"] == "joining"
         final = await house.take(key=b"k", resent=True)
         assert (final.verdict, final.quota_exhausted, house.made, house.count("unsure")) == (
             Verdict.REJECTED,
@@ -178,7 +178,7 @@
         house = House(Table(most=16, most_opening=1.0))
         for number in range(20):
             await house.served(key=b"%d" % number)
-        assert house.count("unbound") >= 4 and house.layer.figures()["held"] == 16
+        assert house.count("unbound") >= 4 and house.layer.status()["held"] == 16
         assert house.bound("keyed", "acme", b"0") is not None and house.bound("keyed", "acme", b"19") is None
 
     run(case)
@@ -188,7 +188,7 @@
     async def case() -> None:
         house = House(Table(keys=False), whole=False)
         await house.served(key=b"k", resent=True)
-        assert house.layer.figures()["held"] == 0 and house.count("keyed") == 0
+        assert house.layer.status()["held"] == 0 and house.count("keyed") == 0
 
     run(case)
 
@@ -214,7 +214,7 @@
     async def case() -> None:
         house = House()
         longer = {**SETTINGS, "classes": [*CLASSES[:1], {**CLASSES[1], "window_ms": 30_000.0}, *CLASSES[3:]]}
-        house.layer.adopted(config(longer))
+        house.layer.configuration_applied(config(longer))
         house.calls.execute(house.facade.apply_settings(config(longer).settings))
         await house.served(key=b"k")
         house.skew += 20_000.0
@@ -239,7 +239,7 @@
             others = {await house.served(kind="free", tenant="bolt", fields=name) for _ in range(15)}
             assert len(others) == 1  # the same name of another tenant is another session
             if go == "banned":
-                house.layer.banned(by, True, 0.0)
+                house.layer.ejection_changed(by, True, 0.0)
                 house.calls.execute(house.facade.set_ejected(by, True))
             else:
                 house.list([by], DiscoveryStatus.TERMINATING if go == "drains" else DiscoveryStatus.TERMINATED)
@@ -247,7 +247,7 @@
             then = await house.served(kind="free", fields=name)
             assert then != by and {await house.served(kind="free", fields=name) for _ in range(15)} == {then}
             if go == "banned":
-                house.layer.banned(by, False, 1.0)
+                house.layer.ejection_changed(by, False, 1.0)
                 house.calls.execute(house.facade.set_ejected(by, False, 1.0))
             else:
                 house.list([by])
@@ -262,12 +262,12 @@
         by = await house.served(kind="free", origin="1.2.3.4:5")
         assert {await house.served(kind="free", origin="1.2.3.4:5") for _ in range(15)} == {by}
         key = house.layer._conns["1.2.3.4:5"].key
-        house.layer.gone("1.2.3.4:5")
+        house.layer.connection_closed("1.2.3.4:5")
         bound = house.layer._table.find(house.now(), Kind.CONN, key)
         assert bound is not None and bound.state is State.CLOSING and not house.layer._conns
         seen = {await house.served(kind="free", origin=f"1.2.3.4:{port}") for port in range(5, 25)}
         assert len(seen) > 1  # the first of them is another connection from the same place
-        house.layer.gone("unknown")
+        house.layer.connection_closed("unknown")
 
     run(case)
 
--- a/tests/fleet/test_affinity_table.py
+++ b/tests/fleet/test_affinity_table.py
@@ -113,9 +113,9 @@
     part.table.bury(1000.0, part.table.rows.find(part.table.hash(S, b"x")), "undo")
     part.handle(1100.0, Providers({"p2": THERE["p2"]}))
     part.handle(1200.0, TimerFired(1))
-    assert part.table.figures()["ended"] == 1
+    assert part.table.status()["ended"] == 1
     part.table.see(1300.0, S, b"k", "p2", State.OPEN)
-    assert part.table.figures()["ended"] == 0
+    assert part.table.status()["ended"] == 0
 
 
 def test_a_row_that_changes_keeps_its_provider() -> None:
--- a/tests/fleet/test_explore_consensus.py
+++ b/tests/fleet/test_explore_consensus.py
@@ -64,4 +64,4 @@
     two = deepcopy(one)
     assert digest(one) == digest(two)
     two.handle(500.0, TimerFired(1))
-    assert digest(one) != digest(two) and one.agreement.figures()["role"] == "follower"
+    assert digest(one) != digest(two) and one.agreement.status()["role"] == "follower"
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -206,7 +206,7 @@
 def test_sound_frames_with_nonsense_are_counted_and_do_nothing(message: News, why: str) -> None:
     member = alone()
     member.handle(1.0, MessageReceived(("b", 1), "b", message))
-    assert member.figures()["counts"] == {why: 1}
+    assert member.status()["counts"] == {why: 1}
     assert {seen.name for seen in member.members()} <= {"a", "b"}
 
 
@@ -214,14 +214,14 @@
     member = alone(most_members=20)
     for number in range(100):
         member.handle(1.0, MessageReceived(("b", 1), "b", News(ME, (claim(f"m{number}"),))))
-    assert len(member.members()) == 20 and member.figures()["counts"] == {"no room for another member": 82}
+    assert len(member.members()) == 20 and member.status()["counts"] == {"no room for another member": 82}
 
 
 def test_a_ping_req_flood_is_bounded() -> None:
     member = alone()
     for number in range(1000):
         member.handle(1.0, MessageReceived(("b", 1), "b", PingReq(number, "c", ("c", 1), ME)))
-    assert member.figures()["counts"] == {"too many ping-reqs": 1000 - 256}
+    assert member.status()["counts"] == {"too many ping-reqs": 1000 - 256}
 
 
 def test_who_is_held_dead_is_told_first() -> None:
@@ -252,7 +252,7 @@
             for act in acts
         )
 
-    assert answers(2) == MOST_TOLD_OFF and member.figures()["counts"]["told often enough"] == 500 - MOST_TOLD_OFF
+    assert answers(2) == MOST_TOLD_OFF and member.status()["counts"]["told often enough"] == 500 - MOST_TOLD_OFF
     assert answers(1010) == MOST_TOLD_OFF
     acts = member.handle(2000.0, MessageReceived(("b", 1), "b", News(Me(("b", 1), 2, 0))))
     assert [act.state for act in acts if isinstance(act, MemberChanged)] == ["alive"]  # it is heard all the same
@@ -280,11 +280,11 @@
     member = alone()
     now = 0.0
     member.handle(now, MessageReceived(("b", 1), "b", News(ME)))
-    while not member.figures()["probing"]:
+    while not member.status()["probing"]:
         now += 5.0
         member.handle(now, TimerFired(1))
     acts = member.handle(now + 6000.0, TimerFired(1))
-    assert member.figures()["probing"] == 0 and member.figures()["health"] == 6  # 1, and 5 whole periods late
+    assert member.status()["probing"] == 0 and member.status()["health"] == 6  # 1, and 5 whole periods late
     assert any(isinstance(act, SendToAddress) and isinstance(act.message, Ask) for act in acts)
     assert not any(isinstance(act, MemberChanged) for act in acts)
 
--- a/tests/fleet/test_rules_late.py
+++ b/tests/fleet/test_rules_late.py
@@ -37,7 +37,7 @@
     document = deepcopy(acting.initial_document())
     document["settings"]["classes"][0]["target_ms"] = aim_s * 1000.0
     acting.put_in_force(document, 1e12, 1, 2)
-    assert layer.beside is not None
+    assert layer.interceptor is not None
     for spent_s, verdict in (
         (1.0, Verdict.SERVED),
         (3.0, Verdict.SERVED),
@@ -45,8 +45,8 @@
         (9.5, Verdict.FAILED),
         (9.5, None),
     ):
-        layer.beside.request_closed(call("look", spent_s, verdict))
-    layer.beside.request_closed(call("no class of these rules", 100.0, Verdict.SERVED))
+        layer.interceptor.request_closed(call("look", spent_s, verdict))
+    layer.interceptor.request_closed(call("no class of these rules", 100.0, Verdict.SERVED))
     counts[:] = [16, 2]
     layer._count()
     assert told == [ComponentEvent("ru.", Counted(6, 1 + (1 if aim_s == 9.0 else 2)))]
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -291,7 +291,7 @@
             till.request_closed(call)
             till.request_closed(call)
         assert [told[0] for told in purse.told if told[0] != "reserve"] == ["charge", *["give back"] * 3]
-        assert till.figures()["reserved"] == 0
+        assert till.status()["reserved"] == 0
         purse.left = 0
         said = till.request_received(a_call(5))
         assert isinstance(said, FinalResponse) and said.quota_exhausted and said.retry_after_ms == 321.0
@@ -367,7 +367,7 @@
     def wants(self) -> bool:
         return self.wanting
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         return {}
 
 
