--- a/limenotch/fleet/replicated_notes.py
+++ b/limenotch/fleet/replicated_notes.py
@@ -6,14 +6,14 @@
 - At most MOST are kept, and none is ever dropped: what comes after is `full`, everywhere at the same entry.
 - A read is asked of the log first: it sees all that was promised, anywhere, before it was asked.
 
-| Ask | Answer's word |
+| OperatorRequest | OperatorResponse's word |
 | --- | --- |
 | keep | kept; other, full, refused (all three: surely not); unknown |
 | read | found, none; refused |
 | list | listed; refused |
 | voters | done; refused, unknown |
 
-Each Ask gets one Answer, by the log's own bound in time (`ask_ms`) and LATE_MS after it.
+Each OperatorRequest gets one OperatorResponse, by the log's own bound in time (`ask_ms`) and LATE_MS after it.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 LATE_MS = 5000.0  # for what is promised to be applied here
 
 
-class Ask(NamedTuple):
+class OperatorRequest(NamedTuple):
     """`what`: keep, read, list, voters. For voters `id` is to be added and `other` removed; either may be empty."""
 
     ticket: int
@@ -42,8 +42,8 @@
     other: str = ""
 
 
-class Answer(NamedTuple):
-    """What became of an Ask, as the table above says."""
+class OperatorResponse(NamedTuple):
+    """What became of an OperatorRequest, as the table above says."""
 
     ticket: int
     word: str
@@ -53,7 +53,7 @@
 
 
 class _Waits(NamedTuple):
-    ask: Ask
+    ask: OperatorRequest
     index: int  # type: ignore[assignment] # promised at
     until: float
 
@@ -73,7 +73,7 @@
         """`state`: of the snapshot found at the start, which was made after `index`. Raises msgspec.DecodeError."""
         self._kept: dict[str, tuple[int, bytes]] = _table.decode(state) if state else {}
         self._applied = index
-        self._asked: dict[int, Ask] = {}
+        self._asked: dict[int, OperatorRequest] = {}
         self._waits: dict[int, _Waits] = {}
         self._now = float("-inf")
         self._out: list[Any] = []
@@ -91,7 +91,7 @@
         if now < self._now:
             raise ValueError(f"time runs back from {self._now} to {now}")
         self._now, self._out = now, []
-        if isinstance(event, Ask):
+        if isinstance(event, OperatorRequest):
             self._ask(event)
         elif isinstance(event, api.EntryCommitted):
             self._agreed(event)
@@ -110,13 +110,13 @@
         self._look()
         return self._out
 
-    def _ask(self, ask: Ask) -> None:
+    def _ask(self, ask: OperatorRequest) -> None:
         if len(self._asked) + len(self._waits) >= MOST_ASKED:
-            self._out.append(Answer(ask.ticket, "refused", "busy"))
+            self._out.append(OperatorResponse(ask.ticket, "refused", "busy"))
             return
         if ask.what == "keep":
             if len(ask.words) > MOST_BYTES:
-                self._out.append(Answer(ask.ticket, "refused", "too large"))
+                self._out.append(OperatorResponse(ask.ticket, "refused", "too large"))
                 return
             # Other words under the same id are an entry of their own: they must not be told that they are promised.
             ident = f"{ask.id} {_digest(ask.words)}"
@@ -144,7 +144,7 @@
         if ask is None:
             return
         if ask.what == "voters":
-            self._out.append(Answer(ask.ticket, "done", index=event.index))
+            self._out.append(OperatorResponse(ask.ticket, "done", index=event.index))
             return
         until = self._now + LATE_MS
         self._waits[ask.ticket] = _Waits(ask, event.index, until)
@@ -157,15 +157,15 @@
             return
         if ask.what == "list":
             listed = msgspec.json.encode([{"id": one, "index": at} for one, (at, _) in self._kept.items()])
-            self._out.append(Answer(ask.ticket, "listed", body=listed))
+            self._out.append(OperatorResponse(ask.ticket, "listed", body=listed))
         elif (held := self._kept.get(ask.id)) is not None:
-            self._out.append(Answer(ask.ticket, "found", body=held[1], index=held[0]))
+            self._out.append(OperatorResponse(ask.ticket, "found", body=held[1], index=held[0]))
         else:
-            self._out.append(Answer(ask.ticket, "none", f"nothing is promised under {ask.id!r}"))
+            self._out.append(OperatorResponse(ask.ticket, "none", f"nothing is promised under {ask.id!r}"))
 
     def _end(self, ticket: int, word: str, text: str) -> None:
         if self._asked.pop(ticket, None) is not None:
-            self._out.append(Answer(ticket, word, text))
+            self._out.append(OperatorResponse(ticket, word, text))
 
     def _look(self) -> None:
         """What is promised and now applied, or too late."""
@@ -175,15 +175,15 @@
                 self._out.append(self._outcome(ask))
             elif self._now >= until:
                 del self._waits[ticket]
-                self._out.append(Answer(ticket, "unknown", "promised, but not applied here yet: read it"))
+                self._out.append(OperatorResponse(ticket, "unknown", "promised, but not applied here yet: read it"))
 
-    def _outcome(self, ask: Ask) -> Answer:
+    def _outcome(self, ask: OperatorRequest) -> OperatorResponse:
         held = self._kept.get(ask.id)
         if held is None:
-            return Answer(ask.ticket, "full", f"{MOST} promises are kept, none is dropped")
+            return OperatorResponse(ask.ticket, "full", f"{MOST} promises are kept, none is dropped")
         if held[1] != ask.words:
-            return Answer(ask.ticket, "other", f"{ask.id!r} has other words", index=held[0])
-        return Answer(ask.ticket, "kept", index=held[0])
+            return OperatorResponse(ask.ticket, "other", f"{ask.id!r} has other words", index=held[0])
+        return OperatorResponse(ask.ticket, "kept", index=held[0])
 
 
 _HEEDLESS = (
--- a/limenotch/fleet/rules/api.py
+++ b/limenotch/fleet/rules/api.py
@@ -8,8 +8,8 @@
 # Events
 
 
-class Ask(NamedTuple):
-    """An operator's. Each gets exactly one Answer with its ticket, in `ask_ms` and a little at the latest.
+class OperatorRequest(NamedTuple):
+    """An operator's. Each gets exactly one OperatorResponse with its ticket, in `ask_ms` and a little at the latest.
 
     | what | document |
     | --- | --- |
@@ -43,7 +43,7 @@
 # Actions
 
 
-class Answer(NamedTuple):
+class OperatorResponse(NamedTuple):
     """`text` of one that is not ok names the key, or the version that won."""
 
     ticket: int
--- a/limenotch/fleet/rules/changes.py
+++ b/limenotch/fleet/rules/changes.py
@@ -16,7 +16,7 @@
 from ..interfaces import SendToMember
 from . import change_classification, entries
 from . import document as doc
-from .api import Answer, Ask
+from .api import OperatorRequest, OperatorResponse
 from .document import Document
 from .messages import MOST_NAME, Look, Looked, Suggest, Verdict
 from .tuning import Tuning
@@ -59,18 +59,18 @@
 
     # At the sidecar that was asked
 
-    def ask(self, now: float, ask: Ask, ident: str, suggest: Suggest | None, leader: str | None) -> None:
+    def ask(self, now: float, ask: OperatorRequest, ident: str, suggest: Suggest | None, leader: str | None) -> None:
         """`suggest` None: it is in the log's hands already (a ban)."""
         if len(self.asked) >= self.tuning.most_asks or ident in self.asked:
             why = "asked already" if ident in self.asked else "too many changes are under way"
-            self.out.append(Answer(ask.ticket, False, why, self.book.newest))
+            self.out.append(OperatorResponse(ask.ticket, False, why, self.book.newest))
             return
         known = next((version.number for version in self.book.versions.values() if version.id == ident), 0)
         if known:
-            self.out.append(Answer(ask.ticket, True, "", known))
+            self.out.append(OperatorResponse(ask.ticket, True, "", known))
             return
         if suggest is not None and leader is None:
-            self.out.append(Answer(ask.ticket, False, "no leader in reach", self.book.newest))
+            self.out.append(OperatorResponse(ask.ticket, False, "no leader in reach", self.book.newest))
             return
         self.asked[ident] = Asked(ask.ticket, now + self.tuning.ask_ms, ident)
         if suggest is None or leader is None:
@@ -83,7 +83,7 @@
     def answer(self, ident: str, ok: bool, text: str, version: int) -> None:
         asked = self.asked.pop(ident, None)
         if asked is not None:
-            self.out.append(Answer(asked.ticket, ok, text, version))
+            self.out.append(OperatorResponse(asked.ticket, ok, text, version))
 
     def applied(self, applied: Applied) -> None:
         if applied.id:
@@ -217,7 +217,7 @@
     return upstream
 
 
-def suggest_of(ask: Ask, ident: str, newest: int, most_bytes: int) -> Suggest:
+def suggest_of(ask: OperatorRequest, ident: str, newest: int, most_bytes: int) -> Suggest:
     """What is told to the leader. ValueError names the key that is wrong."""
     document = ask.document
     names: tuple[str, ...] = ()
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -28,7 +28,7 @@
 from ..leases import NEVER
 from . import entries
 from . import messages as say
-from .api import Answer, Ask, Counted, InForce, Narrow, Voters
+from .api import Counted, InForce, Narrow, OperatorRequest, OperatorResponse, Voters
 from .canary import Watch
 from .changes import Changes, Check, suggest_of, upstream_of, whole_number
 from .document import Document
@@ -91,7 +91,7 @@
             interfaces.ShutdownStarted: lambda event: None,
             interfaces.MemberChanged: self._member,
             interfaces.Fenced: lambda event: self._fenced(),
-            Ask: self._ask,
+            OperatorRequest: self._ask,
             Counted: self._counted,
             Voters: lambda event: setattr(self.changes, "voters", event.names),
             log.EntryCommitted: self._agreed,
@@ -302,7 +302,7 @@
 
     # Operators
 
-    def _ask(self, ask: Ask) -> None:
+    def _ask(self, ask: OperatorRequest) -> None:
         ident = ask.id or f"{self.name}.{self.process_epoch}.{ask.ticket}"
         try:
             if ask.what == "ban":
@@ -320,10 +320,10 @@
         except ValueError as error:
             self._answer(ask, False, str(error))
 
-    def _answer(self, ask: Ask, ok: bool, text: str) -> None:
-        self._out.append(Answer(ask.ticket, ok, text, self.book.newest))
+    def _answer(self, ask: OperatorRequest, ok: bool, text: str) -> None:
+        self._out.append(OperatorResponse(ask.ticket, ok, text, self.book.newest))
 
-    def _ask_ban(self, ask: Ask, upstream: str) -> None:
+    def _ask_ban(self, ask: OperatorRequest, upstream: str) -> None:
         held = self.book.flat(self.book.newest).get(("bans", upstream), (False, 0.0))
         if held[0]:
             self._answer(ask, True, "")
--- a/limenotch/fleet/wallet/api.py
+++ b/limenotch/fleet/wallet/api.py
@@ -12,8 +12,8 @@
 # Events
 
 
-class Ask(NamedTuple):
-    """An operator's. Each gets exactly one Answer with its ticket, in `ask_ms` and a little at the latest.
+class OperatorRequest(NamedTuple):
+    """An operator's. Each gets exactly one OperatorResponse with its ticket, in `ask_ms` and a little at the latest.
 
     | what | |
     | --- | --- |
@@ -41,7 +41,7 @@
 # Actions
 
 
-class Answer(NamedTuple):
+class OperatorResponse(NamedTuple):
     """`word`: done, counted (that id was, before), shown, none, refused, unknown. `body` of shown: for JSON; of
     counted: how much that id was for."""
 
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -31,7 +31,7 @@
 from . import entries
 from . import messages as say
 from .allocations import Purse
-from .api import Ask, Look, Witnesses
+from .api import Look, OperatorRequest, Witnesses
 from .lease import Holder
 from .ledger import Applied, Book
 from .operator_requests import Asks
@@ -84,7 +84,7 @@
             interfaces.MemberChanged: self._member,
             interfaces.Fenced: lambda event: self._fenced(),
             Look: lambda event: None,
-            Ask: lambda event: self.asks.ask(self._now, event),
+            OperatorRequest: lambda event: self.asks.ask(self._now, event),
             Witnesses: lambda event: setattr(self.granting, "voters", event.names),
             log.EntryCommitted: self._agreed,
             log.SnapshotInstalled: self._install,
--- a/limenotch/fleet/wallet/operator_requests.py
+++ b/limenotch/fleet/wallet/operator_requests.py
@@ -1,6 +1,6 @@
-"""What operators ask: credit, and what wallets hold. Each Ask gets one Answer, in `ask_ms` at the latest.
+"""What operators ask: credit, and what wallets hold. Each gets one OperatorResponse, in `ask_ms` at the latest.
 
-| Ask | Answer's word |
+| OperatorRequest | OperatorResponse's word |
 | --- | --- |
 | add | done; counted: that id was, before, `text` says of how much; refused: surely not; unknown |
 | show | shown, none; refused |
@@ -17,7 +17,7 @@
 from ..consensus import api as log
 from ..leases import NEVER
 from . import entries
-from .api import Answer, Ask
+from .api import OperatorRequest, OperatorResponse
 from .ledger import MOST_CREDIT, MOST_NAME, Applied, Book
 from .tuning import Tuning
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class _Open:
-    ask: Ask
+    ask: OperatorRequest
     until: float
     index: int = 0  # promised at
 
@@ -39,10 +39,10 @@
         self._open: dict[int, _Open] = {}  # by ticket of the log's
         self._seen: dict[int, Applied] = {}  # by index
 
-    def ask(self, now: float, ask: Ask) -> None:
+    def ask(self, now: float, ask: OperatorRequest) -> None:
         fault = self._fault(ask)
         if fault:
-            self.out.append(Answer(ask.ticket, "refused", fault))
+            self.out.append(OperatorResponse(ask.ticket, "refused", fault))
             return
         ticket = self._ticket()
         self._open[ticket] = _Open(ask, now + self._tuning.ask_ms)
@@ -53,7 +53,7 @@
         else:
             self.out.append(log.ReadIndex(ticket))
 
-    def _fault(self, ask: Ask) -> str:
+    def _fault(self, ask: OperatorRequest) -> str:
         if len(self._open) >= self._tuning.most_asks:
             return "busy"
         if ask.what == "show":
@@ -96,15 +96,15 @@
             if (wallet := wallets.get(name)) is not None
         }
         if one.ask.tenant and not body:
-            self.out.append(Answer(one.ask.ticket, "none", f"no wallet of {one.ask.tenant!r}"))
+            self.out.append(OperatorResponse(one.ask.ticket, "none", f"no wallet of {one.ask.tenant!r}"))
         else:
             text = f"{len(names)} of {len(wallets)}" if len(names) < len(wallets) and not one.ask.tenant else ""
-            self.out.append(Answer(one.ask.ticket, "shown", text, body))
+            self.out.append(OperatorResponse(one.ask.ticket, "shown", text, body))
 
     def ended(self, ticket: int, word: str, text: str) -> None:
         one = self._open.pop(ticket, None)
         if one is not None:
-            self.out.append(Answer(one.ask.ticket, word, text))
+            self.out.append(OperatorResponse(one.ask.ticket, word, text))
 
     def tick(self, now: float) -> None:
         if not self._open:
@@ -118,26 +118,26 @@
                 add = one.ask.what == "add"
                 self.ended(ticket, "unknown" if add else "refused", "ask again with the same id" if add else "late")
 
-    def _outcome(self, one: _Open) -> Answer:
+    def _outcome(self, one: _Open) -> OperatorResponse:
         ask, applied = one.ask, self._seen.pop(one.index, None)
         if applied is None:  # a snapshot has passed over it
             wallet = self._book.wallets.get(ask.tenant)
             held = wallet.ids.get(ask.id) if wallet is not None else None
             return (
-                Answer(ask.ticket, "unknown", "ask again with the same id")
+                OperatorResponse(ask.ticket, "unknown", "ask again with the same id")
                 if held is None
-                else Answer(ask.ticket, "counted", f"{held} under {ask.id!r}", held)
+                else OperatorResponse(ask.ticket, "counted", f"{held} under {ask.id!r}", held)
             )
         if applied.word == "counted":
-            return Answer(ask.ticket, "counted", f"{applied.amount} under {ask.id!r}", applied.amount)
+            return OperatorResponse(ask.ticket, "counted", f"{applied.amount} under {ask.id!r}", applied.amount)
         if applied.ok:
-            return Answer(ask.ticket, "done")
+            return OperatorResponse(ask.ticket, "done")
         why = (
             "too many wallets, or ids of this one: none is forgotten"
             if applied.word == "full"
             else f"more than {MOST_CREDIT} in one wallet"
         )
-        return Answer(ask.ticket, "refused", why)
+        return OperatorResponse(ask.ticket, "refused", why)
 
     def due(self) -> float:
         return min((one.until for one in self._open.values()), default=NEVER)
--- a/limenotch/fleet_adapters/replicated_notes.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ..fleet.consensus.tuning import Tuning
-from ..fleet.replicated_notes import LATE_MS, Answer, ReplicatedNotes
+from ..fleet.replicated_notes import LATE_MS, OperatorResponse, ReplicatedNotes
 from ..net.admin.log import PREFIX, LogQueries, unavailable
 from .base import SPARE_S, FleetAdapter, NodeContext
 
@@ -17,7 +17,7 @@
         super().__init__()
         self._promises = ReplicatedNotes()
         self._promised = LogQueries(among.dispatch, (tuning.ask_ms + LATE_MS) / 1000.0 + SPARE_S)
-        self.action_handlers = {Answer: self._promised.handle_answer}
+        self.action_handlers = {OperatorResponse: self._promised.handle_answer}
         self.routes = self._promised.paths
 
     def component(self, state: bytes | None, index: int) -> ReplicatedNotes:
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -12,7 +12,7 @@
 from ..configuration_applier import ConfigurationApplier
 from ..fleet.hub import ComponentEvent
 from ..fleet.rules import Rules, messages
-from ..fleet.rules.api import Answer, Counted, InForce, Narrow, Voters
+from ..fleet.rules.api import Counted, InForce, Narrow, OperatorResponse, Voters
 from ..fleet.rules.tuning import Tuning
 from ..load_balancer_types import AttemptEnding
 from ..net.admin.rules import PREFIX, RULES, RulesQueries
@@ -60,7 +60,7 @@
         self.interceptor = self._late
         self._counting = PeriodicCallback(self._count, COUNT_S * 1000.0)
         ruled = RulesQueries(among.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self.status)
-        self.action_handlers = {Answer: ruled.handle_answer, InForce: self._in_force, Narrow: self._narrow}
+        self.action_handlers = {OperatorResponse: ruled.handle_answer, InForce: self._in_force, Narrow: self._narrow}
         self.routes = {RULES: ruled.answer}
 
     def follow(self, acting: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -17,7 +17,7 @@
 from .. import logs
 from ..fleet.hub import LOG, ComponentEvent
 from ..fleet.wallet import Wallet, messages
-from ..fleet.wallet.api import Answer, Look, Purse, Reservation, Turned, Witnesses
+from ..fleet.wallet.api import Look, OperatorResponse, Purse, Reservation, Turned, Witnesses
 from ..fleet.wallet.tuning import Tuning
 from ..load_balancer_types import AttemptEnding
 from ..net.admin.wallet import PREFIX, WalletQueries
@@ -150,7 +150,7 @@
         self._wallet: Wallet | None = None
         self._till = Till(tuning, self._look, parts)
         paid = WalletQueries(among.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self._till.pays)
-        self.action_handlers = {Answer: paid.handle_answer}
+        self.action_handlers = {OperatorResponse: paid.handle_answer}
         self.routes = paid.paths
         self.interceptor = self._till
 
--- a/limenotch/lab/fleet/rules_drawings.py
+++ b/limenotch/lab/fleet/rules_drawings.py
@@ -57,7 +57,7 @@
         return
     ticket = int(world.now)
     what, document = _document(word, value)
-    world.poke(node, api.Ask(ticket, what, document))
+    world.poke(node, api.OperatorRequest(ticket, what, document))
 
 
 def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -108,7 +108,7 @@
         if isinstance(event, TimerFired) and event.token >= TOKEN:
             mine, event = True, TimerFired(event.token - TOKEN)
         both = isinstance(event, (Started, Fenced, ShutdownStarted))
-        if both or mine or isinstance(event, (api.Ask, api.Counted, api.Voters)):
+        if both or mine or isinstance(event, (api.OperatorRequest, api.Counted, api.Voters)):
             waiting.append((True, event))
         if isinstance(event, Started):
             waiting += [(True, MemberChanged(other, "alive", address(other), 1, 1)) for other in self.run.names]
@@ -140,7 +140,7 @@
             if run.hosted:
                 node = run.world.nodes[self.name]
                 run.checker.acted(run.world.now, self.name, action, node.ahead, node.rate)
-        elif isinstance(action, api.Answer):
+        elif isinstance(action, api.OperatorResponse):
             if run.hosted:
                 run.answers.append((run.world.now, self.name, action))
             yes = f"yes {action.version}" + (f": {action.text}" if action.text else "")
@@ -187,7 +187,7 @@
 
     def ask(self, name: str, what: str, **document: Any) -> int:
         self.ticket += 1
-        self.world.poke(name, api.Ask(self.ticket, what, document, f"ask{self.ticket}"))
+        self.world.poke(name, api.OperatorRequest(self.ticket, what, document, f"ask{self.ticket}"))
         return self.ticket
 
     def answer(self, ticket: int) -> api.Answer | None:
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -130,7 +130,7 @@
         self.hub = ComponentHub(
             [("mb.", self.membership), ("ag.", self.agreement), (PREFIX, Watched(self, self.wallet))], self.membership
         )
-        self.hub.register_action_handler(api.Answer, self._answered)
+        self.hub.register_action_handler(api.OperatorResponse, self._answered)
         self.open: dict[int, api.Reservation] = {}
         self.serving: dict[str, bool] = {}
         self._notes: list[Any] = []
@@ -153,7 +153,7 @@
         elif isinstance(event, Over):
             self._over(now, event)
         else:
-            if isinstance(event, (api.Ask, api.Look, api.Witnesses)):
+            if isinstance(event, (api.OperatorRequest, api.Look, api.Witnesses)):
                 event = ComponentEvent(PREFIX, event)
             out = self.hub.handle(now, event)
             if isinstance(event, Started):
@@ -245,7 +245,7 @@
     # Operators
 
     def ask(self, name: str, what: str, tenant: str = "", amount: int = 0, ident: str = "") -> int:
-        ask = api.Ask(len(self.asks) + 1, what, tenant, amount, ident)
+        ask = api.OperatorRequest(len(self.asks) + 1, what, tenant, amount, ident)
         self.asks[ask.ticket] = ask
         if what == "add":
             self.checker.asked(tenant, ident, amount)
--- a/limenotch/net/admin/log.py
+++ b/limenotch/net/admin/log.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct
 
 from ...fleet.hub import ComponentEvent
-from ...fleet.replicated_notes import MOST_BYTES, Answer, Ask
+from ...fleet.replicated_notes import MOST_BYTES, OperatorRequest, OperatorResponse
 from .. import http1
 from .queries import OperatorQueries
 from .server import RequestHandler, method_not_allowed, text_response
@@ -48,14 +48,14 @@
 
     def __init__(self, send_event: Callable[[ComponentEvent], None], within_s: float) -> None:
         """`within_s`: seconds that a request waits for the component's answer."""
-        self._queries: OperatorQueries[Answer] = OperatorQueries(send_event, PREFIX, within_s)
+        self._queries: OperatorQueries[OperatorResponse] = OperatorQueries(send_event, PREFIX, within_s)
         self.handle_answer = self._queries.handle_answer
         self.paths: dict[str, RequestHandler] = {PROMISES: self._handle_note, VOTERS: self._handle_voters}
 
     async def _query(self, what: str, *arguments: str | bytes) -> bytes:
-        """The HTTP response to the query; `arguments` as in Ask."""
-        answer = await self._queries.query(lambda ticket: Ask(ticket, what, *arguments))  # type: ignore[arg-type]
-        return _encode_answer(answer or Answer(0, "unknown", "no answer in time"))
+        """The HTTP response to the query; `arguments` as in OperatorRequest."""
+        answer = await self._queries.query(lambda ticket: OperatorRequest(ticket, what, *arguments))  # type: ignore[arg-type]
+        return _encode_answer(answer or OperatorResponse(0, "unknown", "no answer in time"))
 
     async def _handle_note(self, request: http1.Message) -> bytes:
         note_id = unquote(request.target.partition(b"?")[0].decode("latin-1").removeprefix(PROMISES))
@@ -82,7 +82,7 @@
         return await self._query("voters", change.add, b"", change.remove)
 
 
-def _encode_answer(answer: Answer) -> bytes:
+def _encode_answer(answer: OperatorResponse) -> bytes:
     headers = []
     if answer.index:
         headers.append((b"Index", str(answer.index).encode()))
--- a/limenotch/net/admin/rules.py
+++ b/limenotch/net/admin/rules.py
@@ -9,7 +9,7 @@
 from msgspec import Meta, Struct
 
 from ...fleet.hub import ComponentEvent
-from ...fleet.rules.api import Answer, Ask
+from ...fleet.rules.api import OperatorRequest, OperatorResponse
 from .. import http1
 from .queries import OperatorQueries, json_response
 from .server import method_not_allowed
@@ -19,7 +19,7 @@
 
 
 class RulesRequest(Struct, forbid_unknown_fields=True):
-    """The body of a POST; `document` as the component's Ask has it for each `what`. A repeated `id` counts once."""
+    """The body of a POST; `document` as the component's OperatorRequest has it; a repeated `id` counts once."""
 
     what: Literal["propose", "back", "ban", "return", "diff"]
     document: dict[str, Any] = {}
@@ -33,7 +33,7 @@
         self, send_event: Callable[[ComponentEvent], None], within_s: float, state: Callable[[], dict[str, Any]]
     ) -> None:
         """`within_s`: seconds that a request waits for the component's answer; `state`: what GET returns."""
-        self._queries: OperatorQueries[Answer] = OperatorQueries(send_event, PREFIX, within_s)
+        self._queries: OperatorQueries[OperatorResponse] = OperatorQueries(send_event, PREFIX, within_s)
         self._state = state
         self.handle_answer = self._queries.handle_answer
 
@@ -48,13 +48,15 @@
             decoded: RulesRequest = msgspec.json.decode(body, type=RulesRequest)
         except msgspec.MsgspecError as error:
             return json_response(400, {"ok": False, "text": str(error)})
-        answer = await self._queries.query(lambda ticket: Ask(ticket, decoded.what, decoded.document, decoded.id))
+        answer = await self._queries.query(
+            lambda ticket: OperatorRequest(ticket, decoded.what, decoded.document, decoded.id)
+        )
         if answer is None:
             return json_response(504, {"ok": False, "text": "unknown: no answer in time"})
         return json_response(_status_of(answer), {"ok": answer.ok, "text": answer.text, "version": answer.version})
 
 
-def _status_of(answer: Answer) -> int:
+def _status_of(answer: OperatorResponse) -> int:
     if answer.ok:
         return 200
     return 504 if answer.text.startswith("unknown") else 409
--- a/limenotch/net/admin/wallet.py
+++ b/limenotch/net/admin/wallet.py
@@ -19,7 +19,7 @@
 from msgspec import Meta, Struct
 
 from ...fleet.hub import ComponentEvent
-from ...fleet.wallet.api import Answer, Ask
+from ...fleet.wallet.api import OperatorRequest, OperatorResponse
 from ...fleet.wallet.ledger import MOST_CREDIT, MOST_NAME
 from .. import http1
 from .queries import OperatorQueries, json_response
@@ -47,14 +47,14 @@
         """`within_s`: seconds that a request waits for the component's answer; `has_wallet`: whether the settings have
         a wallet for that tenant.
         """
-        self._queries: OperatorQueries[Answer] = OperatorQueries(send_event, PREFIX, within_s)
+        self._queries: OperatorQueries[OperatorResponse] = OperatorQueries(send_event, PREFIX, within_s)
         self._has_wallet = has_wallet
         self.handle_answer = self._queries.handle_answer
         self.paths: dict[str, RequestHandler] = {WALLETS: self._handle_all, f"{WALLETS}/": self._handle_one}
 
-    async def _query(self, what: str, tenant: str = "", amount: int = 0, credit_id: str = "") -> Answer:
-        answer = await self._queries.query(lambda ticket: Ask(ticket, what, tenant, amount, credit_id))
-        return answer or Answer(0, "unknown", "no answer in time")
+    async def _query(self, what: str, tenant: str = "", amount: int = 0, credit_id: str = "") -> OperatorResponse:
+        answer = await self._queries.query(lambda ticket: OperatorRequest(ticket, what, tenant, amount, credit_id))
+        return answer or OperatorResponse(0, "unknown", "no answer in time")
 
     async def _handle_all(self, request: http1.Message) -> bytes:
         if request.method != b"GET":
@@ -101,6 +101,6 @@
     return json_response(400, {"ok": False, "text": text})
 
 
-def _failure(answer: Answer) -> bytes:
+def _failure(answer: OperatorResponse) -> bytes:
     text = f"{answer.word}: {answer.text}" if answer.text else answer.word
     return json_response(STATUS[answer.word], {"ok": False, "text": text})
--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -128,7 +128,7 @@
             self._timers.append((action.at_ms, name, process_epoch, action.token))
         elif isinstance(action, LogLine):
             self.said.append((self.now, name, action.text))
-        elif isinstance(action, api.Answer):
+        elif isinstance(action, api.OperatorResponse):
             self.answers.append(action)
         elif isinstance(action, log.ReadIndex):
             ready = self.leader is not None and self.leader in self.wallets
@@ -192,7 +192,7 @@
     def add(self, amount: int, ident: str = "one", name: str = "a", tenant: str = "acme") -> api.Answer | None:
         """The answer, if it has come."""
         ticket = len(self.answers) + 1000
-        self.tell(name, api.Ask(ticket, "add", tenant, amount, ident))
+        self.tell(name, api.OperatorRequest(ticket, "add", tenant, amount, ident))
         return next((answer for answer in self.answers if answer.ticket == ticket), None)
 
     def texts(self, name: str) -> list[str]:
--- a/tests/fleet/test_replicated_notes.py
+++ b/tests/fleet/test_replicated_notes.py
@@ -20,7 +20,7 @@
     SnapshotInstalled,
 )
 from limenotch.fleet.interfaces import SetTimer, Started, TimerFired
-from limenotch.fleet.replicated_notes import Answer, Ask, ReplicatedNotes
+from limenotch.fleet.replicated_notes import OperatorRequest, OperatorResponse, ReplicatedNotes
 from limenotch.lab.fleet.processes import Processes
 from tests.helpers.log_operators import Operators, Told
 
@@ -35,19 +35,19 @@
 
 def test_yes_is_said_when_it_is_promised_and_applied_here() -> None:
     part = ReplicatedNotes()
-    (propose,) = part.handle(0.0, Ask(1, "keep", "x", b"w"))
+    (propose,) = part.handle(0.0, OperatorRequest(1, "keep", "x", b"w"))
     assert isinstance(propose, Propose)
     assert asked(part, Started(), ProposalCommitted(1, 4)) == [SetTimer(module.LATE_MS, 1)]
     assert asked(part, entry(3, "y")) == []
-    assert asked(part, EntryCommitted(4, 1, propose.data, propose.id)) == [Answer(1, "kept", index=4)]
-    asked(part, Ask(2, "keep", "z", b"w"), ProposalCommitted(2, 9))
+    assert asked(part, EntryCommitted(4, 1, propose.data, propose.id)) == [OperatorResponse(1, "kept", index=4)]
+    asked(part, OperatorRequest(2, "keep", "z", b"w"), ProposalCommitted(2, 9))
     assert [answer.word for answer in part.handle(module.LATE_MS, TimerFired(1))] == ["unknown"]
 
 
 def test_the_first_words_stand_and_nothing_is_dropped_when_full(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MOST", 2)
     part = ReplicatedNotes()
-    one, two = (part.handle(0.0, Ask(n, "keep", "x", words))[0] for n, words in ((1, b"a"), (2, b"b")))
+    one, two = (part.handle(0.0, OperatorRequest(n, "keep", "x", words))[0] for n, words in ((1, b"a"), (2, b"b")))
     assert one.id != two.id
     words = [
         answer.word
@@ -56,23 +56,23 @@
         )
     ]
     assert words == ["kept", "other"]
-    asked(part, Ask(3, "keep", "z", b"w"), entry(3, "y"), entry(4, "z"), entry(5, "x", b"a"))
+    asked(part, OperatorRequest(3, "keep", "z", b"w"), entry(3, "y"), entry(4, "z"), entry(5, "x", b"a"))
     assert asked(part, ProposalCommitted(3, 4))[0].word == "full" and len(part) == 2
-    (answer,) = asked(part, Ask(5, "read", "z"), ReadReady(5, 5))[1:]
+    (answer,) = asked(part, OperatorRequest(5, "read", "z"), ReadReady(5, 5))[1:]
     assert answer.word == "none"
 
 
 def test_each_ask_gets_the_log_s_answer() -> None:
     part = ReplicatedNotes()
-    assert asked(part, Ask(1, "voters", "d", other="c")) == [ChangeVoters(1, "d", "c")]
-    assert asked(part, ProposalCommitted(1, 8)) == [Answer(1, "done", index=8)]
-    assert asked(part, Ask(2, "read", "x"), ProposalRejected(2, "no quorum", None)) == [
+    assert asked(part, OperatorRequest(1, "voters", "d", other="c")) == [ChangeVoters(1, "d", "c")]
+    assert asked(part, ProposalCommitted(1, 8)) == [OperatorResponse(1, "done", index=8)]
+    assert asked(part, OperatorRequest(2, "read", "x"), ProposalRejected(2, "no quorum", None)) == [
         ReadIndex(2),
-        Answer(2, "refused", "no quorum"),
+        OperatorResponse(2, "refused", "no quorum"),
     ]
-    asked(part, Ask(3, "keep", "x"), Ask(4, "keep", "y"))
+    asked(part, OperatorRequest(3, "keep", "x"), OperatorRequest(4, "keep", "y"))
     assert asked(part, ProposalRejected(3, "disk full", "b"), OutcomeUnknown(4))[0].text == "disk full; b leads"
-    assert asked(part, Ask(5, "keep", "x", bytes(module.MOST_BYTES + 1)))[0].text == "too large"
+    assert asked(part, OperatorRequest(5, "keep", "x", bytes(module.MOST_BYTES + 1)))[0].text == "too large"
     assert asked(part, OutcomeUnknown(99), ProposalCommitted(98, 1), ReadReady(97, 1)) == []
     with pytest.raises(TypeError):
         part.handle(0.0, object())
@@ -83,10 +83,10 @@
 def test_what_waits_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MOST_ASKED", 1)
     part = ReplicatedNotes()
-    asked(part, Ask(1, "read", "x"))
-    assert asked(part, Ask(2, "read", "x")) == [Answer(2, "refused", "busy")]
+    asked(part, OperatorRequest(1, "read", "x"))
+    assert asked(part, OperatorRequest(2, "read", "x")) == [OperatorResponse(2, "refused", "busy")]
     asked(part, ReadReady(1, 0))
-    assert asked(part, Ask(3, "read", "x")) == [ReadIndex(3)]
+    assert asked(part, OperatorRequest(3, "read", "x")) == [ReadIndex(3)]
 
 
 def test_its_state_comes_back_and_a_foreign_entry_is_counted() -> None:
@@ -96,8 +96,10 @@
     late = ReplicatedNotes()
     asked(late, SnapshotInstalled(2, part.state()))
     for other in (ReplicatedNotes(part.state(), 2), late):
-        assert asked(other, Ask(1, "read", "x"), ReadReady(1, 2))[1] == Answer(1, "found", body=b"words", index=1)
-        assert asked(other, Ask(2, "list"), ReadReady(2, 2))[1].body == b'[{"id":"x","index":1}]'
+        assert asked(other, OperatorRequest(1, "read", "x"), ReadReady(1, 2))[1] == OperatorResponse(
+            1, "found", body=b"words", index=1
+        )
+        assert asked(other, OperatorRequest(2, "list"), ReadReady(2, 2))[1].body == b'[{"id":"x","index":1}]'
 
 
 def post(ident: str, began: float, status: int | None, index: int = 0, method: str = "POST") -> Told:
--- a/tests/fleet/test_rules_core.py
+++ b/tests/fleet/test_rules_core.py
@@ -52,8 +52,8 @@
     ticket = run.ask("d", "propose", change=attempts(2))
     assert text(run, ticket) == (True, "")
     assert "version 2 won" in text(run, run.ask("b", "propose", change=attempts(4), base=1))[1]
-    run.world.poke("d", api.Ask(99, "propose", {"change": attempts(2)}, f"ask{ticket}"))
-    assert run.answers[-1][2] == api.Answer(99, True, "", 2)
+    run.world.poke("d", api.OperatorRequest(99, "propose", {"change": attempts(2)}, f"ask{ticket}"))
+    assert run.answers[-1][2] == api.OperatorResponse(99, True, "", 2)
     assert text(run, run.ask("b", "diff", one=1, two=2)) == (True, "settings.permissions.max_attempts narrows")
     assert text(run, run.ask("b", "back", to=77))[1].startswith("version 77")
 
--- a/tests/fleet/test_wallet_core.py
+++ b/tests/fleet/test_wallet_core.py
@@ -101,16 +101,16 @@
     group = ready()
     for _ in range(3):
         group.serve("b")
-    group.tell("c", api.Ask(1, "show", "acme"))
-    group.tell("c", api.Ask(2, "show"))
-    group.tell("c", api.Ask(3, "show", "nobody"))
-    group.tell("c", api.Ask(4, "odd"))
+    group.tell("c", api.OperatorRequest(1, "show", "acme"))
+    group.tell("c", api.OperatorRequest(2, "show"))
+    group.tell("c", api.OperatorRequest(3, "show", "nobody"))
+    group.tell("c", api.OperatorRequest(4, "odd"))
     one, every, none, odd = group.answers[1:]
     assert one.body == {"acme": {"credit": 1000, "spent": 0, "left": 990, "held": 10, "slices": 1}}
-    assert every == api.Answer(2, "shown", "", one.body)
+    assert every == api.OperatorResponse(2, "shown", "", one.body)
     assert (none.word, odd.word) == ("none", "refused")
     group.leader = None
-    group.tell("c", api.Ask(5, "show"))
+    group.tell("c", api.OperatorRequest(5, "show"))
     assert group.answers[-1].word == "refused"
 
 
