--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -26,7 +26,7 @@
 
 from msgspec.msgpack import Decoder, Encoder
 
-from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity import messages
 from limenotch.fleet.affinity.api import Kind, Providers, State
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.tuning import Ages, Tuning
@@ -54,7 +54,7 @@
         self._due: list[tuple[float, int, str, Any]] = []
         self._count = 0
         self._encoder = Encoder()
-        self._decoder: Decoder[Any] = Decoder(say.Said)
+        self._decoder: Decoder[Any] = Decoder(messages.Said)
 
     def begin(self, name: str) -> None:
         self.give(name, Started())
--- a/limenotch/fleet/affinity/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -24,7 +24,7 @@
 
 from .. import interfaces
 from ..interfaces import Carrier, SetTimer
-from . import messages as say
+from . import messages
 from .api import Providers, Window
 from .clocks import INFINITE
 from .context import Ground
@@ -76,18 +76,18 @@
         }
         repair = self.repair
         self._messages: dict[type, Callable[[Peer, Any], None]] = {
-            say.Sights: self._sights,
-            say.Cover: self._cover,
-            say.Ping: self._ping,
-            say.Pong: self._pong,
-            say.Ask: self._asked,
-            say.Page: self.missing.page,
-            say.Compare: repair.compared,
-            say.Digests: repair.digests,
-            say.AskKeys: repair.keys_asked,
-            say.Keys: repair.keys,
-            say.Want: repair.wanted,
-            say.Copies: repair.copies,
+            messages.Sights: self._sights,
+            messages.Cover: self._cover,
+            messages.Ping: self._ping,
+            messages.Pong: self._pong,
+            messages.Ask: self._asked,
+            messages.Page: self.missing.page,
+            messages.Compare: repair.compared,
+            messages.Digests: repair.digests,
+            messages.AskKeys: repair.keys_asked,
+            messages.Keys: repair.keys,
+            messages.Want: repair.wanted,
+            messages.Copies: repair.copies,
         }
 
     @property
@@ -183,13 +183,13 @@
 
     def _heard(self, event: interfaces.MessageReceived) -> None:
         ground, message = self.ground, event.message
-        if not isinstance(message, say.BINDINGS) or not self._begun:
+        if not isinstance(message, messages.BINDINGS) or not self._begun:
             ground.table.count("no message of bindings")
             return
         peer = ground.peers.speaks(ground.now, event.sender, message.process_epoch)
         if peer is None:
             ground.table.count("of a life that is over")
-        elif peer.clock.known or isinstance(message, (say.Ping, say.Pong)):
+        elif peer.clock.known or isinstance(message, (messages.Ping, messages.Pong)):
             self._messages[type(message)](peer, message)
             # A page's or a range's bytes may be paid for before the next batch.
             self._arm(max(min(self.missing.due, self.repair.due), ground.now + SOON_MS))
@@ -206,13 +206,13 @@
         ground, tuning = self.ground, self.ground.tuning
         if ground.now >= peer.ping_at:
             peer.ping_at = ground.now + (tuning.digest_ms if peer.clock.known else tuning.batch_ms) * ground.scale
-            ground.say(peer, say.Ping(ground.process_epoch, ground.now), Carrier.DATAGRAM)
+            ground.say(peer, messages.Ping(ground.process_epoch, ground.now), Carrier.DATAGRAM)
 
-    def _ping(self, peer: Peer, ping: say.Ping) -> None:
+    def _ping(self, peer: Peer, ping: messages.Ping) -> None:
         peer.clock.heard(self.ground.now, ping.sent)
-        self.ground.say(peer, say.Pong(self.ground.process_epoch, ping.sent, self.ground.now), Carrier.DATAGRAM)
+        self.ground.say(peer, messages.Pong(self.ground.process_epoch, ping.sent, self.ground.now), Carrier.DATAGRAM)
 
-    def _pong(self, peer: Peer, pong: say.Pong) -> None:
+    def _pong(self, peer: Peer, pong: messages.Pong) -> None:
         now = self.ground.now
         if not now - MOST_ECHO_MS <= pong.echo <= now:
             self.table.count("unsound message")
@@ -232,7 +232,7 @@
             ground.all(batch)
             self._cover_at = ground.now + ground.tuning.cover_ms * ground.scale
 
-    def _sights(self, peer: Peer, sights: say.Sights) -> None:
+    def _sights(self, peer: Peer, sights: messages.Sights) -> None:
         now, table = self.ground.now, self.ground.table
         peer.clock.heard(now, sights.sent)
         take(table, now, peer, sights.sent, (sights.providers, sights.names, sights.rows), True, sights.counter)
@@ -241,11 +241,11 @@
                 table.undone(now, int.from_bytes(undone.key, "big"), undone.gen, undone.move, undone.count, peer.name)
         self._counted(peer, sights, sights.seq - 1)
 
-    def _cover(self, peer: Peer, cover: say.Cover) -> None:
+    def _cover(self, peer: Peer, cover: messages.Cover) -> None:
         peer.clock.heard(self.ground.now, cover.sent)
         self._counted(peer, cover, cover.seq)
 
-    def _counted(self, peer: Peer, word: say.Sights | say.Cover, before: int) -> None:
+    def _counted(self, peer: Peer, word: messages.Sights | messages.Cover, before: int) -> None:
         """Whether all that it told `before` this word came. Only then does its cover count."""
         ground = self.ground
         if not (0 <= word.counter < MOST_COUNT and 0 <= word.born < MOST_COUNT and 0 <= word.seq < MOST_COUNT):
@@ -266,7 +266,7 @@
             if ground.peers.holds_back(peer):
                 ground.least()
 
-    def _asked(self, peer: Peer, ask: say.Ask) -> None:
+    def _asked(self, peer: Peer, ask: messages.Ask) -> None:
         answer = page(self.ground, ask)
         if answer is not None:
             self.ground.say(peer, answer)
--- a/limenotch/fleet/consensus/client_requests.py
+++ b/limenotch/fleet/consensus/client_requests.py
@@ -17,8 +17,7 @@
 
 from ...store.records import LogEntry
 from ..interfaces import Carrier
-from . import api
-from . import messages as say
+from . import api, messages
 from .log import COMMAND
 from .node import NEVER, Node, decode, encode
 from .replicate import Leading
@@ -64,7 +63,9 @@
         if asker.name:
             if kind in ("promised", "read"):  # the asker wants it applied, not at the next heartbeat
                 self._leading.inform(asker.name)
-            node.tell(asker.name, say.Answer(kind, asker.ticket, asker.process_epoch, index, why, hint), Carrier.STREAM)
+            node.tell(
+                asker.name, messages.Answer(kind, asker.ticket, asker.process_epoch, index, why, hint), Carrier.STREAM
+            )
         elif kind == "promised":
             node.out.append(api.ProposalCommitted(asker.ticket, index))
         elif kind == "read":
@@ -77,7 +78,7 @@
         else:
             node.out.append(api.OutcomeUnknown(asker.ticket))
 
-    def on_answer(self, message: say.Answer) -> None:
+    def on_answer(self, message: messages.Answer) -> None:
         node = self._node
         if message.process_epoch == node.process_epoch and self._forwarded.pop(message.ticket, None) is not None:
             if message.kind == "refused":
@@ -87,7 +88,7 @@
 
     # Questions
 
-    def on_ask(self, sender: str, message: say.Ask, change: Any) -> None:
+    def on_ask(self, sender: str, message: messages.Ask, change: Any) -> None:
         asker = Asker(message.ticket, sender, message.process_epoch)
         if not self._node.leads:
             self.answer(asker, "refused", why=self._why())
@@ -109,7 +110,9 @@
             self.answer(asker, "refused", why="busy")
         else:
             self._forwarded[asker.ticket] = Forwarded(kind, node.now + node.tuning.ask_ms)
-            node.tell(node.leader, say.Ask(kind, asker.ticket, node.process_epoch, data, ident, other), Carrier.STREAM)
+            node.tell(
+                node.leader, messages.Ask(kind, asker.ticket, node.process_epoch, data, ident, other), Carrier.STREAM
+            )
 
     def propose(self, asker: Asker, data: bytes, ident: str) -> None:
         node, tuning = self._node, self._node.tuning
--- a/limenotch/fleet/consensus/core.py
+++ b/limenotch/fleet/consensus/core.py
@@ -18,8 +18,7 @@
 
 from ...store.records import StoredLog
 from .. import interfaces
-from . import api
-from . import messages as say
+from . import api, messages
 from .client_requests import Asker, Asks
 from .elections import Elections
 from .follower import Following
@@ -71,21 +70,21 @@
         }
         following, elections, leading = self._following, self._elections, self._leading
         self._messages: dict[type, Callable[[str, Any], None]] = {
-            say.Found: elections.on_found,
-            say.Blank: elections.on_blank,
-            say.Follow: leading.on_follow,
-            say.Leads: lambda sender, message: following.on_leads(message),
-            say.PreVote: elections.on_pre,
-            say.PreVoted: elections.on_prevoted,
-            say.Vote: elections.on_vote,
-            say.Voted: elections.on_voted,
-            say.Append: following.on_append,
-            say.Ack: leading.on_ack,
-            say.Chunk: following.on_chunk,
-            say.ChunkAck: leading.on_chunk_ack,
-            say.Stand: lambda sender, message: elections.told(message.term) if sender == node.leader else None,
-            say.Ask: lambda sender, message: self._asks.on_ask(sender, message, self._changing.ask),
-            say.Answer: lambda sender, message: self._asks.on_answer(message),
+            messages.Found: elections.on_found,
+            messages.Blank: elections.on_blank,
+            messages.Follow: leading.on_follow,
+            messages.Leads: lambda sender, message: following.on_leads(message),
+            messages.PreVote: elections.on_pre,
+            messages.PreVoted: elections.on_prevoted,
+            messages.Vote: elections.on_vote,
+            messages.Voted: elections.on_voted,
+            messages.Append: following.on_append,
+            messages.Ack: leading.on_ack,
+            messages.Chunk: following.on_chunk,
+            messages.ChunkAck: leading.on_chunk_ack,
+            messages.Stand: lambda sender, message: elections.told(message.term) if sender == node.leader else None,
+            messages.Ask: lambda sender, message: self._asks.on_ask(sender, message, self._changing.ask),
+            messages.Answer: lambda sender, message: self._asks.on_answer(message),
         }
 
     # For operators, the laboratory and tests
--- a/limenotch/fleet/consensus/elections.py
+++ b/limenotch/fleet/consensus/elections.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 from ...store.records import LogEntry
-from . import messages as say
+from . import messages
 from .log import VOTERS, Voters, pack
 from .node import Node
 from .states import Cause, Role
@@ -42,17 +42,17 @@
         node = self._node
         for name in node.named:
             if name != node.name:
-                node.tell(name, say.Found(node.named))
+                node.tell(name, messages.Found(node.named))
         self._found()
 
-    def on_found(self, sender: str, message: say.Found) -> None:
+    def on_found(self, sender: str, message: messages.Found) -> None:
         node = self._node
         if set(message.voters) != set(node.named):
             node.count("found: other voters named")
         elif node.blank and node.on_disk is not None and not node.ill:
-            node.tell(sender, say.Blank(node.named, node.birth, node.term))
+            node.tell(sender, messages.Blank(node.named, node.birth, node.term))
 
-    def on_blank(self, sender: str, message: say.Blank) -> None:
+    def on_blank(self, sender: str, message: messages.Blank) -> None:
         if self.founder and set(message.voters) == set(self._node.named):
             self._blanks[sender] = message.birth
             self._latest = max(self._latest, message.term)
@@ -103,9 +103,9 @@
             if name == node.name:
                 continue
             if pre:
-                node.tell(name, say.PreVote(node.term + 1, log.last, log.last_term, birth))
+                node.tell(name, messages.PreVote(node.term + 1, log.last, log.last_term, birth))
             else:
-                node.tell(name, say.Vote(node.term, log.last, log.last_term, birth, handed))
+                node.tell(name, messages.Vote(node.term, log.last, log.last_term, birth, handed))
 
     def _pre_count(self) -> None:
         node = self._node
@@ -121,7 +121,7 @@
 
     # Answering
 
-    def _able(self, message: say.PreVote | say.Vote) -> bool:
+    def _able(self, message: messages.PreVote | messages.Vote) -> bool:
         """Whether this disk is the one meant, works, and lacks nothing that the asker has not."""
         node = self._node
         log = node.log
@@ -136,17 +136,17 @@
         node = self._node
         return node.leads or node.now - node.heard_at < node.tuning.election_least_ms
 
-    def on_pre(self, sender: str, message: say.PreVote) -> None:
+    def on_pre(self, sender: str, message: messages.PreVote) -> None:
         node = self._node
         yes = message.term > node.term and not self._led() and self._able(message)
-        node.tell(sender, say.PreVoted(message.term if yes else node.term, yes))
+        node.tell(sender, messages.PreVoted(message.term if yes else node.term, yes))
         if not yes and node.leader is not None:  # it may have been removed, and nobody told it
-            node.tell(sender, say.Leads(node.term, node.leader, tuple(node.log.voters.births)))
+            node.tell(sender, messages.Leads(node.term, node.leader, tuple(node.log.voters.births)))
 
-    def on_vote(self, sender: str, message: say.Vote) -> None:
+    def on_vote(self, sender: str, message: messages.Vote) -> None:
         node = self._node
         if message.term < node.term:
-            node.tell(sender, say.Voted(node.term, False))
+            node.tell(sender, messages.Voted(node.term, False))
             return
         if self._led() and not message.handed:
             return
@@ -156,7 +156,7 @@
             node.become(Cause.EPOCH)
         yes = node.vote in ("", sender) and node.role in (Role.FOLLOWER, Role.LEARNER) and self._able(message)
         if not yes:
-            node.tell(sender, say.Voted(node.term, False))
+            node.tell(sender, messages.Voted(node.term, False))
             return
         if node.vote != sender:
             node.cast(node.term, sender)
@@ -164,7 +164,7 @@
         self._promise = (node.term, sender)
         self.stored()
 
-    def on_prevoted(self, sender: str, message: say.PreVoted) -> None:
+    def on_prevoted(self, sender: str, message: messages.PreVoted) -> None:
         node = self._node
         if message.term > node.term and not message.yes:
             node.adopt(message.term)
@@ -172,7 +172,7 @@
             self._yes.add(sender)
             self._pre_count()
 
-    def on_voted(self, sender: str, message: say.Voted) -> None:
+    def on_voted(self, sender: str, message: messages.Voted) -> None:
         node = self._node
         if message.term > node.term:
             node.adopt(message.term)
@@ -188,7 +188,7 @@
         if self._promise is not None:
             term, candidate = self._promise
             if (term, candidate) == node.on_disk:
-                node.tell(candidate, say.Voted(term, True))
+                node.tell(candidate, messages.Voted(term, True))
             self._promise = None
         if node.role is Role.CANDIDATE and node.on_disk == (node.term, node.name):
             self._yes.add(node.name)
--- a/limenotch/fleet/consensus/follower.py
+++ b/limenotch/fleet/consensus/follower.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from . import messages as say
+from . import messages
 from .node import NEVER, Node
 from .snapshots import Incoming
 from .states import Cause, Role
@@ -51,7 +51,7 @@
         self.search_at = NEVER
         return True
 
-    def on_append(self, sender: str, message: say.Append) -> None:
+    def on_append(self, sender: str, message: messages.Append) -> None:
         node = self._node
         if not self._heard(sender, message.term, message.round):
             if message.term < node.term:
@@ -104,14 +104,14 @@
         if not node.ballot_stored:
             return
         match = min(self._same, node.log.stored)
-        node.tell(leader, say.Ack(node.term, ok, match, self._same if ok else hint, self._round, node.birth))
+        node.tell(leader, messages.Ack(node.term, ok, match, self._same if ok else hint, self._round, node.birth))
 
     def stored(self) -> None:
         node = self._node
         if node.leader is not None and not node.leads and self._epoch == node.term:
             self._answer(node.leader, True, 0)
 
-    def on_chunk(self, sender: str, message: say.Chunk) -> None:
+    def on_chunk(self, sender: str, message: messages.Chunk) -> None:
         node = self._node
         if not self._heard(sender, message.term, message.round):
             return
@@ -128,7 +128,7 @@
             self._same = message.index
             self._answer(sender, True, 0)
         elif node.ballot_stored:
-            node.tell(sender, say.ChunkAck(node.term, message.index, wanted, self._round, node.birth))
+            node.tell(sender, messages.ChunkAck(node.term, message.index, wanted, self._round, node.birth))
 
     # In search of a leader
 
@@ -148,10 +148,10 @@
         names = [name for name in known if name not in self._dead] or known
         if names:
             self._asked += 1
-            node.tell(names[self._asked % len(names)], say.Follow(node.birth, node.log.last))
+            node.tell(names[self._asked % len(names)], messages.Follow(node.birth, node.log.last))
 
-    def on_leads(self, message: say.Leads) -> None:
+    def on_leads(self, message: messages.Leads) -> None:
         node = self._node
         lost = node.role in (Role.LEARNER, Role.PRE) and node.leader is None
         if message.term >= node.term and lost and message.leader != node.name:
-            node.tell(message.leader, say.Follow(node.birth, node.log.last))
+            node.tell(message.leader, messages.Follow(node.birth, node.log.last))
--- a/limenotch/fleet/consensus/replicate.py
+++ b/limenotch/fleet/consensus/replicate.py
@@ -23,7 +23,7 @@
 
 from ...store.records import LogEntry
 from ..interfaces import Carrier
-from . import messages as say
+from . import messages
 from .lease import Lease
 from .log import EMPTY, VOTERS, Voters, pack
 from .node import NEVER, Node
@@ -194,7 +194,7 @@
         node = self._node
         term = node.log.term_of(prev) or 0
         carrier = Carrier.STREAM if entries else Carrier.DATAGRAM
-        node.tell(name, say.Append(node.term, prev, term, entries, node.commit, self.lease.round), carrier)
+        node.tell(name, messages.Append(node.term, prev, term, entries, node.commit, self.lease.round), carrier)
 
     def _probe(self, peer: Peer, index: int) -> None:
         peer.mode, peer.next, peer.flying = Mode.PROBE, index, 0
@@ -206,7 +206,7 @@
             snapshot = transfer.snapshot
             node.tell(
                 name,
-                say.Chunk(
+                messages.Chunk(
                     node.term,
                     snapshot.index,
                     snapshot.term,
@@ -221,11 +221,11 @@
 
     # Hearing
 
-    def on_follow(self, sender: str, message: say.Follow) -> None:
+    def on_follow(self, sender: str, message: messages.Follow) -> None:
         node = self._node
         if not node.leads:
             if node.leader is not None:
-                node.tell(sender, say.Leads(node.term, node.leader, tuple(node.log.voters.births)))
+                node.tell(sender, messages.Leads(node.term, node.leader, tuple(node.log.voters.births)))
             return
         peer = self.peers.get(sender)
         if peer is None:
@@ -253,7 +253,7 @@
             return None
         return self.peers.get(sender) if node.leads and term == node.term else None
 
-    def on_ack(self, sender: str, message: say.Ack) -> None:
+    def on_ack(self, sender: str, message: messages.Ack) -> None:
         peer = self._current(sender, message.term)
         if peer is None:
             return
@@ -289,7 +289,7 @@
         transfer = self.outgoing.to.get(name)
         return held >= self._node.log.base or transfer is not None and held >= transfer.snapshot.index
 
-    def on_chunk_ack(self, sender: str, message: say.ChunkAck) -> None:
+    def on_chunk_ack(self, sender: str, message: messages.ChunkAck) -> None:
         peer = self._current(sender, message.term)
         if peer is not None:
             self._speaks(peer, message.birth)
@@ -339,7 +339,7 @@
         best = self.best()
         self.lease.void = True
         if best is not None:
-            node.tell(best, say.Stand(node.term), Carrier.STREAM)
+            node.tell(best, messages.Stand(node.term), Carrier.STREAM)
         if node.role is Role.LEADER:
             node.become(Cause.GOES)
             node.wait()
--- a/limenotch/fleet/consensus/snapshots.py
+++ b/limenotch/fleet/consensus/snapshots.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ...store.records import Snapshot
-from . import messages as say
+from . import messages
 from .log import State, unpack
 from .tuning import Tuning
 
@@ -47,7 +47,7 @@
         waiting = any(transfer.sent_at is None for transfer in self.to.values())
         return self._free_at if waiting else float("inf")
 
-    def answered(self, name: str, message: say.ChunkAck) -> None:
+    def answered(self, name: str, message: messages.ChunkAck) -> None:
         transfer = self.to.get(name)
         if transfer is None or message.index != transfer.snapshot.index:
             return
@@ -82,7 +82,7 @@
         self._of = None
         self._data = bytearray()
 
-    def take(self, chunk: say.Chunk) -> tuple[int, tuple[Snapshot, State] | None]:
+    def take(self, chunk: messages.Chunk) -> tuple[int, tuple[Snapshot, State] | None]:
         """The offset wanted next, and the snapshot once it is whole. What can't be read begins anew."""
         of = (chunk.index, chunk.index_term, chunk.total)
         if chunk.total > self._tuning.most_snapshot_bytes:
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -26,8 +26,7 @@
 from ..consensus import api as log
 from ..interfaces import Carrier, LogLine, SendToMember, SetTimer
 from ..leases import NEVER
-from . import entries
-from . import messages as say
+from . import entries, messages
 from .api import Counted, InForce, Narrow, OperatorRequest, OperatorResponse, Voters
 from .canary import Watch
 from .changes import Changes, Check, suggest_of, upstream_of, whole_number
@@ -69,8 +68,10 @@
         self._armed = NEVER
         self._ticket = 0
         self._tickets: dict[int, tuple[str, str]] = {}  # ticket: what for, id
-        self._waiting: dict[tuple[str, int], say.AskLease] = {}  # asks for a lease, until the log says it leads
-        self._reads: dict[int, tuple[int, dict[tuple[str, int], say.AskLease]]] = {}  # ticket: epoch, the asks before
+        self._waiting: dict[tuple[str, int], messages.AskLease] = {}  # asks for a lease, until the log says it leads
+        self._reads: dict[
+            int, tuple[int, dict[tuple[str, int], messages.AskLease]]
+        ] = {}  # ticket: epoch, the asks before
         self._ask_at = NEVER
         self._activating = 0
         self._activate_at = -NEVER
@@ -103,17 +104,17 @@
             log.ReadReady: self._ready,
         }
         self._messages: dict[type, Callable[[str, Any], None]] = {
-            say.AskLease: self._asked,
-            say.Grant: self._granted,
+            messages.AskLease: self._asked,
+            messages.Grant: self._granted,
             # Of who is behind: it asks anew as soon as it has applied the version.
-            say.Behind: lambda sender, behind: self._count("behind"),
-            say.Told: lambda sender, told: self._bans(self.telling.heard(((told.upstream, told.after),))),
-            say.Bans: lambda sender, bans: self._bans(self.telling.exchanged(sender, bans)),
-            say.Suggest: lambda sender, suggest: self.changes.suggested(self._now, sender, suggest),
-            say.Look: self.changes.look,
-            say.Looked: self.changes.looked,
-            say.Count: self._count_canary,
-            say.Verdict: lambda sender, no: self.changes.answer(no.id, False, no.why, no.version),
+            messages.Behind: lambda sender, behind: self._count("behind"),
+            messages.Told: lambda sender, told: self._bans(self.telling.heard(((told.upstream, told.after),))),
+            messages.Bans: lambda sender, bans: self._bans(self.telling.exchanged(sender, bans)),
+            messages.Suggest: lambda sender, suggest: self.changes.suggested(self._now, sender, suggest),
+            messages.Look: self.changes.look,
+            messages.Looked: self.changes.looked,
+            messages.Count: self._count_canary,
+            messages.Verdict: lambda sender, no: self.changes.answer(no.id, False, no.why, no.version),
         }
 
     @property
@@ -228,7 +229,7 @@
         holder = self.holder
         serial = holder.request(self._now)
         parts = holder.parts if holder.is_valid(self._now) else 0
-        ask = say.AskLease(
+        ask = messages.AskLease(
             serial,
             self.process_epoch,
             self.book.newest,
@@ -243,14 +244,14 @@
         else:
             self._out.append(SendToMember(self.leader, ask, Carrier.DATAGRAM))
 
-    def _granted(self, sender: str, grant: say.Grant) -> None:
+    def _granted(self, sender: str, grant: messages.Grant) -> None:
         self._bans(self.telling.heard(grant.bans))
         if not self.holder.grant(self._now, grant):
             self._count("late grant")
 
     # Leases: the leader
 
-    def _asked(self, sender: str, ask: say.AskLease) -> None:
+    def _asked(self, sender: str, ask: messages.AskLease) -> None:
         self._bans(self.telling.heard(ask.bans))
         if not self.leads:
             return
@@ -266,17 +267,17 @@
         for (name, _), ask in asks.items():
             self._grant(name, ask)
 
-    def _grant(self, name: str, ask: say.AskLease) -> None:
+    def _grant(self, name: str, ask: messages.AskLease) -> None:
         book = self.book
-        answer: say.Grant | say.Behind | None = None
+        answer: messages.Grant | messages.Behind | None = None
         if ask.version == book.newest and ask.active == book.active:
             grant = self.granter.grant(self._now, name, ask, book.newest)
             if grant is not None:
-                answer = say.Grant(grant.serial, grant.lease_ms, grant.parts, self.telling.riding())
+                answer = messages.Grant(grant.serial, grant.lease_ms, grant.parts, self.telling.riding())
         else:
-            answer = say.Behind(ask.serial, book.newest, book.active)
+            answer = messages.Behind(ask.serial, book.newest, book.active)
         if name == self.name:
-            if isinstance(answer, say.Grant):
+            if isinstance(answer, messages.Grant):
                 self._granted(name, answer)
         elif answer is not None:
             self._out.append(SendToMember(name, answer, Carrier.DATAGRAM))
@@ -335,13 +336,13 @@
 
     def _counted(self, event: Counted) -> None:
         if self.book.trial is not None and self.leader is not None:
-            count = say.Count(self.book.trial.id, event.taken, event.bad)
+            count = messages.Count(self.book.trial.id, event.taken, event.bad)
             if self.leads:
                 self._count_canary(self.name, count)
             else:
                 self._out.append(SendToMember(self.leader, count, Carrier.DATAGRAM))
 
-    def _count_canary(self, sender: str, count: say.Count) -> None:
+    def _count_canary(self, sender: str, count: messages.Count) -> None:
         trial = self.book.trial
         if self.leads and trial is not None and trial.id == count.id:
             end = self.watch.counted(self._now, trial.id, sender in trial.names, count.taken, count.bad)
--- a/limenotch/fleet/rules/ejection_gossip.py
+++ b/limenotch/fleet/rules/ejection_gossip.py
@@ -16,8 +16,7 @@
 from typing import Any
 
 from ..interfaces import Carrier, LogLine, MemberChanged, SendToMember
-from . import entries
-from . import messages as say
+from . import entries, messages
 from .versioned_rules import Book
 
 GONE = frozenset({"dead", "left"})
@@ -40,13 +39,13 @@
         return [name for name in names if name != self.name and self.members.get(name, ("",))[0] not in GONE]
 
     def riding(self) -> tuple[tuple[str, int], ...]:
-        return tuple(list(self.book.told.items())[-say.MOST_BANS :])
+        return tuple(list(self.book.told.items())[-messages.MOST_BANS :])
 
     def heard(self, bans: tuple[tuple[str, int], ...]) -> list[Any]:
         """Heard from anyone: acts at once. A version that holds it, or a later return, makes it no news."""
         out: list[Any] = []
         for upstream, after in bans:
-            if len(upstream) > say.MOST_NAME or after < 0:
+            if len(upstream) > messages.MOST_NAME or after < 0:
                 self._count("bad ban")
                 continue
             held = self.book.flat(self.book.newest).get(("bans", upstream), (False, 0.0))
@@ -62,12 +61,12 @@
         """Own told bans again: to all members, and to the log where one leads."""
         self.at = NEVER
         out: list[Any] = []
-        for upstream, after in list(self.book.told.items())[-say.MOST_BANS :]:
+        for upstream, after in list(self.book.told.items())[-messages.MOST_BANS :]:
             ident = f"ban {upstream}"
             if propose is not None and ident not in under_way:
                 propose(entries.Out(ident, upstream), ident, after)
             out += [
-                SendToMember(name, say.Told(upstream, after), Carrier.DATAGRAM)
+                SendToMember(name, messages.Told(upstream, after), Carrier.DATAGRAM)
                 for name, (state, _) in self.members.items()
                 if name != self.name and state not in GONE
             ]
@@ -86,15 +85,15 @@
         if many >= EXCHANGES:
             return []
         self._exchanged = (since, many + 1)
-        return [SendToMember(event.name, say.Bans(self._all(), True))]
+        return [SendToMember(event.name, messages.Bans(self._all(), True))]
 
-    def exchanged(self, sender: str, bans: say.Bans) -> list[Any]:
+    def exchanged(self, sender: str, bans: messages.Bans) -> list[Any]:
         if len(bans.bans) > self._most:
             self._count("too many bans")
             return []
         out = self.heard(bans.bans)
         if bans.wanted:
-            out.append(SendToMember(sender, say.Bans(self._all())))
+            out.append(SendToMember(sender, messages.Bans(self._all())))
         return out
 
     def _all(self) -> tuple[tuple[str, int], ...]:
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -28,8 +28,7 @@
 from ..consensus import api as log
 from ..interfaces import Carrier, LogLine, MessageReceived, SendToMember, SetTimer
 from ..leases import NEVER
-from . import entries
-from . import messages as say
+from . import entries, messages
 from .allocations import Purse
 from .api import Look, OperatorRequest, Witnesses
 from .lease import Holder
@@ -74,8 +73,10 @@
         self._ask_at = NEVER
         self._ticket = 0
         self._tickets: dict[int, str] = {}  # what was proposed: settle, grant, expire
-        self._waiting: dict[tuple[str, int], say.AskLease] = {}  # asks for a lease, until the log says it leads
-        self._reads: dict[int, tuple[int, dict[tuple[str, int], say.AskLease]]] = {}  # ticket: epoch, the asks before
+        self._waiting: dict[tuple[str, int], messages.AskLease] = {}  # asks for a lease, until the log says it leads
+        self._reads: dict[
+            int, tuple[int, dict[tuple[str, int], messages.AskLease]]
+        ] = {}  # ticket: epoch, the asks before
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: lambda event: None,
             interfaces.MessageReceived: self._heard,
@@ -95,14 +96,14 @@
             log.ReadReady: self._ready,
         }
         self._messages: dict[type, Callable[[str, Any], None]] = {
-            say.AskLease: self._asked,
-            say.Lease: self._leased,
-            say.Mark: self._marked,
-            say.Held: self._held,
-            say.Want: lambda sender, want: self.granting.wanted(self._now, sender, want),
-            say.Recall: self._recalled,
-            say.Question: self._questioned,
-            say.Told: lambda sender, told: self.granting.told(self._now, sender, told),
+            messages.AskLease: self._asked,
+            messages.Lease: self._leased,
+            messages.Mark: self._marked,
+            messages.Held: self._held,
+            messages.Want: lambda sender, want: self.granting.wanted(self._now, sender, want),
+            messages.Recall: self._recalled,
+            messages.Question: self._questioned,
+            messages.Told: lambda sender, told: self.granting.told(self._now, sender, told),
         }
 
     @property
@@ -246,11 +247,13 @@
             self._ask_at = NEVER
             return
         self._out.append(
-            SendToMember(self.leader, say.AskLease(self.lease.request(self._now), self.process_epoch), Carrier.DATAGRAM)
+            SendToMember(
+                self.leader, messages.AskLease(self.lease.request(self._now), self.process_epoch), Carrier.DATAGRAM
+            )
         )
         self._ask_at = self._now + self.tuning.lease_ms / 3
 
-    def _asked(self, sender: str, ask: say.AskLease) -> None:
+    def _asked(self, sender: str, ask: messages.AskLease) -> None:
         if not self.leads:
             return
         key = (sender, ask.process_epoch)
@@ -270,34 +273,34 @@
             if lease is not None:
                 self._out.append(SendToMember(name, lease, Carrier.DATAGRAM))
 
-    def _leased(self, sender: str, lease: say.Lease) -> None:
+    def _leased(self, sender: str, lease: messages.Lease) -> None:
         if lease.process_epoch == self.process_epoch:
             self.lease.grant(lease)
 
     # Marks and recalls
 
-    def _marked(self, sender: str, mark: say.Mark) -> None:
+    def _marked(self, sender: str, mark: messages.Mark) -> None:
         owner = (sender, mark.process_epoch)
-        held = tuple(one for one in mark.marks[: say.MOST] if self.memory.tell(one[0], owner, one[1], one[2]))
+        held = tuple(one for one in mark.marks[: messages.MOST] if self.memory.tell(one[0], owner, one[1], one[2]))
         if held:
-            carrier = say.carrier([one[0] for one in held])
-            self._out.append(SendToMember(sender, say.Held(self.process_epoch, mark.process_epoch, held), carrier))
+            carrier = messages.carrier([one[0] for one in held])
+            self._out.append(SendToMember(sender, messages.Held(self.process_epoch, mark.process_epoch, held), carrier))
 
-    def _held(self, sender: str, held: say.Held) -> None:
+    def _held(self, sender: str, held: messages.Held) -> None:
         if held.holder == self.process_epoch:
             self.holding.held((sender, held.process_epoch), held.marks)
 
-    def _recalled(self, sender: str, recall: say.Recall) -> None:
+    def _recalled(self, sender: str, recall: messages.Recall) -> None:
         if recall.process_epoch == self.process_epoch:
             self.holding.recalled(self._now, recall.recalls)
 
-    def _questioned(self, sender: str, asked: say.Question) -> None:
+    def _questioned(self, sender: str, asked: messages.Question) -> None:
         marks = tuple(
             self.memory.mark(tenant, (asked.name, asked.process_epoch), serial)
-            for tenant, serial in asked.slices[: say.MOST]
+            for tenant, serial in asked.slices[: messages.MOST]
         )
         self._out.append(
-            SendToMember(sender, say.Told(asked.number, asked.asker, self.process_epoch, marks), Carrier.STREAM)
+            SendToMember(sender, messages.Told(asked.number, asked.asker, self.process_epoch, marks), Carrier.STREAM)
         )
 
     # After each event
@@ -323,7 +326,7 @@
     def _want(self, again: bool) -> None:
         if self.leader is not None:
             for want in self.holding.wants(again):
-                carrier = say.carrier([one[0] for one in want.wants])
+                carrier = messages.carrier([one[0] for one in want.wants])
                 self._out.append(SendToMember(self.leader, want, carrier))
 
     def _to_oneself(self) -> None:
--- a/limenotch/fleet/wallet/quota_grants.py
+++ b/limenotch/fleet/wallet/quota_grants.py
@@ -18,8 +18,7 @@
 
 from ..interfaces import Carrier, SendToMember
 from ..leases import NEVER
-from . import entries
-from . import messages as say
+from . import entries, messages
 from .lease import Granter
 from .ledger import Book, Owner, Wallet
 from .spend_witness import MOST_ASKED, Gone
@@ -100,7 +99,7 @@
 
     # Leases
 
-    def lease(self, now: float, name: str, ask: say.AskLease) -> say.Lease | None:
+    def lease(self, now: float, name: str, ask: messages.AskLease) -> messages.Lease | None:
         """The log has said since the ask that this process leads."""
         owner = (name, ask.process_epoch)
         if owner in self._expiring.values():
@@ -110,11 +109,11 @@
         if not self.leases.grant(now, owner):
             return None
         self._gone.pop(owner, None)
-        return say.Lease(ask.process_epoch, ask.serial, self._tuning.lease_ms, self._book.index)
+        return messages.Lease(ask.process_epoch, ask.serial, self._tuning.lease_ms, self._book.index)
 
     # Wants
 
-    def wanted(self, now: float, name: str, want: say.Want) -> None:
+    def wanted(self, now: float, name: str, want: messages.Want) -> None:
         if not self.leads:
             return
         owner, until = (name, want.process_epoch), now + self._tuning.lease_ms
@@ -154,10 +153,12 @@
         if self._dirty:
             self._grant(now)
         for (name, process_epoch), recalls in self._recalls.items():
-            for at in range(0, len(recalls), say.MOST):
-                part = tuple(recalls[at : at + say.MOST])
+            for at in range(0, len(recalls), messages.MOST):
+                part = tuple(recalls[at : at + messages.MOST])
                 self.out.append(
-                    SendToMember(name, say.Recall(process_epoch, part), say.carrier([recall[0] for recall in part]))
+                    SendToMember(
+                        name, messages.Recall(process_epoch, part), messages.carrier([recall[0] for recall in part])
+                    )
                 )
         self._recalls.clear()
         if now >= self._gone_at:
@@ -318,10 +319,10 @@
 
     def _ask(self, name: str, gone: Gone) -> None:
         self.out.append(
-            SendToMember(name, say.Question(gone.number, self._own[1], *gone.owner, gone.keys), Carrier.STREAM)
+            SendToMember(name, messages.Question(gone.number, self._own[1], *gone.owner, gone.keys), Carrier.STREAM)
         )
 
-    def told(self, now: float, name: str, told: say.Told) -> None:
+    def told(self, now: float, name: str, told: messages.Told) -> None:
         gone = next((gone for gone in self._gone.values() if gone.number == told.number), None)
         if not self.leads or told.asker != self._own[1] or gone is None or len(told.marks) != len(gone.slices):
             return
--- a/limenotch/fleet/wallet/quota_holder.py
+++ b/limenotch/fleet/wallet/quota_holder.py
@@ -17,8 +17,7 @@
 
 from ..interfaces import LogLine, SendToMember
 from ..leases import NEVER
-from . import entries
-from . import messages as say
+from . import entries, messages
 from .allocations import Account, Held, Purse
 from .ledger import Book, Owner, Slice
 from .spend_witness import Memory
@@ -264,21 +263,26 @@
                         marks.setdefault(witness, []).append((tenant, one.serial, one.asked))
                         self._unheld.add(tenant)
         for (name, _), of in marks.items():
-            for at in range(0, len(of), say.MOST):
-                part = tuple(of[at : at + say.MOST])
+            for at in range(0, len(of), messages.MOST):
+                part = tuple(of[at : at + messages.MOST])
                 self.out.append(
-                    SendToMember(name, say.Mark(self._owner[1], part), say.carrier([mark[0] for mark in part]))
+                    SendToMember(
+                        name, messages.Mark(self._owner[1], part), messages.carrier([mark[0] for mark in part])
+                    )
                 )
         if self._unheld and self._again_at == NEVER:
             self._again_at = now + self._tuning.record_ms
 
-    def wants(self, again: bool) -> list[say.Want]:
+    def wants(self, again: bool) -> list[messages.Want]:
         """What the leader is to be told: all of it `again`, or if there is something new."""
         if not self._wants or not (again or self._news):
             return []
         self._news = False
         wants = [(tenant, *want) for tenant, want in self._wants.items()]
-        return [say.Want(self._owner[1], tuple(wants[at : at + say.MOST])) for at in range(0, len(wants), say.MOST)]
+        return [
+            messages.Want(self._owner[1], tuple(wants[at : at + messages.MOST]))
+            for at in range(0, len(wants), messages.MOST)
+        ]
 
     # The log
 
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from limenotch.fleet import membership
-from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity import messages
 from limenotch.fleet.affinity.api import Bound, Kind, Providers, State, Window
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.tuning import Ages, Tuning
@@ -24,7 +24,7 @@
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
 
-PREFIX = tag_of(say.Sights).partition(".")[0] + "."
+PREFIX = tag_of(messages.Sights).partition(".")[0] + "."
 SECRET = b"of the laboratory"
 AGES = Ages(opening=400, open=1200, closing=500, lingering=300, longest=9000)
 QUICK = Tuning(
--- a/tests/fleet/affinity_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -7,8 +7,7 @@
 
 import msgspec
 
-from limenotch.fleet.affinity import Bindings, Tuning
-from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity import Bindings, Tuning, messages
 from limenotch.fleet.affinity.api import Bound, Kind, Providers, State
 from limenotch.fleet.affinity.table import Shared
 from limenotch.fleet.affinity.tuning import Ages
@@ -146,7 +145,7 @@
         return len({tuple(self.table(name).rows.digests) for name in self.names if self.world.alive(name)}) == 1
 
 
-def rounds(part: Bindings, now: float) -> list[say.Sights]:
+def rounds(part: Bindings, now: float) -> list[messages.Sights]:
     return part.ground.teller.batches(now)
 
 
@@ -154,11 +153,11 @@
     """As of a member whose clock is the same."""
     if part.ground.peers.get(sender) is None:
         part.handle(now, MemberChanged(sender, "alive", address(sender), 0, 1))
-        part.handle(now, MessageReceived(address(sender), sender, say.Pong(1, now, now)))
+        part.handle(now, MessageReceived(address(sender), sender, messages.Pong(1, now, now)))
     return part.handle(now, MessageReceived(address(sender), sender, message))
 
 
-def sights(key: bytes, seen: float, now: float, seq: int = 1, **other: Any) -> say.Sights:
+def sights(key: bytes, seen: float, now: float, seq: int = 1, **other: Any) -> messages.Sights:
     """As the member `z` would tell it."""
     made = alone(name="z")
     made.table.see(seen, Kind.SESSION, key, other.get("provider", "p1"), State.OPEN)
--- a/tests/fleet/rules_bugs.py
+++ b/tests/fleet/rules_bugs.py
@@ -7,8 +7,7 @@
 
 import pytest
 
-from limenotch.fleet.rules import change_classification, core, leases, versioned_rules
-from limenotch.fleet.rules import messages as say
+from limenotch.fleet.rules import change_classification, core, leases, messages, versioned_rules
 
 Plant = Callable[[pytest.MonkeyPatch], None]
 
@@ -17,7 +16,7 @@
     """Counted from when the grant is handled, not from when it was asked for."""
     real = leases.Holder.grant
 
-    def grant(self: leases.Holder, now: float, grant: say.Grant) -> bool:
+    def grant(self: leases.Holder, now: float, grant: messages.Grant) -> bool:
         if grant.serial in self._asked:
             self._asked[grant.serial] = now
         return real(self, now, grant)
@@ -47,11 +46,13 @@
 def granted_to_who_is_behind(patch: pytest.MonkeyPatch) -> None:
     real = core.Rules._grant
 
-    def grant(self: core.Rules, name: str, ask: say.AskLease) -> None:
+    def grant(self: core.Rules, name: str, ask: messages.AskLease) -> None:
         real(
             self,
             name,
-            say.AskLease(ask.serial, ask.process_epoch, self.book.newest, self.book.active, ask.parts, ask.granted),
+            messages.AskLease(
+                ask.serial, ask.process_epoch, self.book.newest, self.book.active, ask.parts, ask.granted
+            ),
         )
 
     patch.setattr(core.Rules, "_grant", grant)
--- a/tests/fleet/test_affinity_join.py
+++ b/tests/fleet/test_affinity_join.py
@@ -5,8 +5,7 @@
 import msgspec
 import pytest
 
-from limenotch.fleet.affinity import Tuning, pages, repair
-from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity import Tuning, messages, pages, repair
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.affinity.last_seen import MOST_COUNT
 from limenotch.fleet.affinity.tuning import Ages
@@ -84,11 +83,11 @@
 def test_what_a_broken_stream_lost_is_asked_for() -> None:
     """The fall of a batch between two that come: no cover counts till it is there."""
     fleet = settled(Fleet("abc", tuning=LONG))
-    lost: list[say.Sights] = []
+    lost: list[messages.Sights] = []
     real = fleet.world._carry
 
     def carry(node, to, message, carrier):  # type: ignore[no-untyped-def]
-        if isinstance(message, say.Sights) and node.name == "a" and to.name == "b" and not lost:
+        if isinstance(message, messages.Sights) and node.name == "a" and to.name == "b" and not lost:
             lost.append(message)
         else:
             real(node, to, message, carrier)
@@ -180,12 +179,12 @@
         other.table.see(1000.0, S, b"%d" % number, "p1", State.OPEN)
     keys = {key for one in range(256) for part_ in range(4) for key in repair.listed(part.table, one, part_, 4)}
     assert len(keys) == 3000
-    answer = repair.keys(part.table, 1, say.AskKeys(1, 1, 7))
+    answer = repair.keys(part.table, 1, messages.AskKeys(1, 1, 7))
     assert answer is not None and answer.parts == 1
     assert len(answer.packed) == 24 * len(repair.listed(part.table, 7, 0, 1))
-    assert repair.keys(part.table, 1, say.AskKeys(1, 1, 256)) is None
-    assert repair.keys(part.table, 1, say.AskKeys(1, 1, 7, 1)) is None
-    most = say.Keys(1, 1, 1, 1, 1, bytes(2 * say.MOST_KEYS * say.KEY_BYTES))
+    assert repair.keys(part.table, 1, messages.AskKeys(1, 1, 256)) is None
+    assert repair.keys(part.table, 1, messages.AskKeys(1, 1, 7, 1)) is None
+    most = messages.Keys(1, 1, 1, 1, 1, bytes(2 * messages.MOST_KEYS * messages.KEY_BYTES))
     assert len(msgspec.msgpack.encode(most)) < MOST_FRAME
 
 
@@ -197,34 +196,34 @@
     assert old is not None
     old.upto = 500
     part.handle(1100.0, MemberChanged("z", "alive", address("z"), 0, 2))
-    part.handle(1100.0, MessageReceived(address("z"), "z", say.Pong(2, 1100.0, 1100.0)))
-    part.handle(1200.0, MessageReceived(address("z"), "z", say.Cover(2, 10, 12, 2, 1200.0, 1200.0, True)))
+    part.handle(1100.0, MessageReceived(address("z"), "z", messages.Pong(2, 1100.0, 1100.0)))
+    part.handle(1200.0, MessageReceived(address("z"), "z", messages.Cover(2, 10, 12, 2, 1200.0, 1200.0, True)))
     new = part.ground.peers.get("z")
     assert new is not None
     assert new.gap and new.upto == 2
     out = part.handle(1300.0, TimerFired(1))
-    asks = [act.message for act in out if isinstance(act, SendToMember) and isinstance(act.message, say.Ask)]
+    asks = [act.message for act in out if isinstance(act, SendToMember) and isinstance(act.message, messages.Ask)]
     assert [ask.floor for ask in asks] == [2]
 
 
 @pytest.mark.parametrize(
     "message",
     [
-        say.Ask(1, 1, -5, 0, b"x" * 16),
-        say.Ask(1, 1, 0, 0, b"short"),
-        say.AskKeys(1, 1, 999),
-        say.Want(1, 1, b"odd"),
-        say.Page(1, 77, 0.0, (), (), (), True, True),
-        say.Digests(1, 77, b"", True),
-        say.Keys(1, 77, 0, 0, 1, b""),
-        say.Copies(1, 77, 0.0, (), (), ()),
-        say.Cover(1, -1, 0, 0, 0.0, 0.0, True),
-        say.Cover(1, 1, 1 << 63, 0, 0.0, 0.0, True),
-        say.Pong(1, 1e9, 0.0),
-        say.Sights(1, 1, 1, 0, float("nan"), 0.0, True, (), (), ()),
+        messages.Ask(1, 1, -5, 0, b"x" * 16),
+        messages.Ask(1, 1, 0, 0, b"short"),
+        messages.AskKeys(1, 1, 999),
+        messages.Want(1, 1, b"odd"),
+        messages.Page(1, 77, 0.0, (), (), (), True, True),
+        messages.Digests(1, 77, b"", True),
+        messages.Keys(1, 77, 0, 0, 1, b""),
+        messages.Copies(1, 77, 0.0, (), (), ()),
+        messages.Cover(1, -1, 0, 0, 0.0, 0.0, True),
+        messages.Cover(1, 1, 1 << 63, 0, 0.0, 0.0, True),
+        messages.Pong(1, 1e9, 0.0),
+        messages.Sights(1, 1, 1, 0, float("nan"), 0.0, True, (), (), ()),
     ],
 )
-def test_nonsense_is_borne(message: say.Said) -> None:
+def test_nonsense_is_borne(message: messages.Said) -> None:
     fleet = settled(Fleet("ab"))
     fleet.see("a", b"k")
     fleet.run(100)
@@ -244,18 +243,18 @@
     peer = fleet.of("b").ground.peers.get("a")
     assert peer is not None
     fetch = pages.Fetch(peer, 5, -1, None, 1e6, 0.0)
-    row = say.Copy(b"k" * 16, 5, 0, 0, 0, 0, 1, 0, 0, 9)
+    row = messages.Copy(b"k" * 16, 5, 0, 0, 0, 0, 1, 0, 0, 9)
     for now in (1e9, 1e9 + 1000):
         assert fetch.ask(now, 1) is not None
-        fetch.heard(fleet.table("b"), now, say.Page(1, 5, 0.0, (("p1", "", ""),), ("a",), (row,), False, True))
+        fetch.heard(fleet.table("b"), now, messages.Page(1, 5, 0.0, (("p1", "", ""),), ("a",), (row,), False, True))
     assert fetch.done and fetch.first is None
 
 
 def test_who_joins_is_told_by_all_that_speak_to_it() -> None:
     fleet = settled(Fleet("ab"))
     out = fleet.of("a").handle(
-        fleet.now("a"), MessageReceived(address("b"), "b", say.Ask(1, 3, -1, MOST_COUNT, b"\xff" * 16))
+        fleet.now("a"), MessageReceived(address("b"), "b", messages.Ask(1, 3, -1, MOST_COUNT, b"\xff" * 16))
     )
     (page,) = [act.message for act in out if isinstance(act, SendToMember)]
-    assert isinstance(page, say.Page) and page.last
+    assert isinstance(page, messages.Page) and page.last
     assert {known.name for known in page.knows} == {"a", "b"}
--- a/tests/fleet/test_affinity_last_seen.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -7,8 +7,7 @@
 import msgspec
 import pytest
 
-from limenotch.fleet.affinity import Tuning
-from limenotch.fleet.affinity import messages as say
+from limenotch.fleet.affinity import Tuning, messages
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.expiry import forget_ms, pace
@@ -100,7 +99,7 @@
     part.table.see(1200.0, S, b"later", "p1", State.OPEN)
     assert [len(each.rows) for each in first] == [512, 512]
     assert part.ground.teller.covered == before < 1050.0
-    rest: list[say.Sights] = []
+    rest: list[messages.Sights] = []
     while part.ground.teller.behind:
         rest += rounds(part, 1300.0)
     assert [each.seq for each in first + rest] == list(range(1, 7))
@@ -150,9 +149,9 @@
     part.handle(2000.0, MemberChanged("z", "alive", address("z"), 0, 1))
     old = sights(b"k", 1000.0, 1000.0)
     out = part.handle(9000.0, MessageReceived(address("z"), "z", old))
-    assert [type(act.message) for act in out if isinstance(act, SendToMember)] == [say.Ping]
+    assert [type(act.message) for act in out if isinstance(act, SendToMember)] == [messages.Ping]
     assert part.table.find(9000.0, S, b"k") is None
-    part.handle(9002.0, MessageReceived(address("z"), "z", say.Pong(1, 9000.0, 9001.0)))
+    part.handle(9002.0, MessageReceived(address("z"), "z", messages.Pong(1, 9000.0, 9001.0)))
     assert part.table.find(9002.0, S, b"k") is None
     assert part.table.live == 0
 
@@ -195,7 +194,7 @@
     one.table.see(1000.0, S, b"k", "p1", State.OPEN)
     (batch,) = rounds(one, 1000.0)
     hear(two, batch, 1040.0, "a")
-    hear(one, say.Pong(1, 1000.0, 1040.0), 1080.0, "z")
+    hear(one, messages.Pong(1, 1000.0, 1040.0), 1080.0, "z")
     before = one.table.rows.seen[0]
     for now in range(1100, 3000, 100):
         packed = pack(two.table, [two.table.rows.find(two.table.hash(S, b"k"))], float(now))
@@ -226,7 +225,7 @@
     older, newer = plain[:-2], [*plain, "more"]  # without `undone`, `kept` and the rows' stamps
     older[-1] = [row[:-1] for row in older[-1]]
     for each in (older, newer):
-        read: say.Sights = msgspec.msgpack.decode(msgspec.msgpack.encode(each), type=say.Sights)
+        read: messages.Sights = msgspec.msgpack.decode(msgspec.msgpack.encode(each), type=messages.Sights)
         other = alone()
         hear(other, read, 1000.0, "z")
         assert other.table.find(1001.0, S, b"k") is not None
@@ -263,7 +262,7 @@
         part.table.see(1050.0, S, b"%d" % number, "p1", State.OPEN)
     for batch in rounds(part, 1100.0):
         assert len(msgspec.msgpack.encode(batch)) < 64 * 1024
-    assert len(msgspec.msgpack.encode(say.Pong(1 << 60, 1e9, 1e9))) < MAX_DATAGRAM_BYTES
+    assert len(msgspec.msgpack.encode(messages.Pong(1 << 60, 1e9, 1e9))) < MAX_DATAGRAM_BYTES
 
 
 def test_events_that_are_none_and_time_that_runs_back() -> None:
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -7,8 +7,15 @@
 import pytest
 
 from limenotch.fleet import interfaces
-from limenotch.fleet.consensus import Agreement, EntryCommitted, OutcomeUnknown, ProposalRejected, Tuning, states
-from limenotch.fleet.consensus import messages as say
+from limenotch.fleet.consensus import (
+    Agreement,
+    EntryCommitted,
+    OutcomeUnknown,
+    ProposalRejected,
+    Tuning,
+    messages,
+    states,
+)
 from limenotch.fleet.consensus import node as node_module
 from limenotch.fleet.consensus.lease import Lease
 from limenotch.fleet.consensus.log import VOTERS, Voters, pack
@@ -54,8 +61,8 @@
     for role_before in ("leader", "pre-candidate", "candidate"):
         _fence(role_before)
     for role_before, message in (
-        ("leader", say.Ack(99, False, 0, 0, 0, "2")),
-        ("candidate", say.Append(99, 1, 1, (), 0, 1)),
+        ("leader", messages.Ack(99, False, 0, 0, 0, "2")),
+        ("candidate", messages.Append(99, 1, 1, (), 0, 1)),
     ):
         member = one_of_three()
         run_to(member, role_before)
@@ -94,11 +101,11 @@
     out = member.handle(500.0, interfaces.TimerFired(1))
     if role == "pre-candidate":
         return out
-    out = member.handle(501.0, heard("b", say.PreVoted(member.term + 1, True)))
+    out = member.handle(501.0, heard("b", messages.PreVoted(member.term + 1, True)))
     if role == "leader":
         ticket = next(action.ticket for action in out if isinstance(action, interfaces.Store))
         member.handle(502.0, interfaces.Stored(ticket))
-        out = member.handle(503.0, heard("b", say.Voted(member.term, True)))
+        out = member.handle(503.0, heard("b", messages.Voted(member.term, True)))
     return out
 
 
@@ -106,33 +113,35 @@
     """Figure 8: on a quorum's disks, yet another leader may still replace it."""
     member = one_of_three(entries=4)
     run_to(member, "leader")
-    out = member.handle(504.0, heard("b", say.Ack(4, True, 5, 5, 1, "2")))
+    out = member.handle(504.0, heard("b", messages.Ack(4, True, 5, 5, 1, "2")))
     assert member.agreed == 0 and not any(isinstance(action, EntryCommitted) for action in out)
     member.handle(505.0, interfaces.Stored(member._node.ticket))
-    out = member.handle(506.0, heard("b", say.Ack(4, True, 6, 6, 1, "2")))
+    out = member.handle(506.0, heard("b", messages.Ack(4, True, 6, 6, 1, "2")))
     assert member.agreed == 6
     assert [action.id for action in out if isinstance(action, EntryCommitted)] == ["i0", "i1", "i2", "i3"]
 
 
 def test_a_vote_leaves_when_it_is_on_disk_and_not_within_the_wait_of_a_leader_heard() -> None:
     member = one_of_three()
-    vote = say.Vote(9, 1, 1, "1")
+    vote = messages.Vote(9, 1, 1, "1")
     assert not _told(member.handle(100.0, heard("b", vote)))  # started just now
     out = member.handle(250.0, heard("b", vote))
     ticket = max(action.ticket for action in out if isinstance(action, interfaces.Store))
     assert not _told(out)
     assert _told(member.handle(251.0, interfaces.Stored(ticket - 1))) == []
-    assert _told(member.handle(252.0, interfaces.Stored(ticket))) == [say.Voted(9, True)]
-    assert _told(member.handle(253.0, heard("c", vote))) == [say.Voted(9, False)]
+    assert _told(member.handle(252.0, interfaces.Stored(ticket))) == [messages.Voted(9, True)]
+    assert _told(member.handle(253.0, heard("c", vote))) == [messages.Voted(9, False)]
     stranger = one_of_three()
-    assert _told(stranger.handle(250.0, heard("b", say.Vote(9, 1, 1, "another birth")))) == [say.Voted(9, False)]
+    assert _told(stranger.handle(250.0, heard("b", messages.Vote(9, 1, 1, "another birth")))) == [
+        messages.Voted(9, False)
+    ]
 
 
 def _told(out: list[Any]) -> list[Any]:
     return [
         action.message
         for action in out
-        if isinstance(action, interfaces.SendToMember) and isinstance(action.message, say.Voted)
+        if isinstance(action, interfaces.SendToMember) and isinstance(action.message, messages.Voted)
     ]
 
 
@@ -261,8 +270,8 @@
 def test_bad_messages_change_nothing_and_bad_events_raise() -> None:
     member = one_of_three()
     member.handle(1.0, heard("x", interfaces.Message()))
-    member.handle(1.0, heard("b", say.Chunk(3, 50, 3, 4, 0, b"nope", (), 1)))
-    member.handle(1.0, heard("b", say.Append(2, 0, 0, (), 9, 1)))
+    member.handle(1.0, heard("b", messages.Chunk(3, 50, 3, 4, 0, b"nope", (), 1)))
+    member.handle(1.0, heard("b", messages.Append(2, 0, 0, (), 9, 1)))
     assert member.counts["no message of agreement"] == 1 and member.agreed == 0
     with pytest.raises(TypeError):
         member.handle(2.0, "event")
@@ -275,7 +284,7 @@
 def test_what_a_failed_disk_lacks_is_written_whole_by_one_retry() -> None:
     member = one_of_three()
     entry = LogEntry(2, 5, "cmd", node_module.encode("", b"x"))
-    member.handle(1.0, heard("b", say.Append(5, 1, 1, (entry,), 0, 1)))
+    member.handle(1.0, heard("b", messages.Append(5, 1, 1, (entry,), 0, 1)))
     member.handle(2.0, interfaces.StoreFailed(1, "torn"))
     member.handle(2.0, interfaces.StoreFailed(2, "torn"))
     out = member.handle(150.0, interfaces.TimerFired(1))
--- a/tests/fleet/test_rules_core.py
+++ b/tests/fleet/test_rules_core.py
@@ -7,8 +7,7 @@
 import pytest
 
 from limenotch.fleet.interfaces import Fenced, MessageReceived, Started
-from limenotch.fleet.rules import Rules, Tuning, api
-from limenotch.fleet.rules import messages as say
+from limenotch.fleet.rules import Rules, Tuning, api, messages
 from limenotch.fleet.rules.canary import Tuning as Canary
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.rules_run import FIRST, LOG, Run, settings_check
@@ -122,14 +121,14 @@
     rules.handle(0.0, Started())
     at = ("b", 1)
     bad = [
-        say.Grant(5, 1e9, 1),
-        say.Looked("x", ""),
-        say.Verdict("x", "y", 3),
-        say.Told("u" * 500, 1),
-        say.Suggest("x", 1, b"{", 0),
-        say.Look("x", b"\xff"),
-        say.AskLease(1, 1, 1, 1, 1, 1),
-        say.Count("x", 1, 2),
+        messages.Grant(5, 1e9, 1),
+        messages.Looked("x", ""),
+        messages.Verdict("x", "y", 3),
+        messages.Told("u" * 500, 1),
+        messages.Suggest("x", 1, b"{", 0),
+        messages.Look("x", b"\xff"),
+        messages.AskLease(1, 1, 1, 1, 1, 1),
+        messages.Count("x", 1, 2),
     ]
     for message in bad:
         assert not [act for act in rules.handle(1.0, MessageReceived(at, "b", message)) if isinstance(act, api.InForce)]
--- a/tests/fleet/test_wallet_core.py
+++ b/tests/fleet/test_wallet_core.py
@@ -7,8 +7,7 @@
 
 from limenotch.fleet.consensus import api as log
 from limenotch.fleet.interfaces import MemberChanged, MessageReceived, ShutdownStarted, Started
-from limenotch.fleet.wallet import Tuning, Wallet, api, entries
-from limenotch.fleet.wallet import messages as say
+from limenotch.fleet.wallet import Tuning, Wallet, api, entries, messages
 from limenotch.fleet.wallet.entries import Credit
 from tests.fleet.fake_wallets import QUICK, Group, ready
 
@@ -276,7 +275,7 @@
     marks: list[int] = []
 
     def count(frm: str, to: str, message: object) -> bool:
-        if isinstance(message, say.Mark):
+        if isinstance(message, messages.Mark):
             marks.append(len(message.marks))
         return False
 
@@ -299,14 +298,14 @@
     before = group.wallets["b"].state()
     process_epoch = group.wallets["b"].process_epoch
     for message in (
-        say.Lease(process_epoch, 99, float("nan"), 0),
-        say.Lease(process_epoch + 1, 1, 600, 0),
-        say.Held(1, process_epoch, (("acme", 77, 5), ("odd", 1, 5), ("acme", 1, -5))),
-        say.Recall(process_epoch, (("acme", float("nan")), ("odd", 5.0))),
-        say.Recall(process_epoch + 1, (("acme", 0.0),)),
-        say.Told(1, 1, 1, (5,)),
-        say.Question(1, 1, "x", 1, (("acme", 1),) * 500),
-        say.Mark(5, (("t" * 900, 1, 5), ("acme", 900, -1))),
+        messages.Lease(process_epoch, 99, float("nan"), 0),
+        messages.Lease(process_epoch + 1, 1, 600, 0),
+        messages.Held(1, process_epoch, (("acme", 77, 5), ("odd", 1, 5), ("acme", 1, -5))),
+        messages.Recall(process_epoch, (("acme", float("nan")), ("odd", 5.0))),
+        messages.Recall(process_epoch + 1, (("acme", 0.0),)),
+        messages.Told(1, 1, 1, (5,)),
+        messages.Question(1, 1, "x", 1, (("acme", 1),) * 500),
+        messages.Mark(5, (("t" * 900, 1, 5), ("acme", 900, -1))),
     ):
         group.tell("b", MessageReceived(("x", 1), "c", message))
     assert group.wallets["b"].state() == before
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -6,16 +6,15 @@
 
 from limenotch.fleet.consensus import api as log
 from limenotch.fleet.interfaces import Fenced, ShutdownStarted
-from limenotch.fleet.wallet import Tuning, api, entries
-from limenotch.fleet.wallet import messages as say
+from limenotch.fleet.wallet import Tuning, api, entries, messages
 from limenotch.fleet.wallet.lease import MOST_WAITING, Granter, Holder
 from tests.fleet.fake_wallets import QUICK, Group, ready
 
 TUNING = Tuning(lease_ms=1000, drift=0.1, most_holders=2)
 
 
-def lease(serial: int, index: int = 0) -> say.Lease:
-    return say.Lease(1, serial, 1000, index)
+def lease(serial: int, index: int = 0) -> messages.Lease:
+    return messages.Lease(1, serial, 1000, index)
 
 
 def test_counts_from_the_ask_and_once_all_is_applied() -> None:
@@ -113,7 +112,7 @@
     assert spends(group, "b")
     under_way = group.call("b")
     group.leader = None  # what it asks next is not answered
-    group.lost = lambda frm, to, message: isinstance(message, (say.AskLease, say.Lease))
+    group.lost = lambda frm, to, message: isinstance(message, (messages.AskLease, messages.Lease))
     group.tell("b", Fenced())
     assert isinstance(group.call("b"), api.Turned)
     assert isinstance(under_way, api.Reservation)
--- a/tests/fleet/test_wallet_quota_grants.py
+++ b/tests/fleet/test_wallet_quota_grants.py
@@ -9,8 +9,7 @@
 
 from limenotch.fleet.consensus import api as log
 from limenotch.fleet.interfaces import SendToMember
-from limenotch.fleet.wallet import Tuning, api, entries
-from limenotch.fleet.wallet import messages as say
+from limenotch.fleet.wallet import Tuning, api, entries, messages
 from limenotch.fleet.wallet.entries import Credit, Entry, Grant, Settle
 from limenotch.fleet.wallet.ledger import Book
 from limenotch.fleet.wallet.quota_grants import MOST_SLICES, Granting
@@ -28,7 +27,7 @@
         self.granting.begin(0.0, 1)
         self.agree(*(Credit("acme", f"i{number}", amount) for number, amount in enumerate(credits)))
         for name in leased:
-            self.granting.lease(0.0, name, say.AskLease(1, 1))
+            self.granting.lease(0.0, name, messages.AskLease(1, 1))
 
     def _propose(self, told: tuple[Entry, ...], why: str) -> int:
         self.asked[len(self.asked) + 1] = told
@@ -40,7 +39,7 @@
 
     def want(self, name: str, amount: int, least: int = 0, newest: int = 0, pace: int | None = None) -> None:
         pace = amount if pace is None else pace
-        self.granting.wanted(self.now, name, say.Want(1, (("acme", newest, amount, least, pace),)))
+        self.granting.wanted(self.now, name, messages.Want(1, (("acme", newest, amount, least, pace),)))
 
     def tick(self, ms: float = 0.0) -> list[Grant]:
         """The grants asked for."""
@@ -55,7 +54,7 @@
         return {
             one.member: one.message.recalls[0][1]
             for one in self.granting.out
-            if isinstance(one, SendToMember) and isinstance(one.message, say.Recall)
+            if isinstance(one, SendToMember) and isinstance(one.message, messages.Recall)
         }
 
     def promise(self) -> None:
@@ -106,16 +105,16 @@
     leader = Leader(1000, leased="ab")
     leader.want("c", 10)
     assert leader.tick() == []
-    leader.granting.lease(leader.now, "c", say.AskLease(1, 1))
+    leader.granting.lease(leader.now, "c", messages.AskLease(1, 1))
     assert [one.name for one in leader.tick()] == ["c"]
 
 
 def test_nothing_before_most_voters_are_known() -> None:
     leader = Leader(1000, leased="")
-    leader.granting.lease(0.0, "h", say.AskLease(1, 1))
+    leader.granting.lease(0.0, "h", messages.AskLease(1, 1))
     leader.want("h", 10)
     assert leader.tick() == [], "a is a voter, one of three"
-    leader.granting.lease(0.0, "b", say.AskLease(1, 7))
+    leader.granting.lease(0.0, "b", messages.AskLease(1, 7))
     assert [one.witnesses for one in leader.tick()] == [(("a", 1), ("b", 7))]
 
 
@@ -125,7 +124,7 @@
     leader.want("c", 10)
     leader.tick()
     leader.agree(Credit("acme", "y", 500))
-    leader.granting.lease(590.0, "c", say.AskLease(2, 1))
+    leader.granting.lease(590.0, "c", messages.AskLease(2, 1))
     assert leader.tick(TUNING.lease_ms) == []
 
 
@@ -169,7 +168,7 @@
     for _ in range(300):
         leader.want("c", 40, least=1)
         for name in "abc":
-            leader.granting.lease(leader.now, name, say.AskLease(1, 1))
+            leader.granting.lease(leader.now, name, messages.AskLease(1, 1))
         leader.tick(10)
         if "b" in leader.recalls():
             said.append((leader.now, leader.recalls()["b"]))
@@ -218,7 +217,7 @@
 def test_what_makes_no_sense_is_not_heeded() -> None:
     leader = Leader(100)
     for want in (("acme", 0, -1, 0, 5), ("acme", 0, 5, -1, 5), ("acme", 0, 5, 0, -5), ("other", 0, 5, 0, 5)):
-        leader.granting.wanted(0.0, "b", say.Want(1, (want,)))
+        leader.granting.wanted(0.0, "b", messages.Want(1, (want,)))
     assert leader.tick() == []
     leader.granting.end()
     leader.want("b", 5)
--- a/tests/fleet/test_wallet_spend_witness.py
+++ b/tests/fleet/test_wallet_spend_witness.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 
 from limenotch.fleet.interfaces import MemberChanged
-from limenotch.fleet.wallet import messages as say
+from limenotch.fleet.wallet import messages
 from limenotch.fleet.wallet.entries import Credit, Expire, Grant, Settle
 from limenotch.fleet.wallet.ledger import Book, Owner, Slice
 from limenotch.fleet.wallet.spend_witness import Gone, Memory
@@ -192,7 +192,7 @@
 def test_witnesses_that_are_out_of_reach_are_waited_for() -> None:
     group = ready(names="abcd")
     died(group, "d", 3)
-    group.lost = lambda frm, to, message: isinstance(message, (say.Question, say.Told)) and "a" in (frm, to)
+    group.lost = lambda frm, to, message: isinstance(message, (messages.Question, messages.Told)) and "a" in (frm, to)
     group.run(5 * QUICK.held_ms)
     assert group.wallets["a"].book.wallets["acme"].held
     group.lost = lambda frm, to, message: False
@@ -206,7 +206,7 @@
     while not group.serve("d"):
         group.run(5)
     group.asleep.add("d")
-    group.lost = lambda frm, to, message: isinstance(message, say.Told)
+    group.lost = lambda frm, to, message: isinstance(message, messages.Told)
     group.run(QUICK.held_ms + QUICK.lease_ms)
     group.wake("d")
     group.run(QUICK.lease_ms / 2)
@@ -218,20 +218,20 @@
 def test_what_was_told_to_a_process_before_is_no_answer() -> None:
     group = ready(names="abcd")
     died(group, "d", 12)
-    told: list[say.Told] = []
+    told: list[messages.Told] = []
 
     def lost(frm: str, to: str, message: object) -> bool:
-        if isinstance(message, say.Told):
+        if isinstance(message, messages.Told):
             told.append(message)
-        return isinstance(message, say.Told)
+        return isinstance(message, messages.Told)
 
     group.lost = lost
     group.run(QUICK.held_ms + QUICK.lease_ms)
     first = told[0]
     for wrong in (
-        say.Told(first.number, first.asker + 1, first.process_epoch, first.marks),
-        say.Told(first.number + 99, first.asker, first.process_epoch, first.marks),
-        say.Told(first.number, first.asker, first.process_epoch, first.marks + (1,)),
+        messages.Told(first.number, first.asker + 1, first.process_epoch, first.marks),
+        messages.Told(first.number + 99, first.asker, first.process_epoch, first.marks),
+        messages.Told(first.number, first.asker, first.process_epoch, first.marks + (1,)),
     ):
         group.wallets["a"].granting.told(group.now, "b", wrong)
         group.wallets["a"].granting.told(group.now, "c", wrong)
