--- a/limenotch/fleet/affinity/messages.py
+++ b/limenotch/fleet/affinity/messages.py
@@ -1,4 +1,4 @@
-"""What sidecars say to each other about bindings. Each bears its sender's `process_epoch`; ages are counted back from `sent`.
+"""What sidecars say to each other about bindings. Each bears its sender's `process_epoch`; ages count back from `sent`.
 
 `sent` is the sender's own monotonic time in ms; an age is in tenths of a ms before it. By datagram go Ping and Pong
 alone. Sights and covers go by stream: a cover must not pass the sights that it speaks of.
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -11,7 +11,8 @@
   (`above.py`). What they ask is told to the log when all that the event brought about is told: never in between.
 - A snapshot is made of the state of all of them. Where some entry is of a part that is not here, or is off, none is
   made: its state would be lost. The log then grows until it refuses what is proposed.
-- ComponentEvent(component, event) is the host's own way to a part; actions of further types go to their `register_action_handler`.
+- ComponentEvent(component, event) is the host's own way to a part; actions of further types go to the host's own
+  handlers (`register_action_handler`).
 
 A part that raises: where the host gave `on_fault` it is told so and the part hears nothing more; if it was the first
 part, none does, as nobody would tell the others of a fence. Without `on_fault` the exception goes through: in
@@ -76,7 +77,7 @@
     def __init__(
         self, components: Sequence[tuple[str, Component]], names: Names | None = None, on_fault: Faulty | None = None
     ) -> None:
-        """`components` with the prefix of their messages' tags, membership first. Raises ValueError on a prefix twice."""
+        """`components` with the prefix of their messages' tags, membership first. ValueError: a prefix twice."""
         self._components: list[Component] = []
         self._prefixes: list[str] = []
         self._places: dict[str, int] = {}
--- a/limenotch/fleet/membership/states.py
+++ b/limenotch/fleet/membership/states.py
@@ -1,7 +1,7 @@
 """What a member can be held to be, and which of two claims about it wins.
 
-Source: Das, Gupta, Motivala, "SWIM" (2002), 4.2 (suspicion and incarnations). Two things are ours: a `process_epoch`, so
-that a process which was declared dead comes back as somebody new, and `left`, which is told apart from dead.
+Source: Das, Gupta, Motivala, "SWIM" (2002), 4.2 (suspicion and incarnations). Two things are ours: a `process_epoch`,
+so that a process which was declared dead comes back as somebody new, and `left`, which is told apart from dead.
 
 Of two claims about one name the one of the higher life wins, whatever it says. Within one life:
 
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -5,15 +5,12 @@
 | narrow | the narrow rules (or refuses): no lease | a grant |
 | leased | the narrowest of active and all newer versions heard | its lease's end, being fenced, its process's end |
 
-Rules
 - What narrows acts in the same event that tells it: each change of what is in force is one InForce.
 - The leader answers an ask for a lease only after the log has said that it leads yet (ReadAt), and only to who holds
   the newest version and knows the newest activation. So from a version's agreement on, nobody's lease outlives
   lease_ms without that version; lease_ms x (1 + drift) on any other clock.
 - `Activate n` is proposed once each lease of the record is of a holder of n; by a new leader, after one lease's time.
-- A ban acts where it is heard and is told on until a version holds it.
-- Without a leader, or with nothing but silence, all that ends is leases.
-
+- A ban acts where it is heard and told on until a version holds it. Without a leader, or in silence, leases alone end.
 Source: docs/fleet/rules-design.md. Messages: messages.py.
 """
 
@@ -69,9 +66,8 @@
         self._ticket = 0
         self._tickets: dict[int, tuple[str, str]] = {}  # ticket: what for, id
         self._waiting: dict[tuple[str, int], messages.AskLease] = {}  # asks for a lease, until the log says it leads
-        self._reads: dict[
-            int, tuple[int, dict[tuple[str, int], messages.AskLease]]
-        ] = {}  # ticket: epoch, the asks before
+        # ticket: term, the asks before
+        self._reads: dict[int, tuple[int, dict[tuple[str, int], messages.AskLease]]] = {}
         self._ask_at = NEVER
         self._activating = 0
         self._activate_at = -NEVER
@@ -106,8 +102,7 @@
         self._messages: dict[type, Callable[[str, Any], None]] = {
             messages.AskLease: self._asked,
             messages.Grant: self._granted,
-            # Of who is behind: it asks anew as soon as it has applied the version.
-            messages.Behind: lambda sender, behind: self._count("behind"),
+            messages.Behind: lambda sender, behind: self._count("behind"),  # asks anew once the version is applied
             messages.Told: lambda sender, told: self._bans(self.telling.heard(((told.upstream, told.after),))),
             messages.Bans: lambda sender, bans: self._bans(self.telling.exchanged(sender, bans)),
             messages.Suggest: lambda sender, suggest: self.changes.suggested(self._now, sender, suggest),
@@ -171,8 +166,7 @@
         term, asks = self._reads.pop(ticket, (0, {}))
         if what == "Activate":
             self._activating = 0
-            # Not again at once: a log that refuses would be asked without end.
-            self._activate_at = self._now + self.tuning.lease_ms / 3
+            self._activate_at = self._now + self.tuning.lease_ms / 3  # not at once: a log that refuses is asked forever
         elif what in ("Put", "Try") and why is not None and why != "unknown":
             self.changes.refused(ident, why)
 
@@ -373,10 +367,9 @@
         book, holder = self.book, self.holder
         if self._acts is None:
             acts = (book.written(book.acting(self.name), True), book.written(book.narrow(), False))
-            # The same object where nothing changed: the host looks at that alone.
             if self._last is None or acts != self._last:
                 self._last, self._number = acts, self._number + 1
-            self._acts = self._last
+            self._acts = self._last  # the same object where nothing changed: the host looks at that alone
         document, narrow = self._acts
         leased = holder.is_valid(self._now)
         told = (self._number, book.newest, holder.expires_at_ms if leased else -NEVER, holder.parts, book.active)
--- a/limenotch/fleet/rules/leases.py
+++ b/limenotch/fleet/rules/leases.py
@@ -43,7 +43,7 @@
         return True
 
     def release(self) -> None:
-        super().drop()
+        super().release()
         self.parts = 0
 
 
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -74,9 +74,8 @@
         self._ticket = 0
         self._tickets: dict[int, str] = {}  # what was proposed: settle, grant, expire
         self._waiting: dict[tuple[str, int], messages.AskLease] = {}  # asks for a lease, until the log says it leads
-        self._reads: dict[
-            int, tuple[int, dict[tuple[str, int], messages.AskLease]]
-        ] = {}  # ticket: epoch, the asks before
+        # ticket: term, the asks before
+        self._reads: dict[int, tuple[int, dict[tuple[str, int], messages.AskLease]]] = {}
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: lambda event: None,
             interfaces.MessageReceived: self._heard,
--- a/limenotch/fleet/wallet/lease.py
+++ b/limenotch/fleet/wallet/lease.py
@@ -30,7 +30,7 @@
         return any([self.accept(now, lease.serial, lease.lease_ms) for lease in ready])
 
     def release(self) -> None:
-        super().drop()
+        super().release()
         self._waiting.clear()
 
 
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -172,7 +172,7 @@
         self.tuning, self.log = tuning, log_tuning
         self.checks = checks or {}
         self.checker = Checker()
-        self.answers: list[tuple[float, str, api.Answer]] = []
+        self.answers: list[tuple[float, str, api.OperatorResponse]] = []
         self.ticket = 0
         self.hosted = seed is not None
         if seed is not None:
@@ -190,7 +190,7 @@
         self.world.poke(name, api.OperatorRequest(self.ticket, what, document, f"ask{self.ticket}"))
         return self.ticket
 
-    def answer(self, ticket: int) -> api.Answer | None:
+    def answer(self, ticket: int) -> api.OperatorResponse | None:
         return next((answer for _, _, answer in self.answers if answer.ticket == ticket), None)
 
     def _clock(self, name: str) -> float:
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -193,7 +193,7 @@
             self.purse.give_back(now, held)
             self.run.checker.given_back(self.name, self.process_epoch, over.number, held.tenant, held.slices)
 
-    def _answered(self, answer: api.Answer) -> None:
+    def _answered(self, answer: api.OperatorResponse) -> None:
         self.run.answered(answer)
         told = answer.body if isinstance(answer.body, dict) else {}  # of one counted before: its amount
         text, shown = answer.word, told.get(self.run.asks[answer.ticket].tenant)
@@ -223,8 +223,8 @@
         dearest = max(tuning.other_cost, *tuning.cost.values(), 1)
         self.checker = Checker(tuning.step, advance, max(tuning.least_slice, dearest))
         self.world: World = None  # type: ignore[assignment]
-        self.asks: dict[int, api.Ask] = {}
-        self.answers: dict[int, tuple[float, api.Answer]] = {}
+        self.asks: dict[int, api.OperatorRequest] = {}
+        self.answers: dict[int, tuple[float, api.OperatorResponse]] = {}
         self.calls = 0
         self._paused: set[str] = set()
         self._cut: set[str] = set()  # the smaller side of each cut
@@ -252,7 +252,7 @@
         self.world.poke(name, ask)
         return ask.ticket
 
-    def answered(self, answer: api.Answer) -> None:
+    def answered(self, answer: api.OperatorResponse) -> None:
         ask = self.asks[answer.ticket]
         if answer.ticket in self.answers:
             raise AssertionError(f"{ask} is answered twice: {self.answers[answer.ticket]}, {answer}")
--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -34,7 +34,7 @@
         self.leader: str | None = None
         self.log: list[log.EntryCommitted] = []
         self.said: list[tuple[float, str, str]] = []  # notes: when, whose, text
-        self.answers: list[api.Answer] = []
+        self.answers: list[api.OperatorResponse] = []
         self.lost: Callable[[str, str, Any], bool] = lambda frm, to, message: False
         self.fate: Callable[[str, tuple[entries.Entry, ...]], str] = lambda frm, told: "promised"
         self.late: list[tuple[str, log.Propose, int]] = []  # of fate `unknown`: who, what, the epoch it was asked in
@@ -189,7 +189,9 @@
         self.look(name)
         return True
 
-    def add(self, amount: int, ident: str = "one", name: str = "a", tenant: str = "acme") -> api.Answer | None:
+    def add(
+        self, amount: int, ident: str = "one", name: str = "a", tenant: str = "acme"
+    ) -> api.OperatorResponse | None:
         """The answer, if it has come."""
         ticket = len(self.answers) + 1000
         self.tell(name, api.OperatorRequest(ticket, "add", tenant, amount, ident))
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -148,11 +148,11 @@
 
 
 def test_a_killed_process_is_gone_with_its_timers_and_its_next_life_is_another() -> None:
-    process_epochs: list[tuple[int, int]] = []
+    starts: list[tuple[int, int]] = []
 
     def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Listener:
         if name == "c":
-            process_epochs.append((process_epoch, seed))
+            starts.append((process_epoch, seed))
         return listeners(*NODES)(name, seed, process_epoch, held)
 
     made = World(NODES, make, drift_ppm=0)
@@ -161,9 +161,7 @@
     made.run(1500)
     assert not made.alive("c") and made.part("c") is None and made.counts["no process"] > 0
     made.run(3000)
-    assert [process_epoch for process_epoch, _ in process_epochs] == [1, 2] and process_epochs[0][1] != process_epochs[
-        1
-    ][1]
+    assert [process_epoch for process_epoch, _ in starts] == [1, 2] and starts[0][1] != starts[1][1]
     assert made.part("c").beats == 11
     for at, text in ((3050, "kill c"), (3060, "start c")):
         made.at(at, parse(text))
--- a/tests/fleet/wallet_bugs.py
+++ b/tests/fleet/wallet_bugs.py
@@ -20,7 +20,7 @@
     """Counted from when the answer is handled, not from when it was asked for."""
     real = leases.HeldLease.accept
 
-    def take(self: leases.Held, now: float, serial: int, lease_ms: float) -> bool:
+    def take(self: leases.HeldLease, now: float, serial: int, lease_ms: float) -> bool:
         if serial in self._asked:
             self._asked[serial] = now
         return real(self, now, serial, lease_ms)
