--- a/limenotch/balancing/__init__.py
+++ b/limenotch/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a load balancer between services: events in, actions out, without I/O or a clock."""
+"""The decisions of a load balancer: it takes events and returns actions, and neither does I/O nor reads a clock."""
 
 from .balancer import Balancer
 
--- a/limenotch/balancing/actions.py
+++ b/limenotch/balancing/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the balancer returns for an event, to be carried out in order."""
+"""Actions that the balancer returns for an event. The program carries them out in the order returned."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt that is in flight; its response is no longer needed."""
 
     request: str
     attempt: int
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: rejected. The client may safely repeat the request."""
+    """Answer the client with a rejection. The client may safely retry the request."""
 
     request: str
     retry_after_ms: float = 0.0
 
 
 class FailRequest(NamedTuple):
-    """Final answer: failed. The request may have been executed."""
+    """Answer the client with a failure. The request may have been executed."""
 
     request: str
 
@@ -41,7 +41,7 @@
 
 
 class Subscribe(NamedTuple):
-    """Ask discovery for the endpoint list and all its changes from now on."""
+    """Subscribe to discovery: to the complete endpoint list, and to all changes of it from then on."""
 
 
 Action = Union[SendAttempt, CancelAttempt, RejectRequest, FailRequest, SetTimer, Subscribe]
--- a/limenotch/balancing/balancer.py
+++ b/limenotch/balancing/balancer.py
@@ -1,16 +1,16 @@
-"""Lifecycle of a request: admitted or rejected, attempted, retried. Input: events.py; output: actions.py.
+"""Lifecycle of a request: admission, attempts, retries, final answer. Input: events.py; output: actions.py.
 
-Each decision has its module, all of them listed under `policy` in deploy/balancer.toml: admission control
+Each decision has its own module, listed under `policy` in deploy/balancer.toml: admission control
 (admission.py), endpoint weights (weights.py) within a subset (subsetting.py), outlier ejection
 (outlier_detection.py), endpoint selection (endpoint_selection.py), hedging (hedging.py) and retries
-(retry_policy.py). balancer_state.py holds the state. The first response cancels a request's other attempts.
+(retry_policy.py). balancer_state.py has the state. The first successful response cancels the other attempts.
 """
 
 from __future__ import annotations
 
 from .actions import Action, CancelAttempt, FailRequest, RejectRequest, Subscribe
 from .admission import is_rejected, update_admission_limit
-from .balancer_state import BURST, BalancerState
+from .balancer_state import BURST_REQUESTS, BalancerState
 from .endpoint_selection import choose_endpoints
 from .endpoint_statistics import Request
 from .events import (
@@ -27,27 +27,27 @@
     TimerFired,
     UploadFinished,
 )
-from .hedging import RETRIES, handle_overdue_attempt, hedge_delay, should_hedge_at_once
+from .hedging import RETRY_BUDGET_RATIO, handle_overdue_attempt, hedge_delay, should_hedge_at_once
 from .outlier_detection import eject, record_answer
 from .retry_policy import may_repeat
 from .types import Effect, Outcome
 from .weights import update_weights, weights_due
 
 MAX_SUBSCRIBE_BACKOFF_BASE_MS = 1000.0
-MIN_BACKOFF_JITTER = 0.1  # fraction of the backoff that is always waited
-BACKOFF_JITTER_RANGE = 0.4  # fraction of the backoff that is random
-MAX_DISCOVERY_FAILURES = 3  # failures in a row up to which the backoff doubles
-SELECTION_RETRIES_PER_WINDOW = 8  # selections a window while no endpoint accepts a waiting request
+MIN_BACKOFF_JITTER = 0.1  # fraction of the backoff that is the shortest delay
+BACKOFF_JITTER_RANGE = 0.4  # fraction of the backoff that is added at random
+MAX_DISCOVERY_FAILURES = 3  # consecutive failures up to which the backoff doubles
+SELECTION_RETRIES_PER_WINDOW = 8  # while no endpoint can take a waiting request
 
 
 class Balancer(BalancerState):
-    """Decides on events in the order given; the caller carries out the returned actions in order."""
+    """Handles events in the order given. The caller carries out the returned actions in order."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Apply one event and return the actions that follow from it.
 
         Raises ValueError if `now_ms` is before the previous event's, or for an unknown traffic class.
-        Raises TypeError for an object that is no event.
+        Raises TypeError for an object that is not an event.
         """
         actions: list[Action] = []
         if self.advance_clock(now_ms):
@@ -105,28 +105,28 @@
     def _handle_arrival(self, now: float, event: RequestArrived, actions: list[Action]) -> None:
         request = self.record_arrival(now, event)
         expired = request.deadline <= now
-        # Only the first tier sheds load: the later tiers' requests have already been admitted.
+        # Only the first tier sheds load: requests of later tiers have already been admitted.
         if expired or (not self.settings.tier_index and is_rejected(self, now, request, event)):
             self._finish_without_success(now, request, actions)
             return
-        # Only admitted requests add to the retry budget; else overload would pay for extra attempts.
-        self.retry_budget = min(self.retry_budget + RETRIES, BURST)
+        # Only admitted requests add to the retry budget. Otherwise overload would pay for more attempts.
+        self.retry_budget = min(self.retry_budget + RETRY_BUDGET_RATIO, BURST_REQUESTS)
         self._send_attempt(now, request, actions)
 
     def _send_attempt(self, now: float, request: Request, actions: list[Action]) -> None:
-        """Send the first attempt, or a retry after all earlier attempts ended."""
+        """Send the first attempt, or a retry after all earlier ones have ended; hedge it if that pays off."""
         primary, secondary = choose_endpoints(self, now, request)
         if primary is None:
             self._wait_for_endpoint(now, request, actions)
             return
         self.record_send(now, request, primary, actions)
         if should_hedge_at_once(self, now, request, primary, secondary) and secondary:
-            self.record_send(now, request, secondary, actions, copy=1)
+            self.record_send(now, request, secondary, actions, hedges=1)
         elif request.traffic_class.effect is not Effect.AT_MOST_ONCE:
             self.schedule_timer(now + hedge_delay(self, request, primary), request, actions)
 
     def _wait_for_endpoint(self, now: float, request: Request, actions: list[Action]) -> None:
-        """No endpoint accepts the request: select again later if it can still meet its objective."""
+        """Select again later, as no endpoint accepts the request now; end it if it would then be late."""
         retry_at = now + self.window_ms / SELECTION_RETRIES_PER_WINDOW
         any_ejected = any(endpoint.is_ejected(now) for endpoint in self.candidates[0])
         latest = min(request.deadline, request.objective - self.typical_latency_ms)
@@ -146,8 +146,8 @@
             in_time = event.outcome is Outcome.OK and now <= request.objective
             record_answer(self, now, endpoint, in_time)
         elif event.outcome is Outcome.REJECTED and self.discovery_failures:
-            # While discovery fails, the endpoint may be draining without the list showing it.
-            eject(self, now, endpoint, doubted=True)
+            # While discovery fails, the endpoint may be draining although the list says that it is ready.
+            eject(self, now, endpoint, may_be_draining=True)
         self.record_outcome(now, request, endpoint, event)
         if event.request_answered or event.outcome is Outcome.OK:
             self._close(request, actions)
@@ -192,18 +192,18 @@
             self._close(request, actions)
         else:
             request.streaming = True
-            self._cancel_attempts(request, actions, keep=event.attempt)
+            self._cancel_attempts(request, actions, except_attempt=event.attempt)
 
     def _close(self, request: Request, actions: list[Action]) -> None:
         request.answered = True
         self._cancel_attempts(request, actions)
         self.forget_request(request)
 
-    def _cancel_attempts(self, request: Request, actions: list[Action], keep: int = -1) -> None:
-        """Cancel the open attempts except number `keep`, where the request permits it."""
+    def _cancel_attempts(self, request: Request, actions: list[Action], except_attempt: int = -1) -> None:
+        """Cancel the open attempts other than number `except_attempt`, if the request permits cancelling."""
         if request.may_cancel:
             for number, attempt in enumerate(request.attempts):
-                if attempt.open and number != keep:
+                if attempt.open and number != except_attempt:
                     actions.append(CancelAttempt(request.name, number))
 
     def _handle_timer(self, now: float, token: int, actions: list[Action]) -> None:
@@ -218,4 +218,4 @@
             self._send_attempt(now, request, actions)
         elif not request.streaming and sum(attempt.open for attempt in request.attempts) == 1:
             handle_overdue_attempt(self, now, request, actions)
-        del self.timers[token]  # not before: after an error it tells the request
+        del self.timers[token]  # last: after an error the entry is needed to find the request
--- a/limenotch/balancing/balancer_state.py
+++ b/limenotch/balancing/balancer_state.py
@@ -1,6 +1,6 @@
 """State of one balancer: settings, endpoint list, requests, timers, and sums of what was observed.
 
-Events are recorded here: counted, added up, decayed, stored. The modules listed under `policy` in
+This module records events in counters, decaying sums and stored objects. The modules listed under `policy` in
 deploy/balancer.toml read the state and decide. Times and durations are in ms, rates in requests per second.
 """
 
@@ -32,26 +32,26 @@
 
 MEMORY_OBJECTIVES = 4.0  # time constant of observations, in the longest latency objectives
 REPORT_MEMORY_OBJECTIVES = 1.2  # time constant of load reports, in the longest latency objectives
-WINDOW_OBJECTIVES = 0.5  # length of a window, in mean latency objectives
-LOWEST_MEAN_WINDOWS = 30  # windows over which the lowest mean latency is taken for an idle tier's
-MIN_WINDOW_SAMPLES = 8  # responses from which a window's mean counts; with fewer the lowest is too low
-MAX_LATENCY_RATIO = 4.0  # an expensive request is no slow endpoint
-LOCAL_SLOW_START_SHARE = 0.75  # of a warming endpoint's capacity, for the balancers of its zone
-BURST = 10.0  # requests: maximum of the retry budget, and minimum burst of a tenant's quota
-FORGET_MEMORIES = 10.0  # memories without a response after which observations are dropped
-IN_FLIGHT_SMOOTHING = 20  # arrivals over which the mean in flight is taken
+WINDOW_OBJECTIVES = 0.5  # length of a window, in means of the latency objectives
+LOWEST_MEAN_WINDOWS = 30  # windows whose lowest mean latency counts as that of an idle tier
+MIN_WINDOW_SAMPLES = 8  # responses needed for a window's mean; with fewer the lowest mean is too low
+MAX_LATENCY_RATIO = 4.0  # upper limit: one expensive request does not make an endpoint slow
+LOCAL_SLOW_START_SHARE = 0.75  # share of an endpoint's slow-start capacity for balancers of its zone
+BURST_REQUESTS = 10.0  # maximum of the retry budget, and minimum burst of a tenant's quota
+FORGET_MEMORIES = 10.0  # observations are dropped after this many time constants without a response
+IN_FLIGHT_SMOOTHING = 20  # arrivals over which the mean number in flight is taken
 INVERSE_GOLDEN_RATIO = (sqrt(5) - 1) / 2  # its multiples modulo 1 spread any number of balancers evenly
 
 RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)  # the endpoint's host is alive
-INCONCLUSIVE = (Outcome.NOT_SENT, Outcome.CANCELLED)  # neither success nor failure of the endpoint
-WITH_LATENCY = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)  # a fast failure is no low latency
+INCONCLUSIVE = (Outcome.NOT_SENT, Outcome.CANCELLED)  # count as neither success nor failure
+WITH_LATENCY = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)  # a fast failure is not a low latency
 
 
 class BalancerState:
-    """State that events write and every decision reads."""
+    """State that events update and every decision reads."""
 
     def __init__(self, settings: BalancerSettings, seed: int) -> None:
-        """State before the first event; all random choices follow from `seed`."""
+        """Create the state before the first event. All random choices depend on `seed`."""
         self.random = Random(seed)
         self.now = -inf  # time of the latest event
         self.admission = AdmissionControl()
@@ -61,28 +61,28 @@
         self.apply_settings(settings)
 
     def report_error(self, error: Exception) -> None:
-        """Report an internal error, after which the caller goes on; it is raised where errors are not contained."""
+        """Handle an internal error after which the caller could continue. Raises it; a subclass may contain it."""
         raise error
 
     def _init_endpoints(self, settings: BalancerSettings) -> None:
         self.registry = EndpointRegistry(self.random)
         self.available = AvailableEndpoints(settings)
-        self.discovery_failures = 0  # in a row
-        self.observed: dict[EndpointStatistics, None] = {}  # with observations that count, in order
+        self.discovery_failures = 0  # consecutive
+        self.observed: dict[EndpointStatistics, None] = {}  # those with recent observations, in order
         self.unresponsive: set[EndpointStatistics] = set()
-        self.warming: list[EndpointStatistics] = []  # with a slow-start rate, by the latest weights
-        self.weights_at = -inf  # time of the latest weights
-        self.weights_stale = False  # the list has changed since
+        self.warming: list[EndpointStatistics] = []  # those with a slow-start rate
+        self.weights_at = -inf  # time of the latest update of the weights
+        self.weights_stale = False  # the endpoint list has changed since that update
         self.candidates: SelectionTable = selection_table([])
-        self.local_candidates: SelectionTable = selection_table([])  # those of the balancer's zone
+        self.local_candidates: SelectionTable = selection_table([])  # candidates in the balancer's zone
         self.dedup_candidates: dict[tuple[DedupScope, Hashable], SelectionTable] = {}
 
     def _init_requests(self) -> None:
         self.requests: dict[str, Request] = {}
-        self.timers: dict[int, Request | None] = {}  # by token; None: subscribe again
-        self.token = 0  # of the latest timer
-        self.retry_budget = BURST
-        self.in_flight = 0  # attempts
+        self.timers: dict[int, Request | None] = {}  # by token; None: a subscription to discovery
+        self.token = 0  # token of the latest timer
+        self.retry_budget = BURST_REQUESTS
+        self.in_flight = 0  # attempts in flight
         self.mean_in_flight = 0.0
         self.class_latencies: dict[str, ClassLatency] = {}
         self.typical_latency_ms = 0.0  # mean over all classes
@@ -102,11 +102,11 @@
         self.served_rate = ServedRate()
         self.mean_success_rate = 1.0
         self.best_success_rate = 1.0
-        self.live_fraction = 1.0  # of the capacity, not ejected
+        self.live_fraction = 1.0  # fraction of the candidates' capacity that is not ejected
         self.tier_profile = LatencyProfile()
 
     def apply_settings(self, settings: BalancerSettings) -> None:
-        """Use `settings` from the next request on; classes and tenants of the same name keep their state."""
+        """Use `settings` from the next request on. Classes and tenants that keep their name keep their state."""
         objectives = [traffic_class.latency_objective_ms for traffic_class in settings.classes]
         self.settings = settings
         self.registry.phase = settings.balancer_index * INVERSE_GOLDEN_RATIO % 1
@@ -118,7 +118,7 @@
             for traffic_class in settings.classes
         }
         self.quota_buckets = {
-            tenant.name: self.quota_buckets.get(tenant.name) or QuotaBucket(BURST)
+            tenant.name: self.quota_buckets.get(tenant.name) or QuotaBucket(BURST_REQUESTS)
             for tenant in settings.tenants
         }
 
@@ -135,7 +135,7 @@
         self.apply_registry_changes(now, RegistryChanges(list(self.registry.endpoints.values()), []))
 
     def apply_registry_changes(self, now: float, changes: RegistryChanges) -> None:
-        """Update which endpoints are available; the cost grows with the changes, not with the list."""
+        """Update which endpoints are available. The cost grows with the changes, not with the list's length."""
         for endpoint in changes.removed:
             endpoint.available = False
             self.unresponsive.discard(endpoint)
@@ -152,10 +152,10 @@
         return self.available.by_locality
 
     def locality_factor(self, endpoint: EndpointStatistics) -> float:
-        """Factor on this balancer's equal share of a warming endpoint, where crossing zones has a cost.
+        """Factor on this balancer's equal share of an endpoint in slow start, where crossing zones has a cost.
 
-        Most of its capacity goes to the balancers of its zone. With balancers spread evenly over the zones
-        the shares add up to one; with all of them in one zone, to more.
+        Balancers of the endpoint's zone get most of its capacity. The shares of all balancers add up to 1 if
+        the balancers are spread evenly over the zones, and to more if all of them are in one zone.
         """
         local, remote = self.by_locality
         if not local or not remote:
@@ -171,7 +171,7 @@
         return unavailable + sum(endpoint.available for endpoint in self.unresponsive)
 
     def prune_observed(self, now: float) -> list[EndpointStatistics]:
-        """Drop observations that are too old; return the available endpoints with observations."""
+        """Drop observations that are too old, and return the available endpoints that still have some."""
         max_age_ms = FORGET_MEMORIES * self.evidence_memory_ms
         for endpoint in [each for each in self.observed if each.is_forgotten(now, max_age_ms)]:
             endpoint.reset_evidence()
@@ -181,21 +181,21 @@
         return [endpoint for endpoint in self.observed if endpoint.available]
 
     def find_available(self, name: str) -> EndpointStatistics | None:
-        """The available endpoint of that name, also outside this balancer's subset."""
+        """The available endpoint of that name, in this balancer's subset or not; None if there is none."""
         endpoint = self.registry.endpoints.get(name)
         return endpoint if endpoint and endpoint.available else None
 
     # Time and windows
 
     def advance_clock(self, now: float) -> bool:
-        """Set the time; return whether the window has ended. Raises ValueError if time runs backwards."""
+        """Set the time, and return whether the current window has ended. Raises ValueError for an earlier time."""
         if now < self.now:
             raise ValueError(f"now_ms: {now} runs backwards, expected {self.now} or later")
         self.now = now
         return now >= self.window_end
 
     def end_window(self, now: float) -> bool:
-        """End the window: decay sums, update means, begin the next one. False if none had begun."""
+        """End the window: decay sums, update means and begin the next window. Returns False if none had begun."""
         had_begun = self.window_start >= 0
         span_ms = now - self.window_start
         self.window_start = now
@@ -221,12 +221,12 @@
         return True
 
     @property
-    def shown_rate(self) -> float:
-        """Responses per second and unit of weight that warm endpoints have shown."""
+    def measured_rate(self) -> float:
+        """Responses per second and unit of weight that warm endpoints have served."""
         return self.served_rate.per_weight
 
     def schedule_timer(self, at: float, request: Request | None, actions: list[Action]) -> None:
-        """Set a timer for a request, or with None for another subscription to the endpoint list."""
+        """Set a timer for a request or, if `request` is None, for another subscription to discovery."""
         self.token += 1
         self.timers[self.token] = request
         actions.append(SetTimer(at, self.token))
@@ -234,12 +234,12 @@
     # Requests and attempts
 
     def record_arrival(self, now: float, event: RequestArrived) -> Request:
-        """Create the record of a request. Raises ValueError for a traffic class that the settings lack."""
+        """Create the record of a request. Raises ValueError for a traffic class that is not in the settings."""
         if not 0 <= event.traffic_class < len(self.settings.classes):
-            raise ValueError(f"traffic_class: {event.traffic_class} is no class of the settings")
+            raise ValueError(f"traffic_class: {event.traffic_class} is not the index of a class")
         traffic_class = self.settings.classes[event.traffic_class].for_request(event.has_idempotency_key)
         budget_ms = event.budget_ms
-        if traffic_class.late_weight <= 0:  # a response after the objective has no value
+        if traffic_class.late_weight <= 0:  # a response after the objective is worth nothing
             budget_ms = min(budget_ms, traffic_class.latency_objective_ms)
         request = Request(
             event.request,
@@ -258,7 +258,7 @@
         self.requests[request.name] = request
         self.arrivals += 1
         self.window_arrivals += 1
-        # At arrivals, not responses: while all requests are rejected there are no responses.
+        # Updated at arrivals, not at responses: while all requests are rejected there are no responses.
         self.mean_in_flight += (self.in_flight - self.mean_in_flight) / IN_FLIGHT_SMOOTHING
         return request
 
@@ -271,16 +271,21 @@
         return weight * (self.settings.over_quota_weight if over else 1.0)
 
     def over_quota(self, now: float, tenant: Tenant) -> bool:
-        """Take one request from the tenant's bucket; return whether the bucket lacked it."""
+        """Take one request from the tenant's quota bucket, and return whether the tenant is over its quota."""
         per_ms = tenant.quota_per_s / self.settings.instances / 1000
-        capacity = max(BURST, per_ms * self.window_ms)
+        capacity = max(BURST_REQUESTS, per_ms * self.window_ms)
         within = self.quota_buckets[tenant.name].take_request(now, per_ms, capacity)
         return not within and per_ms > 0
 
     def record_send(
-        self, now: float, request: Request, endpoint: EndpointStatistics, actions: list[Action], copy: int = 0
+        self,
+        now: float,
+        request: Request,
+        endpoint: EndpointStatistics,
+        actions: list[Action],
+        hedges: int = 0,
     ) -> None:
-        """Send an attempt; `copy` is 1 if it hedges another one, which the retry budget pays for."""
+        """Send an attempt. `hedges` is 1 for a hedged attempt, which the retry budget pays for, and 0 otherwise."""
         mean_ms = request.class_latency.mean_ms
         attempt = Attempt(endpoint, endpoint.endpoint, now, expected_rate=1 / mean_ms if mean_ms else 0.0)
         self.observed[endpoint] = None
@@ -288,17 +293,17 @@
         if not request.single_use_body:
             attempt.count_in_flight(now)
             self.in_flight += 1
-        self.hedged += copy
-        self.retry_budget -= copy
+        self.hedged += hedges
+        self.retry_budget -= hedges
         if endpoint.warm_fraction(now, self.settings.slow_start) < 1.0:
-            # The cost of a request is its class's mean latency in relation to that of all.
+            # The cost of a request is the mean latency of its class, relative to that of all classes.
             known = mean_ms and self.typical_latency_ms
             endpoint.slow_start_credit -= mean_ms / self.typical_latency_ms if known else 1.0
         timeout_ms = max(request.deadline - now, 0.001)
         actions.append(SendAttempt(request.name, endpoint.endpoint.name, timeout_ms))
 
     def record_upload(self, now: float, event: UploadFinished) -> None:
-        """Start the request's time now: how long the client took to send the body is no load or latency."""
+        """Start the request's deadlines now: the time in which the client sent the body is not load or latency."""
         request = self.requests.get(event.request)
         if request is None or request.answered or not request.attempts or not request.attempts[-1].open:
             return
@@ -308,7 +313,7 @@
         self.in_flight += 1
 
     def record_end(self, now: float, event: AttemptFinished) -> EndedAttempt | None:
-        """End the event's attempt; None if no such attempt is open."""
+        """Mark the event's attempt as ended, and return it; None if no such attempt is open."""
         request = self.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return None
@@ -319,7 +324,7 @@
         if attempt.in_flight:
             self.in_flight -= 1
         if event.outcome in RESPONDED:
-            attempt.target.last_heard_at = now
+            attempt.target.last_response_at = now
             attempt.target.unresponsive = False
             self.unresponsive.discard(attempt.target)
         if request.answered:
@@ -327,14 +332,14 @@
         return EndedAttempt(request, attempt)
 
     def forget_request(self, request: Request) -> None:
-        """Drop an answered request unless attempts of it are open."""
+        """Drop an answered request, unless some of its attempts are still open."""
         if not any(attempt.open for attempt in request.attempts):
             self.requests.pop(request.name, None)
 
     # Observations
 
     def record_report(self, now: float, endpoint: EndpointStatistics, event: AttemptFinished) -> None:
-        """Record the load that the endpoint reports with a response; most repeat its last report."""
+        """Record the load report of a response. Most responses repeat the endpoint's last report, which counts once."""
         endpoint.fade(now, self.evidence_memory_ms)
         utilisation = event.utilisation
         requests_per_s = event.requests_per_s
@@ -354,10 +359,10 @@
     def record_outcome(
         self, now: float, request: Request, endpoint: EndpointStatistics, event: AttemptFinished
     ) -> None:
-        """Record success or failure of an ended attempt, and its latency."""
+        """Record whether an ended attempt succeeded, and its latency."""
         ok = event.outcome is Outcome.OK
         if ok and now <= request.objective:
-            # Only these count as goodput: in overload that ends in timeouts it would look sufficient.
+            # Only responses in time count as goodput: with late ones, an overload would look like enough capacity.
             self.admission.count_answer(now)
             endpoint.successes += 1
             self.total_successes += 1
@@ -370,7 +375,7 @@
             request.class_latency.add(event.elapsed_ms)
             endpoint.window_answers += 1
         ratio = min(event.elapsed_ms / max(request.class_latency.mean_ms, 1e-3), MAX_LATENCY_RATIO)
-        # An attempt without a response took at least that long: it counts only if it raises the mean.
+        # An attempt without a response would have taken at least that long: it counts only if it raises the mean.
         if ok or ratio > endpoint.latency_ratio:
             endpoint.latency_ratio_sum += ratio
             endpoint.latency_samples += 1
--- a/limenotch/balancing/contained_balancer.py
+++ b/limenotch/balancing/contained_balancer.py
@@ -1,4 +1,4 @@
-"""A balancer that goes on after an internal error: each request gets one answer, and no count is left behind."""
+"""A balancer that continues after an internal error: each request gets one answer, and counters stay correct."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class ContainedBalancer(Balancer):
-    """Ends the request of an event that fails. Errors in events of no request, such as a list, are raised."""
+    """Ends the request whose event fails. Errors in other events, such as an endpoint list, are raised."""
 
     def __init__(self, settings: BalancerSettings, seed: int, on_error: Callable[[Exception], None]) -> None:
-        """`on_error` is told of each error that is contained."""
+        """`on_error` is called with each error that is contained."""
         super().__init__(settings, seed)
         self._on_error = on_error
 
     def report_error(self, error: Exception) -> None:
-        """Tell `on_error`; the caller goes on."""
+        """Pass the error to `on_error` and return, so that the caller continues."""
         self._on_error(error)
 
     def _apply(self, now: float, event: Event, actions: list[Action]) -> None:
@@ -47,21 +47,23 @@
         except Exception as error:
             self._on_error(error)
 
-    def _end_request(self, event: RequestEvent, decided: list[Action]) -> list[Action]:
-        """The actions that replace those `decided` before the error.
+    def _end_request(self, event: RequestEvent, decided_actions: list[Action]) -> list[Action]:
+        """End the request of the event that failed; return the actions that replace those decided before the error.
 
-        Attempts that were decided on are not sent. The answer is a rejection unless an attempt that was sent may have
-        run.
+        Attempts among `decided_actions` are not sent. The client gets a rejection, or a failure if an attempt that was
+        sent may have run.
         """
-        actions: list[Action] = [action for action in decided if not isinstance(action, SendAttempt)]
-        answered = any(isinstance(action, ANSWERS) for action in decided) or _needs_no_answer(event)
+        actions: list[Action] = [action for action in decided_actions if not isinstance(action, SendAttempt)]
+        answered = any(isinstance(action, ANSWERS) for action in decided_actions) or _needs_no_answer(event)
         request = self._request_of(event)
-        if request is None:  # not recorded yet, or forgotten
+        if request is None:  # not recorded yet, or already dropped
             if isinstance(event, RequestArrived) and not answered:
                 actions.append(RejectRequest(event.request))
             return actions
-        sent = len(request.attempts) - sum(isinstance(action, SendAttempt) for action in decided)
-        self._end_attempts(request, sent, actions)
+        sent_count = len(request.attempts) - sum(
+            isinstance(action, SendAttempt) for action in decided_actions
+        )
+        self._end_attempts(request, sent_count, actions)
         if not request.answered and not answered:
             failed = bool(request.possible_executions())
             actions.append(FailRequest(request.name) if failed else RejectRequest(request.name))
@@ -70,20 +72,20 @@
         return actions
 
     def _request_of(self, event: RequestEvent) -> Request | None:
-        """The request of an event that failed, if it is still held; its timer is done."""
+        """The request of the event that failed, if it is still recorded. Drops the timer of a timer event."""
         if isinstance(event, TimerFired):
             return self.timers.pop(event.token, None)
         return self.requests.get(event.request)
 
-    def _end_attempts(self, request: Request, sent: int, actions: list[Action]) -> None:
-        """Take the open attempts from the counts; cancel those of them, the first `sent`, that were sent."""
+    def _end_attempts(self, request: Request, sent_count: int, actions: list[Action]) -> None:
+        """End the open attempts, and cancel those that were sent: the first `sent_count` of the request."""
         for number, attempt in enumerate(request.attempts):
             if not attempt.open:
                 continue
             if attempt.in_flight:
                 self.in_flight -= 1
-            attempt.end(may_have_run=number < sent)
-            if number < sent and request.may_cancel:
+            attempt.end(may_have_run=number < sent_count)
+            if number < sent_count and request.may_cancel:
                 actions.append(CancelAttempt(request.name, number))
 
 
--- a/limenotch/balancing/endpoint_selection.py
+++ b/limenotch/balancing/endpoint_selection.py
@@ -1,7 +1,7 @@
-"""Endpoint selection: several candidates are drawn at random by weight, and the best of them is used.
+"""Endpoint selection: draws several candidates at random by weight, and takes the best of them.
 
-Where endpoints report their load, the better of two is the one with the higher probability of a short wait.
-Where they do not, more are drawn and the one with the lowest expected cost is used.
+If endpoints report their load, two are drawn, and the one with the higher probability of a short wait is
+taken. If none does, more are drawn and the one with the lowest expected cost is taken.
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
 from .types import DedupScope, Effect
 from .weights import update_all_weights, update_weights
 
-# Draws to find an endpoint that can be used. More would shift the weights of those left.
+# Draws to find a usable endpoint. More draws would distort the weights of the remaining candidates.
 MAX_DRAWS = 4
-# Service times: the length of a short wait, by which the better of two candidates is chosen.
+# Length of a short wait, in service times. The better of two candidates is chosen by it.
 SHORT_WAIT_SERVICE_TIMES = 2.0
-# Success rate that the second candidate must be better by, for a request that its first attempt binds.
+# Minimum lead in success rate of the second candidate, for a request whose first attempt restricts retries.
 MIN_SUCCESS_RATE_GAIN = 0.15
-# Windows over which a report fades: an endpoint that is sent nothing reports nothing, and its queue shrinks.
+# Time constant of a load report, in windows: an endpoint without requests sends no report as its queue shrinks.
 REPORT_FADE_WINDOWS = 0.5
-# Fraction of its weight that an answer keeps when late, from which a request is tolerant and not urgent.
+# A request is urgent if a late response keeps less than this fraction of its weight.
 MIN_TOLERANT_LATE_WEIGHT = 0.5
-# Further candidates drawn where no load is reported: our own requests in flight then show a queue first.
+# Further candidates without load reports: requests in flight from this balancer then show queues first.
 EXTRA_CANDIDATES = 9
-# One in this many of these is drawn from the own zone.
+# One in this many of these is drawn from the balancer's own zone.
 LOCAL_CANDIDATE_INTERVAL = 3
-# Weight of the cost of crossing zones against the probability of an answer in time.
+# Weight of the cross-zone cost, relative to the probability of a response in time.
 CROSS_ZONE_COST_MULTIPLE = 1.5
-# Highest utilisation that a report or the latency may stand for.
+# Upper limit of the utilisation estimated from a report or from latency.
 MAX_LOAD = 0.99
 
 
 def choose_endpoints(
     state: BalancerState, now: float, request: Request
 ) -> tuple[EndpointStatistics | None, EndpointStatistics | None]:
-    """The endpoint of the next attempt, and one to hedge an urgent request at; None where there is none."""
+    """The endpoint of the next attempt and, for an urgent request, one to hedge it; None if there is none."""
     sticky = _usable_preferred_endpoint(state, now, request)
     if sticky is not None:
         return sticky, None
     last = request.attempts[-1].target if request.attempts else None
     first = _draw_first(state, now, request, last)
-    if first is None and state.weights_stale:  # all candidates may have left the list
+    if first is None and state.weights_stale:  # all candidates may have been removed from the list
         update_weights(state, now)
         first = _draw_first(state, now, request, last)
     if first is None:
@@ -65,7 +65,7 @@
 def _usable_preferred_endpoint(
     state: BalancerState, now: float, request: Request
 ) -> EndpointStatistics | None:
-    """The endpoint that the request's session stays with, if its first attempt can go there."""
+    """The endpoint to which the request's session is bound, if its first attempt can be sent there."""
     if not request.preferred_endpoint or request.attempts:
         return None
     endpoint = state.find_available(request.preferred_endpoint)
@@ -77,7 +77,7 @@
 def _draw_first(
     state: BalancerState, now: float, request: Request, last: EndpointStatistics | None
 ) -> EndpointStatistics | None:
-    """Any endpoint but the last attempt's, or else any at all, even if it is unresponsive or overfull."""
+    """Draw an endpoint other than the last attempt's, or else any, even if unresponsive or overfull."""
     return draw_endpoint(state, now, request, last) or draw_endpoint(
         state, now, request, None, include_unhealthy=True
     )
@@ -91,7 +91,7 @@
     first: EndpointStatistics,
     second: EndpointStatistics | None,
 ) -> tuple[EndpointStatistics, EndpointStatistics | None]:
-    """The cheapest of the two and of further candidates; and the next cheapest, if there was a second."""
+    """The cheapest of both and of further candidates, and the next cheapest if `second` was given."""
     extra = [
         draw_endpoint(state, now, request, last, own_zone_only=number % LOCAL_CANDIDATE_INTERVAL == 0)
         for number in range(EXTRA_CANDIDATES)
@@ -107,7 +107,7 @@
 def _is_better(
     state: BalancerState, second: EndpointStatistics, first: EndpointStatistics, urgent: bool
 ) -> bool:
-    """Whether the second candidate is to be chosen: for its short wait if urgent, else for success."""
+    """Whether `second` is better: by the probability of a short wait if urgent, else by success rate."""
     if urgent:
         return short_wait_probability(state, second) > short_wait_probability(state, first)
     return second.success_rate > first.success_rate + MIN_SUCCESS_RATE_GAIN
@@ -121,16 +121,16 @@
     include_unhealthy: bool = False,
     own_zone_only: bool = False,
 ) -> EndpointStatistics | None:
-    """Draw an endpoint by weight from those that the retry policy allows; None if MAX_DRAWS find none.
+    """Draw an endpoint by weight from those that the retry policy allows; None after MAX_DRAWS in vain.
 
-    `avoid` is never returned. With `include_unhealthy` an unresponsive or overfull endpoint may be.
+    Never returns `avoid`. Returns an unresponsive or overfull endpoint only with `include_unhealthy`.
     """
     endpoints, weight_sums = allowed_candidates(state, now, request, own_zone_only)
     for _ in range(MAX_DRAWS):
         if not weight_sums or weight_sums[-1] <= 0:
             return None
         endpoint = _draw_by_weight(state, endpoints, weight_sums)
-        if not endpoint.available:  # it began draining after the weights were computed
+        if not endpoint.available:  # it has become unavailable since the weights were computed
             endpoints, weight_sums = selection_table(
                 [candidate for candidate in endpoints if candidate.available]
             )
@@ -177,7 +177,7 @@
 
 
 def within_slow_start(state: BalancerState, endpoint: EndpointStatistics, now: float) -> bool:
-    """Whether an endpoint in slow start may get one more request of those that this balancer may send it."""
+    """Whether an endpoint, if it is in slow start, may get one more request from this balancer."""
     if endpoint.warm_fraction(now, state.settings.slow_start) >= 1.0:
         return True
     return (
@@ -187,7 +187,7 @@
 
 
 def estimated_load(state: BalancerState, endpoint: EndpointStatistics) -> float:
-    """Utilisation from 0 to 1, by a recent report or else by latency, corrected by our requests in flight."""
+    """Utilisation from 0 to 1 by a recent report or else by latency, corrected by own requests in flight."""
     load = 1 - endpoint.profile.lowest / max(endpoint.latency_ratio, endpoint.profile.lowest)
     if endpoint.utilisation is not None:
         report_age_windows = (state.now - endpoint.utilisation_at) / state.window_ms
@@ -200,14 +200,14 @@
 def short_wait_probability(state: BalancerState, endpoint: EndpointStatistics) -> float:
     """Probability of success after a wait of at most SHORT_WAIT_SERVICE_TIMES.
 
-    With a longer wait a small rate of errors would outweigh any queue.
+    With a longer wait, a low error rate would outweigh any queue.
     """
     load = estimated_load(state, endpoint)
     return endpoint.success_rate * (1 - load * exp(-(1 - load) * SHORT_WAIT_SERVICE_TIMES))
 
 
 def expected_cost(state: BalancerState, now: float, request: Request, endpoint: EndpointStatistics) -> float:
-    """Probability to miss the latency objective, by requests in flight, plus the cost of crossing zones."""
+    """Probability of missing the latency objective, by requests in flight, plus the cross-zone cost."""
     count = len(state.candidates[0])
     relative_queue = (
         (endpoint.in_flight + 1)
@@ -219,7 +219,7 @@
     time_left_ms = max(request.objective - now, 1.0)
     late = exp(-time_left_ms / max(request.class_latency.mean_ms * relative_queue, 1e-3))
     zone_cost = state.settings.cross_zone_cost if endpoint.endpoint.zone != state.settings.zone else 0.0
-    # Far from the objective all queues give about the same: the last term then prefers the shorter one.
+    # Far from the objective all queues cost about the same: the last term then prefers the shorter queue.
     return (
         1
         - min(endpoint.success_rate / state.best_success_rate, 1.0) * (1 - late)
--- a/limenotch/balancing/endpoint_statistics.py
+++ b/limenotch/balancing/endpoint_statistics.py
@@ -1,7 +1,7 @@
-"""Records of endpoints, requests and attempts, and how observations are added up and decay with age.
+"""Records of endpoints, requests and attempts, with decaying sums of what was observed of them.
 
-The records hold data only. balancer_state.py owns them; the modules listed under `policy` in
-deploy/balancer.toml decide by them. Times and durations are in ms.
+The records contain data only. balancer_state.py owns them, and the modules listed under `policy` in
+deploy/balancer.toml base their decisions on them. Times and durations are in ms.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from .types import Endpoint, PriorAttempt, PriorExecution, SlowStart, TrafficClass
 
-RATE_SPAN_MS = 1000.0  # time constant of an arrival rate; a shorter one takes chance for a burst
-CLASS_SAMPLES = 100  # responses over which the mean latency of a class is taken
-WINDOW_DECAY = 0.9  # factor on sums at each window's end
-MIN_REPORTED_UTILISATION = 0.0005  # of an endpoint that serves requests: reports may be rounded to 0
+RATE_SPAN_MS = 1000.0  # time constant of arrival rates; with a shorter one chance looks like a burst
+CLASS_SAMPLES = 100  # responses over which the mean latency of a class is computed
+WINDOW_DECAY = 0.9  # factor on decaying sums at the end of each window
+MIN_REPORTED_UTILISATION = 0.0005  # of an endpoint that serves requests: its report may be rounded to 0
 
 
 @dataclass(slots=True, eq=False)
@@ -39,12 +39,12 @@
     """
 
     recent: float = 1.0  # smoothed mean ratio
-    lowest: float = 1.0  # lowest mean ratio of the latest windows, taken for an idle endpoint's
-    total: float = 0.0  # sum of the ratios since the last mean
-    count: float = 0.0  # number of them
-    window_means: list[float] = field(default_factory=list)  # of the latest windows, oldest first
-    reported_rate: float = 0.0  # decaying sum of reported requests per second, of warm endpoints
-    reported_use: float = 0.0  # decaying sum of reported utilisation times listed weight
+    lowest: float = 1.0  # lowest mean ratio of the latest windows: that of an idle endpoint
+    total: float = 0.0  # sum of the ratios since the latest window mean
+    count: float = 0.0  # number of ratios in `total`
+    window_means: list[float] = field(default_factory=list)  # mean ratios of the latest windows, oldest first
+    reported_rate: float = 0.0  # decaying sum of requests per second reported by warm endpoints
+    reported_use: float = 0.0  # decaying sum of their reported utilisation times listed weight
 
     def add(self, ratio: float) -> None:
         """Add the latency ratio of one attempt."""
@@ -52,16 +52,16 @@
         self.count += 1
 
     def add_report(self, requests_per_s: float, utilisation: float, listed_weight: float) -> None:
-        """Add the load report of a warm endpoint; one of weight 0 says nothing about those of weight 1."""
+        """Add the load report of a warm endpoint. One of weight 0 can't be scaled to weight 1, and is ignored."""
         if listed_weight <= 0:
             return
         self.reported_rate += requests_per_s
         self.reported_use += utilisation * listed_weight
 
     def end_window(self, min_samples: int, max_windows: int) -> None:
-        """Decay the reported sums; with `min_samples` or more, take a new mean of the ratios.
+        """Decay the reported sums and, if there are at least `min_samples` ratios, add their mean.
 
-        The lowest mean is that of the last `max_windows` windows.
+        `lowest` becomes the lowest mean of the last `max_windows` windows.
         """
         self.reported_rate *= WINDOW_DECAY
         self.reported_use *= WINDOW_DECAY
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class FadingRate:
-    """Events per ms, weighted by an exponential decay with the time constant `RATE_SPAN_MS`."""
+    """Rate of events per ms, as an average with exponential decay and the time constant `RATE_SPAN_MS`."""
 
     per_ms: float = 0.0
     updated_at: float = 0.0
@@ -97,50 +97,50 @@
     """What this balancer has observed of one process of an endpoint."""
 
     endpoint: Endpoint
-    profile: LatencyProfile  # of its kind
+    profile: LatencyProfile  # of the endpoints of its kind
     updated_at: float  # time to which the sums of `fade` have decayed
     credit_at: float  # time to which `slow_start_credit` has accrued
     listed_weight: float = 1.0
     selection_weight: float = 0.0
     in_flight: int = 0  # this balancer's attempts in flight
-    expected_rate: float = 0.0  # responses per ms expected of those, by their classes' mean latencies
+    expected_rate: float = 0.0  # responses per ms expected of these, by their classes' mean latencies
     window_answers: int = 0  # successful responses in the current window
     latency_ratio_sum: float = 0.0  # decaying sum of latency ratios
-    latency_samples: float = 0.0  # decaying number of them
+    latency_samples: float = 0.0  # decaying number of these ratios
     successes: float = 0.0  # decaying number of attempts that met the latency objective
-    failures: float = 0.0  # decaying number of the others
-    latency_ratio: float = 1.0  # mean ratio, shrunk toward that of its kind
-    success_rate: float = 1.0  # fraction of successes, shrunk toward that of the tier
-    slow_start_credit: float = 0.0  # requests of mean cost that may be sent while it is warming up
+    failures: float = 0.0  # decaying number of attempts that missed it or failed
+    latency_ratio: float = 1.0  # mean ratio, shrunk towards the mean of its kind
+    success_rate: float = 1.0  # fraction of successes, shrunk towards that of the tier
+    slow_start_credit: float = 0.0  # requests of mean cost that may be sent in slow start
     slow_start_rate: float = 0.0  # credit accrued per ms
-    last_heard_at: float = 0.0  # its last response, or the first attempt since none was in flight
-    unresponsive: bool = False  # more responses are overdue than chance explains
-    utilisation: float | None = None  # as last reported
+    last_response_at: float = 0.0  # its last response, or the first attempt after none was in flight
+    unresponsive: bool = False  # more responses are overdue than random variation explains
+    utilisation: float | None = None  # from its latest load report
     utilisation_at: float = 0.0
     last_report: tuple[float | None, float | None] = (None, None)  # utilisation, requests per second
     reported_rate_sum: float = 0.0  # decaying sum of reported requests per second
     reported_use_sum: float = 0.0  # decaying sum of reported utilisation
     last_report_at: float = 0.0
-    consecutive_misses: int = 0  # attempts since the last one that met its objective
+    consecutive_misses: int = 0  # attempts since the latest that met its objective
     ejected_until: float = 0.0  # 0: not ejected
-    suspected_draining: bool = False  # ejected until the next list, which may show it draining
-    started_at: float = 0.0  # its start by the list, or its readmission by an operator; 0: long ago
-    available: bool = False  # may be sent requests, by list and operators
-    estimated_capacity: float = 1.0  # requests per second for all balancers; without reports its weight
-    assured_capacity: float = 1.0  # the same, at most what slow start allows its kind
+    suspected_draining: bool = False  # ejected until the next list, which may list it as draining
+    started_at: float = 0.0  # process start by the list, or readmission by an operator; 0: long ago
+    available: bool = False  # listed as ready and not ejected by an operator
+    estimated_capacity: float = 1.0  # requests per second for all balancers; without reports, its weight
+    assured_capacity: float = 1.0  # the same, limited to the capacity that its kind, weight and age suggest
 
     def warm_fraction(self, now: float, slow_start: SlowStart) -> float:
         """Fraction of its full capacity available now, by the linear slow-start ramp."""
-        age_ms = max(now - self.started_at, 0.0)  # its clock may be ahead
+        age_ms = max(now - self.started_at, 0.0)  # the clock of the list may be ahead
         if self.started_at <= 0 or age_ms >= slow_start.warmup_ms:
             return 1.0
         initial = slow_start.initial_capacity
         return initial + (1 - initial) * age_ms / slow_start.warmup_ms
 
     def is_ejected(self, now: float) -> bool:
-        """Whether it is ejected; when the ejection expires, the observations before it are dropped.
+        """Whether it is ejected now. Once the ejection has expired, drops the observations made before it.
 
-        With them its weight would stay too low for the requests that would show its recovery.
+        With them its weight would stay too low to get the requests that would show its recovery.
         """
         if 0 < self.ejected_until <= now:
             self.ejected_until = 0.0
@@ -172,7 +172,7 @@
         self.updated_at = now
 
     def reset_evidence(self) -> None:
-        """Drop all observed and reported sums."""
+        """Reset the sums of observations and reports."""
         self.latency_ratio_sum = 0.0
         self.latency_samples = 0.0
         self.successes = 0.0
@@ -181,10 +181,10 @@
         self.reported_use_sum = 0.0
 
     def is_forgotten(self, now: float, max_age_ms: float) -> bool:
-        """Whether its observations are older than `max_age_ms` and nothing depends on them."""
+        """Whether its observations are older than `max_age_ms` and no longer needed."""
         if self.in_flight or self.unresponsive or self.ejected_until:
             return False
-        return now - max(self.updated_at, self.last_report_at, self.last_heard_at) > max_age_ms
+        return now - max(self.updated_at, self.last_report_at, self.last_response_at) > max_age_ms
 
     def add_report(self, now: float, memory_ms: float, utilisation: float, requests_per_s: float) -> None:
         """Add a load report to the sums of reports, which decay with the time constant `memory_ms`."""
@@ -199,25 +199,25 @@
     """One attempt of a request at an endpoint."""
 
     target: EndpointStatistics
-    listed: Endpoint  # the target's entry when it was sent: a later list may give another zone or cell
+    listed: Endpoint  # the target's list entry at sending: a later list may give another zone or cell
     sent_at: float
-    open: bool = True  # not ended yet
+    open: bool = True  # has not ended yet
     may_have_run: bool = True  # the endpoint may have executed the request
-    in_flight: bool = False  # counted as load: the endpoint has the request's entire body
-    expected_rate: float = 0.0  # responses per ms expected of it, by its class's mean latency
+    in_flight: bool = False  # counted as load, since the endpoint has the request's entire body
+    expected_rate: float = 0.0  # responses per ms, by the mean latency of its class
 
     def count_in_flight(self, now: float) -> None:
-        """Count it as load on its endpoint from now on."""
+        """Count the attempt as load on its endpoint from now on."""
         endpoint = self.target
         if not endpoint.in_flight:
-            endpoint.last_heard_at = now
+            endpoint.last_response_at = now
         self.sent_at = now
         self.in_flight = True
         endpoint.in_flight += 1
         endpoint.expected_rate += self.expected_rate
 
     def end(self, may_have_run: bool) -> None:
-        """Close it; `in_flight` still tells whether it was counted as load."""
+        """Mark the attempt as ended. `in_flight` keeps its value: whether the attempt was counted as load."""
         self.open = False
         self.may_have_run = may_have_run
         if self.in_flight:
@@ -229,8 +229,8 @@
 class Request:
     """A request from its arrival until it is answered and all its attempts have ended.
 
-    Its class and what it permits are those of the settings at its arrival, up to its end. Restricted mode is none of
-    them: it applies to open requests at once.
+    Its class and permissions are those of the settings at its arrival, even if the settings change. Restricted mode is
+    the exception: it applies to open requests at once.
     """
 
     name: str
@@ -241,7 +241,7 @@
     objective: float  # time after which a response has less value
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
-    streaming: bool = False  # its response has begun
+    streaming: bool = False  # its streamed response has begun
     single_use_body: bool = False
     preferred_endpoint: str = ""
     prior_execution: PriorExecution | None = None
--- a/limenotch/balancing/hedging.py
+++ b/limenotch/balancing/hedging.py
@@ -1,7 +1,7 @@
-"""Hedging: whether a request gets a second attempt while the first is out, at once or when that is overdue.
+"""Hedging: whether a request gets a second attempt while the first is in flight, at once or when overdue.
 
-An urgent request that may be repeated gets one if formula (1) of the source paper gives the pair a higher
-chance to be on time, with the effect of the added load on all other requests included.
+An urgent request that may be repeated is hedged if formula (1) of the source paper gives the pair a higher
+probability of a response in time, including the effect of the added load on all other requests.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from math import exp
 
 from .actions import Action
-from .balancer_state import BURST, BalancerState
+from .balancer_state import BURST_REQUESTS, BalancerState
 from .endpoint_selection import (
     MIN_TOLERANT_LATE_WEIGHT,
     allowed_candidates,
@@ -21,11 +21,11 @@
 from .outlier_detection import OVERDUE_MULTIPLE, check_unresponsive
 from .types import Effect
 
-# Hedged requests and retries per recent request. The limit keeps them from multiplying over the tiers.
-RETRIES = 0.2
-# Service times: with more time left, any endpoint under two thirds load answers in time without hedging.
+# Hedged attempts and retries per admitted request. The limit keeps them from multiplying over the tiers.
+RETRY_BUDGET_RATIO = 0.2
+# In service times. With more time left, any endpoint below two thirds load responds in time without hedging.
 MAX_URGENT_SERVICE_TIMES = 10.0
-# Fraction of requests that are not hedgeable, up to which the effect on them is ignored.
+# Up to this fraction of requests that can't be hedged, the effect on them is ignored.
 MIN_UNHEDGEABLE_FRACTION = 0.01
 
 
@@ -49,23 +49,23 @@
 
 
 def hedge_delay(state: BalancerState, request: Request, endpoint: EndpointStatistics) -> float:
-    """Ms that a lone attempt may be out before hedging is considered again."""
+    """Time in ms that a single attempt may be in flight before hedging is considered again."""
     return max(OVERDUE_MULTIPLE * request.class_latency.mean_ms * endpoint.latency_ratio, state.window_ms / 8)
 
 
 def miss_probability(
     state: BalancerState, now: float, request: Request, endpoint: EndpointStatistics, load: float
 ) -> float:
-    """Probability that an attempt fails, or waits longer than the time left less the service time.
+    """Probability that an attempt fails or, given the time left, waits too long to respond in time.
 
-    `load` is the utilisation of the endpoint, from 0 to 1; the wait is that of a queue with one server.
+    `load` is the utilisation of the endpoint, from 0 to 1. The wait is that of a queue with one server.
     """
     # The service time at an idle endpoint of this kind, in ms.
-    service = max(request.class_latency.mean_ms * endpoint.profile.lowest, 1e-3)
-    limit = request.deadline - now - service
-    if load >= 1 or limit <= 0:
+    service_ms = max(request.class_latency.mean_ms * endpoint.profile.lowest, 1e-3)
+    max_wait_ms = request.deadline - now - service_ms
+    if load >= 1 or max_wait_ms <= 0:
         return 1.0
-    return 1 - endpoint.success_rate * (1 - load * exp(-(1 - load) * limit / service))
+    return 1 - endpoint.success_rate * (1 - load * exp(-(1 - load) * max_wait_ms / service_ms))
 
 
 def hedge_pays_off(
@@ -76,7 +76,7 @@
     second: EndpointStatistics,
     hedged_fraction: float,
 ) -> bool:
-    """Formula (1), P = p_urgent * p_lax: whether P is higher with `hedged_fraction` of requests hedged."""
+    """Whether hedging `hedged_fraction` of the requests raises P = p_urgent * p_lax of formula (1)."""
     current_hedged_fraction = state.hedged / max(state.arrivals, 1)
     unhedgeable_fraction = 1 - state.hedgeable / max(state.arrivals, 1)
     # A tier that was never idle has no low mean latency: the use of the concurrency limit shows its load.
@@ -103,11 +103,11 @@
     endpoint: EndpointStatistics,
     unbudgeted: bool = False,
 ) -> bool:
-    """Whether settings, attempts, retry budget and the retry policy allow a hedged attempt at this endpoint.
+    """Whether settings, number of attempts, retry budget and retry policy allow a hedged attempt there.
 
-    `unbudgeted` leaves the retry budget out.
+    With `unbudgeted`, the retry budget is not checked.
     """
-    budget_spent = state.retry_budget < BURST / 2 and not unbudgeted
+    budget_spent = state.retry_budget < BURST_REQUESTS / 2 and not unbudgeted
     if (
         request.single_use_body
         or not request.may_hedge
@@ -115,12 +115,12 @@
         or budget_spent
     ):
         return False
-    # The endpoint may have been drawn from outside the group that drops this request's duplicates.
+    # The endpoint may be outside the deduplication group that drops duplicates of this request.
     return endpoint in allowed_candidates(state, now, request)[0]
 
 
 def handle_overdue_attempt(state: BalancerState, now: float, request: Request, actions: list[Action]) -> None:
-    """Consider a second attempt for a request whose only open attempt is overdue; append what follows."""
+    """Consider a second attempt for a request whose only open attempt is overdue; append the actions."""
     first = next(attempt for attempt in request.attempts if attempt.open).target
     second = draw_endpoint(state, now, request, first)
     if (
@@ -137,14 +137,14 @@
     )
     if second is None or not urgent or not hedge_allowed(state, now, request, second):
         return
-    # The request may be late because it is costly, and a hedged attempt would cost as much: only the other
+    # The request may be overdue because it is costly, and a hedged attempt would cost as much: only the other
     # requests of its endpoint show whether another endpoint is better.
     better = short_wait_probability(state, second) > short_wait_probability(state, first)
-    if better and hedge_pays_off(state, now, request, first, second, RETRIES):
-        state.record_send(now, request, second, actions, copy=1)
+    if better and hedge_pays_off(state, now, request, first, second, RETRY_BUDGET_RATIO):
+        state.record_send(now, request, second, actions, hedges=1)
 
 
 def _is_short_of_time(now: float, request: Request, endpoint: EndpointStatistics) -> bool:
-    """Whether the time left is at most MAX_URGENT_SERVICE_TIMES at an idle endpoint of this kind."""
-    service = request.class_latency.mean_ms * endpoint.profile.lowest
-    return request.deadline - now <= service * MAX_URGENT_SERVICE_TIMES
+    """Whether the time left is at most MAX_URGENT_SERVICE_TIMES of an idle endpoint of this kind."""
+    service_ms = request.class_latency.mean_ms * endpoint.profile.lowest
+    return request.deadline - now <= service_ms * MAX_URGENT_SERVICE_TIMES
--- a/limenotch/balancing/learned_state.py
+++ b/limenotch/balancing/learned_state.py
@@ -1,6 +1,6 @@
-"""Export and import of what a balancer has learnt, for the process that replaces it.
+"""Export and import of what a balancer has learnt about its tier, for the process that replaces it.
 
-Requests, attempts and slow-start credit are not exported: the old process may still use them.
+Requests, attempts and slow-start credit are not exported, since the old process may still use them.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     "reported_use_sum",
     "last_report_at",
 )
-MAX_WINDOW_MEANS = 64  # window means accepted in a profile
+MAX_WINDOW_MEANS = 64  # maximum number of window means accepted in a profile
 
 
 class ImportedProfile(NamedTuple):
@@ -55,7 +55,7 @@
 
 
 def export_state(balancer: Balancer) -> dict[str, Any]:
-    """JSON object that `import_state` of the same version reads."""
+    """Export the learnt state as a JSON object, which `import_state` of the same version reads."""
     return {
         "version": VERSION,
         "scalars": [getattr(balancer, field) for field in BALANCER_FIELDS],
@@ -76,9 +76,9 @@
 
 
 def import_state(balancer: Balancer, exported: Any) -> None:
-    """Take over an exported state; call it once the balancer has its endpoint list.
+    """Import an exported state into a balancer that already has its endpoint list.
 
-    Raises ValueError, with the balancer unchanged, for another version or malformed values.
+    Raises ValueError, and leaves the balancer unchanged, for another version or malformed values.
     """
     state = _check_state(exported)
     _set_fields(balancer, BALANCER_FIELDS, state.balancer)
@@ -104,9 +104,9 @@
 
 def _check_state(exported: Any) -> ImportedState:
     if not isinstance(exported, dict):
-        raise ValueError("knowledge: of another version")
+        raise ValueError("learned state: unsupported version")
     if exported.get("version") is True or exported.get("version") != VERSION:
-        raise ValueError("knowledge: of another version")
+        raise ValueError("learned state: unsupported version")
     endpoint_values = 1 + len(ENDPOINT_FIELDS)
     return ImportedState(
         balancer=_check_numbers(exported.get("scalars"), len(BALANCER_FIELDS)),
@@ -132,17 +132,17 @@
 
 def _import_profile(profile: LatencyProfile, imported: ImportedProfile) -> None:
     _set_fields(profile, PROFILE_FIELDS, imported.fields)
-    if not profile.reported_use:  # an earlier version took reports of no utilisation at some rate
+    if not profile.reported_use:  # an earlier version accepted reports of a rate without utilisation
         profile.reported_rate = 0.0
     profile.window_means = list(imported.window_means)
 
 
 def _check_profile(exported: Any) -> ImportedProfile:
     if not isinstance(exported, list) or not exported or not isinstance(exported[-1], list):
-        raise ValueError("knowledge: a mean")
+        raise ValueError("learned state: malformed latency profile")
     *fields, window_means = exported
     if len(window_means) > MAX_WINDOW_MEANS:
-        raise ValueError("knowledge: a mean")
+        raise ValueError("learned state: malformed latency profile")
     return ImportedProfile(
         _check_numbers(fields, len(PROFILE_FIELDS)),
         _check_numbers(window_means, len(window_means)),
@@ -151,14 +151,14 @@
 
 def _check_table(exported: Any) -> dict[str, Any]:
     if not isinstance(exported, dict):
-        raise ValueError("knowledge: expected a table")
+        raise ValueError("learned state: expected an object")
     return exported
 
 
 def _check_numbers(exported: Any, count: int) -> list[float]:
     if not isinstance(exported, list) or len(exported) != count:
-        raise ValueError(f"knowledge: expected {count} numbers")
+        raise ValueError(f"learned state: expected {count} numbers")
     for value in exported:
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < math.inf:
-            raise ValueError("knowledge: expected a number of 0 or more")
+            raise ValueError("learned state: expected a number of 0 or more")
     return [float(value) for value in exported]
--- a/limenotch/balancing/quota_bucket.py
+++ b/limenotch/balancing/quota_bucket.py
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True)
 class QuotaBucket:
-    """Requests that a tenant may still send within its quota."""
+    """Token bucket of one tenant, with one token for each request within its quota."""
 
-    saved: float  # requests
-    updated_at: float = 0.0  # ms
+    tokens: float  # requests that may be sent now
+    updated_at: float = 0.0  # time to which `tokens` is filled, in ms
 
     def take_request(self, now: float, per_ms: float, capacity: float) -> bool:
-        """Refill at `per_ms` up to `capacity`, then take one request; return whether there was one."""
-        saved = min(self.saved + (now - self.updated_at) * per_ms, capacity)
-        self.saved = max(saved - 1, min(saved, 0.0))
+        """Refill at `per_ms` up to `capacity`, take one token, and return whether there was one."""
+        tokens = min(self.tokens + (now - self.updated_at) * per_ms, capacity)
+        self.tokens = max(tokens - 1, min(tokens, 0.0))
         self.updated_at = now
-        return saved >= 1
+        return tokens >= 1
--- a/limenotch/balancing/retry_policy.py
+++ b/limenotch/balancing/retry_policy.py
@@ -1,7 +1,7 @@
 """Retry policy: where and until when a request that may have been executed may be executed again.
 
-Endpoint selection and rejections follow it, and the network asks once more right before the first byte of an
-attempt.
+Endpoint selection and rejections apply it, and the network code checks it again right before it sends the
+first byte of an attempt.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def dedup_group(scope: DedupScope, zone: Hashable, cell: Hashable) -> Hashable:
-    """The key of the group of endpoints that drop each other's duplicates."""
+    """The key of the deduplication group: the endpoints that drop duplicates of each other's requests."""
     return {DedupScope.ALL: None, DedupScope.ZONE: zone, DedupScope.CELL: cell}[scope]
 
 
@@ -25,7 +25,7 @@
 ) -> bool:
     """Whether the request may run at `at_ms` at an endpoint of this zone and cell.
 
-    Without a zone and a cell the answer is for an endpoint anywhere.
+    Without a zone and a cell, whether it may run at any endpoint.
     """
     may_have_run = [attempt for attempt in earlier if attempt.may_have_run]
     if not may_have_run or traffic_class.effect is not Effect.DEDUPLICATED:
--- a/limenotch/balancing/selection_tables.py
+++ b/limenotch/balancing/selection_tables.py
@@ -1,4 +1,4 @@
-"""Tables of candidates with running sums of their weights, from which endpoints are drawn."""
+"""Tables of candidates with cumulative weights, from which endpoints are drawn at random."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
     from .balancer_state import BalancerState
 
 SelectionTable = tuple[list[EndpointStatistics], list[float]]
-"""Endpoints, and the running sums of their selection weights."""
+"""Endpoints, and their cumulative selection weights."""
 
-# Lowest estimated capacity: every endpoint that is not ejected can be chosen.
+# Lowest estimated capacity. It is above 0 so that every endpoint that is not ejected can be drawn.
 MIN_CAPACITY = 1e-9
 
 
@@ -23,7 +23,7 @@
 
 
 def update_selection_tables(state: BalancerState, candidates: list[EndpointStatistics]) -> None:
-    """Renew the tables of all candidates after their weights."""
+    """Rebuild the tables after the weights of all candidates were updated."""
     state.candidates = selection_table(candidates)
     live_capacity = sum(endpoint.estimated_capacity for endpoint in candidates if endpoint.selection_weight)
     capacity = sum(endpoint.estimated_capacity for endpoint in candidates)
@@ -36,7 +36,7 @@
 
 
 def use_listed_weights(state: BalancerState, now: float) -> None:
-    """Weights that need no observations, for all available endpoints. Slow start goes on as before."""
+    """Set the weights of all available endpoints to the listed ones. Slow start continues as before."""
     candidates = [endpoint for members in state.by_locality for endpoint in members]
     for endpoint in candidates:
         endpoint.estimated_capacity = max(endpoint.listed_weight, MIN_CAPACITY)
--- a/limenotch/balancing/served_rate.py
+++ b/limenotch/balancing/served_rate.py
@@ -1,4 +1,4 @@
-"""The rate that warm endpoints have shown to serve, from which slow start is computed where none report load."""
+"""The rate of responses that warm endpoints have served. Slow start is based on it where none reports load."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from .endpoint_statistics import EndpointStatistics
 
 RATE_SMOOTHING = 0.2  # weight of a new window in a mean over windows
-MIN_WEIGHT = 1e-9  # a sum of listed weights up to this is 0, with what sums of floats leave behind
+MIN_WEIGHT = 1e-9  # a sum of listed weights up to this counts as 0, because of rounding
 
 
 @dataclass(slots=True, eq=False)
 class ServedRate:
-    """Responses per second and unit of weight; the rates of all balancers add up to the tier's.
+    """Responses per second and unit of listed weight; the rates of all balancers add up to the tier's.
 
-    Before a warm endpoint has responded it is the arrival rate. It falls no lower than the arrival rate, since overload
-    does not lessen capacity, and stays as it is while no endpoint is warm. Without any weight there is no rate per unit
-    of it: while no endpoint is listed, or all have weight 0, it stays as it is too.
+    Until a warm endpoint has responded, the rate is the arrival rate. Later it does not fall below the arrival rate,
+    since overload does not reduce capacity. It stays unchanged while no endpoint is warm, and also while no endpoint is
+    listed or all have weight 0, since there is no rate per unit of weight then.
     """
 
     per_weight: float = 0.0
-    is_proved: bool = False  # a warm endpoint has responded
+    is_measured: bool = False  # whether a warm endpoint has responded
 
     def end_window(
         self,
@@ -31,7 +31,7 @@
         arrivals_per_s: float,
         span_ms: float,
     ) -> None:
-        """Add a window of `span_ms` ms, and begin to count the responses of the next one."""
+        """Add the rate of a window of `span_ms` ms, and reset the endpoints' response counts for the next one."""
         if available.total_weight > MIN_WEIGHT:
             has_warm = available.warm_count > 0 and available.warm_weight > MIN_WEIGHT
             responses = sum(each.window_answers for each in observed if available.is_warm(each))
@@ -41,11 +41,11 @@
             endpoint.window_answers = 0
 
     def _add(self, arrival_rate: float, response_rate: float, has_warm: bool) -> None:
-        if response_rate and not self.is_proved:
+        if response_rate and not self.is_measured:
             self.per_weight = response_rate
-            self.is_proved = True
-        elif self.is_proved and has_warm:
+            self.is_measured = True
+        elif self.is_measured and has_warm:
             target = max(response_rate, min(self.per_weight, arrival_rate))
             self.per_weight += (target - self.per_weight) * RATE_SMOOTHING
-        elif not self.is_proved and not has_warm:
+        elif not self.is_measured and not has_warm:
             self.per_weight += (arrival_rate - self.per_weight) * (RATE_SMOOTHING if self.per_weight else 1.0)
--- a/limenotch/balancing/settings.py
+++ b/limenotch/balancing/settings.py
@@ -1,6 +1,6 @@
 """Reads the settings object of a balancer: checks its values and maps its keys to the fields of `types`.
 
-Errors are ValueErrors that begin with the path of the key.
+Errors are ValueErrors whose text begins with the path of the key.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def _required(source: dict[str, Any], key: str, default: Any = None) -> Any:
-    """The value of a key that must be given if it has no default."""
+    """The value at a key, or its default. Raises ValueError if both are missing."""
     value = source.get(key, default)
     if value is None:
         raise ValueError(f"{key}: missing")
@@ -31,7 +31,7 @@
 def _number(source: dict[str, Any], key: str, default: float | None = None) -> float:
     """A finite number."""
     value = _required(source, key, default)
-    # Python's json accepts NaN and Infinity, and NaN passes every check for a lower limit.
+    # Python's json module accepts NaN and Infinity, and NaN passes any check written as `value < minimum`.
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not isfinite(value):
         raise ValueError(f"{key}: expected a number")
     return float(value)
@@ -54,7 +54,7 @@
 
 
 def _traffic_class(entry: Any, path: str) -> TrafficClass:
-    """One entry of `classes`; `path` begins the text of errors."""
+    """One entry of `classes`. Error messages begin with `path`."""
     if not isinstance(entry, dict):
         raise ValueError(f"{path}: expected an object")
     try:
@@ -79,7 +79,7 @@
         raise ValueError("classes: expected a list")
     classes = [_traffic_class(entry, f"classes[{number}]") for number, entry in enumerate(listed)]
     if len({cls.name for cls in classes}) < len(classes):
-        raise ValueError("classes: two of one name")
+        raise ValueError("classes: two classes with the same name")
     return tuple(classes)
 
 
@@ -93,7 +93,7 @@
 
 
 def read_settings(source: dict[str, Any]) -> BalancerSettings:
-    """The settings of one balancer from the object `source`; unknown keys are ignored.
+    """Read the settings of one balancer from the object `source`. Unknown keys are ignored.
 
     Raises ValueError, beginning with the path of the key, for a value that is missing or out of range.
     """
--- a/limenotch/balancing/simulator_adapter.py
+++ b/limenotch/balancing/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Adapter to the simulator's wire on standard input and output; one Balancer per instance, nothing shared.
+"""Adapter to the simulator's wire protocol on standard input and output, with one Balancer per instance.
 
-This module only translates between the wire's names and the package's own. Every decision is made in the
-files that deploy/balancer.toml names under `policy`.
+The instances share no state. This module only translates between the names of the protocol and those of the
+package. All decisions are made in the files that deploy/balancer.toml lists under `policy`.
 """
 
 from __future__ import annotations
@@ -44,13 +44,13 @@
     "broken": MembershipKind.UNAVAILABLE,
 }
 ENDPOINT_STATES = {state.value: state for state in EndpointState}
-# Results of health checks and messages of peers are not used.
+# Results of health checks and messages of peers: the balancer does not use them.
 IGNORED_EVENTS = frozenset({"CHECKED", "PEER_DATA"})
-MAX_SHEETS = 16  # endpoint lists that the wire numbers, from 0
+MAX_ENDPOINT_LISTS = 16  # endpoint lists ("sheets" on the wire), numbered from 0
 
 
 class WireError(Exception):
-    """A line breaks the wire's grammar; the text says what was expected."""
+    """A line that breaks the grammar of the wire protocol. The message says what was expected."""
 
 
 def _parse_fields(parts: list[str]) -> dict[str, str]:
@@ -58,7 +58,7 @@
     try:
         return dict([part.split("=", 1) for part in parts])
     except ValueError:
-        raise WireError("expected name=value pairs set apart by one space") from None
+        raise WireError("expected name=value pairs separated by one space") from None
 
 
 def _parse_row(line: str) -> Endpoint:
@@ -79,7 +79,7 @@
 
 
 def _parse_load_report(report: str | None) -> tuple[float | None, float | None]:
-    """Utilisation and requests per s; None for what the report lacks."""
+    """Utilisation and requests per s of a load report; None for a value that it lacks."""
     values = dict(pair.split(":", 1) for pair in (report or "").split(",") if ":" in pair)
     utilisation = values.get("util")
     requests_per_s = values.get("qps")
@@ -87,7 +87,7 @@
 
 
 def _parse_event(name: str, fields: dict[str, str]) -> Event:
-    """An event other than an instance's start and stop and its endpoint list.
+    """Parse an event other than the start, stop and endpoint list of an instance.
 
     Raises WireError, KeyError or ValueError.
     """
@@ -117,11 +117,11 @@
         return ResponseStarted(
             fields["handle"], fields["upstream"], int(fields["copy"]), float(fields["spent_ms"])
         )
-    raise WireError("expected an event of the wire")
+    raise WireError("expected an event of the wire protocol")
 
 
 def _format_action(action: Action, balancer_id: str) -> str:
-    """The line of the wire for an action."""
+    """The line of the wire protocol for an action."""
     if isinstance(action, SendAttempt):
         return (
             f"RELAY balancer_id={balancer_id} handle={action.request} "
@@ -146,16 +146,16 @@
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         """Read from `source` and write to `sink` once `run` is called."""
-        self.line_number = 0  # of the line read last, from 1
+        self.line_number = 0  # number of the line that was read last, from 1
         self._source = source
         self._sink = sink
-        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the wire's sheet number
+        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by sheet number
         self._balancers: dict[str, Balancer] = {}  # by instance
 
     def run(self) -> None:
-        """Handle batches until the input ends.
+        """Handle all batches until the end of the input.
 
-        Raises WireError, KeyError, ValueError or IndexError for a line that can't be read.
+        Raises WireError, KeyError, ValueError or IndexError for a malformed line.
         """
         lines = self._read_lines()
         for line in lines:
@@ -183,7 +183,7 @@
         raise WireError("expected EOF_BATCH before the end of input")
 
     def _handle_line(self, now: float, line: str, lines: Iterator[str]) -> list[str]:
-        """Handle one event; return the lines of the reply. `lines` gives the rows of an endpoint list."""
+        """Handle one event and return the lines of the reply. The rows of an endpoint list are read from `lines`."""
         head, _, settings_json = line.partition(" env=")
         parts = head.split(" ")
         name, fields = parts[0], _parse_fields(parts[1:])
@@ -212,8 +212,8 @@
 
     def _register_endpoint_list(self, fields: dict[str, str], lines: Iterator[str]) -> None:
         number = int(fields["sheet"])
-        if not 0 <= number < MAX_SHEETS:
-            raise WireError(f"expected a sheet from 0 to {MAX_SHEETS - 1}")
+        if not 0 <= number < MAX_ENDPOINT_LISTS:
+            raise WireError(f"expected a sheet from 0 to {MAX_ENDPOINT_LISTS - 1}")
         endpoints = []
         for _ in range(int(fields["hosts"])):
             row = next(lines, None)
@@ -233,7 +233,7 @@
 
 
 def main() -> int:
-    """Run on standard input and output; return the exit code: 0, or 2 after a line that can't be read."""
+    """Run on standard input and output; return the exit code: 0, or 2 after a malformed line."""
     adapter = SimulatorAdapter(sys.stdin, sys.stdout)
     try:
         adapter.run()
--- a/limenotch/balancing/subsetting.py
+++ b/limenotch/balancing/subsetting.py
@@ -1,8 +1,9 @@
-"""Deterministic subsetting: the part of a tier that one balancer sends to.
+"""Deterministic subsetting: chooses the endpoints of a tier to which one balancer sends requests.
 
-A balancer with few requests can't learn enough of a large tier, and connections from every client to every
-endpoint would fill the endpoints' connection tables. Each balancer takes one stretch of an order that all
-agree on. The stretches start at even distances, so that all endpoints are covered.
+A balancer with few requests can't learn enough about a large tier, and connections from every balancer to
+every endpoint would fill the endpoints' connection tables. Each balancer takes one contiguous range of the
+ring order, which is the same for all balancers. The ranges start at even distances, so that all endpoints
+are covered.
 """
 
 from __future__ import annotations
@@ -11,18 +12,21 @@
 
 from .endpoint_statistics import EndpointStatistics
 
-# Endpoints per request in flight: our own requests in flight then show the queue of each.
+# Endpoints per request in flight: a balancer's own requests in flight then show the queue of each endpoint.
 ENDPOINTS_PER_REQUEST = 1.0
-# Balancers that send to each endpoint at least, so that none depends on one balancer.
+# Minimum number of balancers that send to an endpoint, so that no endpoint depends on one balancer.
 MIN_BALANCERS_PER_ENDPOINT = 4.0
-# Endpoints at least, so that a faulty one is a small part.
+# Minimum number of endpoints, so that a faulty endpoint gets only a small share of the requests.
 MIN_SUBSET_SIZE = 8
 
 
 def subset(
-    groups: Sequence[list[EndpointStatistics]], in_flight: float, rank: int, balancers: int
+    groups: Sequence[list[EndpointStatistics]], in_flight: float, balancer_index: int, balancers: int
 ) -> list[list[EndpointStatistics]]:
-    """One stretch of each group, for balancer `rank` (from 0) of `balancers` with `in_flight` requests."""
+    """One range of each group, for balancer number `balancer_index` (from 0) of `balancers`.
+
+    `in_flight` is the mean number of its requests in flight.
+    """
     subsets: list[list[EndpointStatistics]] = []
     for group in groups:
         size = int(
@@ -32,9 +36,9 @@
                 MIN_BALANCERS_PER_ENDPOINT * len(group) / balancers,
             )
         )
-        start = rank * len(group) // balancers % max(len(group), 1)
-        stretch = group[start : start + size]
-        # A stretch that reaches the end goes on at the beginning of the group.
-        wrapped = group[: min(size - len(stretch), start)]
-        subsets.append(stretch + wrapped)
+        start = balancer_index * len(group) // balancers % max(len(group), 1)
+        first_part = group[start : start + size]
+        # A range that reaches the end continues at the beginning of the group.
+        wrapped_part = group[: min(size - len(first_part), start)]
+        subsets.append(first_part + wrapped_part)
     return subsets
--- a/limenotch/balancing/types.py
+++ b/limenotch/balancing/types.py
@@ -1,4 +1,4 @@
-"""Values that events and actions carry, and the balancer's settings.
+"""Value types used in events and actions, and the balancer's settings.
 
 Times are in ms of one monotonic clock; durations are in ms too.
 """
@@ -15,9 +15,9 @@
 class Effect(Enum):
     """What a second execution of a request would do."""
 
-    IDEMPOTENT = "idempotent"  # nothing: it may be repeated at will
-    DEDUPLICATED = "deduplicated"  # it is dropped by the endpoints of one group, for a time
-    AT_MOST_ONCE = "at_most_once"  # harm: it must not run twice
+    IDEMPOTENT = "idempotent"  # no effect: the request may be repeated at any time
+    DEDUPLICATED = "deduplicated"  # the endpoints of one group drop it, for a limited time
+    AT_MOST_ONCE = "at_most_once"  # harm: the request must not run twice
 
 
 class DedupScope(Enum):
@@ -29,7 +29,7 @@
 
 
 class EndpointState(Enum):
-    """State of an endpoint by the endpoint list."""
+    """State of an endpoint, as listed by discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -65,11 +65,11 @@
     name: str
     effect: Effect
     latency_objective_ms: float  # a request answered within this counts with its full weight
-    deadline_ms: float  # how long the client waits at most
-    priority_weight: float = 1.0  # what an answer counts, against those of other classes
+    deadline_ms: float  # how long the client waits at most, over all its retries
+    priority_weight: float = 1.0  # value of an answer, relative to those of other classes
     late_weight: float = 0.0  # fraction of the weight that an answer after the objective keeps
     dedup_scope: DedupScope = DedupScope.ALL
-    dedup_window_ms: float = 0.0  # deduplicated: for how long duplicates are dropped
+    dedup_window_ms: float = 0.0  # how long duplicates of a deduplicated request are dropped
     streaming: bool = False  # responses are streamed to the client
 
     @property
@@ -78,9 +78,9 @@
         deduplicated = self.effect is Effect.DEDUPLICATED and self.dedup_scope is DedupScope.ALL
         return deduplicated or self.effect is Effect.IDEMPOTENT
 
-    def for_request(self, keyed: bool) -> TrafficClass:
-        """The rules for one request: without an idempotency key its duplicates can't be recognised."""
-        if keyed or self.effect is not Effect.DEDUPLICATED:
+    def for_request(self, has_idempotency_key: bool) -> TrafficClass:
+        """The rules for one request. Without an idempotency key, endpoints can't recognise its duplicates."""
+        if has_idempotency_key or self.effect is not Effect.DEDUPLICATED:
             return self
         return replace(self, effect=Effect.AT_MOST_ONCE)
 
@@ -109,8 +109,8 @@
 
     initial_capacity: float = 1.0  # fraction of its full capacity at its start
     warmup_ms: float = 0.0  # from its start to its full capacity
-    overload_multiple: float = 2.0  # sent this many times its present capacity ...
-    overload_window_ms: float = 1000.0  # ... for this long, it breaks down
+    overload_multiple: float = 2.0  # it fails if it is sent this many times its present capacity ...
+    overload_window_ms: float = 1000.0  # ... for this long
 
     def __post_init__(self) -> None:
         _require(0 < self.initial_capacity <= 1, "cold.capacity", "above 0, at most 1")
@@ -128,22 +128,22 @@
     balancers: int = 1  # balancers that share this tier's traffic, this one included
     processes: int = 1  # processes of this balancer that run at once, while one takes over from another
     balancer_index: int = 0  # number of this balancer among them, from 0
-    tier_index: int = 0  # 0: requests come from clients; above: from endpoints of the tier before
+    tier_index: int = 0  # 0: requests come from clients; above 0: from endpoints of the previous tier
     zone: int = 0  # the zone that this balancer is in
     over_quota_weight: float = 1.0  # fraction of its weight that a request over its tenant's quota keeps
-    must_subscribe: bool = False  # discovery sends the endpoint list to subscribers only
-    weights_listed: bool = True  # the weights on the endpoint list are used
+    must_subscribe: bool = False  # discovery sends the endpoint list only to subscribers
+    weights_listed: bool = True  # whether the weights of the endpoint list are used
     max_attempts: int = 3  # per request
     may_cancel: bool = True
     may_hedge: bool = True  # two attempts of one request may be in flight at once
     max_retry_after_ms: float = 0.0  # 0: clients ignore Retry-After
     cross_zone_cost: float = 0.0  # cost of sending a request to another zone
     slow_start: SlowStart = field(default_factory=SlowStart)
-    # Degraded mode, out of touch with the peers: nothing that may have run is sent again, and nothing is sent
-    # to endpoints in slow start.
+    # Restricted mode, without contact to the peers: no request that may have run is sent again, and endpoints in
+    # slow start get no requests.
     restricted: bool = False
-    # Number by which the requests to endpoints in slow start are divided, if the peers agreed on one;
-    # 0: by `balancers`.
+    # The number of shares into which the peers agreed to divide the requests to endpoints in slow start; 0: the
+    # number is `balancers`.
     agreed_slow_start_divisor: float = 0.0
 
     def __post_init__(self) -> None:
@@ -160,12 +160,12 @@
 
     @property
     def instances(self) -> int:
-        """Number of processes among which the limits of all balancers together are divided."""
+        """Number of processes among which limits that apply to all balancers together are divided."""
         return self.balancers * self.processes
 
     @property
     def slow_start_divisor(self) -> float:
-        """The same for requests to endpoints in slow start; infinite: this balancer may send them none."""
+        """The same for requests to endpoints in slow start. Infinite: this balancer may send them none."""
         return inf if self.restricted else (self.agreed_slow_start_divisor or self.balancers) * self.processes
 
 
@@ -175,26 +175,26 @@
     name: str
     state: EndpointState = EndpointState.READY
     weight: float = 1.0  # capacity relative to other endpoints
-    kind: int = 0  # endpoints of one kind have like hardware
+    kind: int = 0  # endpoints of the same kind have the same hardware
     zone: int = 0
     cell: int = 0
-    started_ms: float = 0.0  # 0: long ago; distinguishes two processes of one name
-    # The same by the balancer's own clock, if that is another one.
+    started_ms: float = 0.0  # start of its process; 0: long ago. Distinguishes two processes of one name
+    # The same by the balancer's own clock, if that differs from the clock of the list.
     started_local_ms: float | None = None
 
 
 class PriorExecution(NamedTuple):
-    """Where another balancer's attempts may have run: repeats must go where they are dropped."""
+    """Where attempts of another balancer may have run. Retries must go where duplicates are dropped."""
 
     zone: int
     cell: int
-    sent_ms: float  # of the first of these attempts
+    sent_ms: float  # when the first of these attempts was sent
 
 
 class PriorAttempt(NamedTuple):
-    """An attempt that was sent, by this balancer or another."""
+    """An attempt that was sent, by this balancer or another one."""
 
     zone: Hashable
     cell: Hashable
     sent_ms: float
-    may_have_run: bool = True  # also while it is in flight
+    may_have_run: bool = True  # true while it is in flight, too
--- a/limenotch/balancing/weights.py
+++ b/limenotch/balancing/weights.py
@@ -1,8 +1,8 @@
-"""Weights: the relative part of the requests that each endpoint is to get, by what it has shown.
+"""Weights: the relative share of the requests that each endpoint gets, based on what was observed of it.
 
-A weight is the endpoint's estimated capacity, lowered for slowness and misses, and by zone where endpoints
-report their load. The slow-start rates of endpoints that are warming up are renewed with the weights.
-Capacities are in requests per s; where nothing is reported, in units of listed weight.
+A weight is the endpoint's estimated capacity, lowered for slowness and misses and, where endpoints report
+their load, by zone. The slow-start rates of endpoints that are warming up are updated with the weights.
+Capacities are in requests per s or, where nothing is reported, in units of listed weight.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 
 Endpoints = list[EndpointStatistics]
 
-# Samples with which an endpoint's own mean counts as much as that of its kind.
+# Number of samples with which an endpoint's own mean counts as much as the mean of its kind.
 PRIOR_SAMPLES = 4.0
-# The weight falls with this power of the relative slowness, much of which may be time spent in lower tiers.
+# Power of the relative slowness by which the weight falls; much of it may be time spent in lower tiers.
 SLOWNESS_EXPONENT = 2.0
-# The weight falls with this power of the relative success rate.
+# Power of the relative success rate by which the weight falls.
 SUCCESS_EXPONENT = 3.0
-# Highest factor that an endpoint faster than its kind gets.
+# Upper limit of the factor for an endpoint that is faster than its kind.
 MAX_SPEED_FACTOR = 4.0
 # Fraction of its weight that an endpoint always keeps, so that its recovery is noticed.
 FLOOR = 0.02
-# Fraction of the load that overloads an endpoint in slow start: the balancers may save up as much again.
+# Fraction of the load that overloads an endpoint in slow start: balancers may have saved as much again.
 SLOW_START_HEADROOM = 0.5
-# Fraction of its weight that an endpoint of another zone keeps while the own zone is healthy.
+# Fraction of its weight that an endpoint of another zone keeps while the balancer's own zone is healthy.
 REMOTE_ZONE_FLOOR = 0.05
-# Utilisation of the own zone up to which requests stay in it. Above it, waits grow.
+# Utilisation of the balancer's own zone up to which requests stay in it. Above it, waits grow.
 MAX_LOCAL_UTILISATION = 0.6
-# Candidates up to which the weights are renewed at each change of the endpoint list.
+# Number of candidates up to which each change of the endpoint list updates the weights.
 MAX_IMMEDIATE_CANDIDATES = 64
-# Ms per candidate between two renewals after changes of a longer list.
+# Minimum time between two updates after changes of a longer list, in ms per candidate.
 RENEWAL_INTERVAL_MS = 0.1
-# Reported use of cores that counts as much as what the endpoint's kind has shown.
+# Sum of reported utilisation with which an endpoint's own reports count as much as those of its kind.
 PRIOR_USE = 0.5
 
 
 def update_weights(state: BalancerState, now: float) -> None:
-    """Renew the weights of all candidates; after an internal error the listed weights are used.
+    """Update the weights of all candidates. After an internal error, use the listed weights.
 
-    Done at the end of each window, when an endpoint is ejected or unresponsive, and if `weights_due`.
+    Called at the end of each window, when an endpoint is ejected or unresponsive, and if `weights_due`.
     """
     try:
         _renew_weights(state, now)
@@ -63,7 +63,7 @@
         estimate_capacity(state, endpoint, now)
     _update_success_rates(state, candidates, now)
     update_all_weights(state, candidates, now)
-    # Without reports the zone's cost counts when each request selects its endpoint.
+    # Without reports, the cross-zone cost is applied at the selection of an endpoint for each request.
     if settings.cross_zone_cost and state.tier_profile.reported_rate:
         prefer_own_zone(state, candidates, observed, now)
     _update_slow_start_rates(state, candidates, subsets)
@@ -78,28 +78,28 @@
 
 
 def _update_slow_start_rates(state: BalancerState, candidates: Endpoints, subsets: list[Endpoints]) -> None:
-    """Divide what the endpoints that are warming up may be sent among all balancers.
+    """Divide the requests that endpoints in slow start may be sent among all balancers.
 
-    The parts are equal or, without reports, in proportion to the answers that each balancer got.
+    The shares are equal or, without reports, in proportion to the responses that each balancer got.
     """
     reported = state.tier_profile.reported_rate
-    part = 1 / state.settings.slow_start_divisor if reported else state.shown_rate
+    balancer_share = 1 / state.settings.slow_start_divisor if reported else state.measured_rate
     overload_multiple = state.settings.slow_start.overload_multiple
-    state.slow_start_rate = SLOW_START_HEADROOM * overload_multiple * part / 1000
+    state.slow_start_rate = SLOW_START_HEADROOM * overload_multiple * balancer_share / 1000
     for endpoint in state.warming:
         endpoint.slow_start_rate = 0.0
     state.warming = [endpoint for endpoint in candidates if endpoint.started_at > 0]
     for group, members in zip(state.by_locality, subsets, strict=True):
         for endpoint in members:
             if endpoint.started_at > 0:
-                share = state.slow_start_rate * endpoint.assured_capacity * len(group) / len(members)
-                endpoint.slow_start_rate = share * state.locality_factor(endpoint)
+                endpoint_rate = state.slow_start_rate * endpoint.assured_capacity * len(group) / len(members)
+                endpoint.slow_start_rate = endpoint_rate * state.locality_factor(endpoint)
 
 
 def weights_due(state: BalancerState, now: float) -> bool:
-    """Whether the weights are to be renewed after a change of the endpoint list.
+    """Whether the weights must be updated now, after a change of the endpoint list.
 
-    Draining endpoints are left out without it. A renewal for each of thousands would delay all requests.
+    Draining endpoints get no requests even without it. Updating for each of thousands would delay requests.
     """
     count = len(state.candidates[0])
     return state.weights_stale and (
@@ -108,35 +108,35 @@
 
 
 def profile_rate(state: BalancerState, profile: LatencyProfile) -> float:
-    """Requests per s that a warm endpoint of weight 1 serves at full utilisation; 1 without reports."""
+    """Requests per s that a warm endpoint of weight 1 can serve at full utilisation; 1 without reports."""
     profile = profile if profile.reported_rate else state.tier_profile
     return profile.reported_rate / profile.reported_use if profile.reported_rate else 1.0
 
 
 def _prior_capacity(state: BalancerState, endpoint: EndpointStatistics, now: float) -> float:
-    """The capacity expected of its kind, listed weight and age, in requests per s."""
+    """The capacity in requests per s that the endpoint's kind, listed weight and age suggest."""
     full = endpoint.listed_weight * profile_rate(state, endpoint.profile)
     return full * endpoint.warm_fraction(now, state.settings.slow_start)
 
 
 def estimate_capacity(state: BalancerState, endpoint: EndpointStatistics, now: float) -> None:
-    """Estimate its present capacity: by its own reports, or else by those of its kind and its age.
+    """Estimate an endpoint's present capacity by its own reports, or else by those of its kind and its age.
 
-    Requests per s divided by utilisation give the rate at full utilisation (gRPC proposal A58). The reports
+    Requests per s divided by utilisation are the rate at full utilisation (gRPC proposal A58). The reports
     count the requests of all balancers.
     """
     fade = exp((endpoint.last_report_at - now) / state.report_memory_ms)
     prior = _prior_capacity(state, endpoint, now)
-    # A span without finished requests reports use alone, which does not prove that the endpoint is dead.
+    # A report of utilisation without finished requests does not prove that the endpoint is dead.
     rate = endpoint.reported_rate_sum * fade + PRIOR_USE * prior
-    shown = rate / (endpoint.reported_use_sum * fade + PRIOR_USE)
-    endpoint.assured_capacity = min(shown, prior)
-    present = shown * (FLOOR if endpoint.unresponsive else 1.0)
+    measured = rate / (endpoint.reported_use_sum * fade + PRIOR_USE)
+    endpoint.assured_capacity = min(measured, prior)
+    present = measured * (FLOOR if endpoint.unresponsive else 1.0)
     endpoint.estimated_capacity = max(present, FLOOR * prior, MIN_CAPACITY)
 
 
 def update_weight(state: BalancerState, endpoint: EndpointStatistics, now: float) -> None:
-    """Renew the weight of one endpoint that has shown something; 0 while it is ejected."""
+    """Update the weight of one endpoint that has observations; the weight is 0 while it is ejected."""
     fade = exp((endpoint.updated_at - now) / state.evidence_memory_ms)
     samples = endpoint.latency_samples * fade
     successes, failures = endpoint.successes * fade, endpoint.failures * fade
@@ -151,7 +151,7 @@
 
 
 def weight_factor(state: BalancerState, endpoint: EndpointStatistics) -> float:
-    """Factor for slowness and misses. Both are relative: if all are slow or fail, none is singled out."""
+    """Factor for slowness and misses. Both are relative: if all are slow or fail, none is penalised."""
     profile = endpoint.profile if state.tier_profile.reported_rate else state.tier_profile
     speed: float = min((profile.recent / endpoint.latency_ratio) ** SLOWNESS_EXPONENT, MAX_SPEED_FACTOR)
     success: float = min(endpoint.success_rate / state.best_success_rate, 1.0) ** SUCCESS_EXPONENT
@@ -159,9 +159,9 @@
 
 
 def update_all_weights(state: BalancerState, endpoints: Iterable[EndpointStatistics], now: float) -> None:
-    """Renew the weights of many endpoints, and the capacities of those that have shown nothing yet.
+    """Update the weights of many endpoints, and the capacities of those without observations.
 
-    The latter may be thousands and differ in listed weight and age alone: the rest is computed per kind.
+    The latter may be thousands. They differ only in listed weight and age: the rest is computed per kind.
     """
     # By kind: the capacity of a warm endpoint of weight 1, and its weight factor.
     units: dict[LatencyProfile, tuple[float, float]] = {}
@@ -186,7 +186,7 @@
 
 
 def zone_capacities(state: BalancerState, observed: Endpoints, now: float) -> dict[int, float]:
-    """Capacity of each zone, by the endpoint list and by what the observed endpoints have shown."""
+    """Capacity of each zone, by the endpoint list and by the estimates for the observed endpoints."""
     capacities: dict[int, float] = {}
     for (zone, profile), weight in state.available.capacities(now).items():
         capacities[zone] = capacities.get(zone, 0.0) + weight * profile_rate(state, profile)
@@ -202,13 +202,13 @@
     observed: Endpoints,
     now: float,
 ) -> None:
-    """Lower the weights of other zones' endpoints as far as the own zone has capacity for its requests."""
+    """Lower the weights of other zones' endpoints, as far as the own zone has capacity for its requests."""
     zone = state.settings.zone
     remote = [endpoint for endpoint in candidates if endpoint.endpoint.zone != zone]
     remote_factor = REMOTE_ZONE_FLOOR / max(_own_zone_health(state, observed), REMOTE_ZONE_FLOOR)
     capacities = zone_capacities(state, observed, now)
     total_capacity = sum(capacities.values())
-    # Without capacity, while all endpoints drain or have weight 0, there is no zone to prefer.
+    # While all endpoints drain or have weight 0 there is no capacity, and no zone to prefer.
     if zone in capacities and total_capacity > 0:
         zone_demand = state.demand * state.settings.balancers / len(capacities)  # requests per s of each zone
         utilisation = max(MAX_LOCAL_UTILISATION, zone_demand * len(capacities) / total_capacity)
@@ -228,7 +228,7 @@
 
 
 def _own_zone_health(state: BalancerState, observed: Endpoints) -> float:
-    """Mean success factor of the own zone's endpoints; unresponsive ones count as 0."""
+    """Mean success factor of the endpoints in the own zone. Unresponsive endpoints count as 0."""
     own = state.by_locality[0]
     own_observed = [endpoint for endpoint in observed if endpoint.endpoint.zone == state.settings.zone]
     rates = [endpoint.success_rate for endpoint in own_observed if not endpoint.unresponsive]
--- a/limenotch/internal_errors.py
+++ b/limenotch/internal_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the program itself: counted all, logged with their cause at a bounded rate."""
+"""Errors of the program itself. All are counted, and logged with their traceback at a limited rate."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 log = logs.get(__name__)
 
-MIN_LOG_INTERVAL_S = 1.0  # an error may recur with every request
+MIN_LOG_INTERVAL_S = 1.0  # the same error may occur with every request
 
 
 class InternalErrors:
-    """Owns the count of internal errors."""
+    """Counts and logs internal errors."""
 
     def __init__(self, clock: Callable[[], float] = monotonic) -> None:
-        """`clock`: seconds that never run back."""
+        """`clock`: a time in seconds that never runs backwards."""
         self.count = 0
         self._clock = clock
         self._logged_at = -math.inf
         self._not_logged = 0
 
     def report(self, error: Exception, during: str) -> None:
-        """Count an error contained `during` some work; log it with its traceback unless one was just logged."""
+        """Count an error contained `during` some work. Log it with its traceback, unless one was just logged."""
         self.count += 1
         now = self._clock()
         if now < self._logged_at + MIN_LOG_INTERVAL_S:
--- a/limenotch/load_balancer.py
+++ b/limenotch/load_balancer.py
@@ -1,9 +1,9 @@
-"""The balancer in blocking style: requests and their attempts in, commands out, in the program's own terms.
+"""The load balancer as the network code uses it: a method for each event, which returns the commands to carry out.
 
-The network code reports requests (`request_arrived`, `client_disconnected`), the endings of their attempts
-(`attempt_finished`), timers that fired (`timer_fired`) and discovery (`endpoints_listed`, `discovery_failed`). Each
-method returns the commands to carry out. Only this module knows the balancer's events and actions, its indexes and
-its clock.
+The network code reports requests (`request_arrived`, `client_disconnected`), how their attempts ended
+(`attempt_finished`), timers that fired (`timer_fired`) and messages of discovery (`endpoints_listed`,
+`discovery_failed`). The methods are synchronous. Only this module translates to the events, actions, indexes and clock of
+`limenotch.balancing`.
 """
 
 from __future__ import annotations
@@ -49,17 +49,17 @@
 )
 from .request_policy import RequestPolicy
 
-# The answer must be with the client when its budget ends: what its way back and a busy core may take.
-MARGIN_MS = 20.0
-# The margin takes at most this part of a short budget.
-MAX_MARGIN_PART = 1 / 4
-# Stands in log lines for a concurrency limit that is infinite.
+# Time reserved for the way of the response to the client, which must have it before its budget ends, on a busy core.
+RESPONSE_MARGIN_MS = 20.0
+# The margin takes at most this fraction of a short budget.
+MAX_MARGIN_FRACTION = 1 / 4
+# Value in log lines for an infinite concurrency limit.
 NO_LIMIT = -1.0
 
 
 def usable_budget_ms(budget_ms: float) -> float:
-    """How long, in ms, a request that has just arrived may stay open."""
-    return budget_ms - min(MARGIN_MS, budget_ms * MAX_MARGIN_PART)
+    """The time in ms for which a request that has just arrived may stay open."""
+    return budget_ms - min(RESPONSE_MARGIN_MS, budget_ms * MAX_MARGIN_FRACTION)
 
 
 OUTCOMES = {
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class _NameIndexes:
-    """Indexes of names. A name that the settings lack gets the next free index and keeps it."""
+    """Indexes of names. A name without an index gets the next free one, and keeps it."""
 
     indexes: dict[str, int] = field(default_factory=dict)
 
@@ -90,7 +90,7 @@
 
 
 class LoadBalancer:
-    """One balancer, the indexes of the names it is given, and its clock."""
+    """One balancer, with the indexes of the names of zones, kinds, classes and tenants, and with its clock."""
 
     def __init__(
         self,
@@ -99,22 +99,22 @@
         zones: Iterable[str] = (),
         kinds: Iterable[str] = (),
         clock: Callable[[], float] | None = None,
-        wall: Callable[[], float] | None = None,
+        wall_clock: Callable[[], float] | None = None,
     ) -> None:
-        """`clock` and `wall` in ms of Unix time: one that never runs back, and one that may be set."""
+        """`clock` and `wall_clock` are Unix time in ms. The first never runs backwards; the second may be set."""
         self.internal_errors = InternalErrors()
         self._balancer = ContainedBalancer(settings, seed, self._report_error)
         self._clock = clock or MonotonicUnixClock()
-        self._endpoint_ages = EndpointAges(self._clock, wall or clock or wall_clock_ms)
+        self._endpoint_ages = EndpointAges(self._clock, wall_clock or clock or wall_clock_ms)
         self._process_count = 1
-        self._lease_ends_ms = math.inf
+        self._lease_expires_at_ms = math.inf
         self._rejects_without_lease = False
         self._slow_start_divisor = 0.0
-        self._adopt(settings)
+        self._store_settings(settings)
         self._zones = _NameIndexes({name: number for number, name in enumerate(zones)})
         self._kinds = _NameIndexes({name: number for number, name in enumerate(kinds)})
 
-    def _adopt(self, settings: BalancerSettings) -> None:
+    def _store_settings(self, settings: BalancerSettings) -> None:
         self._settings = replace(
             settings,
             processes=self._process_count,
@@ -126,33 +126,33 @@
         self._tenant_indexes = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
 
     def now_ms(self) -> float:
-        """Unix time in ms, as the balancer is given it."""
+        """Unix time in ms by the clock of the balancer."""
         return self._clock()
 
     def knows_class(self, name: str) -> bool:
-        """Whether the settings in force have a traffic class of this name."""
+        """Whether the current settings have a traffic class of this name."""
         return name in self._class_indexes
 
     def knows_tenant(self, name: str) -> bool:
-        """Whether the settings in force have this tenant. Where they name no tenants, requests need none."""
+        """Whether the current settings have this tenant. True for any name if they have no tenants."""
         return name in self._tenant_indexes or not self._tenant_indexes
 
     def deadline_ms(self, class_name: str) -> float:
-        """How long, in ms, any client waits for a request of this class."""
+        """The time in ms for which a client waits at most for a request of this class."""
         return self.classes[self._class_indexes[class_name]].deadline_ms
 
     def request_policy(self, class_name: str, has_idempotency_key: bool = True) -> RequestPolicy:
-        """What the attempts of a request of this class that arrives now may do, even after the settings change."""
+        """The policy for a request of this class that arrives now. It stays the same if the settings change later."""
         traffic_class = self.classes[self._class_indexes[class_name]]
         return RequestPolicy(traffic_class.for_request(has_idempotency_key), self._settings.may_hedge)
 
     @property
     def max_retry_after_ms(self) -> float:
-        """The longest Retry-After, in ms, that the settings allow a rejection to give; 0: none at all."""
+        """The longest Retry-After of a rejection that the settings allow, in ms; 0: rejections have none."""
         return self._settings.max_retry_after_ms
 
     def decision_metrics(self) -> dict[str, float]:
-        """What the decisions are based on, for the log: among others, attempts in flight and the limit of them."""
+        """Values that decisions are based on, for log lines: among others, attempts in flight and their limit."""
         balancer = self._balancer
         limit = balancer.admission.concurrency_limit
         return {
@@ -164,60 +164,60 @@
         }
 
     def excluded_count(self) -> int:
-        """Listed endpoints that get no requests now: draining, ejected or silent."""
+        """Number of listed endpoints that get no requests now: draining, ejected or unresponsive."""
         return self._balancer.excluded_count()
 
     def set_ejected(self, name: str, ejected: bool, readmitted_at_ms: float = 0.0) -> Commands:
-        """An operator ejected an endpoint or, at `readmitted_at_ms` of Unix time, readmitted it."""
+        """Apply an operator's ejection, or readmission at `readmitted_at_ms` of Unix time, of an endpoint."""
         return self._handle(OperatorEjection(name, ejected, readmitted_at_ms))
 
     def apply_settings(
         self, settings: BalancerSettings, zones: Iterable[str] = (), kinds: Iterable[str] = ()
     ) -> Commands:
-        """Use other settings for the requests to come. Zones and kinds keep their indexes; new ones are added."""
+        """Use new settings for future requests. Zones and kinds keep their indexes; new names get new indexes."""
         names = list(zones)
         for kind in kinds:
             self._kinds[kind]
         if settings.zone < len(names):
             settings = replace(settings, zone=self._zones[names[settings.zone]])
-        self._adopt(settings)
+        self._store_settings(settings)
         return self._handle(SettingsChanged(self._settings))
 
     def set_process_count(self, processes: int) -> Commands:
-        """How many processes of this sidecar run: each gets its part of what one may do."""
+        """Set the number of running processes of this sidecar, among which its limits are divided."""
         self._process_count = processes
-        self._adopt(self._settings)
+        self._store_settings(self._settings)
         return self._handle(SettingsChanged(self._settings))
 
     def set_lease(
-        self, until_ms: float, slow_start_divisor: float = 0.0, reject_without_lease: bool = False
+        self, expires_at_ms: float, slow_start_divisor: float = 0.0, reject_without_lease: bool = False
     ) -> Commands:
-        """Set until when, by `now_ms`, this sidecar of a fleet holds a lease on the agreed rules.
+        """Set when, by `now_ms`, the lease of this sidecar on the rules of its fleet expires.
 
-        From then on it is in restricted mode, or with `reject_without_lease` rejects all requests, until the next
-        lease. That is checked with each event rather than by a timer: a process that wakes from a pause handles its
-        sockets before its timers. `slow_start_divisor`: by what the allowance of endpoints in slow start is divided;
-        infinite: this sidecar gets no part of it.
+        After that it is in restricted mode or, with `reject_without_lease`, rejects all requests until the next lease.
+        The expiry is checked at each event rather than by a timer, since a process that wakes from a pause handles its
+        sockets before its timers. `slow_start_divisor`: the number by which the requests that endpoints in slow start
+        may get are divided; infinite: this sidecar may send them none.
         """
-        self._lease_ends_ms = until_ms
+        self._lease_expires_at_ms = expires_at_ms
         self._rejects_without_lease = reject_without_lease
         self._slow_start_divisor = slow_start_divisor
         before = self._settings
-        self._adopt(before)
+        self._store_settings(before)
         return self._handle(SettingsChanged(self._settings)) if self._settings != before else []
 
     @property
     def rejects_all(self) -> bool:
-        """Whether all requests are rejected, as the lease has ended and the settings say so."""
+        """Whether all requests are rejected: the lease has expired, and the rules say so."""
         return self._rejects_without_lease and self.restricted
 
     @property
     def restricted(self) -> bool:
-        """Whether the lease has ended."""
-        return self._clock() >= self._lease_ends_ms
+        """Whether the lease has expired."""
+        return self._clock() >= self._lease_expires_at_ms
 
     def export_state(self) -> dict[str, Any]:
-        """What was learnt, for the process that takes this one's place."""
+        """Export what the balancer has learnt, for the process that replaces this one."""
         return {
             "module": export_state(self._balancer),
             "kinds": dict(self._kinds.indexes),
@@ -225,7 +225,7 @@
         }
 
     def import_endpoint_ages(self, exported: Any) -> None:
-        """Take the ages of endpoints from another process's `export_state`; to be called before its list is applied.
+        """Import the endpoint ages of another process's `export_state`; call it before its endpoint list is applied.
 
         A process of an earlier version exports none. Raises ValueError if they are not valid.
         """
@@ -233,12 +233,12 @@
             self._endpoint_ages.import_state(exported["starts"])
 
     def import_state(self, exported: Any) -> None:
-        """Take what another process learnt, from its `export_state`; to be called after its list was applied.
+        """Import what another process has learnt, from its `export_state`; call it after its list was applied.
 
         Raises ValueError if it is not valid.
         """
         if not isinstance(exported, dict) or not isinstance(exported.get("kinds"), dict):
-            raise ValueError("knowledge: kinds")
+            raise ValueError("learned state: expected an object of kinds")
         names = {str(number): name for name, number in exported["kinds"].items()}
         module = exported.get("module")
         if isinstance(module, dict) and isinstance(module.get("kinds"), dict):
@@ -247,7 +247,7 @@
         import_state(self._balancer, module)
 
     def start(self) -> Commands:
-        """Begin; to be called once, before anything else is reported."""
+        """Start the balancer; call it once, before any other event is reported."""
         return self._handle(BalancerStarted())
 
     def request_arrived(
@@ -261,10 +261,10 @@
         hint: PlacementHint | None = None,
         has_idempotency_key: bool = True,
     ) -> Commands:
-        """A request arrived: exactly one final answer is owed within `budget_ms`.
+        """Report a request that arrived. It must get exactly one final answer within `budget_ms`.
 
-        `single_use_body`: its body is still being received, so it can be sent only once. `has_idempotency_key`: it
-        has the key by which endpoints drop its duplicates, where its class has them do so.
+        `single_use_body`: the body is still being received, so it can be sent only once. `has_idempotency_key`: the
+        request has the key by which endpoints drop duplicates, if its class is deduplicated.
         """
         preferred_endpoint = ""
         prior_execution = None
@@ -287,11 +287,11 @@
         )
 
     def upload_finished(self, request: int, budget_ms: float) -> Commands:
-        """The last byte of a body that can be sent only once was sent: its request has `budget_ms` from now."""
+        """Report that the last byte of a single-use body was sent: its request has `budget_ms` from now on."""
         return self._handle(UploadFinished(str(request), budget_ms))
 
     def client_disconnected(self, request: int) -> Commands:
-        """The client of this request is gone."""
+        """Report that the client of this request has disconnected."""
         return self._handle(ClientDisconnected(str(request)))
 
     def attempt_finished(
@@ -306,11 +306,11 @@
         requests_per_s: float | None = None,
         body_consumed: bool = False,
     ) -> Commands:
-        """An attempt ended. `request_answered`: its request has its final answer.
+        """Report an attempt that ended. `request_answered`: the request already has its final answer.
 
-        `utilisation` and `requests_per_s` are the endpoint's load report: the busy part of its cores, and the
-        requests a second that it served for all sidecars. `body_consumed`: some of a body that can be sent only once
-        is gone.
+        `utilisation` and `requests_per_s` are the endpoint's load report: the busy fraction of its cores, and the
+        requests per second that it served for all sidecars. `body_consumed`: a part of a single-use body was sent and
+        can't be sent again.
         """
         return self._handle(
             AttemptFinished(
@@ -327,19 +327,19 @@
         )
 
     def timer_fired(self, token: int) -> Commands:
-        """A timer that was scheduled with this token fired."""
+        """Report that the timer with this token fired."""
         return self._handle(TimerFired(token))
 
     def endpoints_listed(
         self, endpoints: Collection[DiscoveredEndpoint], complete: bool, silence_ms: float = math.inf
     ) -> Commands:
-        """Discovery sent its complete list, or what changed, `silence_ms` after its last message."""
-        starts = self._endpoint_ages.record_list(endpoints, complete, silence_ms)
+        """Report the complete list of discovery, or changes of it, sent `silence_ms` after the previous message."""
+        starts_ms = self._endpoint_ages.record_list(endpoints, complete, silence_ms)
         self._endpoint_ages.forget(
             endpoint.name for endpoint in endpoints if endpoint.status is DiscoveryStatus.TERMINATED
         )
         listed = tuple(
-            self._as_listed(endpoint, start_ms) for endpoint, start_ms in zip(endpoints, starts, strict=True)
+            self._as_listed(endpoint, start_ms) for endpoint, start_ms in zip(endpoints, starts_ms, strict=True)
         )
         kind = MembershipKind.COMPLETE if complete else MembershipKind.INCREMENTAL
         return self._handle(MembershipUpdate(kind, listed))
@@ -357,7 +357,7 @@
         )
 
     def discovery_failed(self) -> Commands:
-        """A watch on discovery failed or ended."""
+        """Report that a watch on discovery failed or ended."""
         return self._handle(MembershipUpdate(MembershipKind.UNAVAILABLE))
 
     def _report_error(self, error: Exception) -> None:
@@ -365,12 +365,12 @@
 
     def _handle(self, event: Event) -> Commands:
         now_ms = self._clock()
-        resulting = []
-        if now_ms >= self._lease_ends_ms and not self._settings.restricted:
+        resulting_actions = []
+        if now_ms >= self._lease_expires_at_ms and not self._settings.restricted:
             self._settings = replace(self._settings, restricted=True)
-            resulting = self._balancer.handle(now_ms, SettingsChanged(self._settings))
-        resulting += self._balancer.handle(now_ms, event)
-        return [_command(action, now_ms) for action in resulting]
+            resulting_actions = self._balancer.handle(now_ms, SettingsChanged(self._settings))
+        resulting_actions += self._balancer.handle(now_ms, event)
+        return [_command(action, now_ms) for action in resulting_actions]
 
 
 def _command(action: actions.Action, now_ms: float) -> Command:
--- a/limenotch/load_balancer_types.py
+++ b/limenotch/load_balancer_types.py
@@ -1,4 +1,4 @@
-"""The value types between the load balancer and the network code: discovered endpoints, attempt endings, commands."""
+"""Value types that the load balancer and the network code exchange: endpoints, attempt endings, commands."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DiscoveryStatus(Enum):
-    """What discovery says of an endpoint."""
+    """Status of an endpoint, as reported by discovery."""
 
     IN_SERVICE = "in_service"
     TERMINATING = "terminating"
@@ -24,7 +24,7 @@
     kind: str = ""
     group: int = 0
     weight: float = 1.0
-    started_ms: float = 0.0  # Unix time at which its process started; 0: not known
+    started_ms: float = 0.0  # start of its process in ms of Unix time; 0: not known
 
     @property
     def accepts_requests(self) -> bool:
@@ -33,7 +33,7 @@
 
 
 class AttemptEnding(Enum):
-    """How an attempt ended. The values stand in log lines."""
+    """How an attempt ended. The values are written to log lines."""
 
     SERVED = "served"
     ERROR = "error"
@@ -45,22 +45,22 @@
     NOT_SENT = "not sent"
 
 
-# The endings that show that an attempt never ran. After any other ending it may have run.
+# Endings that prove that the request did not run. After any other ending it may have run.
 NEVER_RAN = frozenset({AttemptEnding.REJECTED, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT})
 
 
 class PlacementHint(NamedTuple):
-    """Where a request should go, because of what was done for it elsewhere."""
+    """Where a request should be sent, because of its session or of attempts made elsewhere."""
 
-    preferred_endpoint: str = ""  # the endpoint to which it is sticky while that endpoint accepts requests
-    may_have_run: bool = False  # whether it may have run already; retries then go where duplicates are dropped
-    zone: str = ""  # where it may have run
-    group: int = 0  # where it may have run
+    preferred_endpoint: str = ""  # endpoint to which its session is bound while it accepts requests
+    may_have_run: bool = False  # it may have run already: send it where duplicates are dropped
+    zone: str = ""  # the zone where it may have run
+    group: int = 0  # the group where it may have run
     age_ms: float = 0.0  # how long ago it may have run
 
 
 class StartAttempt(NamedTuple):
-    """Send an attempt. The attempts of one request are numbered from 0 in the order of these commands."""
+    """Send an attempt. The attempts of a request are numbered from 0 in the order of these commands."""
 
     request: int
     endpoint: str
@@ -75,14 +75,14 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: a rejection. The client may safely retry, best after `retry_after_ms`."""
+    """Answer the client with a rejection. The client may safely retry, preferably after `retry_after_ms`."""
 
     request: int
     retry_after_ms: float
 
 
 class FailRequest(NamedTuple):
-    """Final answer: a failure."""
+    """Answer the client with a failure. The request may have run."""
 
     request: int
 
@@ -95,7 +95,7 @@
 
 
 class WatchDiscovery(NamedTuple):
-    """Ask discovery for its endpoint list and for all changes from now on."""
+    """Watch discovery: request its endpoint list, and all changes of it from then on."""
 
 
 Command = StartAttempt | CancelAttempt | RejectRequest | FailRequest | ScheduleTimer | WatchDiscovery
--- a/limenotch/operator_ejections.py
+++ b/limenotch/operator_ejections.py
@@ -1,7 +1,7 @@
-"""Endpoints that operators have ejected, by name, persisted in one file for the next process.
+"""The names of endpoints that operators have ejected, persisted in a file for the next process.
 
-The file is replaced atomically under a lock, and read again when another process has replaced it. A file that is
-torn or foreign is logged and counts as none: it must not prevent a start.
+The file is replaced atomically under a lock, and read again when another process has replaced it. A truncated or
+foreign file is logged and ignored, since it must not prevent a start.
 """
 
 from __future__ import annotations
@@ -19,42 +19,42 @@
 
 log = logs.get(__name__)
 
-# Suffixes of the two paths, after what all paths of this sidecar begin with.
+# Suffixes of the paths of the two files, appended to the path prefix of this sidecar.
 FILE_SUFFIX = ".bans.json"
 LOCK_SUFFIX = ".bans.lock"
-# Of the file's format.
+# Version of the file format.
 VERSION = 1
-# Seconds between two checks of the file: another process's ejection is in force within the time that a drain has.
+# Interval of checks of the file, short enough for another process's ejection to apply within the time for a drain.
 CHECK_INTERVAL_S = 0.1
-# A process that was stopped while it had the lock must not delay the answer for longer than the product of the two.
-LOCK_TRIES = 40
-LOCK_STEP_S = 0.01
-# Names in the file; more is not what people did by hand.
+# The wait for the lock is limited to the product of both: a stopped process that has it must not delay responses.
+LOCK_ATTEMPTS = 40
+LOCK_RETRY_INTERVAL_S = 0.01
+# Maximum number of names in the file: operators would not eject more by hand.
 MAX_NAMES = 10_000
 
-# Called with the name, whether it is ejected now, and the Unix time in ms at which it was readmitted or 0.
+# Called with the name, whether it is now ejected, and the Unix time in ms at which it was readmitted, or 0.
 EjectionListener = Callable[[str, bool, float], None]
-# Of a file: its inode and its time of modification in ns.
+# A file's inode and modification time in ns.
 FileIdentity = tuple[int, int]
 
 
 class OperatorEjections:
-    """Owns the set and its file. The listener is notified of each ejection and readmission, whoever made it."""
+    """Owns the ejected names and their file. Calls the listener for every ejection and readmission, of any process."""
 
     def __init__(self, path_prefix: str | None, on_change: EjectionListener) -> None:
-        """`path_prefix`: how its paths begin.
+        """`path_prefix`: the beginning of the paths of both files.
 
-        Without one, or where the paths can't be written, ejections last as long as the process.
+        Without a prefix, or if the files can't be written, ejections last only as long as the process.
         """
         self._file = Path(path_prefix + FILE_SUFFIX) if path_prefix else None
         self._lock = Path(path_prefix + LOCK_SUFFIX) if path_prefix else None
         self._on_change = on_change
         self._last_read: FileIdentity | None = None
         self.ejected: set[str] = set()
-        self.readmitted: dict[str, float] = {}  # when, in ms of Unix time: slow start begins then
+        self.readmitted: dict[str, float] = {}  # by name, Unix time in ms, at which slow start begins
 
     def load(self) -> None:
-        """Apply what the file has now; differences are notified as changes. A missing file changes nothing."""
+        """Apply the present content of the file, and notify the listener of changes. A missing file changes nothing."""
         if self._file is None:
             return
         try:
@@ -84,7 +84,7 @@
             self._on_change(name, False, readmitted.get(name, 0.0))
 
     def reload_if_changed(self) -> None:
-        """Load the file if another process has replaced it; to be called every CHECK_INTERVAL_S."""
+        """Load the file if another process has replaced it. To be called every CHECK_INTERVAL_S."""
         if self._file is None:
             return
         try:
@@ -95,9 +95,9 @@
             self.load()
 
     async def set_ejected(self, name: str, ejected: bool, now_ms: float) -> bool:
-        """Eject an endpoint or readmit it at `now_ms` of Unix time; whether that is persisted for the next process.
+        """Eject an endpoint, or readmit it at `now_ms` of Unix time. Returns whether this is persisted in the file.
 
-        In force on return either way. Repeating it changes nothing.
+        It applies to this process on return, persisted or not. Repeating a call changes nothing.
         """
         async with self._locked() as locked:
             self.reload_if_changed()
@@ -139,7 +139,7 @@
 
     @contextlib.asynccontextmanager
     async def _locked(self) -> AsyncIterator[bool]:
-        """Yields whether the lock was acquired; the ejection is made without it too."""
+        """Hold the lock. Yields whether it was acquired; the ejection is applied without it, too."""
         if self._lock is None:
             yield False
             return
@@ -155,16 +155,16 @@
                 log.warning("operator ejections: lock not acquired in time")
             yield acquired
         finally:
-            os.close(file)  # and with it the lock
+            os.close(file)  # releases the lock
 
 
 async def _acquire(file: int) -> bool:
-    """Wait for the lock on this descriptor, for a bounded time; whether it was acquired."""
-    for _ in range(LOCK_TRIES):
+    """Wait for the lock on this descriptor for a limited time. Returns whether it was acquired."""
+    for _ in range(LOCK_ATTEMPTS):
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            await asyncio.sleep(LOCK_STEP_S)
+            await asyncio.sleep(LOCK_RETRY_INTERVAL_S)
         else:
             return True
     return False
@@ -175,21 +175,21 @@
 
 
 def encode(ejected: set[str], readmitted: dict[str, float]) -> bytes:
-    """The file's content: names that are ejected, and times of readmission in ms of Unix time by name."""
+    """Encode the file's content: ejected names, and by name the times of readmission in ms of Unix time."""
     return json.dumps({"limenotch_bans": VERSION, "out": sorted(ejected), "back": readmitted}).encode()
 
 
 def decode(raw: bytes) -> tuple[set[str], dict[str, float]]:
-    """The inverse of `encode`. Raises ValueError on whatever `encode` would not write."""
+    """Decode the file's content. Raises ValueError for content that `encode` does not produce."""
     content = json.loads(raw)
     if not isinstance(content, dict) or content.get("limenotch_bans") != VERSION:
-        raise ValueError("not a file of bans of this version")
+        raise ValueError("not an operator ejections file of this version")
     ejected = content.get("out")
     if not isinstance(ejected, list) or not all(isinstance(name, str) for name in ejected) or len(ejected) > MAX_NAMES:
-        raise ValueError("out: expected a list of ids")
+        raise ValueError("out: expected a list of endpoint names")
     readmitted = content.get("back")
     if not isinstance(readmitted, dict) or not all(_is_time(at_ms) for at_ms in readmitted.values()):
-        raise ValueError("back: expected times by id")
+        raise ValueError("back: expected times by endpoint name")
     return set(ejected), {name: float(at_ms) for name, at_ms in readmitted.items()}
 
 
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -243,7 +243,7 @@
 
 
 def test_a_lock_that_is_never_given_back_delays_a_ban_only(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(bans_module, "LOCK_STEP_S", 0.0)
+    monkeypatch.setattr(bans_module, "LOCK_RETRY_INTERVAL_S", 0.0)
 
     async def case() -> None:
         held = os.open(tmp_path / ("n" + LOCK_SUFFIX), os.O_RDWR | os.O_CREAT)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -142,11 +142,11 @@
         for action in call(number):
             if isinstance(action, SendAttempt):
                 balancer.handle(now, AttemptFinished(action.request, action.endpoint, 0, 5.0, Outcome.OK))
-    assert 8.0 < balancer.shown_rate < 12.0  # of 100 a second
+    assert 8.0 < balancer.measured_rate < 12.0  # of 100 a second
     out = [action for number in range(1000, 1200) for action in call(number) if isinstance(action, SendAttempt)]
     cold = tuple(Endpoint(f"v{n}", started_ms=now) for n in range(9))
     balancer.handle(now, MembershipUpdate(MembershipKind.COMPLETE, (listed[0], *cold)))
     for send in out:
         balancer.handle(now, AttemptFinished(send.request, send.endpoint, 0, 5.0, Outcome.OK))
     balancer.handle(now + 2000.0, TimerFired(-1))
-    assert balancer.shown_rate < 20.0
+    assert balancer.measured_rate < 20.0
