--- a/limenotch/load_balancer.py
+++ b/limenotch/load_balancer.py
@@ -2,8 +2,8 @@
 
 The network code reports requests (`request_arrived`, `client_disconnected`), how their attempts ended
 (`attempt_finished`), timers that fired (`timer_fired`) and messages of discovery (`endpoints_listed`,
-`discovery_failed`). The methods are synchronous. Only this module translates to the events, actions, indexes and clock of
-`limenotch.balancing`.
+`discovery_failed`). The methods are synchronous. Only this module translates to the events, actions, indexes and
+clock of `limenotch.balancing`.
 """
 
 from __future__ import annotations
--- a/tests/referee.py
+++ b/tests/referee.py
@@ -1,4 +1,8 @@
-"""A referee for tests: hands events to a balancer and checks each action against the four rules."""
+"""A test harness that passes events to a balancer and checks each of its actions against the rules.
+
+The rules: each request gets exactly one answer, in time; a request that may have run is repeated only where its class
+allows that; only available endpoints get requests; the settings in force at a request's arrival are respected.
+"""
 
 from __future__ import annotations
 
@@ -35,182 +39,198 @@
 WRITE = TrafficClass("write", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, DedupScope.CELL, 1500.0)
 ZONAL = TrafficClass("zonal", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, DedupScope.ZONE, 1500.0)
 PAY = TrafficClass("pay", Effect.AT_MOST_ONCE, 1000.0, 3000.0, 5.0)
-COLD = SlowStart(0.2, 10_000.0, 2.5, 1500.0)
+SLOW_START = SlowStart(0.2, 10_000.0, 2.5, 1500.0)
 
 
-def fleet(count: int, stage: EndpointState = EndpointState.READY) -> tuple[Endpoint, ...]:
-    return tuple(Endpoint(f"10.0.0.{i}:80", stage, zone=i % 2, cell=i // 3) for i in range(count))
+def make_endpoints(count: int, state: EndpointState = EndpointState.READY) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(f"10.0.0.{i}:80", state, zone=i % 2, cell=i // 3) for i in range(count))
 
 
-def settings(**changes: object) -> BalancerSettings:
-    base: dict[str, object] = {"classes": (READ, WRITE, ZONAL, PAY), "max_attempts": 4, "slow_start": COLD}
+def make_settings(**changes: object) -> BalancerSettings:
+    base: dict[str, object] = {"classes": (READ, WRITE, ZONAL, PAY), "max_attempts": 4, "slow_start": SLOW_START}
     return BalancerSettings(**(base | changes))  # type: ignore[arg-type]
 
 
 @dataclass
-class Held:
+class TrackedRequest:
     arrival: RequestArrived
     deadline: float
     sent: list[tuple[float, str]] = field(default_factory=list)
-    sent_to: list[Endpoint] = field(default_factory=list)  # as listed at each send
+    sent_to: list[Endpoint] = field(default_factory=list)  # their list entries at the time of sending
     ended: dict[int, Outcome] = field(default_factory=dict)
-    over: bool = False
-    most: int = 0  # attempts, by the settings in force when it came
-    cls: TrafficClass = READ  # likewise
+    answered: bool = False
+    max_attempts: int = 0  # by the settings at its arrival
+    traffic_class: TrafficClass = READ  # likewise
     may_hedge: bool = True  # likewise
     may_cancel: bool = True  # likewise
 
 
 class Referee:
-    """Knows the list as told, the calls held and their attempts; raises where a rule breaks."""
-
-    def __init__(self, given: BalancerSettings, seed: int = 7, rows: tuple[Endpoint, ...] = ()) -> None:
-        self.given, self.now = given, 1000.0
-        self.balancer = Balancer(given, seed)
-        self.rows: dict[str, Endpoint] = {}
-        self.banned: set[str] = set()
-        self.calls: dict[str, Held] = {}
+    """Tracks the endpoint list, requests and their attempts. Raises AssertionError if an action breaks a rule."""
+
+    def __init__(self, current_settings: BalancerSettings, seed: int = 7, listed: tuple[Endpoint, ...] = ()) -> None:
+        self.current_settings, self.now = current_settings, 1000.0
+        self.balancer = Balancer(current_settings, seed)
+        self.listed: dict[str, Endpoint] = {}
+        self.ejected_names: set[str] = set()
+        self.tracked: dict[str, TrackedRequest] = {}
         self.timers: list[tuple[float, int]] = []
         self.log: list[Action] = []
-        self.count = 0
-        self.tell(BalancerStarted())
-        self.members(rows)
+        self.request_count = 0
+        self.handle_event(BalancerStarted())
+        self.update_endpoints(listed)
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle_event(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
-            self.check(action)
+            self.check_action(action)
         self.log += actions
         return actions
 
-    def members(self, rows: tuple[Endpoint, ...], listing: MembershipKind = MembershipKind.COMPLETE) -> list[Action]:
-        if listing is MembershipKind.COMPLETE:
-            self.rows = {}
-        self.rows |= {row.name: row for row in rows}
-        return self.tell(MembershipUpdate(listing, rows))
-
-    def ban(self, name: str, out: bool) -> list[Action]:
-        if out:
-            self.banned.add(name)
+    def update_endpoints(
+        self, listed: tuple[Endpoint, ...], kind: MembershipKind = MembershipKind.COMPLETE
+    ) -> list[Action]:
+        if kind is MembershipKind.COMPLETE:
+            self.listed = {}
+        self.listed |= {entry.name: entry for entry in listed}
+        return self.handle_event(MembershipUpdate(kind, listed))
+
+    def set_ejected(self, name: str, is_ejected: bool) -> list[Action]:
+        if is_ejected:
+            self.ejected_names.add(name)
         else:
-            self.banned.discard(name)
-        return self.tell(OperatorEjection(name, out, self.now))
+            self.ejected_names.discard(name)
+        return self.handle_event(OperatorEjection(name, is_ejected, self.now))
 
-    def retune(self, given: BalancerSettings) -> list[Action]:
-        self.given = given
-        return self.tell(SettingsChanged(given))
+    def change_settings(self, new_settings: BalancerSettings) -> list[Action]:
+        self.current_settings = new_settings
+        return self.handle_event(SettingsChanged(new_settings))
 
     def arrive(
-        self, index: int = 0, budget: float = 3000.0, tenant: int = 0, once: bool = False
+        self, class_index: int = 0, budget_ms: float = 3000.0, tenant: int = 0, single_use_body: bool = False
     ) -> tuple[str, list[Action]]:
-        self.count += 1
-        name = f"call-{self.count}"
-        arrival = RequestArrived(name, index, budget, tenant, single_use_body=once)
-        cls = self.given.classes[index]
-        given = self.given
-        self.calls[name] = Held(
+        self.request_count += 1
+        name = f"call-{self.request_count}"
+        arrival = RequestArrived(name, class_index, budget_ms, tenant, single_use_body=single_use_body)
+        traffic_class = self.current_settings.classes[class_index]
+        current_settings = self.current_settings
+        self.tracked[name] = TrackedRequest(
             arrival,
-            self.now + budget,
-            most=given.max_attempts,
-            cls=cls,
-            may_hedge=given.may_hedge,
-            may_cancel=given.may_cancel,
+            self.now + budget_ms,
+            max_attempts=current_settings.max_attempts,
+            traffic_class=traffic_class,
+            may_hedge=current_settings.may_hedge,
+            may_cancel=current_settings.may_cancel,
         )
-        return name, self.tell(arrival)
+        return name, self.handle_event(arrival)
 
-    def finish(
+    def finish_attempt(
         self,
         name: str,
         attempt: int = 0,
         outcome: Outcome = Outcome.OK,
-        util: float | None = None,
-        per_s: float | None = None,
+        utilisation: float | None = None,
+        requests_per_s: float | None = None,
     ) -> list[Action]:
-        held = self.calls[name]
-        sent, upstream = held.sent[attempt]
-        held.ended[attempt] = outcome
-        held.over = held.over or outcome is Outcome.OK
-        spent = self.now - sent
-        return self.tell(AttemptFinished(name, upstream, attempt, spent, outcome, held.over, util, per_s))
-
-    def leave(self, name: str) -> list[Action]:
-        self.calls[name].over = True
-        return self.tell(ClientDisconnected(name))
-
-    def begin(self, name: str, attempt: int = 0) -> list[Action]:
-        sent, upstream = self.calls[name].sent[attempt]
-        return self.tell(ResponseStarted(name, upstream, attempt, self.now - sent))
-
-    def wait(self, span: float) -> list[Action]:
-        """Let time pass; timers fire and time-outs end what is still out, in order of time."""
-        until, actions = self.now + span, []
-        while self.timers and min(self.timers)[0] <= until:
-            due = min(self.timers)
-            self.timers.remove(due)
-            self.now = max(self.now, due[0])
-            actions += self.tell(TimerFired(due[1]))
-        self.now = until
+        request = self.tracked[name]
+        sent, endpoint = request.sent[attempt]
+        request.ended[attempt] = outcome
+        request.answered = request.answered or outcome is Outcome.OK
+        elapsed_ms = self.now - sent
+        return self.handle_event(
+            AttemptFinished(name, endpoint, attempt, elapsed_ms, outcome, request.answered, utilisation, requests_per_s)
+        )
+
+    def disconnect_client(self, name: str) -> list[Action]:
+        self.tracked[name].answered = True
+        return self.handle_event(ClientDisconnected(name))
+
+    def start_response(self, name: str, attempt: int = 0) -> list[Action]:
+        sent, endpoint = self.tracked[name].sent[attempt]
+        return self.handle_event(ResponseStarted(name, endpoint, attempt, self.now - sent))
+
+    def advance(self, duration_ms: float) -> list[Action]:
+        """Let `duration_ms` pass; timers fire in order of time."""
+        end_ms, actions = self.now + duration_ms, []
+        while self.timers and min(self.timers)[0] <= end_ms:
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now = max(self.now, timer[0])
+            actions += self.handle_event(TimerFired(timer[1]))
+        self.now = end_ms
         return actions
 
-    def settle(self) -> None:
-        """Run every call to its deadline; each must have had its one answer by then."""
-        while open_calls := [h for h in self.calls.values() if not h.over]:
-            held = min(open_calls, key=lambda h: h.deadline)
-            self.wait(max(held.deadline - self.now, 0.0))
-            for attempt in [i for i in range(len(held.sent)) if i not in held.ended]:
-                if not held.over:
-                    self.finish(held.arrival.request, attempt, Outcome.TIMEOUT)
-            assert held.over, f"{held.arrival.request} was lost"
-
-    def check(self, action: Action) -> None:
+    def run_to_deadlines(self) -> None:
+        """Run all requests to their deadlines, at which attempts time out. Each must have one answer by then."""
+        while open_requests := [each for each in self.tracked.values() if not each.answered]:
+            request = min(open_requests, key=lambda each: each.deadline)
+            self.advance(max(request.deadline - self.now, 0.0))
+            for attempt in [i for i in range(len(request.sent)) if i not in request.ended]:
+                if not request.answered:
+                    self.finish_attempt(request.arrival.request, attempt, Outcome.TIMEOUT)
+            assert request.answered, f"{request.arrival.request} has no answer"
+
+    def check_action(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append((max(action.at_ms, self.now), action.token))
         elif isinstance(action, CancelAttempt):
-            assert action.attempt < len(self.calls[action.request].sent), "cancels what was never sent"
-            assert self.calls[action.request].may_cancel, "cancels where the settings forbid it"
+            assert action.attempt < len(self.tracked[action.request].sent), "cancels an attempt that was never sent"
+            assert self.tracked[action.request].may_cancel, "cancels although the settings forbid it"
         elif isinstance(action, SendAttempt):
             self.check_send(action)
         elif isinstance(action, (FailRequest, RejectRequest)):
-            held = self.calls[action.request]
-            assert not held.over, "answers twice"
-            assert self.now <= held.deadline + 20, "answers too late"
-            held.over = True
-            cls = held.cls
-            free = cls.effect is Effect.IDEMPOTENT or (
-                cls.effect is Effect.DEDUPLICATED and cls.dedup_scope is DedupScope.ALL
+            request = self.tracked[action.request]
+            assert not request.answered, "answers a request twice"
+            assert self.now <= request.deadline + 20, "answers after the deadline"
+            request.answered = True
+            traffic_class = request.traffic_class
+            retry_is_harmless = traffic_class.effect is Effect.IDEMPOTENT or (
+                traffic_class.effect is Effect.DEDUPLICATED and traffic_class.dedup_scope is DedupScope.ALL
             )
-            ran = self.may_have_run(held)
-            assert isinstance(action, FailRequest) or free or not ran, "refuses what may have run"
-            if isinstance(action, RejectRequest) and ran and cls.effect is Effect.DEDUPLICATED:
-                came = held.deadline - held.arrival.budget_ms
-                assert came + cls.deadline_ms < ran[0][0] + cls.dedup_window_ms, "refuses what its repeat may run again"
+            executions = self.may_have_run(request)
+            assert isinstance(action, FailRequest) or retry_is_harmless or not executions, (
+                "rejects a request that may have run"
+            )
+            if isinstance(action, RejectRequest) and executions and traffic_class.effect is Effect.DEDUPLICATED:
+                arrived_ms = request.deadline - request.arrival.budget_ms
+                assert arrived_ms + traffic_class.deadline_ms < executions[0][0] + traffic_class.dedup_window_ms, (
+                    "rejects a request that a retry may run again"
+                )
 
-    def may_have_run(self, held: Held) -> list[tuple[float, str]]:
-        return [s for i, s in enumerate(held.sent) if held.ended.get(i) not in NEVER_RAN]
+    def may_have_run(self, request: TrackedRequest) -> list[tuple[float, str]]:
+        return [sent for i, sent in enumerate(request.sent) if request.ended.get(i) not in NEVER_RAN]
 
     def check_send(self, action: SendAttempt) -> None:
-        held = self.calls[action.request]
-        assert not held.over, "sends for a call that is over"
-        assert self.now <= held.deadline, "sends after the deadline"
-        row = self.rows.get(action.endpoint)
-        assert row is not None and row.state is EndpointState.READY, "sends to an upstream that drains or is gone"
-        assert action.endpoint not in self.banned, "sends to an upstream that is out by hand"
-        cls = held.cls
-        ran = self.may_have_run(held)
-        if ran and cls.effect is Effect.AT_MOST_ONCE:
-            raise AssertionError("sends an unsafe call again")
-        if ran and cls.effect is Effect.DEDUPLICATED:
-            first = held.sent_to[held.sent.index(ran[0])]
-            same = first.zone == row.zone if cls.dedup_scope is DedupScope.ZONE else first.cell == row.cell
-            assert same or cls.dedup_scope is DedupScope.ALL, "repeats a keyed call outside its group"
-            assert self.now - ran[0][0] <= cls.dedup_window_ms, "repeats a keyed call after its window"
-        assert len(held.sent) < held.most, "more attempts than allowed"
-        copies = [i for i in range(len(held.sent)) if i not in held.ended]
-        assert not (held.arrival.single_use_body and copies), "sends to two what can go out once"
-        assert held.may_hedge or not copies, "sends a copy where the settings forbid any"
+        request = self.tracked[action.request]
+        assert not request.answered, "sends an answered request"
+        assert self.now <= request.deadline, "sends after the deadline"
+        entry = self.listed.get(action.endpoint)
+        assert entry is not None and entry.state is EndpointState.READY, (
+            "sends to an endpoint that is draining or removed"
+        )
+        assert action.endpoint not in self.ejected_names, "sends to an endpoint that an operator ejected"
+        traffic_class = request.traffic_class
+        executions = self.may_have_run(request)
+        if executions and traffic_class.effect is Effect.AT_MOST_ONCE:
+            raise AssertionError("retries a request that must not run twice")
+        if executions and traffic_class.effect is Effect.DEDUPLICATED:
+            first = request.sent_to[request.sent.index(executions[0])]
+            same_group = (
+                first.zone == entry.zone if traffic_class.dedup_scope is DedupScope.ZONE else first.cell == entry.cell
+            )
+            assert same_group or traffic_class.dedup_scope is DedupScope.ALL, (
+                "retries a deduplicated request outside its group"
+            )
+            assert self.now - executions[0][0] <= traffic_class.dedup_window_ms, (
+                "retries a deduplicated request after its window"
+            )
+        assert len(request.sent) < request.max_attempts, "more attempts than allowed"
+        in_flight = [i for i in range(len(request.sent)) if i not in request.ended]
+        assert not (request.arrival.single_use_body and in_flight), "sends a single-use body twice at once"
+        assert request.may_hedge or not in_flight, "hedges although the settings forbid it"
         assert action.timeout_ms > 0
-        held.sent.append((self.now, action.endpoint))
-        held.sent_to.append(row)
+        request.sent.append((self.now, action.endpoint))
+        request.sent_to.append(entry)
 
 
 def sends(actions: list[Action]) -> list[SendAttempt]:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,7 +12,7 @@
 from limenotch.balancing.actions import RejectRequest
 from limenotch.balancing.admission import MIN_CONCURRENCY_LIMIT, AdmissionControl
 from limenotch.balancing.types import Outcome
-from tests.referee import READ, Referee, fleet, settings
+from tests.referee import READ, Referee, make_endpoints, make_settings
 from tests.test_balancer import steady
 from tests.test_zones import Desk
 
@@ -119,10 +119,10 @@
 def choked(desk: Desk, at: str, answers: int = 7) -> None:
     """What a choked provider does: it answers one call of so many just in time, and the others not at all."""
     for held, number, name, since in desk.out():
-        if name == at and not held.over and desk.now - since >= 990.0:
+        if name == at and not held.answered and desk.now - since >= 990.0:
             in_time = int(held.arrival.request.removeprefix("call-")) % answers == 0
             if in_time or desk.now - since >= 1000.0:
-                desk.finish(held.arrival.request, number, Outcome.OK if in_time else Outcome.TIMEOUT)
+                desk.finish_attempt(held.arrival.request, number, Outcome.OK if in_time else Outcome.TIMEOUT)
 
 
 def test_a_provider_that_misses_call_after_call_is_left_to_become_idle() -> None:
@@ -157,7 +157,7 @@
     desk.learn()
     most = 0
     for _ in range(1500):
-        desk.wait(10.0)
+        desk.advance(10.0)
         desk.call()
         for name in "abcd":
             choked(desk, name)
@@ -167,7 +167,7 @@
 
 def test_a_door_that_nothing_comes_out_of_opens_again() -> None:
     """Its mean of what is held moved with answers alone: with nothing out it refused 40 calls a second for 3 s."""
-    referee = Referee(settings(classes=(READ,)), rows=fleet(4))
+    referee = Referee(make_settings(classes=(READ,)), listed=make_endpoints(4))
     balancer = referee.balancer
     steady(referee, 40, Outcome.OK)
     balancer.mean_in_flight = (
@@ -175,7 +175,7 @@
     )  # a jam has just ended: every call of it is over
     assert not balancer.in_flight
     for _ in range(60):
-        referee.wait(25.0)
+        referee.advance(25.0)
         _, acts = referee.arrive(0)
         if not any(isinstance(act, RejectRequest) for act in acts):
             return
--- a/tests/test_generated_lists.py
+++ b/tests/test_generated_lists.py
@@ -15,7 +15,7 @@
 from limenotch.balancing.events import MembershipKind
 from limenotch.balancing.types import Endpoint, EndpointState, Outcome
 
-from .referee import Referee, settings
+from .referee import Referee, make_settings
 
 EXAMPLES = int(os.environ.get("HYPOTHESIS_EXAMPLES", "150"))
 NAMES = tuple(f"e{number}" for number in range(6))
@@ -127,52 +127,54 @@
             for entry, age_ms in step.entries
         )
         if step.kind is not MembershipKind.UNAVAILABLE:
-            referee.members(rows, step.kind)
+            referee.update_endpoints(rows, step.kind)
         return
     if isinstance(step, Arrived):
         for _ in range(step.requests):
-            referee.arrive(step.traffic_class, step.budget_ms, once=step.single_use_body)
+            referee.arrive(step.traffic_class, step.budget_ms, single_use_body=step.single_use_body)
             wait(referee, step.gap_ms)
     elif isinstance(step, Ended):
         end(referee, step)
     elif isinstance(step, Waited):
         wait(referee, step.span_ms)
     elif isinstance(step, Ejected):
-        referee.ban(step.name, step.ejected)
+        referee.set_ejected(step.name, step.ejected)
     else:
-        referee.retune(settings(**step._asdict()))
+        referee.change_settings(make_settings(**step._asdict()))
 
 
 def wait(referee: Referee, span_ms: float) -> None:
     """Clients leave at their deadlines."""
-    referee.wait(span_ms)
-    for held in [each for each in referee.calls.values() if not each.over and each.deadline <= referee.now]:
-        referee.leave(held.arrival.request)
+    referee.advance(span_ms)
+    for held in [each for each in referee.tracked.values() if not each.answered and each.deadline <= referee.now]:
+        referee.disconnect_client(held.arrival.request)
 
 
 def end(referee: Referee, step: Ended) -> None:
     out = [
         (name, number)
-        for name, held in referee.calls.items()
+        for name, held in referee.tracked.items()
         for number in range(len(held.sent))
         if number not in held.ended
     ]
     if out:
         name, number = out[step.number % len(out)]
-        outcome = Outcome.CANCELLED if referee.calls[name].over else step.outcome
-        referee.finish(name, number, outcome, step.utilisation, step.requests_per_s)
+        outcome = Outcome.CANCELLED if referee.tracked[name].answered else step.outcome
+        referee.finish_attempt(name, number, outcome, step.utilisation, step.requests_per_s)
 
 
 def check_availability(referee: Referee) -> None:
     """Available is exactly what is listed as ready and not ejected by operators."""
     expected = {
-        name for name, row in referee.rows.items() if row.state is EndpointState.READY and name not in referee.banned
+        name
+        for name, row in referee.listed.items()
+        if row.state is EndpointState.READY and name not in referee.ejected_names
     }
     balancer = referee.balancer
     available = [endpoint for members in balancer.by_locality for endpoint in members]
     assert sorted(endpoint.endpoint.name for endpoint in available) == sorted(expected)
     assert all(
-        endpoint.available and endpoint.endpoint == referee.rows[endpoint.endpoint.name] for endpoint in available
+        endpoint.available and endpoint.endpoint == referee.listed[endpoint.endpoint.name] for endpoint in available
     )
 
 
@@ -182,13 +184,13 @@
     steps: list[Step], seed: int, cross_zone_cost: float, tier_index: int
 ) -> None:
     # Guards against lists, reports and settings that no healthy deployment sends, in any order.
-    referee = Referee(settings(cross_zone_cost=cross_zone_cost, tier_index=tier_index), seed)
+    referee = Referee(make_settings(cross_zone_cost=cross_zone_cost, tier_index=tier_index), seed)
     for step in steps:
         play(referee, step)
         check_availability(referee)
-    referee.settle()
+    referee.run_to_deadlines()
     assert referee.balancer.in_flight == sum(
         number not in held.ended and not held.arrival.single_use_body
-        for held in referee.calls.values()
+        for held in referee.tracked.values()
         for number in range(len(held.sent))
     )
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -19,7 +19,7 @@
     StartAttempt,
 )
 
-from .referee import PAY, READ, WRITE, ZONAL, Held, Referee, fleet, sends, settings
+from .referee import PAY, READ, WRITE, ZONAL, Referee, TrackedRequest, make_endpoints, make_settings, sends
 
 ANYWHERE = TrafficClass("anywhere", Effect.DEDUPLICATED, 1000.0, 3000.0, 3.0, 0.0, DedupScope.ALL, 1500.0)
 CLASSES = (READ, WRITE, ZONAL, PAY, ANYWHERE)
@@ -31,41 +31,45 @@
     """A referee whose calls come with a hint. Each rule is still checked."""
 
     def __init__(self, rows: tuple[Endpoint, ...] | None = None, **changes: object) -> None:
-        super().__init__(settings(classes=CLASSES, **changes), rows=fleet(AMONG) if rows is None else rows)
+        super().__init__(
+            make_settings(classes=CLASSES, **changes), listed=make_endpoints(AMONG) if rows is None else rows
+        )
 
     def come(self, cls: TrafficClass = READ, prefer: str = "", bound: PriorExecution | None = None) -> str:
         """The call's name."""
         self.count += 1
         name = f"call-{self.count}"
         arrival = RequestArrived(name, CLASSES.index(cls), 3000.0, preferred_endpoint=prefer, prior_execution=bound)
-        self.calls[name] = Held(arrival, self.now + 3000.0, most=self.given.max_attempts, cls=cls)
-        self.tell(arrival)
+        self.tracked[name] = TrackedRequest(
+            arrival, self.now + 3000.0, most=self.current_settings.max_attempts, cls=cls
+        )
+        self.handle_event(arrival)
         return name
 
     def to(self, name: str) -> list[str]:
-        return [upstream for _, upstream in self.calls[name].sent]
+        return [upstream for _, upstream in self.tracked[name].sent]
 
     def place(self, cls: TrafficClass = READ, prefer: str = "", bound: PriorExecution | None = None) -> str:
         """Where its first attempt went; it is answered in 100 ms."""
         name = self.come(cls, prefer, bound)
         first = self.to(name)[0]
-        self.wait(100.0)
+        self.advance(100.0)
         for attempt in range(len(self.to(name))):
-            self.finish(name, attempt)
+            self.finish_attempt(name, attempt)
         return first
 
     def refused(self, cls: TrafficClass, bound: PriorExecution) -> bool:
         """Whether it was refused without an attempt, be it after a while."""
         name = self.come(cls, bound=bound)
-        self.settle()
-        assert self.calls[name].over
+        self.run_to_deadlines()
+        assert self.tracked[name].answered
         return not self.to(name) and any(isinstance(act, RejectRequest) and act.request == name for act in self.log)
 
 
 def of(**where: int) -> set[str]:
     """Names of those in that zone or cell."""
     ((key, value),) = where.items()
-    return {row.name for row in fleet(AMONG) if getattr(row, key) == value}
+    return {row.name for row in make_endpoints(AMONG) if getattr(row, key) == value}
 
 
 # One upstream
@@ -81,18 +85,18 @@
 def test_it_goes_elsewhere_from_one_that_drains_is_gone_or_unknown() -> None:
     for stage in (EndpointState.DRAINING, EndpointState.GONE):
         desk = Desk()
-        row = next(row for row in fleet(AMONG) if row.name == KEPT)
-        desk.members((row._replace(state=stage),), MembershipKind.INCREMENTAL)
+        row = next(row for row in make_endpoints(AMONG) if row.name == KEPT)
+        desk.update_endpoints((row._replace(state=stage),), MembershipKind.INCREMENTAL)
         assert KEPT not in {desk.place(prefer=KEPT) for _ in range(50)}
-    assert Desk().place(prefer="10.9.9.9:80") in {row.name for row in fleet(AMONG)}
+    assert Desk().place(prefer="10.9.9.9:80") in {row.name for row in make_endpoints(AMONG)}
 
 
 def test_it_goes_elsewhere_while_its_upstream_is_banned() -> None:
     desk = Desk()
-    desk.ban(KEPT, True)
+    desk.set_ejected(KEPT, True)
     assert KEPT not in {desk.place(prefer=KEPT) for _ in range(50)}
-    desk.ban(KEPT, False)
-    desk.wait(2 * desk.given.slow_start.warmup_ms)  # one that is back is cold
+    desk.set_ejected(KEPT, False)
+    desk.advance(2 * desk.current_settings.slow_start.warmup_ms)  # one that is back is cold
     assert desk.place(prefer=KEPT) == KEPT
 
 
@@ -102,16 +106,16 @@
         desk.place(PAY)  # what a call of its class takes is known
     held = [desk.come(PAY, prefer=KEPT) for _ in range(3)]
     assert [desk.to(name) for name in held] == [[KEPT]] * 3
-    desk.wait(1500.0)
+    desk.advance(1500.0)
     assert desk.balancer.registry.endpoints[KEPT].in_flight == 3
     assert KEPT not in {desk.place(prefer=KEPT) for _ in range(20)}
 
 
 def test_it_goes_elsewhere_from_one_that_is_cold() -> None:
-    rows = tuple(row._replace(started_ms=999.0) if row.name == KEPT else row for row in fleet(AMONG))
+    rows = tuple(row._replace(started_ms=999.0) if row.name == KEPT else row for row in make_endpoints(AMONG))
     desk = Desk(rows, agreed_slow_start_divisor=inf)  # no part of what cold ones may be sent
     assert KEPT not in {desk.place(prefer=KEPT) for _ in range(50)}
-    desk.wait(2 * desk.given.slow_start.warmup_ms)
+    desk.advance(2 * desk.current_settings.slow_start.warmup_ms)
     assert desk.place(prefer=KEPT) == KEPT
 
 
@@ -124,8 +128,8 @@
 def test_its_repeat_goes_elsewhere() -> None:
     desk = Desk()
     name = desk.come(READ, KEPT)
-    desk.wait(10.0)
-    desk.finish(name, 0, Outcome.RESET)
+    desk.advance(10.0)
+    desk.finish_attempt(name, 0, Outcome.RESET)
     first, second = desk.to(name)
     assert first == KEPT != second
 
@@ -144,9 +148,9 @@
     desk = Desk()
     for _ in range(20):
         name = desk.come(WRITE, bound=PriorExecution(1, 1, desk.now - 100.0))
-        desk.finish(name, 0, Outcome.RESET)
+        desk.finish_attempt(name, 0, Outcome.RESET)
         assert len(desk.to(name)) == 2 and set(desk.to(name)) <= of(cell=1)
-        desk.finish(name, 1)
+        desk.finish_attempt(name, 1)
         for _ in range(10):  # repeats are a share of all calls
             desk.place()
 
@@ -178,12 +182,12 @@
 def test_refused_where_nobody_of_its_group_may_be_sent_to() -> None:
     desk = Desk()
     for name in of(cell=1):
-        desk.ban(name, True)
+        desk.set_ejected(name, True)
     assert desk.refused(WRITE, PriorExecution(1, 1, desk.now - 100.0))
     assert not desk.refused(ZONAL, PriorExecution(1, 1, desk.now - 100.0))  # others of its zone
     assert desk.refused(WRITE, PriorExecution(1, 77, desk.now - 100.0))  # nobody ever heard of it
-    desk.members(
-        tuple(row._replace(state=EndpointState.DRAINING) for row in fleet(AMONG) if row.zone == 1),
+    desk.update_endpoints(
+        tuple(row._replace(state=EndpointState.DRAINING) for row in make_endpoints(AMONG) if row.zone == 1),
         MembershipKind.INCREMENTAL,
     )
     assert desk.refused(ZONAL, PriorExecution(1, 1, desk.now - 100.0))
@@ -191,7 +195,7 @@
 
 def test_refused_in_the_narrow_state() -> None:
     desk = Desk()
-    desk.retune(replace(desk.given, restricted=True))
+    desk.change_settings(replace(desk.current_settings, restricted=True))
     for cls in CLASSES:
         assert desk.refused(cls, PriorExecution(1, 1, desk.now - 100.0)), cls.name
     assert desk.place(WRITE)  # what ran nowhere goes on
@@ -208,12 +212,12 @@
 
 def facade() -> LoadBalancer:
     at = [0.0]
-    made = LoadBalancer(settings(classes=CLASSES, zone=0), 5, ("a", "b"), clock=lambda: 1000.0 + at[0])
+    made = LoadBalancer(make_settings(classes=CLASSES, zone=0), 5, ("a", "b"), clock=lambda: 1000.0 + at[0])
     made.start()
     made.endpoints_listed(
         [
             DiscoveredEndpoint(row.name, ("h", 1), DiscoveryStatus.IN_SERVICE, "ab"[row.zone], group=row.cell)
-            for row in fleet(AMONG)
+            for row in make_endpoints(AMONG)
         ],
         True,
     )
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from limenotch.balancing.types import DedupScope, Effect, Endpoint, Outcome, TrafficClass
-from tests.referee import Held, Referee, settings
+from tests.referee import Referee, TrackedRequest, make_settings
 
 BOOK = TrafficClass("book", Effect.AT_MOST_ONCE, 1000.0, 2500.0, priority_weight=10.0)
 SWAP = TrafficClass(
@@ -29,20 +29,20 @@
 
     def __init__(self, seed: int = 1, crossing: float = 0.05, zones: tuple[Iterable[str], ...] = (NEAR, FAR)) -> None:
         rows = [Endpoint(name, zone=zone) for zone, names in enumerate(zones) for name in names]
-        given = settings(classes=(BOOK, SWAP), balancers=2, cross_zone_cost=crossing, max_attempts=5)
+        given = make_settings(classes=(BOOK, SWAP), balancers=2, cross_zone_cost=crossing, max_attempts=5)
         super().__init__(given, seed, tuple(rows))
 
     def call(self, cls: int = 0) -> str | None:
         """Where it is sent; None if it is refused."""
         name, _ = self.arrive(cls, (BOOK, SWAP)[cls].deadline_ms)
-        sent = self.calls[name].sent
+        sent = self.tracked[name].sent
         return sent[0][1] if sent else None
 
-    def out(self) -> list[tuple[Held, int, str, float]]:
+    def out(self) -> list[tuple[TrackedRequest, int, str, float]]:
         """Attempts that their providers hold: call, number, provider, since when."""
         return [
             (held, number, name, since)
-            for held in self.calls.values()
+            for held in self.tracked.values()
             for number, (since, name) in enumerate(held.sent)
             if number not in held.ended
         ]
@@ -50,15 +50,15 @@
     def answered(self, spent: float, but: str = "", outcome: Outcome = Outcome.OK) -> None:
         """Those that are out for so long end, and those that were called off; none of the upstream `but`."""
         for held, number, name, since in self.out():
-            if held.over:
-                self.finish(held.arrival.request, number, Outcome.CANCELLED)
+            if held.answered:
+                self.finish_attempt(held.arrival.request, number, Outcome.CANCELLED)
             elif name != but and self.now - since >= spent:
-                self.finish(held.arrival.request, number, outcome)
-        self.calls = {name: held for name, held in self.calls.items() if len(held.ended) < len(held.sent)}
+                self.finish_attempt(held.arrival.request, number, outcome)
+        self.tracked = {name: held for name, held in self.tracked.items() if len(held.ended) < len(held.sent)}
 
     def step(self, cls: int, spent: float, but: str = "") -> str | None:
         """Ten milliseconds: one call more, and what has been out for so long is answered."""
-        self.wait(10.0)
+        self.advance(10.0)
         chosen = self.call(cls)
         self.answered(spent, but)
         return chosen
@@ -67,7 +67,7 @@
         """A hundred calls a second, answered after 300 ms: what a call takes and what the fleet can do is known."""
         for number in range(500):
             self.step(number % 2, 300.0)
-        self.wait(300.0)
+        self.advance(300.0)
         self.answered(0.0)
 
     def held(self) -> Counter[str]:
@@ -102,7 +102,7 @@
     desk.learn()
     for cls in classes:
         assert desk.call(cls) in NEAR
-        desk.wait(300.0)
+        desk.advance(300.0)
         desk.answered(0.0)
 
 
