--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -11,7 +11,7 @@
 from statistics import mean, median
 
 from tests.helpers.slow_start_circumstances import CIRCUMSTANCES
-from tests.helpers.slow_start_fleet import play
+from tests.helpers.slow_start_fleet import simulate
 
 
 def main() -> None:
@@ -26,7 +26,7 @@
         for case in CIRCUMSTANCES:
             if given.names and case.name not in given.names:
                 continue
-            results = pool.map(partial(play, case), range(given.seeds))
+            results = pool.map(partial(simulate, case), range(given.seeds))
             worst = [result.worst for result in results]
             print(
                 f"| {case.name} | {given.seeds} | {max(worst):.2f} | {median(worst):.2f} | "
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -26,7 +26,7 @@
     TrafficClass,
 )
 from tests.helpers.slow_start_circumstances import CIRCUMSTANCES, LOOK, Circumstance
-from tests.helpers.slow_start_fleet import play
+from tests.helpers.slow_start_fleet import simulate
 
 BY_NAME = {case.name: case for case in CIRCUMSTANCES}
 # Each of these seeds went over before the rate shown took the place of demand.
@@ -36,12 +36,12 @@
 
 @pytest.mark.parametrize("case", CIRCUMSTANCES, ids=lambda case: case.name)
 def test_the_sum_of_all_sidecars_pushes_no_cold_endpoint_over(case: Circumstance) -> None:
-    assert play(case, 0).worst <= 1.0
+    assert simulate(case, 0).worst <= 1.0
 
 
 @pytest.mark.parametrize(("name", "seeds"), FOUND)
 def test_demand_is_not_taken_for_what_a_tier_can_do(name: str, seeds: tuple[int, ...]) -> None:
-    assert max(play(BY_NAME[name], seed).worst for seed in seeds) <= 1.0
+    assert max(simulate(BY_NAME[name], seed).worst for seed in seeds) <= 1.0
 
 
 def told(rank: int, total: int, rows: tuple[Endpoint, ...], seed: int = 1, **given: object) -> Balancer:
