--- a/tests/referee.py
+++ b/tests/referee.py
@@ -110,7 +110,7 @@
         self, class_index: int = 0, budget_ms: float = 3000.0, tenant: int = 0, single_use_body: bool = False
     ) -> tuple[str, list[Action]]:
         self.request_count += 1
-        name = f"call-{self.request_count}"
+        name = f"request-{self.request_count}"
         arrival = RequestArrived(name, class_index, budget_ms, tenant, single_use_body=single_use_body)
         traffic_class = self.current_settings.classes[class_index]
         current_settings = self.current_settings
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The door: how many calls may be held, who is turned away first, and rest for providers that choke."""
+"""Admission control: the concurrency limit, which requests are rejected first, and ejection of overloaded endpoints."""
 
 from __future__ import annotations
 
@@ -13,170 +13,184 @@
 from limenotch.balancing.admission import MIN_CONCURRENCY_LIMIT, AdmissionControl
 from limenotch.balancing.types import Outcome
 from tests.referee import READ, Referee, make_endpoints, make_settings
-from tests.test_balancer import steady
-from tests.test_zones import Desk
+from tests.test_balancer import send_steadily
+from tests.test_zones import ZonedReferee
 
 
-def opened(per_s: float, spent: float = 300.0, aim: float = 1000.0) -> tuple[AdmissionControl, float]:
-    """An entry that has seen five seconds of calls, all answered in time."""
-    entry, now = AdmissionControl(), 0.0
-    for number in range(int(5 * per_s)):
-        now = number * 1000 / per_s
-        entry.should_reject(now, 1.0, 0.0, 1.0)
-        entry.count_answer(now)
-        if number % int(per_s) == 0:
-            entry.end_window(1000.0, number, 0.0)
-            entry.update_limit(spent, spent, aim, known=True)
-    return entry, now
+def warmed_up_admission(
+    requests_per_s: float, latency_ms: float = 300.0, objective_ms: float = 1000.0
+) -> tuple[AdmissionControl, float]:
+    """Admission control after 5 s of requests that were all answered in time; and the time."""
+    admission, now = AdmissionControl(), 0.0
+    for number in range(int(5 * requests_per_s)):
+        now = number * 1000 / requests_per_s
+        admission.should_reject(now, 1.0, 0.0, 1.0)
+        admission.count_answer(now)
+        if number % int(requests_per_s) == 0:
+            admission.end_window(1000.0, number, 0.0)
+            admission.update_limit(latency_ms, latency_ms, objective_ms, known=True)
+    return admission, now
 
 
-def most(entry: AdmissionControl, now: float, value: float = 1.0, live: float = 1.0) -> float:
-    """The held calls at which one more is turned away, to a half."""
-    asked = ((n / 2, deepcopy(entry)) for n in range(600))  # each time the entry as it stands: asking counts as coming
-    return next((held for held, each in asked if each.should_reject(now, value, held, live)), inf)
+def admitted_in_flight(
+    admission: AdmissionControl, now: float, value: float = 1.0, live_fraction: float = 1.0
+) -> float:
+    """Requests in flight from which another request is rejected, in steps of 0.5."""
+    # A copy for each probe, since each probe counts as an arrival.
+    probes = ((n / 2, deepcopy(admission)) for n in range(600))
+    return next(
+        (in_flight for in_flight, each in probes if each.should_reject(now, value, in_flight, live_fraction)), inf
+    )
 
 
-def test_nothing_is_turned_away_before_the_tier_is_known() -> None:
-    assert most(AdmissionControl(), 0.0) == inf
+def test_no_request_is_rejected_before_the_tier_is_known() -> None:
+    assert admitted_in_flight(AdmissionControl(), 0.0) == inf
 
 
-def test_few_calls_are_wide_of_the_bound_while_answers_keep_up() -> None:
-    """A quiet day of 30 calls a second lost 8% of its lesser class to chance alone."""
-    entry, now = opened(30.0)
-    assert most(entry, now) >= 1.4 * entry.concurrency_limit
+def test_the_margin_is_wide_while_requests_are_answered_in_time() -> None:
+    """At 30 requests/s without overload, random variation alone had 8% of the less important class rejected."""
+    admission, now = warmed_up_admission(30.0)
+    assert admitted_in_flight(admission, now) >= 1.4 * admission.concurrency_limit
 
 
 @given(st.integers(0, 99))
-def test_chance_is_no_rush(seed: int) -> None:
-    """Twenty calls a second at random: one in ten was refused on the small fleet, for no load at all."""
-    random, entry, now, refused = Random(seed), AdmissionControl(), 0.0, 0
-    out: list[float] = []  # when each that is held is answered, after 300 ms or so
+def test_random_variation_of_few_arrivals_is_not_taken_for_overload(seed: int) -> None:
+    """At 20 random requests/s, one in ten was rejected on a small fleet without load."""
+    random, admission, now, rejected = Random(seed), AdmissionControl(), 0.0, 0
+    responses_due: list[float] = []  # times of the responses to requests in flight, after about 300 ms
     for number in range(400):
         now += random.expovariate(0.02)
-        for at in [at for at in out if at <= now]:
-            out.remove(at)
-            entry.count_answer(at)
+        for due in [due for due in responses_due if due <= now]:
+            responses_due.remove(due)
+            admission.count_answer(due)
         if number % 20 == 0:
-            entry.end_window(1000.0, 100.0, 0.0)
-            entry.update_limit(280.0, 300.0, 1000.0, known=number > 40)
-        if entry.should_reject(now, 1.0 + number % 2, len(out), 1.0):
-            refused += 1
+            admission.end_window(1000.0, 100.0, 0.0)
+            admission.update_limit(280.0, 300.0, 1000.0, known=number > 40)
+        if admission.should_reject(now, 1.0 + number % 2, len(responses_due), 1.0):
+            rejected += 1
         else:
-            out.append(now + random.uniform(200.0, 400.0))
-        out.sort()
-    assert refused <= 6  # of 400
+            responses_due.append(now + random.uniform(200.0, 400.0))
+        responses_due.sort()
+    assert rejected <= 6  # of 400
 
 
-def test_the_bound_is_tight_as_soon_as_more_comes_than_is_answered() -> None:
-    """A burst was let in on the pace shown, 142 calls at ten providers: all choked within 4 s."""
-    entry, now = opened(100.0)
-    calm = most(entry, now)
-    for number in range(300):  # 300 a second for a second, answered no faster than before
-        entry.should_reject(now + number * 10 / 3, 1.0, 0.0, 1.0)
+def test_the_margin_is_tight_as_soon_as_arrivals_exceed_responses() -> None:
+    """A burst was admitted because of earlier goodput: 142 requests at ten endpoints, all overloaded within 4 s."""
+    admission, now = warmed_up_admission(100.0)
+    limit_before = admitted_in_flight(admission, now)
+    for number in range(300):  # 300/s for one second, answered no faster than before
+        admission.should_reject(now + number * 10 / 3, 1.0, 0.0, 1.0)
         if number % 3 == 0:
-            entry.count_answer(now + number * 10 / 3)
-    assert most(entry, now + 1000.0) <= min(calm - sqrt(entry.concurrency_limit), 1.3 * entry.concurrency_limit)
-
-
-def test_a_tier_that_has_slowed_down_is_not_starved() -> None:
-    """All providers twice as slow for 10 s: by the idle latency alone half of what they could do was turned away."""
-    entry, now = opened(100.0, spent=250.0)
-    before = entry.concurrency_limit
-    entry.update_limit(250.0, 550.0, 1000.0, known=True)
-    assert entry.concurrency_limit > 1.3 * before
-    entry.update_limit(250.0, 5000.0, 1000.0, known=True)
-    assert entry.concurrency_limit <= 0.7 * 1000.0 * entry.sustained_goodput  # a jam does not widen it beyond the aim
-
-
-def test_few_providers_are_not_filled_by_a_floor() -> None:
-    """Three sidecars with 15 calls a second each held 12 at least, 36 on three providers: all choked, for 20 s."""
-    entry, now = opened(15.0, spent=330.0, aim=750.0)
-    for number in range(60):  # four times as many come
-        entry.should_reject(now + number * 1000 / 60, 1.0, 0.0, 1.0)
+            admission.count_answer(now + number * 10 / 3)
+    assert admitted_in_flight(admission, now + 1000.0) <= min(
+        limit_before - sqrt(admission.concurrency_limit), 1.3 * admission.concurrency_limit
+    )
+
+
+def test_the_limit_rises_if_the_whole_tier_becomes_slower() -> None:
+    """All endpoints were twice as slow for 10 s: a limit by idle latency rejected half of what they could serve."""
+    admission, now = warmed_up_admission(100.0, latency_ms=250.0)
+    limit_before = admission.concurrency_limit
+    admission.update_limit(250.0, 550.0, 1000.0, known=True)
+    assert admission.concurrency_limit > 1.3 * limit_before
+    admission.update_limit(250.0, 5000.0, 1000.0, known=True)
+    # Overload does not raise it beyond the objective.
+    assert admission.concurrency_limit <= 0.7 * 1000.0 * admission.sustained_goodput
+
+
+def test_the_lowest_limit_does_not_overload_a_small_tier() -> None:
+    """Three sidecars at 15 requests/s had a minimum limit of 12 each, 36 at three endpoints: overload for 20 s."""
+    admission, now = warmed_up_admission(15.0, latency_ms=330.0, objective_ms=750.0)
+    for number in range(60):  # four times as many arrive
+        admission.should_reject(now + number * 1000 / 60, 1.0, 0.0, 1.0)
         if number % 4 == 0:
-            entry.count_answer(now + number * 1000 / 60)
-    assert 15.0 * 0.33 <= most(entry, now + 1000.0) <= 2 * 15.0 * 0.456  # what is in service; twice Little's bound
+            admission.count_answer(now + number * 1000 / 60)
+    # At least the requests in service, at most twice the limit by Little's law.
+    assert 15.0 * 0.33 <= admitted_in_flight(admission, now + 1000.0) <= 2 * 15.0 * 0.456
 
 
 @given(st.lists(st.floats(0.001, 100.0), min_size=1, max_size=60), st.floats(0.0, 1.0))
-def test_the_lesser_worth_is_turned_away_first(values: list[float], live: float) -> None:
-    entry, now = opened(50.0)
+def test_requests_of_lower_value_are_rejected_first(values: list[float], live_fraction: float) -> None:
+    admission, now = warmed_up_admission(50.0)
     for value in values:
-        entry.should_reject(now, value, 0.0, live)
+        admission.should_reject(now, value, 0.0, live_fraction)
     low, high = min(values), max(values)
-    assert most(entry, now, low, live) <= most(entry, now, high, live)
+    assert admitted_in_flight(admission, now, low, live_fraction) <= admitted_in_flight(
+        admission, now, high, live_fraction
+    )
 
 
 @given(st.lists(st.tuples(st.floats(1.0, 2000.0), st.floats(0, 500), st.floats(0, 500)), max_size=30))
-def test_the_bound_never_closes_the_door(windows: list[tuple[float, float, float]]) -> None:
-    entry = AdmissionControl()
-    for span, good, bad in windows:
-        entry.end_window(span, good, bad)
-        entry.update_limit(100.0, 200.0, 1000.0, known=True)
-        assert entry.concurrency_limit >= MIN_CONCURRENCY_LIMIT and 0 <= entry.sustained_goodput < inf
-
-
-def choked(desk: Desk, at: str, answers: int = 7) -> None:
-    """What a choked provider does: it answers one call of so many just in time, and the others not at all."""
-    for held, number, name, since in desk.out():
-        if name == at and not held.answered and desk.now - since >= 990.0:
-            in_time = int(held.arrival.request.removeprefix("call-")) % answers == 0
-            if in_time or desk.now - since >= 1000.0:
-                desk.finish_attempt(held.arrival.request, number, Outcome.OK if in_time else Outcome.TIMEOUT)
-
-
-def test_a_provider_that_misses_call_after_call_is_left_to_become_idle() -> None:
-    """Sent a call now and then it never had the 2 to 5 s of idleness that a choked one wants: it stayed so for 25 s."""
-    desk = Desk(crossing=0.0, zones=("abc",))
-    desk.learn()
-    held = []
+def test_the_limit_never_falls_below_its_minimum(windows: list[tuple[float, float, float]]) -> None:
+    admission = AdmissionControl()
+    for span, successes, misses in windows:
+        admission.end_window(span, successes, misses)
+        admission.update_limit(100.0, 200.0, 1000.0, known=True)
+        assert admission.concurrency_limit >= MIN_CONCURRENCY_LIMIT and 0 <= admission.sustained_goodput < inf
+
+
+def answer_as_overloaded(referee: ZonedReferee, endpoint: str, answer_interval: int = 7) -> None:
+    """Behave as an overloaded endpoint: answer one of `answer_interval` requests just in time, the others never."""
+    for request, number, name, sent_at in referee.open_attempts():
+        if name == endpoint and not request.answered and referee.now - sent_at >= 990.0:
+            in_time = int(request.arrival.request.removeprefix("request-")) % answer_interval == 0
+            if in_time or referee.now - sent_at >= 1000.0:
+                referee.finish_attempt(request.arrival.request, number, Outcome.OK if in_time else Outcome.TIMEOUT)
+
+
+def test_an_overloaded_endpoint_is_ejected_long_enough_to_become_idle() -> None:
+    """An overloaded endpoint recovers after 2 to 5 s of idle time. With a few requests it did not for 25 s."""
+    referee = ZonedReferee(cross_zone_cost=0.0, zones=("abc",))
+    referee.warm_up()
+    history = []
     for _ in range(1200):
-        desk.step(0, 500.0, but="a")
-        choked(desk, "a")
-        held.append(desk.held()["a"])
-    idle = max(len(run) for run in "".join("x" if n else "." for n in held).split("x"))
-    assert idle >= 480  # 4.8 s on end
-
-
-def test_one_that_has_rested_is_met_as_new() -> None:
-    """By what it had shown before its rest it was hardly tried again."""
-    desk = Desk(crossing=0.0, zones=("abc",))
-    desk.learn()
-    server = desk.balancer.registry.endpoints["a"]
-    while not server.ejected_until:
-        desk.step(0, 500.0, but="a")
-        choked(desk, "a")
-    while server.ejected_until or not server.selection_weight:  # to the window's end after it
-        desk.step(0, 500.0)
-    assert server.selection_weight > 0 and server.failures < 1 and server.latency_ratio < 1.2
-
-
-def test_no_more_than_half_of_a_tier_rests_at_once() -> None:
-    """All of them at rest would be an outage of our own making."""
-    desk = Desk(crossing=0.0, zones=("abcd",))
-    desk.learn()
-    most = 0
+        referee.step(0, 500.0, except_endpoint="a")
+        answer_as_overloaded(referee, "a")
+        history.append(referee.in_flight()["a"])
+    idle = max(len(run) for run in "".join("x" if n else "." for n in history).split("x"))
+    assert idle >= 480  # 4.8 s without a break
+
+
+def test_an_endpoint_starts_without_old_observations_after_its_ejection() -> None:
+    """Because of the observations before its ejection it got hardly any requests after it."""
+    referee = ZonedReferee(cross_zone_cost=0.0, zones=("abc",))
+    referee.warm_up()
+    endpoint = referee.balancer.registry.endpoints["a"]
+    while not endpoint.ejected_until:
+        referee.step(0, 500.0, except_endpoint="a")
+        answer_as_overloaded(referee, "a")
+    while endpoint.ejected_until or not endpoint.selection_weight:  # until the end of the next window
+        referee.step(0, 500.0)
+    assert endpoint.selection_weight > 0 and endpoint.failures < 1 and endpoint.latency_ratio < 1.2
+
+
+def test_at_most_half_of_a_tier_is_ejected_at_once() -> None:
+    """Ejecting all of them would cause an outage."""
+    referee = ZonedReferee(cross_zone_cost=0.0, zones=("abcd",))
+    referee.warm_up()
+    max_ejected = 0
     for _ in range(1500):
-        desk.advance(10.0)
-        desk.call()
+        referee.advance(10.0)
+        referee.send()
         for name in "abcd":
-            choked(desk, name)
-        most = max(most, sum(desk.now < s.ejected_until for s in desk.balancer.registry.endpoints.values()))
-    assert most == 2
+            answer_as_overloaded(referee, name)
+        max_ejected = max(
+            max_ejected, sum(referee.now < each.ejected_until for each in referee.balancer.registry.endpoints.values())
+        )
+    assert max_ejected == 2
 
 
-def test_a_door_that_nothing_comes_out_of_opens_again() -> None:
-    """Its mean of what is held moved with answers alone: with nothing out it refused 40 calls a second for 3 s."""
+def test_requests_are_admitted_again_after_an_overload_with_nothing_in_flight() -> None:
+    """The mean in flight changed only at responses: with nothing in flight, 40 requests/s were rejected for 3 s."""
     referee = Referee(make_settings(classes=(READ,)), listed=make_endpoints(4))
     balancer = referee.balancer
-    steady(referee, 40, Outcome.OK)
-    balancer.mean_in_flight = (
-        10 * balancer.admission.concurrency_limit
-    )  # a jam has just ended: every call of it is over
+    send_steadily(referee, 40, Outcome.OK)
+    # An overload has just ended: all of its requests have been answered.
+    balancer.mean_in_flight = 10 * balancer.admission.concurrency_limit
     assert not balancer.in_flight
     for _ in range(60):
         referee.advance(25.0)
-        _, acts = referee.arrive(0)
-        if not any(isinstance(act, RejectRequest) for act in acts):
+        _, actions = referee.arrive(0)
+        if not any(isinstance(action, RejectRequest) for action in actions):
             return
-    raise AssertionError("shut for 1.5 s with nothing out")
+    raise AssertionError("rejected all requests for 1.5 s with nothing in flight")
--- a/tests/test_generated_lists.py
+++ b/tests/test_generated_lists.py
@@ -1,6 +1,6 @@
-"""The decisions over generated lists, load reports, new settings and ejections: none fails, and the rules hold.
+"""The decisions under random endpoint lists, load reports, settings and ejections: no event fails, no rule is broken.
 
-`HYPOTHESIS_EXAMPLES=5000 python3 -m tests tests/test_generated_lists.py` plays more than CI does.
+`HYPOTHESIS_EXAMPLES=5000 python3 -m tests tests/test_generated_lists.py` runs more examples than CI does.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from hypothesis import given
-from hypothesis import settings as drawn
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from limenotch.balancing.events import MembershipKind
@@ -21,15 +21,15 @@
 NAMES = tuple(f"e{number}" for number in range(6))
 
 
-class Listed(NamedTuple):
-    """An update of the list; starts are in ms before it, or after it where they are negative."""
+class ListUpdate(NamedTuple):
+    """An update of the endpoint list. The ages of the processes are in ms, negative for a start in the future."""
 
     kind: MembershipKind
     entries: list[tuple[Endpoint, float | None]]
 
 
-class Arrived(NamedTuple):
-    """Requests of one class, some ms apart."""
+class Arrivals(NamedTuple):
+    """Requests of one class, `gap_ms` apart."""
 
     traffic_class: int
     budget_ms: float
@@ -38,8 +38,8 @@
     gap_ms: float
 
 
-class Ended(NamedTuple):
-    """An attempt that is out, by a number to choose it by, with its load report."""
+class AttemptEnd(NamedTuple):
+    """The end of an attempt in flight, which is chosen by `number`, with its load report."""
 
     number: int
     outcome: Outcome
@@ -47,20 +47,20 @@
     requests_per_s: float | None
 
 
-class Waited(NamedTuple):
-    """Time passes, in ms."""
+class Wait(NamedTuple):
+    """Time passes."""
 
     span_ms: float
 
 
-class Ejected(NamedTuple):
-    """An operator ejects or readmits."""
+class Ejection(NamedTuple):
+    """An operator ejects or readmits an endpoint."""
 
     name: str
     ejected: bool
 
 
-class Retuned(NamedTuple):
+class SettingsChange(NamedTuple):
     """New settings."""
 
     may_hedge: bool
@@ -71,7 +71,7 @@
     zone: int
 
 
-Step = Listed | Arrived | Ended | Waited | Ejected | Retuned
+Step = ListUpdate | Arrivals | AttemptEnd | Wait | Ejection | SettingsChange
 
 ENTRIES = st.builds(
     Endpoint,
@@ -83,7 +83,7 @@
     st.integers(0, 1),
 )
 LISTS = st.builds(
-    Listed,
+    ListUpdate,
     st.sampled_from((MembershipKind.COMPLETE, MembershipKind.INCREMENTAL, MembershipKind.UNAVAILABLE)),
     st.lists(st.tuples(ENTRIES, st.sampled_from((None, None, 20_000.0, 50.0, -5000.0))), max_size=8),
 )
@@ -91,7 +91,7 @@
 STEPS: st.SearchStrategy[Step] = st.one_of(
     LISTS,
     st.builds(
-        Arrived,
+        Arrivals,
         st.integers(0, 3),
         st.sampled_from((40.0, 900.0, 3000.0)),
         st.booleans(),
@@ -99,16 +99,16 @@
         st.sampled_from((0.0, 20.0, 200.0)),
     ),
     st.builds(
-        Ended,
+        AttemptEnd,
         st.integers(0, 1000),
         st.sampled_from([outcome for outcome in Outcome if outcome is not Outcome.CANCELLED]),
         REPORTED,
         st.sampled_from((None, 0.0, 10.0, 1e5)),
     ),
-    st.builds(Waited, st.sampled_from((1.0, 100.0, 1000.0, 30_000.0))),
-    st.builds(Ejected, st.sampled_from(NAMES), st.booleans()),
+    st.builds(Wait, st.sampled_from((1.0, 100.0, 1000.0, 30_000.0))),
+    st.builds(Ejection, st.sampled_from(NAMES), st.booleans()),
     st.builds(
-        Retuned,
+        SettingsChange,
         st.booleans(),
         st.booleans(),
         st.integers(1, 4),
@@ -119,56 +119,56 @@
 )
 
 
-def play(referee: Referee, step: Step) -> None:
-    """Carry out one step."""
-    if isinstance(step, Listed):
-        rows = tuple(
+def apply_step(referee: Referee, step: Step) -> None:
+    """Apply one step."""
+    if isinstance(step, ListUpdate):
+        entries = tuple(
             entry._replace(started_ms=0.0 if age_ms is None else max(referee.now - age_ms, 1.0))
             for entry, age_ms in step.entries
         )
         if step.kind is not MembershipKind.UNAVAILABLE:
-            referee.update_endpoints(rows, step.kind)
+            referee.update_endpoints(entries, step.kind)
         return
-    if isinstance(step, Arrived):
+    if isinstance(step, Arrivals):
         for _ in range(step.requests):
             referee.arrive(step.traffic_class, step.budget_ms, single_use_body=step.single_use_body)
-            wait(referee, step.gap_ms)
-    elif isinstance(step, Ended):
-        end(referee, step)
-    elif isinstance(step, Waited):
-        wait(referee, step.span_ms)
-    elif isinstance(step, Ejected):
+            advance(referee, step.gap_ms)
+    elif isinstance(step, AttemptEnd):
+        end_attempt(referee, step)
+    elif isinstance(step, Wait):
+        advance(referee, step.span_ms)
+    elif isinstance(step, Ejection):
         referee.set_ejected(step.name, step.ejected)
     else:
         referee.change_settings(make_settings(**step._asdict()))
 
 
-def wait(referee: Referee, span_ms: float) -> None:
-    """Clients leave at their deadlines."""
+def advance(referee: Referee, span_ms: float) -> None:
+    """Let time pass. Clients disconnect at their deadlines."""
     referee.advance(span_ms)
-    for held in [each for each in referee.tracked.values() if not each.answered and each.deadline <= referee.now]:
-        referee.disconnect_client(held.arrival.request)
+    for request in [each for each in referee.tracked.values() if not each.answered and each.deadline <= referee.now]:
+        referee.disconnect_client(request.arrival.request)
 
 
-def end(referee: Referee, step: Ended) -> None:
-    out = [
+def end_attempt(referee: Referee, step: AttemptEnd) -> None:
+    in_flight = [
         (name, number)
-        for name, held in referee.tracked.items()
-        for number in range(len(held.sent))
-        if number not in held.ended
+        for name, request in referee.tracked.items()
+        for number in range(len(request.sent))
+        if number not in request.ended
     ]
-    if out:
-        name, number = out[step.number % len(out)]
+    if in_flight:
+        name, number = in_flight[step.number % len(in_flight)]
         outcome = Outcome.CANCELLED if referee.tracked[name].answered else step.outcome
         referee.finish_attempt(name, number, outcome, step.utilisation, step.requests_per_s)
 
 
 def check_availability(referee: Referee) -> None:
-    """Available is exactly what is listed as ready and not ejected by operators."""
+    """The available endpoints are exactly those listed as ready and not ejected by operators."""
     expected = {
         name
-        for name, row in referee.listed.items()
-        if row.state is EndpointState.READY and name not in referee.ejected_names
+        for name, entry in referee.listed.items()
+        if entry.state is EndpointState.READY and name not in referee.ejected_names
     }
     balancer = referee.balancer
     available = [endpoint for members in balancer.by_locality for endpoint in members]
@@ -178,19 +178,19 @@
     )
 
 
-@drawn(max_examples=EXAMPLES)
+@hypothesis_settings(max_examples=EXAMPLES)
 @given(st.lists(STEPS, max_size=60), st.integers(0, 9), st.sampled_from((0.0, 0.05)), st.integers(0, 1))
-def test_rules_hold_and_no_event_fails_over_generated_lists_and_reports(
+def test_no_generated_list_report_or_settings_breaks_a_rule_or_fails_an_event(
     steps: list[Step], seed: int, cross_zone_cost: float, tier_index: int
 ) -> None:
-    # Guards against lists, reports and settings that no healthy deployment sends, in any order.
+    # These include lists, reports and settings that no healthy deployment sends, in any order.
     referee = Referee(make_settings(cross_zone_cost=cross_zone_cost, tier_index=tier_index), seed)
     for step in steps:
-        play(referee, step)
+        apply_step(referee, step)
         check_availability(referee)
     referee.run_to_deadlines()
     assert referee.balancer.in_flight == sum(
-        number not in held.ended and not held.arrival.single_use_body
-        for held in referee.tracked.values()
-        for number in range(len(held.sent))
+        number not in request.ended and not request.arrival.single_use_body
+        for request in referee.tracked.values()
+        for number in range(len(request.sent))
     )
