--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -173,7 +173,7 @@
             referee.finish_attempt(request.arrival.request, len(request.sent) - 1)
     assert 0 < len(stuck) < 12
     # Requests stuck there do not count against the concurrency limit.
-    assert {each.endpoint.name for each in referee.balancer.unresponsive} == {local}
+    assert {endpoint.endpoint.name for endpoint in referee.balancer.unresponsive} == {local}
     assert all(referee.tracked[name].answered for name in stuck[:-1])  # none waits only for the unresponsive endpoint
 
 
--- a/tests/test_balancing_rules.py
+++ b/tests/test_balancing_rules.py
@@ -248,7 +248,7 @@
             referee.finish_attempt(name, attempt, Outcome.CANCELLED if answered else Outcome.OK)
     warm_share = 100.0 / len(entries) * 1.5
     names = [entry.name for entry in warming if entry.started_ms]
-    return max(len([time for time in sent_times.get(name, []) if time < start + 1500.0]) for name in names) / warm_share
+    return max(len([t for t in sent_times.get(each, []) if t < start + 1500.0]) for each in names) / warm_share
 
 
 def test_an_endpoint_in_slow_start_gets_a_reduced_load() -> None:
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,4 +1,7 @@
-"""Cold endpoints under the sum of many balancers: N + 2 root N + 2 requests of mean work, whatever the circumstance."""
+"""The load of endpoints in slow start from many balancers: at most N + 2 sqrt(N) + 2 requests of mean work.
+
+N is the number that overloads an endpoint. The limit applies in all circumstances.
+"""
 
 from __future__ import annotations
 
@@ -29,124 +32,146 @@
 from tests.helpers.slow_start_fleet import simulate
 
 BY_NAME = {case.name: case for case in CIRCUMSTANCES}
-# Each of these seeds went over before the rate shown took the place of demand.
-FOUND = (("no reports, overload", (3, 4, 6, 7)), ("no reports, overload, burst", (5, 7, 8)))
-COLD = SlowStart(0.1, 20_000.0, 3.0, 2000.0)
+# With these seeds endpoints were overloaded while slow start was based on the arrival rate, not on the measured rate.
+FAILED_SEEDS = (("no reports, overload", (3, 4, 6, 7)), ("no reports, overload, burst", (5, 7, 8)))
+SLOW_START = SlowStart(0.1, 20_000.0, 3.0, 2000.0)
 
 
 @pytest.mark.parametrize("case", CIRCUMSTANCES, ids=lambda case: case.name)
-def test_the_sum_of_all_sidecars_pushes_no_cold_endpoint_over(case: Circumstance) -> None:
+def test_all_sidecars_together_do_not_overload_an_endpoint_in_slow_start(case: Circumstance) -> None:
     assert simulate(case, 0).worst <= 1.0
 
 
-@pytest.mark.parametrize(("name", "seeds"), FOUND)
-def test_demand_is_not_taken_for_what_a_tier_can_do(name: str, seeds: tuple[int, ...]) -> None:
+@pytest.mark.parametrize(("name", "seeds"), FAILED_SEEDS)
+def test_the_arrival_rate_is_not_taken_for_the_capacity_of_a_tier(name: str, seeds: tuple[int, ...]) -> None:
     assert max(simulate(BY_NAME[name], seed).worst for seed in seeds) <= 1.0
 
 
-def told(rank: int, total: int, rows: tuple[Endpoint, ...], seed: int = 1, **given: object) -> Balancer:
-    """A balancer that knows by reports what a warm endpoint can do: 20 a second."""
+def balancer_with_reports(
+    balancer_index: int, balancers: int, endpoints: tuple[Endpoint, ...], seed: int = 1, **changes: object
+) -> Balancer:
+    """A balancer that knows from load reports that a warm endpoint can serve 20 requests/s."""
     base: dict[str, object] = {
         "classes": (LOOK,),
-        "balancers": total,
-        "balancer_index": rank,
-        "slow_start": COLD,
+        "balancers": balancers,
+        "balancer_index": balancer_index,
+        "slow_start": SLOW_START,
         "tier_index": 1,
     }
-    balancer = Balancer(BalancerSettings(**(base | given)), seed)  # type: ignore[arg-type]
+    balancer = Balancer(BalancerSettings(**(base | changes)), seed)  # type: ignore[arg-type]
     balancer.tier_profile.reported_rate, balancer.tier_profile.reported_use = 20.0, 1.0
-    balancer.handle(60_000.0, MembershipUpdate(MembershipKind.COMPLETE, rows))
+    balancer.handle(60_000.0, MembershipUpdate(MembershipKind.COMPLETE, endpoints))
     return balancer
 
 
-def rows(number: int, cold: int, zones: int = 1) -> tuple[Endpoint, ...]:
-    return tuple(Endpoint(f"u{n}", zone=n % zones, started_ms=60_000.0 * (n < cold)) for n in range(number))
+def make_endpoints(count: int, warming_count: int, zones: int = 1) -> tuple[Endpoint, ...]:
+    return tuple(
+        Endpoint(f"u{number}", zone=number % zones, started_ms=60_000.0 * (number < warming_count))
+        for number in range(count)
+    )
 
 
 @pytest.mark.parametrize(
-    ("number", "cold", "total", "zones", "price"),
+    ("count", "warming_count", "balancers", "zones", "cross_zone_cost"),
     [(10, 1, 30, 1, 0.0), (10, 10, 30, 1, 0.0), (40, 8, 30, 1, 0.0), (40, 40, 30, 1, 0.0), (12, 12, 24, 3, 0.015)],
 )
-def test_the_parts_of_all_add_up(number: int, cold: int, total: int, zones: int, price: float) -> None:
-    """Whatever is drawn from, how much is cold and how dear crossings are: half of what pushes each one over."""
-    all_ = [told(r, total, rows(number, cold, zones), zone=r % zones, cross_zone_cost=price) for r in range(total)]
-    limit = COLD.overload_multiple * COLD.initial_capacity * 20.0 / 1000
-    for n in range(cold):
-        room = sum(balancer.registry.endpoints[f"u{n}"].slow_start_rate for balancer in all_)
-        assert 0.4 < room / limit < 0.6
+def test_the_slow_start_rates_of_all_balancers_add_up(
+    count: int, warming_count: int, balancers: int, zones: int, cross_zone_cost: float
+) -> None:
+    """They add up to half of the load that overloads an endpoint, for any subset, share in slow start and zone cost."""
+    all_balancers = [
+        balancer_with_reports(
+            index,
+            balancers,
+            make_endpoints(count, warming_count, zones),
+            zone=index % zones,
+            cross_zone_cost=cross_zone_cost,
+        )
+        for index in range(balancers)
+    ]
+    limit = SLOW_START.overload_multiple * SLOW_START.initial_capacity * 20.0 / 1000
+    for number in range(warming_count):
+        rate_sum = sum(balancer.registry.endpoints[f"u{number}"].slow_start_rate for balancer in all_balancers)
+        assert 0.4 < rate_sum / limit < 0.6
 
 
-def test_a_keyed_repeat_leaves_the_part_as_it_is() -> None:
-    """The group's shares are taken anew for it, without the distance: the part of far cold ones grew twentyfold."""
+def test_a_retry_within_a_group_does_not_change_slow_start_rates() -> None:
+    """The weights for such a request ignore zones, which raised the rates of endpoints in other zones twentyfold."""
     classes = (
         TrafficClass("keyed", Effect.DEDUPLICATED, 1000.0, 3000.0, dedup_scope=DedupScope.ZONE, dedup_window_ms=3000.0),
     )
-    balancer = told(0, 4, rows(9, 9, 3), classes=classes, cross_zone_cost=0.015)
-    before = {name: server.slow_start_rate for name, server in balancer.registry.endpoints.items()}
-    for call in range(50):
+    balancer = balancer_with_reports(0, 4, make_endpoints(9, 9, 3), classes=classes, cross_zone_cost=0.015)
+    before = {name: endpoint.slow_start_rate for name, endpoint in balancer.registry.endpoints.items()}
+    for number in range(50):
         balancer.handle(
-            60_001.0 + call, RequestArrived(str(call), 0, 3000.0, prior_execution=PriorExecution(1, 0, 60_000.0))
+            60_001.0 + number,
+            RequestArrived(str(number), 0, 3000.0, prior_execution=PriorExecution(1, 0, 60_000.0)),
         )
-    assert before == {name: server.slow_start_rate for name, server in balancer.registry.endpoints.items()}
+    assert before == {name: endpoint.slow_start_rate for name, endpoint in balancer.registry.endpoints.items()}
 
 
-def test_a_balancer_saves_up_one_request_and_half_a_span() -> None:
-    server = EndpointStatistics(Endpoint("u"), LatencyProfile(), 0.0, 0.0)
-    server.slow_start_rate = 0.01
-    assert server.accrue_credit(50.0, 2000.0) == 0.5
-    assert server.accrue_credit(1e6, 2000.0) == 11.0
+def test_credit_is_limited_to_one_request_and_half_an_overload_window() -> None:
+    endpoint = EndpointStatistics(Endpoint("u"), LatencyProfile(), 0.0, 0.0)
+    endpoint.slow_start_rate = 0.01
+    assert endpoint.accrue_credit(50.0, 2000.0) == 0.5
+    assert endpoint.accrue_credit(1e6, 2000.0) == 11.0
 
 
-def test_balancers_of_one_seed_take_turns() -> None:
-    """With one seed for all, the first requests of all that started together came in the same moment."""
+def test_balancers_with_the_same_seed_start_with_different_credits() -> None:
+    """With equal seeds, the first requests of balancers that started together arrived at the same moment."""
     credits = sorted(
-        told(rank, 30, rows(4, 4), seed=9).registry.endpoints["u0"].slow_start_credit for rank in range(30)
+        balancer_with_reports(balancer_index, 30, make_endpoints(4, 4), seed=9)
+        .registry.endpoints["u0"]
+        .slow_start_credit
+        for balancer_index in range(30)
     )
     assert max(b - a for a, b in zip(credits, credits[1:], strict=False)) < 3 / 30
     assert credits[-1] - credits[0] > 0.9
 
 
-def test_new_cold_rules_find_no_debt_of_warm_times() -> None:
-    """Calls sent to a warm endpoint were charged to its credit, and a longer ramp by SIGHUP then gave it nothing."""
-    balancer = told(0, 1, rows(1, 1))
+def test_requests_to_a_warm_endpoint_do_not_reduce_its_credit_in_a_longer_slow_start() -> None:
+    """Requests to a warm endpoint used up its credit: after a SIGHUP with a longer slow start it got no requests."""
+    balancer = balancer_with_reports(0, 1, make_endpoints(1, 1))
     for number in range(2000):
         now = 85_000.0 + number * 2  # warm by then
         for action in balancer.handle(now, RequestArrived(f"c{number}", 0, 4000.0)):
             if isinstance(action, SendAttempt):
-                done = AttemptFinished(action.request, action.endpoint, 0, 5.0, Outcome.OK, False, 0.5, 10.0)
-                balancer.handle(now + 1, done)
-    longer = SlowStart(0.1, 60_000.0, 3.0, 2000.0)
-    balancer.handle(89_100.0, SettingsChanged(BalancerSettings((LOOK,), slow_start=longer, tier_index=1)))
-    sent = [
-        a
-        for n in range(300)
-        for a in balancer.handle(89_200.0 + n * 10, RequestArrived(f"d{n}", 0, 4000.0))
-        if isinstance(a, SendAttempt)
+                finished = AttemptFinished(action.request, action.endpoint, 0, 5.0, Outcome.OK, False, 0.5, 10.0)
+                balancer.handle(now + 1, finished)
+    longer_slow_start = SlowStart(0.1, 60_000.0, 3.0, 2000.0)
+    balancer.handle(89_100.0, SettingsChanged(BalancerSettings((LOOK,), slow_start=longer_slow_start, tier_index=1)))
+    attempts = [
+        action
+        for number in range(300)
+        for action in balancer.handle(89_200.0 + number * 10, RequestArrived(f"d{number}", 0, 4000.0))
+        if isinstance(action, SendAttempt)
     ]
-    assert len(sent) > 20
+    assert len(attempts) > 20
 
 
-def test_answers_of_those_that_left_are_no_rate_of_those_that_stay() -> None:
-    """Ten answer, nine are replaced: what the nine still answer is not what the one can do."""
-    settings = BalancerSettings((LOOK,), slow_start=COLD, tier_index=1)
+def test_responses_of_removed_endpoints_do_not_count_in_the_measured_rate() -> None:
+    """Nine of ten endpoints are replaced. Their last responses must not count as those of the one that remains."""
+    settings = BalancerSettings((LOOK,), slow_start=SLOW_START, tier_index=1)
     balancer = Balancer(settings, 2)
-    listed = tuple(Endpoint(f"u{n}") for n in range(10))
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, listed))
+    warm = tuple(Endpoint(f"u{number}") for number in range(10))
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, warm))
     now = 0.0
 
-    def call(number: int) -> list[Action]:
+    def send_request(number: int) -> list[Action]:
         return balancer.handle(now, RequestArrived(f"c{number}", 0, 4000.0))
 
     for number in range(1000):
         now = 1.0 + number * 10
-        for action in call(number):
+        for action in send_request(number):
             if isinstance(action, SendAttempt):
                 balancer.handle(now, AttemptFinished(action.request, action.endpoint, 0, 5.0, Outcome.OK))
-    assert 8.0 < balancer.measured_rate < 12.0  # of 100 a second
-    out = [action for number in range(1000, 1200) for action in call(number) if isinstance(action, SendAttempt)]
-    cold = tuple(Endpoint(f"v{n}", started_ms=now) for n in range(9))
-    balancer.handle(now, MembershipUpdate(MembershipKind.COMPLETE, (listed[0], *cold)))
-    for send in out:
+    assert 8.0 < balancer.measured_rate < 12.0  # of 100 requests/s
+    in_flight = [
+        action for number in range(1000, 1200) for action in send_request(number) if isinstance(action, SendAttempt)
+    ]
+    started = tuple(Endpoint(f"v{number}", started_ms=now) for number in range(9))
+    balancer.handle(now, MembershipUpdate(MembershipKind.COMPLETE, (warm[0], *started)))
+    for send in in_flight:
         balancer.handle(now, AttemptFinished(send.request, send.endpoint, 0, 5.0, Outcome.OK))
     balancer.handle(now + 2000.0, TimerFired(-1))
     assert balancer.measured_rate < 20.0
--- a/tests/test_stale_endpoint_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -1,4 +1,4 @@
-"""While the list may lack changes: an endpoint that rejects calls may be draining, and is left alone for a while."""
+"""While the watch on discovery is broken, an endpoint that rejects requests may be draining, and is ejected."""
 
 from __future__ import annotations
 
@@ -16,35 +16,37 @@
 from limenotch.balancing.outlier_detection import EJECTION_MS, MAX_EJECTED_FRACTION
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 
-SAFE = TrafficClass("look", Effect.IDEMPOTENT, 400.0, 900.0)
-ONCE = TrafficClass("file", Effect.AT_MOST_ONCE, 400.0, 900.0)
+IDEMPOTENT = TrafficClass("look", Effect.IDEMPOTENT, 400.0, 900.0)
+AT_MOST_ONCE = TrafficClass("file", Effect.AT_MOST_ONCE, 400.0, 900.0)
 NAMES = "abcdefgh"
 STEP_MS = 20.0
 
 
 class Tier:
-    """A balancer with eight endpoints, of which `rejecting` turn every attempt away and the others answer at once."""
+    """A balancer with eight endpoints. Those in `rejecting` reject each attempt; the others respond at once."""
 
-    def __init__(self, layer: int = 0) -> None:
-        self.balancer = Balancer(BalancerSettings(classes=(SAFE, ONCE), tier_index=layer, max_attempts=3), seed=4)
+    def __init__(self, tier_index: int = 0) -> None:
+        self.balancer = Balancer(
+            BalancerSettings(classes=(IDEMPOTENT, AT_MOST_ONCE), tier_index=tier_index, max_attempts=3), seed=4
+        )
         self.now = 0.0
         self.rejecting: set[str] = set()
-        self.calls = 0
+        self.request_count = 0
         self.balancer.handle(self.now, BalancerStarted())
-        self.listed(NAMES)
+        self.send_list(NAMES)
 
-    def listed(self, names: str) -> None:
+    def send_list(self, names: str) -> None:
         entries = tuple(Endpoint(name) for name in names)
         self.balancer.handle(self.now, MembershipUpdate(MembershipKind.COMPLETE, entries))
 
-    def watch_breaks(self) -> None:
+    def break_watch(self) -> None:
         self.balancer.handle(self.now, MembershipUpdate(MembershipKind.UNAVAILABLE))
 
-    def call(self, traffic_class: int = 0) -> list[str]:
-        """One call up to its end; the endpoints that it was sent to, in order."""
+    def send_request(self, traffic_class: int = 0) -> list[str]:
+        """Send a request and run it to its end; return the endpoints it was sent to, in order."""
         self.now += STEP_MS
-        self.calls += 1
-        actions = self.balancer.handle(self.now, RequestArrived(str(self.calls), traffic_class, 900.0))
+        self.request_count += 1
+        actions = self.balancer.handle(self.now, RequestArrived(str(self.request_count), traffic_class, 900.0))
         sent: list[str] = []
         while sends := [action for action in actions if isinstance(action, SendAttempt)]:
             actions = []
@@ -58,63 +60,66 @@
                 )
         return sent
 
-    def sent_until(self, until: float, traffic_class: int = 0) -> list[str]:
+    def send_until(self, end_ms: float, traffic_class: int = 0) -> list[str]:
         sent: list[str] = []
-        while self.now + STEP_MS < until:
-            sent += self.call(traffic_class)
+        while self.now + STEP_MS < end_ms:
+            sent += self.send_request(traffic_class)
         return sent
 
 
-@pytest.mark.parametrize("layer", [0, 1])
+@pytest.mark.parametrize("tier_index", [0, 1])
 @pytest.mark.parametrize("traffic_class", [0, 1])
-def test_one_that_rejects_while_the_watch_is_broken_is_sent_nothing_for_a_while(layer: int, traffic_class: int) -> None:
-    # Guards drains that a jammed discovery has not told: seen on the bench 7.1 s after the drain, which counts as told.
-    tier = Tier(layer)
-    tier.watch_breaks()
+def test_an_endpoint_that_rejects_while_the_watch_is_broken_is_ejected_for_a_time(
+    tier_index: int, traffic_class: int
+) -> None:
+    # An overloaded discovery did not report a drain: in a benchmark, requests arrived 7.1 s after it, too late.
+    tier = Tier(tier_index)
+    tier.break_watch()
     tier.rejecting = {"a", "b"}
-    rejected: dict[str, float] = {}
-    while len(rejected) < 2:
-        rejected.update({name: tier.now for name in tier.call(traffic_class) if name in tier.rejecting})
-    first, last = min(rejected.values()), max(rejected.values())
-    assert not tier.rejecting.intersection(tier.sent_until(first + EJECTION_MS, traffic_class))
+    rejected_at: dict[str, float] = {}
+    while len(rejected_at) < 2:
+        rejected_at.update({name: tier.now for name in tier.send_request(traffic_class) if name in tier.rejecting})
+    first_rejection, last_rejection = min(rejected_at.values()), max(rejected_at.values())
+    assert not tier.rejecting.intersection(tier.send_until(first_rejection + EJECTION_MS, traffic_class))
     tier.rejecting = set()
-    assert {"a", "b"} <= set(tier.sent_until(last + 2 * EJECTION_MS, traffic_class))  # it was full, and is met as new
+    # If the endpoint was only overloaded, it gets requests again after its ejection.
+    assert {"a", "b"} <= set(tier.send_until(last_rejection + 2 * EJECTION_MS, traffic_class))
 
 
-def test_one_that_rejects_under_a_list_that_stands_is_sent_calls_again() -> None:
+def test_an_endpoint_that_rejects_while_the_watch_works_gets_more_requests() -> None:
     tier = Tier()
     tier.rejecting = {"a"}
-    assert tier.sent_until(EJECTION_MS).count("a") > 1
+    assert tier.send_until(EJECTION_MS).count("a") > 1
 
 
-def test_a_list_that_is_heard_again_ends_it_for_rejections_to_come() -> None:
+def test_rejections_after_a_new_list_do_not_eject_an_endpoint() -> None:
     tier = Tier()
-    tier.watch_breaks()
-    tier.listed(NAMES)
+    tier.break_watch()
+    tier.send_list(NAMES)
     tier.rejecting = {"a"}
-    assert tier.sent_until(EJECTION_MS).count("a") > 1
+    assert tier.send_until(EJECTION_MS).count("a") > 1
 
 
-def test_a_list_that_is_heard_again_lets_it_be_tried() -> None:
-    # Guards tiers that are full for a moment while a watch is broken for less.
+def test_a_new_list_ends_the_ejection() -> None:
+    # A tier may be overloaded for a moment while the watch is broken for an even shorter time.
     tier = Tier()
-    tier.watch_breaks()
+    tier.break_watch()
     tier.rejecting = {"a"}
     while not tier.balancer.registry.endpoints["a"].is_ejected(tier.now):
-        tier.call()
+        tier.send_request()
     tier.rejecting = set()
-    rested = tier.now
-    tier.listed(NAMES)
-    assert "a" in tier.sent_until(rested + EJECTION_MS)
+    ejected_at = tier.now
+    tier.send_list(NAMES)
+    assert "a" in tier.send_until(ejected_at + EJECTION_MS)
 
 
-def test_when_all_reject_no_more_than_half_are_left_alone() -> None:
+def test_at_most_half_are_ejected_if_all_reject() -> None:
     tier = Tier()
-    tier.watch_breaks()
+    tier.break_watch()
     tier.rejecting = set(NAMES)
-    tier.sent_until(EJECTION_MS / 2)
-    resting = [server for server in tier.balancer.registry.endpoints.values() if server.is_ejected(tier.now)]
-    assert len(resting) == MAX_EJECTED_FRACTION * len(NAMES)
+    tier.send_until(EJECTION_MS / 2)
+    ejected = [endpoint for endpoint in tier.balancer.registry.endpoints.values() if endpoint.is_ejected(tier.now)]
+    assert len(ejected) == MAX_EJECTED_FRACTION * len(NAMES)
     tier.rejecting = set()
-    sent = tier.sent_until(EJECTION_MS * 0.9)
-    assert sent and not set(sent).intersection(server.endpoint.name for server in resting)
+    sent = tier.send_until(EJECTION_MS * 0.9)
+    assert sent and not set(sent).intersection(endpoint.endpoint.name for endpoint in ejected)
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -1,11 +1,9 @@
-"""A fresh endpoint is met as cold, whatever the wall clocks say.
+"""An endpoint that has just started is in slow start, even after a wall clock was set.
 
-What users would see: after a wall clock was set, endpoints that had just started were sent as many requests as warm
-ones, and fell over.
-
-Cause: the start of an endpoint's process, which the list tells in Unix time, was compared with a wall clock that the
-sidecar had read once, at its own start. Evidence: an hour's step of the machine's clock back, or a sidecar whose clock
-was an hour ahead, and the new endpoint gets its full part of the first 300 calls; without a step it gets none.
+The failure: after a wall clock was set, endpoints that had just started got as many requests as warm ones, and were
+overloaded. The listed start of an endpoint's process, in Unix time, was compared with a wall clock that the sidecar had
+read once, at its own start. If the machine's clock was set back by an hour, or the sidecar's clock was an hour ahead, a
+new endpoint got its full share of the first 300 requests; without a step it got none.
 """
 
 from __future__ import annotations
@@ -25,11 +23,11 @@
 from .test_drain_at_size import Servers
 
 HOUR_S = 3600.0
-CLIENTS, CALLS = 3, 100  # each
-CLASS = {"name": "look", "effect": "idempotent", "target_ms": 250.0, "hard_limit_ms": 20000.0}
-RAMP = {"start_capacity": 0.12, "cold_ms": 24_000.0, "fall_multiple": 4.0, "overload_for_ms": 1000.0}
-MOST = 21  # of 300 calls to one of four endpoints that can do 0.12 of its work: 9, three times the root of it, and 3
-STEPS = [
+CLIENTS, REQUESTS_PER_CLIENT = 3, 100
+TRAFFIC_CLASS = {"name": "look", "effect": "idempotent", "target_ms": 250.0, "hard_limit_ms": 20000.0}
+SLOW_START_RULES = {"start_capacity": 0.12, "cold_ms": 24_000.0, "fall_multiple": 4.0, "overload_for_ms": 1000.0}
+MAX_REQUESTS_TO_STARTED = 21  # 0.12 of a fourth of 300 requests: 9, plus 3 standard deviations, plus 3
+CLOCK_STEPS = [
     pytest.param(0.0, 0.0, 0.0, id="no step"),
     pytest.param(0.0, -HOUR_S, -HOUR_S, id="the machine's clock is set back"),
     pytest.param(0.0, HOUR_S, HOUR_S, id="the machine's clock is set forward"),
@@ -40,33 +38,34 @@
 ]
 
 
-async def calls_to_a_fresh_endpoint(
-    folder: Path, rules: dict[str, float], at_start_s: float, later_s: float, listed_s: float
+async def requests_to_started_endpoint(
+    folder: Path, rules: dict[str, float], offset_at_start_s: float, later_offset_s: float, list_offset_s: float
 ) -> int:
-    """Of the first calls after it is listed; all of them must be served.
+    """Return how many of the first requests after its listing go to an endpoint that has just started.
 
-    Seconds that clocks are apart from the time of this test: the sidecar's at its start and later, the list's.
+    All requests must be served. The offsets from the clock of this test are those of the sidecar's clock at its start
+    and later, and that of the listed start.
     """
     servers, processes = Servers(), Processes(folder)
     await servers.begin(4, names=4)
-    *warm, fresh = servers.entries
+    *warm, started = servers.entries
     discovery = DiscoveryService(warm)
-    at = await discovery.listen()
-    faults, port = folder / "faults", free_port()
-    settings = {**SETTINGS, "classes": [CLASS], "rules": rules}
-    raw = {"name": "n", "listen": f"127.0.0.1:{port}", "discovery": at.name, "seed": "1f", "settings": settings}
+    address = await discovery.listen()
+    faults_path, port = folder / "faults", free_port()
+    settings = {**SETTINGS, "classes": [TRAFFIC_CLASS], "rules": rules}
+    config = {"name": "n", "listen": f"127.0.0.1:{port}", "discovery": address.name, "seed": "1f", "settings": settings}
 
     async def client() -> None:
-        for _ in range(CALLS):
+        for _ in range(REQUESTS_PER_CLIENT):
             assert (await ask(port, renamed(LOOK))).status == 200
             await asyncio.sleep(0.01)
 
-    ask_for(faults, Wish(clock_s=at_start_s))
+    ask_for(faults_path, Wish(clock_s=offset_at_start_s))
     try:
-        await processes.serve(raw, module="limenotch.lab.fleet.node", more={FAULTS: str(faults)})
+        await processes.serve(config, module="limenotch.lab.fleet.node", more={FAULTS: str(faults_path)})
         await client()
-        ask_for(faults, Wish(clock_s=later_s))
-        discovery.tell({**fresh, "since_ms": round((time.time() + listed_s) * 1000.0)})
+        ask_for(faults_path, Wish(clock_s=later_offset_s))
+        discovery.tell({**started, "since_ms": round((time.time() + list_offset_s) * 1000.0)})
         await asyncio.sleep(0.1)
         await asyncio.gather(*(client() for _ in range(CLIENTS)))
         return len(servers.seen[3])
@@ -76,23 +75,28 @@
         servers.close()
 
 
-@pytest.mark.parametrize(("at_start_s", "later_s", "listed_s"), STEPS)
-def test_a_fresh_endpoint_is_cold_after_a_step(
-    tmp_path: Path, at_start_s: float, later_s: float, listed_s: float
+@pytest.mark.parametrize(("offset_at_start_s", "later_offset_s", "list_offset_s"), CLOCK_STEPS)
+def test_a_started_endpoint_is_in_slow_start_after_a_clock_step(
+    tmp_path: Path, offset_at_start_s: float, later_offset_s: float, list_offset_s: float
 ) -> None:
     async def case() -> None:
-        assert await calls_to_a_fresh_endpoint(tmp_path, RAMP, at_start_s, later_s, listed_s) <= MOST
+        assert (
+            await requests_to_started_endpoint(
+                tmp_path, SLOW_START_RULES, offset_at_start_s, later_offset_s, list_offset_s
+            )
+            <= MAX_REQUESTS_TO_STARTED
+        )
 
     run(case())
 
 
-@pytest.mark.parametrize(("at_start_s", "later_s", "listed_s"), STEPS[2:3])
-def test_a_start_in_the_future_ends_no_call_where_endpoints_start_warm(
-    tmp_path: Path, at_start_s: float, later_s: float, listed_s: float
+@pytest.mark.parametrize(("offset_at_start_s", "later_offset_s", "list_offset_s"), CLOCK_STEPS[2:3])
+def test_a_start_in_the_future_fails_no_request_without_slow_start(
+    tmp_path: Path, offset_at_start_s: float, later_offset_s: float, list_offset_s: float
 ) -> None:
-    """Without a ramp in the settings the part that is over was a division by zero: each call was answered 502."""
+    """Without slow start in the settings, the age was divided by a warm-up time of 0: each request got a 502."""
 
     async def case() -> None:
-        assert await calls_to_a_fresh_endpoint(tmp_path, {}, at_start_s, later_s, listed_s) > 0
+        assert await requests_to_started_endpoint(tmp_path, {}, offset_at_start_s, later_offset_s, list_offset_s) > 0
 
     run(case())
--- a/tests/test_unusual_lists.py
+++ b/tests/test_unusual_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists that no healthy discovery sends: empty, all draining, of weight 0, or with one name twice."""
+"""Endpoint lists that a healthy discovery does not send: empty, all draining, of weight 0, or with a name twice."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 CLASSES = (TrafficClass("look", Effect.IDEMPOTENT, 400.0, 900.0),)
 
 
-def test_an_empty_complete_list_is_taken_after_reports_where_crossing_zones_has_a_cost() -> None:
+def test_an_empty_complete_list_is_applied_after_reports_if_crossing_zones_has_a_cost() -> None:
     balancer = Balancer(BalancerSettings(CLASSES, cross_zone_cost=0.05), 1)
     listed = (Endpoint("a", zone=0), Endpoint("b", zone=1))
     balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, listed))
@@ -38,91 +38,94 @@
     assert len(balancer.available) == 0
 
 
-def test_two_processes_of_one_name_in_one_update_leave_one() -> None:
+def test_of_two_processes_of_one_name_in_one_update_one_stays_listed() -> None:
     balancer = Balancer(BalancerSettings(CLASSES), 1)
-    twice = (Endpoint("y", zone=2, weight=2.0), Endpoint("y", zone=2, started_ms=500.0))
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("x"), *twice)))
+    entries = (Endpoint("y", zone=2, weight=2.0), Endpoint("y", zone=2, started_ms=500.0))
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("x"), *entries)))
     assert len(balancer.available) == len(balancer.registry.endpoints) == 2
 
 
-ACROSS_ZONES = tuple(Endpoint(f"e{number}", zone=number % 3) for number in range(6))
+ENDPOINTS_IN_THREE_ZONES = tuple(Endpoint(f"e{number}", zone=number % 3) for number in range(6))
 
 
 def balancer_with_reports(endpoints: tuple[Endpoint, ...]) -> Balancer:
-    """One that served requests, with a report in each answer, where crossing zones has a cost; then this list."""
+    """A balancer that has served requests with load reports, with a cross-zone cost, and then gets this list."""
     balancer = Balancer(BalancerSettings(CLASSES, cross_zone_cost=0.05), 1)
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, ACROSS_ZONES))
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS_IN_THREE_ZONES))
     serve(balancer)
     balancer.handle(balancer.now, MembershipUpdate(MembershipKind.COMPLETE, endpoints))
     return balancer
 
 
 def serve(balancer: Balancer) -> list[str]:
-    """50 requests 10 ms apart, each answered 5 ms later; the endpoints that they were sent to."""
+    """Send 50 requests 10 ms apart, each answered 5 ms later; return their endpoints."""
     sent = list[str]()
     start = max(balancer.now, 0.0)
     for number in range(50):
-        at, name = start + 10.0 * number, f"{start}-{number}"
-        for action in balancer.handle(at, RequestArrived(name, 0, 900.0)):
+        now, name = start + 10.0 * number, f"{start}-{number}"
+        for action in balancer.handle(now, RequestArrived(name, 0, 900.0)):
             if isinstance(action, SendAttempt):
                 sent.append(action.endpoint)
                 ended = AttemptFinished(name, action.endpoint, 0, 5.0, Outcome.OK, True, 0.5, 40.0 + number)
-                balancer.handle(at + 5.0, ended)
+                balancer.handle(now + 5.0, ended)
     return sent
 
 
-def test_no_event_fails_while_all_endpoints_drain_where_crossing_zones_has_a_cost() -> None:
-    # The capacity of all zones together is 0 then: the division failed at every event until the list changed.
-    draining = tuple(each._replace(state=EndpointState.DRAINING) for each in ACROSS_ZONES)
+def test_no_event_fails_while_all_endpoints_drain_if_crossing_zones_has_a_cost() -> None:
+    # The total capacity is then 0: a division by it failed at every event until the list changed.
+    draining = tuple(each._replace(state=EndpointState.DRAINING) for each in ENDPOINTS_IN_THREE_ZONES)
     balancer = balancer_with_reports(draining)
     assert serve(balancer) == []
-    balancer.handle(balancer.now, MembershipUpdate(MembershipKind.COMPLETE, ACROSS_ZONES))
+    balancer.handle(balancer.now, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS_IN_THREE_ZONES))
     assert len(serve(balancer)) == 50
 
 
-def test_no_event_fails_while_operators_eject_all_endpoints_where_crossing_zones_has_a_cost() -> None:
-    balancer = balancer_with_reports(ACROSS_ZONES)
-    for each in ACROSS_ZONES:
+def test_no_event_fails_while_operators_eject_all_endpoints_if_crossing_zones_has_a_cost() -> None:
+    balancer = balancer_with_reports(ENDPOINTS_IN_THREE_ZONES)
+    for each in ENDPOINTS_IN_THREE_ZONES:
         balancer.handle(balancer.now, OperatorEjection(each.name, True))
     assert serve(balancer) == []
     balancer.handle(balancer.now, OperatorEjection("e3", False, balancer.now))
     assert set(serve(balancer)) == {"e3"}
 
 
-@pytest.mark.parametrize("weightless", [(0,), (1,), (1, 2), (0, 1, 2)])
-def test_requests_are_served_where_all_endpoints_of_a_zone_have_weight_0(weightless: tuple[int, ...]) -> None:
-    # Discovery may send a weight of 0: without reports of its endpoints the capacity of such a zone is 0.
+@pytest.mark.parametrize("zones_of_weight_0", [(0,), (1,), (1, 2), (0, 1, 2)])
+def test_requests_are_served_if_all_endpoints_of_a_zone_have_weight_0(zones_of_weight_0: tuple[int, ...]) -> None:
+    # Without load reports, the capacity of a zone whose endpoints all have weight 0 is 0.
     endpoints = tuple(
-        each._replace(weight=0.0, started_ms=100.0) if each.zone in weightless else each for each in ACROSS_ZONES
+        each._replace(weight=0.0, started_ms=100.0) if each.zone in zones_of_weight_0 else each
+        for each in ENDPOINTS_IN_THREE_ZONES
     )
     assert len(serve(balancer_with_reports(endpoints))) == 50
 
 
-def test_the_same_process_twice_in_one_update_counts_once() -> None:
+def test_a_process_listed_twice_in_one_update_counts_once() -> None:
     balancer = Balancer(BalancerSettings(CLASSES), 1)
-    twice = (Endpoint("y"), Endpoint("y", weight=2.0), Endpoint("x"), Endpoint("y", state=EndpointState.DRAINING))
-    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, twice))
+    entries = (Endpoint("y"), Endpoint("y", weight=2.0), Endpoint("x"), Endpoint("y", state=EndpointState.DRAINING))
+    balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, entries))
     assert (len(balancer.available), len(balancer.registry.endpoints)) == (1, 2)
     assert set(serve(balancer)) == {"x"}
 
 
 @pytest.mark.parametrize("kind", [MembershipKind.COMPLETE, MembershipKind.INCREMENTAL])
-def test_a_process_that_is_replaced_and_gone_within_one_update_is_sent_nothing(kind: MembershipKind) -> None:
-    # The replaced process stayed available for good, in lists of both kinds.
+def test_a_process_replaced_and_removed_within_one_update_gets_no_requests(kind: MembershipKind) -> None:
+    # The replaced process stayed available forever, with updates of both kinds.
     balancer = Balancer(BalancerSettings(CLASSES), 1)
     balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("x"), Endpoint("y"))))
-    gone = Endpoint("y", state=EndpointState.GONE, started_ms=500.0)
-    update = (Endpoint("x"), Endpoint("y", weight=2.0), Endpoint("y", started_ms=500.0), gone)
+    removed = Endpoint("y", state=EndpointState.GONE, started_ms=500.0)
+    update = (Endpoint("x"), Endpoint("y", weight=2.0), Endpoint("y", started_ms=500.0), removed)
     balancer.handle(0.0, MembershipUpdate(kind, update))
     assert (len(balancer.available), len(balancer.registry.endpoints)) == (1, 1)
     assert set(serve(balancer)) == {"x"}
 
 
-def test_a_keyed_request_stays_in_the_group_that_its_endpoint_had_when_it_was_sent() -> None:
-    # Its duplicates are dropped there; a list that moved the endpoint to another cell meanwhile moved the repeat too.
-    keyed = TrafficClass("keyed", Effect.DEDUPLICATED, 400.0, 900.0, dedup_scope=DedupScope.CELL, dedup_window_ms=9e3)
+def test_a_deduplicated_request_stays_in_the_group_that_its_endpoint_had_at_sending() -> None:
+    # Duplicates are dropped there. If a list moved the endpoint to another cell meanwhile, the retry went there, too.
+    deduplicated = TrafficClass(
+        "keyed", Effect.DEDUPLICATED, 400.0, 900.0, dedup_scope=DedupScope.CELL, dedup_window_ms=9e3
+    )
     for seed in range(20):
-        balancer = Balancer(BalancerSettings((keyed,)), seed)
+        balancer = Balancer(BalancerSettings((deduplicated,)), seed)
         old = tuple(Endpoint(f"e{number}", cell=number % 2) for number in range(6))
         balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, old))
         first = next(a for a in balancer.handle(1.0, RequestArrived("r", 0, 900.0)) if isinstance(a, SendAttempt))
@@ -130,6 +133,6 @@
         moved = Endpoint(first.endpoint, cell=1 - cell)
         balancer.handle(2.0, MembershipUpdate(MembershipKind.INCREMENTAL, (moved,)))
         actions = balancer.handle(3.0, AttemptFinished("r", first.endpoint, 0, 2.0, Outcome.ERROR))
-        again = [action.endpoint for action in actions if isinstance(action, SendAttempt)]
+        retried = [action.endpoint for action in actions if isinstance(action, SendAttempt)]
         same_cell = {each.name for each in old if each.cell == cell} - {first.endpoint}
-        assert len(again) == 1 and set(again) <= same_cell
+        assert len(retried) == 1 and set(retried) <= same_cell
--- a/tests/test_unusual_reports.py
+++ b/tests/test_unusual_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that say little: no utilisation at a rate, no rate, or from endpoints of weight 0."""
+"""Unusual load reports: a rate without utilisation, no rate, or from endpoints of weight 0."""
 
 from __future__ import annotations
 
@@ -19,60 +19,62 @@
 ENDPOINTS = tuple(Endpoint(f"e{number}", zone=number % 2) for number in range(4))
 
 
-def report_from_each(balancer: Balancer, utilisation: float, per_s: float, requests: int = 400) -> dict[str, int]:
-    """Requests 10 ms apart, answered 5 ms later with this report; how many went to each endpoint."""
+def serve_with_reports(
+    balancer: Balancer, utilisation: float, requests_per_s: float, requests: int = 400
+) -> dict[str, int]:
+    """Send requests 10 ms apart, answered 5 ms later with this report; return their number by endpoint."""
     received = dict[str, int]()
     start = max(balancer.now, 0.0)
     for number in range(requests):
-        at, name = start + 10.0 * number, f"{start}-{number}"
-        for action in balancer.handle(at, RequestArrived(name, 0, 900.0)):
+        now, name = start + 10.0 * number, f"{start}-{number}"
+        for action in balancer.handle(now, RequestArrived(name, 0, 900.0)):
             if isinstance(action, SendAttempt):
                 received[action.endpoint] = received.get(action.endpoint, 0) + 1
-                ended = AttemptFinished(name, action.endpoint, 0, 5.0, Outcome.OK, True, utilisation, per_s)
-                balancer.handle(at + 5.0, ended)
+                ended = AttemptFinished(name, action.endpoint, 0, 5.0, Outcome.OK, True, utilisation, requests_per_s)
+                balancer.handle(now + 5.0, ended)
     return received
 
 
-def balancer_of(endpoints: tuple[Endpoint, ...], cross_zone_cost: float = 0.0) -> Balancer:
+def make_balancer(endpoints: tuple[Endpoint, ...], cross_zone_cost: float = 0.0) -> Balancer:
     balancer = Balancer(BalancerSettings(CLASSES, cross_zone_cost=cross_zone_cost), 1)
     balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, endpoints))
     return balancer
 
 
 @pytest.mark.parametrize("cross_zone_cost", [0.0, 0.05])
-@pytest.mark.parametrize(("utilisation", "per_s"), [(0.0, 10.0), (0.0, 0.0), (0.3, 0.0), (1e-300, 10.0)])
-def test_requests_are_served_whatever_the_first_reports_say(
-    utilisation: float, per_s: float, cross_zone_cost: float
+@pytest.mark.parametrize(("utilisation", "requests_per_s"), [(0.0, 10.0), (0.0, 0.0), (0.3, 0.0), (1e-300, 10.0)])
+def test_requests_are_served_with_any_first_report(
+    utilisation: float, requests_per_s: float, cross_zone_cost: float
 ) -> None:
-    # An idle endpoint reports no utilisation at some rate: the division lost requests at each renewal of the weights.
-    received = report_from_each(balancer_of(ENDPOINTS, cross_zone_cost), utilisation, per_s)
+    # An idle endpoint may report a rate with utilisation 0: a division by it lost requests at each update of the weights.
+    received = serve_with_reports(make_balancer(ENDPOINTS, cross_zone_cost), utilisation, requests_per_s)
     assert sum(received.values()) == 400
 
 
 def test_an_idle_report_does_not_starve_endpoints_that_have_not_reported() -> None:
-    # With no floor under the use, who reported first would count as far larger than the rest.
-    received = report_from_each(balancer_of(ENDPOINTS), 0.0, 10.0)
+    # Without a minimum utilisation, the endpoint that reported first would count as far larger than the others.
+    received = serve_with_reports(make_balancer(ENDPOINTS), 0.0, 10.0)
     assert min(received.get(endpoint.name, 0) for endpoint in ENDPOINTS) >= 50
 
 
-def test_reports_of_endpoints_of_weight_0_are_taken() -> None:
-    received = report_from_each(balancer_of(tuple(each._replace(weight=0.0) for each in ENDPOINTS)), 0.3, 10.0)
+def test_reports_of_endpoints_of_weight_0_are_accepted() -> None:
+    received = serve_with_reports(make_balancer(tuple(each._replace(weight=0.0) for each in ENDPOINTS)), 0.3, 10.0)
     assert sum(received.values()) == 400
 
 
-def test_what_an_earlier_process_learnt_from_idle_reports_alone_is_taken() -> None:
-    # A process of an earlier version hands on a rate with no utilisation.
-    earlier = balancer_of(ENDPOINTS)
-    report_from_each(earlier, 0.3, 10.0, requests=40)
-    for profile in (earlier.tier_profile, *earlier.registry.profiles.values()):
+def test_state_learnt_from_idle_reports_alone_can_be_imported() -> None:
+    # A process of an earlier version exports a rate without utilisation.
+    predecessor = make_balancer(ENDPOINTS)
+    serve_with_reports(predecessor, 0.3, 10.0, requests=40)
+    for profile in (predecessor.tier_profile, *predecessor.registry.profiles.values()):
         profile.reported_use = 0.0
-    successor = balancer_of(ENDPOINTS)
-    import_state(successor, export_state(earlier))
-    successor.now = earlier.now
-    assert sum(report_from_each(successor, 0.0, 10.0, requests=40).values()) == 40
+    successor = make_balancer(ENDPOINTS)
+    import_state(successor, export_state(predecessor))
+    successor.now = predecessor.now
+    assert sum(serve_with_reports(successor, 0.0, 10.0, requests=40).values()) == 40
 
 
-def test_no_connection_closes_unanswered_while_idle_endpoints_report() -> None:
+def test_all_requests_get_responses_while_idle_endpoints_report() -> None:
     classes = [{"name": "look", "effect": "idempotent", "target_ms": 50.0, "hard_limit_ms": 2000.0}]
     handler, _ = answering(whole(200, (b"X-Load-Report", b"TEXT util=0.00, qps=10, latency_ms=1")))
 
@@ -84,11 +86,11 @@
     run(with_sidecar(handler, use, more={"settings": {**SETTINGS, "classes": classes}}))
 
 
-def test_a_process_whose_clock_is_behind_its_predecessors_takes_what_that_one_learnt() -> None:
-    # The wall clock was set back between the two starts: observations from the future overflowed at each renewal.
-    earlier = Balancer(BalancerSettings(CLASSES), 1)
-    earlier.handle(3_600_000.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS))
-    report_from_each(earlier, 0.3, 10.0, requests=100)
-    successor = balancer_of(ENDPOINTS)
-    import_state(successor, export_state(earlier))
-    assert sum(report_from_each(successor, 0.3, 20.0, requests=200).values()) == 200
+def test_a_process_whose_clock_is_behind_its_predecessors_imports_its_learnt_state() -> None:
+    # The wall clock was set back between both starts: decay of observations from the future overflowed at each update.
+    predecessor = Balancer(BalancerSettings(CLASSES), 1)
+    predecessor.handle(3_600_000.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS))
+    serve_with_reports(predecessor, 0.3, 10.0, requests=100)
+    successor = make_balancer(ENDPOINTS)
+    import_state(successor, export_state(predecessor))
+    assert sum(serve_with_reports(successor, 0.3, 20.0, requests=200).values()) == 200
