--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -141,10 +141,10 @@
     longer_slow_start = SlowStart(0.1, 60_000.0, 3.0, 2000.0)
     balancer.handle(89_100.0, SettingsChanged(BalancerSettings((LOOK,), slow_start=longer_slow_start, tier_index=1)))
     attempts = [
-        action
-        for number in range(300)
-        for action in balancer.handle(89_200.0 + number * 10, RequestArrived(f"d{number}", 0, 4000.0))
-        if isinstance(action, SendAttempt)
+        attempt
+        for index in range(300)
+        for attempt in balancer.handle(89_200.0 + index * 10, RequestArrived(f"d{index}", 0, 4000.0))
+        if isinstance(attempt, SendAttempt)
     ]
     assert len(attempts) > 20
 
@@ -153,7 +153,7 @@
     """Nine of ten endpoints are replaced. Their last responses must not count as those of the one that remains."""
     settings = BalancerSettings((LOOK,), slow_start=SLOW_START, tier_index=1)
     balancer = Balancer(settings, 2)
-    warm = tuple(Endpoint(f"u{number}") for number in range(10))
+    warm = tuple(Endpoint(f"u{index}") for index in range(10))
     balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, warm))
     now = 0.0
 
@@ -169,7 +169,7 @@
     in_flight = [
         action for number in range(1000, 1200) for action in send_request(number) if isinstance(action, SendAttempt)
     ]
-    started = tuple(Endpoint(f"v{number}", started_ms=now) for number in range(9))
+    started = tuple(Endpoint(f"v{index}", started_ms=now) for index in range(9))
     balancer.handle(now, MembershipUpdate(MembershipKind.COMPLETE, (warm[0], *started)))
     for send in in_flight:
         balancer.handle(now, AttemptFinished(send.request, send.endpoint, 0, 5.0, Outcome.OK))
--- a/tests/test_small_tiers.py
+++ b/tests/test_small_tiers.py
@@ -68,7 +68,7 @@
     tier.serve_requests(8, dict.fromkeys("abc", 0.5), class_index=1, elapsed_ms=1500.0)
     tier.serve_requests(60, dict.fromkeys("abc", 0.5))
     in_flight = [tier.send(1) for _ in range(12)]
-    busiest = max("abc", key=[endpoint for _, endpoint in in_flight].count)
+    busiest = max("abc", key=[name for _, name in in_flight].count)
     endpoint = tier.balancer.registry.endpoints[busiest]
     assert endpoint.in_flight >= 4
     tier.now += 1400.0
--- a/tests/test_unusual_reports.py
+++ b/tests/test_unusual_reports.py
@@ -46,7 +46,7 @@
 def test_requests_are_served_with_any_first_report(
     utilisation: float, requests_per_s: float, cross_zone_cost: float
 ) -> None:
-    # An idle endpoint may report a rate with utilisation 0: a division by it lost requests at each update of the weights.
+    # An idle endpoint may report a rate with utilisation 0: division by it lost requests at each update of the weights.
     received = serve_with_reports(make_balancer(ENDPOINTS, cross_zone_cost), utilisation, requests_per_s)
     assert sum(received.values()) == 400
 
