--- a/tests/helpers/scripted.py
+++ b/tests/helpers/scripted.py
@@ -1,7 +1,4 @@
-"""`RequestManager` whose orders a test writes.
-
-In place of the decisions a script, in place of providers a hand that waits.
-"""
+"""A `RequestManager` with fakes: a load balancer with scripted commands, and attempts that the test ends."""
 
 from __future__ import annotations
 
@@ -15,80 +12,100 @@
 from limenotch.request_policy import RequestPolicy
 
 
-class Script:
-    """Stands for the facade: `picked` is ordered when a call comes, each of `then` when an attempt has ended."""
+class ScriptedLoadBalancer:
+    """A fake load balancer that records what is reported to it.
+
+    It returns `first_commands` for a request, and the next of `later_commands` for each attempt that ends.
+    """
 
     def __init__(
-        self, picked: Iterable[Command], then: Iterable[Iterable[Command]] = (), advice_ms: float = 0.0
+        self,
+        first_commands: Iterable[Command],
+        later_commands: Iterable[Iterable[Command]] = (),
+        retry_after_ms: float = 0.0,
     ) -> None:
-        self.picked, self._then = list(picked), [list(orders) for orders in then]
-        self.max_retry_after_ms, self.rejects_all = advice_ms, False
+        self.first_commands, self._later_commands = (
+            list(first_commands),
+            [list(commands) for commands in later_commands],
+        )
+        self.max_retry_after_ms, self.rejects_all = retry_after_ms, False
         self.hints: list[PlacementHint | None] = []
-        self.told: list[tuple[Any, ...]] = []
+        self.reported: list[tuple[Any, ...]] = []
 
     def deadline_ms(self, class_name: str) -> float:
         return 20_000.0
 
-    def request_policy(self, class_name: str, keyed: bool = True) -> RequestPolicy:
+    def request_policy(self, class_name: str, has_idempotency_key: bool = True) -> RequestPolicy:
         return RequestPolicy()
 
     def request_arrived(
         self,
-        call: int,
+        request: int,
         class_name: str,
         tenant: str,
-        left_ms: float,
-        resent: bool = False,
-        once: bool = False,
+        budget_ms: float,
+        is_retry: bool = False,
+        single_use_body: bool = False,
         hint: PlacementHint | None = None,
-        keyed: bool = True,
+        has_idempotency_key: bool = True,
     ) -> Commands:
         self.hints.append(hint)
-        return self.picked
+        return self.first_commands
 
     def attempt_finished(
-        self, call: int, number: int, provider: str, spent_ms: float, ending: AttemptEnding, *more: Any
+        self, request: int, attempt: int, endpoint: str, elapsed_ms: float, ending: AttemptEnding, *rest: Any
     ) -> Commands:
-        self.told.append(("report", number, ending))
-        return self._then.pop(0) if self._then else []
+        self.reported.append(("report", attempt, ending))
+        return self._later_commands.pop(0) if self._later_commands else []
 
-    def client_disconnected(self, call: int) -> Commands:
-        self.told.append(("depart", call))
+    def client_disconnected(self, request: int) -> Commands:
+        self.reported.append(("depart", request))
         return []
 
-    def figures(self) -> dict[str, float]:
+    def decision_metrics(self) -> dict[str, float]:
         return {}
 
 
-class Hand:
-    """An invoker whose attempts end when the test says so; one that is abandoned ends so at once."""
+class ManualAttemptRunner:
+    """An attempt runner whose attempts end when the test calls `end`. Cancelled attempts end at once."""
 
     def __init__(self) -> None:
-        self.out: list[Attempt] = []
-        self.calls: RequestManager
-
-    def start(self, invoker_call: Attempt) -> None:
-        self.out.append(invoker_call)
-
-    def cancel(self, invoker_call: Attempt) -> None:
-        self.calls.attempt_ended(invoker_call, AttemptEnding.CANCELLED)
-
-    def end(self, number: int, ending: AttemptEnding = AttemptEnding.SERVED, payload: Any = b"body") -> None:
-        self.calls.attempt_ended(self.out[number], ending, payload)
-
-
-def calls_of(script: Script, *beside: RequestInterceptor, most: int = 9) -> tuple[RequestManager, Hand]:
-    """To be called on a running loop."""
-    calls, hand = RequestManager(cast(LoadBalancer, script), most), Hand()
-    calls.attempt_runner, calls.interceptors, hand.calls = hand, beside, calls
-    return calls, hand
-
-
-def take(
-    calls: RequestManager,
-    answer: Callable[[FinalResponse], None],
-    name: bytes = b"n",
+        self.started: list[Attempt] = []
+        self.request_manager: RequestManager
+
+    def start(self, attempt: Attempt) -> None:
+        self.started.append(attempt)
+
+    def cancel(self, attempt: Attempt) -> None:
+        self.request_manager.attempt_ended(attempt, AttemptEnding.CANCELLED)
+
+    def end(self, attempt: int, ending: AttemptEnding = AttemptEnding.SERVED, payload: Any = b"body") -> None:
+        self.request_manager.attempt_ended(self.started[attempt], ending, payload)
+
+
+def make_request_manager(
+    load_balancer: ScriptedLoadBalancer, *interceptors: RequestInterceptor, max_open_requests: int = 9
+) -> tuple[RequestManager, ManualAttemptRunner]:
+    """Create both; to be called in a running event loop."""
+    request_manager, runner = (
+        RequestManager(cast(LoadBalancer, load_balancer), max_open_requests),
+        ManualAttemptRunner(),
+    )
+    request_manager.attempt_runner, request_manager.interceptors, runner.request_manager = (
+        runner,
+        interceptors,
+        request_manager,
+    )
+    return request_manager, runner
+
+
+def accept_request(
+    request_manager: RequestManager,
+    on_final: Callable[[FinalResponse], None],
+    request_id: bytes = b"n",
     tenant: str = "acme",
-    about: RequestDetails | None = None,
+    details: RequestDetails | None = None,
 ) -> Request:
-    return calls.accept(name, None, "look", tenant, 9000.0, answer, details=about or RequestDetails())
+    return request_manager.accept(
+        request_id, None, "look", tenant, 9000.0, on_final, details=details or RequestDetails()
+    )
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -1,6 +1,6 @@
-"""What crosses an attempt on its way to its first byte, and what its connection brings that nobody asked for.
+"""Events between the start of an attempt and its first byte, and data on its connection that belongs to no request.
 
-Time passes where a test says so: it sets back the clock of what it looks at. Nothing here waits on a clock.
+The tests simulate the passing of time by changing recorded times. None waits for a clock.
 """
 
 from __future__ import annotations
@@ -22,53 +22,55 @@
 from limenotch.net.endpoint_pool import EndpointPool
 from limenotch.net.request import Attempt, Request
 from limenotch.request_policy import RequestPolicy
-from limenotch.settings import EndpointSettings as ProviderTuning
+from limenotch.settings import EndpointSettings
 
 from .helpers.http_peers import SETTINGS, Reader, Writer, whole
 from .helpers.processes import run
 from .test_sidecar import Heard, unlimited
 
 REJECTED = whole(503, (b"X-Rejected", b"1"))
-ONCE = TrafficClass("c", Effect.AT_MOST_ONCE, 9000.0, 20_000.0)
-KEYED = TrafficClass("c", Effect.DEDUPLICATED, 9000.0, 20_000.0, dedup_scope=DedupScope.ALL, dedup_window_ms=9000.0)
-SAFE = TrafficClass("c", Effect.IDEMPOTENT, 9000.0, 20_000.0)
+AT_MOST_ONCE = TrafficClass("c", Effect.AT_MOST_ONCE, 9000.0, 20_000.0)
+DEDUPLICATED = TrafficClass(
+    "c", Effect.DEDUPLICATED, 9000.0, 20_000.0, dedup_scope=DedupScope.ALL, dedup_window_ms=9000.0
+)
+IDEMPOTENT = TrafficClass("c", Effect.IDEMPOTENT, 9000.0, 20_000.0)
 
 
-def call_of(cls: TrafficClass) -> Request:
+def make_request(traffic_class: TrafficClass) -> Request:
     end = monotonic() + 20
-    call = Request(1, b"1", "look", http1.Message([], {}, b"GET", b"/api"), end, 20.0, lambda final: None)
-    call.policy = RequestPolicy(cls)
-    return call
+    request = Request(1, b"1", "look", http1.Message([], {}, b"GET", b"/api"), end, 20.0, lambda final: None)
+    request.policy = RequestPolicy(traffic_class)
+    return request
 
 
-def attempt_of(call: Request) -> Attempt:
-    attempt = Attempt(call, len(call.attempts), "a", monotonic(), call.deadline)
-    call.attempts.append(attempt)
+def make_attempt(request: Request) -> Attempt:
+    attempt = Attempt(request, len(request.attempts), "a", monotonic(), request.deadline)
+    request.attempts.append(attempt)
     return attempt
 
 
-def begun(call: Request, ending: AttemptEnding | None) -> Attempt:
-    """An attempt that was written just now; None: it is out."""
-    attempt = attempt_of(call)
+def make_started_attempt(request: Request, ending: AttemptEnding | None) -> Attempt:
+    """An attempt that was just sent, with this ending; None: it is in flight."""
+    attempt = make_attempt(request)
     attempt.endpoint = DiscoveredEndpoint("b", ("127.0.0.1", 9), DiscoveryStatus.IN_SERVICE)
     attempt.sent_at, attempt.ending, attempt.ended = monotonic(), ending, ending is not None
     return attempt
 
 
-class Pool:
-    """A pool with one endpoint, `a`, that notes what comes on its connections."""
+class PoolWithEndpoint:
+    """A pool with one endpoint, `a`, which records the first byte received on each connection."""
 
     def __init__(self) -> None:
         self.calls, self.sockets = Heard(), unlimited()
         self.pool = EndpointPool(self.calls, self.sockets, 9000.0, 9e6)
-        self.seen: asyncio.Queue[bytes] = asyncio.Queue()
+        self.received: asyncio.Queue[bytes] = asyncio.Queue()
         self.endpoint: DiscoveredEndpoint
 
     async def start(self) -> None:
         async def handler(reader: Reader, writer: Writer) -> None:
-            self.seen.put_nowait(await reader.read(1))
+            self.received.put_nowait(await reader.read(1))
             writer.write(whole(200))
-            await reader.read()  # it is kept until the other side ends it
+            await reader.read()  # the connection stays open until the other side closes it
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         self.endpoint = DiscoveredEndpoint(
@@ -76,121 +78,137 @@
         )
         self.pool.apply_list([self.endpoint], True)
 
-    def list_anew(self, **changes: Any) -> None:
+    def update_endpoint(self, **changes: Any) -> None:
         self.pool.apply_list([self.endpoint._replace(**changes)], False)
 
 
-Crossing = Callable[[Pool, Attempt], object]
+Change = Callable[[PoolWithEndpoint, Attempt], object]
 
 
-def window_passes(pool: Pool, attempt: Attempt) -> None:
+def expire_window(pool: PoolWithEndpoint, attempt: Attempt) -> None:
     first = attempt.request.attempts[0]
     first.sent_at -= attempt.request.policy.traffic_class.dedup_window_ms / 1000.0
 
 
-CROSSINGS: dict[str, tuple[TrafficClass, AttemptEnding | None, Crossing]] = {
-    "its client's end lies in the kernel": (
-        SAFE,
+CHANGES: dict[str, tuple[TrafficClass, AttemptEnding | None, Change]] = {
+    "the client's close is still in the kernel": (
+        IDEMPOTENT,
         AttemptEnding.ERROR,
         lambda pool, attempt: setattr(attempt.request, "client_connected", lambda: False),
     ),
-    "its client goes": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt.request, "client_gone", True)),
-    "its call is answered": (
-        SAFE,
+    "the client disconnects": (
+        IDEMPOTENT,
+        AttemptEnding.ERROR,
+        lambda pool, attempt: setattr(attempt.request, "client_gone", True),
+    ),
+    "the request is answered": (
+        IDEMPOTENT,
         AttemptEnding.ERROR,
         lambda pool, attempt: setattr(attempt.request, "final", object()),
     ),
-    "its time passes": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: setattr(attempt, "deadline", monotonic())),
-    "its endpoint drains": (
-        SAFE,
+    "the deadline passes": (
+        IDEMPOTENT,
         AttemptEnding.ERROR,
-        lambda pool, attempt: pool.list_anew(status=DiscoveryStatus.TERMINATING),
+        lambda pool, attempt: setattr(attempt, "deadline", monotonic()),
     ),
-    "its endpoint goes": (
-        SAFE,
+    "the endpoint drains": (
+        IDEMPOTENT,
         AttemptEnding.ERROR,
-        lambda pool, attempt: pool.list_anew(status=DiscoveryStatus.TERMINATED),
+        lambda pool, attempt: pool.update_endpoint(status=DiscoveryStatus.TERMINATING),
     ),
-    "a whole list omits its endpoint": (
-        SAFE,
+    "the endpoint is removed": (
+        IDEMPOTENT,
+        AttemptEnding.ERROR,
+        lambda pool, attempt: pool.update_endpoint(status=DiscoveryStatus.TERMINATED),
+    ),
+    "a complete list omits the endpoint": (
+        IDEMPOTENT,
         AttemptEnding.ERROR,
         lambda pool, attempt: pool.pool.apply_list([], True),
     ),
-    "its endpoint starts anew": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.list_anew(started_ms=6.0)),
-    "its endpoint is banned": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.set_ejected("a", True)),
-    "it is abandoned": (SAFE, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.cancel(attempt)),
-    "the window for repeats passes": (KEYED, AttemptEnding.RESET, window_passes),
-    "an earlier one turns out to be out": (
-        SAFE,
+    "the endpoint restarts": (
+        IDEMPOTENT,
+        AttemptEnding.ERROR,
+        lambda pool, attempt: pool.update_endpoint(started_ms=6.0),
+    ),
+    "an operator ejects the endpoint": (
+        IDEMPOTENT,
+        AttemptEnding.ERROR,
+        lambda pool, attempt: pool.pool.set_ejected("a", True),
+    ),
+    "the attempt is cancelled": (IDEMPOTENT, AttemptEnding.ERROR, lambda pool, attempt: pool.pool.cancel(attempt)),
+    "the deduplication window passes": (DEDUPLICATED, AttemptEnding.RESET, expire_window),
+    "an earlier attempt turns out to be in flight": (
+        IDEMPOTENT,
         AttemptEnding.REJECTED,
-        lambda pool, attempt: begun(attempt.request, None),
+        lambda pool, attempt: make_started_attempt(attempt.request, None),
     ),
-    "an earlier one turns out to have run": (
-        ONCE,
+    "an earlier attempt turns out to have run": (
+        AT_MOST_ONCE,
         AttemptEnding.REJECTED,
-        lambda pool, attempt: begun(attempt.request, AttemptEnding.TIMED_OUT),
+        lambda pool, attempt: make_started_attempt(attempt.request, AttemptEnding.TIMED_OUT),
     ),
 }
 
 
-@pytest.mark.parametrize("crossing", CROSSINGS)
-def test_nothing_is_written_once_this_has_come_between(crossing: str) -> None:
-    # Guards once-only work, drains, cold endpoints and clients that left: an attempt waits for its connection for as
-    # long as connect_timeout_ms, and all of these can come in that time.
-    cls, ending, happen = CROSSINGS[crossing]
+@pytest.mark.parametrize("change", CHANGES)
+def test_no_request_is_sent_if_this_happens_while_the_attempt_connects(change: str) -> None:
+    # An attempt waits for its connection for up to connect_timeout_ms. All of these changes may happen in that time. A
+    # request sent after them could run twice, or run at a draining or restarted endpoint, or for no client.
+    traffic_class, ending, apply_change = CHANGES[change]
 
     async def case() -> None:
-        pool = Pool()
+        pool = PoolWithEndpoint()
         await pool.start()
-        call = call_of(cls)
-        begun(call, ending)
-        attempt = attempt_of(call)
+        request = make_request(traffic_class)
+        make_started_attempt(request, ending)
+        attempt = make_attempt(request)
         pool.pool.start(attempt)
         await asyncio.sleep(0)  # the task runs up to its wait for the connection
         assert pool.sockets.used == 1
-        happen(pool, attempt)
+        apply_change(pool, attempt)
         ended = await pool.calls.endings.get()
-        assert ended is (AttemptEnding.CANCELLED if crossing == "it is abandoned" else AttemptEnding.NOT_SENT)
-        if crossing != "it is abandoned":  # that connection may never come up
-            assert await pool.seen.get() == b""
-        assert not attempt.sent_at and pool.seen.empty() and pool.calls.endings.empty()
+        assert ended is (AttemptEnding.CANCELLED if change == "the attempt is cancelled" else AttemptEnding.NOT_SENT)
+        if change != "the attempt is cancelled":  # otherwise the connection may never be established
+            assert await pool.received.get() == b""
+        assert not attempt.sent_at and pool.received.empty() and pool.calls.endings.empty()
         while pool.sockets.used:
             await asyncio.sleep(0)
 
     run(case())
 
 
-@pytest.mark.parametrize("cls", [SAFE, KEYED, ONCE])
-@pytest.mark.parametrize("earlier", list(AttemptEnding))
-def test_after_each_ending_a_further_attempt_is_written_only_where_its_class_allows(
-    cls: TrafficClass, earlier: AttemptEnding
+@pytest.mark.parametrize("traffic_class", [IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE])
+@pytest.mark.parametrize("earlier_ending", list(AttemptEnding))
+def test_after_each_ending_another_attempt_is_sent_only_if_its_class_allows_it(
+    traffic_class: TrafficClass, earlier_ending: AttemptEnding
 ) -> None:
     async def case() -> None:
-        pool = Pool()
+        pool = PoolWithEndpoint()
         await pool.start()
-        call = call_of(cls)
-        begun(call, earlier)
-        pool.pool.start(attempt_of(call))
-        never_ran = earlier in (AttemptEnding.REJECTED, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT)
-        if cls is ONCE and not never_ran:
-            assert await pool.calls.endings.get() is AttemptEnding.NOT_SENT and pool.seen.empty()
+        request = make_request(traffic_class)
+        make_started_attempt(request, earlier_ending)
+        pool.pool.start(make_attempt(request))
+        never_ran = earlier_ending in (AttemptEnding.REJECTED, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT)
+        if traffic_class is AT_MOST_ONCE and not never_ran:
+            assert await pool.calls.endings.get() is AttemptEnding.NOT_SENT and pool.received.empty()
             assert not pool.sockets.used  # no connection was opened for it
         else:
-            assert await pool.calls.endings.get() is AttemptEnding.SERVED and await pool.seen.get() == b"G"
+            assert await pool.calls.endings.get() is AttemptEnding.SERVED and await pool.received.get() == b"G"
 
     run(case())
 
 
-def test_connections_to_a_process_that_has_started_anew_are_closed() -> None:
-    # Guards calls that may run once: written to a connection of the process before, they end as a reset.
+def test_connections_to_a_restarted_endpoint_are_closed() -> None:
+    # On a connection to the previous process, requests that must not run twice would end with a reset, and fail.
     async def case() -> None:
-        pool = Pool()
+        pool = PoolWithEndpoint()
         await pool.start()
-        pool.pool.start(attempt_of(call_of(SAFE)))
+        pool.pool.start(make_attempt(make_request(IDEMPOTENT)))
         assert await pool.calls.endings.get() is AttemptEnding.SERVED and pool.sockets.idle == 1
-        pool.list_anew()
-        assert pool.sockets.idle == 1  # the same process, told of again
-        pool.list_anew(started_ms=6.0)
+        pool.update_endpoint()
+        assert pool.sockets.idle == 1  # the same process was listed again
+        pool.update_endpoint(started_ms=6.0)
         while pool.sockets.used:
             await asyncio.sleep(0)
         assert not pool.sockets.idle
@@ -199,80 +217,82 @@
 
 
 def settings_with(**changes: object) -> dict[str, Any]:
-    deliver = {**SETTINGS["classes"][1], **changes}  # type: ignore[index]
-    return {"settings": {**SETTINGS, "classes": [SETTINGS["classes"][0], deliver]}}  # type: ignore[index]
+    traffic_class = {**SETTINGS["classes"][1], **changes}  # type: ignore[index]
+    return {"settings": {**SETTINGS, "classes": [SETTINGS["classes"][0], traffic_class]}}  # type: ignore[index]
 
 
 UNSAFE = settings_with(effect="at_most_once")
 
 
 @pytest.mark.parametrize(("settle_s", "connections"), [(3600.0, 2), (1e-9, 1)], ids=["not settled", "settled"])
-def test_a_second_answer_that_comes_late_is_no_other_requests_answer(settle_s: float, connections: int) -> None:
-    # Guards once-only work: marked as rejected, the late answer would say of the next request that it never ran.
+def test_a_late_second_response_is_not_taken_for_the_response_to_another_request(
+    settle_s: float, connections: int
+) -> None:
+    # If the late response were a rejection, the next request would count as never run, and could run twice.
     async def case() -> None:
-        pool = Pool()
-        pool.pool = EndpointPool(pool.calls, pool.sockets, 9000.0, 9000.0, ProviderTuning(settle_s=settle_s))
-        opened: list[Writer] = []
-        asked: asyncio.Queue[Writer] = asyncio.Queue()
+        pool = PoolWithEndpoint()
+        pool.pool = EndpointPool(pool.calls, pool.sockets, 9000.0, 9000.0, EndpointSettings(settle_s=settle_s))
+        connections_opened: list[Writer] = []
+        requests: asyncio.Queue[Writer] = asyncio.Queue()
 
         async def handler(reader: Reader, writer: Writer) -> None:
-            opened.append(writer)
+            connections_opened.append(writer)
             parser = http1.RequestParser()
             while data := await reader.read(65536):
                 parser.feed(data)
                 if parser.take() is not None:
-                    asked.put_nowait(writer)
+                    requests.put_nowait(writer)
             writer.close()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         pool.pool.apply_list(
             [DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True
         )
-        pool.pool.start(attempt_of(call_of(ONCE)))
-        (first := await asked.get()).write(whole(200))
+        pool.pool.start(make_attempt(make_request(AT_MOST_ONCE)))
+        (first := await requests.get()).write(whole(200))
         assert await pool.calls.endings.get() is AttemptEnding.SERVED
-        pool.pool.start(attempt_of(call_of(ONCE)))
-        second = await asked.get()
-        assert len(opened) == connections
+        pool.pool.start(make_attempt(make_request(AT_MOST_ONCE)))
+        second = await requests.get()
+        assert len(connections_opened) == connections
         if second is not first:
             first.write(REJECTED)
-            await first.wait_closed()  # what nobody asked for ends its connection
+            await first.wait_closed()  # an unexpected response closes the connection
         second.write(whole(200))
         assert await pool.calls.endings.get() is AttemptEnding.SERVED and pool.calls.endings.empty()
 
     run(case())
 
 
-def test_what_comes_on_a_new_connection_before_the_request_is_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards once-only work: an endpoint that speaks first could pass a stray rejection off as the request's answer.
+def test_data_received_before_the_request_was_sent_is_not_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Otherwise a rejection sent by an endpoint before any request would count as the response to the first request.
     async def case() -> None:
-        pool, spoken = Pool(), asyncio.Event()
+        pool, data_sent = PoolWithEndpoint(), asyncio.Event()
 
-        class Spoken(IOStream):
-            """Comes up only once the endpoint's first word is there."""
+        class DelayedStream(IOStream):
+            """A connection that is established only once data of the endpoint has arrived."""
 
             async def connect(self, *arguments: Any) -> IOStream:  # type: ignore[override]
                 await super().connect(*arguments)
-                await spoken.wait()
+                await data_sent.wait()
                 while True:
                     with contextlib.suppress(BlockingIOError):
                         self.socket.recv(1, socket.MSG_PEEK)
                         return self
                     await asyncio.sleep(0)
 
-        monkeypatch.setattr(endpoint_pool, "IOStream", Spoken)
+        monkeypatch.setattr(endpoint_pool, "IOStream", DelayedStream)
 
         async def handler(reader: Reader, writer: Writer) -> None:
             writer.write(REJECTED)
             await writer.drain()
-            spoken.set()
-            pool.seen.put_nowait(await reader.read())
+            data_sent.set()
+            pool.received.put_nowait(await reader.read())
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         pool.pool.apply_list(
             [DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True
         )
-        attempt = attempt_of(call_of(ONCE))
+        attempt = make_attempt(make_request(AT_MOST_ONCE))
         pool.pool.start(attempt)
         assert await pool.calls.endings.get() is AttemptEnding.CONNECT_FAILED
         assert not attempt.sent_at
@@ -280,42 +300,42 @@
     run(case())
 
 
-class Halting(IOStream):
-    """A connection whose kernel takes only the first bytes of a request."""
+class PartialWriteStream(IOStream):
+    """A connection of which the kernel accepts only the first 10 bytes."""
 
-    taken = 0
+    written = 0
 
     def write_to_fd(self, data: memoryview) -> int:
-        left = 10 - Halting.taken
-        if left <= 0:
+        remaining = 10 - PartialWriteStream.written
+        if remaining <= 0:
             raise BlockingIOError
-        Halting.taken += super().write_to_fd(data[:left])
-        return min(left, 10)
+        PartialWriteStream.written += super().write_to_fd(data[:remaining])
+        return min(remaining, 10)
 
 
-def hang_up(writer: Writer) -> None:
-    """As a process that dies does: with a reset."""
+def reset_connection(writer: Writer) -> None:
+    """Reset the connection, as when the process is killed."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-def test_a_request_cut_within_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The endpoint never had the last byte, so also what may run once goes out again.
+def test_a_request_of_which_only_a_part_was_sent_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The endpoint did not receive the last byte, so even an at-most-once request may be sent again.
     async def case() -> None:
-        pool = Pool()
-        Halting.taken = 0
-        monkeypatch.setattr(endpoint_pool, "IOStream", Halting)
+        pool = PoolWithEndpoint()
+        PartialWriteStream.written = 0
+        monkeypatch.setattr(endpoint_pool, "IOStream", PartialWriteStream)
 
         async def handler(reader: Reader, writer: Writer) -> None:
             assert len(await reader.readexactly(10)) == 10
-            hang_up(writer)
+            reset_connection(writer)
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         pool.pool.apply_list(
             [DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True
         )
-        pool.pool.start(attempt_of(call_of(ONCE)))
+        pool.pool.start(make_attempt(make_request(AT_MOST_ONCE)))
         assert await pool.calls.endings.get() is AttemptEnding.CONNECT_FAILED
 
     run(case())
--- a/tests/test_attempt_endings.py
+++ b/tests/test_attempt_endings.py
@@ -11,7 +11,7 @@
 
 from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, answer_from, whole
 from .helpers.processes import run, with_sidecar
-from .test_attempt_crossings import UNSAFE, Act, hang_up, settings_with
+from .test_attempt_crossings import UNSAFE, Act, reset_connection, settings_with
 
 
 async def whole_request(reader: Reader) -> None:
@@ -22,7 +22,7 @@
 
 async def resets_after_the_request(reader: Reader, writer: Writer) -> None:
     await whole_request(reader)
-    hang_up(writer)
+    reset_connection(writer)
 
 
 async def ends_after_the_request(reader: Reader, writer: Writer) -> None:
@@ -34,7 +34,7 @@
     await whole_request(reader)
     writer.write(b"HTTP/1.1 200 OK\r\n\r\nhalf of it")
     await writer.drain()
-    hang_up(writer)
+    reset_connection(writer)
 
 
 async def cuts_an_answer(reader: Reader, writer: Writer) -> None:
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -1,4 +1,4 @@
-"""Internal errors in the middle of a decision: the request gets its one answer, and no count is left behind."""
+"""Internal errors in the middle of a decision: the request gets exactly one answer, and counters stay correct."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 from .helpers.http_peers import LOOK, answering, ask, renamed, whole
 from .helpers.processes import free_port, run, with_sidecar
-from .helpers.scripted import Script, calls_of
+from .helpers.scripted import ScriptedLoadBalancer, make_request_manager
 
 CLASSES = (
     TrafficClass("look", Effect.IDEMPOTENT, 100.0, 300.0),
     TrafficClass("pay", Effect.AT_MOST_ONCE, 100.0, 300.0),
 )
 ENDPOINTS = tuple(Endpoint(f"e{number}") for number in range(5))
-EVERY = 3  # calls of a function, of which the last fails
+FAILURE_INTERVAL = 3  # one in this many calls of a function fails
 DECISIONS = (
     "choose_endpoints",
     "should_hedge_at_once",
@@ -56,46 +56,46 @@
 
 
 class InjectedError(Exception):
-    """The error that is injected."""
+    """An error injected by a test."""
 
 
 def failing(original: Callable[..., Any]) -> Callable[..., Any]:
-    """The same function, of which every third call fails, in turn before and after it has done its work."""
-    calls = 0
+    """A function like `original`, of which every third call fails, alternately before and after it has run."""
+    call_count = 0
 
-    def call(*arguments: Any, **more: Any) -> Any:
-        nonlocal calls
-        calls += 1
-        if calls % (2 * EVERY) == 0:
+    def failing_call(*arguments: Any, **keywords: Any) -> Any:
+        nonlocal call_count
+        call_count += 1
+        if call_count % (2 * FAILURE_INTERVAL) == 0:
             raise InjectedError
-        result = original(*arguments, **more)
-        if calls % EVERY == 0:
+        result = original(*arguments, **keywords)
+        if call_count % FAILURE_INTERVAL == 0:
             raise InjectedError
         return result
 
-    return call
+    return failing_call
 
 
-class World:
-    """Requests of both classes, and endpoints that answer, fail, reject or stay silent."""
+class Simulation:
+    """Requests of both classes, and endpoints that succeed, fail, reject or do not respond."""
 
     def __init__(self) -> None:
         self.errors: list[Exception] = []
         self.balancer = ContainedBalancer(BalancerSettings(CLASSES), 1, self.errors.append)
         self.answers = Counter[str]()
         self._random = Random(1)
-        self._due: list[tuple[float, int, Event]] = []
+        self._events: list[tuple[float, int, Event]] = []
         self._attempts = Counter[str]()
         self._ended: set[tuple[str, int]] = set()
         self._order = 0
 
-    def add(self, at: float, event: Event) -> None:
+    def add(self, time: float, event: Event) -> None:
         self._order += 1
-        heapq.heappush(self._due, (at, self._order, event))
+        heapq.heappush(self._events, (time, self._order, event))
 
     def run(self) -> None:
-        while self._due:
-            now, _, event = heapq.heappop(self._due)
+        while self._events:
+            now, _, event = heapq.heappop(self._events)
             if isinstance(event, AttemptFinished):
                 if (event.request, event.attempt) in self._ended:
                     continue
@@ -104,7 +104,7 @@
                 self._execute(now, action)
 
     def _end(self, event: AttemptFinished) -> AttemptFinished:
-        """The end of an attempt; a served one answers its request."""
+        """Complete the event of an attempt that ended. A successful attempt answers its request."""
         self._ended.add((event.request, event.attempt))
         if event.outcome is Outcome.OK and not self.answers[event.request]:
             self.answers[event.request] += 1
@@ -114,14 +114,14 @@
         if isinstance(action, SetTimer):
             self.add(max(action.at_ms, now), TimerFired(action.token))
         elif isinstance(action, SendAttempt):
-            assert not self.answers[action.request], "sent after its answer"
+            assert not self.answers[action.request], "sent after the request was answered"
             number = self._attempts[action.request]
             self._attempts[action.request] += 1
             outcomes = (Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT)
             outcome = self._random.choice(outcomes)
-            spent = action.timeout_ms if outcome is Outcome.TIMEOUT else self._random.uniform(1.0, 120.0)
-            ended = AttemptFinished(action.request, action.endpoint, number, spent, outcome, False, 0.5, 10.0)
-            self.add(now + spent, ended)
+            elapsed_ms = action.timeout_ms if outcome is Outcome.TIMEOUT else self._random.uniform(1.0, 120.0)
+            ended = AttemptFinished(action.request, action.endpoint, number, elapsed_ms, outcome, False, 0.5, 10.0)
+            self.add(now + elapsed_ms, ended)
         elif isinstance(action, CancelAttempt):
             ended = AttemptFinished(action.request, "", action.attempt, 1.0, Outcome.CANCELLED)
             self.add(now, ended)
@@ -130,18 +130,20 @@
 
 
 @pytest.mark.parametrize("name", DECISIONS)
-def test_each_request_has_one_answer_and_leaves_no_count_behind(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # An error lost what was decided: the request stayed open and counted in flight, and nobody answered it.
+def test_each_request_gets_one_answer_and_all_counters_return_to_zero(
+    name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # An error lost the actions decided so far: the request stayed open, counted as in flight, and was never answered.
     owner: Any = balancer if hasattr(balancer, name) else balancer.Balancer
-    world = World()
-    world.balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS))
+    simulation = Simulation()
+    simulation.balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS))
     monkeypatch.setattr(owner, name, failing(getattr(owner, name)))
     for number in range(300):
-        world.add(1.0 + 4.0 * number, RequestArrived(f"r{number}", number % 2, 300.0))
-    world.run()
-    assert {world.answers[f"r{number}"] for number in range(300)} == {1}
-    assert world.errors and all(isinstance(error, InjectedError) for error in world.errors)
-    state = world.balancer
+        simulation.add(1.0 + 4.0 * number, RequestArrived(f"r{number}", number % 2, 300.0))
+    simulation.run()
+    assert {simulation.answers[f"r{number}"] for number in range(300)} == {1}
+    assert simulation.errors and all(isinstance(error, InjectedError) for error in simulation.errors)
+    state = simulation.balancer
     assert (state.in_flight, state.requests, state.timers) == (0, {}, {})
     assert [each.in_flight for each in state.registry.endpoints.values()] == [0] * len(ENDPOINTS)
 
@@ -150,45 +152,45 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     errors: list[Exception] = []
-    balancing = ContainedBalancer(BalancerSettings(CLASSES), 1, errors.append)
-    balancing.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS))
-    balancing.handle(1.0, RequestArrived("sent", 1, 300.0))
+    contained = ContainedBalancer(BalancerSettings(CLASSES), 1, errors.append)
+    contained.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS))
+    contained.handle(1.0, RequestArrived("sent", 1, 300.0))
     monkeypatch.setattr(balancer, "choose_endpoints", failing(lambda *_: (None, None)))
     monkeypatch.setattr(balancer_state.BalancerState, "record_outcome", failing(lambda *_: None))
     finished = AttemptFinished("sent", "e0", 0, 5.0, Outcome.ERROR)
-    answers = [balancing.handle(2.0, RequestArrived(f"new-{number}", 1, 1.0)) for number in range(EVERY)][-1]
-    assert answers == [RejectRequest(f"new-{EVERY - 1}")]
+    answers = [contained.handle(2.0, RequestArrived(f"new-{number}", 1, 1.0)) for number in range(FAILURE_INTERVAL)][-1]
+    assert answers == [RejectRequest(f"new-{FAILURE_INTERVAL - 1}")]
     monkeypatch.setattr(balancer_state.BalancerState, "record_report", lambda *_: 1 / 0)
-    assert balancing.handle(3.0, finished) == [FailRequest("sent")]
+    assert contained.handle(3.0, finished) == [FailRequest("sent")]
     assert [type(error) for error in errors] == [InjectedError, ZeroDivisionError]
 
 
-def test_a_renewal_that_fails_takes_no_event_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_update_of_the_weights_fails_no_event(monkeypatch: pytest.MonkeyPatch) -> None:
     errors: list[Exception] = []
-    balancing = ContainedBalancer(BalancerSettings(CLASSES), 1, errors.append)
+    contained = ContainedBalancer(BalancerSettings(CLASSES), 1, errors.append)
     monkeypatch.setattr(weights, "_renew_weights", lambda *_: 1 / 0)
-    balancing.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS))
+    contained.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS))
     sent = list[str]()
     for number in range(100):
-        actions = balancing.handle(10.0 * number, RequestArrived(f"r{number}", 0, 300.0))
+        actions = contained.handle(10.0 * number, RequestArrived(f"r{number}", 0, 300.0))
         sent += [action.endpoint for action in actions if isinstance(action, SendAttempt)]
-        done = AttemptFinished(f"r{number}", sent[-1], 0, 5.0, Outcome.OK, True)
-        balancing.handle(10.0 * number + 5, done)
+        finished = AttemptFinished(f"r{number}", sent[-1], 0, 5.0, Outcome.OK, True)
+        contained.handle(10.0 * number + 5, finished)
         if number == 50:
-            balancing.handle(505.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS[:2]))
+            contained.handle(505.0, MembershipUpdate(MembershipKind.COMPLETE, ENDPOINTS[:2]))
     assert len(sent) >= 100 and set(sent[:50]) == {each.name for each in ENDPOINTS}
     assert set(sent[60:]) == {"e0", "e1"}
     assert len(errors) > 10
 
 
-def test_errors_are_raised_where_nobody_is_told_of_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    balancing = Balancer(BalancerSettings(CLASSES), 1)
+def test_a_balancer_that_does_not_contain_errors_raises_them(monkeypatch: pytest.MonkeyPatch) -> None:
+    contained = Balancer(BalancerSettings(CLASSES), 1)
     monkeypatch.setattr(balancer, "choose_endpoints", lambda *_: 1 / 0)
     with pytest.raises(ZeroDivisionError):
-        balancing.handle(0.0, RequestArrived("r", 0, 300.0))
+        contained.handle(0.0, RequestArrived("r", 0, 300.0))
 
 
-def test_errors_are_counted_all_and_logged_with_their_cause_at_a_bounded_rate(
+def test_all_errors_are_counted_and_logged_with_their_cause_at_a_limited_rate(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     now = 0.0
@@ -207,33 +209,33 @@
     assert [str(each["exc_info"]) for each in logged] == ["a cause", "another cause"]
 
 
-def test_a_resumed_admission_that_fails_answers_its_client() -> None:
-    # Nobody waits for that call: a class that a new configuration has dropped left the request open for good.
-    class Failing(Script):
+def test_a_resumed_admission_that_fails_rejects_the_request() -> None:
+    # If a new configuration had removed the request's class, the error left the request open forever.
+    class Failing(ScriptedLoadBalancer):
         internal_errors = InternalErrors()
 
-        def request_arrived(self, *arguments: Any, **more: Any) -> Any:
-            raise KeyError("a class that is gone")
+        def request_arrived(self, *arguments: Any, **keywords: Any) -> Any:
+            raise KeyError("a removed class")
 
     async def case() -> None:
         finals: list[FinalResponse] = []
-        calls, _ = calls_of(Failing([]))
+        request_manager, _ = make_request_manager(Failing([]))
         request = Request(1, b"n", "look", None, 1e9, 1.0, finals.append)
-        calls.open[1] = request
-        calls._resume_admission(request)
+        request_manager.open[1] = request
+        request_manager._resume_admission(request)
         assert [final.verdict for final in finals] == [Verdict.REJECTED]
-        assert not calls.open and Failing.internal_errors.count == 1
+        assert not request_manager.open and Failing.internal_errors.count == 1
 
     run(case())
 
 
-def test_a_client_is_answered_and_operators_see_the_count(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_get_responses_and_operators_see_the_count(monkeypatch: pytest.MonkeyPatch) -> None:
     handler, _ = answering(whole(200))
     admin = free_port()
     monkeypatch.setattr(balancer, "choose_endpoints", failing(endpoint_selection.choose_endpoints))
 
     async def use(port: int) -> None:
-        statuses = [(await ask(port, renamed(LOOK))).status for _ in range(3 * EVERY)]
+        statuses = [(await ask(port, renamed(LOOK))).status for _ in range(3 * FAILURE_INTERVAL)]
         assert statuses == [200, 200, 503] * 3
         stats = await ask(admin, b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
         assert b"lb.internal_errors:3|c\n" in stats.body
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""When a process may serve: with discovery answering, silent, failing or down; where lists are asked for or pushed."""
+"""When a process becomes ready: with discovery working, unresponsive, failing or down; with lists queried or pushed."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 from .helpers.http_peers import LOOK, SETTINGS, Handler, Reader, Writer, answering, ask, whole
 from .helpers.processes import free_port, run
 
-UP = b"GET /up HTTP/1.1\r\nHost: o\r\n\r\n"
-CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-FAILED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-PUSHED = {**SETTINGS, "registry_mode": "push"}
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: o\r\n\r\n"
+CHUNKED_HEADER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+FAILED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+PUSH_SETTINGS = {**SETTINGS, "registry_mode": "push"}
 
 
-def entry(name: str, server: asyncio.Server, status: str = "in_service") -> dict[str, Any]:
+def make_entry(name: str, server: asyncio.Server, status: str = "in_service") -> dict[str, Any]:
     address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]  # noqa: UP031
     return {"name": name, "address": address, "zone": "a", "status": status}
 
 
-def listing(index: int, entries: list[dict[str, Any]], whole: bool) -> bytes:
-    line = json.dumps({"index": index, "snapshot": whole, "endpoints": entries}).encode() + b"\n"
-    return CHUNKED + b"%x\r\n%b\r\n" % (len(line), line)
+def list_message(index: int, entries: list[dict[str, Any]], is_complete: bool) -> bytes:
+    line = json.dumps({"index": index, "snapshot": is_complete, "endpoints": entries}).encode() + b"\n"
+    return CHUNKED_HEADER + b"%x\r\n%b\r\n" % (len(line), line)
 
 
-class Agent:
-    """A discovery that answers when the test says so; `failing`: with this, at once."""
+class FakeDiscovery:
+    """A fake discovery whose queries the test answers. With `failure_response` it sends that at once."""
 
-    def __init__(self, failing: bytes | None = None) -> None:
-        self.calls = asyncio.Queue[tuple[bytes, Writer]]()
-        self._failing = failing
+    def __init__(self, failure_response: bytes | None = None) -> None:
+        self.queries = asyncio.Queue[tuple[bytes, Writer]]()
+        self._failure_response = failure_response
 
-    async def begin(self, sock: socket.socket | None = None) -> str:
-        """On a socket that is bound already, or one of its own; its address."""
+    async def start(self, sock: socket.socket | None = None) -> str:
+        """Listen on the bound socket `sock`, or on a new one; return the address."""
         if sock is None:
             sock = socket.create_server(("127.0.0.1", 0))
         self._server = await asyncio.start_server(self._handle, sock=sock)
@@ -56,183 +56,185 @@
 
     async def _handle(self, reader: Reader, writer: Writer) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).split(b" ")[1]
-        if self._failing is not None:
-            writer.write(self._failing)
+        if self._failure_response is not None:
+            writer.write(self._failure_response)
             writer.close()
             return
-        await self.calls.put((target, writer))
+        await self.queries.put((target, writer))
 
 
-async def providers(*handlers: Handler) -> list[asyncio.Server]:
+async def start_endpoints(*handlers: Handler) -> list[asyncio.Server]:
     return [await asyncio.start_server(handler, "127.0.0.1", 0) for handler in handlers]
 
 
-async def listening(port: int) -> int:
-    """What `/up` says as soon as anybody listens there."""
+async def wait_until_listening(port: int) -> int:
+    """Wait until a process listens on the port; return the status of `/up`."""
     while True:
         with contextlib.suppress(OSError):
-            return (await ask(port, UP)).status
+            return (await ask(port, UP_REQUEST)).status
         await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
-async def serving(discovery: str, known: list[dict[str, Any]], settings: dict[str, Any]) -> AsyncIterator[int]:
-    """A sidecar within this process, from the moment it listens; its port."""
+async def sidecar(
+    discovery: str, known_endpoints: list[dict[str, Any]], settings: dict[str, Any]
+) -> AsyncIterator[int]:
+    """Run a sidecar within this process. Yields its port once it listens."""
     port = free_port()
-    raw = {
+    raw_config = {
         "listen": f"127.0.0.1:{port}",
         "discovery": discovery,
         "settings": settings,
-        "known": {"index": 3, "snapshot": True, "endpoints": known},
+        "known": {"index": 3, "snapshot": True, "endpoints": known_endpoints},
     }
-    task = asyncio.create_task(app.serve(config.parse(raw, {})))
+    task = asyncio.create_task(app.serve(config.parse(raw_config, {})))
     try:
-        await listening(port)
+        await wait_until_listening(port)
         yield port
     finally:
         task.cancel()
         await asyncio.wait([task])
 
 
-def test_where_lists_are_asked_for_a_silent_discovery_keeps_no_start() -> None:
+def test_if_lists_are_queried_a_start_does_not_wait_for_an_unresponsive_discovery() -> None:
     async def case() -> None:
-        agent = Agent()
+        discovery = FakeDiscovery()
         handler, _ = answering(whole(200))
-        (server,) = await providers(handler)
-        async with serving(await agent.begin(), [entry("a", server)], SETTINGS) as port:
-            assert (await ask(port, UP)).status == 200
+        (server,) = await start_endpoints(handler)
+        async with sidecar(await discovery.start(), [make_entry("a", server)], SETTINGS) as port:
+            assert (await ask(port, UP_REQUEST)).status == 200
             assert (await ask(port, LOOK)).status == 200
-            target, _ = await agent.calls.get()  # never answered
+            target, _ = await discovery.queries.get()  # never answered
             assert target == b"/discovery/hosts?follow=1&since=3"
 
     run(case())
 
 
-@pytest.mark.parametrize("whole_list", [True, False])
-def test_where_lists_are_pushed_a_process_serves_by_its_agents_word(
-    whole_list: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("complete_list", [True, False])
+def test_if_lists_are_pushed_a_process_serves_only_with_the_current_list(
+    complete_list: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against serving from the list known before: what the agent has counts as told from the first moment on.
+    # The process must not serve from the list known before: it must respect what the agent has listed from the start.
     monkeypatch.setattr(app, "AGENT_TIMEOUT_S", 1000.0)
 
     async def case() -> None:
-        agent = Agent()
+        discovery = FakeDiscovery()
         handlers = [answering(whole(200)) for _ in range(2)]
-        servers = await providers(*(handler for handler, _ in handlers))
-        drained, other = (entry(name, server) for name, server in zip("ab", servers, strict=True))
-        async with serving(await agent.begin(), [drained, other], PUSHED) as port:
-            target, writer = await agent.calls.get()
-            assert target == b"/discovery/hosts?follow=1&since=3" and (await ask(port, UP)).status == 503
-            changed = [{**drained, "status": "terminating"}]
-            # A whole list may omit what drains; changes leave all others as they were known.
-            writer.write(listing(4, [other] if whole_list else changed, whole_list))
-            while (await ask(port, UP)).status != 200:
+        servers = await start_endpoints(*(handler for handler, _ in handlers))
+        draining, other = (make_entry(name, server) for name, server in zip("ab", servers, strict=True))
+        async with sidecar(await discovery.start(), [draining, other], PUSH_SETTINGS) as port:
+            target, writer = await discovery.queries.get()
+            assert target == b"/discovery/hosts?follow=1&since=3" and (await ask(port, UP_REQUEST)).status == 503
+            changed = [{**draining, "status": "terminating"}]
+            # A complete list may omit a draining endpoint. Changes leave the other endpoints as known before.
+            writer.write(list_message(4, [other] if complete_list else changed, complete_list))
+            while (await ask(port, UP_REQUEST)).status != 200:
                 await asyncio.sleep(0)
             for _ in range(20):
                 assert (await ask(port, LOOK)).status == 200
-            assert [len(seen) for _, seen in handlers] == [0, 20]
+            assert [len(received_requests) for _, received_requests in handlers] == [0, 20]
 
     run(case())
 
 
-@pytest.mark.parametrize("failing", [None, FAILED, b""], ids=["silent", "failing", "reset"])
-def test_where_the_agent_is_silent_a_process_serves_from_what_it_knew(
-    failing: bytes | None, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("failure_response", [None, FAILED_RESPONSE, b""], ids=["silent", "failing", "reset"])
+def test_if_lists_are_pushed_and_discovery_does_not_answer_a_process_serves_from_the_known_list(
+    failure_response: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(app, "AGENT_TIMEOUT_S", 0.2)
 
     async def case() -> None:
-        agent = Agent(failing)
+        discovery = FakeDiscovery(failure_response)
         handler, _ = answering(whole(200))
-        (server,) = await providers(handler)
-        async with serving(await agent.begin(), [entry("a", server)], PUSHED) as port:
-            while (await ask(port, UP)).status != 200:
+        (server,) = await start_endpoints(handler)
+        async with sidecar(await discovery.start(), [make_entry("a", server)], PUSH_SETTINGS) as port:
+            while (await ask(port, UP_REQUEST)).status != 200:
                 await asyncio.sleep(0.01)
             assert (await ask(port, LOOK)).status == 200
 
     run(case())
 
 
-def test_the_agent_is_waited_for_no_longer_than_a_start_may_take() -> None:
-    """Nine of ten restarted processes are ready within 6 s, of which starting takes its own part."""
+def test_the_wait_for_discovery_is_shorter_than_the_time_for_a_start() -> None:
+    """Nine of ten restarted processes must be ready within 6 s, which includes the time to start."""
     assert app.AGENT_TIMEOUT_S <= 3.0
 
 
 @pytest.mark.parametrize(("mode", "pushed"), [("push", True), ("ask", False), (None, False)])
-def test_whether_lists_are_pushed_is_the_settings_word(mode: str | None, pushed: bool) -> None:
+def test_the_settings_decide_whether_lists_are_pushed(mode: str | None, pushed: bool) -> None:
     settings = {**SETTINGS, "registry_mode": mode}
     if mode is None:
         del settings["registry_mode"]
-    raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}
-    assert wiring.is_pushed(config.parse(raw, {})) is pushed
+    raw_config = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}
+    assert wiring.is_pushed(config.parse(raw_config, {})) is pushed
 
 
-def test_a_reload_may_say_that_lists_are_pushed_and_move_discovery_under_open_calls(
+def test_a_reload_can_switch_to_pushed_lists_and_move_discovery_while_requests_are_open(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    said = list[bool]()
-    monkeypatch.setattr(DiscoveryClient, "set_pushed", lambda _, pushed: said.append(pushed))
+    pushed_values = list[bool]()
+    monkeypatch.setattr(DiscoveryClient, "set_pushed", lambda _, pushed: pushed_values.append(pushed))
 
     async def case() -> None:
-        first, second = Agent(), Agent()
-        at_first, at_second = await first.begin(), await second.begin()
-        taken, may_answer = asyncio.Event(), asyncio.Event()
+        first, second = FakeDiscovery(), FakeDiscovery()
+        first_address, second_address = await first.start(), await second.start()
+        received, may_answer = asyncio.Event(), asyncio.Event()
 
-        async def slow(reader: Reader, writer: Writer) -> None:
+        async def slow_handler(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            taken.set()
+            received.set()
             await may_answer.wait()
             writer.write(whole(200))
 
-        (server,) = await providers(slow)
+        (server,) = await start_endpoints(slow_handler)
         path, port = tmp_path / "config.json", free_port()
-        raw = {
+        raw_config = {
             "listen": f"127.0.0.1:{port}",
-            "discovery": at_first,
+            "discovery": first_address,
             "settings": SETTINGS,
-            "known": {"index": 3, "snapshot": True, "endpoints": [entry("a", server)]},
+            "known": {"index": 3, "snapshot": True, "endpoints": [make_entry("a", server)]},
         }
-        path.write_text(json.dumps(raw))
+        path.write_text(json.dumps(raw_config))
         monkeypatch.setenv("LB_CONFIG", str(path))
         task = asyncio.create_task(app.serve(config.load(os.environ)))
-        await first.calls.get()
-        await listening(port)
-        call = asyncio.create_task(ask(port, LOOK))
-        await taken.wait()
-        path.write_text(json.dumps({**raw, "discovery": at_second, "settings": PUSHED}))
+        await first.queries.get()
+        await wait_until_listening(port)
+        response = asyncio.create_task(ask(port, LOOK))
+        await received.wait()
+        path.write_text(json.dumps({**raw_config, "discovery": second_address, "settings": PUSH_SETTINGS}))
         os.kill(os.getpid(), signal.SIGHUP)
-        target, new = await second.calls.get()
+        target, writer = await second.queries.get()
         assert target == b"/discovery/hosts?follow=1"
-        new.write(listing(1, [entry("b", server)], True))  # its first word leaves out where the call is
-        new.write(b"0\r\n\r\n")
-        await second.calls.get()  # its end is followed by another call
+        writer.write(list_message(1, [make_entry("b", server)], True))  # without the endpoint of the open request
+        writer.write(b"0\r\n\r\n")
+        await second.queries.get()  # the end of a stream is followed by another query
         may_answer.set()
-        assert (await call).status == 200 and said == [True]
+        assert (await response).status == 200 and pushed_values == [True]
         task.cancel()
         await asyncio.wait([task])
 
     run(case())
 
 
-def test_idle_clients_that_fill_the_descriptors_leave_one_for_discovery(tmp_path: Path) -> None:
-    """A process under a real limit: discovery is down while clients come and only stay, and then comes back."""
+def test_idle_clients_leave_a_descriptor_for_discovery(tmp_path: Path) -> None:
+    """A process with a real descriptor limit: discovery is down while idle clients connect, and then recovers."""
     limit, clients = 96, 160
 
     async def case() -> None:
         handler, _ = answering(whole(200))
-        (server,) = await providers(handler)
-        with socket.socket() as down:
-            down.bind(("127.0.0.1", 0))  # refuses until it listens
+        (server,) = await start_endpoints(handler)
+        with socket.socket() as unavailable:
+            unavailable.bind(("127.0.0.1", 0))  # refuses connections until it listens
             port = free_port()
             path = tmp_path / "config.json"
             path.write_text(
                 json.dumps(
                     {
                         "listen": f"127.0.0.1:{port}",
-                        "discovery": config.host_port(down.getsockname()),
+                        "discovery": config.host_port(unavailable.getsockname()),
                         "settings": SETTINGS,
                         "limits": {"sockets": limit},
-                        "known": {"index": 3, "snapshot": True, "endpoints": [entry("a", server)]},
+                        "known": {"index": 3, "snapshot": True, "endpoints": [make_entry("a", server)]},
                     }
                 )
             )
@@ -246,15 +248,15 @@
                 stderr=asyncio.subprocess.DEVNULL,
             )
             try:
-                assert await listening(port) == 200
+                assert await wait_until_listening(port) == 200
                 idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(clients)]
-                assert (await ask(port, LOOK)).status == 200  # a working client gets in
-                agent, begun = Agent(), time.monotonic()
-                await agent.begin(down)
-                _, writer = await agent.calls.get()
-                assert time.monotonic() - begun < MAX_QUERY_INTERVAL_S
-                writer.write(listing(4, [entry("a", server)], True))
-                assert (await ask(port, UP)).status == 200
+                assert (await ask(port, LOOK)).status == 200  # an active client is served
+                discovery, started_at = FakeDiscovery(), time.monotonic()
+                await discovery.start(unavailable)
+                _, writer = await discovery.queries.get()
+                assert time.monotonic() - started_at < MAX_QUERY_INTERVAL_S
+                writer.write(list_message(4, [make_entry("a", server)], True))
+                assert (await ask(port, UP_REQUEST)).status == 200
                 for _, client in idle:
                     client.close()
             finally:
@@ -264,8 +266,8 @@
     run(case())
 
 
-def test_no_client_is_accepted_by_a_process_whose_operators_address_is_taken() -> None:
-    # It ended with the clients whose connections it had accepted by then.
+def test_a_process_whose_operators_address_is_in_use_accepts_no_client() -> None:
+    # Otherwise the connections accepted before the process ended would break.
     async def case() -> None:
         port = free_port()
         accepted = list[bool]()
@@ -273,16 +275,16 @@
         def listen(self: Any, *arguments: Any) -> None:
             accepted.append(True)
 
-        with socket.create_server(("127.0.0.1", 0)) as taken, pytest.MonkeyPatch.context() as patch:
+        with socket.create_server(("127.0.0.1", 0)) as occupied, pytest.MonkeyPatch.context() as patch:
             patch.setattr(ClientListener, "listen", listen)
-            raw = {
+            raw_config = {
                 "listen": f"127.0.0.1:{port}",
                 "discovery": f"127.0.0.1:{free_port()}",
-                "admin_addr": "127.0.0.1:%d" % taken.getsockname()[1],  # noqa: UP031
+                "admin_addr": "127.0.0.1:%d" % occupied.getsockname()[1],  # noqa: UP031
                 "settings": SETTINGS,
             }
             with pytest.raises(OSError, match="in use"):
-                await app.serve(config.parse(raw, {}))
+                await app.serve(config.parse(raw_config, {}))
         assert accepted == []
 
     run(case())
--- a/tests/test_request_interceptors.py
+++ b/tests/test_request_interceptors.py
@@ -20,7 +20,7 @@
 from limenotch.net.request import Attempt, FinalResponse, Request, RetryLater, Verdict
 from limenotch.net.requests import RequestManager
 
-from .helpers.scripted import Hand, Script, calls_of, take
+from .helpers.scripted import ManualAttemptRunner, ScriptedLoadBalancer, accept_request, make_request_manager
 
 Told = tuple[Any, ...]
 ONE: list[Command] = [StartAttempt(1, "a", 100.0)]
@@ -53,17 +53,20 @@
     """One call, its final answers, and two that are told of it; `play` on a loop."""
 
     def __init__(self, picked: list[Command], *then: list[Command], advice_ms: float = 0.0) -> None:
-        self.script = Script(picked, then, advice_ms)
+        self.script = ScriptedLoadBalancer(picked, then, advice_ms)
         self.ears = [Ear(), Ear()]
         self.finals: list[FinalResponse] = []
 
     def play(
-        self, use: Callable[[Request, Hand], None] = lambda call, hand: None, room: bool = True, alike: bool = True
+        self,
+        use: Callable[[Request, ManualAttemptRunner], None] = lambda call, hand: None,
+        room: bool = True,
+        alike: bool = True,
     ) -> list[Told]:
         """What the first was told; `alike`: both were."""
 
         async def case() -> None:
-            calls, hand = calls_of(self.script, *self.ears)
+            calls, hand = make_request_manager(self.script, *self.ears)
             call = calls.accept(b"n", None, "look", "acme", 9000.0, self.finals.append, room)
             use(call, hand)
             assert not calls.open and not calls.is_known(b"n") and not calls.streaming
@@ -76,7 +79,7 @@
 def test_served_after_a_repeat() -> None:
     case = Case(ONE, [StartAttempt(1, "b", 100.0)])
 
-    def use(call: Request, hand: Hand) -> None:
+    def use(call: Request, hand: ManualAttemptRunner) -> None:
         hand.end(0, AttemptEnding.ERROR)
         hand.end(1)
 
@@ -107,7 +110,7 @@
 def test_an_attempt_that_ends_after_its_call_and_twice_is_told_once() -> None:
     case = Case([*ONE, StartAttempt(1, "b", 100.0)])
 
-    def use(call: Request, hand: Hand) -> None:
+    def use(call: Request, hand: ManualAttemptRunner) -> None:
         hand.end(0)
         hand.end(1)
         hand.end(1, AttemptEnding.RESET)
@@ -139,9 +142,9 @@
 def test_departed_once_and_without_an_answer() -> None:
     case = Case(ONE)
 
-    def use(call: Request, hand: Hand) -> None:
-        hand.calls.client_disconnected(call)
-        hand.calls.client_disconnected(call)
+    def use(call: Request, hand: ManualAttemptRunner) -> None:
+        hand.request_manager.client_disconnected(call)
+        hand.request_manager.client_disconnected(call)
 
     assert case.play(use) == [("taken", 1), ("sent", 0), ("closed", None), ("ended", 0, AttemptEnding.CANCELLED)]
     assert not case.finals
@@ -151,14 +154,14 @@
 def test_a_long_answer_closes_when_it_begins_and_never_again(end: str) -> None:
     case = Case(ONE)
 
-    def use(call: Request, hand: Hand) -> None:
-        assert hand.calls.response_started(hand.out[0], b"first")
-        assert hand.calls.is_known(b"n") and case.ears[0].told[-1] == ("closed", Verdict.SERVED)
+    def use(call: Request, hand: ManualAttemptRunner) -> None:
+        assert hand.request_manager.response_started(hand.started[0], b"first")
+        assert hand.request_manager.is_known(b"n") and case.ears[0].told[-1] == ("closed", Verdict.SERVED)
         if end == "departed":
-            hand.calls.client_disconnected(call)
+            hand.request_manager.client_disconnected(call)
         else:
             hand.end(0, AttemptEnding.SERVED if end == "answered" else AttemptEnding.RESET)
-            hand.calls.stream_ended(call, "answered" if end == "answered" else "errored")
+            hand.request_manager.stream_ended(call, "answered" if end == "answered" else "errored")
 
     ending = {"answered": AttemptEnding.SERVED, "broken off": AttemptEnding.RESET, "departed": AttemptEnding.CANCELLED}[
         end
@@ -209,8 +212,8 @@
 def test_each_call_is_told_of_by_itself() -> None:
     async def case() -> None:
         ear, finals = Ear(), list[FinalResponse]()
-        calls, hand = calls_of(Script([]), ear)
-        first, second = (take(calls, finals.append, name) for name in (b"1", b"2"))
+        calls, hand = make_request_manager(ScriptedLoadBalancer([]), ear)
+        first, second = (accept_request(calls, finals.append, name) for name in (b"1", b"2"))
         calls.client_disconnected(second)
         calls.client_disconnected(first)
         assert ear.told == [("taken", 1), ("taken", 2), ("closed", None), ("closed", None)]
@@ -232,16 +235,16 @@
 
 
 def held(
-    first: Ear, use: Callable[[Request, Hand, RequestManager], None], budget_ms: float = 9000.0
+    first: Ear, use: Callable[[Request, ManualAttemptRunner, RequestManager], None], budget_ms: float = 9000.0
 ) -> tuple[Ear, list[FinalResponse]]:
     """A call that the first of two holds; `use` when that one has let it go, or at once if it never does."""
     second, finals = Ear(), list[FinalResponse]()
 
     async def case() -> None:
-        calls, hand = calls_of(Script(ONE), first, second)
+        calls, hand = make_request_manager(ScriptedLoadBalancer(ONE), first, second)
         call = calls.accept(b"n", None, "look", "acme", budget_ms, finals.append)
         async with asyncio.timeout(5):
-            while not hand.out and not finals and len(first.told) < 3:
+            while not hand.started and not finals and len(first.told) < 3:
                 await asyncio.sleep(0)
         use(call, hand, calls)
         assert not calls.open and not calls.is_known(b"n")
