--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -84,7 +84,7 @@
             for pending in [each for each in self.pending_results if each[0] <= due]:
                 self.pending_results.remove(pending)
                 self.handle_event(pending[1])
-            for timer in [timer for timer in self.timers if timer[0] <= due]:
+            for timer in [t for t in self.timers if t[0] <= due]:
                 self.timers.remove(timer)
                 self.handle_event(TimerFired(timer[1]))
         self.now = time
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -203,10 +203,12 @@
         await received.wait()
         path.write_text(json.dumps({**raw_config, "discovery": second_address, "settings": PUSH_SETTINGS}))
         os.kill(os.getpid(), signal.SIGHUP)
-        target, writer = await second.queries.get()
+        target, second_writer = await second.queries.get()
         assert target == b"/discovery/hosts?follow=1"
-        writer.write(list_message(1, [make_entry("b", server)], True))  # without the endpoint of the open request
-        writer.write(b"0\r\n\r\n")
+        second_writer.write(
+            list_message(1, [make_entry("b", server)], True)
+        )  # without the endpoint of the open request
+        second_writer.write(b"0\r\n\r\n")
         await second.queries.get()  # the end of a stream is followed by another query
         may_answer.set()
         assert (await response).status == 200 and pushed_values == [True]
