--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -61,8 +61,8 @@
     """A pool with one endpoint, `a`, which records the first byte received on each connection."""
 
     def __init__(self) -> None:
-        self.calls, self.sockets = Heard(), unlimited()
-        self.pool = EndpointPool(self.calls, self.sockets, 9000.0, 9e6)
+        self.request_manager, self.sockets = Heard(), unlimited()
+        self.pool = EndpointPool(self.request_manager, self.sockets, 9000.0, 9e6)
         self.received: asyncio.Queue[bytes] = asyncio.Queue()
         self.endpoint: DiscoveredEndpoint
 
@@ -167,11 +167,11 @@
         await asyncio.sleep(0)  # the task runs up to its wait for the connection
         assert pool.sockets.used == 1
         apply_change(pool, attempt)
-        ended = await pool.calls.endings.get()
+        ended = await pool.request_manager.endings.get()
         assert ended is (AttemptEnding.CANCELLED if change == "the attempt is cancelled" else AttemptEnding.NOT_SENT)
         if change != "the attempt is cancelled":  # otherwise the connection may never be established
             assert await pool.received.get() == b""
-        assert not attempt.sent_at and pool.received.empty() and pool.calls.endings.empty()
+        assert not attempt.sent_at and pool.received.empty() and pool.request_manager.endings.empty()
         while pool.sockets.used:
             await asyncio.sleep(0)
 
@@ -191,10 +191,12 @@
         pool.pool.start(make_attempt(request))
         never_ran = earlier_ending in (AttemptEnding.REJECTED, AttemptEnding.CONNECT_FAILED, AttemptEnding.NOT_SENT)
         if traffic_class is AT_MOST_ONCE and not never_ran:
-            assert await pool.calls.endings.get() is AttemptEnding.NOT_SENT and pool.received.empty()
+            assert await pool.request_manager.endings.get() is AttemptEnding.NOT_SENT and pool.received.empty()
             assert not pool.sockets.used  # no connection was opened for it
         else:
-            assert await pool.calls.endings.get() is AttemptEnding.SERVED and await pool.received.get() == b"G"
+            assert (
+                await pool.request_manager.endings.get() is AttemptEnding.SERVED and await pool.received.get() == b"G"
+            )
 
     run(case())
 
@@ -205,7 +207,7 @@
         pool = PoolWithEndpoint()
         await pool.start()
         pool.pool.start(make_attempt(make_request(IDEMPOTENT)))
-        assert await pool.calls.endings.get() is AttemptEnding.SERVED and pool.sockets.idle == 1
+        assert await pool.request_manager.endings.get() is AttemptEnding.SERVED and pool.sockets.idle == 1
         pool.update_endpoint()
         assert pool.sockets.idle == 1  # the same process was listed again
         pool.update_endpoint(started_ms=6.0)
@@ -231,7 +233,9 @@
     # If the late response were a rejection, the next request would count as never run, and could run twice.
     async def case() -> None:
         pool = PoolWithEndpoint()
-        pool.pool = EndpointPool(pool.calls, pool.sockets, 9000.0, 9000.0, EndpointSettings(settle_s=settle_s))
+        pool.pool = EndpointPool(
+            pool.request_manager, pool.sockets, 9000.0, 9000.0, EndpointSettings(settle_s=settle_s)
+        )
         connections_opened: list[Writer] = []
         requests: asyncio.Queue[Writer] = asyncio.Queue()
 
@@ -250,7 +254,7 @@
         )
         pool.pool.start(make_attempt(make_request(AT_MOST_ONCE)))
         (first := await requests.get()).write(whole(200))
-        assert await pool.calls.endings.get() is AttemptEnding.SERVED
+        assert await pool.request_manager.endings.get() is AttemptEnding.SERVED
         pool.pool.start(make_attempt(make_request(AT_MOST_ONCE)))
         second = await requests.get()
         assert len(connections_opened) == connections
@@ -258,7 +262,7 @@
             first.write(REJECTED)
             await first.wait_closed()  # an unexpected response closes the connection
         second.write(whole(200))
-        assert await pool.calls.endings.get() is AttemptEnding.SERVED and pool.calls.endings.empty()
+        assert await pool.request_manager.endings.get() is AttemptEnding.SERVED and pool.request_manager.endings.empty()
 
     run(case())
 
@@ -294,7 +298,7 @@
         )
         attempt = make_attempt(make_request(AT_MOST_ONCE))
         pool.pool.start(attempt)
-        assert await pool.calls.endings.get() is AttemptEnding.CONNECT_FAILED
+        assert await pool.request_manager.endings.get() is AttemptEnding.CONNECT_FAILED
         assert not attempt.sent_at
 
     run(case())
@@ -336,7 +340,7 @@
             [DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True
         )
         pool.pool.start(make_attempt(make_request(AT_MOST_ONCE)))
-        assert await pool.calls.endings.get() is AttemptEnding.CONNECT_FAILED
+        assert await pool.request_manager.endings.get() is AttemptEnding.CONNECT_FAILED
 
     run(case())
 
