--- a/benchmarks/replicated_notes.py
+++ b/benchmarks/replicated_notes.py
@@ -1,12 +1,12 @@
-"""What a promise takes on real processes, and what the fleet costs a call.
+"""Latency of replicated notes on real processes, and the CPU that the fleet costs a request.
 
     python -m benchmarks.replicated_notes [PROMISES] [CALLS]
 
-First, on 3 and on 5 processes that all vote: promises over HTTP at the operators' addresses, one after another, each
-on a connection of its own; at the leader, and at a follower (which says yes when it has applied the promise itself).
-Then a call's CPU: two sidecars, one in a fleet of three and one alone, get the same calls in turns, some hundreds each;
-the CPU is that of their processes by the kernel's clock, all that the fleet does in that time included. The ratio is
-of the medians of the turns; noise of the machine falls on both.
+First, on 3 and on 5 processes that are all voters: notes over HTTP at the operators' addresses, one after another, each
+on its own connection; at the leader, and at a follower (which responds when it has applied the note itself). Then the
+CPU of a request: two sidecars, one in a fleet of three and one alone, get the same requests in turns of some hundreds;
+the CPU is that of their processes by the kernel's clock, including all work of the fleet in that time. The ratio is
+that of the medians of the turns; noise of the machine affects both.
 """
 
 from __future__ import annotations
@@ -69,27 +69,27 @@
     }
 
 
-async def fleet(folder: Path, names: str, known: dict[str, Any]) -> Processes:
-    """All vote, all are there when it returns, and the first leads."""
+async def fleet(folder: Path, names: str, endpoint_list: dict[str, Any]) -> Processes:
+    """Starts the processes, all voters; returns when all run and the first leads."""
     (folder / "key").write_text("a key of a benchmark alone")
-    at = {name: f"127.0.0.1:{free_port()}" for name in names}
+    addresses = {name: f"127.0.0.1:{free_port()}" for name in names}
     processes = Processes()
     for name in names:
 
         def toml(node: NodeProcess) -> str:
             return fleet_table(
-                at[node.name],
+                addresses[node.name],
                 {},
                 {
                     "group": "bench",
                     "key_file": str(folder / "key"),
                     "voters": list(names),
                     "folder": str(node.data),
-                    "seeds": [other for other in at.values() if other != at[node.name]],
+                    "seeds": [other for other in addresses.values() if other != addresses[node.name]],
                 },
             )
 
-        processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, known, toml))
+        processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, endpoint_list, toml))
     await processes.start()
     await processes.until_all(
         lambda name, state: state["parts"]["agreement"].get("leader") == names[0], 30, "one leads"
@@ -97,8 +97,8 @@
     return processes
 
 
-async def promise(node: NodeProcess, ident: str) -> float:
-    """ms."""
+async def store_note(node: NodeProcess, ident: str) -> float:
+    """Stores a note; returns the latency in ms."""
     began = perf_counter()
     answer = await node.ask(f"/fleet/promises/{ident}", "POST", b"words of a promise, of some fifty bytes or so.")
     if answer is None or answer[0] != 200:
@@ -106,13 +106,13 @@
     return (perf_counter() - began) * 1000.0
 
 
-async def promises(folder: Path, names: str, many: int) -> None:
+async def measure_notes(folder: Path, names: str, notes: int) -> None:
     processes = await fleet(folder, names, listed("127.0.0.1:9"))
     try:
         for number, name in enumerate(names[:2]):
-            spans = [await promise(processes.nodes[name], f"{name}.{n}") for n in range(many)]
-            figures = f"p50 {quantile(spans, 0.5):6.1f} ms  p99 {quantile(spans, 0.99):6.1f} ms"
-            print(f"{len(names)} processes, at the {('leader', 'follower')[number]:<8}  {figures}")
+            spans = [await store_note(processes.nodes[name], f"{name}.{n}") for n in range(notes)]
+            latencies = f"p50 {quantile(spans, 0.5):6.1f} ms  p99 {quantile(spans, 0.99):6.1f} ms"
+            print(f"{len(names)} processes, at the {('leader', 'follower')[number]:<8}  {latencies}")
     finally:
         await processes.close()
 
@@ -121,12 +121,12 @@
     assert node.process is not None
     spent = Path(f"/proc/{node.process.pid}/schedstat").read_text().split()[0]
     threads = Path(f"/proc/{node.process.pid}/task")
-    total = sum(int((one / "schedstat").read_text().split()[0]) for one in threads.iterdir())
+    total = sum(int((each / "schedstat").read_text().split()[0]) for each in threads.iterdir())
     return max(total, int(spent)) / 1e6
 
 
 async def turn(node: NodeProcess, calls: int) -> float:
-    """CPU of the process in ms a call, one call after another on one connection."""
+    """CPU of the process in ms a request, with one request after another on one connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", node.serving)
     parser, before = http1.ResponseParser(), cpu_ms(node)
     for _ in range(calls):
@@ -139,37 +139,37 @@
     return (cpu_ms(node) - before) / calls
 
 
-async def cost(folder: Path, calls: int) -> None:
+async def measure_cpu(folder: Path, calls: int) -> None:
     server = await asyncio.start_server(provider, "127.0.0.1", 0)
     address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]  # noqa: UP031
-    known = listed(address)
-    processes = await fleet(folder, "abc", known)
-    processes.add(NodeProcess("alone", folder, SETTINGS, free_port(), 1, known, lambda node: ""))
+    endpoint_list = listed(address)
+    processes = await fleet(folder, "abc", endpoint_list)
+    processes.add(NodeProcess("alone", folder, SETTINGS, free_port(), 1, endpoint_list, lambda node: ""))
     await processes.start(["alone"])
     try:
         before = {name: cpu_ms(processes.nodes[name]) for name in ("a", "b", "alone")}
         await asyncio.sleep(IDLE_S)
         idle = {name: (cpu_ms(processes.nodes[name]) - spent) / IDLE_S for name, spent in before.items()}
         print("CPU without a call, ms a second: leader {a:.1f}, follower {b:.1f}, off {alone:.1f}".format_map(idle))
-        for leads, name in (("the leader", "a"), ("a follower", "b")):
+        for role, name in (("the leader", "a"), ("a follower", "b")):
             spent: dict[str, list[float]] = {name: [], "alone": []}
             for round_ in range(max(4, calls // TURN)):
-                for one in (name, "alone") if round_ % 2 else ("alone", name):
-                    spent[one].append(await turn(processes.nodes[one], TURN))
-            on, off = (statistics.median(spent[one][1:]) * 1000 for one in (name, "alone"))
-            print(f"a call's CPU, {leads}: on {on:.1f} us, off {off:.1f} us, ratio {on / off:.3f}")
+                for each in (name, "alone") if round_ % 2 else ("alone", name):
+                    spent[each].append(await turn(processes.nodes[each], TURN))
+            on_us, off_us = (statistics.median(spent[each][1:]) * 1000 for each in (name, "alone"))
+            print(f"a call's CPU, {role}: on {on_us:.1f} us, off {off_us:.1f} us, ratio {on_us / off_us:.3f}")
     finally:
         await processes.close()
         server.close()
 
 
-async def main(many: int, calls: int) -> None:
-    print(json.dumps({"cores": os.cpu_count(), "load": [round(one, 1) for one in os.getloadavg()]}))
+async def main(notes: int, calls: int) -> None:
+    print(json.dumps({"cores": os.cpu_count(), "load": [round(each, 1) for each in os.getloadavg()]}))
     for names in ("abc", "abcde"):
         with tempfile.TemporaryDirectory(ignore_cleanup_errors=True) as folder:
-            await promises(Path(folder), names, many)
+            await measure_notes(Path(folder), names, notes)
     with tempfile.TemporaryDirectory(ignore_cleanup_errors=True) as folder:
-        await cost(Path(folder), calls)
+        await measure_cpu(Path(folder), calls)
 
 
 if __name__ == "__main__":
--- a/limenotch/fleet/log_multiplexer.py
+++ b/limenotch/fleet/log_multiplexer.py
@@ -1,7 +1,7 @@
-"""Several layers above one log: whose an entry is, and what of a snapshot is whose. No I/O, nothing kept.
+"""Several layers on one log: which layer an entry belongs to, and which part of a snapshot. Stateless, no I/O.
 
-An entry's data and id begin with the prefix of the layer that proposed it (`ru.`); a snapshot's state is a msgpack map
-from prefix to that layer's state. So layers know nothing of each other, and none reads what another wrote.
+The data and the id of an entry begin with the prefix of the layer that proposed it (`ru.`); the state in a snapshot is
+a msgpack map from prefix to the state of that layer. So no layer knows of another or reads its entries.
 """
 
 from __future__ import annotations
@@ -17,30 +17,33 @@
 
 
 class ReplicatedComponent(Component, Protocol):
-    """A layer above the log. Its events are besides the usual ones what `agreement.api` calls actions, but for
-    WantSnapshot: that is answered for it by `state`. Its actions may be the events there, but for Compact."""
+    """A layer on the log.
+
+    Its events are, besides the usual ones, what `consensus.api` calls actions, except SnapshotRequested, which the hub
+    answers by `state`. Its actions may be the events of `consensus.api`, except SnapshotState.
+    """
 
     def state(self) -> bytes:
-        """All it holds of what was Agreed, at this moment."""
+        """The state that results from all entries committed so far, for a snapshot."""
         ...
 
 
 def add_prefix(prefix: str, data: bytes) -> bytes:
-    """An entry's data as it goes into the log; `split_prefix` takes it apart."""
+    """The data of an entry as it goes into the log; `split_prefix` reverses it."""
     return prefix.encode() + data
 
 
 def split_prefix(data: bytes) -> tuple[str, bytes]:
-    """Prefix and the layer's own data; an empty prefix where there is none."""
+    """The prefix and the layer's own data; the prefix is empty if there is none."""
     head, dot, rest = data.partition(b".")
     return (head.decode("latin-1") + ".", rest) if dot else ("", data)
 
 
 def join_states(states: Mapping[str, bytes]) -> bytes:
-    """A snapshot's state, of the states by prefix; `split_states` takes it apart."""
+    """The state of a snapshot, from the layers' states by prefix; `split_states` reverses it."""
     return msgspec.msgpack.encode(dict(states))
 
 
 def split_states(state: bytes | None) -> dict[str, bytes]:
-    """Raises msgspec.DecodeError on what no hub has joined."""
+    """The layers' states by prefix. Raises msgspec.DecodeError on bytes that `join_states` did not make."""
     return _states.decode(state) if state else {}
--- a/limenotch/fleet/replicated_notes.py
+++ b/limenotch/fleet/replicated_notes.py
@@ -1,19 +1,19 @@
-"""Promises: an operator's words kept by the fleet under an id. A layer above the log; decisions only.
+"""Replicated notes: texts that operators store in the fleet under an id. A layer on the log; decisions only, no I/O.
 
 Rules
-- The first words under an id stand. The same words again are the same promise; others are told `other`.
-- Yes is said when the log has promised it *and* it is applied here: what comes of an entry is known only then.
-- At most MOST are kept, and none is ever dropped: what comes after is `full`, everywhere at the same entry.
-- A read is asked of the log first: it sees all that was promised, anywhere, before it was asked.
+- The first text under an id stays. The same text again is the same note; another text is answered `other`.
+- A request is confirmed when its entry is committed *and* applied here: only then is the effect of the entry known.
+- At most MAX_NOTES are stored and none is ever dropped: a later note is `full`, on all nodes at the same entry.
+- A read first gets a read index from the log: it sees all notes confirmed anywhere before the read was requested.
 
-| OperatorRequest | OperatorResponse's word |
+| request | outcomes |
 | --- | --- |
-| keep | kept; other, full, refused (all three: surely not); unknown |
+| keep | kept; other, full, refused (all three: surely not stored); unknown |
 | read | found, none; refused |
 | list | listed; refused |
 | voters | done; refused, unknown |
 
-Each OperatorRequest gets one OperatorResponse, by the log's own bound in time (`ask_ms`) and LATE_MS after it.
+Each request gets one response, within the log's own time limit (`ask_ms`) plus APPLY_TIMEOUT_MS.
 """
 
 from __future__ import annotations
@@ -26,167 +26,174 @@
 from . import interfaces
 from .consensus import api
 
-MOST = 1000
-MOST_BYTES = 4096  # of one promise's words
-MOST_ASKED = 256  # that wait for an answer
-LATE_MS = 5000.0  # for what is promised to be applied here
+MAX_NOTES = 1000
+MAX_NOTE_BYTES = 4096  # of the text of one note
+MAX_PENDING_REQUESTS = 256  # pending requests
+APPLY_TIMEOUT_MS = 5000.0  # time limit for a committed entry to be applied here
 
 
 class OperatorRequest(NamedTuple):
-    """`what`: keep, read, list, voters. For voters `id` is to be added and `other` removed; either may be empty."""
+    """`kind`: keep, read, list, voters. For voters, `id` is added and `remove` removed; either may be empty."""
 
     ticket: int
-    what: str
+    kind: str
     id: str = ""
-    words: bytes = b""
-    other: str = ""
+    text: bytes = b""
+    remove: str = ""
 
 
 class OperatorResponse(NamedTuple):
-    """What became of an OperatorRequest, as the table above says."""
+    """The outcome of a request, as in the table above."""
 
     ticket: int
-    word: str
-    text: str = ""  # why; for `refused` with the leader's name, if one is known
+    outcome: str
+    reason: str = ""  # the reason; for `refused` with the leader's name if one is known
     body: bytes = b""
     index: int = 0  # type: ignore[assignment]
 
 
-class _Waits(NamedTuple):
-    ask: OperatorRequest
-    index: int  # type: ignore[assignment] # promised at
-    until: float
+class _Unapplied(NamedTuple):
+    """A committed note that is not applied here yet."""
+
+    request: OperatorRequest
+    index: int  # type: ignore[assignment] # of the commit
+    expires_at_ms: float
 
 
 _table: msgspec.msgpack.Decoder[dict[str, tuple[int, bytes]]] = msgspec.msgpack.Decoder(dict[str, tuple[int, bytes]])
 _entry: msgspec.msgpack.Decoder[tuple[str, bytes]] = msgspec.msgpack.Decoder(tuple[str, bytes])
 
 
-def _digest(words: bytes) -> str:
-    return blake2b(words, digest_size=16).hexdigest()
+def _digest(text: bytes) -> str:
+    return blake2b(text, digest_size=16).hexdigest()
 
 
 class ReplicatedNotes:
-    """The notes that the fleet keeps: a state machine above the log."""
+    """The notes stored by the fleet: a state machine on the log."""
 
     def __init__(self, state: bytes | None = None, index: int = 0) -> None:
         """`state`: of the snapshot found at the start, which was made after `index`. Raises msgspec.DecodeError."""
-        self._kept: dict[str, tuple[int, bytes]] = _table.decode(state) if state else {}
+        self._notes: dict[str, tuple[int, bytes]] = _table.decode(state) if state else {}
         self._applied = index
-        self._asked: dict[int, OperatorRequest] = {}
-        self._waits: dict[int, _Waits] = {}
+        self._pending: dict[int, OperatorRequest] = {}
+        self._unapplied: dict[int, _Unapplied] = {}
         self._now = float("-inf")
-        self._out: list[Any] = []
-        self.bad = 0  # entries that can't be read: a later program's
+        self._actions: list[Any] = []
+        self.unreadable_entries = 0  # entries that cannot be decoded: written by a later version
 
     def __len__(self) -> int:
-        return len(self._kept)
+        """The number of notes."""
+        return len(self._notes)
 
     def state(self) -> bytes:
         """All notes as bytes, for a snapshot of the log."""
-        return msgspec.msgpack.encode(self._kept)
+        return msgspec.msgpack.encode(self._notes)
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """Raises TypeError on what is no event of it, ValueError where `now` runs back."""
+        """Raises TypeError on an unknown event, ValueError where `now` runs backwards."""
         if now < self._now:
-            raise ValueError(f"time runs back from {self._now} to {now}")
-        self._now, self._out = now, []
+            raise ValueError(f"time runs backwards from {self._now} to {now}")
+        self._now, self._actions = now, []
         if isinstance(event, OperatorRequest):
-            self._ask(event)
+            self._handle_request(event)
         elif isinstance(event, api.EntryCommitted):
-            self._agreed(event)
+            self._apply(event)
         elif isinstance(event, api.SnapshotInstalled):
-            self._kept, self._applied = _table.decode(event.state), event.index
+            self._notes, self._applied = _table.decode(event.state), event.index
         elif isinstance(event, api.ProposalCommitted):
-            self._promised(event)
+            self._on_committed(event)
         elif isinstance(event, api.ReadReady):
-            self._ready(event)
+            self._on_read_ready(event)
         elif isinstance(event, api.ProposalRejected):
-            self._end(event.ticket, "refused", event.why + (f"; {event.leader} leads" if event.leader else ""))
+            self._end_request(event.ticket, "refused", event.why + (f"; {event.leader} leads" if event.leader else ""))
         elif isinstance(event, api.OutcomeUnknown):
-            self._end(event.ticket, "unknown", "perhaps: ask again with the same id")
-        elif not isinstance(event, _HEEDLESS):
-            raise TypeError(f"no event of promises: {event!r}")
-        self._look()
-        return self._out
-
-    def _ask(self, ask: OperatorRequest) -> None:
-        if len(self._asked) + len(self._waits) >= MOST_ASKED:
-            self._out.append(OperatorResponse(ask.ticket, "refused", "busy"))
+            self._end_request(event.ticket, "unknown", "perhaps: ask again with the same id")
+        elif not isinstance(event, _IGNORED_EVENTS):
+            raise TypeError(f"not an event of replicated notes: {event!r}")
+        self._answer_applied()
+        return self._actions
+
+    def _handle_request(self, request: OperatorRequest) -> None:
+        if len(self._pending) + len(self._unapplied) >= MAX_PENDING_REQUESTS:
+            self._actions.append(OperatorResponse(request.ticket, "refused", "busy"))
             return
-        if ask.what == "keep":
-            if len(ask.words) > MOST_BYTES:
-                self._out.append(OperatorResponse(ask.ticket, "refused", "too large"))
+        if request.kind == "keep":
+            if len(request.text) > MAX_NOTE_BYTES:
+                self._actions.append(OperatorResponse(request.ticket, "refused", "too large"))
                 return
-            # Other words under the same id are an entry of their own: they must not be told that they are promised.
-            ident = f"{ask.id} {_digest(ask.words)}"
-            self._out.append(api.Propose(ask.ticket, msgspec.msgpack.encode((ask.id, ask.words)), ident))
-        elif ask.what == "voters":
-            self._out.append(api.ChangeVoters(ask.ticket, ask.id, ask.other))
-        elif ask.what in ("read", "list"):
-            self._out.append(api.ReadIndex(ask.ticket))
+            # Another text under the same id is a proposal of its own: else it would be confirmed and not stored.
+            proposal_id = f"{request.id} {_digest(request.text)}"
+            self._actions.append(
+                api.Propose(request.ticket, msgspec.msgpack.encode((request.id, request.text)), proposal_id)
+            )
+        elif request.kind == "voters":
+            self._actions.append(api.ChangeVoters(request.ticket, request.id, request.remove))
+        elif request.kind in ("read", "list"):
+            self._actions.append(api.ReadIndex(request.ticket))
         else:
-            raise TypeError(f"nothing to ask: {ask!r}")
-        self._asked[ask.ticket] = ask
+            raise TypeError(f"unknown request: {request!r}")
+        self._pending[request.ticket] = request
 
-    def _agreed(self, event: api.EntryCommitted) -> None:
+    def _apply(self, event: api.EntryCommitted) -> None:
         self._applied = event.index
         try:
-            ident, words = _entry.decode(event.data)
+            note_id, text = _entry.decode(event.data)
         except msgspec.DecodeError:
-            self.bad += 1
+            self.unreadable_entries += 1
             return
-        if ident not in self._kept and len(self._kept) < MOST:
-            self._kept[ident] = (event.index, words)
+        if note_id not in self._notes and len(self._notes) < MAX_NOTES:
+            self._notes[note_id] = (event.index, text)
 
-    def _promised(self, event: api.ProposalCommitted) -> None:
-        ask = self._asked.pop(event.ticket, None)
-        if ask is None:
+    def _on_committed(self, event: api.ProposalCommitted) -> None:
+        request = self._pending.pop(event.ticket, None)
+        if request is None:
             return
-        if ask.what == "voters":
-            self._out.append(OperatorResponse(ask.ticket, "done", index=event.index))
+        if request.kind == "voters":
+            self._actions.append(OperatorResponse(request.ticket, "done", index=event.index))
             return
-        until = self._now + LATE_MS
-        self._waits[ask.ticket] = _Waits(ask, event.index, until)
+        expires_at_ms = self._now + APPLY_TIMEOUT_MS
+        self._unapplied[request.ticket] = _Unapplied(request, event.index, expires_at_ms)
         if event.index > self._applied:
-            self._out.append(interfaces.SetTimer(until, 1))
+            self._actions.append(interfaces.SetTimer(expires_at_ms, 1))
 
-    def _ready(self, event: api.ReadReady) -> None:
-        ask = self._asked.pop(event.ticket, None)
-        if ask is None:
+    def _on_read_ready(self, event: api.ReadReady) -> None:
+        request = self._pending.pop(event.ticket, None)
+        if request is None:
             return
-        if ask.what == "list":
-            listed = msgspec.json.encode([{"id": one, "index": at} for one, (at, _) in self._kept.items()])
-            self._out.append(OperatorResponse(ask.ticket, "listed", body=listed))
-        elif (held := self._kept.get(ask.id)) is not None:
-            self._out.append(OperatorResponse(ask.ticket, "found", body=held[1], index=held[0]))
+        if request.kind == "list":
+            listed = msgspec.json.encode(
+                [{"id": note_id, "index": index} for note_id, (index, _) in self._notes.items()]
+            )
+            self._actions.append(OperatorResponse(request.ticket, "listed", body=listed))
+        elif (note := self._notes.get(request.id)) is not None:
+            self._actions.append(OperatorResponse(request.ticket, "found", body=note[1], index=note[0]))
         else:
-            self._out.append(OperatorResponse(ask.ticket, "none", f"nothing is promised under {ask.id!r}"))
+            self._actions.append(OperatorResponse(request.ticket, "none", f"nothing is promised under {request.id!r}"))
 
-    def _end(self, ticket: int, word: str, text: str) -> None:
-        if self._asked.pop(ticket, None) is not None:
-            self._out.append(OperatorResponse(ticket, word, text))
+    def _end_request(self, ticket: int, outcome: str, reason: str) -> None:
+        if self._pending.pop(ticket, None) is not None:
+            self._actions.append(OperatorResponse(ticket, outcome, reason))
 
-    def _look(self) -> None:
-        """What is promised and now applied, or too late."""
-        for ticket, (ask, index, until) in list(self._waits.items()):
+    def _answer_applied(self) -> None:
+        """Answers requests whose entry is applied now, or whose time is over."""
+        for ticket, (request, index, expires_at_ms) in list(self._unapplied.items()):
             if index <= self._applied:
-                del self._waits[ticket]
-                self._out.append(self._outcome(ask))
-            elif self._now >= until:
-                del self._waits[ticket]
-                self._out.append(OperatorResponse(ticket, "unknown", "promised, but not applied here yet: read it"))
-
-    def _outcome(self, ask: OperatorRequest) -> OperatorResponse:
-        held = self._kept.get(ask.id)
-        if held is None:
-            return OperatorResponse(ask.ticket, "full", f"{MOST} promises are kept, none is dropped")
-        if held[1] != ask.words:
-            return OperatorResponse(ask.ticket, "other", f"{ask.id!r} has other words", index=held[0])
-        return OperatorResponse(ask.ticket, "kept", index=held[0])
-
-
-_HEEDLESS = (
+                del self._unapplied[ticket]
+                self._actions.append(self._outcome(request))
+            elif self._now >= expires_at_ms:
+                del self._unapplied[ticket]
+                self._actions.append(OperatorResponse(ticket, "unknown", "promised, but not applied here yet: read it"))
+
+    def _outcome(self, request: OperatorRequest) -> OperatorResponse:
+        note = self._notes.get(request.id)
+        if note is None:
+            return OperatorResponse(request.ticket, "full", f"{MAX_NOTES} promises are kept, none is dropped")
+        if note[1] != request.text:
+            return OperatorResponse(request.ticket, "other", f"{request.id!r} has other words", index=note[0])
+        return OperatorResponse(request.ticket, "kept", index=note[0])
+
+
+_IGNORED_EVENTS = (
     interfaces.Started,
     interfaces.ShutdownStarted,
     interfaces.TimerFired,
--- a/limenotch/fleet_adapters/replicated_notes.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -1,31 +1,33 @@
-"""Operators' promises, kept by the log, and the voters' replacement."""
+"""The adapter of replicated notes, and of the requests to replace voters."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from ..fleet.consensus.tuning import Tuning
-from ..fleet.replicated_notes import LATE_MS, OperatorResponse, ReplicatedNotes
+from ..fleet.replicated_notes import APPLY_TIMEOUT_MS, OperatorResponse, ReplicatedNotes
 from ..net.admin.log import PREFIX, LogQueries, unavailable
 from .base import SPARE_S, FleetAdapter, NodeContext
 
 
 class ReplicatedNotesAdapter(FleetAdapter):
+    """Connects ReplicatedNotes to the hub and to the operators' addresses."""
+
     name, prefix = "promises", PREFIX
 
-    def __init__(self, among: NodeContext, tuning: Tuning) -> None:
+    def __init__(self, context: NodeContext, tuning: Tuning) -> None:
         super().__init__()
-        self._promises = ReplicatedNotes()
-        self._promised = LogQueries(among.dispatch, (tuning.ask_ms + LATE_MS) / 1000.0 + SPARE_S)
-        self.action_handlers = {OperatorResponse: self._promised.handle_answer}
-        self.routes = self._promised.paths
+        self._notes = ReplicatedNotes()
+        self._queries = LogQueries(context.dispatch, (tuning.ask_ms + APPLY_TIMEOUT_MS) / 1000.0 + SPARE_S)
+        self.action_handlers = {OperatorResponse: self._queries.handle_answer}
+        self.routes = self._queries.paths
 
     def component(self, state: bytes | None, index: int) -> ReplicatedNotes:
-        self._promises = ReplicatedNotes(state, index)
-        return self._promises
+        self._notes = ReplicatedNotes(state, index)
+        return self._notes
 
     def status(self) -> dict[str, Any]:
-        return {"kept": len(self._promises), "unreadable": self._promises.bad}
+        return {"kept": len(self._notes), "unreadable": self._notes.unreadable_entries}
 
-    def unavailable_response(self, why: str) -> bytes:
-        return unavailable(why)
+    def unavailable_response(self, reason: str) -> bytes:
+        return unavailable(reason)
--- a/tests/fleet/test_log_processes.py
+++ b/tests/fleet/test_log_processes.py
@@ -1,10 +1,11 @@
-"""The log on processes: operators promise and read throughout, consumers call, and faults come between.
+"""The log on real processes: operators store and read notes, clients send requests, and faults occur meanwhile.
 
-Of each run three verdicts: what operators were told and find at the end (`helpers/log_operators.py`), the rules for
-calls, and that nothing crashed. `a` leads when a drawing begins: it founds the group as the first voter by name.
-Words of `ask`: `keep X` (told 200), `no X` (not told 200), `in time X` (asked until told 200), `read X` (found),
-`leads` (a leader is known here), `tear` (bytes of a record without its end are put behind the log of a process that
-is gone), `put X for Y` (X votes instead of Y).
+Each run checks what operators were answered and find at the end (`helpers/log_operators.py`), the rules for requests,
+and that nothing crashed. `a` leads when a timeline begins: it bootstraps the group as the first voter by name.
+
+Words of `ask`: `keep X` (answered 200), `no X` (not answered 200), `in time X` (repeated until answered 200), `read X`
+(found), `leads` (a leader is known here), `tear` (appends bytes of a record without its end to the log of a stopped
+process), `put X for Y` (X becomes a voter instead of Y).
 """
 
 from __future__ import annotations
@@ -35,46 +36,46 @@
 }
 
 
-class Played:
+class PlayedRun:
     def __init__(self, outcome: Outcome, operators: Operators, states: dict[str, dict[str, Any]]) -> None:
         self.outcome, self.operators, self.states = outcome, operators, states
 
-    def notes(self, node: str) -> list[str]:
+    def log_lines(self, node: str) -> list[str]:
         return [text for at, name, text in self.outcome.seen if name == node and at >= 0]
 
 
-def play(text: str, folder: Path, voters: str = "abc", without_folder: str = "") -> Played:
-    drawn = drawing.read(text)
-    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {drawn.ends / 1000.0}")
-    traffic = traffic.replace("count = 3", f"count = {len(drawn.nodes)}")
+def play(text: str, folder: Path, voters: str = "abc", without_folder: str = "") -> PlayedRun:
+    timeline = drawing.read(text)
+    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {timeline.ends / 1000.0}")
+    traffic = traffic.replace("count = 3", f"count = {len(timeline.nodes)}")
     plan = planning.plan(scenario.parse(traffic, "log"), 3)
     key = folder / "key"
     key.write_text("a key for tests, of 16 bytes or more")
 
-    async def case() -> Played:
+    async def case() -> PlayedRun:
         async def ask(node: NodeProcess, words: str) -> None:
-            await asked(operators, node, words)
+            await carry_out(operators, node, words)
 
-        with_folder = together(drawn.nodes, key, tuple(voters), membership=MEMBERSHIP, agreement=AGREEMENT)
+        with_folder = together(timeline.nodes, key, tuple(voters), membership=MEMBERSHIP, agreement=AGREEMENT)
 
         def fleet(stage: Stage, node: NodeProcess) -> str:
             lines = with_folder(stage, node).splitlines(keepends=True)
             return "".join(line for line in lines if node.name not in without_folder or not line.startswith("folder"))
 
-        stage = Stage(plan, folder, drawn, weather.Weather(drawn.seed), ask=ask, spoils=True, fleet=fleet)
+        stage = Stage(plan, folder, timeline, weather.Weather(timeline.seed), ask=ask, spoils=True, fleet=fleet)
         operators = Operators(stage.processes)
 
-        async def settled(processes: Processes) -> None:
-            there = [name for name in drawn.nodes if name not in drawn.later]
-            await processes.until_all(lambda name, state: leader(state) == "a", 20, "a leads", there)
-            operators.begin(drawn.nodes)
+        async def leader_elected(processes: Processes) -> None:
+            running_nodes = [name for name in timeline.nodes if name not in timeline.later]
+            await processes.until_all(lambda name, state: leader(state) == "a", 20, "a leads", running_nodes)
+            operators.begin(timeline.nodes)
 
         try:
-            outcome = await stage.perform(settled)
+            outcome = await stage.perform(leader_elected)
             await operators.end()
-            await operators.check(drawn.nodes)
+            await operators.check(timeline.nodes)
             states = {name: await node.state() or {} for name, node in stage.processes.nodes.items()}
-            return Played(outcome, operators, states)
+            return PlayedRun(outcome, operators, states)
         finally:
             await operators.end()
             await stage.close()
@@ -90,41 +91,41 @@
     return state["parts"]["agreement"].get("leader")
 
 
-async def asked(operators: Operators, node: NodeProcess, words: str) -> None:
-    word, _, rest = words.partition(" ")
-    if word == "keep":
-        told = await operators.keep(node.name, rest)
-        assert told.status == 200, told
-    elif word == "no":
-        told = await operators.keep(node.name, rest)
-        assert told.status in (503, 504), told
-    elif word == "in":
-        await operators.kept(node.name, rest.removeprefix("time "))
-    elif word == "read":
-        told = await operators.read(node.name, rest)
-        assert (told.status, told.body) == (200, f"why {rest}".encode()), told
-    elif word == "leads":
+async def carry_out(operators: Operators, node: NodeProcess, words: str) -> None:
+    command, _, argument = words.partition(" ")
+    if command == "keep":
+        response = await operators.keep(node.name, argument)
+        assert response.status == 200, response
+    elif command == "no":
+        response = await operators.keep(node.name, argument)
+        assert response.status in (503, 504), response
+    elif command == "in":
+        await operators.keep_until_confirmed(node.name, argument.removeprefix("time "))
+    elif command == "read":
+        response = await operators.read(node.name, argument)
+        assert (response.status, response.body) == (200, f"why {argument}".encode()), response
+    elif command == "leads":
         await operators.processes.until_all(lambda name, state: leader(state) is not None, 15, "a leader", [node.name])
-    elif word == "tear":
+    elif command == "tear":
         last = max(node.data.glob("log-*"))
         with last.open("ab") as file:
             file.write(last.read_bytes()[-60:-7])
-    elif word == "put":
-        comes, _, goes = rest.partition(" for ")
-        body = json.dumps({"add": comes, "remove": goes}).encode()
+    elif command == "put":
+        added, _, removed = argument.partition(" for ")
+        body = json.dumps({"add": added, "remove": removed}).encode()
         answer = await call(node, "POST", "/fleet/voters", body)
         assert answer is not None and answer.status in (200, 504), answer
 
         def votes(name: str, state: dict[str, Any]) -> bool:
             voters = state["parts"]["agreement"]["voters"]
-            return comes in voters and goes not in voters
+            return added in voters and removed not in voters
 
-        await operators.processes.until_all(votes, 15, f"{comes} votes", [node.name])
+        await operators.processes.until_all(votes, 15, f"{added} votes", [node.name])
     else:
         raise AssertionError(words)
 
 
-def test_the_leader_and_its_disk_are_lost_right_after_a_yes_and_it_comes_back_empty(tmp_path: Path) -> None:
+def test_leader_loses_its_disk_right_after_a_commit_and_returns_empty(tmp_path: Path) -> None:
     played = play(
         """
 nodes: a b c
@@ -144,7 +145,7 @@
     assert voters == {("a", "b", "c")}
 
 
-def test_the_leader_is_stopped_for_three_seconds_and_goes_on_in_mid_sentence(tmp_path: Path) -> None:
+def test_leader_is_paused_for_three_seconds_and_resumes(tmp_path: Path) -> None:
     played = play(
         """
 nodes: a b c
@@ -160,10 +161,10 @@
 """,
         tmp_path,
     )
-    assert "no leader" in played.notes("a") or any(note.startswith("follows") for note in played.notes("a"))
+    assert "no leader" in played.log_lines("a") or any(note.startswith("follows") for note in played.log_lines("a"))
 
 
-def test_cut_off_the_leader_promises_nothing_and_the_others_do(tmp_path: Path) -> None:
+def test_isolated_leader_commits_nothing_and_the_other_voters_do(tmp_path: Path) -> None:
     play(
         """
 nodes: a b c
@@ -181,7 +182,7 @@
     )
 
 
-def test_a_leader_that_nobody_hears_and_one_that_hears_nobody(tmp_path: Path) -> None:
+def test_leader_whose_messages_are_lost_and_leader_that_receives_none(tmp_path: Path) -> None:
     play(
         """
 nodes: a b c
@@ -201,7 +202,7 @@
     )
 
 
-def test_all_voters_are_killed_and_started_at_once_one_with_a_torn_end(tmp_path: Path) -> None:
+def test_all_voters_restart_at_once_one_with_a_torn_log(tmp_path: Path) -> None:
     played = play(
         """
 nodes: a b c
@@ -218,11 +219,11 @@
         tmp_path,
     )
     log = (tmp_path / "b" / "b.log").read_text()
-    assert log.count("a torn end of the log was cut off") == 1
+    assert log.count("truncated incomplete records at the end of the log") == 1
     assert played.operators.count()[None] > 0
 
 
-def test_a_full_disk_is_a_clear_refusal_and_serving_goes_on(tmp_path: Path) -> None:
+def test_full_disk_is_refused_clearly_and_requests_are_still_served(tmp_path: Path) -> None:
     played = play(
         """
 nodes: a b c
@@ -244,12 +245,15 @@
         tmp_path,
     )
     for node in "abc":
-        assert {"disk full", "disk full no more"} <= set(played.notes(node))
-    refused = [told for told in played.operators.told if told.ident == "z"]
-    assert any(b"disk full" in told.body for told in refused) and {told.status for told in refused} <= {503, 504}
+        assert {"disk full", "disk full no more"} <= set(played.log_lines(node))
+    refused = [response for response in played.operators.calls if response.note_id == "z"]
+    assert any(b"disk full" in response.body for response in refused) and {response.status for response in refused} <= {
+        503,
+        504,
+    }
 
 
-def test_of_five_one_voter_is_replaced_while_promises_are_made_and_one_member_has_no_folder(tmp_path: Path) -> None:
+def test_one_voter_of_five_nodes_is_replaced_under_load_and_one_node_has_no_folder(tmp_path: Path) -> None:
     played = play(
         """
 nodes: a b c d e
--- a/tests/fleet/test_log_storage.py
+++ b/tests/fleet/test_log_storage.py
@@ -1,4 +1,4 @@
-"""One voter alone: its folder through the life of processes, damaged, held by another; what a learner has without."""
+"""A single voter and its folder: across processes, damaged, locked by another process; a learner without a folder."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 
 from .test_fleet_off import Sidecar, serving
 
-QUICK = "[fleet.agreement]\nheartbeat_ms = 50\nelection_least_ms = 200\nelection_most_ms = 400\n"
+FAST_SETTINGS = "[fleet.agreement]\nheartbeat_ms = 50\nelection_least_ms = 200\nelection_most_ms = 400\n"
 
 
 def table(folder: Path) -> str:
-    return f'voters = ["n"]\nfolder = "{folder / "kept"}"\n{QUICK}'
+    return f'voters = ["n"]\nfolder = "{folder / "kept"}"\n{FAST_SETTINGS}'
 
 
-async def said(sidecar: Sidecar, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
+async def operator_request(sidecar: Sidecar, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
     head = f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
     answer = await ask(sidecar.admin, head + body)
     return answer.status, answer.body
 
 
-async def until(sidecar: Sidecar, **expected: Any) -> dict[str, Any]:
-    """The time is a bound for a broken program only."""
+async def wait_for_status(sidecar: Sidecar, **expected: Any) -> dict[str, Any]:
+    """Polls GET /fleet until it shows the expected values; the time limit only stops a broken program."""
     async with asyncio.timeout(20):
         while True:
-            told: dict[str, Any] = (await sidecar.told())["parts"]["agreement"]
-            if expected.items() <= told.items():
-                return told
+            status: dict[str, Any] = (await sidecar.told())["parts"]["agreement"]
+            if expected.items() <= status.items():
+                return status
             await asyncio.sleep(0.02)
 
 
-def test_what_is_promised_outlives_processes_and_a_damaged_folder_costs_the_log_alone(tmp_path: Path) -> None:
+def test_notes_outlive_processes_and_a_damaged_folder_disables_only_the_log(tmp_path: Path) -> None:
     async def case() -> None:
         async with serving(tmp_path, "n", table(tmp_path)) as first:
-            told = await until(first, role="leader")
-            assert told["disk"] == "ok" and told["voters"] == ["n"] and "kept" in told["store"]
-            assert await said(first, "POST", "/fleet/promises/x.1", b"why") == (200, b"kept\n")
-            assert await said(first, "POST", "/fleet/promises/x.1", b"why") == (200, b"kept\n")
-            assert (await said(first, "POST", "/fleet/promises/x.1", b"other"))[0] == 409
-            assert await said(first, "GET", "/fleet/promises/x.1") == (200, b"why")
-            assert (await said(first, "GET", "/fleet/promises/y"))[0] == 404
-            listed = json.loads((await said(first, "GET", "/fleet/promises/"))[1])
+            state = await wait_for_status(first, role="leader")
+            assert state["disk"] == "ok" and state["voters"] == ["n"] and "kept" in state["store"]
+            assert await operator_request(first, "POST", "/fleet/promises/x.1", b"why") == (200, b"kept\n")
+            assert await operator_request(first, "POST", "/fleet/promises/x.1", b"why") == (200, b"kept\n")
+            assert (await operator_request(first, "POST", "/fleet/promises/x.1", b"other"))[0] == 409
+            assert await operator_request(first, "GET", "/fleet/promises/x.1") == (200, b"why")
+            assert (await operator_request(first, "GET", "/fleet/promises/y"))[0] == 404
+            listed = json.loads((await operator_request(first, "GET", "/fleet/promises/"))[1])
             assert [each["id"] for each in listed] == ["x.1"]
             for method, path, body, status in [
                 ("POST", "/fleet/promises/" + "x" * 101, b"", 400),
@@ -61,44 +61,44 @@
                 ("POST", "/fleet/voters", b'{"remove": "n"}', 503),
                 ("POST", "/fleet/voters", b"{}", 503),
             ]:
-                assert (await said(first, method, path, body))[0] == status, path
-            async with serving(tmp_path, "n", table(tmp_path), first.fleet) as second:  # waits for the first to go
-                assert (await until(second, role="none"))["why"] == "the log is not read yet"
-                assert (await said(second, "GET", "/fleet/promises/x.1"))[0] == 503
+                assert (await operator_request(first, method, path, body))[0] == status, path
+            async with serving(tmp_path, "n", table(tmp_path), first.fleet) as second:  # waits for the first to end
+                assert (await wait_for_status(second, role="none"))["why"] == "the log is not read yet"
+                assert (await operator_request(second, "GET", "/fleet/promises/x.1"))[0] == 503
                 await first.end()
-                await until(second, role="leader")
-                assert await said(second, "GET", "/fleet/promises/x.1") == (200, b"why")
+                await wait_for_status(second, role="leader")
+                assert await operator_request(second, "GET", "/fleet/promises/x.1") == (200, b"why")
                 second.process.kill()
                 await second.process.wait()
-        log = max((tmp_path / "kept").glob("log-*"))
-        data = bytearray(log.read_bytes())
+        segment = max((tmp_path / "kept").glob("log-*"))
+        data = bytearray(segment.read_bytes())
         data[60] ^= 1
-        log.write_bytes(data)
+        segment.write_bytes(data)
         async with serving(tmp_path, "n", table(tmp_path)) as third:
             async with asyncio.timeout(20):
                 while not (await third.told())["members"]:
                     await asyncio.sleep(0.02)
-            told = await until(third, role="none")
-            assert "damaged" in told["why"] and log.name in told["why"]
-            assert (await said(third, "POST", "/fleet/promises/z", b""))[0] == 503
+            state = await wait_for_status(third, role="none")
+            assert "damaged" in state["why"] and segment.name in state["why"]
+            assert (await operator_request(third, "POST", "/fleet/promises/z", b""))[0] == 503
             assert (await ask(third.port, LOOK)).status == 200
 
     asyncio.run(case())
 
 
-def test_a_folder_that_another_process_holds_is_waited_for(tmp_path: Path) -> None:
+def test_waits_for_a_folder_that_another_process_has_locked(tmp_path: Path) -> None:
     async def case() -> None:
-        held = RealFiles(tmp_path / "kept")
-        async with serving(tmp_path, "n", table(tmp_path)) as one:
-            assert (await until(one, role="none"))["why"] == "the log is not read yet"
-            held.release()
-            await until(one, role="leader")
+        locked_files = RealFiles(tmp_path / "kept")
+        async with serving(tmp_path, "n", table(tmp_path)) as sidecar:
+            assert (await wait_for_status(sidecar, role="none"))["why"] == "the log is not read yet"
+            locked_files.release()
+            await wait_for_status(sidecar, role="leader")
 
     asyncio.run(case())
 
 
 @pytest.mark.parametrize(
-    ("record", "says"),
+    ("record", "failure"),
     [
         (TermVote(3), None),
         (
@@ -110,9 +110,9 @@
         (Snapshot(1, 1, b"", ("a", "dd")), None),
     ],
 )
-def test_memory_never_says_yes_to_what_makes_a_voter(record: Any, says: str | None) -> None:
-    answers: list[str | None] = []
+def test_memory_storage_fails_writes_that_make_a_voter(record: Any, failure: str | None) -> None:
+    results: list[str | None] = []
     memory = MemoryStorage("d")
-    memory.submit(1, (record,), answers.append)
-    memory.submit(2, (), answers.append)
-    assert answers == [says, says] and memory.state() == "memory"
+    memory.submit(1, (record,), results.append)
+    memory.submit(2, (), results.append)
+    assert results == [failure, failure] and memory.state() == "memory"
--- a/tests/helpers/log_operators.py
+++ b/tests/helpers/log_operators.py
@@ -1,14 +1,14 @@
-"""Operators of a fleet on the stage: they promise and read throughout, and a checker of all they were told.
+"""Operators of a fleet of processes: they store and read notes throughout, and a checker examines all responses.
 
-The checker knows answers alone, nothing of the program:
+The checker knows the responses alone, nothing of the program:
 
-| rule | of |
+| invariant | requests |
 | --- | --- |
-| who was told 200 finds the words at every node at the end, at one index | POST |
-| an id told only 503 or 409 is nowhere | POST |
-| every id kept was asked for, and each is listed once, the same at all nodes | the lists at the end |
-| a promise asked for after another's 200 has the higher index | POST |
-| a read asked after a promise's 200 finds it | GET |
+| a note that was answered 200 is at every node at the end, at one index | POST |
+| an id that was answered only 503 or 409 is nowhere | POST |
+| every stored id was requested, and each is listed once, the same at all nodes | the lists at the end |
+| a note requested after another's 200 has the higher index | POST |
+| a read requested after a note's 200 finds it | GET |
 """
 
 from __future__ import annotations
@@ -23,28 +23,30 @@
 from limenotch.net import http1
 
 PATH = "/fleet/promises/"
-ANSWER_S = 15.0  # longer than the program itself waits
+RESPONSE_TIMEOUT_S = 15.0  # longer than the program's own time limit
 PAUSE_S = 0.03
-TRIES = 5
+MAX_ATTEMPTS = 5
 
 
 @dataclass(frozen=True)
-class Told:
+class OperatorCall:
+    """One request and its response. Times in seconds of the monotonic clock."""
+
     node: str
     method: str
-    ident: str
+    note_id: str
     began: float
     ended: float
-    status: int | None  # None: no answer
+    status: int | None  # None: no response
     body: bytes
     index: int
 
 
 async def call(node: NodeProcess, method: str, path: str, body: bytes = b"") -> http1.Message | None:
-    """None: the connection broke, or nothing came."""
+    """The response to a request at the operators' address; None: the connection broke, or the time was over."""
     writer = None
     try:
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", node.admin)
             writer.write(http1.write_request(method.encode(), path.encode(), [(b"Host", b"o")], body))
             parser = http1.ResponseParser()
@@ -62,59 +64,70 @@
 
 
 class Operators:
+    """Sends operators' requests to the nodes and records the responses."""
+
     def __init__(self, processes: Processes) -> None:
         self.processes = processes
-        self.told: list[Told] = []
-        self.wrong: list[str] = []
+        self.calls: list[OperatorCall] = []
+        self.violations: list[str] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._places = asyncio.Semaphore(3)  # the operators' address has few, and the oldest gives way
+        self._connections = asyncio.Semaphore(3)  # the operators' address allows few connections and closes the oldest
 
-    # What they do
+    # Requests
 
-    async def keep(self, node: str, ident: str) -> Told:
-        return await self._call(node, "POST", ident, f"why {ident}".encode())
+    async def keep(self, node: str, note_id: str) -> OperatorCall:
+        """Stores the note at a node."""
+        return await self._call(node, "POST", note_id, f"why {note_id}".encode())
 
-    async def read(self, node: str, ident: str) -> Told:
-        return await self._call(node, "GET", ident)
+    async def read(self, node: str, note_id: str) -> OperatorCall:
+        """Reads the note at a node."""
+        return await self._call(node, "GET", note_id)
 
-    async def _call(self, node: str, method: str, ident: str, body: bytes = b"") -> Told:
+    async def _call(self, node: str, method: str, note_id: str, body: bytes = b"") -> OperatorCall:
         began = monotonic()
-        status, index, said = None, 0, b""
+        status, index, response_body = None, 0, b""
         try:
-            answer = await call(self.processes.nodes[node], method, PATH + ident, body)
-            if answer is not None:
-                status, said, index = answer.status, answer.body, int(answer.fields.get(b"index", b"0"))
-        finally:  # one that is cut short was asked all the same
-            self.told.append(told := Told(node, method, ident, began, monotonic(), status, said, index))
-        return told
-
-    async def kept(self, node: str, ident: str, within_s: float = 15.0) -> Told:
-        """Asked with the same id until it is told 200."""
-        end = monotonic() + within_s
+            response = await call(self.processes.nodes[node], method, PATH + note_id, body)
+            if response is not None:
+                status, response_body, index = response.status, response.body, int(response.fields.get(b"index", b"0"))
+        finally:  # a request that was cancelled was sent all the same
+            self.calls.append(
+                call_made := OperatorCall(node, method, note_id, began, monotonic(), status, response_body, index)
+            )
+        return call_made
+
+    async def keep_until_confirmed(self, node: str, note_id: str, timeout_s: float = 15.0) -> OperatorCall:
+        """Repeats the request with the same id until it is answered 200. Raises AssertionError when time is over."""
+        end = monotonic() + timeout_s
         while True:
-            told = await self.keep(node, ident)
-            if told.status == 200:
-                return told
+            call_made = await self.keep(node, note_id)
+            if call_made.status == 200:
+                return call_made
             if monotonic() > end:
-                raise AssertionError(f"{ident} not promised at {node} within {within_s:g} s: {told}")
+                raise AssertionError(f"{note_id} not confirmed at {node} within {timeout_s:g} s: {call_made}")
             await asyncio.sleep(PAUSE_S)
 
     def begin(self, names: tuple[str, ...]) -> None:
-        """At each of these, one call after another, as long as its process is there."""
-        self._tasks = [asyncio.create_task(self._go_on(name)) for name in names]
+        """Starts sending requests to each of these nodes, one after another, while its process is running."""
+        self._tasks = [asyncio.create_task(self._send_requests(name)) for name in names]
 
-    async def _go_on(self, name: str) -> None:
+    async def _send_requests(self, name: str) -> None:
         node, number = self.processes.nodes[name], 0
         while True:
             if node.alive and not node.paused:
                 number += 1
                 await self.keep(name, f"{name}.{number}")
-                known = [told.ident for told in self.told if told.method == "POST" and told.status == 200]
+                known = [
+                    call_made.note_id
+                    for call_made in self.calls
+                    if call_made.method == "POST" and call_made.status == 200
+                ]
                 if known:
                     await self.read(name, known[(7 * number) % len(known)])
             await asyncio.sleep(PAUSE_S)
 
     async def end(self) -> None:
+        """Stops sending; raises the first error of a sender."""
         for task in self._tasks:
             task.cancel()
         for ended in await asyncio.gather(*self._tasks, return_exceptions=True):
@@ -124,78 +137,101 @@
     # The checker
 
     async def check(self, names: tuple[str, ...]) -> None:
-        """All is healed. Raises AssertionError with what was wrong."""
-        for name in names:  # whoever leads by now, it is heard everywhere: reads are answered then
-            await self.kept(name, f"last.{name}")
-        found: dict[str, dict[str, tuple[int, bytes]]] = {}
+        """Checks all invariants after all faults have ended. Raises AssertionError with the violations."""
+        for name in names:  # after this every node follows the current leader, so reads are answered
+            await self.keep_until_confirmed(name, f"last.{name}")
+        notes_by_node: dict[str, dict[str, tuple[int, bytes]]] = {}
         for name in names:
-            found[name] = await self._all(name)
-        self._check_end(found)
+            notes_by_node[name] = await self._all_notes(name)
+        self._check_end(notes_by_node)
         self._check_order()
-        if self.wrong:
-            raise AssertionError("\n".join(self.wrong[:20]))
+        if self.violations:
+            raise AssertionError("\n".join(self.violations[:20]))
 
-    async def _all(self, name: str) -> dict[str, tuple[int, bytes]]:
-        answer = await call(self.processes.nodes[name], "GET", PATH)
-        assert answer is not None and answer.status == 200, f"list at {name}: {answer}"
-        listed = json.loads(answer.body)
+    async def _all_notes(self, name: str) -> dict[str, tuple[int, bytes]]:
+        response = await call(self.processes.nodes[name], "GET", PATH)
+        assert response is not None and response.status == 200, f"list at {name}: {response}"
+        listed = json.loads(response.body)
         times = Counter(each["id"] for each in listed)
-        self.wrong += [f"{ident} is listed {count} times at {name}" for ident, count in times.items() if count > 1]
-        words = await asyncio.gather(*(self._words(name, each["id"]) for each in listed))
-        return {each["id"]: (each["index"], said) for each, said in zip(listed, words, strict=True)}
-
-    async def _words(self, name: str, ident: str) -> bytes:
-        async with self._places:
-            for _ in range(TRIES):  # no answer says nothing; a wrong one is never asked again
-                answer = await call(self.processes.nodes[name], "GET", PATH + ident)
-                if answer is not None:
+        self.violations += [
+            f"{note_id} is listed {count} times at {name}" for note_id, count in times.items() if count > 1
+        ]
+        texts = await asyncio.gather(*(self._read_text(name, each["id"]) for each in listed))
+        return {each["id"]: (each["index"], text) for each, text in zip(listed, texts, strict=True)}
+
+    async def _read_text(self, name: str, note_id: str) -> bytes:
+        async with self._connections:
+            for _ in range(MAX_ATTEMPTS):  # only a missing response is retried, never a wrong one
+                response = await call(self.processes.nodes[name], "GET", PATH + note_id)
+                if response is not None:
                     break
-        if answer is None or answer.status != 200:
-            self.wrong.append(f"{ident} is listed at {name} and read as {answer and answer.status}")
+        if response is None or response.status != 200:
+            self.violations.append(f"{note_id} is listed at {name} and read as {response and response.status}")
             return b""
-        return answer.body
-
-    def _check_end(self, found: dict[str, dict[str, tuple[int, bytes]]]) -> None:
-        asked: dict[str, set[int | None]] = {}
-        for told in self.told:
-            if told.method == "POST":
-                asked.setdefault(told.ident, set()).add(told.status)
-        first, *others = found
-        for name in others:
-            if found[name] != found[first]:
-                self.wrong.append(f"{name} and {first} differ: {set(found[name].items()) ^ set(found[first].items())}")
-        kept = found[first]
-        for ident, statuses in asked.items():
-            if 200 in statuses and kept.get(ident, (0, b""))[1] != f"why {ident}".encode():
-                self.wrong.append(f"{ident} was promised and is {kept.get(ident)}")
-            if statuses <= {503, 409} and ident in kept:
-                self.wrong.append(f"{ident} was refused and is kept")
-        self.wrong += [f"{ident} is kept and nobody asked" for ident in kept.keys() - asked.keys()]
-        for told in self.told:
-            if told.method == "POST" and told.status == 200 and told.index != kept.get(told.ident, (0,))[0]:
-                self.wrong.append(f"{told.ident} was promised at {told.index}, and is at {kept.get(told.ident)}")
+        return response.body
+
+    def _check_end(self, notes_by_node: dict[str, dict[str, tuple[int, bytes]]]) -> None:
+        statuses_by_id: dict[str, set[int | None]] = {}
+        for call_made in self.calls:
+            if call_made.method == "POST":
+                statuses_by_id.setdefault(call_made.note_id, set()).add(call_made.status)
+        first, *other_names = notes_by_node
+        for name in other_names:
+            if notes_by_node[name] != notes_by_node[first]:
+                self.violations.append(
+                    f"{name} and {first} differ: {set(notes_by_node[name].items()) ^ set(notes_by_node[first].items())}"
+                )
+        notes = notes_by_node[first]
+        for note_id, statuses in statuses_by_id.items():
+            if 200 in statuses and notes.get(note_id, (0, b""))[1] != f"why {note_id}".encode():
+                self.violations.append(f"{note_id} was confirmed and is {notes.get(note_id)}")
+            if statuses <= {503, 409} and note_id in notes:
+                self.violations.append(f"{note_id} was refused and is stored")
+        self.violations += [
+            f"{note_id} is stored and was not requested" for note_id in notes.keys() - statuses_by_id.keys()
+        ]
+        for call_made in self.calls:
+            if (
+                call_made.method == "POST"
+                and call_made.status == 200
+                and call_made.index != notes.get(call_made.note_id, (0,))[0]
+            ):
+                self.violations.append(
+                    f"{call_made.note_id} was confirmed at {call_made.index}, and is at {notes.get(call_made.note_id)}"
+                )
 
     def _check_order(self) -> None:
-        """By the instant: what had ended when a call began is before it."""
-        since: dict[str, float] = {}
-        for told in self.told:
-            if told.method == "POST" and told.status == 200:
-                since[told.ident] = min(since.get(told.ident, told.ended), told.ended)
-        firsts: dict[str, Told] = {}
-        for told in sorted(self.told, key=lambda told: told.began):
-            if told.method == "GET" and told.status == 404 and since.get(told.ident, 1e18) < told.began:
-                self.wrong.append(f"{told.ident} was promised, and not found at {told.node} afterwards")
-            if told.method == "POST":
-                firsts.setdefault(told.ident, told)
-        promised = [told for told in firsts.values() if told.status == 200]
-        ends = sorted(promised, key=lambda told: told.ended)
-        place, highest = 0, 0
-        for told in sorted(promised, key=lambda told: told.began):
-            while place < len(ends) and ends[place].ended < told.began:
-                highest = max(highest, ends[place].index)
-                place += 1
-            if told.index <= highest:
-                self.wrong.append(f"{told.ident} at {told.index} was asked after {highest} was promised")
+        """By time: a request that had ended when another began comes before it."""
+        confirmed_at: dict[str, float] = {}
+        for call_made in self.calls:
+            if call_made.method == "POST" and call_made.status == 200:
+                confirmed_at[call_made.note_id] = min(
+                    confirmed_at.get(call_made.note_id, call_made.ended), call_made.ended
+                )
+        first_calls: dict[str, OperatorCall] = {}
+        for call_made in sorted(self.calls, key=lambda call_made: call_made.began):
+            if (
+                call_made.method == "GET"
+                and call_made.status == 404
+                and confirmed_at.get(call_made.note_id, 1e18) < call_made.began
+            ):
+                self.violations.append(
+                    f"{call_made.note_id} was confirmed, and not found at {call_made.node} afterwards"
+                )
+            if call_made.method == "POST":
+                first_calls.setdefault(call_made.note_id, call_made)
+        confirmed = [call_made for call_made in first_calls.values() if call_made.status == 200]
+        by_end = sorted(confirmed, key=lambda call_made: call_made.ended)
+        next_end, highest = 0, 0
+        for call_made in sorted(confirmed, key=lambda call_made: call_made.began):
+            while next_end < len(by_end) and by_end[next_end].ended < call_made.began:
+                highest = max(highest, by_end[next_end].index)
+                next_end += 1
+            if call_made.index <= highest:
+                self.violations.append(
+                    f"{call_made.note_id} at {call_made.index} was requested after {highest} was confirmed"
+                )
 
     def count(self, method: str = "POST") -> Counter[int | None]:
-        return Counter(told.status for told in self.told if told.method == method)
+        """The number of responses by status."""
+        return Counter(call_made.status for call_made in self.calls if call_made.method == method)
