--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -31,7 +31,7 @@
 def hub_of(names: list[str], name: str, seed: int, process_epoch: int, held: StoredLog) -> ComponentHub:
     voters = tuple(names[:3])
     members = Membership(name, address(name), process_epoch, [address(one) for one in names[:2]], Tuning(), seed)
-    log = consensus.Agreement(name, voters, held, consensus.Tuning(), seed)
+    log = consensus.Consensus(name, voters, held, consensus.Tuning(), seed)
     hub = ComponentHub(
         [
             ("mb.", members),
--- a/limenotch/fleet/consensus/__init__.py
+++ b/limenotch/fleet/consensus/__init__.py
@@ -1,16 +1,18 @@
-"""Layer 2: a log that voters promise and everybody follows. Decisions only; see docs/fleet/log.md.
+"""Layer 2: Raft, a log that voters replicate and every member follows. Decisions only, no I/O; see docs/fleet/log.md.
 
 | file | what |
 | --- | --- |
-| core.py | the part: events in, actions out |
-| api.py, messages.py | what the layers above say and hear; what members say to each other |
-| states.py, tuning.py | roles as a table; settings with their ranges |
-| node.py, log.py | what all pieces share: ballot, log, disk, what is agreed |
-| votes.py, follow.py, replicate.py, lease.py | elections; the side that follows; the side that leads; its lease |
-| snapshots.py, asks.py, voters.py | snapshots in chunks; proposals and reads; voters one at a time |
+| core.py | the component: events in, actions out |
+| api.py, messages.py | events and actions of the layers above; messages between members |
+| states.py, tuning.py | roles and their transitions as a table; settings with their ranges |
+| node.py, log.py | shared state: term and vote, log, writes to the disk, committed entries |
+| elections.py | bootstrap of the group, elections |
+| follower.py, replicate.py, lease.py | the follower's side; the leader's side; the leader's lease |
+| snapshots.py | transfer of snapshots in chunks |
+| client_requests.py, reconfiguration.py | proposals and reads; changes of the voters, one voter at a time |
 
-Source: Ongaro, Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Ongaro, "Consensus: Bridging
-Theory and Practice" (2014).
+Sources: Ongaro, Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Ongaro, "Consensus: Bridging
+Theory and Practice" (2014), called the thesis in this package.
 """
 
 from .api import (
@@ -27,13 +29,13 @@
     SnapshotRequested,
     SnapshotState,
 )
-from .core import Agreement
+from .core import Consensus
 from .states import Role
 from .tuning import Tuning
 
 __all__ = [
     "EntryCommitted",
-    "Agreement",
+    "Consensus",
     "ChangeVoters",
     "SnapshotState",
     "SnapshotInstalled",
--- a/limenotch/fleet/consensus/api.py
+++ b/limenotch/fleet/consensus/api.py
@@ -1,8 +1,9 @@
-"""What the layers above say to the log, and hear of it, besides the events and actions of contract.py.
+"""Events that the layers above send to the log, and actions that they get from it, besides those of interfaces.py.
 
-A ticket is the asker's own number. Each Propose, ReadAt and ChangeVoters gets exactly one of Promised, ReadReady,
-Refused, Unknown in a process's life. `ProposalRejected`: it is surely not agreed and never will be from this asking.
-`OutcomeUnknown`: it may or may not be; propose again with the same id, which counts once, to know.
+The requester chooses the ticket. Each Propose, ReadIndex and ChangeVoters gets exactly one of ProposalCommitted,
+ReadReady, ProposalRejected, OutcomeUnknown during the life of a process. After `ProposalRejected` the proposal is not
+committed, and this request never commits it. After `OutcomeUnknown` it may or may not be committed: a proposal that is
+repeated with the same id is committed once, and its outcome tells.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Propose(NamedTuple):
-    """To be agreed. `id` (may be empty: not looked for) makes it count once among the latest `most_ids`."""
+    """Requests that `data` is committed; among the latest `most_ids` proposals, a non-empty `id` is committed once."""
 
     ticket: int
     data: bytes
@@ -21,13 +22,13 @@
 
 
 class ReadIndex(NamedTuple):
-    """Asks for an index such that who has applied it sees all that was promised before the question."""
+    """Requests an index such that a reader that has applied it sees all that was committed before the request."""
 
     ticket: int
 
 
 class ChangeVoters(NamedTuple):
-    """First `add` (once it has caught up as a learner), then `remove`; either may be empty."""
+    """Adds `add` once it has caught up as a learner, then removes `remove`; either may be empty."""
 
     ticket: int
     add: str = ""
@@ -35,7 +36,7 @@
 
 
 class SnapshotState(NamedTuple):
-    """The answer to WantSnapshot: the state of the layers above right after `index`."""
+    """Answers SnapshotRequested: the state of the layers above right after `index`."""
 
     index: int  # type: ignore[assignment]
     state: bytes
@@ -45,7 +46,7 @@
 
 
 class EntryCommitted(NamedTuple):
-    """In order, each once in a process's life, from the snapshot found at the start on."""
+    """Sent in the order of the log, each entry once in a process, starting after the snapshot found at the start."""
 
     index: int  # type: ignore[assignment]
     term: int
@@ -54,42 +55,48 @@
 
 
 class SnapshotInstalled(NamedTuple):
-    """Forget what was Agreed: this is the state after `index`."""
+    """Replaces all entries committed so far: `state` is the state after `index`."""
 
     index: int  # type: ignore[assignment]
     state: bytes
 
 
 class ProposalCommitted(NamedTuple):
-    """On a quorum's disks. For an id seen before: the index where it was agreed first."""
+    """The entry is on the disks of a quorum. For an id seen before: the index of its first commit."""
 
     ticket: int
     index: int  # type: ignore[assignment]
 
 
 class ProposalRejected(NamedTuple):
+    """The request is not carried out; `leader` is the leader if one is known."""
+
     ticket: int
     why: str
     leader: str | None
 
 
 class OutcomeUnknown(NamedTuple):
+    """Whether the request is carried out is not known."""
+
     ticket: int
 
 
 class ReadReady(NamedTuple):
-    """Agreed up to `index` and beyond has been told here already."""
+    """All entries up to `index`, at least, have been sent to the layers above here."""
 
     ticket: int
     index: int  # type: ignore[assignment]
 
 
 class LeaderChanged(NamedTuple):
+    """The leader that this member follows, or is; None: none is known."""
+
     name: str | None
     term: int
 
 
 class SnapshotRequested(NamedTuple):
-    """Answer with Compact(index, state) of exactly this moment: what was Agreed up to `index`, nothing after."""
+    """Answer at once with SnapshotState(index, state): the state after `index`, with no later entry."""
 
     index: int  # type: ignore[assignment]
--- a/limenotch/fleet/consensus/client_requests.py
+++ b/limenotch/fleet/consensus/client_requests.py
@@ -1,11 +1,13 @@
-"""Proposals, reads and changes of voters that wait for an answer: one's own, and those that others forward.
+"""Pending proposals, reads and voter changes: the member's own requests, and those that other members forward.
 
-- Each gets one answer: promised, ready, refused (surely not agreed), or unknown. Over a bound: refused at once.
-- An id among the latest agreed, or on its way, is not appended again: the asker waits for, or is told, the first one's
-  index.
-- Who doesn't lead forwards to who does; no answer within ask_ms, or another leader meanwhile: unknown.
-- A read's index is fixed once the leader's own epoch has something agreed; it is answered when the lease holds, or when
-  a quorum has answered a round begun since.
+- Each request gets one response: promised, read, refused (it is not carried out), or unknown. A request over a limit is
+  refused at once.
+- A proposal whose id is among the latest committed, or in the log already, is not appended again: the requester gets
+  the index of the first one, now or when that is committed.
+- A member that does not lead forwards requests to the leader. A forwarded request is unknown when there is no response
+  within ask_ms or the leader changes meanwhile.
+- The index of a read is fixed once the leader has committed an entry of its own term. The read is answered when the
+  lease is valid, or when a quorum has answered a heartbeat round that began later.
 
 Source: thesis, section 6.3 (exactly once), 6.4 (reads).
 """
@@ -19,212 +21,240 @@
 from ..interfaces import Carrier
 from . import api, messages
 from .log import COMMAND
-from .node import NEVER, Node, decode, encode
-from .replicate import Leading
+from .node import NEVER, Node, decode_command, encode_command
+from .replicate import LeaderState
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class Requester:
+    """The origin of a request."""
+
     ticket: int
-    name: str = ""  # who forwarded it; empty: oneself
+    forwarded_by: str = ""  # the member that forwarded the request; empty: this member
     process_epoch: int = 0
 
 
 @dataclass(slots=True)
-class Read:
-    asker: Asker
-    until: float
+class PendingRead:
+    """A read that the leader has not answered yet."""
+
+    requester: Requester
+    expires_at_ms: float
     index: int = -1
     round: int = 0
 
 
 @dataclass(slots=True)
-class Forwarded:
+class PendingForward:
+    """A request sent to the leader, without a response yet."""
+
     kind: str
-    until: float
+    expires_at_ms: float
 
 
-class Asks:
-    def __init__(self, node: Node, leading: Leading) -> None:
-        self._node, self._leading = node, leading
-        self._by_index: dict[int, list[Asker]] = {}
-        self._waiting = 0
+class ClientRequests:
+    """Accepts, forwards and answers proposals and reads."""
+
+    def __init__(self, node: Node, leader_state: LeaderState) -> None:
+        self._node, self._leader_state = node, leader_state
+        self._by_index: dict[int, list[Requester]] = {}
+        self._waiting_count = 0
         self._by_id: dict[str, int] = {}
-        self._reads: list[Read] = []
-        self._forwarded: dict[int, Forwarded] = {}
-        self._ready: list[tuple[int, int]] = []  # ticket, index: reads until that is told here
-        self.leaving = False
+        self._reads: list[PendingRead] = []
+        self._forwarded: dict[int, PendingForward] = {}
+        self._unapplied_reads: list[
+            tuple[int, int]
+        ] = []  # ticket, index: reads that wait until `index` is applied here
+        self.shutting_down = False
 
-    # Answers
+    # Responses
 
-    def answer(self, asker: Asker, kind: str, index: int = 0, why: str = "") -> None:
+    def respond(self, requester: Requester, kind: str, index: int = 0, reason: str = "") -> None:
+        """Sends the response to the requester: as an action if it is local, else as a message."""
         node = self._node
         hint = node.leader or ""
-        if asker.name:
-            if kind in ("promised", "read"):  # the asker wants it applied, not at the next heartbeat
-                self._leading.inform(asker.name)
-            node.tell(
-                asker.name, messages.Answer(kind, asker.ticket, asker.process_epoch, index, why, hint), Carrier.STREAM
+        if requester.forwarded_by:
+            if kind in ("promised", "read"):  # so that the requester applies it before the next heartbeat
+                self._leader_state.send_commit_index(requester.forwarded_by)
+            node.send(
+                requester.forwarded_by,
+                messages.ForwardedResponse(kind, requester.ticket, requester.process_epoch, index, reason, hint),
+                Carrier.STREAM,
             )
         elif kind == "promised":
-            node.out.append(api.ProposalCommitted(asker.ticket, index))
+            node.actions.append(api.ProposalCommitted(requester.ticket, index))
         elif kind == "read":
-            if index <= node.applied:
-                node.out.append(api.ReadReady(asker.ticket, index))
+            if index <= node.last_applied:
+                node.actions.append(api.ReadReady(requester.ticket, index))
             else:
-                self._ready.append((asker.ticket, index))
+                self._unapplied_reads.append((requester.ticket, index))
         elif kind == "refused":
-            node.out.append(api.ProposalRejected(asker.ticket, why, node.leader))
+            node.actions.append(api.ProposalRejected(requester.ticket, reason, node.leader))
         else:
-            node.out.append(api.OutcomeUnknown(asker.ticket))
+            node.actions.append(api.OutcomeUnknown(requester.ticket))
 
-    def on_answer(self, message: messages.Answer) -> None:
+    def on_response(self, message: messages.ForwardedResponse) -> None:
+        """The leader's response to a forwarded request; one to an earlier process or an expired request is dropped."""
         node = self._node
         if message.process_epoch == node.process_epoch and self._forwarded.pop(message.ticket, None) is not None:
             if message.kind == "refused":
-                node.out.append(api.ProposalRejected(message.ticket, message.why, message.leader or None))
+                node.actions.append(api.ProposalRejected(message.ticket, message.why, message.leader or None))
             else:
-                self.answer(Asker(message.ticket), message.kind, message.index)
+                self.respond(Requester(message.ticket), message.kind, message.index)
 
-    # Questions
+    # Requests
 
-    def on_ask(self, sender: str, message: messages.Ask, change: Any) -> None:
-        asker = Asker(message.ticket, sender, message.process_epoch)
-        if not self._node.leads:
-            self.answer(asker, "refused", why=self._why())
+    def on_request(self, sender: str, message: messages.ForwardedRequest, request_change: Any) -> None:
+        """A request that another member forwards; `request_change` handles voter changes."""
+        requester = Requester(message.ticket, sender, message.process_epoch)
+        if not self._node.is_leader:
+            self.respond(requester, "refused", reason=self._no_leader_reason())
         elif message.kind == "propose":
-            self.propose(asker, message.data, message.id)
+            self.propose(requester, message.data, message.id)
         elif message.kind == "read":
-            self.read(asker)
+            self.read(requester)
         elif message.kind == "change":
-            change(asker, message.id, message.other)
+            request_change(requester, message.id, message.remove)
 
-    def _why(self) -> str:
-        return f"disk {self._node.ill}" if self._node.ill else "no leader"
+    def _no_leader_reason(self) -> str:
+        return f"disk {self._node.disk_failure}" if self._node.disk_failure else "no leader"
 
-    def forward(self, asker: Asker, kind: str, data: bytes = b"", ident: str = "", other: str = "") -> None:
+    def forward(
+        self, requester: Requester, kind: str, data: bytes = b"", proposal_id: str = "", remove: str = ""
+    ) -> None:
+        """Sends the request to the leader; refused if none is known or too many are forwarded already."""
         node = self._node
         if node.leader is None:
-            self.answer(asker, "refused", why=self._why())
+            self.respond(requester, "refused", reason=self._no_leader_reason())
         elif len(self._forwarded) >= node.tuning.most_pending:
-            self.answer(asker, "refused", why="busy")
+            self.respond(requester, "refused", reason="busy")
         else:
-            self._forwarded[asker.ticket] = Forwarded(kind, node.now + node.tuning.ask_ms)
-            node.tell(
-                node.leader, messages.Ask(kind, asker.ticket, node.process_epoch, data, ident, other), Carrier.STREAM
+            self._forwarded[requester.ticket] = PendingForward(kind, node.now + node.tuning.ask_ms)
+            node.send(
+                node.leader,
+                messages.ForwardedRequest(kind, requester.ticket, node.process_epoch, data, proposal_id, remove),
+                Carrier.STREAM,
             )
 
-    def propose(self, asker: Asker, data: bytes, ident: str) -> None:
+    def propose(self, requester: Requester, data: bytes, proposal_id: str) -> None:
+        """Appends the proposal to the log, joins it to an earlier one with the same id, forwards or refuses it."""
         node, tuning = self._node, self._node.tuning
-        first = node.ids.get(ident) if ident else None
-        if first is not None:
-            self.answer(asker, "promised", first)
+        first_index = node.index_by_id.get(proposal_id) if proposal_id else None
+        if first_index is not None:
+            self.respond(requester, "promised", first_index)
             return
-        why = self._refusal(data, ident)
-        if why:
-            self.answer(asker, "refused", why=why)
+        reason = self._refusal_reason(data, proposal_id)
+        if reason:
+            self.respond(requester, "refused", reason=reason)
             return
-        if not node.leads:
-            self.forward(asker, "propose", data, ident)
+        if not node.is_leader:
+            self.forward(requester, "propose", data, proposal_id)
             return
-        index = self._by_id.get(ident) if ident else None
+        index = self._by_id.get(proposal_id) if proposal_id else None
         if index is None:
-            full = node.full or ("log full" if len(node.log.entries) >= tuning.most_log_entries else "")
-            if full or self.leaving:
-                self.answer(asker, "refused", why=full or "leaving")
+            blocked_by = node.append_blocked_by or (
+                "log full" if len(node.log.entries) >= tuning.most_log_entries else ""
+            )
+            if blocked_by or self.shutting_down:
+                self.respond(requester, "refused", reason=blocked_by or "leaving")
                 return
-            index = node.log.last + 1
-            if ident:
-                self._by_id[ident] = index
-            node.append((LogEntry(index, node.term, COMMAND, encode(ident, data)),))
-            self._leading.send_all()
-        self._by_index.setdefault(index, []).append(asker)
-        self._waiting += 1
-
-    def _refusal(self, data: bytes, ident: str) -> str:
+            index = node.log.last_index + 1
+            if proposal_id:
+                self._by_id[proposal_id] = index
+            node.append((LogEntry(index, node.term, COMMAND, encode_command(proposal_id, data)),))
+            self._leader_state.replicate_to_voters()
+        self._by_index.setdefault(index, []).append(requester)
+        self._waiting_count += 1
+
+    def _refusal_reason(self, data: bytes, proposal_id: str) -> str:
         tuning = self._node.tuning
-        if len(data) > tuning.most_entry_bytes or len(ident.encode()) > 256:
+        if len(data) > tuning.most_entry_bytes or len(proposal_id.encode()) > 256:
             return "too large"
-        return "busy" if self._waiting >= tuning.most_pending else ""
+        return "busy" if self._waiting_count >= tuning.most_pending else ""
 
-    def read(self, asker: Asker) -> None:
+    def read(self, requester: Requester) -> None:
+        """Queues the read on the leader, forwards or refuses it."""
         node = self._node
-        if not node.leads:
-            self.forward(asker, "read")
+        if not node.is_leader:
+            self.forward(requester, "read")
         elif len(self._reads) >= node.tuning.most_pending:
-            self.answer(asker, "refused", why="busy")
+            self.respond(requester, "refused", reason="busy")
         else:
-            self._reads.append(Read(asker, node.now + node.tuning.ask_ms))
+            self._reads.append(PendingRead(requester, node.now + node.tuning.ask_ms))
 
-    # In the course of time
+    # Progress
 
-    def began(self) -> None:
-        """This member leads: what its log holds beyond the agreed has ids too."""
+    def on_leadership_gained(self) -> None:
+        """This member leads: collects the ids of the entries in its log that are not committed yet."""
         node = self._node
         self._by_id = {}
-        for entry in node.log.part(node.applied + 1, node.log.last, node.log.last, 1 << 62):
-            ident = decode(entry.data)[0] if entry.kind == COMMAND else ""
-            if ident:
-                self._by_id.setdefault(ident, entry.index)
-
-    def lost(self) -> None:
-        waiting, self._by_index, self._by_id, self._waiting = self._by_index, {}, {}, 0
-        for askers in waiting.values():
-            for asker in askers:
-                self.answer(asker, "unknown")
+        for entry in node.log.entries_between(node.last_applied + 1, node.log.last_index, node.log.last_index, 1 << 62):
+            proposal_id = decode_command(entry.data)[0] if entry.kind == COMMAND else ""
+            if proposal_id:
+                self._by_id.setdefault(proposal_id, entry.index)
+
+    def on_leadership_lost(self) -> None:
+        """This member no longer leads: pending proposals become unknown, pending reads are refused."""
+        waiting, self._by_index, self._by_id, self._waiting_count = self._by_index, {}, {}, 0
+        for requesters in waiting.values():
+            for requester in requesters:
+                self.respond(requester, "unknown")
         reads, self._reads = self._reads, []
         for read in reads:
-            self.answer(read.asker, "refused", why="no leader")
+            self.respond(read.requester, "refused", reason="no leader")
 
     def leader_changed(self) -> None:
-        """What the old leader was asked, it may or may not have done; a read is surely not done."""
+        """Ends forwarded requests: the old leader may have carried out a proposal; a read is surely not done."""
         forwarded, self._forwarded = self._forwarded, {}
-        for ticket, what in forwarded.items():
-            self._gone(ticket, what)
+        for ticket, pending in forwarded.items():
+            self._end_unanswered(ticket, pending)
 
-    def _gone(self, ticket: int, what: Forwarded) -> None:
-        if what.kind == "read":
-            self.answer(Asker(ticket), "refused", why="no leader")
+    def _end_unanswered(self, ticket: int, pending: PendingForward) -> None:
+        if pending.kind == "read":
+            self.respond(Requester(ticket), "refused", reason="no leader")
         else:
-            self.answer(Asker(ticket), "unknown")
-
-    def agreed(self, done: list[tuple[LogEntry, str, int]]) -> None:
-        for entry, ident, first in done:
-            if ident:
-                self._by_id.pop(ident, None)
-            for asker in self._by_index.pop(entry.index, ()):
-                self._waiting -= 1
-                self.answer(asker, "promised", first)
-        if self._ready:
-            ready, self._ready = self._ready, []
+            self.respond(Requester(ticket), "unknown")
+
+    def on_applied(self, applied: list[tuple[LogEntry, str, int]]) -> None:
+        """Answers requests for entries applied now: entry, proposal id, index of the id's first commit."""
+        for entry, proposal_id, first_index in applied:
+            if proposal_id:
+                self._by_id.pop(proposal_id, None)
+            for requester in self._by_index.pop(entry.index, ()):
+                self._waiting_count -= 1
+                self.respond(requester, "promised", first_index)
+        if self._unapplied_reads:
+            ready, self._unapplied_reads = self._unapplied_reads, []
             for ticket, index in ready:
-                self.answer(Asker(ticket), "read", index)
+                self.respond(Requester(ticket), "read", index)
 
     def advance(self) -> None:
-        node, leading = self._node, self._leading
-        if self._reads and node.leads and leading.sure:
-            holds = leading.holds()
-            fresh = [read for read in self._reads if read.index < 0]
-            for read in fresh:
-                read.index, read.round = node.commit, leading.lease.round + 1
-            if fresh and not holds:
-                leading.beat()
-            answered = leading.lease.quorum_round(node.log.voters)
-            kept: list[Read] = []
+        """Fixes the index of new reads, answers the confirmed ones, ends what has waited too long."""
+        node, leader_state = self._node, self._leader_state
+        if self._reads and node.is_leader and leader_state.knows_committed:
+            lease_valid = leader_state.holds_lease()
+            new_reads = [read for read in self._reads if read.index < 0]
+            for read in new_reads:
+                read.index, read.round = node.commit_index, leader_state.lease.round + 1
+            if new_reads and not lease_valid:
+                leader_state.send_heartbeats()
+            answered_round = leader_state.lease.quorum_round(node.log.voters)
+            unconfirmed: list[PendingRead] = []
             for read in self._reads:
-                if holds or answered >= read.round:
-                    self.answer(read.asker, "read", read.index)
+                if lease_valid or answered_round >= read.round:
+                    self.respond(read.requester, "read", read.index)
                 else:
-                    kept.append(read)
-            self._reads = kept
-        late = [read for read in self._reads if node.now >= read.until]
-        if late:
-            self._reads = [read for read in self._reads if node.now < read.until]
-            for read in late:
-                self.answer(read.asker, "refused", why="no quorum")
-        for ticket in [ticket for ticket, what in self._forwarded.items() if node.now >= what.until]:
-            self._gone(ticket, self._forwarded.pop(ticket))
-
-    def due(self) -> float:
-        reads = min((read.until for read in self._reads), default=NEVER)
-        return min(reads, min((what.until for what in self._forwarded.values()), default=NEVER))
+                    unconfirmed.append(read)
+            self._reads = unconfirmed
+        expired = [read for read in self._reads if node.now >= read.expires_at_ms]
+        if expired:
+            self._reads = [read for read in self._reads if node.now < read.expires_at_ms]
+            for read in expired:
+                self.respond(read.requester, "refused", reason="no quorum")
+        for ticket in [ticket for ticket, pending in self._forwarded.items() if node.now >= pending.expires_at_ms]:
+            self._end_unanswered(ticket, self._forwarded.pop(ticket))
+
+    def next_deadline_ms(self) -> float:
+        """When the next request expires; NEVER without any."""
+        reads = min((read.expires_at_ms for read in self._reads), default=NEVER)
+        return min(reads, min((pending.expires_at_ms for pending in self._forwarded.values()), default=NEVER))
--- a/limenotch/fleet/consensus/follower.py
+++ b/limenotch/fleet/consensus/follower.py
@@ -1,157 +1,180 @@
-"""The side that follows: takes what a leader appends, tells what of it is on disk, finds a leader when it has none.
+"""The follower's side: appends the leader's entries, acknowledges those on disk, finds a leader when none is known.
 
-- Nothing agreed is ever cut off: an append that would is counted and not answered.
-- `match` in an Ack is on disk and the same as this leader's; no Ack leaves before the epoch itself is on disk.
-- A learner asks voters in turn, at `learner_ms`, until one leads or names who does.
+- No committed entry is ever removed: an append that would do so is counted and not answered.
+- `match_index` in a response covers entries that are on disk and the same as this leader's; no response is sent
+  before the term itself is on disk.
+- A learner queries the voters in turn, one each `learner_ms`, until one leads or names the leader.
 
-Source: Ongaro, Ousterhout (2014), figure 2, AppendEntries; section 5.3 for the hint that skips an epoch at a time.
+Source: Ongaro, Ousterhout (2014), figure 2, AppendEntries; section 5.3 for the hint that skips a term at a time.
 """
 
 from __future__ import annotations
 
 from . import messages
 from .node import NEVER, Node
-from .snapshots import Incoming
+from .snapshots import IncomingSnapshot
 from .states import Cause, Role
 
-BEHIND = 64  # entries; who was that far behind tells when it has caught up
+LAGGING_ENTRIES = 64  # entries; a member that was further behind logs when it has caught up
 
 
-class Following:
-    def __init__(self, node: Node, dead: set[str]) -> None:
-        self._node, self._dead = node, dead
-        self._same = 0  # up to here the log is this leader's, in `_epoch`
-        self._epoch = 0
-        self._round = 0
-        self._behind = False
-        self._asked = 0
-        self.search_at = NEVER
-        self.incoming = Incoming(node.tuning)
+class FollowerState:
+    """What a member keeps while it follows a leader or looks for one."""
 
-    def _heard(self, sender: str, term: int, number: int) -> bool:
-        """Whether the sender leads now; then it is followed."""
+    def __init__(self, node: Node, dead_members: set[str]) -> None:
+        self._node, self._dead_members = node, dead_members
+        self._matched_index = 0  # up to this index the log matches the leader's of `_matched_term`
+        self._matched_term = 0
+        self._leader_round = 0
+        self._is_lagging = False
+        self._queries_sent = 0
+        self.next_query_ms = NEVER
+        self.incoming = IncomingSnapshot(node.tuning)
+
+    def _accept_leader(self, sender: str, term: int, round_number: int) -> bool:
+        """Whether the sender is the current leader; if so, it is followed from now on."""
         node = self._node
         if term < node.term:
             return False
         if term > node.term:
-            node.adopt(term)
-        if node.leads or (node.leader not in (None, sender)):
-            node.count("two leaders")  # never, unless a rule of this package is broken
+            node.enter_higher_term(term)
+        if node.is_leader or (node.leader not in (None, sender)):
+            node.count("two leaders")  # impossible unless a rule of this package is broken
             return False
-        if node.role in (Role.CANDIDATE, Role.PRE):
-            node.become(Cause.HEARD)
-        if self._epoch != term or node.leader is None:
-            self._epoch, self._same, self._round = term, 0, 0
-        node.follow(sender)
-        node.heard_at = node.now
-        self._round = max(self._round, number)
-        node.wait()
-        if not node.standing:
-            node.wait_until = node.now + 3 * node.tuning.learner_ms
-        self.search_at = NEVER
+        if node.role in (Role.CANDIDATE, Role.PRE_CANDIDATE):
+            node.transition(Cause.LEADER_SEEN)
+        if self._matched_term != term or node.leader is None:
+            self._matched_term, self._matched_index, self._leader_round = term, 0, 0
+        node.set_leader(sender)
+        node.leader_contact_ms = node.now
+        self._leader_round = max(self._leader_round, round_number)
+        node.reset_election_timeout()
+        if not node.is_voter:
+            node.leader_timeout_at_ms = node.now + 3 * node.tuning.learner_ms
+        self.next_query_ms = NEVER
         return True
 
-    def on_append(self, sender: str, message: messages.Append) -> None:
+    def on_append(self, sender: str, message: messages.AppendRequest) -> None:
+        """Appends the entries if they follow the log here, and answers."""
         node = self._node
-        if not self._heard(sender, message.term, message.round):
+        if not self._accept_leader(sender, message.term, message.round):
             if message.term < node.term:
-                self._answer(sender, False, 0)
+                self._respond(sender, False, 0)
             return
         log = node.log
-        entries, prev, prev_term = message.entries, message.prev, message.prev_term
-        if prev < log.snapped:  # all up to a snapshot is agreed, so the same
-            skip = min(len(entries), log.snapped - prev)
-            entries, prev = entries[skip:], prev + skip
-            if prev < log.snapped:
-                self._answer(sender, True, 0)
+        entries, prev_index, prev_term = message.entries, message.prev_index, message.prev_term
+        if prev_index < log.snapshot_index:  # entries up to a snapshot are committed, so they match
+            skip = min(len(entries), log.snapshot_index - prev_index)
+            entries, prev_index = entries[skip:], prev_index + skip
+            if prev_index < log.snapshot_index:
+                self._respond(sender, True, 0)
                 return
-            prev_term = log.term_of(prev) or 0
-        mine = log.term_of(prev)
-        if message.commit > node.commit + BEHIND:
-            self._behind = True
-        if mine != prev_term:
-            self._answer(sender, False, log.last if mine is None else self._before(prev, mine))
+            prev_term = log.term_at(prev_index) or 0
+        own_term = log.term_at(prev_index)
+        if message.commit_index > node.commit_index + LAGGING_ENTRIES:
+            self._is_lagging = True
+        if own_term != prev_term:
+            self._respond(
+                sender, False, log.last_index if own_term is None else self._last_before_term(prev_index, own_term)
+            )
             return
-        place = log.conflict(entries)
-        fresh = entries[place:]
-        if fresh and fresh[0].index <= node.commit:
+        position = log.first_conflict(entries)
+        new_entries = entries[position:]
+        if new_entries and new_entries[0].index <= node.commit_index:
             node.count("append behind what is agreed")
             return
-        if fresh and node.full:
-            node.count(node.full)
-            self._answer(sender, True, 0)
+        if new_entries and node.append_blocked_by:
+            node.count(node.append_blocked_by)
+            self._respond(sender, True, 0)
             return
-        if fresh:
-            node.append(fresh)
-            node.settle()
-        self._same = max(self._same, prev + len(entries))
-        node.commit = max(node.commit, min(message.commit, self._same))
-        if self._behind and node.commit >= message.commit:
-            self._behind = False
-            node.note(f"caught up {node.commit}")
-        self._answer(sender, True, 0)
-
-    def _before(self, index: int, term: int) -> int:
-        """The last index before those of that epoch: none of them can be the leader's."""
+        if new_entries:
+            node.append(new_entries)
+            node.update_role()
+        self._matched_index = max(self._matched_index, prev_index + len(entries))
+        node.commit_index = max(node.commit_index, min(message.commit_index, self._matched_index))
+        if self._is_lagging and node.commit_index >= message.commit_index:
+            self._is_lagging = False
+            node.log_line(f"caught up {node.commit_index}")
+        self._respond(sender, True, 0)
+
+    def _last_before_term(self, index: int, term: int) -> int:
+        """The last index before the entries of that term: none of these can be the leader's."""
         log = self._node.log
-        least = max(log.snapped, self._node.commit)
-        while index > least and log.term_of(index) == term:
+        lowest = max(log.snapshot_index, self._node.commit_index)
+        while index > lowest and log.term_at(index) == term:
             index -= 1
         return index
 
-    def _answer(self, leader: str, ok: bool, hint: int) -> None:
+    def _respond(self, leader: str, success: bool, hint: int) -> None:
         node = self._node
-        if not node.ballot_stored:
+        if not node.term_vote_stored:
             return
-        match = min(self._same, node.log.stored)
-        node.tell(leader, messages.Ack(node.term, ok, match, self._same if ok else hint, self._round, node.birth))
-
-    def stored(self) -> None:
+        match_index = min(self._matched_index, node.log.stored_index)
+        node.send(
+            leader,
+            messages.AppendResponse(
+                node.term,
+                success,
+                match_index,
+                self._matched_index if success else hint,
+                self._leader_round,
+                node.disk_id,
+            ),
+        )
+
+    def on_stored(self) -> None:
+        """A write has reached the disk: reports the progress to the leader."""
         node = self._node
-        if node.leader is not None and not node.leads and self._epoch == node.term:
-            self._answer(node.leader, True, 0)
+        if node.leader is not None and not node.is_leader and self._matched_term == node.term:
+            self._respond(node.leader, True, 0)
 
-    def on_chunk(self, sender: str, message: messages.Chunk) -> None:
+    def on_chunk(self, sender: str, message: messages.SnapshotChunk) -> None:
+        """Takes a chunk of a snapshot; installs the snapshot when it is complete."""
         node = self._node
-        if not self._heard(sender, message.term, message.round):
+        if not self._accept_leader(sender, message.term, message.round):
             return
-        if message.index <= node.commit:  # has it: the leader's next append finds where they agree
-            self.incoming.drop()
-            self._same = max(self._same, node.commit)
-            self._answer(sender, True, 0)
+        if message.index <= node.commit_index:  # committed here: the next append finds where the logs match
+            self.incoming.reset()
+            self._matched_index = max(self._matched_index, node.commit_index)
+            self._respond(sender, True, 0)
             return
-        self._behind = True
-        wanted, whole = self.incoming.take(message)
-        if whole is not None:
-            node.install(*whole)
-            node.settle()
-            self._same = message.index
-            self._answer(sender, True, 0)
-        elif node.ballot_stored:
-            node.tell(sender, messages.ChunkAck(node.term, message.index, wanted, self._round, node.birth))
-
-    # In search of a leader
-
-    def silence(self) -> None:
-        """A learner's wait is over."""
+        self._is_lagging = True
+        next_offset, completed = self.incoming.add_chunk(message)
+        if completed is not None:
+            node.install_snapshot(*completed)
+            node.update_role()
+            self._matched_index = message.index
+            self._respond(sender, True, 0)
+        elif node.term_vote_stored:
+            node.send(
+                sender,
+                messages.SnapshotChunkResponse(node.term, message.index, next_offset, self._leader_round, node.disk_id),
+            )
+
+    # Search for a leader
+
+    def on_leader_timeout(self) -> None:
+        """A learner has not heard from its leader for too long: it looks for one."""
         node = self._node
-        node.follow(None)
-        node.wait_until = NEVER
-        self.search_at = node.now
+        node.set_leader(None)
+        node.leader_timeout_at_ms = NEVER
+        self.next_query_ms = node.now
 
-    def search(self) -> None:
+    def query_leader(self) -> None:
+        """Asks the next voter for its log or leader; voters that membership declares dead are asked only if all are."""
         node = self._node
-        self.search_at = node.now + node.tuning.learner_ms
-        if node.on_disk is None:
+        self.next_query_ms = node.now + node.tuning.learner_ms
+        if node.stored_term_vote is None:
             return
-        known = sorted((set(node.log.voters.births) or set(node.named)) - {node.name})
-        names = [name for name in known if name not in self._dead] or known
+        voters = sorted((set(node.log.voters.disk_ids) or set(node.configured_voters)) - {node.name})
+        names = [name for name in voters if name not in self._dead_members] or voters
         if names:
-            self._asked += 1
-            node.tell(names[self._asked % len(names)], messages.Follow(node.birth, node.log.last))
+            self._queries_sent += 1
+            node.send(names[self._queries_sent % len(names)], messages.JoinRequest(node.disk_id, node.log.last_index))
 
-    def on_leads(self, message: messages.Leads) -> None:
+    def on_leader_hint(self, message: messages.LeaderHint) -> None:
+        """A voter has named the leader: asks that member for its log."""
         node = self._node
-        lost = node.role in (Role.LEARNER, Role.PRE) and node.leader is None
-        if message.term >= node.term and lost and message.leader != node.name:
-            node.tell(message.leader, messages.Follow(node.birth, node.log.last))
+        has_no_leader = node.role in (Role.LEARNER, Role.PRE_CANDIDATE) and node.leader is None
+        if message.term >= node.term and has_no_leader and message.leader != node.name:
+            node.send(message.leader, messages.JoinRequest(node.disk_id, node.log.last_index))
--- a/limenotch/fleet/consensus/messages.py
+++ b/limenotch/fleet/consensus/messages.py
@@ -1,17 +1,20 @@
-"""What members say to each other about the log. Every one but Found, Blank and Follow bears its sender's epoch.
+"""Messages between members about the log. All but BootstrapRequest, BootstrapResponse and JoinRequest carry a term.
 
-| message | from, to | promises |
+| message | from, to | guarantees |
 | --- | --- | --- |
-| Found, Blank | the first named voter to the others at the group's first start; back | its birth is on disk |
-| Follow, Leads | who knows no leader to a voter; back | nothing |
-| PreVote, PreVoted | a voter that misses its leader to all voters; back | nothing |
-| Vote, Voted | a candidate to all voters; back | the vote is on disk |
-| Append, Ack | a leader to all; back | `match` is on disk, and no vote for others within election_least_ms |
-| Chunk, ChunkAck | a leader to who lacks what the log no longer holds; back | nothing: Ack tells what is stored |
-| Stand | a leader that goes to its best voter | its lease is over |
-| Ask, Answer | any to the leader; back | as api.py says |
-
-Source: Ongaro, Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), figures 2 and 13.
+| BootstrapRequest, BootstrapResponse | the first configured voter to the others; back | the disk id is on disk |
+| JoinRequest, LeaderHint | a member that knows no leader to a voter; back | nothing |
+| PreVoteRequest, PreVoteResponse | a voter that misses its leader to all voters; back | nothing |
+| VoteRequest, VoteResponse | a candidate to all voters; back | the vote is on disk |
+| AppendRequest, AppendResponse | a leader to all; back | `match_index` is on disk, no vote within election_least_ms |
+| SnapshotChunk, SnapshotChunkResponse | a leader to a member that needs entries no longer in the log; back | nothing |
+| TimeoutNow | a leader that steps down to its best voter | its lease is over |
+| ForwardedRequest, ForwardedResponse | any member to the leader; back | as in api.py |
+
+What of a snapshot is on disk is acknowledged by AppendResponse alone.
+
+Source: Ongaro, Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), figures 2 and 13; TimeoutNow
+is the thesis', section 3.10.
 """
 
 from __future__ import annotations
@@ -20,71 +23,93 @@
 from ..interfaces import Message
 
 
-class Found(Message, frozen=True, array_like=True, tag="ag.found"):
+class BootstrapRequest(Message, frozen=True, array_like=True, tag="ag.found"):
+    """Asks a configured voter whether its log is empty."""
+
     voters: tuple[str, ...]
 
 
-class Blank(Message, frozen=True, array_like=True, tag="ag.blank"):
+class BootstrapResponse(Message, frozen=True, array_like=True, tag="ag.blank"):
+    """The sender's log is empty."""
+
     voters: tuple[str, ...]
-    birth: str
-    term: int = 0  # more than 0: a founder was heard that lost its disk before its first line was stored here
+    disk_id: str
+    term: int = 0  # above 0: a voter that bootstrapped the group lost its disk before its entry was stored here
+
+
+class JoinRequest(Message, frozen=True, array_like=True, tag="ag.follow"):
+    """Asks the leader to send its log, or any voter to name the leader."""
 
+    disk_id: str
+    last_index: int = 0
 
-class Follow(Message, frozen=True, array_like=True, tag="ag.follow"):
-    birth: str
-    last: int = 0
 
+class LeaderHint(Message, frozen=True, array_like=True, tag="ag.leads"):
+    """Names the leader that the sender knows."""
 
-class Leads(Message, frozen=True, array_like=True, tag="ag.leads"):
     term: int
     leader: str
     voters: tuple[str, ...] = ()
 
 
-class PreVote(Message, frozen=True, array_like=True, tag="ag.pre"):
-    term: int  # that it would stand in
-    last: int
+class PreVoteRequest(Message, frozen=True, array_like=True, tag="ag.pre"):
+    """Asks whether the voter would vote for the sender in `term`."""
+
+    term: int  # the term of the election that the sender would start
+    last_index: int
     last_term: int
-    birth: str  # of the one asked, as the asker's log has it
+    disk_id: str  # of the receiver, according to the sender's log
+
 
+class PreVoteResponse(Message, frozen=True, array_like=True, tag="ag.pred"):
+    """Answers PreVoteRequest."""
 
-class PreVoted(Message, frozen=True, array_like=True, tag="ag.pred"):
-    term: int  # that was asked about, or where refused the answerer's
-    yes: bool
+    term: int  # the term of the request; if not granted, the sender's own term
+    granted: bool
 
 
-class Vote(Message, frozen=True, array_like=True, tag="ag.vote"):
+class VoteRequest(Message, frozen=True, array_like=True, tag="ag.vote"):
+    """Requests a vote in `term`."""
+
     term: int
-    last: int
+    last_index: int
     last_term: int
-    birth: str
-    handed: bool = False  # the leader itself told it to stand
+    disk_id: str
+    by_leader: bool = False  # the leader itself started this election by TimeoutNow
+
 
+class VoteResponse(Message, frozen=True, array_like=True, tag="ag.voted"):
+    """Answers VoteRequest."""
 
-class Voted(Message, frozen=True, array_like=True, tag="ag.voted"):
     term: int
-    yes: bool
+    granted: bool
 
 
-class Append(Message, frozen=True, array_like=True, tag="ag.append"):
+class AppendRequest(Message, frozen=True, array_like=True, tag="ag.append"):
+    """Raft's AppendEntries; without entries it is a heartbeat."""
+
     term: int
-    prev: int
+    prev_index: int
     prev_term: int
     entries: tuple[LogEntry, ...]
-    commit: int
+    commit_index: int
     round: int
 
 
-class Ack(Message, frozen=True, array_like=True, tag="ag.ack"):
+class AppendResponse(Message, frozen=True, array_like=True, tag="ag.ack"):
+    """Answers AppendRequest, and a SnapshotChunk that completes its snapshot."""
+
     term: int
-    ok: bool
-    match: int  # on disk, and the same as the leader's
-    held: int  # the same, on disk or not; where not ok: try from here
-    round: int  # latest heard of this leader
-    birth: str
+    success: bool
+    match_index: int  # entries up to here are on disk and match the leader's
+    received_index: int  # entries that match, on disk or not; without success: where to retry from
+    round: int  # the latest round received from this leader
+    disk_id: str
 
 
-class Chunk(Message, frozen=True, array_like=True, tag="ag.chunk"):
+class SnapshotChunk(Message, frozen=True, array_like=True, tag="ag.chunk"):
+    """A chunk of a snapshot (Raft's InstallSnapshot)."""
+
     term: int
     index: int
     index_term: int
@@ -95,28 +120,36 @@
     round: int
 
 
-class ChunkAck(Message, frozen=True, array_like=True, tag="ag.chunked"):
+class SnapshotChunkResponse(Message, frozen=True, array_like=True, tag="ag.chunked"):
+    """Acknowledges a chunk that does not complete its snapshot."""
+
     term: int
     index: int
-    offset: int  # wanted next
+    offset: int  # of the next byte wanted
     round: int
-    birth: str
+    disk_id: str
 
 
-class Stand(Message, frozen=True, array_like=True, tag="ag.stand"):
+class TimeoutNow(Message, frozen=True, array_like=True, tag="ag.stand"):
+    """Transfers leadership: the receiver starts an election at once."""
+
     term: int
 
 
-class Ask(Message, frozen=True, array_like=True, tag="ag.ask"):
+class ForwardedRequest(Message, frozen=True, array_like=True, tag="ag.ask"):
+    """A client request that the sender forwards to the leader."""
+
     kind: str  # propose, read, change
     ticket: int
     process_epoch: int
     data: bytes = b""
     id: str = ""
-    other: str = ""
+    remove: str = ""
+
 
+class ForwardedResponse(Message, frozen=True, array_like=True, tag="ag.answer"):
+    """The leader's response to ForwardedRequest."""
 
-class Answer(Message, frozen=True, array_like=True, tag="ag.answer"):
     kind: str  # promised, read, refused, unknown
     ticket: int
     process_epoch: int
--- a/limenotch/fleet/consensus/reconfiguration.py
+++ b/limenotch/fleet/consensus/reconfiguration.py
@@ -1,113 +1,126 @@
-"""Voters come and go one at a time, while the log runs.
+"""Changes of the voters, one voter at a time, while the log runs.
 
-- A change is one line that adds or removes one voter; no other follows before it is agreed, and none comes before a
-  line of the leader's own epoch is agreed (Ongaro's correction of 2015).
-- Who is added has first caught up as a learner; a leader that is removed leads until that is agreed, then hands over.
-- A voter back on another disk is removed at once if a quorum of the rest was heard lately, and added when it has caught
-  up; the line itself says that it returns, so the next leader goes on with it.
+- A change is one log entry that adds or removes one voter. The next change waits until it is committed, and the first
+  one until the leader has committed an entry of its own term (Ongaro's correction of 2015).
+- A voter is added only after it has caught up as a learner. A leader that is removed leads until its removal is
+  committed, then transfers its leadership.
+- A voter that is back on another disk is removed at once if the leader had recent contact with a quorum of the other
+  voters, and added when it has caught up; the entry itself marks it as returning, so the next leader continues.
 
 Source: thesis, chapter 4.
 """
 
 from __future__ import annotations
 
-from .client_requests import Asker, Asks
+from .client_requests import ClientRequests, Requester
 from .log import Voters
 from .node import NEVER, Node
-from .replicate import Leading
+from .replicate import LeaderState
 
-NEAR = 16  # entries that a new voter may lack
-MOST = 9  # voters: each more costs every promise a further disk
+CATCH_UP_ENTRIES = 16  # a member has caught up if it lacks at most so many committed entries
+MAX_VOTERS = 9  # each further voter adds a disk to every commit
 
 
-class Changing:
-    def __init__(self, node: Node, leading: Leading, asks: Asks) -> None:
-        self._node, self._leading, self._asks = node, leading, asks
-        self._asked: tuple[Asker, str, str, float] | None = None
+class VoterChanges:
+    """The pending voter change on the leader."""
 
-    def ask(self, asker: Asker, add: str, remove: str) -> None:
+    def __init__(self, node: Node, leader_state: LeaderState, requests: ClientRequests) -> None:
+        self._node, self._leader_state, self._requests = node, leader_state, requests
+        self._requested: tuple[Requester, str, str, float] | None = None
+
+    def request_change(self, requester: Requester, add: str, remove: str) -> None:
+        """Accepts a change of voters, forwards it to the leader, or refuses it."""
         node = self._node
-        births = node.log.voters.births
-        why = ""
-        if not node.leads:
-            self._asks.forward(asker, "change", ident=add, other=remove)
+        disk_ids = node.log.voters.disk_ids
+        reason = ""
+        if not node.is_leader:
+            self._requests.forward(requester, "change", proposal_id=add, remove=remove)
             return
-        if self._asked is not None:
-            why = "a change is under way"
+        if self._requested is not None:
+            reason = "a change is under way"
         elif not add and not remove or add == remove:
-            why = "no change"
-        elif add and add not in births and len(births) >= MOST:
-            why = f"at most {MOST} voters"
-        elif remove in births and not add and len(births) == 1:
-            why = "the last voter"
-        if why:
-            self._asks.answer(asker, "refused", why=why)
+            reason = "no change"
+        elif add and add not in disk_ids and len(disk_ids) >= MAX_VOTERS:
+            reason = f"at most {MAX_VOTERS} voters"
+        elif remove in disk_ids and not add and len(disk_ids) == 1:
+            reason = "the last voter"
+        if reason:
+            self._requests.respond(requester, "refused", reason=reason)
         else:
-            self._asked = (asker, add, remove, node.now + node.tuning.change_ms)
+            self._requested = (requester, add, remove, node.now + node.tuning.change_ms)
 
-    def lost(self) -> None:
-        if self._asked is not None:
-            asker, self._asked = self._asked[0], None
-            self._asks.answer(asker, "unknown")
+    def on_leadership_lost(self) -> None:
+        """This member no longer leads: the outcome of the pending change is unknown."""
+        if self._requested is not None:
+            requester, self._requested = self._requested[0], None
+            self._requests.respond(requester, "unknown")
 
-    def due(self) -> float:
-        return self._asked[3] if self._asked is not None else NEVER
+    def next_deadline_ms(self) -> float:
+        """When the pending change expires; NEVER without one."""
+        return self._requested[3] if self._requested is not None else NEVER
 
     def advance(self) -> None:
-        node, leading = self._node, self._leading
+        """Takes the next step of the pending change, or re-adds voters that have returned."""
+        node, leader_state = self._node, self._leader_state
         voters = node.log.voters
-        if not node.leads or not leading.sure or node.log.voters_at > node.commit:
+        if not node.is_leader or not leader_state.knows_committed or node.log.voters_index > node.commit_index:
             return
-        if not node.standing:
-            if self._asked is not None and self._asked[1] in ("", *voters.births):
-                self._asks.answer(self._asked[0], "promised", node.log.voters_at)
-                self._asked = None
-            leading.hand_over()
-        elif self._asked is not None:
-            self._step(voters, *self._asked)
+        if not node.is_voter:
+            if self._requested is not None and self._requested[1] in ("", *voters.disk_ids):
+                self._requests.respond(self._requested[0], "promised", node.log.voters_index)
+                self._requested = None
+            leader_state.transfer_leadership()
+        elif self._requested is not None:
+            self._advance_change(voters, *self._requested)
         else:
-            self._returns(voters)
-
-    def _step(self, voters: Voters, asker: Asker, add: str, remove: str, until: float) -> None:
-        node, leading = self._node, self._leading
-        if add and add not in voters.births:
-            if self._near(add):
-                leading.change(voters.plus(add, leading.peers[add].birth or ""))
-            elif node.now >= until:
-                self._asked = None
-                self._asks.answer(asker, "refused", why=f"{add} did not catch up")
-        elif remove in voters.births:
-            leading.change(voters.without(remove, returns=False))
+            self._readd_returned(voters)
+
+    def _advance_change(
+        self, voters: Voters, requester: Requester, add: str, remove: str, expires_at_ms: float
+    ) -> None:
+        node, leader_state = self._node, self._leader_state
+        if add and add not in voters.disk_ids:
+            if self._has_caught_up(add):
+                leader_state.append_voters(voters.with_voter(add, leader_state.peers[add].disk_id or ""))
+            elif node.now >= expires_at_ms:
+                self._requested = None
+                self._requests.respond(requester, "refused", reason=f"{add} did not catch up")
+        elif remove in voters.disk_ids:
+            leader_state.append_voters(voters.without(remove, returns=False))
         else:
-            self._asked = None
-            self._asks.answer(asker, "promised", node.log.voters_at)
-
-    def _returns(self, voters: Voters) -> None:
-        leading = self._leading
-        for name, birth in voters.births.items():
-            peer = leading.peers.get(name)
-            if peer is not None and peer.birth not in (None, birth) and self._quorum_without(voters, name):
-                leading.change(voters.without(name, returns=True))
+            self._requested = None
+            self._requests.respond(requester, "promised", node.log.voters_index)
+
+    def _readd_returned(self, voters: Voters) -> None:
+        leader_state = self._leader_state
+        for name, disk_id in voters.disk_ids.items():
+            peer = leader_state.peers.get(name)
+            if peer is not None and peer.disk_id not in (None, disk_id) and self._quorum_without(voters, name):
+                leader_state.append_voters(voters.without(name, returns=True))
                 return
         for name in voters.returning:
-            if name not in voters.births and len(voters.births) < MOST and self._near(name):
-                leading.change(voters.plus(name, leading.peers[name].birth or ""))
+            if name not in voters.disk_ids and len(voters.disk_ids) < MAX_VOTERS and self._has_caught_up(name):
+                leader_state.append_voters(voters.with_voter(name, leader_state.peers[name].disk_id or ""))
                 return
 
-    def _quorum_without(self, voters: Voters, gone: str) -> bool:
-        node, leading = self._node, self._leading
-        heard = sum(
+    def _quorum_without(self, voters: Voters, without: str) -> bool:
+        node, leader_state = self._node, self._leader_state
+        in_contact = sum(
             1
-            for name, birth in voters.births.items()
-            if name != gone
+            for name, disk_id in voters.disk_ids.items()
+            if name != without
             and (
                 name == node.name
-                or leading.peers[name].birth == birth
-                and node.now - leading.peers[name].heard_at < node.tuning.election_most_ms
+                or leader_state.peers[name].disk_id == disk_id
+                and node.now - leader_state.peers[name].last_contact_ms < node.tuning.election_most_ms
             )
         )
-        return heard >= (len(voters.births) - 1) // 2 + 1
+        return in_contact >= (len(voters.disk_ids) - 1) // 2 + 1
 
-    def _near(self, name: str) -> bool:
-        peer = self._leading.peers.get(name)
-        return peer is not None and peer.birth is not None and peer.match + NEAR >= self._node.commit > 0
+    def _has_caught_up(self, name: str) -> bool:
+        peer = self._leader_state.peers.get(name)
+        return (
+            peer is not None
+            and peer.disk_id is not None
+            and peer.match_index + CATCH_UP_ENTRIES >= self._node.commit_index > 0
+        )
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -22,7 +22,7 @@
 from .config import Config, host_port
 from .configuration_applier import ConfigurationApplier
 from .fleet import log_multiplexer
-from .fleet.consensus import Agreement
+from .fleet.consensus import Consensus
 from .fleet.consensus import messages as consensus_messages
 from .fleet.hub import LOG, ComponentHub
 from .fleet.interfaces import Component
@@ -89,7 +89,7 @@
         self._adapters = self._create_adapters(table)
         self._transport = self._create_transport(table)
         self._disk = _open_disk(self._placed)
-        self._agreement: Agreement | None = None
+        self._agreement: Consensus | None = None
         # Why there is no log; empty while there is one.
         self._no_log_reason = "the log is not read yet" if self._disk is not None else "no log: fleet.voters has none"
         self._voters: tuple[str, ...] = table.voters
@@ -230,7 +230,7 @@
         assert disk is not None
         try:
             stored = await disk.open() if isinstance(disk, FolderStorage) else StoredLog(entries=[])
-            agreement = Agreement(placed.name, placed.table.voters, stored, placed.table.agreement, _random_seed())
+            agreement = Consensus(placed.name, placed.table.voters, stored, placed.table.agreement, _random_seed())
             states = log_multiplexer.split_states(agreement.state)
             components = [
                 (adapter, adapter.component(states.get(adapter.prefix), agreement.index))
--- a/limenotch/lab/fleet/checks_log.py
+++ b/limenotch/lab/fleet/checks_log.py
@@ -1,18 +1,17 @@
-"""What must hold of every run of the log, looked at from outside: notes and actions, and what the disks hold.
+"""Invariants of every run of the log, checked from outside by log lines, actions and the content of the disks.
 
-| rule | seen from |
+| invariant | observed in |
 | --- | --- |
-| one leader an epoch | LeaderChanged that names its teller |
-| one vote an epoch, of one disk, and on it before it is told | Voted, the disk at that instant |
-| one entry an index | EntryCommitted of all nodes, all lives |
-| each node's agreed go up, none twice in a life | EntryCommitted, SnapshotInstalled |
-| no id agreed twice | EntryCommitted of all nodes |
-| promised: on a quorum's disks at that instant | ProposalCommitted, the disks (a wiped one counts with what it held) |
-| nothing promised is lost | each node's agreed at the end, after the heal |
-| a read sees all that was promised before it was asked | ReadIndex, ReadReady, ProposalCommitted |
-
-Nothing of the package it checks is called; messages and actions are known by their types and
-fields.
+| at most one leader a term | LeaderChanged that names its own node |
+| one vote a term for each disk, on the disk before it is sent | VoteResponse, the disk at that moment |
+| one entry an index | EntryCommitted of all nodes and processes |
+| committed indexes increase at each node, none twice in a process | EntryCommitted, SnapshotInstalled |
+| no proposal id is committed twice | EntryCommitted of all nodes |
+| an acknowledged proposal is on the disks of a quorum | ProposalCommitted, the disks (a wiped one as it was before) |
+| no acknowledged proposal is lost | the committed entries of each node at the end, after all faults |
+| a read sees all that was acknowledged before it was requested | ReadIndex, ReadReady, ProposalCommitted |
+
+The checker calls nothing of the package under test; it knows messages and actions by their types and fields.
 """
 
 from __future__ import annotations
@@ -23,163 +22,178 @@
 import msgspec
 
 from limenotch.fleet.consensus import api
-from limenotch.fleet.consensus.messages import Voted
+from limenotch.fleet.consensus.messages import VoteResponse
 from limenotch.fleet.interfaces import SendToMember, Store
 from limenotch.store.records import StoredLog
 
 
 class Checker:
-    """`saw` is told all that is asked of and done by every node; `broken` tells what was wrong, once each."""
+    """`observe` gets every event and action of every node; `violations` lists the violations, each once."""
 
     def __init__(self, disks: Callable[[], Mapping[str, StoredLog]]) -> None:
         self._disks = disks
         self._lost_disks: list[StoredLog] = []
-        self._broken: dict[str, None] = {}
-        self._leaders: dict[int, str] = {}
+        self._violations: dict[str, None] = {}
+        self._leader_by_term: dict[int, str] = {}
         self._votes: dict[tuple[str, str, int], str] = {}
         self._entries: dict[int, tuple[int, bytes, str]] = {}
-        self._by_id: dict[str, int] = {}
-        self._agreed: dict[str, dict[int, str]] = {}
-        self._last: dict[str, int] = {}
-        self._asked: dict[tuple[str, int], str] = {}
-        self._reads: dict[tuple[str, int], int] = {}
-        self._later: dict[int, set[str]] = {}  # voters by index, as a leader gave them to its disk
-        self.promised: dict[int, str] = {}  # index: id
-        self.answers: dict[str, int] = {}
-        self._looks: dict[type, Callable[[str, Any], None]] = {
-            api.Propose: self._see_proposal,
-            api.ReadIndex: self._see_read_asked,
-            api.LeaderChanged: self._see_leader,
-            SendToMember: self._see_message,
-            Store: self._see_stored,
-            api.EntryCommitted: self._see_committed,
-            api.ProposalCommitted: self._see_promised,
-            api.ReadReady: self._see_read_ready,
-            api.ProposalRejected: self._see_rejected,
-            api.OutcomeUnknown: self._see_outcome_unknown,
+        self._index_by_id: dict[str, int] = {}
+        self._committed: dict[str, dict[int, str]] = {}
+        self._last_index: dict[str, int] = {}
+        self._proposed_ids: dict[tuple[str, int], str] = {}
+        self._read_floor: dict[tuple[str, int], int] = {}
+        self._voters_by_index: dict[int, set[str]] = {}  # index of a voters entry: its voters, as written to any disk
+        self.acknowledged: dict[int, str] = {}  # index of an acknowledged proposal: its id
+        self.outcomes: dict[str, int] = {}
+        self._observers: dict[type, Callable[[str, Any], None]] = {
+            api.Propose: self._observe_proposal,
+            api.ReadIndex: self._observe_read_request,
+            api.LeaderChanged: self._observe_leader,
+            SendToMember: self._observe_message,
+            Store: self._observe_store,
+            api.EntryCommitted: self._observe_commit,
+            api.ProposalCommitted: self._observe_acknowledgement,
+            api.ReadReady: self._observe_read_ready,
+            api.ProposalRejected: self._observe_rejection,
+            api.OutcomeUnknown: self._observe_unknown_outcome,
         }
 
     @property
-    def broken(self) -> list[str]:
-        return list(self._broken)
+    def violations(self) -> list[str]:
+        """The violations found so far."""
+        return list(self._violations)
 
-    def _wrong(self, what: str) -> None:
-        self._broken.setdefault(what)
+    def _violation(self, text: str) -> None:
+        self._violations.setdefault(text)
 
-    def started(self, node: str, index: int, held: Mapping[int, str]) -> None:
-        """A life begins with the snapshot's state: index to id."""
-        self._agreed[node], self._last[node] = dict(held), index
+    def process_started(self, node: str, index: int, table: Mapping[int, str]) -> None:
+        """A process of `node` starts with a snapshot made at `index`, whose state maps index to proposal id."""
+        self._committed[node], self._last_index[node] = dict(table), index
 
-    def wiped(self, held: StoredLog) -> None:
-        self._lost_disks.append(StoredLog(held.term_vote, held.snapshot, list(held.entries)))
+    def disk_wiped(self, stored_log: StoredLog) -> None:
+        """A disk with this content is lost."""
+        self._lost_disks.append(StoredLog(stored_log.term_vote, stored_log.snapshot, list(stored_log.entries)))
 
-    def saw(self, at: float, node: str, what: Any) -> None:
-        look = self._looks.get(type(what))
-        if look is not None:
-            look(node, what)
+    def observe(self, at_ms: float, node: str, item: Any) -> None:
+        """An event or action of `node`."""
+        observer = self._observers.get(type(item))
+        if observer is not None:
+            observer(node, item)
 
-    def _see_proposal(self, node: str, what: Any) -> None:
-        self._asked[node, what.ticket] = what.id
+    def _observe_proposal(self, node: str, item: Any) -> None:
+        self._proposed_ids[node, item.ticket] = item.id
 
-    def _see_read_asked(self, node: str, what: Any) -> None:
-        self._reads[node, what.ticket] = max(self.promised, default=0)
+    def _observe_read_request(self, node: str, item: Any) -> None:
+        self._read_floor[node, item.ticket] = max(self.acknowledged, default=0)
 
-    def _see_leader(self, node: str, what: Any) -> None:
-        if what.name == node and self._leaders.setdefault(what.term, node) != node:
-            self._wrong(f"epoch {what.term} led by {self._leaders[what.term]} and {node}")
+    def _observe_leader(self, node: str, item: Any) -> None:
+        if item.name == node and self._leader_by_term.setdefault(item.term, node) != node:
+            self._violation(f"term {item.term} led by {self._leader_by_term[item.term]} and {node}")
 
-    def _see_message(self, node: str, what: Any) -> None:
-        message = what.message
-        if not isinstance(message, Voted) or not message.yes:
+    def _observe_message(self, node: str, item: Any) -> None:
+        message = item.message
+        if not isinstance(message, VoteResponse) or not message.granted:
             return
-        ballot = self._disks()[node].term_vote
-        vote, _, birth = ballot.vote.partition("?")
-        if (ballot.term, vote) != (message.term, what.member):
-            self._wrong(f"vote of {node} for {what.member} in {message.term} told before it was on disk")
-        if self._votes.setdefault((node, birth, message.term), what.member) != what.member:
-            self._wrong(f"{node} voted twice in {message.term}")
-
-    def _see_stored(self, node: str, what: Any) -> None:
-        for record in what.records:
+        term_vote = self._disks()[node].term_vote
+        vote, _, disk_id = term_vote.vote.partition("?")
+        if (term_vote.term, vote) != (message.term, item.member):
+            self._violation(f"vote of {node} for {item.member} in term {message.term} sent before it was on disk")
+        if self._votes.setdefault((node, disk_id, message.term), item.member) != item.member:
+            self._violation(f"{node} voted twice in term {message.term}")
+
+    def _observe_store(self, node: str, item: Any) -> None:
+        for record in item.records:
             for entry in getattr(record, "entries", ()):
                 if entry.kind == "voters":
-                    self._later[entry.index] = _voters(entry)
-
-    def _see_committed(self, node: str, what: Any) -> None:
-        entry = (what.term, what.data, what.id)
-        if self._entries.setdefault(what.index, entry) != entry:
-            self._wrong(f"two entries agreed at {what.index}")
-        if what.id and self._by_id.setdefault(what.id, what.index) != what.index:
-            self._wrong(f"id {what.id} agreed at {self._by_id[what.id]} and {what.index}")
-        if what.index <= self._last[node]:
-            self._wrong(f"{node} was told {what.index} after {self._last[node]}")
-        self._last[node] = what.index
-        self._agreed[node][what.index] = what.id
-
-    def installed(self, node: str, index: int, held: Mapping[int, str]) -> None:
-        if index < self._last[node]:
-            self._wrong(f"{node} went back from {self._last[node]} to {index} by a snapshot")
-        self._agreed[node], self._last[node] = dict(held), index
-
-    def _see_promised(self, node: str, what: Any) -> None:
+                    self._voters_by_index[entry.index] = _voters(entry)
+
+    def _observe_commit(self, node: str, item: Any) -> None:
+        entry = (item.term, item.data, item.id)
+        if self._entries.setdefault(item.index, entry) != entry:
+            self._violation(f"two entries committed at {item.index}")
+        if item.id and self._index_by_id.setdefault(item.id, item.index) != item.index:
+            self._violation(f"id {item.id} committed at {self._index_by_id[item.id]} and {item.index}")
+        if item.index <= self._last_index[node]:
+            self._violation(f"{node} got {item.index} after {self._last_index[node]}")
+        self._last_index[node] = item.index
+        self._committed[node][item.index] = item.id
+
+    def snapshot_installed(self, node: str, index: int, table: Mapping[int, str]) -> None:
+        """A snapshot made at `index` has replaced the state of `node`."""
+        if index < self._last_index[node]:
+            self._violation(f"{node} went back from {self._last_index[node]} to {index} by a snapshot")
+        self._committed[node], self._last_index[node] = dict(table), index
+
+    def _observe_acknowledgement(self, node: str, item: Any) -> None:
         self._count("promised")
-        ident = self._asked.get((node, what.ticket))
-        if ident is None:
+        proposal_id = self._proposed_ids.get((node, item.ticket))
+        if proposal_id is None:
             return
-        self.promised[what.index] = ident
-        if not self._on_quorum(what.index, ident):
-            self._wrong(f"{ident} promised at {what.index} without a quorum's disks")
+        self.acknowledged[item.index] = proposal_id
+        if not self._is_on_quorum(item.index, proposal_id):
+            self._violation(f"{proposal_id} acknowledged at {item.index} without a quorum's disks")
 
-    def _see_read_ready(self, node: str, what: Any) -> None:
+    def _observe_read_ready(self, node: str, item: Any) -> None:
         self._count("read")
-        if what.index < self._reads[node, what.ticket]:
-            self._wrong(f"read on {node} gave {what.index}, {self._reads[node, what.ticket]} was promised before")
+        if item.index < self._read_floor[node, item.ticket]:
+            self._violation(
+                f"read on {node} returned {item.index}, {self._read_floor[node, item.ticket]} was acknowledged before"
+            )
 
-    def _see_rejected(self, node: str, what: Any) -> None:
+    def _observe_rejection(self, node: str, item: Any) -> None:
         self._count("refused")
 
-    def _see_outcome_unknown(self, node: str, what: Any) -> None:
+    def _observe_unknown_outcome(self, node: str, item: Any) -> None:
         self._count("unknown")
 
-    def _count(self, what: str) -> None:
-        self.answers[what] = self.answers.get(what, 0) + 1
+    def _count(self, outcome: str) -> None:
+        self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
 
-    def _on_quorum(self, index: int, ident: str) -> bool:
-        """By the voters in force at the index on some disk, or by any later ones: a leader counts by a change as soon
-        as it has made it, which is sound since quorums of two neighbours share a member (thesis, 4.1)."""
+    def _is_on_quorum(self, index: int, proposal_id: str) -> bool:
+        """Whether a quorum's disks have the entry.
+
+        The quorum is that of the voters in force at the index on some disk, or of any later ones: a leader counts by a
+        new configuration as soon as it has appended it, which is valid since quorums of two adjacent configurations
+        share a member (thesis, 4.1).
+        """
         disks = self._disks()
-        having = {name for name, held in disks.items() if _holds(held, index, ident)}
-        lost = sum(1 for held in self._lost_disks if _holds(held, index, ident))
-        for held in disks.values():
-            voters = set(held.snapshot.voters) if held.snapshot else set()
-            for entry in held.entries:
+        stored_on = {name for name, stored_log in disks.items() if _has_entry(stored_log, index, proposal_id)}
+        lost_disks = sum(1 for stored_log in self._lost_disks if _has_entry(stored_log, index, proposal_id))
+        for stored_log in disks.values():
+            voters = set(stored_log.snapshot.voters) if stored_log.snapshot else set()
+            for entry in stored_log.entries:
                 if entry.kind == "voters":
-                    if entry.index > index and _enough(having, lost, voters):
+                    if entry.index > index and _is_quorum(stored_on, lost_disks, voters):
                         return True
                     voters = _voters(entry)
-            if _enough(having, lost, voters):
+            if _is_quorum(stored_on, lost_disks, voters):
                 return True
-        return any(at > index and _enough(having, lost, voters) for at, voters in self._later.items())
-
-    def ended(self, up: list[str]) -> None:
-        """All is healed and quiet: what was promised is everywhere."""
-        for node in up:
-            held = self._agreed[node]
-            missing = [ident for index, ident in self.promised.items() if held.get(index) != ident]
+        return any(
+            changed_index > index and _is_quorum(stored_on, lost_disks, voters)
+            for changed_index, voters in self._voters_by_index.items()
+        )
+
+    def check_converged(self, nodes: list[str]) -> None:
+        """All faults are over and the fleet is idle: every node must have every acknowledged proposal."""
+        for node in nodes:
+            committed = self._committed[node]
+            missing = [
+                proposal_id for index, proposal_id in self.acknowledged.items() if committed.get(index) != proposal_id
+            ]
             if missing:
-                self._wrong(f"{node} lacks {len(missing)} promised, first {missing[0]}")
+                self._violation(f"{node} lacks {len(missing)} acknowledged proposals, the first {missing[0]}")
 
 
 def _voters(entry: Any) -> set[str]:
     return set(msgspec.msgpack.decode(entry.data)[0])
 
 
-def _holds(held: StoredLog, index: int, ident: str) -> bool:
-    if held.snapshot is not None and held.snapshot.index >= index:
+def _has_entry(stored_log: StoredLog, index: int, proposal_id: str) -> bool:
+    if stored_log.snapshot is not None and stored_log.snapshot.index >= index:
         return True
-    place = index - held.base - 1
-    return place < len(held.entries) and ident.encode() in held.entries[place].data
+    position = index - stored_log.base_index - 1
+    return position < len(stored_log.entries) and proposal_id.encode() in stored_log.entries[position].data
 
 
-def _enough(having: set[str], lost: int, voters: set[str]) -> bool:
-    return bool(voters) and len(having & voters) + lost >= len(voters) // 2 + 1
+def _is_quorum(stored_on: set[str], lost_disks: int, voters: set[str]) -> bool:
+    return bool(voters) and len(stored_on & voters) + lost_disks >= len(voters) // 2 + 1
--- a/limenotch/lab/fleet/disk.py
+++ b/limenotch/lab/fleet/disk.py
@@ -1,8 +1,9 @@
-"""A disk in simulated time: what is on it, what is on the way to it, and what a fall leaves of that.
+"""A disk in simulated time: its content, the writes under way, and what a crash leaves of these.
 
-Batches go down in order. All that wait when a write begins go down with one fsync, as a store's thread does it.
-A process that is killed (or a machine that falls) leaves of the write under way the records up to some one; what
-waited behind is lost. That is the worst the store's contract allows; a real kernel often keeps more.
+Batches are written in order. All batches pending when a write begins are written with one fsync, as the thread of the
+real store does it. A killed process (or a machine that crashes) leaves, of the write under way, the records up to some
+record; pending batches are lost. That is the worst that the contract of the store allows; a real kernel often retains
+more.
 """
 
 from __future__ import annotations
@@ -16,72 +17,73 @@
 from limenotch.lab.simulate.kernel import Kernel
 from limenotch.store.records import StoredLog
 
-REFUSING = ("full", "read-only", "torn")
+FAILING_STATES = ("full", "read-only", "torn")
 
 
 class SimulatedDisk:
-    """`answer` is given a Stored or StoreFailed for each ticket, in order. `state` may be changed at any time."""
+    """Calls `answer` with Stored or StoreFailed for each ticket, in order. `state` may be changed at any time."""
 
     def __init__(self, kernel: Kernel, answer: Callable[[Any], None], fsync_ms: float, seed: str) -> None:
-        self.held = StoredLog(entries=[])
+        self.content = StoredLog(entries=[])
         self.state = Disk("", "ok")
         self.fsyncs = 0
         self._kernel = kernel
         self._answer = answer
         self._fsync_ms = fsync_ms
         self._random = Random(seed)
-        self._waiting: list[tuple[int, tuple[Any, ...]]] = []
+        self._pending: list[tuple[int, tuple[Any, ...]]] = []
         self._writing: list[tuple[int, tuple[Any, ...]]] = []
-        self._fall = 0  # writes of before a fall don't end
+        self._crashes = 0  # number of crashes; a write that began before the latest does not end
 
     def store(self, ticket: int, records: tuple[Any, ...]) -> None:
-        self._waiting.append((ticket, records))
+        """Writes the batch after those before it."""
+        self._pending.append((ticket, records))
         if not self._writing:
             self._write()
 
     def copy(self) -> StoredLog:
-        """What a process that starts now finds. Its own to change."""
-        return StoredLog(self.held.term_vote, self.held.snapshot, list(self.held.entries))
+        """The content that a process starting now reads; the caller may change it."""
+        return StoredLog(self.content.term_vote, self.content.snapshot, list(self.content.entries))
 
-    def fall(self, *, keep: bool = True) -> None:
-        """The process ends at once; without `keep` the disk is gone too."""
-        self._fall += 1
-        if keep and self._writing:
-            self._some(self._writing, all_too=True)
-        self._waiting, self._writing = [], []
-        if not keep:
-            self.held = StoredLog(entries=[])
+    def crash(self, *, keep_content: bool = True) -> None:
+        """The process ends at once; without `keep_content` the content of the disk is lost too."""
+        self._crashes += 1
+        if keep_content and self._writing:
+            self._apply_prefix(self._writing, may_include_all=True)
+        self._pending, self._writing = [], []
+        if not keep_content:
+            self.content = StoredLog(entries=[])
 
     def _write(self) -> None:
-        self._writing, self._waiting = self._waiting, []
-        span = self.state.ms if self.state.state == "slow" else self._fsync_ms
-        self._kernel.at(self._kernel.now + span, self._written, self._fall)
+        self._writing, self._pending = self._pending, []
+        span_ms = self.state.ms if self.state.state == "slow" else self._fsync_ms
+        self._kernel.at(self._kernel.now + span_ms, self._written, self._crashes)
 
-    def _written(self, fall: int) -> None:
-        if fall != self._fall:
+    def _written(self, crash: int) -> None:
+        if crash != self._crashes:
             return
         self.fsyncs += 1
         batches, self._writing = self._writing, []
-        why = self.state.state
-        if why in REFUSING:
-            if why == "torn":
-                self._some(batches)
-            # What was given since is refused with it: it may follow on from what is not there.
-            batches, self._waiting = batches + self._waiting, []
-            answers: list[Any] = [StoreFailed(ticket, why) for ticket, _ in batches]
+        failure = self.state.state
+        if failure in FAILING_STATES:
+            if failure == "torn":
+                self._apply_prefix(batches)
+            # Batches submitted meanwhile fail too: they may follow entries that are not on the disk.
+            batches, self._pending = batches + self._pending, []
+            answers: list[Any] = [StoreFailed(ticket, failure) for ticket, _ in batches]
         else:
             for _, records in batches:
                 for record in records:
-                    self.held.apply(record)
+                    self.content.apply(record)
             answers = [Stored(ticket) for ticket, _ in batches]
-            if self._waiting:
+            if self._pending:
                 self._write()
-        for one in answers:
-            if fall == self._fall:
-                self._answer(one)
+        for answer in answers:
+            if crash == self._crashes:
+                self._answer(answer)
 
-    def _some(self, batches: list[tuple[int, tuple[Any, ...]]], *, all_too: bool = False) -> None:
-        """Up to some record; all of them only after a fall, where just the answer is missing."""
+    def _apply_prefix(self, batches: list[tuple[int, tuple[Any, ...]]], *, may_include_all: bool = False) -> None:
+        """Applies the records up to some record; all of them only after a crash, where just the answer is lost."""
         records = [record for _, batch in batches for record in batch]
-        for record in records[: self._random.randrange(len(records) + all_too) if records else 0]:
-            self.held.apply(record)
+        for record in records[: self._random.randrange(len(records) + may_include_all) if records else 0]:
+            self.content.apply(record)
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -1,11 +1,12 @@
-"""Every order in which a few parts can be told things, up to stated bounds; for three nodes and short runs.
-
-A state is: the parts, what flies between them, their timers, what their disks hold and what is on its way there. From
-each, every choice is tried that the bounds leave: which message arrives next, is lost or comes twice, whose next timer
-fires, whose next batch is on the disk, who falls and who is back, what is asked next. States seen before are not gone
-into again (explicit-state model checking as in Holzmann's SPIN); breadth first, so the first fault found lies at the
-end of a shortest path to one. A part is told things at its own time; only its own timers move that on (`clocks="free"`,
-as if clocks ran at any speed), or one clock is everybody's and timers fire in its order (`clocks="one"`).
+"""Explicit-state exploration of all orders of events in a small group of nodes, within stated bounds.
+
+A state consists of the components, the messages in flight, the timers, the contents of the disks and the writes under
+way. From each state, every choice within the bounds is tried: which message is delivered, lost or duplicated next,
+whose next timer fires, whose next batch is written, which node crashes or starts, which external event comes. A state
+that was reached before is not explored again (as in Holzmann's SPIN). The search is breadth first, so the first
+violation found is at the end of a shortest path to one. A component handles events at its own time: with
+`clocks="free"`, only its own timers advance that time, as if clocks ran at any speed; with `clocks="one"`, all nodes
+share one clock and timers fire in its order.
 """
 
 from __future__ import annotations
@@ -38,80 +39,83 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each may happen on one path. A `crash` leaves a node down until a choice starts it again."""
+    """How often each fault may happen on one path. After a `crash` a node is down until a choice starts it again."""
 
     lose: int = 0
     double: int = 0
     crash: int = 0
-    fire: int = 0  # timers, of all nodes
+    fire: int = 0  # timers that fire, of all nodes together
     steps: int = 40
     states: int = 500_000
 
 
-USUAL = Bounds()
+DEFAULT_BOUNDS = Bounds()
 
 
 @dataclass(frozen=True)
 class View:
-    """What the predicate sees: parts by name (None: down), and who has ever noted what."""
+    """What the invariants see of a state: components by name (None: down), all log lines so far, the disks."""
 
-    parts: Mapping[str, Any]
-    notes: frozenset[tuple[str, str]]
+    components: Mapping[str, Any]
+    log_lines: frozenset[tuple[str, str]]
     disks: Mapping[str, StoredLog]
 
 
 @dataclass(frozen=True)
 class Explored:
-    why: str | None  # what the predicate said; None: it held in every state reached
-    path: tuple[str, ...]  # the choices that led there
-    drawing: str  # the same with the notes, one row a choice
+    """The result of an exploration."""
+
+    violation: str | None  # the violation; None: no state reached has one
+    path: tuple[str, ...]  # the choices that lead to the violation
+    timeline: str  # the same with the log lines, one row a choice
     states: int
-    whole: bool  # no bound of steps or states cut anything off: nothing is left within the other bounds
+    complete: bool  # whether `steps` and `states` cut nothing off: all states within the other bounds were reached
 
 
-class _Flight(NamedTuple):
-    frm: str
-    to: str
+class _InFlight(NamedTuple):
+    sender: str
+    receiver: str
     stream: bool
     encoded: bytes
     message: Any
 
     @property
     def order(self) -> tuple[str, str, bool, bytes]:
-        """Datagrams have none among them; a stream's messages keep theirs (sorting is stable)."""
-        return (self.frm, self.to, self.stream, b"" if self.stream else self.encoded)
+        """Sort key: the order of datagrams does not matter, that of a stream's messages is preserved (stable sort)."""
+        return (self.sender, self.receiver, self.stream, b"" if self.stream else self.encoded)
 
 
 @dataclass(frozen=True)
 class _Node:
-    part: Any = None
-    mark: Hashable = None  # the part's digest
+    component: Any = None
+    digest: Hashable = None  # the component's digest
     process_epoch: int = 0
     now: float = 0.0
     timers: tuple[tuple[float, int], ...] = ()
-    held: StoredLog = field(default_factory=lambda: StoredLog(entries=[]))
-    waiting: tuple[tuple[int, tuple[Any, ...]], ...] = ()
+    content: StoredLog = field(default_factory=lambda: StoredLog(entries=[]))
+    writes: tuple[tuple[int, tuple[Any, ...]], ...] = ()
 
 
 @dataclass(frozen=True)
 class _State:
     nodes: Mapping[str, _Node]
-    flying: tuple[_Flight, ...]
-    asked: int
-    left: tuple[int, int, int, int]  # of Bounds: lose, double, crash, fire
-    notes: frozenset[tuple[str, str]]
+    in_flight: tuple[_InFlight, ...]
+    events_sent: int
+    budget: tuple[int, int, int, int]  # of the bounds lose, double, crash, fire
+    log_lines: frozenset[tuple[str, str]]
     steps: int
     choice: str
-    noted: tuple[tuple[str, str], ...]  # by this step
-    before: _State | None
+    added_lines: tuple[tuple[str, str], ...]  # of this step
+    previous: _State | None
 
 
 class Explorer:
-    """`digest(part)` is all that tells two states of a part apart, hashable; what it leaves out is not explored.
+    """Explores a group of nodes.
 
-    `check(view)` says what is wrong, or None. `asks` are events from outside, each told once to its node, in order,
-    at any point. `disks`: what they hold at the start, nothing if not said. Messages must be hashable by what they
-    encode to; parts must bear `deepcopy`.
+    `digest(component)` is hashable and distinguishes all states of a component; what it omits is not explored.
+    `check(view)` returns the violation, or None. `external_events` are delivered once each to their nodes, in order,
+    at any point. `disks`: initial contents, empty by default. Messages are compared by their encoding; components
+    must support `deepcopy`.
     """
 
     def __init__(
@@ -120,13 +124,14 @@
         make: Make,
         digest: Callable[[Any], Hashable],
         check: Callable[[View], str | None],
-        bounds: Bounds = USUAL,
+        bounds: Bounds = DEFAULT_BOUNDS,
         *,
         seed: int = 0,
-        asks: Sequence[tuple[str, Any]] = (),
+        external_events: Sequence[tuple[str, Any]] = (),
         clocks: str = "free",
         disks: Mapping[str, StoredLog] | None = None,
     ) -> None:
+        """Raises ValueError on an unknown value of `clocks`."""
         if clocks not in ("free", "one"):
             raise ValueError(f"clocks: {clocks!r} is neither 'free' nor 'one'")
         self.names = tuple(nodes)
@@ -135,12 +140,13 @@
         self.check = check
         self.bounds = bounds
         self.seed = seed
-        self.asks = tuple(asks)
+        self.external_events = tuple(external_events)
         self.one_clock = clocks == "one"
         self.disks = dict(disks or {})
 
     def run(self) -> Explored:
-        nodes = {name: _Node(held=self.disks.get(name, StoredLog(entries=[]))) for name in self.names}
+        """Explores until a violation is found, all states are reached or a bound of `bounds` is exceeded."""
+        nodes = {name: _Node(content=self.disks.get(name, StoredLog(entries=[]))) for name in self.names}
         first = _State(
             nodes,
             (),
@@ -153,210 +159,237 @@
             None,
         )
         for name in self.names:
-            first = replace(self._start(first, name, "start"), steps=0, before=None, noted=())
-        first = replace(first, noted=tuple(sorted(first.notes)))
-        known, queue, whole = {self._key(first)}, deque([first]), True
-        why = self._wrong(first)
-        if why is not None:
-            return self._found(why, first, 1)
+            first = replace(self._start(first, name, "start"), steps=0, previous=None, added_lines=())
+        first = replace(first, added_lines=tuple(sorted(first.log_lines)))
+        known_states, queue, complete = {self._key(first)}, deque([first]), True
+        violation = self._violation(first)
+        if violation is not None:
+            return self._result(violation, first, 1)
         while queue:
             state = queue.popleft()
             if state.steps >= self.bounds.steps:
-                whole = whole and next(self._next(state), None) is None
+                complete = complete and next(self._next(state), None) is None
                 continue
             for after in self._next(state):
                 key = self._key(after)
-                if key in known:
+                if key in known_states:
                     continue
-                known.add(key)
-                why = self._wrong(after)
-                if why is not None:
-                    return self._found(why, after, len(known))
-                if len(known) >= self.bounds.states:
-                    return Explored(None, (), "", len(known), False)
+                known_states.add(key)
+                violation = self._violation(after)
+                if violation is not None:
+                    return self._result(violation, after, len(known_states))
+                if len(known_states) >= self.bounds.states:
+                    return Explored(None, (), "", len(known_states), False)
                 queue.append(after)
-        return Explored(None, (), "", len(known), whole)
+        return Explored(None, (), "", len(known_states), complete)
 
-    def _wrong(self, state: _State) -> str | None:
+    def _violation(self, state: _State) -> str | None:
         return self.check(
             View(
-                {name: node.part for name, node in state.nodes.items()},
-                state.notes,
-                {name: node.held for name, node in state.nodes.items()},
+                {name: node.component for name, node in state.nodes.items()},
+                state.log_lines,
+                {name: node.content for name, node in state.nodes.items()},
             )
         )
 
     def _key(self, state: _State) -> Hashable:
         nodes = tuple(
             (
-                node.mark,
+                node.digest,
                 node.process_epoch,
-                tuple((at - node.now, token) for at, token in node.timers),
-                _ENCODER.encode((node.held.term_vote, node.held.snapshot, node.held.entries, node.waiting)),
+                tuple((at_ms - node.now, token) for at_ms, token in node.timers),
+                _ENCODER.encode((node.content.term_vote, node.content.snapshot, node.content.entries, node.writes)),
             )
             for node in state.nodes.values()
         )
-        return nodes, tuple(one[:4] for one in state.flying), state.asked, state.left, state.notes
+        return (
+            nodes,
+            tuple(message[:4] for message in state.in_flight),
+            state.events_sent,
+            state.budget,
+            state.log_lines,
+        )
 
     # Choices
 
     def _next(self, state: _State) -> Iterator[_State]:
-        lose, double, crash, fire = state.left
+        lose, double, crash, fire = state.budget
         yield from self._messages(state)
-        if state.asked < len(self.asks):
-            name, event = self.asks[state.asked]
-            if state.nodes[name].part is not None:
-                after = replace(state, asked=state.asked + 1)
-                yield self._told(after, state, name, event, f"ask {name} {_brief(event)}")
+        if state.events_sent < len(self.external_events):
+            name, event = self.external_events[state.events_sent]
+            if state.nodes[name].component is not None:
+                after = replace(state, events_sent=state.events_sent + 1)
+                yield self._handle(after, state, name, event, f"ask {name} {_brief(event)}")
         if fire:
-            due = [(node.timers[0][0], name) for name, node in state.nodes.items() if node.timers]
-            if self.one_clock and due:
-                soonest = min(due)[0]
-                due = [one for one in due if one[0] == soonest]
-            for at, name in due:
+            next_timers = [(node.timers[0][0], name) for name, node in state.nodes.items() if node.timers]
+            if self.one_clock and next_timers:
+                earliest = min(next_timers)[0]
+                next_timers = [timer for timer in next_timers if timer[0] == earliest]
+            for at_ms, name in next_timers:
                 node = state.nodes[name]
                 nodes = dict(state.nodes)
                 if self.one_clock:
-                    nodes = {other: replace(one, now=max(one.now, at)) for other, one in nodes.items()}
-                nodes[name] = replace(node, timers=node.timers[1:], now=max(node.now, at))
-                after = replace(state, nodes=nodes, left=(lose, double, crash, fire - 1))
-                yield self._told(after, state, name, TimerFired(node.timers[0][1]), f"{name} fires {node.timers[0][1]}")
+                    nodes = {
+                        other_name: replace(other, now=max(other.now, at_ms)) for other_name, other in nodes.items()
+                    }
+                nodes[name] = replace(node, timers=node.timers[1:], now=max(node.now, at_ms))
+                after = replace(state, nodes=nodes, budget=(lose, double, crash, fire - 1))
+                yield self._handle(
+                    after, state, name, TimerFired(node.timers[0][1]), f"{name} fires {node.timers[0][1]}"
+                )
         for name, node in state.nodes.items():
-            if node.waiting:
-                kept = replace(node, held=_with(node.held, node.waiting[0][1]), waiting=node.waiting[1:])
-                after = replace(state, nodes={**state.nodes, name: kept})
-                yield self._told(after, state, name, Stored(node.waiting[0][0]), f"{name} stored {node.waiting[0][0]}")
+            if node.writes:
+                written = replace(node, content=_after_writes(node.content, node.writes[0][1]), writes=node.writes[1:])
+                after = replace(state, nodes={**state.nodes, name: written})
+                yield self._handle(after, state, name, Stored(node.writes[0][0]), f"{name} stored {node.writes[0][0]}")
         for name, node in state.nodes.items():
-            if node.part is None:
+            if node.component is None:
                 yield self._start(state, name, f"start {name}")
             elif crash:
-                # What was on its way to the disk is lost, or there up to some batch.
-                for many in range(len(node.waiting) + 1):
-                    held = node.held
-                    for _, records in node.waiting[:many]:
-                        held = _with(held, records)
-                    down = _Node(process_epoch=node.process_epoch, now=node.now, held=held)
-                    flying = tuple(one for one in state.flying if not (one.stream and name in (one.frm, one.to)))
+                # Pending batches are lost, or written up to some batch.
+                for batch_count in range(len(node.writes) + 1):
+                    content = node.content
+                    for _, records in node.writes[:batch_count]:
+                        content = _after_writes(content, records)
+                    crashed = _Node(process_epoch=node.process_epoch, now=node.now, content=content)
+                    in_flight = tuple(
+                        message
+                        for message in state.in_flight
+                        if not (message.stream and name in (message.sender, message.receiver))
+                    )
                     yield replace(
                         state,
-                        nodes={**state.nodes, name: down},
-                        flying=flying,
-                        noted=(),
-                        before=state,
-                        left=(lose, double, crash - 1, fire),
+                        nodes={**state.nodes, name: crashed},
+                        in_flight=in_flight,
+                        added_lines=(),
+                        previous=state,
+                        budget=(lose, double, crash - 1, fire),
                         steps=state.steps + 1,
-                        choice=f"kill {name}" + (f" with {many} batches down" if many else ""),
+                        choice=f"kill {name}" + (f" with {batch_count} batches down" if batch_count else ""),
                     )
 
     def _messages(self, state: _State) -> Iterator[_State]:
-        lose, double, crash, fire = state.left
-        last: tuple[Any, ...] = ()
-        for number, one in enumerate(state.flying):
-            this = one[:3] if one.stream else one[:4]
-            if this == last:  # the same message again, or not the first of its stream
+        lose, double, crash, fire = state.budget
+        previous_identity: tuple[Any, ...] = ()
+        for position, message in enumerate(state.in_flight):
+            identity = message[:3] if message.stream else message[:4]
+            if identity == previous_identity:  # a duplicate, or not the first message of its stream
                 continue
-            last = this
-            without = state.flying[:number] + state.flying[number + 1 :]
-            said = f"{_brief(one.message)} {one.frm} > {one.to}"
-            carrier = Carrier.STREAM if one.stream else Carrier.DATAGRAM
-            heard = MessageReceived(address(one.frm), one.frm, one.message, carrier)
-            up = state.nodes[one.to].part is not None
-            if up or one.stream:
-                yield self._told(replace(state, flying=without), state, one.to, heard, f"deliver {said}")
-            if one.stream:
+            previous_identity = identity
+            without = state.in_flight[:position] + state.in_flight[position + 1 :]
+            brief = f"{_brief(message.message)} {message.sender} > {message.receiver}"
+            carrier = Carrier.STREAM if message.stream else Carrier.DATAGRAM
+            event = MessageReceived(address(message.sender), message.sender, message.message, carrier)
+            is_running = state.nodes[message.receiver].component is not None
+            if is_running or message.stream:
+                yield self._handle(
+                    replace(state, in_flight=without), state, message.receiver, event, f"deliver {brief}"
+                )
+            if message.stream:
                 continue
-            if lose or not up:
-                left = (lose - 1 if up else lose, double, crash, fire)
+            if lose or not is_running:
+                budget = (lose - 1 if is_running else lose, double, crash, fire)
                 yield replace(
                     state,
-                    flying=without,
-                    left=left,
-                    noted=(),
-                    before=state,
+                    in_flight=without,
+                    budget=budget,
+                    added_lines=(),
+                    previous=state,
                     steps=state.steps + 1,
-                    choice=f"lose {said}",
+                    choice=f"lose {brief}",
                 )
-            if double and up:
-                after = replace(state, left=(lose, double - 1, crash, fire))
-                yield self._told(after, state, one.to, heard, f"deliver and keep {said}")
+            if double and is_running:
+                after = replace(state, budget=(lose, double - 1, crash, fire))
+                yield self._handle(after, state, message.receiver, event, f"deliver and keep {brief}")
 
     def _start(self, state: _State, name: str, choice: str) -> _State:
         node = state.nodes[name]
-        held = StoredLog(node.held.term_vote, node.held.snapshot, list(node.held.entries))
-        part = self.make(name, self.seed, node.process_epoch + 1, held)
+        content = StoredLog(node.content.term_vote, node.content.snapshot, list(node.content.entries))
+        component = self.make(name, self.seed, node.process_epoch + 1, content)
         after = replace(
-            state, nodes={**state.nodes, name: replace(node, part=part, process_epoch=node.process_epoch + 1)}
+            state, nodes={**state.nodes, name: replace(node, component=component, process_epoch=node.process_epoch + 1)}
         )
-        return self._told(after, state, name, Started(), choice)
+        return self._handle(after, state, name, Started(), choice)
 
-    def _told(self, after: _State, before: _State, name: str, event: Any, choice: str) -> _State:
+    def _handle(self, after: _State, previous: _State, name: str, event: Any, choice: str) -> _State:
         node = after.nodes[name]
-        if node.part is None:
-            return replace(after, noted=(), before=before, steps=before.steps + 1, choice=choice)
-        part = deepcopy(node.part)  # the others are shared between states: nobody tells them anything
-        timers, waiting = list(node.timers), list(node.waiting)
-        flying, noted = list(after.flying), []
-        for action in part.handle(node.now, event):
+        if node.component is None:
+            return replace(after, added_lines=(), previous=previous, steps=previous.steps + 1, choice=choice)
+        component = deepcopy(node.component)  # the other components are shared between states and handle no event here
+        timers, writes = list(node.timers), list(node.writes)
+        in_flight, added_lines = list(after.in_flight), []
+        for action in component.handle(node.now, event):
             if isinstance(action, (SendToAddress, SendToMember)):
-                to = action.address[0] if isinstance(action, SendToAddress) else action.member
-                if to in after.nodes:
-                    flying.append(
-                        _Flight(
-                            name, to, action.carrier is Carrier.STREAM, _ENCODER.encode(action.message), action.message
+                receiver = action.address[0] if isinstance(action, SendToAddress) else action.member
+                if receiver in after.nodes:
+                    in_flight.append(
+                        _InFlight(
+                            name,
+                            receiver,
+                            action.carrier is Carrier.STREAM,
+                            _ENCODER.encode(action.message),
+                            action.message,
                         )
                     )
             elif isinstance(action, SetTimer):
                 timers.append((max(action.at_ms, node.now), action.token))
             elif isinstance(action, Store):
-                waiting.append((action.ticket, action.records))
+                writes.append((action.ticket, action.records))
             elif isinstance(action, LogLine):
-                noted.append((name, action.text))
+                added_lines.append((name, action.text))
         timers.sort(key=lambda timer: timer[0])
-        told = replace(node, part=part, mark=self.digest(part), timers=tuple(timers), waiting=tuple(waiting))
-        flying.sort(key=lambda one: one.order)
+        handled = replace(
+            node, component=component, digest=self.digest(component), timers=tuple(timers), writes=tuple(writes)
+        )
+        in_flight.sort(key=lambda message: message.order)
         return replace(
             after,
-            nodes={**after.nodes, name: told},
-            flying=tuple(flying),
-            notes=after.notes | set(noted),
-            noted=tuple(noted),
-            before=before,
-            steps=before.steps + 1,
+            nodes={**after.nodes, name: handled},
+            in_flight=tuple(in_flight),
+            log_lines=after.log_lines | set(added_lines),
+            added_lines=tuple(added_lines),
+            previous=previous,
+            steps=previous.steps + 1,
             choice=choice,
         )
 
-    def _found(self, why: str, state: _State, states: int) -> Explored:
+    def _result(self, violation: str, state: _State, states: int) -> Explored:
         steps: list[_State] = []
-        at: _State | None = state
-        while at is not None:
-            steps.append(at)
-            at = at.before
+        step_state: _State | None = state
+        while step_state is not None:
+            steps.append(step_state)
+            step_state = step_state.previous
         steps.reverse()
-        cells = [[", ".join(text for who, text in step.noted if who == name) for name in self.names] for step in steps]
-        wide = [max(14, len(name), *(len(row[number]) for row in cells)) + 2 for number, name in enumerate(self.names)]
-        out = [
-            f"# {why}; each row is one choice",
+        cells = [
+            [", ".join(text for node, text in step.added_lines if node == name) for name in self.names]
+            for step in steps
+        ]
+        widths = [
+            max(14, len(name), *(len(row[position]) for row in cells)) + 2 for position, name in enumerate(self.names)
+        ]
+        lines = [
+            f"# {violation}; each row is one choice",
             "",
-            "step    " + "".join(name.ljust(width) for name, width in zip(self.names, wide, strict=True)) + "choice",
+            "step    " + "".join(name.ljust(width) for name, width in zip(self.names, widths, strict=True)) + "choice",
         ]
-        for number, (step, row) in enumerate(zip(steps, cells, strict=True)):
-            out.append(
-                str(number).ljust(8)
-                + "".join(cell.ljust(width) for cell, width in zip(row, wide, strict=True))
+        for position, (step, row) in enumerate(zip(steps, cells, strict=True)):
+            lines.append(
+                str(position).ljust(8)
+                + "".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
                 + step.choice
             )
-        return Explored(why, tuple(step.choice for step in steps[1:]), "\n".join(out) + "\n", states, False)
+        return Explored(violation, tuple(step.choice for step in steps[1:]), "\n".join(lines) + "\n", states, False)
 
 
-def _with(held: StoredLog, records: tuple[Any, ...]) -> StoredLog:
-    grown = StoredLog(held.term_vote, held.snapshot, list(held.entries))
+def _after_writes(content: StoredLog, records: tuple[Any, ...]) -> StoredLog:
+    extended = StoredLog(content.term_vote, content.snapshot, list(content.entries))
     for record in records:
-        grown.apply(record)
-    return grown
+        extended.apply(record)
+    return extended
 
 
-def _brief(what: Any) -> str:
-    if isinstance(what, str):
-        return what
-    fields = tuple(getattr(what, "__struct_fields__", getattr(what, "_fields", ())))
-    return " ".join([type(what).__name__, *(str(getattr(what, name)) for name in fields)])
+def _brief(item: Any) -> str:
+    if isinstance(item, str):
+        return item
+    fields = tuple(getattr(item, "__struct_fields__", getattr(item, "_fields", ())))
+    return " ".join([type(item).__name__, *(str(getattr(item, name)) for name in fields)])
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -62,7 +62,7 @@
         members = Membership(
             name, address(name), process_epoch, [address(one) for one in self.nodes[:3]], MEMBERS, seed
         )
-        log = consensus.Agreement(name, self.voters, held, OF_THE_LOG, seed)
+        log = consensus.Consensus(name, self.voters, held, OF_THE_LOG, seed)
         states = split_states(log.state)
         lists = self.made[name] = Lists(name, process_epoch, "d1", self.voters, state=states.get(PREFIX))
         hub = ComponentHub([("mb.", members), (LOG, log), (PREFIX, lists)], members)
--- a/limenotch/lab/fleet/log_run.py
+++ b/limenotch/lab/fleet/log_run.py
@@ -1,7 +1,7 @@
-"""The log in simulated time: members that keep what is agreed, clients that propose, faults by a seed, the checker.
+"""The log in simulated time: members with a table on top, clients that propose and read, seeded faults, a checker.
 
-A member's layers above are stood in for by a table of index to id. `Run.ask` and the schedules drive clients;
-`storm(seed)` is one run under everything at once, the same for the same seed.
+A table of index to proposal id stands in for the layers above. Callers of `Run` drive the clients; `storm(seed)` is one
+run under all kinds of faults at once, the same for the same seed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from limenotch.lab.fleet.world import World
 from limenotch.store.records import StoredLog
 
-TELLS = (
+ACTIONS_FOR_LAYERS_ABOVE = (
     api.EntryCommitted,
     api.SnapshotInstalled,
     api.ProposalCommitted,
@@ -29,7 +29,7 @@
     api.LeaderChanged,
     api.SnapshotRequested,
 )
-QUICK = consensus.Tuning(
+FAST_TUNING = consensus.Tuning(
     heartbeat_ms=50,
     election_least_ms=200,
     election_most_ms=400,
@@ -46,113 +46,131 @@
 
 
 class Member:
-    """A part for the world: agreement, and a table above it."""
+    """A component for the simulated world: consensus, and a table on top of it."""
 
-    def __init__(self, run: Run, name: str, seed: int, held: StoredLog) -> None:
-        self.agreement = consensus.Agreement(name, run.voters, held, run.tuning, seed)
+    def __init__(self, run: Run, name: str, seed: int, stored_log: StoredLog) -> None:
+        self.consensus = consensus.Consensus(name, run.voters, stored_log, run.tuning, seed)
         self._run, self._name = run, name
-        state = self.agreement.state
+        state = self.consensus.state
         self.table: Table = msgspec.msgpack.decode(state, type=Table) if state else {}
-        run.checker.started(name, self.agreement.index, self.table)
+        run.checker.process_started(name, self.consensus.index, self.table)
 
     def handle(self, now: float, event: Any) -> list[Any]:
+        """Handles one event; shows it and the resulting actions to the checker."""
         run, name = self._run, self._name
-        run.checker.saw(run.world.now, name, event)
+        run.checker.observe(run.world.now, name, event)
         out: list[Any] = []
-        for action in self.agreement.handle(now, event):
-            if isinstance(action, TELLS):
-                out += self._above(now, action)
+        for action in self.consensus.handle(now, event):
+            if isinstance(action, ACTIONS_FOR_LAYERS_ABOVE):
+                out += self._handle_for_layers_above(now, action)
             else:
-                run.checker.saw(run.world.now, name, action)
+                run.checker.observe(run.world.now, name, action)
                 out.append(action)
         return out
 
-    def _above(self, now: float, action: Any) -> list[Any]:
+    def _handle_for_layers_above(self, now: float, action: Any) -> list[Any]:
         run, name = self._run, self._name
         if isinstance(action, api.SnapshotRequested):
             return self.handle(now, api.SnapshotState(action.index, msgspec.msgpack.encode(self.table) + b""))
         if isinstance(action, api.SnapshotInstalled):
             self.table = msgspec.msgpack.decode(action.state, type=Table)
-            run.checker.installed(name, action.index, self.table)
+            run.checker.snapshot_installed(name, action.index, self.table)
         else:
             if isinstance(action, api.EntryCommitted):
                 self.table[action.index] = action.id
-            run.checker.saw(run.world.now, name, action)
-        run.told(name, action)
+            run.checker.observe(run.world.now, name, action)
+        run.on_action(name, action)
         return []
 
 
 class Run:
+    """A simulated group with its checker. Times in ms of simulated time."""
+
     def __init__(
         self,
         nodes: Iterable[str],
         voters: tuple[str, ...],
         seed: int = 0,
         *,
-        tuning: consensus.Tuning = QUICK,
-        **weather: Any,
+        tuning: consensus.Tuning = FAST_TUNING,
+        **network: Any,
     ) -> None:
         self.voters, self.tuning = voters, tuning
         self.names = list(nodes)
         self.random = Random(f"{seed} run")
-        self.checker = Checker(lambda: {name: node.disk.held for name, node in self.world.nodes.items()})
+        self.checker = Checker(lambda: {name: node.disk.content for name, node in self.world.nodes.items()})
         self.world = World(
-            self.names, lambda name, seed, process_epoch, held: Member(self, name, seed, held), seed, **weather
+            self.names,
+            lambda name, seed, process_epoch, stored_log: Member(self, name, seed, stored_log),
+            seed,
+            **network,
         )
         self.ticket = 0
-        self.asked: dict[int, float] = {}
-        self.spans: list[float] = []  # ms from proposal to promise
-        self.on_told: Callable[[str, Any], None] | None = None
+        self.proposed_at_ms: dict[int, float] = {}
+        self.acknowledgement_ms: list[float] = []  # ms from each proposal to its acknowledgement
+        self.action_observer: Callable[[str, Any], None] | None = None
 
-    def told(self, name: str, action: Any) -> None:
-        if isinstance(action, api.ProposalCommitted) and action.ticket in self.asked:
-            self.spans.append(self.world.now - self.asked.pop(action.ticket))
-        if self.on_told is not None:
-            self.on_told(name, action)
+    def on_action(self, name: str, action: Any) -> None:
+        """A member has sent an action to the layers above."""
+        if isinstance(action, api.ProposalCommitted) and action.ticket in self.proposed_at_ms:
+            self.acknowledgement_ms.append(self.world.now - self.proposed_at_ms.pop(action.ticket))
+        if self.action_observer is not None:
+            self.action_observer(name, action)
 
-    def propose(self, name: str, ident: str = "", data: bytes = b"x") -> int:
+    def propose(self, name: str, proposal_id: str = "", data: bytes = b"x") -> int:
+        """Proposes an entry at a node; returns the ticket."""
         self.ticket += 1
-        self.asked[self.ticket] = self.world.now
-        self.world.poke(name, api.Propose(self.ticket, data, ident or f"p{self.ticket}"))
+        self.proposed_at_ms[self.ticket] = self.world.now
+        self.world.poke(name, api.Propose(self.ticket, data, proposal_id or f"p{self.ticket}"))
         return self.ticket
 
     def read(self, name: str) -> int:
+        """Requests a read at a node; returns the ticket."""
         self.ticket += 1
         self.world.poke(name, api.ReadIndex(self.ticket))
         return self.ticket
 
     def change(self, name: str, add: str = "", remove: str = "") -> int:
+        """Requests a change of the voters at a node; returns the ticket."""
         self.ticket += 1
         self.world.poke(name, api.ChangeVoters(self.ticket, add, remove))
         return self.ticket
 
     def leader(self) -> str | None:
-        """The one in the latest epoch of those that say they lead."""
-        leading = [
-            (part.term, name) for name in self.names if (part := self.of(name)) is not None and part.leader == name
+        """Of the nodes that lead by their own state, the one with the highest term."""
+        leaders = [
+            (component.term, name)
+            for name in self.names
+            if (component := self.consensus_of(name)) is not None and component.leader == name
         ]
-        return max(leading)[1] if leading else None
-
-    def of(self, name: str) -> Any:
-        part = self.world.part(name)
-        return part.agreement if part is not None else None
-
-    def until(self, holds: Callable[[], bool], most_ms: float, step_ms: float = 10.0) -> float:
-        """Runs till it holds; gives the ms that took. AssertionError when it doesn't in time."""
-        began = self.world.now
-        while not holds():
-            if self.world.now - began >= most_ms:
-                roles = {name: self.of(name).role.value for name in self.names if self.of(name) is not None}
-                raise AssertionError(f"not within {most_ms:g} ms: {roles}")
+        return max(leaders)[1] if leaders else None
+
+    def consensus_of(self, name: str) -> Any:
+        """The Consensus object of a node; None while its process is down."""
+        component = self.world.part(name)
+        return component.consensus if component is not None else None
+
+    def run_until(self, condition: Callable[[], bool], timeout_ms: float, step_ms: float = 10.0) -> float:
+        """Runs until the condition is met; returns the ms that this took. Raises AssertionError after `timeout_ms`."""
+        began_ms = self.world.now
+        while not condition():
+            if self.world.now - began_ms >= timeout_ms:
+                roles = {
+                    name: self.consensus_of(name).role.value
+                    for name in self.names
+                    if self.consensus_of(name) is not None
+                }
+                raise AssertionError(f"not within {timeout_ms:g} ms: {roles}")
             self.world.run(self.world.now + step_ms)
-        return self.world.now - began
+        return self.world.now - began_ms
 
     def wipe(self, name: str) -> None:
-        self.checker.wiped(self.world.nodes[name].disk.held)
+        """Ends the process of a node and empties its disk."""
+        self.checker.disk_wiped(self.world.nodes[name].disk.content)
         self.world.wipe(name)
 
-    def calm(self) -> None:
-        """All faults end, all processes run."""
+    def end_faults(self) -> None:
+        """Ends all faults and starts or wakes all processes."""
         for text in ("heal", "loss 0%", "double 0%", "delay 1..1"):
             self.world.fault(faults.parse(text))
         for name, node in self.world.nodes.items():
@@ -162,63 +180,67 @@
             elif node.paused:
                 self.world.wake(name)
 
-    def settle(self, most_ms: float = 20_000.0) -> None:
-        """After the heal: a further promise, told everywhere."""
-        self.calm()
-        ident = f"last{self.world.now:.0f}"
-        asked = [-1e9]
+    def check_convergence(self, timeout_ms: float = 20_000.0) -> None:
+        """Ends all faults, and checks that a further proposal and all acknowledged ones reach every node."""
+        self.end_faults()
+        proposal_id = f"last{self.world.now:.0f}"
+        proposed_at_ms = [-1e9]
 
         def everywhere() -> bool:
             leader = self.leader()
-            if leader is not None and self.world.now - asked[0] >= 500:
-                asked[0] = self.world.now
-                self.propose(leader, ident)
-            return all(ident in self.world.part(name).table.values() for name in self.names)
+            if leader is not None and self.world.now - proposed_at_ms[0] >= 500:
+                proposed_at_ms[0] = self.world.now
+                self.propose(leader, proposal_id)
+            return all(proposal_id in self.world.part(name).table.values() for name in self.names)
 
-        self.until(everywhere, most_ms)
+        self.run_until(everywhere, timeout_ms)
         self.world.run(self.world.now + 2 * self.tuning.learner_ms)
-        self.checker.ended(self.names)
+        self.checker.check_converged(self.names)
+
 
+def storm(seed: int, duration_ms: float = 4000.0, prepare: Callable[[Run], None] | None = None) -> Run:
+    """A randomized fault run: three or five voters, up to two learners, clients at every node, faults all the time.
 
-def storm(seed: int, span_ms: float = 4000.0, before: Callable[[Run], None] | None = None) -> Run:
-    """Three or five voters, a learner or two, clients everywhere, and faults all the time; then calm."""
+    All faults end at the end, and the group must converge. `prepare` is called once a leader is elected.
+    """
     random = Random(f"{seed} storm")
-    many = random.choice((3, 3, 5))
-    names = list("abcdefg"[: many + random.choice((0, 1, 2))])
-    run = Run(names, tuple(names[:many]), seed, drift_ppm=5000.0, wake=random.choice(("timers", "heard")))
-    run.until(lambda: run.leader() is not None, 10_000)
+    voter_count = random.choice((3, 3, 5))
+    names = list("abcdefg"[: voter_count + random.choice((0, 1, 2))])
+    run = Run(names, tuple(names[:voter_count]), seed, drift_ppm=5000.0, wake=random.choice(("timers", "heard")))
+    run.run_until(lambda: run.leader() is not None, 10_000)
     world = run.world
-    if before is not None:
-        before(run)
-    begin = world.now
+    if prepare is not None:
+        prepare(run)
+    began_ms = world.now
     world.fault(faults.parse(f"loss {random.choice((0, 0, 5, 20))}%"))
     world.fault(faults.parse(f"delay 1..{random.choice((1, 5, 40))}"))
     world.fault(faults.parse(f"double {random.choice((0, 10))}%"))
-    # Either a disk is lost or voters change: among two voters left by a change, one disk is too many.
+    # Either a disk is lost or voters change: a change may leave two voters, of which none may lose its disk.
     wiped = changes = random.random() < 0.5
-    retry: list[str] = []
-    while world.now < begin + span_ms:
+    repeated_ids: list[str] = []
+    while world.now < began_ms + duration_ms:
         world.run(world.now + random.choice((1, 5, 20, 60)))
         name = random.choice(names)
-        what = random.random()
-        if what < 0.55:
-            ident = random.choice(retry) if retry and random.random() < 0.3 else f"s{run.ticket}"
-            run.propose(name, ident)
+        choice = random.random()
+        if choice < 0.55:
+            proposal_id = random.choice(repeated_ids) if repeated_ids and random.random() < 0.3 else f"s{run.ticket}"
+            run.propose(name, proposal_id)
             if random.random() < 0.3:
-                retry.append(ident)
-        elif what < 0.8:
+                repeated_ids.append(proposal_id)
+        elif choice < 0.8:
             run.read(name)
-        elif what < 0.83 and changes:
+        elif choice < 0.83 and changes:
             world.run(world.now + 20)
             leader = run.leader() or name
             run.change(leader, *random.sample(["", *names], 2))
-        elif what > 0.92:
+        elif choice > 0.92:
             wiped = _fault(run, random, name, wiped)
-    run.settle()
+    run.check_convergence()
     return run
 
 
 def _fault(run: Run, random: Random, name: str, wiped: bool) -> bool:
+    """Injects one random fault. Returns whether a disk was wiped so far: it is done at most once in a run."""
     world = run.world
     kind = random.choice(
         (
@@ -241,11 +263,11 @@
             "leader",
         )
     )
-    others = [other for other in run.names if other != name]
+    other_nodes = [node for node in run.names if node != name]
     if kind == "leader":
         name = run.leader() or name
         kind = random.choice(("pause", "kill", "one way", "cut"))
-        others = [other for other in run.names if other != name]
+        other_nodes = [node for node in run.names if node != name]
     if kind == "kill" and world.alive(name):
         world.kill(name)
     elif kind == "start" and not world.alive(name):
@@ -253,10 +275,10 @@
     elif kind in ("pause", "wake") and world.alive(name):
         getattr(world, kind)(name)
     elif kind == "cut":
-        world.fault(faults.parse(f"cut {name} | {' '.join(others)}"))
+        world.fault(faults.parse(f"cut {name} | {' '.join(other_nodes)}"))
     elif kind == "one way":
-        rest = " ".join(others)
-        world.fault(faults.parse(random.choice((f"cut {name} > {rest}", f"cut {rest} > {name}"))))
+        joined_names = " ".join(other_nodes)
+        world.fault(faults.parse(random.choice((f"cut {name} > {joined_names}", f"cut {joined_names} > {name}"))))
     elif kind == "heal":
         world.fault(faults.parse("heal"))
     elif kind == "disk":
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -87,7 +87,7 @@
 class Member:
     def __init__(self, run: Run, name: str, seed: int, process_epoch: int, held: StoredLog) -> None:
         self.run, self.name = run, name
-        self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
+        self.agreement = consensus.Consensus(name, run.voters, held, run.log, seed)
         self.rules = Rules(
             name,
             process_epoch,
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -123,7 +123,7 @@
         self.run, self.name, self.process_epoch = run, name, process_epoch
         seeds = [address(one) for one in run.names[:2]]
         self.membership = Membership(name, address(name), process_epoch, seeds, run.members, seed)
-        self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
+        self.agreement = consensus.Consensus(name, run.voters, held, run.log, seed)
         state = split_states(self.agreement.state).get(PREFIX)
         self.wallet = Wallet(name, process_epoch, run.tuning, run.voters, state)
         self.purse = self.wallet.purse
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -251,7 +251,7 @@
             whole.update(repr(change).encode())
         whole.update(repr((self._history, sorted(self.counts.items()), self.kernel.events)).encode())
         for each in self.nodes.values():
-            whole.update(repr((each.name, each.process_epoch, each.traffic.bytes, each.disk.held)).encode())
+            whole.update(repr((each.name, each.process_epoch, each.traffic.bytes, each.disk.content)).encode())
         return whole.hexdigest()
 
     # Processes
@@ -280,7 +280,7 @@
         self._handle(node, Started())
 
     def _end(self, node: Node, what: str) -> None:
-        node.disk.fall(keep=what != "wipe")
+        node.disk.crash(keep_content=what != "wipe")
         if node.part is None:
             return
         node.part, node.paused = None, False
--- a/limenotch/store/__init__.py
+++ b/limenotch/store/__init__.py
@@ -1,10 +1,10 @@
-"""What a sidecar keeps on disk of the fleet's log. Knows nothing of the fleet; imported only where one is on."""
+"""The fleet's log on a sidecar's disk. Independent of the fleet's code; imported only where a fleet is configured."""
 
 from importlib.util import find_spec
 
-NEEDED = ("crc32c",)  # beside requirements.txt; the extra `fleet`
+NEEDED = ("crc32c",)  # in addition to requirements.txt; the extra `fleet`
 
 
 def missing() -> tuple[str, ...]:
-    """The libraries that a store needs and that are not installed, by name: to be told where a fleet is switched on."""
+    """The names of required libraries that are not installed, for an error where a fleet is configured."""
     return tuple(name for name in NEEDED if find_spec(name) is None)
--- a/limenotch/store/files.py
+++ b/limenotch/store/files.py
@@ -1,9 +1,9 @@
-"""The few operations on files that the store is made of, and the real ones.
+"""The few file operations that the store needs, and their implementation on real files.
 
-Everything the store does to a disk goes through `Files`, so that tests can put a disk under it that is full, torn,
-read-only or gone, or that ends at any operation. The order of operations is what makes a store readable after a
-fall; it is kept in `log.py`. Sources: POSIX on fsync and rename; T. S. Pillai et al., "All File Systems Are Not
-Created Equal", OSDI 2014, for what a file system does not promise (a name is lasting only after its folder's fsync).
+The store accesses the disk only through `Files`, so that tests can use a disk that is full, torn, read-only or removed,
+or that stops at any operation. The order of operations makes a store readable after a crash; `log.py` keeps that order.
+Sources: POSIX on fsync and rename; T. S. Pillai et al., "All File Systems Are Not Created Equal", OSDI 2014, for what a
+file system does not guarantee (a name is durable only after an fsync of its folder).
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from typing import Protocol
 
 LOCK_FILE = "lock"
-TEMPORARY_SUFFIX = ".new"  # behind a name: a file that is not whole yet
-READ_SIZE = 1 << 20  # bytes read at once
+TEMPORARY_SUFFIX = ".new"  # suffix of files that are not complete yet
+READ_SIZE = 1 << 20  # bytes
 
 _REASONS = {
     errno.ENOSPC: "full",
@@ -34,7 +34,7 @@
 
 
 class StoreError(Exception):
-    """A failed operation of the store. `reason` is one word that operators know (docs/fleet/disk.md)."""
+    """A failed operation of the store. `reason` is one of the words in docs/fleet/disk.md."""
 
     def __init__(self, reason: str, text: str) -> None:
         super().__init__(f"{reason}: {text}")
@@ -42,58 +42,58 @@
 
 
 def store_error(error: OSError) -> StoreError:
-    """A failed operation as the store's error. What has no word of its own is `torn`: it may be half done."""
+    """Converts the error of an operation. An error without a reason of its own is `torn`: it may be half done."""
     return StoreError(_REASONS.get(error.errno or 0, "torn"), str(error))
 
 
 class Files(Protocol):
-    """Files of one flat folder. Every operation raises OSError; what it then has done is not known."""
+    """Files of one flat folder. Every operation raises OSError; how much of it is done is then not known."""
 
     def open_append(self, name: str) -> int:
-        """A handle that writes behind what the file has. The file must exist: `replace` makes it."""
+        """A handle that appends to an existing file; `replace` creates files."""
         ...
 
     def write(self, handle: int, data: bytes) -> None:
-        """All of `data`, or an OSError with some first part of it written."""
+        """Writes all of `data`, or raises OSError after an unknown first part of it."""
         ...
 
     def sync(self, handle: int) -> None:
-        """What was written is on the disk. Raises as well if the file no longer has a name."""
+        """Returns when all writes are on the disk. Also raises if the file no longer has a name."""
         ...
 
     def close(self, handle: int) -> None:
-        """The handle is gone, whatever is raised."""
+        """Closes the handle, even if an error is raised."""
         ...
 
     def read(self, name: str) -> bytes:
-        """The whole content."""
+        """The complete content."""
         ...
 
     def replace(self, name: str, data: bytes) -> None:
-        """The file holds `data` and nothing else, on the disk, name and all; after a fall the old or the new whole."""
+        """Replaces name and content durably; after a crash the file has the complete old or new content."""
         ...
 
     def remove(self, name: str) -> None:
-        """It is gone from the disk. None of that name: nothing to do, but what was removed before is on the disk."""
+        """Removes the file durably. Without such a file, makes earlier removals durable."""
         ...
 
     def names(self) -> list[str]:
-        """Of all files of the folder, in no order."""
+        """The names of all files in the folder, in any order."""
         ...
 
     def truncate(self, name: str, size: int) -> None:
-        """Bytes from `size` on are gone, on the disk."""
+        """Removes the bytes from `size` on, durably."""
         ...
 
 
 class RealFiles:
-    """Files of a folder, made if need be, and held against other processes until `release`.
+    """Files of a folder, which is created if needed and locked against other processes until `release`.
 
-    All names are looked up under the folder's descriptor: a folder that is moved stays the one that is held.
+    All names are resolved relative to the folder's descriptor: if the folder is moved, its files stay in use.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Raises StoreError: `taken` if another process holds the folder, else as `store_error`."""
+        """Raises StoreError: `taken` if another process has locked the folder, else as `store_error`."""
         self._folder = -1  # its descriptor
         self._lock = -1  # the lock file's descriptor
         try:
@@ -101,7 +101,7 @@
             self._folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             self._lock = os.open(LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            os.fsync(self._folder)  # names that a killed process has left without
+            os.fsync(self._folder)  # makes names durable that a killed process did not sync
         except BlockingIOError:
             self.release()
             raise StoreError("taken", f"another process holds {folder}") from None
@@ -110,7 +110,7 @@
             raise store_error(error) from None
 
     def release(self) -> None:
-        """Frees the folder. Once is enough, twice does no harm."""
+        """Unlocks the folder; may be called more than once."""
         for handle in (self._lock, self._folder):
             if handle >= 0:
                 os.close(handle)
@@ -123,9 +123,9 @@
 
     def write(self, handle: int, data: bytes) -> None:
         """See Files."""
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(handle, rest) :]
+        unwritten = memoryview(data)
+        while unwritten:
+            unwritten = unwritten[os.write(handle, unwritten) :]
 
     def sync(self, handle: int) -> None:
         """See Files."""
@@ -160,7 +160,7 @@
                 os.close(handle)
             os.rename(temporary, name, src_dir_fd=self._folder, dst_dir_fd=self._folder)
         except OSError:
-            with contextlib.suppress(OSError):  # its bytes are wanted back if the disk is full
+            with contextlib.suppress(OSError):  # frees the space if the disk is full
                 os.unlink(temporary, dir_fd=self._folder)
             raise
         os.fsync(self._folder)
--- a/limenotch/store/thread.py
+++ b/limenotch/store/thread.py
@@ -1,8 +1,8 @@
-"""The one thread that owns a store, so that the event loop never waits for a disk.
+"""The thread that owns a store, so that the event loop never waits for a disk.
 
-`submit` and the callbacks run on the loop; everything between runs on the thread. What waits is written as one batch
-with one fsync. A failure fails all that was submitted before the loop was notified of it: what follows a lost record
-must not be written without it. Nothing of the fleet is imported here.
+`submit` and the callbacks run on the loop, everything else on the thread. All submissions pending when a write begins
+are written as one batch with one fsync. A failure also fails everything submitted before the loop was notified of it:
+records that follow a lost record must not be written without it. Nothing of the fleet is imported here.
 """
 
 from __future__ import annotations
@@ -20,69 +20,69 @@
 
 Completion = Callable[[str | None], None]
 
-MAX_WAITING_BYTES = 16 << 20  # bytes, by estimated_size
-MAX_BATCH_BYTES = 1 << 20  # bytes: a longer batch makes the first in it wait for the last
-SLOW_S = 0.25  # seconds of one batch from which on the disk counts as slow
-BATCHES_BETWEEN_WARNINGS = 100  # batches in time before a slow disk is reported again
+MAX_WAITING_BYTES = 16 << 20  # by estimated_size
+MAX_BATCH_BYTES = 1 << 20  # a longer batch delays its first submissions until the last is written
+SLOW_S = 0.25  # a disk that takes longer for one batch counts as slow
+BATCHES_BETWEEN_WARNINGS = 100  # fast batches before a slow disk is reported again
 
 
 class _Submission(NamedTuple):
     ticket: int
     records: Sequence[Record]
-    size: int  # bytes, by estimated_size
+    size: int  # by estimated_size
     done: Completion
 
 
 def estimated_size(record: Record) -> int:
-    """Bytes that it takes in memory and on disk, roughly and rather more."""
+    """The bytes of a record in memory and on disk, roughly, and not less."""
     if isinstance(record, Append):
         return 64 + sum(len(entry.data) + len(entry.kind) + 32 for entry in record.entries)
     return 64 + (len(record.state) + 32 * len(record.voters) if isinstance(record, Snapshot) else 0)
 
 
 class StoreThread:
-    """States: opening -> open -> closing -> closed; opening -> failed (all is rejected, with the reason) -> closed."""
+    """States: opening -> open -> closing -> closed; opening -> failed (rejects all, with the reason) -> closed."""
 
     def __init__(
         self,
         store: Store,
-        on_loop: Callable[[Callable[[], None]], object],
-        opened: Callable[[StoredLog | None, StoreError | None], None],
-        slow: Callable[[float], None],
+        call_on_loop: Callable[[Callable[[], None]], object],
+        on_opened: Callable[[StoredLog | None, StoreError | None], None],
+        on_slow: Callable[[float], None],
         max_waiting_bytes: int = MAX_WAITING_BYTES,
         slow_s: float = SLOW_S,
     ) -> None:
-        """`on_loop` hands a callback to the loop from any thread (`call_soon_threadsafe`, `IOLoop.add_callback`).
+        """`call_on_loop` runs a callback on the loop, from any thread (`call_soon_threadsafe`).
 
-        On the loop: `opened` once, with the content or the error; `slow(seconds)` once each time the disk becomes slow.
-        Callbacks must not raise.
+        On the loop: `on_opened` once, with the content or the error; `on_slow(seconds)` once each time the disk becomes
+        slow. Callbacks must not raise.
         """
         self._store = store
-        self._on_loop = on_loop
-        self._opened = opened
-        self._slow = slow
+        self._call_on_loop = call_on_loop
+        self._on_opened = on_opened
+        self._on_slow = on_slow
         self._max_waiting_bytes = max_waiting_bytes
         self._slow_s = slow_s
         self._lock = threading.Condition()
         self._waiting: deque[_Submission] = deque()
-        self._waiting_bytes = 0  # what is being written counts until it is
-        # Not reported yet, with the reason; while there are any, all that is submitted joins them.
+        self._waiting_bytes = 0  # includes the batch that is being written
+        # Failures not reported yet, with the reason; while there are any, new submissions fail with them.
         self._failed: list[tuple[Completion, str]] = []
-        self._refusal: str | None = None  # why everything is rejected for good
-        self._ending = False
-        self._batch_began: float | None = None  # when the batch that is being written began
+        self._rejection: str | None = None  # the reason why all submissions are rejected from now on
+        self._closing = False
+        self._batch_began: float | None = None  # when the batch being written began
         self._fast_batches = BATCHES_BETWEEN_WARNINGS
-        self._thread = threading.Thread(target=self._run, name="store", daemon=True)  # a hung disk must not hold exit
+        self._thread = threading.Thread(target=self._run, name="store", daemon=True)  # a hung disk must not block exit
         self._thread.start()
 
     def submit(self, ticket: int, records: Sequence[Record], done: Completion) -> None:
-        """In order; `done(None)` when they are on disk, else `done(reason)`. Never calls `done` before it returns.
+        """Writes records in the order of submission; calls `done(None)` when they are on disk, else `done(reason)`.
 
-        Reasons of its own: `slow` where too much waits already, `closed`.
+        `done` is never called before this returns. Reasons of its own: `slow` where too much is pending, `closed`.
         """
         submission = _Submission(ticket, records, sum(map(estimated_size, records)), done)
         with self._lock:
-            reason = self._refusal or ("closed" if self._ending else None)
+            reason = self._rejection or ("closed" if self._closing else None)
             if reason is None and self._failed:
                 reason = self._failed[-1][1]
             if (
@@ -100,26 +100,26 @@
         self.check_slow()
 
     def check_slow(self) -> None:
-        """On the loop, now and then: reports a batch that is slow while it still hangs."""
-        since = self._batch_began
-        if since is not None and monotonic() - since > self._slow_s:
-            self._report_slow(monotonic() - since)
+        """Called on the loop now and then: reports a slow batch while it is still being written."""
+        began = self._batch_began
+        if began is not None and monotonic() - began > self._slow_s:
+            self._report_slow(monotonic() - began)
 
     @property
     def waiting_bytes(self) -> int:
-        """What was submitted and is not on disk yet, by estimated_size."""
+        """Submitted bytes that are not on disk yet, by estimated_size."""
         return self._waiting_bytes
 
-    def close(self, within_s: float) -> bool:
-        """Writes what was submitted, closes the store; waits so long at most. False: the disk hangs.
+    def close(self, timeout_s: float) -> bool:
+        """Writes the submitted records and closes the store; blocks for at most `timeout_s`. False: the disk hangs.
 
-        Blocks its caller. What a hung disk still writes later is reported as it happens, if the loop still runs.
-        After True the files are the caller's to release (`RealFiles.release`); after False they are still written to.
+        Writes that a hanging disk finishes later are reported as they finish, if the loop still runs. After True the
+        caller may release the files (`RealFiles.release`); after False they are still in use.
         """
         with self._lock:
-            self._ending = True
+            self._closing = True
             self._lock.notify()
-        self._thread.join(within_s)
+        self._thread.join(timeout_s)
         return not self._thread.is_alive()
 
     # The thread
@@ -134,28 +134,28 @@
 
     def _open(self) -> None:
         try:
-            held = self._store.open()
+            stored_log = self._store.open()
         except StoreError as error:
             failure = error
             with self._lock:
-                self._refusal = error.reason
-                self._post(lambda: self._opened(None, failure))
-                self._fail(self._drained(), error.reason)
+                self._rejection = error.reason
+                self._post(lambda: self._on_opened(None, failure))
+                self._fail(self._take_all(), error.reason)
             return
-        self._post(lambda: self._opened(held, None))
+        self._post(lambda: self._on_opened(stored_log, None))
 
     def _take(self) -> list[_Submission] | None:
-        """The next batch; waits for one. None: it is over."""
+        """The next batch; waits for one. None: the store is to be closed."""
         with self._lock:
             while not self._waiting:
-                if self._ending:
+                if self._closing:
                     return None
                 self._lock.wait()
             batch: list[_Submission] = []
-            taken = 0
-            while self._waiting and (not batch or taken + self._waiting[0].size <= MAX_BATCH_BYTES):
+            batch_bytes = 0
+            while self._waiting and (not batch or batch_bytes + self._waiting[0].size <= MAX_BATCH_BYTES):
                 batch.append(self._waiting.popleft())
-                taken += batch[-1].size
+                batch_bytes += batch[-1].size
             self._batch_began = monotonic()
             return batch
 
@@ -167,38 +167,38 @@
         except StoreError as error:
             reason = error.reason
         except Exception:
-            # A fault of the program. Nothing is known of the store any more: all that waits fails before it shows.
+            # A defect. The state of the store is unknown: all pending submissions fail before the exception propagates.
             with self._lock:
-                self._refusal = "broken"
+                self._rejection = "broken"
                 self._batch_began = None
-                self._fail([*batch, *self._drained()], "broken")
+                self._fail([*batch, *self._take_all()], "broken")
             raise
-        spent = monotonic() - began
+        elapsed_s = monotonic() - began
         with self._lock:
             self._batch_began = None
             self._waiting_bytes -= sum(submission.size for submission in batch)
             if reason is None:
                 self._post(lambda: self._report_done(batch))
             else:
-                self._fail([*batch, *self._drained()], reason)
-        self._post(lambda: self._batch_took(spent))
+                self._fail([*batch, *self._take_all()], reason)
+        self._post(lambda: self._record_batch_time(elapsed_s))
 
-    def _drained(self) -> list[_Submission]:
-        """With the lock: all that waits, taken out."""
+    def _take_all(self) -> list[_Submission]:
+        """With the lock: takes out all pending submissions."""
         waiting = list(self._waiting)
         self._waiting.clear()
         self._waiting_bytes -= sum(submission.size for submission in waiting)
         return waiting
 
     def _fail(self, submissions: list[_Submission], reason: str) -> None:
-        """With the lock: they are reported together, with what is rejected until then."""
+        """With the lock: schedules their report as failed; submissions until then fail too."""
         if submissions and not self._failed:
             self._post(self._report_failed)
         self._failed += [(submission.done, reason) for submission in submissions]
 
     def _post(self, callback: Callable[[], None]) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop is closed: nobody is left to notify
-            self._on_loop(callback)
+        with contextlib.suppress(RuntimeError):  # the loop is closed: there is nothing to notify
+            self._call_on_loop(callback)
 
     # On the loop
 
@@ -214,14 +214,14 @@
         for done, reason in failed:
             done(reason)
 
-    def _batch_took(self, spent: float) -> None:
-        if spent > self._slow_s:
-            self._report_slow(spent)
+    def _record_batch_time(self, elapsed_s: float) -> None:
+        if elapsed_s > self._slow_s:
+            self._report_slow(elapsed_s)
         else:
             self._fast_batches += 1
 
-    def _report_slow(self, spent: float) -> None:
+    def _report_slow(self, elapsed_s: float) -> None:
         fast_batches = self._fast_batches
         self._fast_batches = 0
         if fast_batches >= BATCHES_BETWEEN_WARNINGS:
-            self._slow(spent)
+            self._on_slow(elapsed_s)
--- a/tests/fleet/fake_disk.py
+++ b/tests/fleet/fake_disk.py
@@ -1,7 +1,7 @@
-"""A disk in memory under the store: falls at any operation, errors, a bound on room. Seeded, so always the same.
+"""A disk in memory for the store: crashes at any operation, errors, limited capacity. Seeded, so always the same.
 
-It keeps what the system would hold in memory apart from what is on the disk; a fall keeps of the rest what chance
-leaves: names up to some change of the folder, and of unsynced bytes some first part, with holes.
+It separates what the kernel would cache from what is on the disk. After a crash, chance decides which unsynced changes
+remain: the names as after some change of the folder, and of the unsynced bytes a first part, with holes.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 PAGE = 64  # bytes; small, so that small batches span several
 
 
-class FellError(Exception):
-    """The machine fell: nothing after this operation took place. Not an OSError: the store can't catch it."""
+class CrashError(Exception):
+    """The machine crashed: no later operation happens. Not an OSError, so that the store cannot catch it."""
 
 
 @dataclass
@@ -32,44 +32,44 @@
 
 @dataclass
 class Disk:
-    """Files, see limenotch.store.files. `before` is asked at each single operation and may raise."""
+    """Implements limenotch.store.files.Files. `before_operation` is called at each single operation and may raise."""
 
     seed: int = 0
-    room: int = 1 << 40  # bytes
-    before: Callable[[int], None] = lambda number: None
-    steps: int = 0
+    capacity: int = 1 << 40  # bytes
+    before_operation: Callable[[int], None] = lambda number: None
+    operations: int = 0
     syncs: int = 0
     names_now: dict[str, File] = field(default_factory=dict)
     names_synced: dict[str, File] = field(default_factory=dict)
-    folder: list[dict[str, File]] = field(default_factory=list)  # as it was after each change since its last sync
+    unsynced_names: list[dict[str, File]] = field(default_factory=list)  # after each change since the last sync
     handles: dict[int, File] = field(default_factory=dict)
     opened: int = 0
 
-    def step(self) -> None:
-        self.steps += 1
-        self.before(self.steps)
+    def count_operation(self) -> None:
+        self.operations += 1
+        self.before_operation(self.operations)
 
-    def fall(self) -> Disk:
-        """The disk that the machine finds when it is back."""
-        chance = Random(self.seed * 1_000_003 + self.steps)
-        names = chance.choice([self.names_synced, *self.folder])
+    def crash(self) -> Disk:
+        """The disk that the machine finds when it is up again."""
+        random = Random(self.seed * 1_000_003 + self.operations)
+        names = random.choice([self.names_synced, *self.unsynced_names])
         found = Disk(self.seed + 1)
         for name, file in names.items():
-            data = self._left(file, chance)
+            data = self._remaining_bytes(file, random)
             found.names_now[name] = File(data, data)
         found.names_synced = dict(found.names_now)
         return found
 
     @staticmethod
-    def _left(file: File, chance: Random) -> bytes:
-        if not file.now.startswith(file.synced):  # cut back: that may be on the disk or not
-            return chance.choice([file.now, file.synced])
-        rest = bytearray(file.now[len(file.synced) :])
-        del rest[chance.randint(0, len(rest)) :]
-        for at in range(0, len(rest), PAGE):
-            if chance.random() < 0.25:
-                rest[at : at + PAGE] = bytes(len(rest[at : at + PAGE]))
-        return file.synced + bytes(rest)
+    def _remaining_bytes(file: File, random: Random) -> bytes:
+        if not file.now.startswith(file.synced):  # truncated: that may be on the disk or not
+            return random.choice([file.now, file.synced])
+        unsynced = bytearray(file.now[len(file.synced) :])
+        del unsynced[random.randint(0, len(unsynced)) :]
+        for offset in range(0, len(unsynced), PAGE):
+            if random.random() < 0.25:
+                unsynced[offset : offset + PAGE] = bytes(len(unsynced[offset : offset + PAGE]))
+        return file.synced + bytes(unsynced)
 
     def _find(self, name: str) -> File:
         if name not in self.names_now:
@@ -78,35 +78,35 @@
 
     def _rename(self, names: dict[str, File]) -> None:
         self.names_now = names
-        self.folder.append(names)
+        self.unsynced_names.append(names)
 
     def _sync_folder(self) -> None:
-        self.step()
-        self.names_synced, self.folder = self.names_now, []
+        self.count_operation()
+        self.names_synced, self.unsynced_names = self.names_now, []
 
     def _put(self, file: File, data: bytes) -> None:
-        room = self.room - sum(len(one.now) for one in self.names_now.values())
+        capacity = self.capacity - sum(len(file_now.now) for file_now in self.names_now.values())
         try:
-            self.step()
+            self.count_operation()
         except OSError:
             file.now += data[: len(data) // 2]
             raise
-        except FellError:
+        except CrashError:
             file.now += data
             raise
-        file.now += data[: max(room, 0)]
-        if room < len(data):
+        file.now += data[: max(capacity, 0)]
+        if capacity < len(data):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     def _sync(self, file: File) -> None:
-        self.step()
+        self.count_operation()
         self.syncs += 1
         file.synced = file.now
 
     # Files
 
     def open_append(self, name: str) -> int:
-        self.step()
+        self.count_operation()
         self.opened += 1
         self.handles[self.opened] = self._find(name)
         return self.opened
@@ -123,35 +123,35 @@
         del self.handles[handle]
 
     def read(self, name: str) -> bytes:
-        self.step()
+        self.count_operation()
         return self._find(name).now
 
     def replace(self, name: str, data: bytes) -> None:
-        self.step()
-        aside = name + TEMPORARY_SUFFIX
+        self.count_operation()
+        temporary = name + TEMPORARY_SUFFIX
         file = File()
-        self._rename(self.names_now | {aside: file})
+        self._rename(self.names_now | {temporary: file})
         try:
             self._put(file, data)
             self._sync(file)
-            self.step()
+            self.count_operation()
         except OSError:
-            self._rename({old: one for old, one in self.names_now.items() if old != aside})
+            self._rename({old: other_file for old, other_file in self.names_now.items() if old != temporary})
             raise
-        self._rename({old: one for old, one in self.names_now.items() if old != aside} | {name: file})
+        self._rename({old: other_file for old, other_file in self.names_now.items() if old != temporary} | {name: file})
         self._sync_folder()
 
     def remove(self, name: str) -> None:
-        self.step()
-        self._rename({old: one for old, one in self.names_now.items() if old != name})
+        self.count_operation()
+        self._rename({old: other_file for old, other_file in self.names_now.items() if old != name})
         self._sync_folder()
 
     def names(self) -> list[str]:
-        self.step()
+        self.count_operation()
         return list(self.names_now)
 
     def truncate(self, name: str, size: int) -> None:
-        self.step()
+        self.count_operation()
         file = self._find(name)
         file.now = file.now[:size]
         self._sync(file)
@@ -163,8 +163,8 @@
 
 @st.composite
 def histories(draw: st.DrawFn, batches: int = 6) -> list[list[Record]]:
-    """Batches of records that follow each other: ballots, appends that may replace, snapshots that may leap ahead."""
-    held, term, history = StoredLog(), 1, []
+    """Batches of records in a valid order: term votes, appends that may replace, snapshots that may skip ahead."""
+    content, term, history = StoredLog(), 1, []
     for _ in range(draw(st.integers(1, batches))):
         batch: list[Record] = []
         for _ in range(draw(st.integers(1, 4))):
@@ -173,27 +173,27 @@
             if kind == 0:
                 term += 1
                 record = TermVote(term, draw(st.sampled_from(["", "a", "b"])))
-            elif kind == 1 and held.last > 0:
-                index = draw(st.integers(max(held.base, 1), held.last + 3))
+            elif kind == 1 and content.last_index > 0:
+                index = draw(st.integers(max(content.base_index, 1), content.last_index + 3))
                 record = Snapshot(index, term, b"s" * draw(st.integers(0, 150)), ("a", "b"))
             else:
-                first = draw(st.integers(held.base + 1, held.last + 1))
+                first = draw(st.integers(content.base_index + 1, content.last_index + 1))
                 record = entries(first, draw(st.integers(1, 3)), term, draw(st.integers(0, 60)))
-            held.apply(record)
+            content.apply(record)
             batch.append(record)
         history.append(batch)
     return history
 
 
-def same(one: StoredLog, other: StoredLog) -> bool:
-    return (one.term_vote, one.snapshot, one.entries) == (other.term_vote, other.snapshot, other.entries)
+def same_content(first: StoredLog, second: StoredLog) -> bool:
+    return (first.term_vote, first.snapshot, first.entries) == (second.term_vote, second.snapshot, second.entries)
 
 
 def states(history: list[list[Record]]) -> list[StoredLog]:
-    """What is held after each record, and before the first."""
-    held = StoredLog()
+    """The content before the first record and after each record."""
+    content = StoredLog()
     found = [StoredLog()]
     for record in (record for batch in history for record in batch):
-        held.apply(record)
-        found.append(StoredLog(held.term_vote, held.snapshot, list(held.entries)))
+        content.apply(record)
+        found.append(StoredLog(content.term_vote, content.snapshot, list(content.entries)))
     return found
--- a/tests/fleet/fake_parts.py
+++ b/tests/fleet/fake_parts.py
@@ -93,14 +93,14 @@
 
     def __init__(self, held: StoredLog) -> None:
         self.held = held
-        self.last = held.last
+        self.last = held.last_index
         self.answers: list[Any] = []
         self.tickets = 0
         self.batches: dict[int, int] = {}  # ticket: its first index
 
     def handle(self, now: float, event: Any) -> list[Any]:
         if isinstance(event, Started):
-            return [LogLine(f"found {self.held.last}")]
+            return [LogLine(f"found {self.held.last_index}")]
         if isinstance(event, Put):
             self.tickets += 1
             self.batches[self.tickets] = self.last + 1
--- a/tests/fleet/test_consensus_drawings.py
+++ b/tests/fleet/test_consensus_drawings.py
@@ -1,4 +1,4 @@
-"""The log's drawings, each of which must come out exactly in simulated time."""
+"""The expected timelines of the log: each must come out exactly in simulated time."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from limenotch.lab.fleet.log_drawings import outcome
 from limenotch.lab.fleet.scenario import load
 
-FOLDER = Path(__file__).parent / "drawings" / "agreement"
-FILES = sorted(FOLDER.glob("*.txt"))
+TIMELINES_FOLDER = Path(__file__).parent / "drawings" / "agreement"
+TIMELINES = sorted(TIMELINES_FOLDER.glob("*.txt"))
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_comes_out(path: Path) -> None:
+@pytest.mark.parametrize("path", TIMELINES, ids=lambda path: path.stem)
+def test_timeline_comes_out_exactly(path: Path) -> None:
     outcome(load(path))
 
 
-def test_there_are_as_many_as_the_page_shows() -> None:
-    assert len(FILES) >= 10
+def test_there_are_as_many_timelines_as_documented() -> None:
+    assert len(TIMELINES) >= 10
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -1,4 +1,4 @@
-"""The store on a well disk, on a full one, and on real files."""
+"""The store on a working disk, on a full one, and on real files."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from limenotch.store.log import TERM_VOTE_RESERVE_BYTES, Store
 from limenotch.store.records import Append, LogEntry, Record, Snapshot, StoredLog, TermVote
 
-from .fake_disk import Disk, entries, histories, same, states
+from .fake_disk import Disk, entries, histories, same_content, states
 
 
 @settings(max_examples=60)
 @given(histories())
-def test_what_is_written_is_found(history: list[list[Record]]) -> None:
+def test_written_records_are_read_back(history: list[list[Record]]) -> None:
     disk = Disk()
     for batch in history:
         store = Store(disk, segment_bytes=300)
         store.open()
         store.write(batch)
         store.close()
-    assert same(Store(disk).open(), states(history)[-1]) and not disk.handles.keys() - {disk.opened}
+    assert same_content(Store(disk).open(), states(history)[-1]) and not disk.handles.keys() - {disk.opened}
 
 
-def test_real_files_hold_what_was_written_and_one_process(tmp_path: Path) -> None:
+def test_real_files_keep_records_and_admit_one_process(tmp_path: Path) -> None:
     files = RealFiles(tmp_path / "a" / "store")
     store = Store(files, segment_bytes=200)
-    assert same(store.open(), StoredLog())
+    assert same_content(store.open(), StoredLog())
     store.write([TermVote(3, "b"), entries(1, 3, 2)])
     with pytest.raises(StoreError, match="taken: another process holds"):
         RealFiles(tmp_path / "a" / "store")
@@ -48,69 +48,74 @@
     assert kinds == ["lock", "log", "snapshot"]
     files = RealFiles(tmp_path / "a" / "store")
     store = Store(files)
-    held = store.open()
-    assert held.snapshot == Snapshot(9, 3, b"state", ("a",)) and [one.index for one in held.entries] == [10, 11, 12]
-    assert held.term_vote == TermVote(3, "b") and store.torn_end is None
+    content = store.open()
+    assert content.snapshot == Snapshot(9, 3, b"state", ("a",)) and [entry.index for entry in content.entries] == [
+        10,
+        11,
+        12,
+    ]
+    assert content.term_vote == TermVote(3, "b") and store.torn_end is None
     store.close()
     files.release()
 
 
-def test_a_folder_removed_under_the_store_is_told(tmp_path: Path) -> None:
+def test_removal_of_the_folder_is_reported(tmp_path: Path) -> None:
     files = RealFiles(tmp_path / "store")
     store = Store(files)
     store.open()
     store.write([entries(1, 1, 1)])
     shutil.rmtree(tmp_path / "store")
     for _ in range(2):
-        with pytest.raises(StoreError) as told:
+        with pytest.raises(StoreError) as raised:
             store.write([entries(2, 1, 1)])
-        assert told.value.reason == "removed"
+        assert raised.value.reason == "removed"
     store.close()
     files.release()
 
 
 @pytest.mark.skipif(os.geteuid() == 0, reason="root may write anywhere")
-def test_a_folder_that_may_not_be_written_is_read_only(tmp_path: Path) -> None:
+def test_folder_without_write_permission_is_read_only(tmp_path: Path) -> None:
     (tmp_path / "store").mkdir(mode=0o500)
-    with pytest.raises(StoreError) as told:
+    with pytest.raises(StoreError) as raised:
         RealFiles(tmp_path / "store")
-    assert told.value.reason == "read-only"
+    assert raised.value.reason == "read-only"
 
 
 @pytest.mark.parametrize(
-    ("number", "why"), [(errno.ENOSPC, "full"), (errno.EDQUOT, "full"), (errno.EROFS, "read-only"), (errno.EIO, "torn")]
+    ("number", "reason"),
+    [(errno.ENOSPC, "full"), (errno.EDQUOT, "full"), (errno.EROFS, "read-only"), (errno.EIO, "torn")],
 )
-def test_errors_of_the_disk_have_words(number: int, why: str) -> None:
+def test_disk_errors_have_reasons(number: int, reason: str) -> None:
     disk = Disk()
     store = Store(disk)
     store.open()
 
-    def fails(_: int) -> None:
+    def fail(_: int) -> None:
         raise OSError(number, os.strerror(number))
 
-    disk.before = fails
-    with pytest.raises(StoreError) as told:
+    disk.before_operation = fail
+    with pytest.raises(StoreError) as raised:
         store.write([TermVote(1)])
-    assert told.value.reason == why
+    assert raised.value.reason == reason
 
 
-def test_a_full_disk_refuses_and_goes_on_when_there_is_room() -> None:
+def test_full_disk_rejects_and_resumes_when_there_is_space() -> None:
     disk = Disk()
     store = Store(disk, segment_bytes=400)
     store.open()
     store.write([entries(1, 2, 1)])
-    used = sum(len(file.now) for file in disk.names_now.values())
-    for room in range(used, used + 60):
-        disk.room = room
+    used_bytes = sum(len(file.now) for file in disk.names_now.values())
+    for capacity in range(used_bytes, used_bytes + 60):
+        disk.capacity = capacity
         with pytest.raises(StoreError, match="full"):
             store.write([entries(3, 2, 1, 100)])
-        assert sum(len(file.now) for file in disk.names_now.values()) == used  # given back at once
-    disk.room = 1 << 20
+        assert sum(len(file.now) for file in disk.names_now.values()) == used_bytes  # freed at once
+    disk.capacity = 1 << 20
     store.write([entries(3, 1, 2)])
-    assert [one.term for one in Store(disk.fall()).open().entries] == [1, 1, 2]
+    assert [entry.term for entry in Store(disk.crash()).open().entries] == [1, 1, 2]
 
 
-def test_its_own_bound_comes_first_ballots_pass_and_a_snapshot_makes_room() -> None:
+def test_size_limit_admits_term_votes_and_a_snapshot_frees_space() -> None:
     disk = Disk()
     store = Store(disk, max_bytes=4000, segment_bytes=500)
     store.open()
@@ -126,36 +131,36 @@
     store.write([Snapshot(last, 1, b"s" * 1000)])
     assert store.disk_bytes < 1200 and len(disk.names_now) == 1
     store.write([entries(last + 1, 1, 2)])
-    held = Store(disk.fall(), max_bytes=4000).open()
-    assert (held.term_vote.term, held.base, held.last) == (2, last, last + 1)
+    content = Store(disk.crash(), max_bytes=4000).open()
+    assert (content.term_vote.term, content.base_index, content.last_index) == (2, last, last + 1)
 
 
-def test_replaced_entries_and_old_ballots_do_not_fill_it() -> None:
+def test_replaced_entries_and_old_term_votes_do_not_fill_it() -> None:
     disk = Disk()
     store = Store(disk, max_bytes=4000, segment_bytes=500)
     store.open()
     for term in range(1, 400):
         store.write([TermVote(term, "a"), entries(1, 2, term, 10)])
         assert store.disk_bytes <= 4000 + TERM_VOTE_RESERVE_BYTES
-    held = Store(disk.fall(), max_bytes=4000).open()
-    assert held.term_vote.term == 399 and [one.term for one in held.entries] == [399, 399]
+    content = Store(disk.crash(), max_bytes=4000).open()
+    assert content.term_vote.term == 399 and [entry.term for entry in content.entries] == [399, 399]
 
 
-def test_what_does_not_follow_changes_nothing() -> None:
+def test_records_that_do_not_follow_change_nothing() -> None:
     disk = Disk()
     store = Store(disk)
     store.open()
     store.write([TermVote(1), entries(1, 3, 1)])
-    steps = disk.steps
+    operations_before = disk.operations
     with pytest.raises(StoreError, match="misfit: append: 6 does not follow"):
         store.write([TermVote(9, "x"), entries(2, 1, 9), Snapshot(2, 9, b""), entries(6, 1, 9)])
-    assert disk.steps == steps
+    assert disk.operations == operations_before
     store.write([entries(4, 1, 1)])
-    held = Store(disk.fall()).open()
-    assert held.term_vote.term == 1 and [one.term for one in held.entries] == [1, 1, 1, 1]
+    content = Store(disk.crash()).open()
+    assert content.term_vote.term == 1 and [entry.term for entry in content.entries] == [1, 1, 1, 1]
 
 
-def test_another_format_is_refused_by_number() -> None:
+def test_other_format_version_is_rejected_with_its_number() -> None:
     disk = Disk()
     store = Store(disk)
     store.open()
@@ -166,7 +171,7 @@
         Store(disk).open()
 
 
-def test_a_record_is_small_and_a_library_that_is_missing_has_a_name(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_records_are_small_and_missing_libraries_are_named(monkeypatch: pytest.MonkeyPatch) -> None:
     assert len(segments.encode_frame(Append((LogEntry(1, 1, "command", b"x" * 20),)), 1, 0)) <= 70
     assert limenotch.store.missing() == ()
     monkeypatch.setattr(limenotch.store, "NEEDED", ("crc32c", "not_there"))
--- a/tests/fleet/test_store_crash.py
+++ b/tests/fleet/test_store_crash.py
@@ -1,4 +1,4 @@
-"""The store after a fall at every single operation, an error at every single operation, and damage at every place."""
+"""The store after a crash at every operation, an error at every operation, and damage at every position."""
 
 from __future__ import annotations
 
@@ -15,71 +15,75 @@
 from limenotch.store.records import Record, Snapshot, StoredLog
 from limenotch.store.segments import segment_name
 
-from .fake_disk import Disk, FellError, File, entries, histories, same, states
+from .fake_disk import CrashError, Disk, File, entries, histories, same_content, states
 
-SMALL = 300  # bytes of a segment: a few batches
+SEGMENT_BYTES = 300  # segment size in bytes: a few batches
 
 
-def play(store: Store, history: list[list[Record]]) -> int:
-    """How many records were told to be on disk when the machine fell, or all."""
-    told = 0
+def write_history(store: Store, history: list[list[Record]]) -> int:
+    """The number of records that were reported as stored before the crash, or of all records."""
+    stored_count = 0
     try:
         store.open()
         for batch in history:
             store.write(batch)
-            told += len(batch)
+            stored_count += len(batch)
         store.close()
-    except FellError:
+    except CrashError:
         pass
-    return told
+    return stored_count
 
 
-def steps_of(history: list[list[Record]]) -> int:
+def operations_of(history: list[list[Record]]) -> int:
     disk = Disk()
-    play(Store(disk, segment_bytes=SMALL), history)
-    return disk.steps
+    write_history(Store(disk, segment_bytes=SEGMENT_BYTES), history)
+    return disk.operations
 
 
-def falls_at(step: int) -> Callable[[int], None]:
+def crash_at(step: int) -> Callable[[int], None]:
     def before(number: int) -> None:
         if number >= step:
-            raise FellError
+            raise CrashError
 
     return before
 
 
 @settings(max_examples=40)
 @given(histories(), st.integers(0, 1 << 16))
-def test_what_was_told_is_there_after_a_fall_at_any_operation(history: list[list[Record]], seed: int) -> None:
+def test_acknowledged_records_survive_a_crash_at_any_operation(history: list[list[Record]], seed: int) -> None:
     all_states = states(history)
-    for step in range(1, steps_of(history) + 1):
-        disk = Disk(seed, before=falls_at(step))
-        told = play(Store(disk, segment_bytes=SMALL), history)
-        back = disk.fall()
-        held = Store(back, segment_bytes=SMALL).open()
-        assert any(same(held, state) for state in all_states[told:]), (step, told)
+    for step in range(1, operations_of(history) + 1):
+        disk = Disk(seed, before_operation=crash_at(step))
+        stored_count = write_history(Store(disk, segment_bytes=SEGMENT_BYTES), history)
+        restarted = disk.crash()
+        content = Store(restarted, segment_bytes=SEGMENT_BYTES).open()
+        assert any(same_content(content, state) for state in all_states[stored_count:]), (step, stored_count)
 
 
 @settings(max_examples=25)
 @given(histories(4), histories(3), st.integers(0, 1 << 16))
-def test_falls_while_it_gets_up_lose_nothing(one: list[list[Record]], two: list[list[Record]], seed: int) -> None:
-    """A fall, then another at any operation of the next opening and of what is written on from there."""
-    chance = Random(seed)
-    disk = Disk(seed, before=falls_at(chance.randint(1, steps_of(one))))
-    play(Store(disk, segment_bytes=SMALL), one)
-    base = disk.fall()
-    held = Store(copy_of(base), segment_bytes=SMALL).open()
-    more: list[list[Record]] = [[record] for record in (entries(held.last + 1, 2, 90), entries(held.last + 2, 1, 91))]
-    expected = [held]
+def test_crash_during_recovery_loses_nothing(
+    first_history: list[list[Record]], second_history: list[list[Record]], seed: int
+) -> None:
+    """A crash, then another at any operation of the next opening and of the writes after it."""
+    random = Random(seed)
+    disk = Disk(seed, before_operation=crash_at(random.randint(1, operations_of(first_history))))
+    write_history(Store(disk, segment_bytes=SEGMENT_BYTES), first_history)
+    base = disk.crash()
+    content = Store(copy_of(base), segment_bytes=SEGMENT_BYTES).open()
+    more: list[list[Record]] = [
+        [record] for record in (entries(content.last_index + 1, 2, 90), entries(content.last_index + 2, 1, 91))
+    ]
+    expected = [content]
     for batch in more:
-        expected.append(StoredLog(held.term_vote, held.snapshot, list(expected[-1].entries)))
+        expected.append(StoredLog(content.term_vote, content.snapshot, list(expected[-1].entries)))
         expected[-1].apply(batch[0])
     for step in range(1, 60):
-        again = copy_of(base)
-        again.before = falls_at(step)
-        told = play(Store(again, segment_bytes=SMALL), more)
-        found = Store(again.fall(), segment_bytes=SMALL).open()
-        assert any(same(found, state) for state in expected[told:]), (step, told)
+        reopened = copy_of(base)
+        reopened.before_operation = crash_at(step)
+        stored_count = write_history(Store(reopened, segment_bytes=SEGMENT_BYTES), more)
+        found = Store(reopened.crash(), segment_bytes=SEGMENT_BYTES).open()
+        assert any(same_content(found, state) for state in expected[stored_count:]), (step, stored_count)
 
 
 def copy_of(disk: Disk) -> Disk:
@@ -91,65 +95,67 @@
 
 @settings(max_examples=25)
 @given(histories(), st.booleans(), st.integers(0, 1 << 16))
-def test_an_error_at_any_operation_leaves_nothing_half_written(
+def test_error_at_any_operation_leaves_nothing_half_written(
     history: list[list[Record]], lasting: bool, seed: int
 ) -> None:
-    """Told as an error, tried again when the disk is well; a fall right after it finds a state that was asked."""
+    """The write fails, and succeeds once the disk works; a crash right after the error leaves some requested state."""
     all_states = states(history)
     opening = Disk()
     Store(opening).open()
-    for step in range(opening.steps + 1, steps_of(history) + 1):
-        sick = True
+    for step in range(opening.operations + 1, operations_of(history) + 1):
+        failing = True
         disk = Disk(seed)
 
         def before(number: int, step: int = step) -> None:
-            if sick and (number >= step if lasting else number == step):  # noqa: B023
-                raise OSError(errno.EIO, "sick")
+            if failing and (number >= step if lasting else number == step):  # noqa: B023
+                raise OSError(errno.EIO, "injected I/O error")
 
-        disk.before = before
-        store = Store(disk, segment_bytes=SMALL)
+        disk.before_operation = before
+        store = Store(disk, segment_bytes=SEGMENT_BYTES)
         store.open()
-        told = 0
+        stored_count = 0
         for batch in history:
             try:
                 store.write(batch)
             except StoreError as error:
                 assert error.reason == "torn"
-                fallen = copy_of(disk.fall())
-                held = Store(fallen, segment_bytes=SMALL).open()
-                assert any(same(held, state) for state in all_states[told : told + len(batch) + 1])
-                sick = False
+                crashed = copy_of(disk.crash())
+                content = Store(crashed, segment_bytes=SEGMENT_BYTES).open()
+                assert any(
+                    same_content(content, state) for state in all_states[stored_count : stored_count + len(batch) + 1]
+                )
+                failing = False
                 store.write(batch)
-            told += len(batch)
+            stored_count += len(batch)
         store.close()
-        assert same(Store(copy_of(disk.fall()), segment_bytes=SMALL).open(), all_states[-1]), step
+        assert same_content(Store(copy_of(disk.crash()), segment_bytes=SEGMENT_BYTES).open(), all_states[-1]), step
 
 
 @settings(max_examples=40)
 @given(histories(), st.booleans(), st.randoms(use_true_random=False))
-def test_a_flipped_bit_is_never_read_as_good(history: list[list[Record]], closed: bool, chance: Random) -> None:
-    """Refused, or cut within the last batch; with the mark of an orderly close, only the mark can be cut."""
+def test_flipped_bit_is_never_read_as_valid(history: list[list[Record]], closed: bool, random: Random) -> None:
+    """The store does not open, or drops part of the last batch; after an orderly close, only the mark of the close."""
     disk = Disk()
-    store = Store(disk, segment_bytes=SMALL)
+    store = Store(disk, segment_bytes=SEGMENT_BYTES)
     store.open()
     for batch in history:
         store.write(batch)
     if closed:
         store.close()
     all_states = states(history)
-    least = len(all_states) - 1 - (0 if closed else len(history[-1]))
+    lowest = len(all_states) - 1 - (0 if closed else len(history[-1]))
     for name, file in disk.names_now.items():
-        for at in range(len(file.now)):
-            hurt = copy_of(disk)
+        for offset in range(len(file.now)):
+            damaged = copy_of(disk)
             data = bytearray(file.now)
-            data[at] ^= 1 << chance.randrange(8)
-            hurt.names_now[name] = File(bytes(data), bytes(data))
+            data[offset] ^= 1 << random.randrange(8)
+            damaged.names_now[name] = File(bytes(data), bytes(data))
             try:
-                held = Store(hurt, segment_bytes=SMALL).open()
+                content = Store(damaged, segment_bytes=SEGMENT_BYTES).open()
             except StoreError as error:
                 assert error.reason in ("damaged", "version") and name in str(error)
             else:
-                assert any(same(held, state) for state in all_states[least:]), (name, at)
+                assert any(same_content(content, state) for state in all_states[lowest:]), (name, offset)
 
 
 def written(*batches: list[Record]) -> Disk:
@@ -161,28 +167,30 @@
     return disk
 
 
-def test_damage_before_a_later_batch_is_refused_by_file_and_offset() -> None:
+def test_damage_before_a_later_batch_is_reported_with_file_and_offset() -> None:
     disk = written([entries(1, 1, 1)], [entries(2, 1, 1)])
     file = disk.names_now[segment_name(1)]
     file.now = file.now[:40] + b"\xff" + file.now[41:]
-    with pytest.raises(StoreError, match=f"damaged: {segment_name(1)} at offset 24: .* later batch follows at") as told:
+    with pytest.raises(
+        StoreError, match=f"damaged: {segment_name(1)} at offset 24: .* later batch follows at"
+    ) as raised:
         Store(disk).open()
-    assert told.value.reason == "damaged"
+    assert raised.value.reason == "damaged"
 
 
-def test_a_torn_end_is_cut_and_told_and_written_over() -> None:
+def test_torn_end_is_truncated_reported_and_overwritten() -> None:
     disk = written([entries(1, 1, 1)], [entries(2, 1, 1), entries(3, 1, 1)])
     file = disk.names_now[segment_name(1)]
-    whole = len(file.now)
+    complete_size = len(file.now)
     file.now = file.now[:-1]
     store = Store(disk)
-    held = store.open()
-    assert held.last == 2 and store.torn_end is not None and segment_name(1) in store.torn_end
+    content = store.open()
+    assert content.last_index == 2 and store.torn_end is not None and segment_name(1) in store.torn_end
     store.write([entries(3, 1, 1)])
     store.close()
-    assert len(file.now) == whole + 20  # with the mark
-    again = Store(disk)
-    assert again.open().last == 3 and again.torn_end is None
+    assert len(file.now) == complete_size + 20  # with the mark of the close
+    reopened = Store(disk)
+    assert reopened.open().last_index == 3 and reopened.torn_end is None
 
 
 def test_a_missing_segment_is_damage() -> None:
@@ -194,54 +202,54 @@
 
 @settings(max_examples=40)
 @given(histories(), st.integers(0, 1 << 16))
-def test_what_an_opening_found_after_a_kill_survives_the_machines_fall(history: list[list[Record]], seed: int) -> None:
-    """A killed process leaves bytes in the system's memory; what the next one acts on must be on the disk."""
-    for step in range(1, steps_of(history) + 1):
-        disk = Disk(seed, before=falls_at(step))
-        play(Store(disk, segment_bytes=SMALL), history)
-        disk.before = lambda number: None
-        disk._sync_folder()  # as RealFiles does when it takes the folder
-        held = Store(disk, segment_bytes=SMALL).open()
-        assert same(Store(disk.fall(), segment_bytes=SMALL).open(), held), step
+def test_content_read_after_a_kill_survives_a_machine_crash(history: list[list[Record]], seed: int) -> None:
+    """A killed process leaves bytes in the kernel's memory; what the next process acts on must be on the disk."""
+    for step in range(1, operations_of(history) + 1):
+        disk = Disk(seed, before_operation=crash_at(step))
+        write_history(Store(disk, segment_bytes=SEGMENT_BYTES), history)
+        disk.before_operation = lambda number: None
+        disk._sync_folder()  # as RealFiles does when it locks the folder
+        content = Store(disk, segment_bytes=SEGMENT_BYTES).open()
+        assert same_content(Store(disk.crash(), segment_bytes=SEGMENT_BYTES).open(), content), step
 
 
 @pytest.mark.parametrize("lasting", [False, True])
-def test_a_snapshot_that_was_told_as_failed_does_not_come_back(lasting: bool) -> None:
-    """Its name is on the disk, only the folder's sync failed; what is written instead must be what is found."""
+def test_snapshot_reported_as_failed_does_not_reappear(lasting: bool) -> None:
+    """The snapshot's name is on the disk and only the sync of the folder failed; later writes must win."""
     batch: list[Record] = [Snapshot(1, 1, b"s")]
     probe = written([entries(1, 2, 1)])
-    before = probe.steps
+    before = probe.operations
     store = Store(probe, segment_bytes=1000)
     store.open()
-    opened = probe.steps
+    opened = probe.operations
     store.write(batch)
     names = [name for name in probe.names_now if name.startswith("snapshot")]
     assert names and opened > before
-    for step in range(opened + 1, probe.steps + 1):
-        disk, sick = written([entries(1, 2, 1)]), True
-        start = disk.steps
+    for step in range(opened + 1, probe.operations + 1):
+        disk, failing = written([entries(1, 2, 1)]), True
+        start = disk.operations
         assert start == before
 
         def fails(number: int, step: int = step) -> None:
-            if sick and (number >= step if lasting else number == step):  # noqa: B023
-                raise OSError(errno.EIO, "sick")
+            if failing and (number >= step if lasting else number == step):  # noqa: B023
+                raise OSError(errno.EIO, "injected I/O error")
 
-        disk.before = fails
+        disk.before_operation = fails
         store = Store(disk, segment_bytes=1000)
         store.open()
-        snapped = True
+        snapshot_written = True
         try:
             store.write(batch)
         except StoreError:
-            snapped = False
-        sick = False
+            snapshot_written = False
+        failing = False
         store.write([entries(2, 1, 7)])
-        held = Store(disk.fall(), segment_bytes=1000).open()
-        assert (held.snapshot is not None) == snapped, step
-        assert held.entries[-1].term == 7
+        content = Store(disk.crash(), segment_bytes=1000).open()
+        assert (content.snapshot is not None) == snapshot_written, step
+        assert content.entries[-1].term == 7
 
 
-def test_a_bad_frame_with_a_later_segment_behind_is_damage() -> None:
+def test_invalid_frame_before_a_later_segment_is_damage() -> None:
     disk = written([entries(1, 1, 1, 1000)], [entries(2, 1, 1)])
     file = disk.names_now[segment_name(1)]
     file.now = file.now[:-1]
@@ -249,17 +257,17 @@
         Store(disk).open()
 
 
-def test_a_batch_torn_in_its_middle_is_cut_there() -> None:
-    """Pages of one write reach the disk in any order: good frames of the same batch behind a hole prove nothing."""
+def test_batch_torn_in_its_middle_is_truncated_there() -> None:
+    """Pages of one write reach the disk in any order: valid frames of the same batch after a hole prove nothing."""
     disk = written([entries(1, 1, 1)], [entries(2, 1, 1), entries(3, 1, 1), entries(4, 1, 1)])
     file = disk.names_now[segment_name(1)]
-    at = len(file.now) * 5 // 8
-    file.now = file.now[:at] + bytes(4) + file.now[at + 4 :]
+    offset = len(file.now) * 5 // 8
+    file.now = file.now[:offset] + bytes(4) + file.now[offset + 4 :]
     store = Store(disk)
-    assert 1 <= store.open().last < 4 and store.torn_end is not None
+    assert 1 <= store.open().last_index < 4 and store.torn_end is not None
 
 
-def test_a_batch_told_is_synced() -> None:
+def test_acknowledged_batch_is_synced() -> None:
     disk = written([entries(1, 1, 1)])
     syncs = disk.syncs
     assert all(file.synced == file.now for file in disk.names_now.values()) and syncs >= 2
