--- a/tests/fleet/test_store_thread.py
+++ b/tests/fleet/test_store_thread.py
@@ -1,4 +1,4 @@
-"""The store's thread: order, batches, what a failure takes with it, slow disks, an end in order."""
+"""The store's thread: order, batches, the effects of a failure, slow disks, an orderly end."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 from ..helpers.processes import printed_by
 from .fake_disk import Disk, entries
 
-WAIT_S = 10.0  # for what must happen; nothing waits so long unless it is broken
+WAIT_S = 10.0  # time limit of waits that end much earlier unless the program is broken
 
 
-class Bench:
-    """A store's thread and a loop that the test turns by hand."""
+class ThreadHarness:
+    """A store's thread, and an event loop that the test runs step by step."""
 
-    def __init__(self, disk: Files, most_waiting: int = 1 << 20, slow_s: float = 60.0) -> None:
+    def __init__(self, disk: Files, max_waiting_bytes: int = 1 << 20, slow_s: float = 60.0) -> None:
         self.posted: queue.SimpleQueue[Callable[[], None]] = queue.SimpleQueue()
-        self.told: list[tuple[int, str | None]] = []
+        self.results: list[tuple[int, str | None]] = []
         self.opened: list[tuple[StoredLog | None, StoreError | None]] = []
         self.slow: list[float] = []
         self.thread = StoreThread(
             Store(disk),
             self.posted.put,
-            lambda *found: self.opened.append(found),
+            lambda *outcome: self.opened.append(outcome),
             self.slow.append,
-            most_waiting,
+            max_waiting_bytes,
             slow_s,
         )
 
     def submit(self, ticket: int) -> None:
-        self.thread.submit(ticket, [entries(ticket, 1, 1)], lambda why: self.told.append((ticket, why)))
+        self.thread.submit(ticket, [entries(ticket, 1, 1)], lambda reason: self.results.append((ticket, reason)))
 
-    def turn(self, until: Callable[[], bool]) -> None:
-        while not until():
+    def run_until(self, condition: Callable[[], bool]) -> None:
+        while not condition():
             self.posted.get(timeout=WAIT_S)()
 
     def drain(self) -> None:
@@ -51,163 +51,165 @@
             self.posted.get_nowait()()
 
 
-@pytest.mark.parametrize(("state", "word"), [("full", "full"), ("torn", "torn"), ("read-only", "read-only")])
-def test_a_disk_that_is_made_to_fail_is_told_by_its_word_and_the_store_goes_on(
-    state: str, word: str, tmp_path: Path
+@pytest.mark.parametrize(("state", "reason"), [("full", "full"), ("torn", "torn"), ("read-only", "read-only")])
+def test_failing_disk_is_reported_with_its_reason_and_the_store_resumes(
+    state: str, reason: str, tmp_path: Path
 ) -> None:
     wishes = tmp_path / NAME
     files = FaultyFiles(RealFiles(tmp_path / "data"), Wishes(wishes).now)
-    bench = opened(files)
+    harness = opened(files)
     ask_for(wishes, Wish(state))
-    bench.submit(2)
-    bench.turn(lambda: len(bench.told) == 2)
-    assert bench.told == [(1, None), (2, word)] and files.failed[state] >= 1
+    harness.submit(2)
+    harness.run_until(lambda: len(harness.results) == 2)
+    assert harness.results == [(1, None), (2, reason)] and files.failed[state] >= 1
     ask_for(wishes, Wish())
-    bench.submit(2)
-    bench.turn(lambda: len(bench.told) == 3)
-    assert bench.told[-1] == (2, None) and bench.thread.close(WAIT_S)
+    harness.submit(2)
+    harness.run_until(lambda: len(harness.results) == 3)
+    assert harness.results[-1] == (2, None) and harness.thread.close(WAIT_S)
     files.release()
-    assert Store(RealFiles(tmp_path / "data")).open().last == 2
+    assert Store(RealFiles(tmp_path / "data")).open().last_index == 2
 
 
-def test_a_disk_that_is_made_slow_is_told_and_loses_nothing(tmp_path: Path) -> None:
+def test_slow_disk_is_reported_and_loses_nothing(tmp_path: Path) -> None:
     wishes, waited = tmp_path / NAME, list[float]()
     files = FaultyFiles(RealFiles(tmp_path / "data"), Wishes(wishes).now, waited.append)
-    bench = opened(files, slow_s=0.0)
-    bench.drain()
-    bench.thread._fast_batches, bench.slow[:] = 100, []
+    harness = opened(files, slow_s=0.0)
+    harness.drain()
+    harness.thread._fast_batches, harness.slow[:] = 100, []
     ask_for(wishes, Wish("slow", 300.0))
-    bench.submit(2)
-    bench.turn(lambda: (2, None) in bench.told and bool(bench.slow))
+    harness.submit(2)
+    harness.run_until(lambda: (2, None) in harness.results and bool(harness.slow))
     assert waited and set(waited) == {300.0} and files.failed["slow"] == len(waited)
     ask_for(wishes, Wish())
-    bench.submit(3)
-    bench.turn(lambda: (3, None) in bench.told)
-    assert files.failed["slow"] == len(waited) and bench.thread.close(WAIT_S)
+    harness.submit(3)
+    harness.run_until(lambda: (3, None) in harness.results)
+    assert files.failed["slow"] == len(waited) and harness.thread.close(WAIT_S)
     files.release()
-    assert Store(RealFiles(tmp_path / "data")).open().last == 3
+    assert Store(RealFiles(tmp_path / "data")).open().last_index == 3
 
 
 class Gate:
-    """Holds the disk at a sync of a batch until it is let go; raises what it is told to."""
+    """Blocks the disk at the sync of a batch until it is released; raises the error that the test sets."""
 
     def __init__(self, disk: Disk) -> None:
         self.reached, self.go, self.error = threading.Semaphore(0), threading.Semaphore(0), 0
-        self.plain = disk._sync
+        self.original_sync = disk._sync
         disk._sync = self.sync  # type: ignore[method-assign]
-        self.held = True
+        self.blocking = True
 
     def sync(self, file: object) -> None:
-        if self.held:
+        if self.blocking:
             self.reached.release()
             assert self.go.acquire(timeout=WAIT_S)
-        error, self.error = self.error, 0  # once
+        error, self.error = self.error, 0  # raised once
         if error:
-            raise OSError(error, "as told")
-        self.plain(file)  # type: ignore[arg-type]
+            raise OSError(error, "injected I/O error")
+        self.original_sync(file)  # type: ignore[arg-type]
 
 
-def opened(disk: Files, most_waiting: int = 1 << 20, slow_s: float = 60.0) -> Bench:
-    bench = Bench(disk, most_waiting, slow_s)
-    bench.turn(lambda: bool(bench.opened))
-    bench.submit(1)
-    bench.turn(lambda: len(bench.told) == 1)
-    return bench
+def opened(disk: Files, max_waiting_bytes: int = 1 << 20, slow_s: float = 60.0) -> ThreadHarness:
+    harness = ThreadHarness(disk, max_waiting_bytes, slow_s)
+    harness.run_until(lambda: bool(harness.opened))
+    harness.submit(1)
+    harness.run_until(lambda: len(harness.results) == 1)
+    return harness
 
 
-def test_what_waits_is_written_with_one_sync() -> None:
+def test_pending_submissions_are_written_with_one_sync() -> None:
     disk = Disk()
-    bench = opened(disk)
+    harness = opened(disk)
     gate, syncs = Gate(disk), disk.syncs
-    bench.submit(2)
+    harness.submit(2)
     assert gate.reached.acquire(timeout=WAIT_S)
     for ticket in range(3, 50):
-        bench.submit(ticket)
-    assert bench.told == [(1, None)]
-    gate.held = False
+        harness.submit(ticket)
+    assert harness.results == [(1, None)]
+    gate.blocking = False
     gate.go.release()
-    bench.turn(lambda: len(bench.told) == 49)
-    assert bench.told == [(ticket, None) for ticket in range(1, 50)] and disk.syncs == syncs + 2
-    assert bench.thread.close(WAIT_S)
-    assert Store(disk.fall()).open().last == 49 and bench.thread.waiting_bytes == 0
+    harness.run_until(lambda: len(harness.results) == 49)
+    assert harness.results == [(ticket, None) for ticket in range(1, 50)] and disk.syncs == syncs + 2
+    assert harness.thread.close(WAIT_S)
+    assert Store(disk.crash()).open().last_index == 49 and harness.thread.waiting_bytes == 0
 
 
-def test_a_failure_takes_all_with_it_that_was_submitted_before_the_loop_heard() -> None:
+def test_failure_fails_all_submitted_before_the_loop_is_notified() -> None:
     disk = Disk()
-    bench = opened(disk)
+    harness = opened(disk)
     gate = Gate(disk)
-    bench.submit(2)
+    harness.submit(2)
     assert gate.reached.acquire(timeout=WAIT_S)
-    bench.thread.submit(3, [TermVote(3)], lambda why: bench.told.append((3, why)))  # would fit without 2
-    gate.error, gate.held = errno.ENOSPC, False
+    harness.thread.submit(
+        3, [TermVote(3)], lambda reason: harness.results.append((3, reason))
+    )  # would be valid without 2
+    gate.error, gate.blocking = errno.ENOSPC, False
     gate.go.release()
-    callback = bench.posted.get(timeout=WAIT_S)
-    while not bench.thread._failed:
+    callback = harness.posted.get(timeout=WAIT_S)
+    while not harness.thread._failed:
         callback()
-        callback = bench.posted.get(timeout=WAIT_S)
-    bench.submit(4)  # the disk is well again, but the loop does not know that 2 and 3 are lost
-    assert bench.told == [(1, None)]
+        callback = harness.posted.get(timeout=WAIT_S)
+    harness.submit(4)  # the disk works again, but the loop was not notified that 2 and 3 are lost
+    assert harness.results == [(1, None)]
     callback()
-    assert bench.told == [(1, None), (2, "full"), (3, "full"), (4, "full")]
-    bench.submit(2)
-    bench.turn(lambda: bench.told[-1] == (2, None))
-    assert bench.thread.close(WAIT_S)
-    held = Store(disk.fall()).open()
-    assert held.last == 2 and held.term_vote == TermVote(0)
+    assert harness.results == [(1, None), (2, "full"), (3, "full"), (4, "full")]
+    harness.submit(2)
+    harness.run_until(lambda: harness.results[-1] == (2, None))
+    assert harness.thread.close(WAIT_S)
+    content = Store(disk.crash()).open()
+    assert content.last_index == 2 and content.term_vote == TermVote(0)
 
 
-def test_too_much_waiting_is_refused_as_slow_and_a_hang_is_told_once_while_it_lasts() -> None:
+def test_excess_submissions_are_rejected_as_slow_and_a_hang_is_reported_once() -> None:
     disk = Disk()
-    one = estimated_size(entries(2, 1, 1))
-    bench = opened(disk, most_waiting=2 * one, slow_s=0.0)
-    bench.drain()
-    bench.thread._fast_batches, bench.slow[:] = 100, []
+    entry_size = estimated_size(entries(2, 1, 1))
+    harness = opened(disk, max_waiting_bytes=2 * entry_size, slow_s=0.0)
+    harness.drain()
+    harness.thread._fast_batches, harness.slow[:] = 100, []
     gate = Gate(disk)
-    bench.submit(2)
+    harness.submit(2)
     assert gate.reached.acquire(timeout=WAIT_S)
     for ticket in (3, 4):
-        bench.submit(ticket)
-    bench.thread.check_slow()
-    assert len(bench.slow) == 1 and bench.thread.waiting_bytes == 2 * one
-    bench.turn(lambda: (4, "slow") in bench.told)
-    gate.held = False
+        harness.submit(ticket)
+    harness.thread.check_slow()
+    assert len(harness.slow) == 1 and harness.thread.waiting_bytes == 2 * entry_size
+    harness.run_until(lambda: (4, "slow") in harness.results)
+    gate.blocking = False
     gate.go.release()
-    bench.turn(lambda: (3, None) in bench.told)
-    bench.drain()
-    assert len(bench.slow) == 1
-    assert not bench.thread._ending and bench.thread.close(WAIT_S)
+    harness.run_until(lambda: (3, None) in harness.results)
+    harness.drain()
+    assert len(harness.slow) == 1
+    assert not harness.thread._closing and harness.thread.close(WAIT_S)
 
 
-def test_the_end_waits_for_what_was_submitted_but_not_for_ever() -> None:
+def test_close_waits_for_submissions_for_a_limited_time() -> None:
     disk = Disk()
-    bench = opened(disk)
+    harness = opened(disk)
     gate = Gate(disk)
-    bench.submit(2)
+    harness.submit(2)
     assert gate.reached.acquire(timeout=WAIT_S)
-    bench.submit(3)
-    assert not bench.thread.close(0.01)
-    bench.submit(4)
-    gate.held = False
+    harness.submit(3)
+    assert not harness.thread.close(0.01)
+    harness.submit(4)
+    gate.blocking = False
     gate.go.release()
-    assert bench.thread.close(WAIT_S)
-    bench.drain()
-    assert sorted(bench.told[1:]) == [(2, None), (3, None), (4, "closed")]
-    assert Store(disk.fall()).open().last == 3
+    assert harness.thread.close(WAIT_S)
+    harness.drain()
+    assert sorted(harness.results[1:]) == [(2, None), (3, None), (4, "closed")]
+    assert Store(disk.crash()).open().last_index == 3
 
 
-def test_a_store_that_does_not_open_refuses_with_its_reason() -> None:
+def test_store_that_does_not_open_rejects_with_its_reason() -> None:
     disk = Disk()
     opened(disk).thread.close(WAIT_S)
     file = next(iter(disk.names_now.values()))
     file.now = b"x" + file.now[1:]
-    bench = Bench(disk)
-    bench.submit(1)
-    bench.turn(lambda: bool(bench.opened and bench.told))
-    assert bench.told == [(1, "damaged")]
-    assert bench.opened[0][0] is None and bench.opened[0][1] is not None
-    bench.thread.submit(2, [TermVote(1)], lambda why: bench.told.append((2, why)))
-    bench.turn(lambda: bench.told[-1] == (2, "damaged"))
-    assert bench.thread.close(WAIT_S)
+    harness = ThreadHarness(disk)
+    harness.submit(1)
+    harness.run_until(lambda: bool(harness.opened and harness.results))
+    assert harness.results == [(1, "damaged")]
+    assert harness.opened[0][0] is None and harness.opened[0][1] is not None
+    harness.thread.submit(2, [TermVote(1)], lambda reason: harness.results.append((2, reason)))
+    harness.run_until(lambda: harness.results[-1] == (2, "damaged"))
+    assert harness.thread.close(WAIT_S)
 
 
 def test_nothing_of_the_fleet_is_imported() -> None:
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -322,7 +322,7 @@
 def test_batches_are_kept_in_order_and_one_write_takes_all_that_wait() -> None:
     made = keeper(puts=[(5.0, Put()), (6.0, Put(2)), (7.0, Put(3))])
     assert said(made) == [(0, "a", "found 0"), (15, "a", "kept 1"), (25, "a", "kept 2"), (25, "a", "kept 3")]
-    assert made.nodes["a"].disk.held.last == 6 and made.nodes["a"].disk.fsyncs == 2
+    assert made.nodes["a"].disk.content.last_index == 6 and made.nodes["a"].disk.fsyncs == 2
 
 
 @given(st.lists(st.tuples(st.integers(0, 200), st.integers(1, 4)), max_size=8), st.integers(0, 220), st.integers(0, 50))
@@ -344,17 +344,19 @@
     ends = {ticket: part.batches.get(ticket + 1, asked + 1) - 1 for ticket in part.batches}
     promised = max((ends[ticket] for ticket in kept), default=0)
     made.run(at + 50.5)
-    assert promised <= made.part("a").held.last <= asked
-    assert [entry.index for entry in made.part("a").held.entries] == list(range(1, made.part("a").held.last + 1))
+    assert promised <= made.part("a").held.last_index <= asked
+    assert [entry.index for entry in made.part("a").held.entries] == list(range(1, made.part("a").held.last_index + 1))
 
 
 def test_a_write_under_way_is_torn_at_any_record_by_a_kill_and_wiped_with_its_disk() -> None:
     ends = {
-        keeper((15.0, "kill a"), (20.0, "start a"), puts=[(0.0, Put(2)), (12.0, Put(3))], seed=seed).part("a").held.last
+        keeper((15.0, "kill a"), (20.0, "start a"), puts=[(0.0, Put(2)), (12.0, Put(3))], seed=seed)
+        .part("a")
+        .held.last_index
         for seed in range(40)
     }
     assert ends == {2, 3, 4, 5}
-    assert keeper((15.0, "wipe a"), (20.0, "start a"), puts=[(0.0, Put(2))]).part("a").held.last == 0
+    assert keeper((15.0, "wipe a"), (20.0, "start a"), puts=[(0.0, Put(2))]).part("a").held.last_index == 0
 
 
 @pytest.mark.parametrize("state", ["full", "read-only", "torn"])
@@ -366,9 +368,11 @@
     )
     answers = made.part("a").answers
     assert answers == [Stored(1), StoreFailed(2, state), StoreFailed(3, state), Stored(4)]
-    assert made.nodes["a"].disk.held.last == 3
+    assert made.nodes["a"].disk.content.last_index == 3
     during = {
-        keeper((20.0, f"disk a {state}"), puts=[(0.0, Put()), (30.0, Put(3))], seed=seed).nodes["a"].disk.held.last
+        keeper((20.0, f"disk a {state}"), puts=[(0.0, Put()), (30.0, Put(3))], seed=seed)
+        .nodes["a"]
+        .disk.content.last_index
         for seed in range(30)
     }
     assert during == ({1, 2, 3} if state == "torn" else {1})
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -78,7 +78,7 @@
     "store append": records.Append,
     "store snapshot": records.Snapshot,
     "log voters": agreement_log.Voters,
-    "log state": agreement_log.State,
+    "log state": agreement_log.SnapshotPayload,
     "wallet credit": wallet_entries.Credit,
     "wallet grant": wallet_entries.Grant,
     "wallet settle": wallet_entries.Settle,
