--- a/limenotch/fleet/consensus/client_requests.py
+++ b/limenotch/fleet/consensus/client_requests.py
@@ -98,7 +98,7 @@
         node = self._node
         if message.process_epoch == node.process_epoch and self._forwarded.pop(message.ticket, None) is not None:
             if message.kind == "refused":
-                node.actions.append(api.ProposalRejected(message.ticket, message.why, message.leader or None))
+                node.actions.append(api.ProposalRejected(message.ticket, message.reason, message.leader or None))
             else:
                 self.respond(Requester(message.ticket), message.kind, message.index)
 
--- a/limenotch/fleet/consensus/messages.py
+++ b/limenotch/fleet/consensus/messages.py
@@ -154,5 +154,5 @@
     ticket: int
     process_epoch: int
     index: int = 0
-    why: str = ""
+    reason: str = ""
     leader: str = ""
--- a/limenotch/fleet_adapters/replicated_notes.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -23,11 +23,14 @@
         self.routes = self._queries.paths
 
     def component(self, state: bytes | None, index: int) -> ReplicatedNotes:
+        """The state machine of the notes, from the state in the log's snapshot. Raises msgspec.DecodeError."""
         self._notes = ReplicatedNotes(state, index)
         return self._notes
 
     def status(self) -> dict[str, Any]:
+        """For GET /fleet: the number of notes, and of log entries that cannot be decoded."""
         return {"kept": len(self._notes), "unreadable": self._notes.unreadable_entries}
 
     def unavailable_response(self, reason: str) -> bytes:
+        """The HTTP response while the log is not running."""
         return unavailable(reason)
--- a/limenotch/lab/fleet/log_run.py
+++ b/limenotch/lab/fleet/log_run.py
@@ -1,7 +1,7 @@
 """The log in simulated time: members with a table on top, clients that propose and read, seeded faults, a checker.
 
-A table of index to proposal id stands in for the layers above. Callers of `Run` drive the clients; `storm(seed)` is one
-run under all kinds of faults at once, the same for the same seed.
+A table of index to proposal id stands in for the layers above. Callers of `Run` drive the clients;
+`run_random_faults(seed)` is one run under all kinds of faults at once, the same for the same seed.
 """
 
 from __future__ import annotations
@@ -198,7 +198,7 @@
         self.checker.check_converged(self.names)
 
 
-def storm(seed: int, duration_ms: float = 4000.0, prepare: Callable[[Run], None] | None = None) -> Run:
+def run_random_faults(seed: int, duration_ms: float = 4000.0, prepare: Callable[[Run], None] | None = None) -> Run:
     """A randomized fault run: three or five voters, up to two learners, clients at every node, faults all the time.
 
     All faults end at the end, and the group must converge. `prepare` is called once a leader is elected.
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -20,7 +20,7 @@
 from limenotch.fleet.consensus.lease import Lease
 from limenotch.fleet.consensus.log import VOTERS, Voters, encode_payload
 from limenotch.lab.fleet import faults
-from limenotch.lab.fleet.log_run import FAST_TUNING, Run, storm
+from limenotch.lab.fleet.log_run import FAST_TUNING, Run, run_random_faults
 from limenotch.store.records import Append, LogEntry, Snapshot, StoredLog, TermVote
 from tests.fleet.log_bugs import INJECTED_BUGS
 
@@ -43,7 +43,7 @@
 def test_randomized_fault_runs_violate_no_invariant(first_seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     _record_transitions(monkeypatch)
     for seed in range(first_seed, first_seed + 15):
-        assert storm(seed, SHORT_RUN_MS).checker.violations == [], seed
+        assert run_random_faults(seed, SHORT_RUN_MS).checker.violations == [], seed
 
 
 def _record_transitions(patch: pytest.MonkeyPatch) -> None:
@@ -57,7 +57,7 @@
 def test_every_transition_of_the_role_table_occurs_and_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
     _record_transitions(monkeypatch)
     for seed in range(20):
-        storm(seed, SHORT_RUN_MS)
+        run_random_faults(seed, SHORT_RUN_MS)
     for role_before in ("leader", "pre-candidate", "candidate"):
         _check_fenced_and_failed(role_before)
     for role_before, message in (
@@ -300,9 +300,9 @@
 @pytest.mark.parametrize("name", sorted(FIRST_FAILING_SEED))
 def test_checker_finds_each_injected_bug(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     INJECTED_BUGS[name](monkeypatch)
-    assert storm(FIRST_FAILING_SEED[name]).checker.violations != []
+    assert run_random_faults(FIRST_FAILING_SEED[name]).checker.violations != []
 
 
 def test_checker_finds_a_conflicting_tail_that_is_not_removed(monkeypatch: pytest.MonkeyPatch) -> None:
     INJECTED_BUGS["conflicting_tail_not_removed"](monkeypatch)
-    assert "two entries committed at 26" in storm(61, SHORT_RUN_MS).checker.violations
+    assert "two entries committed at 26" in run_random_faults(61, SHORT_RUN_MS).checker.violations
--- a/tests/fleet/test_replicated_notes.py
+++ b/tests/fleet/test_replicated_notes.py
@@ -47,18 +47,15 @@
 def test_first_text_stays_and_nothing_is_dropped_when_full(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(notes_module, "MAX_NOTES", 2)
     notes = ReplicatedNotes()
-    first, second = (
-        notes.handle(0.0, OperatorRequest(n, "keep", "x", texts_or_outcomes))[0]
-        for n, texts_or_outcomes in ((1, b"a"), (2, b"b"))
-    )
+    first, second = (notes.handle(0.0, OperatorRequest(n, "keep", "x", text))[0] for n, text in ((1, b"a"), (2, b"b")))
     assert first.id != second.id
-    texts_or_outcomes = [
+    outcomes = [
         answer.outcome
         for answer in actions_of(
             notes, entry(1, "x", b"a"), entry(2, "x", b"b"), ProposalCommitted(1, 1), ProposalCommitted(2, 2)
         )
     ]
-    assert texts_or_outcomes == ["kept", "other"]
+    assert outcomes == ["kept", "other"]
     actions_of(notes, OperatorRequest(3, "keep", "z", b"w"), entry(3, "y"), entry(4, "z"), entry(5, "x", b"a"))
     assert actions_of(notes, ProposalCommitted(3, 4))[0].outcome == "full" and len(notes) == 2
     (answer,) = actions_of(notes, OperatorRequest(5, "read", "z"), ReadReady(5, 5))[1:]
