--- a/limenotch/balancing/endpoint_selection.py
+++ b/limenotch/balancing/endpoint_selection.py
@@ -23,7 +23,7 @@
 SHORT_WAIT_SERVICE_TIMES = 2.0
 # Minimum lead in success rate of the second candidate, for a request whose first attempt restricts retries.
 MIN_SUCCESS_RATE_GAIN = 0.15
-# Time constant of a load report, in windows: an endpoint without requests does not report its shrinking queue.
+# Time constant of a load report, in windows: an endpoint without requests does not report its shorter queue.
 REPORT_FADE_WINDOWS = 0.5
 # A request is urgent if a late response keeps less than this fraction of its weight.
 MIN_TOLERANT_LATE_WEIGHT = 0.5
