--- a/benchmarks/wallet.py
+++ b/benchmarks/wallet.py
@@ -24,62 +24,64 @@
 from time import process_time
 
 from limenotch.fleet import consensus
-from limenotch.fleet.membership import Tuning as Members
+from limenotch.fleet.membership import Tuning as MembershipTuning
 from limenotch.fleet.wallet import api
-from limenotch.fleet.wallet.allocations import Held, Purse
-from limenotch.fleet.wallet.ledger import Book
+from limenotch.fleet.wallet.allocations import LocalAllocation, Spender
+from limenotch.fleet.wallet.ledger import Ledger
 from limenotch.fleet.wallet.tuning import Tuning
 from limenotch.lab.fleet.wallet_run import Run
-from limenotch.lab.fleet.wallet_storm import storm
+from limenotch.lab.fleet.wallet_storm import random_fault_run
 
 PER_S, CREDIT_S, SPAN_MS = 400.0, 20.0, 6000.0
 
 
-def begun(count: int, voters: int, seed: int) -> Run:
+def create_run(count: int, voters: int, seed: int) -> Run:
     names = [f"n{number}" for number in range(count)]
-    run = Run(names, tuple(names[:voters]), Tuning(), log_tuning=consensus.Tuning(), members=Members())
+    run = Run(names, tuple(names[:voters]), Tuning(), log_tuning=consensus.Tuning(), member_tuning=MembershipTuning())
     run.begin(seed)
-    run.begun(60_000)
-    run.watched = frozenset({run.leader() or ""})  # who applies each entry first; no faults here that could change it
+    run.wait_for_leader(60_000)
+    run.observed = frozenset({run.leader() or ""})  # who applies each entry first; no faults here that could change it
     run.world.run(run.now() + 3000)
     return run
 
 
-def spent(seed: int) -> tuple[float, float, float, float]:
+def measure_spending(seed: int) -> tuple[float, float, float, float]:
     """Share before the first pause; calls told to come again, of all before it; ms to pause and to resume."""
-    run, random = begun(9, 3, seed), Random(f"{seed} spent")
+    run, random = create_run(9, 3, seed), Random(f"{seed} spent")
     credit = int(PER_S * CREDIT_S)
-    begin = run.add("t", credit, "first")
+    begin_ms = run.add_credit("t", credit, "first")
     for number, name in enumerate(run.names):
-        run.stream(name, "t", PER_S * (0.9 if not number else 0.1 / 8), random)
-    sums = run.checker.sums["t"]
+        run.send_stream(name, "t", PER_S * (0.9 if not number else 0.1 / 8), random)
+    totals = run.checker.totals["t"]
     run.world.run(run.now() + 1.5 * CREDIT_S * 1000)
-    first = min((turned for turned in sums.turned if turned[0] > begin + 1000), default=(0.0, "", 0))
-    before = sum(at < first[0] for at, _ in sums.served)
-    paused = run.checker.paused_ms("t", begin)
+    first_rejection = min(
+        (rejected for rejected in totals.rejections if rejected[0] > begin_ms + 1000), default=(0.0, "", 0)
+    )
+    reserved_before = sum(at_ms < first_rejection[0] for at_ms, _ in totals.served)
+    paused = run.checker.paused_ms("t", begin_ms)
     for name in run.names:
-        run.stream(name, "t", 50.0)
+        run.send_stream(name, "t", 50.0)
     run.world.run(run.now() + 2000)
-    since = run.add("t", credit, "second")
+    since_ms = run.add_credit("t", credit, "second")
     run.world.run(run.now() + 5000)
     return (
-        first[2] / credit,
-        sums.coming / (before + sums.coming),
+        first_rejection[2] / credit,
+        totals.pending_rejections / (reserved_before + totals.pending_rejections),
         paused,
-        run.checker.resumed_ms("t", since, run.names),
+        run.checker.resumed_ms("t", since_ms, run.names),
     )
 
 
-def traffic(count: int) -> tuple[float, float, float, float]:
+def measure_traffic(count: int) -> tuple[float, float, float, float]:
     """A member and second: bytes of the wallet's messages, of the log's, entries of the log; bytes of membership."""
-    run = begun(count, min(5, count), 1)
-    run.add("t", 10_000_000, "first")
+    run = create_run(count, min(5, count), 1)
+    run.add_credit("t", 10_000_000, "first")
     random = Random("traffic")
     for name in run.names:
-        run.stream(name, "t", 10.0, random)
+        run.send_stream(name, "t", 10.0, random)
     run.world.run(run.now() + 2500)
 
-    def said(prefix: str) -> int:
+    def sent_bytes(prefix: str) -> int:
         return sum(
             size
             for node in run.world.nodes.values()
@@ -87,42 +89,42 @@
             if tag.startswith(prefix)
         )
 
-    before = [said("wa."), said("ag."), run.checker.index, said("mb.")]
+    before = [sent_bytes("wa."), sent_bytes("ag."), run.checker.last_index, sent_bytes("mb.")]
     run.world.run(run.now() + SPAN_MS)
-    after = [said("wa."), said("ag."), run.checker.index, said("mb.")]
+    after = [sent_bytes("wa."), sent_bytes("ag."), run.checker.last_index, sent_bytes("mb.")]
     scale = count * SPAN_MS / 1000
     wallet, log, entries, members = ((now - then) / scale for now, then in zip(after, before, strict=True))
     return wallet, log, entries, members
 
 
-def cost(calls: int = 200_000) -> tuple[float, float]:
-    """us a call: reserve and charge, the part told when the purse wants it left out; two calls of nothing."""
-    purse = Purse(Tuning(), Book())
-    one = Held(1, calls * 2, 0, (("a", 1),), 0.0)
-    one.asked = calls * 2
-    one.acked(("a", 1), calls * 2)
-    purse.got(0.0, "t", one)
-    purse.until = 1e12
-    purse.point(purse.accounts["t"])
-    reserve, charge = purse.reserve, purse.charge
-    began = process_time()
+def measure_cost(calls: int = 200_000) -> tuple[float, float]:
+    """us a call: reserve and charge, the part told when the purse wants it left out; two calls without effect."""
+    spender = Spender(Tuning(), Ledger())
+    allocation = LocalAllocation(1, calls * 2, 0, (("a", 1),), 0.0)
+    allocation.requested_limit = calls * 2
+    allocation.acknowledge(("a", 1), calls * 2)
+    spender.add_allocation(0.0, "t", allocation)
+    spender.lease_expires_at_ms = 1e12
+    spender.select_current(spender.accounts["t"])
+    reserve, charge = spender.reserve, spender.charge
+    began_s = process_time()
     for number in range(calls):
-        got = reserve(float(number), "t", "read")
-        assert not isinstance(got, api.Turned)
-        charge(float(number), got)
-    spent_s = process_time() - began
+        decision = reserve(float(number), "t", "read")
+        assert not isinstance(decision, api.Rejected)
+        charge(float(number), decision)
+    spent_s = process_time() - began_s
 
-    def nothing(now: float, what: object, kind: str = "") -> None:
+    def no_op(now: float, subject: object, request_class: str = "") -> None:
         return None
 
-    began = process_time()
+    began_s = process_time()
     for number in range(calls):
-        nothing(float(number), "t", "read")
-        nothing(float(number), None)
-    return spent_s / calls * 1e6, (process_time() - began) / calls * 1e6
+        no_op(float(number), "t", "read")
+        no_op(float(number), None)
+    return spent_s / calls * 1e6, (process_time() - began_s) / calls * 1e6
 
 
-def of(values: Sequence[float], share: float) -> float:
+def percentile(values: Sequence[float], share: float) -> float:
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
@@ -134,37 +136,37 @@
     parser.add_argument("--members", default="9,50,200")
     parser.add_argument("--only", default="spent,storms,bytes,cost")
     arguments = parser.parse_args()
-    wanted, tuning = arguments.only.split(","), Tuning()
-    if "spent" in wanted:
-        runs = [spent(seed) for seed in range(arguments.seeds)]
-        shares, coming, paused, resumed = zip(*runs, strict=True)
+    selected, tuning = arguments.only.split(","), Tuning()
+    if "spent" in selected:
+        runs = [measure_spending(seed) for seed in range(arguments.seeds)]
+        shares, pending, paused, resumed = zip(*runs, strict=True)
         print(
             f"spent before the first pause, {len(runs)} seeds: {min(shares):.2%} at least, "
-            f"median {median(shares):.2%}; told to come again {of(coming, 0.5):.2%} of calls, "
-            f"{max(coming):.2%} at most"
+            f"median {median(shares):.2%}; with a pending allocation {percentile(pending, 0.5):.2%} of requests, "
+            f"{max(pending):.2%} at most"
         )
-        for what, values, stated in (("pause", paused, tuning.pause_ms), ("resume", resumed, tuning.resume_ms)):
-            print(f"ms to {what}: median {median(values):.0f}, longest {max(values):.0f}, stated {stated:.0f}")
-    if "storms" in wanted:
-        over = failed = calls = 0
+        for phase, values, stated in (("pause", paused, tuning.pause_ms), ("resume", resumed, tuning.resume_ms)):
+            print(f"ms to {phase}: median {median(values):.0f}, maximum {max(values):.0f}, stated {stated:.0f}")
+    if "storms" in selected:
+        overspent = failed = calls = 0
         for seed in range(arguments.first, arguments.first + arguments.storms):
             try:
-                calls += storm(seed).calls
+                calls += random_fault_run(seed).request_count
             except AssertionError as error:
                 failed += 1
-                over += "overspent" in str(error)
+                overspent += "overspent" in str(error)
                 print(f"storm {seed}: {error}")
-        print(f"storms: {arguments.storms}, {calls} calls; with overspend {over}, with anything wrong {failed}")
-    if "bytes" in wanted:
+        print(f"storms: {arguments.storms}, {calls} requests; with overspend {overspent}, with any fault {failed}")
+    if "bytes" in selected:
         print("members  wallet B/s  log B/s  entries/s  membership B/s   (a member)")
         for count in map(int, arguments.members.split(",")):
-            wallet, log, entries, members = traffic(count)
+            wallet, log, entries, members = measure_traffic(count)
             print(f"{count:7}  {wallet:10.0f}  {log:7.0f}  {entries:9.2f}  {members:14.0f}")
-    if "cost" in wanted:
-        runs_us = [cost() for _ in range(5)]
+    if "cost" in selected:
+        runs_us = [measure_cost() for _ in range(5)]
         print(
-            f"reserve + charge: {min(us for us, _ in runs_us):.2f} us of CPU a call; "
-            f"two calls of nothing {min(us for _, us in runs_us):.2f}"
+            f"reserve + charge: {min(us for us, _ in runs_us):.2f} us of CPU a request; "
+            f"two calls without effect {min(us for _, us in runs_us):.2f}"
         )
 
 
--- a/benchmarks/wallet_cost.py
+++ b/benchmarks/wallet_cost.py
@@ -22,73 +22,74 @@
 from types import SimpleNamespace
 from typing import Any
 
-from limenotch.fleet.wallet.allocations import Held, Purse
-from limenotch.fleet.wallet.api import Turned
-from limenotch.fleet.wallet.ledger import Book
+from limenotch.fleet.wallet.allocations import LocalAllocation, Spender
+from limenotch.fleet.wallet.api import Rejected
+from limenotch.fleet.wallet.ledger import Ledger
 from limenotch.fleet.wallet.tuning import Tuning
-from limenotch.fleet_adapters.wallet import Till
+from limenotch.fleet_adapters.wallet import RequestCharger
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.lab.fleet.processes import NodeProcess, Processes, fleet_table
 from limenotch.net.request import FinalResponse, Verdict
 
 from .replicated_notes import SETTINGS, TURN, listed, provider, turn
 
-ROUND = 20_000  # calls of the purse alone
+REQUESTS_PER_ROUND = 20_000  # calls of the purse alone
 ROUNDS = 9
 CREDIT = 100_000_000
 SERVED = FinalResponse(Verdict.SERVED)
 
 
-def a_purse() -> Purse:
+def create_spender() -> Spender:
     """With a slice that lasts for all rounds."""
-    purse = Purse(Tuning(tenants=("acme",)), Book())
-    held = Held(1, CREDIT, 0, (("a", 1), ("b", 1), ("c", 1)), 0.0)
-    held.open = held.asked = CREDIT
-    held.fit()
-    account = purse.got(0.0, "acme", held)
-    purse.point(account)
-    purse.touched.clear()
-    purse.until = float("inf")
-    return purse
-
-
-def of_the_purse() -> float:
+    spender = Spender(Tuning(tenants=("acme",)), Ledger())
+    allocation = LocalAllocation(1, CREDIT, 0, (("a", 1), ("b", 1), ("c", 1)), 0.0)
+    allocation.open_limit = allocation.requested_limit = CREDIT
+    allocation.update_available()
+    account = spender.add_allocation(0.0, "acme", allocation)
+    spender.select_current(account)
+    spender.changed_tenants.clear()
+    spender.lease_expires_at_ms = float("inf")
+    return spender
+
+
+def measure_spender() -> float:
     """us a call."""
-    purse, rounds = a_purse(), []
+    spender, rounds = create_spender(), []
     for _ in range(ROUNDS):
         before = process_time_ns()
-        for _ in range(ROUND):
-            reservation = purse.reserve(1.0, "acme", "look")
-            assert not isinstance(reservation, Turned)
-            purse.charge(1.0, reservation)
-        rounds.append((process_time_ns() - before) / ROUND / 1000.0)
+        for _ in range(REQUESTS_PER_ROUND):
+            reservation = spender.reserve(1.0, "acme", "look")
+            assert not isinstance(reservation, Rejected)
+            spender.charge(1.0, reservation)
+        rounds.append((process_time_ns() - before) / REQUESTS_PER_ROUND / 1000.0)
     return statistics.median(rounds)
 
 
-def of_the_layer() -> float:
+def measure_interceptor() -> float:
     """us a call."""
 
     async def case() -> float:
-        till = Till(Tuning(tenants=("acme",)), lambda: None, SimpleNamespace(off=()))
-        till.purse = a_purse()
-        calls: list[Any] = [
-            SimpleNamespace(number=n, tenant="acme", kind="look", paid=False, final=None) for n in range(ROUND)
+        charger = RequestCharger(Tuning(tenants=("acme",)), lambda: None, SimpleNamespace(off=()))
+        charger.spender = create_spender()
+        requests: list[Any] = [
+            SimpleNamespace(number=n, tenant="acme", kind="look", paid=False, final=None)
+            for n in range(REQUESTS_PER_ROUND)
         ]
         rounds = []
         for _ in range(ROUNDS):
             before = process_time_ns()
-            for call in calls:
-                if till.request_received(call) is not None:
-                    raise RuntimeError("turned away")
-                call.final = SERVED
-                till.request_closed(call)
-            rounds.append((process_time_ns() - before) / ROUND / 1000.0)
+            for request in requests:
+                if charger.request_received(request) is not None:
+                    raise RuntimeError("request rejected")
+                request.final = SERVED
+                charger.request_closed(request)
+            rounds.append((process_time_ns() - before) / REQUESTS_PER_ROUND / 1000.0)
         return statistics.median(rounds)
 
     return asyncio.run(case())
 
 
-async def sidecars(folder: Path, known: dict[str, Any]) -> Processes:
+async def start_sidecars(folder: Path, listed_endpoints: dict[str, Any]) -> Processes:
     """`paying`, `fleet` (the same without a wallet) and `alone`."""
     (folder / "key").write_text("a key of a benchmark alone")
     processes = Processes()
@@ -96,7 +97,7 @@
     def toml(node: NodeProcess) -> str:
         if node.name == "alone":
             return ""
-        more: dict[str, Any] = {
+        fleet_settings: dict[str, Any] = {
             "group": node.name,
             "key_file": str(folder / "key"),
             "voters": [node.name],
@@ -105,11 +106,11 @@
         if node.name == "paying":
             # A turn comes at once after a rest, so its rate is not known: slices as large as they would soon be, and
             # none is called back while others have their turns.
-            more["wallet"] = {"tenants": ["acme"], "least_slice": 10 * TURN, "idle_ms": 60_000.0}
-        return fleet_table(f"127.0.0.1:{free_port()}", {}, more)
+            fleet_settings["wallet"] = {"tenants": ["acme"], "least_slice": 10 * TURN, "idle_ms": 60_000.0}
+        return fleet_table(f"127.0.0.1:{free_port()}", {}, fleet_settings)
 
     for name in ("paying", "fleet", "alone"):
-        processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, known, toml))
+        processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, listed_endpoints, toml))
     await processes.start()
     await processes.until_all(
         lambda name, state: state["parts"]["agreement"].get("leader") == name, 30, "each leads", ["paying", "fleet"]
@@ -125,7 +126,7 @@
     return processes
 
 
-async def measured(processes: Processes, name: str) -> float:
+async def measure_turn(processes: Processes, name: str) -> float:
     """One turn, in us a call, after some calls that are not counted: until a slice is there."""
     node = processes.nodes[name]
 
@@ -140,31 +141,31 @@
     return await turn(node, TURN) * 1000.0
 
 
-async def on_processes(folder: Path, calls: int) -> None:
+async def measure_on_processes(folder: Path, calls: int) -> None:
     server = await asyncio.start_server(provider, "127.0.0.1", 0)
-    known = listed("127.0.0.1:%d" % server.sockets[0].getsockname()[1])  # noqa: UP031
-    processes = await sidecars(folder, known)
+    listed_endpoints = listed("127.0.0.1:%d" % server.sockets[0].getsockname()[1])  # noqa: UP031
+    processes = await start_sidecars(folder, listed_endpoints)
     names = list(processes.nodes)
     spent: dict[str, list[float]] = {name: [] for name in names}
     try:
         for number in range(max(4, calls // TURN)):
-            for place in range(len(names)):
-                name = names[(place + number) % len(names)]
-                spent[name].append(await measured(processes, name))
+            for offset in range(len(names)):
+                name = names[(offset + number) % len(names)]
+                spent[name].append(await measure_turn(processes, name))
     finally:
         await processes.close()
         server.close()
     us = {name: statistics.median(turns[1:]) for name, turns in spent.items()}
-    print("| a call's CPU, us | ratio to the fleet without a wallet | ratio to no fleet |\n| --- | --- | --- |")
+    print("| a request's CPU, us | ratio to the fleet without a wallet | ratio to no fleet |\n| --- | --- | --- |")
     for name, what in (("paying", "fleet and wallet"), ("fleet", "fleet, no wallet"), ("alone", "no fleet")):
         print(f"| {what}: {us[name]:.1f} | {us[name] / us['fleet']:.3f} | {us[name] / us['alone']:.3f} |")
 
 
 def main(arguments: list[str]) -> None:
     print(json.dumps({"cores": os.cpu_count(), "load": [round(one, 1) for one in os.getloadavg()]}))
-    print(f"reserve and charge: {of_the_purse():.2f} us a call; with the layer around them: {of_the_layer():.2f} us")
+    print(f"reserve and charge: {measure_spender():.2f} us a request; with interceptor: {measure_interceptor():.2f} us")
     with tempfile.TemporaryDirectory(ignore_cleanup_errors=True) as folder:
-        asyncio.run(on_processes(Path(folder), int(arguments[0]) if arguments else 20_000))
+        asyncio.run(measure_on_processes(Path(folder), int(arguments[0]) if arguments else 20_000))
 
 
 if __name__ == "__main__":
--- a/limenotch/fleet/wallet/api.py
+++ b/limenotch/fleet/wallet/api.py
@@ -22,17 +22,17 @@
     """
 
     ticket: int
-    what: str
+    action: str
     tenant: str = ""
     amount: int = 0
     id: str = ""
 
 
-class Look(NamedTuple):
+class DemandChanged(NamedTuple):
     """The purse wants something: a slice is running low, or somebody was turned away."""
 
 
-class Witnesses(NamedTuple):
+class VotersChanged(NamedTuple):
     """Who votes on the log now; the leader makes the living ones witnesses of new slices."""
 
     names: tuple[str, ...]
@@ -46,7 +46,7 @@
     counted: how much that id was for."""
 
     ticket: int
-    word: str
+    outcome: str
     text: str = ""
     body: Any = None
 
@@ -59,21 +59,23 @@
 
     tenant: str
     cost: int
-    slices: tuple[tuple[int, int], ...] = ()  # serial and units; serial 0: of the advance
+    allocations: tuple[tuple[int, int], ...] = ()  # serial and units; serial 0: of the advance
 
 
-class Turned(NamedTuple):
+class Rejected(NamedTuple):
     """Nothing to spend here now: 429. `coming`: there is credit and it is being asked for; a host that can hold a call
     for `retry_after_ms` may ask once more then."""
 
     retry_after_ms: float
-    coming: bool = False
+    allocation_pending: bool = False
 
 
-class Purse(Protocol):
+class Spender(Protocol):
     """Each Reservation is ended once, by `charge` or `give_back`."""
 
-    def reserve(self, now: float, tenant: str, kind: str, paid: bool = False) -> Reservation | Turned:
+    def reserve(
+        self, now: float, tenant: str, request_class: str, already_charged: bool = False
+    ) -> Reservation | Rejected:
         """For a call that was taken; `paid`: a repeat of one that was charged. Never waits."""
         ...
 
@@ -81,10 +83,10 @@
         """It was served."""
         ...
 
-    def give_back(self, now: float, reservation: Reservation) -> None:
+    def release(self, now: float, reservation: Reservation) -> None:
         """It was rejected, failed, or its consumer has gone."""
         ...
 
-    def wants(self) -> bool: ...
+    def has_changes(self) -> bool: ...
 
     def status(self) -> Mapping[str, Any]: ...
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -29,17 +29,17 @@
 from ..interfaces import Carrier, LogLine, MessageReceived, SendToMember, SetTimer
 from ..leases import NEVER
 from . import entries, messages
-from .allocations import Purse
-from .api import Look, OperatorRequest, Witnesses
-from .lease import Holder
-from .ledger import Applied, Book
-from .operator_requests import Asks
-from .quota_grants import Granting
-from .quota_holder import Holding
-from .spend_witness import Memory
+from .allocations import Spender
+from .api import DemandChanged, OperatorRequest, VotersChanged
+from .lease import SpendLease
+from .ledger import Applied, Ledger
+from .operator_requests import OperatorRequestHandler
+from .quota_grants import AllocationGranter
+from .quota_holder import AllocationHolder
+from .spend_witness import SpendWitness
 from .tuning import Tuning
 
-OWN_AT = ("", 0)  # where what is said to oneself comes from
+OWN_ADDRESS = ("", 0)  # where what is said to oneself comes from
 
 
 class Wallet:
@@ -54,300 +54,335 @@
         state: bytes | None = None,
     ) -> None:
         self.name, self.process_epoch, self.tuning = name, process_epoch, tuning or Tuning()
-        self.book = Book()
+        self.ledger = Ledger()
         if state is not None:
-            self.book.install(state)
-        self.purse = Purse(self.tuning, self.book)
-        self.lease = Holder(self.tuning)
-        self.memory = Memory(self.book, self.tuning.most_tenants)
+            self.ledger.install(state)
+        self.spender = Spender(self.tuning, self.ledger)
+        self.lease = SpendLease(self.tuning)
+        self.spend_witness = SpendWitness(self.ledger, self.tuning.most_tenants)
         self.counts: dict[str, int] = {}
         self.leader: str | None = None
         self.term = 0
-        own = (name, process_epoch)
-        self.holding = Holding(own, self.book, self.purse, self.memory, self.tuning, self._propose)
-        self.granting = Granting(name, process_epoch, self.book, self.tuning, tuple(voters), self._propose)
-        self.asks = Asks(self.book, self.tuning, self._number)
-        self._out: list[Any] = []
+        own_id = (name, process_epoch)
+        self.allocation_holder = AllocationHolder(
+            own_id, self.ledger, self.spender, self.spend_witness, self.tuning, self._propose
+        )
+        self.granter = AllocationGranter(name, process_epoch, self.ledger, self.tuning, tuple(voters), self._propose)
+        self.operator_requests = OperatorRequestHandler(self.ledger, self.tuning, self._next_ticket)
+        self._actions: list[Any] = []
         self._now = -NEVER
-        self._armed = NEVER
-        self._ask_at = NEVER
+        self._timer_at_ms = NEVER
+        self._request_lease_at_ms = NEVER
         self._ticket = 0
-        self._tickets: dict[int, str] = {}  # what was proposed: settle, grant, expire
-        self._waiting: dict[tuple[str, int], messages.AskLease] = {}  # asks for a lease, until the log says it leads
+        self._proposal_kinds: dict[int, str] = {}  # what was proposed: settle, grant, expire
+        self._lease_requests: dict[
+            tuple[str, int], messages.LeaseRequest
+        ] = {}  # asks for a lease, until the log says it leads
         # ticket: term, the asks before
-        self._reads: dict[int, tuple[int, dict[tuple[str, int], messages.AskLease]]] = {}
-        self._events: dict[type, Callable[[Any], None]] = {
+        self._pending_reads: dict[int, tuple[int, dict[tuple[str, int], messages.LeaseRequest]]] = {}
+        self._event_handlers: dict[type, Callable[[Any], None]] = {
             interfaces.Started: lambda event: None,
-            interfaces.MessageReceived: self._heard,
-            interfaces.TimerFired: self._fired,
-            interfaces.ShutdownStarted: lambda event: self._leave(),
-            interfaces.MemberChanged: self._member,
+            interfaces.MessageReceived: self._message_received,
+            interfaces.TimerFired: self._timer_fired,
+            interfaces.ShutdownStarted: lambda event: self._shutdown_started(),
+            interfaces.MemberChanged: self._member_changed,
             interfaces.Fenced: lambda event: self._fenced(),
-            Look: lambda event: None,
-            OperatorRequest: lambda event: self.asks.ask(self._now, event),
-            Witnesses: lambda event: setattr(self.granting, "voters", event.names),
-            log.EntryCommitted: self._agreed,
-            log.SnapshotInstalled: self._install,
-            log.LeaderChanged: self._led,
-            log.ProposalCommitted: lambda event: self._ended(event.ticket, "promised", "", event.index),
-            log.ProposalRejected: lambda event: self._ended(event.ticket, "refused", event.why),
-            log.OutcomeUnknown: lambda event: self._ended(event.ticket, "unknown", "ask again with the same id"),
-            log.ReadReady: self._ready,
+            DemandChanged: lambda event: None,
+            OperatorRequest: lambda event: self.operator_requests.submit(self._now, event),
+            VotersChanged: lambda event: setattr(self.granter, "voters", event.names),
+            log.EntryCommitted: self._entry_committed,
+            log.SnapshotInstalled: self._snapshot_installed,
+            log.LeaderChanged: self._leader_changed,
+            log.ProposalCommitted: lambda event: self._proposal_ended(event.ticket, "committed", "", event.index),
+            log.ProposalRejected: lambda event: self._proposal_ended(event.ticket, "refused", event.reason),
+            log.OutcomeUnknown: lambda event: self._proposal_ended(
+                event.ticket, "unknown", "ask again with the same id"
+            ),
+            log.ReadReady: self._read_ready,
         }
-        self._messages: dict[type, Callable[[str, Any], None]] = {
-            messages.AskLease: self._asked,
-            messages.Lease: self._leased,
-            messages.Mark: self._marked,
-            messages.Held: self._held,
-            messages.Want: lambda sender, want: self.granting.wanted(self._now, sender, want),
-            messages.Recall: self._recalled,
-            messages.Question: self._questioned,
-            messages.Told: lambda sender, told: self.granting.told(self._now, sender, told),
+        self._message_handlers: dict[type, Callable[[str, Any], None]] = {
+            messages.LeaseRequest: self._lease_requested,
+            messages.LeaseGrant: self._lease_received,
+            messages.SpendLimitRequest: self._limits_requested,
+            messages.SpendLimitAck: self._limits_acknowledged,
+            messages.AllocationRequest: lambda sender, request: self.granter.requests_received(
+                self._now, sender, request
+            ),
+            messages.Recall: self._recall_received,
+            messages.WitnessQuery: self._witness_queried,
+            messages.WitnessReply: lambda sender, reply: self.granter.reply_received(self._now, sender, reply),
         }
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.leader == self.name
 
     def handle(self, now: float, event: Any) -> list[Any]:
         if now < self._now:
-            raise ValueError(f"time runs back from {self._now} to {now}")
-        do = self._events.get(type(event))
-        if do is None:
-            raise TypeError(f"no event of the wallet: {event!r}")
+            raise ValueError(f"clock moved backwards from {self._now} to {now}")
+        handler = self._event_handlers.get(type(event))
+        if handler is None:
+            raise TypeError(f"unexpected event: {event!r}")
         self._now = now
-        self._out = self.holding.out = self.granting.out = self.asks.out = []
-        do(event)
+        self._actions = self.allocation_holder.actions = self.granter.actions = self.operator_requests.actions = []
+        handler(event)
         self._tick()
-        self._to_oneself()
-        self._arm()
-        return self._out
+        self._deliver_to_self()
+        self._arm_timer()
+        return self._actions
 
     def state(self) -> bytes:
         """For the log's snapshot, of exactly this moment."""
-        return self.book.state()
+        return self.ledger.state()
 
     # Events
 
-    def _fired(self, event: interfaces.TimerFired) -> None:
-        if self._now >= self._armed:
-            self._armed = NEVER
+    def _timer_fired(self, event: interfaces.TimerFired) -> None:
+        if self._now >= self._timer_at_ms:
+            self._timer_at_ms = NEVER
 
-    def _heard(self, event: MessageReceived) -> None:
-        do = self._messages.get(type(event.message))
-        if do is None:
+    def _message_received(self, event: MessageReceived) -> None:
+        handler = self._message_handlers.get(type(event.message))
+        if handler is None:
             self._count("no message of the wallet")
         else:
-            do(event.sender, event.message)
+            handler(event.sender, event.message)
 
-    def _member(self, event: interfaces.MemberChanged) -> None:
-        members = self.granting.members
+    def _member_changed(self, event: interfaces.MemberChanged) -> None:
+        members = self.granter.members
         if event.name in members or len(members) < self.tuning.most_holders:
             members[event.name] = event.state
 
     def _fenced(self) -> None:
         """What others said of this process is void for leases; its memory as a witness is as true as before."""
         self.lease.release()
-        self.purse.until = -NEVER
-        self.holding.void()
-        self._reads.clear()
-        self._waiting.clear()
-        self._ask_at = self._now if self.leader is not None else NEVER
+        self.spender.lease_expires_at_ms = -NEVER
+        self.allocation_holder.reduce_all()
+        self._pending_reads.clear()
+        self._lease_requests.clear()
+        self._request_lease_at_ms = self._now if self.leader is not None else NEVER
 
-    def _leave(self) -> None:
-        self.holding.leaving = True
-        self.holding.void()
+    def _shutdown_started(self) -> None:
+        self.allocation_holder.shutting_down = True
+        self.allocation_holder.reduce_all()
 
     # The log
 
-    def _number(self) -> int:
+    def _next_ticket(self) -> int:
         self._ticket += 1
         return self._ticket
 
-    def _propose(self, what: tuple[entries.Entry, ...], why: str) -> int:
-        ticket = self._number()
-        self._tickets[ticket] = why
-        self._out.append(log.Propose(ticket, entries.encode(what)))
+    def _propose(self, wallet_entries: tuple[entries.Entry, ...], kind: str) -> int:
+        ticket = self._next_ticket()
+        self._proposal_kinds[ticket] = kind
+        self._actions.append(log.Propose(ticket, entries.encode(wallet_entries)))
         return ticket
 
-    def _ended(self, ticket: int, word: str, why: str, index: int = 0) -> None:
-        what = self._tickets.pop(ticket, "")
-        if what == "settle":
-            self.holding.told()
-        elif what:
-            if word == "unknown":
-                self.granting.unknown(ticket)
+    def _proposal_ended(self, ticket: int, outcome: str, reason: str, index: int = 0) -> None:
+        kind = self._proposal_kinds.pop(ticket, "")
+        if kind == "settle":
+            self.allocation_holder.settlement_ended()
+        elif kind:
+            if outcome == "unknown":
+                self.granter.proposal_outcome_unknown(ticket)
             else:
-                self.granting.ended(ticket, word == "promised")
-        elif word == "promised":
-            self.asks.promised(ticket, index)
-        elif self._reads.pop(ticket, None) is None:
-            self.asks.ended(ticket, word, why)
-
-    def _agreed(self, event: log.EntryCommitted) -> None:
-        told = entries.decode(event.data)
-        if told is None:
+                self.granter.proposal_ended(ticket, outcome == "committed")
+        elif outcome == "committed":
+            self.operator_requests.proposal_committed(ticket, index)
+        elif self._pending_reads.pop(ticket, None) is None:
+            self.operator_requests.request_ended(ticket, outcome, reason)
+
+    def _entry_committed(self, event: log.EntryCommitted) -> None:
+        wallet_entries = entries.decode(event.data)
+        if wallet_entries is None:
             self._count("no entry of the wallet")
             return
-        for applied in self.book.apply(event.index, event.term, told):
+        for applied in self.ledger.apply(event.index, event.term, wallet_entries):
             if not applied.ok:
-                self._count(f"{type(applied.entry).__name__} {applied.word}")
-            self._applied(event.index, applied)
+                self._count(f"{type(applied.entry).__name__} {applied.outcome}")
+            self._entry_applied(event.index, applied)
 
-    def _applied(self, index: int, applied: Applied) -> None:
+    def _entry_applied(self, index: int, applied: Applied) -> None:
         entry = applied.entry
         if isinstance(entry, entries.Credit):
-            self.asks.applied(index, applied)
+            self.operator_requests.credit_applied(index, applied)
             if applied.ok:
-                self._out.append(LogLine(f"paid {entry.tenant} {entry.amount}", {"id": entry.id}))
-                self.holding.paid(entry.tenant)
+                self._actions.append(LogLine(f"paid {entry.tenant} {entry.amount}", {"id": entry.id}))
+                self.allocation_holder.credit_added(entry.tenant)
         elif applied.ok:
-            mine = (entry.name, entry.process_epoch) == (self.name, self.process_epoch)
-            owner = (entry.name, entry.process_epoch)
+            is_own = (entry.name, entry.process_epoch) == (self.name, self.process_epoch)
+            holder = (entry.name, entry.process_epoch)
             if isinstance(entry, entries.Grant):
-                self.memory.granted(entry.tenant, owner, entry.serial)
-                one = self.book.slice(entry.tenant, *owner, entry.serial)
-                if mine and one is not None:
-                    self.holding.granted(self._now, entry.tenant, entry.serial, one)
+                self.spend_witness.allocation_granted(entry.tenant, holder, entry.serial)
+                allocation = self.ledger.slice(entry.tenant, *holder, entry.serial)
+                if is_own and allocation is not None:
+                    self.allocation_holder.allocation_granted(self._now, entry.tenant, entry.serial, allocation)
             elif isinstance(entry, entries.Advance):
-                if mine:
-                    self.holding.advanced(entry.tenant, entry.amount)
+                if is_own:
+                    self.allocation_holder.advance_recorded(entry.tenant, entry.amount)
             else:
                 if isinstance(entry, entries.Expire):
-                    what = "back" if entry.told else "lost"
-                    self._out.append(LogLine(f"{what} {entry.tenant} {applied.amount}", {"of": entry.name}))
-                if self.book.slice(entry.tenant, *owner, entry.serial) is None:
-                    self.memory.ended(entry.tenant, owner, entry.serial)
-                    if mine:
-                        self.holding.ended(entry.tenant, entry.serial)
-        self.granting.changed(entry.tenant)
-
-    def _install(self, event: log.SnapshotInstalled) -> None:
-        self.book.install(event.state)
-        self.memory.installed()
-        self.holding.installed(self._now)
-
-    def _led(self, event: log.LeaderChanged) -> None:
+                    what = "back" if entry.witnessed else "lost"
+                    self._actions.append(LogLine(f"{what} {entry.tenant} {applied.amount}", {"of": entry.name}))
+                if self.ledger.slice(entry.tenant, *holder, entry.serial) is None:
+                    self.spend_witness.allocation_ended(entry.tenant, holder, entry.serial)
+                    if is_own:
+                        self.allocation_holder.allocation_ended(entry.tenant, entry.serial)
+        self.granter.ledger_changed(entry.tenant)
+
+    def _snapshot_installed(self, event: log.SnapshotInstalled) -> None:
+        self.ledger.install(event.state)
+        self.spend_witness.ledger_replaced()
+        self.allocation_holder.ledger_replaced(self._now)
+
+    def _leader_changed(self, event: log.LeaderChanged) -> None:
         if (event.name, event.term) == (self.leader, self.term):
             return
         self.leader, self.term = event.name, event.term
-        self._waiting.clear()
-        self._reads.clear()
-        if self.leads:
-            self.granting.begin(self._now, event.term)
+        self._lease_requests.clear()
+        self._pending_reads.clear()
+        if self.is_leader:
+            self.granter.begin(self._now, event.term)
         else:
-            self.granting.end()
-        self._ask_at = self._now if event.name is not None else NEVER
+            self.granter.end()
+        self._request_lease_at_ms = self._now if event.name is not None else NEVER
 
     # Leases
 
-    def _ask_lease(self) -> None:
+    def _request_lease(self) -> None:
         if self.leader is None:
-            self._ask_at = NEVER
+            self._request_lease_at_ms = NEVER
             return
-        self._out.append(
+        self._actions.append(
             SendToMember(
-                self.leader, messages.AskLease(self.lease.request(self._now), self.process_epoch), Carrier.DATAGRAM
+                self.leader, messages.LeaseRequest(self.lease.request(self._now), self.process_epoch), Carrier.DATAGRAM
             )
         )
-        self._ask_at = self._now + self.tuning.lease_ms / 3
+        self._request_lease_at_ms = self._now + self.tuning.lease_ms / 3
 
-    def _asked(self, sender: str, ask: messages.AskLease) -> None:
-        if not self.leads:
+    def _lease_requested(self, sender: str, request: messages.LeaseRequest) -> None:
+        if not self.is_leader:
             return
-        key = (sender, ask.process_epoch)
-        known = self._waiting.get(key)
-        if len(self._waiting) < self.tuning.most_holders and (known is None or known.serial < ask.serial):
-            self._waiting[key] = ask
-
-    def _ready(self, event: log.ReadReady) -> None:
-        if event.ticket not in self._reads:
-            self.asks.ready(event.ticket)
+        key = (sender, request.process_epoch)
+        previous = self._lease_requests.get(key)
+        if len(self._lease_requests) < self.tuning.most_holders and (
+            previous is None or previous.serial < request.serial
+        ):
+            self._lease_requests[key] = request
+
+    def _read_ready(self, event: log.ReadReady) -> None:
+        if event.ticket not in self._pending_reads:
+            self.operator_requests.read_ready(event.ticket)
             return
-        term, asks = self._reads.pop(event.ticket)
-        if not self.leads or term != self.term:
+        term, requests = self._pending_reads.pop(event.ticket)
+        if not self.is_leader or term != self.term:
             return
-        for (name, _), ask in asks.items():
-            lease = self.granting.lease(self._now, name, ask)
-            if lease is not None:
-                self._out.append(SendToMember(name, lease, Carrier.DATAGRAM))
+        for (name, _), request in requests.items():
+            grant = self.granter.grant_lease(self._now, name, request)
+            if grant is not None:
+                self._actions.append(SendToMember(name, grant, Carrier.DATAGRAM))
 
-    def _leased(self, sender: str, lease: messages.Lease) -> None:
-        if lease.process_epoch == self.process_epoch:
-            self.lease.grant(lease)
+    def _lease_received(self, sender: str, grant: messages.LeaseGrant) -> None:
+        if grant.process_epoch == self.process_epoch:
+            self.lease.add_grant(grant)
 
     # Marks and recalls
 
-    def _marked(self, sender: str, mark: messages.Mark) -> None:
-        owner = (sender, mark.process_epoch)
-        held = tuple(one for one in mark.marks[: messages.MOST] if self.memory.tell(one[0], owner, one[1], one[2]))
-        if held:
-            carrier = messages.carrier([one[0] for one in held])
-            self._out.append(SendToMember(sender, messages.Held(self.process_epoch, mark.process_epoch, held), carrier))
+    def _limits_requested(self, sender: str, request: messages.SpendLimitRequest) -> None:
+        holder = (sender, request.process_epoch)
+        recorded = tuple(
+            item
+            for item in request.limits[: messages.MAX_ITEMS]
+            if self.spend_witness.record_limit(item[0], holder, item[1], item[2])
+        )
+        if recorded:
+            carrier = messages.choose_carrier([item[0] for item in recorded])
+            self._actions.append(
+                SendToMember(
+                    sender, messages.SpendLimitAck(self.process_epoch, request.process_epoch, recorded), carrier
+                )
+            )
 
-    def _held(self, sender: str, held: messages.Held) -> None:
-        if held.holder == self.process_epoch:
-            self.holding.held((sender, held.process_epoch), held.marks)
+    def _limits_acknowledged(self, sender: str, ack: messages.SpendLimitAck) -> None:
+        if ack.holder_epoch == self.process_epoch:
+            self.allocation_holder.limits_acknowledged((sender, ack.process_epoch), ack.limits)
 
-    def _recalled(self, sender: str, recall: messages.Recall) -> None:
+    def _recall_received(self, sender: str, recall: messages.Recall) -> None:
         if recall.process_epoch == self.process_epoch:
-            self.holding.recalled(self._now, recall.recalls)
+            self.allocation_holder.recalls_received(self._now, recall.recalls)
 
-    def _questioned(self, sender: str, asked: messages.Question) -> None:
-        marks = tuple(
-            self.memory.mark(tenant, (asked.name, asked.process_epoch), serial)
-            for tenant, serial in asked.slices[: messages.MOST]
+    def _witness_queried(self, sender: str, query: messages.WitnessQuery) -> None:
+        limits = tuple(
+            self.spend_witness.limit(tenant, (query.name, query.process_epoch), serial)
+            for tenant, serial in query.allocations[: messages.MAX_ITEMS]
         )
-        self._out.append(
-            SendToMember(sender, messages.Told(asked.number, asked.asker, self.process_epoch, marks), Carrier.STREAM)
+        self._actions.append(
+            SendToMember(
+                sender,
+                messages.WitnessReply(query.number, query.asker_epoch, self.process_epoch, limits),
+                Carrier.STREAM,
+            )
         )
 
     # After each event
 
     def _tick(self) -> None:
         now = self._now
-        if now >= self._ask_at:
-            self._ask_lease()
-            self._want(True)
-        if self.lease.look(now, self.book.index):
-            self.purse.until = self.lease.expires_at_ms
-            self.holding.leased(now)
-        self.holding.tick(now, self.leader is not None)
-        self._want(False)
-        if self._waiting and len(self._reads) < 2:
-            ticket = self._number()
-            self._reads[ticket] = (self.term, self._waiting)
-            self._waiting = {}
-            self._out.append(log.ReadIndex(ticket))
-        self.granting.tick(now)
-        self.asks.tick(now)
-
-    def _want(self, again: bool) -> None:
+        if now >= self._request_lease_at_ms:
+            self._request_lease()
+            self._send_allocation_requests(True)
+        if self.lease.activate_grants(now, self.ledger.index):
+            self.spender.lease_expires_at_ms = self.lease.expires_at_ms
+            self.allocation_holder.lease_granted(now)
+        self.allocation_holder.tick(now, self.leader is not None)
+        self._send_allocation_requests(False)
+        if self._lease_requests and len(self._pending_reads) < 2:
+            ticket = self._next_ticket()
+            self._pending_reads[ticket] = (self.term, self._lease_requests)
+            self._lease_requests = {}
+            self._actions.append(log.ReadIndex(ticket))
+        self.granter.tick(now)
+        self.operator_requests.tick(now)
+
+    def _send_allocation_requests(self, again: bool) -> None:
         if self.leader is not None:
-            for want in self.holding.wants(again):
-                carrier = messages.carrier([one[0] for one in want.wants])
-                self._out.append(SendToMember(self.leader, want, carrier))
+            for request in self.allocation_holder.pending_requests(again):
+                carrier = messages.choose_carrier([item[0] for item in request.requests])
+                self._actions.append(SendToMember(self.leader, request, carrier))
 
-    def _to_oneself(self) -> None:
+    def _deliver_to_self(self) -> None:
         """What this process says to itself as leader, holder and witness never leaves it."""
-        own: deque[Any] = deque()
-
-        def sort() -> None:
-            kept = [one for one in self._out if not (isinstance(one, SendToMember) and one.member == self.name)]
-            own.extend(one.message for one in self._out if isinstance(one, SendToMember) and one.member == self.name)
-            self._out[:] = kept
+        pending: deque[Any] = deque()
+
+        def collect() -> None:
+            outgoing = [
+                action
+                for action in self._actions
+                if not (isinstance(action, SendToMember) and action.member == self.name)
+            ]
+            pending.extend(
+                action.message
+                for action in self._actions
+                if isinstance(action, SendToMember) and action.member == self.name
+            )
+            self._actions[:] = outgoing
 
-        sort()
-        while own:
-            self._heard(MessageReceived(OWN_AT, self.name, own.popleft()))
+        collect()
+        while pending:
+            self._message_received(MessageReceived(OWN_ADDRESS, self.name, pending.popleft()))
             self._tick()
-            sort()
-
-    def _arm(self) -> None:
-        due = min(self._ask_at, self.holding.due(), self.granting.due(), self.asks.due())
-        if due < self._armed:
-            self._armed = due
-            self._out.append(SetTimer(due, 1))
+            collect()
+
+    def _arm_timer(self) -> None:
+        due_at_ms = min(
+            self._request_lease_at_ms,
+            self.allocation_holder.next_due_ms(),
+            self.granter.next_due_ms(),
+            self.operator_requests.next_due_ms(),
+        )
+        if due_at_ms < self._timer_at_ms:
+            self._timer_at_ms = due_at_ms
+            self._actions.append(SetTimer(due_at_ms, 1))
 
-    def _count(self, why: str) -> None:
-        self.counts[why] = self.counts.get(why, 0) + 1
+    def _count(self, reason: str) -> None:
+        self.counts[reason] = self.counts.get(reason, 0) + 1
--- a/limenotch/fleet/wallet/entries.py
+++ b/limenotch/fleet/wallet/entries.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-MOST = 128  # entries in one of the log's
+MAX_ENTRIES = 128  # entries in one of the log's
 
 
 class Credit(Struct, frozen=True, array_like=True, tag="add"):
@@ -49,7 +49,7 @@
     serial: int
     spent: int
     close: bool
-    keep: int = 0
+    retain: int = 0
 
 
 class Expire(Struct, frozen=True, array_like=True, tag="expire"):
@@ -59,9 +59,9 @@
     name: str
     process_epoch: int
     serial: int
-    mark: int
+    spend_limit: int
     term: int
-    told: bool = True
+    witnessed: bool = True
 
 
 class Advance(Struct, frozen=True, array_like=True, tag="advance"):
--- a/limenotch/fleet/wallet/lease.py
+++ b/limenotch/fleet/wallet/lease.py
@@ -7,70 +7,72 @@
 from __future__ import annotations
 
 from ..leases import NEVER, HeldLease, LeaseGranter
-from .messages import Lease
+from .messages import LeaseGrant
 from .tuning import Tuning
 
-MOST_WAITING = 8  # grants that wait for the log
+MAX_PENDING_GRANTS = 8  # grants that wait for the log
 
 
-class Holder(HeldLease):
+class SpendLease(HeldLease):
     def __init__(self, tuning: Tuning) -> None:
         super().__init__(tuning.lease_ms)
-        self._waiting: list[Lease] = []
+        self._pending_grants: list[LeaseGrant] = []
 
-    def grant(self, lease: Lease) -> None:
-        self._waiting = [*self._waiting, lease][-MOST_WAITING:]
+    def add_grant(self, grant: LeaseGrant) -> None:
+        self._pending_grants = [*self._pending_grants, grant][-MAX_PENDING_GRANTS:]
 
-    def look(self, now: float, index: int) -> bool:
+    def activate_grants(self, now: float, index: int) -> bool:
         """Whether one of the grants counts from now on, as all up to `index` is applied."""
-        ready = [lease for lease in self._waiting if lease.index <= index]
+        ready = [grant for grant in self._pending_grants if grant.index <= index]
         if not ready:
             return False
-        self._waiting = [lease for lease in self._waiting if lease.index > index]
-        return any([self.accept(now, lease.serial, lease.lease_ms) for lease in ready])
+        self._pending_grants = [grant for grant in self._pending_grants if grant.index > index]
+        return any([self.accept(now, grant.serial, grant.lease_ms) for grant in ready])
 
     def release(self) -> None:
         super().release()
-        self._waiting.clear()
+        self._pending_grants.clear()
 
 
-class Granter(LeaseGranter):
+class SpendLeaseGranter(LeaseGranter):
     """The leader's record: until when which holder (name, life) may spend."""
 
     def __init__(self, tuning: Tuning) -> None:
-        super().__init__(tuning.held_ms)
-        self._most = tuning.most_holders
-        self.records: dict[tuple[str, int], float] = {}
+        super().__init__(tuning.max_lease_ms)
+        self._max_holders = tuning.most_holders
+        self.expiries: dict[tuple[str, int], float] = {}
 
     def begin(self, now: float) -> None:
         self.leader_since_ms = now
-        self.records = {}
+        self.expiries = {}
 
     def end(self) -> None:
         self.leader_since_ms = NEVER
-        self.records = {}
+        self.expiries = {}
 
-    def grant(self, now: float, owner: tuple[str, int]) -> bool:
+    def grant(self, now: float, holder: tuple[str, int]) -> bool:
         """Whether it is recorded; too many hold one else."""
         self.prune(now)
-        if owner not in self.records and len(self.records) >= self._most:
+        if holder not in self.expiries and len(self.expiries) >= self._max_holders:
             return False
-        self.records.pop(owner, None)
-        self.records[owner] = now + self.max_lease_ms  # the latest stands last
+        self.expiries.pop(holder, None)
+        self.expiries[holder] = now + self.max_lease_ms  # the latest stands last
         return True
 
     def prune(self, now: float) -> None:
         # In the order of their ends.
-        while self.records:
-            owner, until = next(iter(self.records.items()))
-            if until > now:
+        while self.expiries:
+            holder, expires_at_ms = next(iter(self.expiries.items()))
+            if expires_at_ms > now:
                 break
-            del self.records[owner]
+            del self.expiries[holder]
 
-    def free(self, now: float, owner: tuple[str, int]) -> bool:
+    def is_certainly_expired(self, now: float, holder: tuple[str, int]) -> bool:
         """Whether that holder surely spends nothing, and will not without asking."""
-        return self.earlier_leases_expired(now) and self.records.get(owner, -NEVER) <= now
+        return self.earlier_leases_expired(now) and self.expiries.get(holder, -NEVER) <= now
 
     def process_epochs(self, now: float) -> dict[str, int]:
         """By name, the life of who asked last."""
-        return {name: process_epoch for (name, process_epoch), until in self.records.items() if until > now}
+        return {
+            name: process_epoch for (name, process_epoch), expires_at_ms in self.expiries.items() if expires_at_ms > now
+        }
--- a/limenotch/fleet/wallet/ledger.py
+++ b/limenotch/fleet/wallet/ledger.py
@@ -17,27 +17,27 @@
 
 from .entries import Advance, Credit, Entry, Expire, Grant, Settle
 
-MOST_CREDIT = 1 << 60
-MOST_NAME = 200
-MOST_ADVANCED = 1000  # holders of a wallet whose Advances are told apart; the first told are forgotten first
+MAX_CREDIT = 1 << 60
+MAX_NAME_LENGTH = 200
+MAX_ADVANCED_HOLDERS = 1000  # holders of a wallet whose Advances are told apart; the first told are forgotten first
 
-Owner = tuple[str, int]  # name, life
+ProcessId = tuple[str, int]  # name, life
 
 
-class Slice(Struct, array_like=True):
+class Allocation(Struct, array_like=True):
     name: str
     process_epoch: int
     serial: int
-    top: int  # what of it may be spent at all
+    ceiling: int  # what of it may be spent at all
     spent: int  # settled so far
-    witnesses: tuple[Owner, ...]
+    witnesses: tuple[ProcessId, ...]
 
     @property
-    def held(self) -> int:
-        return self.top - self.spent
+    def unspent(self) -> int:
+        return self.ceiling - self.spent
 
     @property
-    def owner(self) -> Owner:
+    def holder(self) -> ProcessId:
         return (self.name, self.process_epoch)
 
     @property
@@ -48,19 +48,19 @@
 class Wallet(Struct, array_like=True):
     credit: int = 0
     spent: int = 0
-    left: int = 0
+    unallocated: int = 0
     serial: int = 0  # of the newest slice
-    slices: dict[int, Slice] = {}
-    ids: dict[str, int] = {}  # of credits: amount
-    advanced: dict[str, dict[int, int]] = {}  # name, life: the serial told last
+    allocations: dict[int, Allocation] = {}
+    credit_ids: dict[str, int] = {}  # of credits: amount
+    advance_serials: dict[str, dict[int, int]] = {}  # name, life: the serial told last
 
     @property
-    def held(self) -> int:
-        return sum(one.held for one in self.slices.values())
+    def allocated(self) -> int:
+        return sum(allocation.unspent for allocation in self.allocations.values())
 
     @property
-    def sound(self) -> bool:
-        return self.credit == self.spent + self.left + self.held
+    def is_balanced(self) -> bool:
+        return self.credit == self.spent + self.unallocated + self.allocated
 
 
 class _State(Struct, array_like=True):
@@ -76,19 +76,19 @@
     back, or was counted under that id before."""
 
     entry: Entry
-    word: str
+    outcome: str
     amount: int = 0
 
     @property
     def ok(self) -> bool:
-        return self.word == "done"
+        return self.outcome == "done"
 
 
-class Book:
+class Ledger:
     def __init__(self) -> None:
         self.index = 0  # of the last that was applied
         self.wallets: dict[str, Wallet] = {}
-        self.owners: dict[Owner, set[tuple[str, int]]] = {}  # tenant and serial of their slices
+        self.allocations_by_holder: dict[ProcessId, set[tuple[str, int]]] = {}  # tenant and serial of their slices
 
     def state(self) -> bytes:
         return msgspec.msgpack.encode(_State(self.index, self.wallets))
@@ -97,20 +97,20 @@
         """Raises msgspec.DecodeError on what is no state."""
         read: _State = _DECODER.decode(state)
         self.index, self.wallets = read.index, read.wallets
-        self.owners = {}
+        self.allocations_by_holder = {}
         for tenant, wallet in self.wallets.items():
-            for one in wallet.slices.values():
-                self.owners.setdefault(one.owner, set()).add((tenant, one.serial))
+            for allocation in wallet.allocations.values():
+                self.allocations_by_holder.setdefault(allocation.holder, set()).add((tenant, allocation.serial))
 
-    def slice(self, tenant: str, name: str, process_epoch: int, serial: int) -> Slice | None:
+    def slice(self, tenant: str, name: str, process_epoch: int, serial: int) -> Allocation | None:
         wallet = self.wallets.get(tenant)
-        one = wallet.slices.get(serial) if wallet is not None else None
-        return one if one is not None and one.owner == (name, process_epoch) else None
+        allocation = wallet.allocations.get(serial) if wallet is not None else None
+        return allocation if allocation is not None and allocation.holder == (name, process_epoch) else None
 
-    def told(self, tenant: str, owner: Owner) -> int:
+    def last_advance_serial(self, tenant: str, holder: ProcessId) -> int:
         """The serial of its last Advance."""
         wallet = self.wallets.get(tenant)
-        return wallet.advanced.get(owner[0], {}).get(owner[1], 0) if wallet is not None else 0
+        return wallet.advance_serials.get(holder[0], {}).get(holder[1], 0) if wallet is not None else 0
 
     def apply(self, index: int, term: int, entries: tuple[Entry, ...]) -> list[Applied]:
         """Each index once: one that was applied changes nothing, and nothing is returned."""
@@ -135,84 +135,92 @@
 
     def _credit(self, entry: Credit) -> Applied:
         wallet = self.wallets.get(entry.tenant)
-        if wallet is not None and entry.id in wallet.ids:
-            return Applied(entry, "counted", wallet.ids[entry.id])
-        held = wallet.credit if wallet is not None else 0
-        names = 0 < len(entry.tenant) <= MOST_NAME and 0 < len(entry.id) <= MOST_NAME
-        if not names or not 0 < entry.amount <= MOST_CREDIT - held:
+        if wallet is not None and entry.id in wallet.credit_ids:
+            return Applied(entry, "counted", wallet.credit_ids[entry.id])
+        credited = wallet.credit if wallet is not None else 0
+        names_valid = 0 < len(entry.tenant) <= MAX_NAME_LENGTH and 0 < len(entry.id) <= MAX_NAME_LENGTH
+        if not names_valid or not 0 < entry.amount <= MAX_CREDIT - credited:
             return Applied(entry, "bad")
         if wallet is None:
             if len(self.wallets) >= entry.most_tenants:
                 return Applied(entry, "full")
             wallet = self.wallets[entry.tenant] = Wallet()
-        if len(wallet.ids) >= entry.most_ids:
+        if len(wallet.credit_ids) >= entry.most_ids:
             return Applied(entry, "full")
-        wallet.ids[entry.id] = entry.amount
+        wallet.credit_ids[entry.id] = entry.amount
         wallet.credit += entry.amount
-        wallet.left += entry.amount
+        wallet.unallocated += entry.amount
         return Applied(entry, "done", entry.amount)
 
     def _grant(self, wallet: Wallet, entry: Grant, term: int) -> Applied:
-        amount = min(entry.amount, wallet.left)
+        amount = min(entry.amount, wallet.unallocated)
         if entry.term != term or entry.serial <= wallet.serial or amount <= 0 or not entry.witnesses:
             return Applied(entry, "bad")
         wallet.serial = entry.serial
-        wallet.left -= amount
-        wallet.slices[entry.serial] = Slice(entry.name, entry.process_epoch, entry.serial, amount, 0, entry.witnesses)
-        self.owners.setdefault((entry.name, entry.process_epoch), set()).add((entry.tenant, entry.serial))
+        wallet.unallocated -= amount
+        wallet.allocations[entry.serial] = Allocation(
+            entry.name, entry.process_epoch, entry.serial, amount, 0, entry.witnesses
+        )
+        self.allocations_by_holder.setdefault((entry.name, entry.process_epoch), set()).add(
+            (entry.tenant, entry.serial)
+        )
         return Applied(entry, "done", amount)
 
     def _settle(self, wallet: Wallet, entry: Settle) -> Applied:
-        one = self.slice(entry.tenant, entry.name, entry.process_epoch, entry.serial)
-        if one is None or entry.spent < 0 or entry.keep < 0:
+        allocation = self.slice(entry.tenant, entry.name, entry.process_epoch, entry.serial)
+        if allocation is None or entry.spent < 0 or entry.retain < 0:
             return Applied(entry, "bad")
-        self._spend(wallet, one, entry.spent)
-        top = max(one.spent, min(one.top, entry.spent + entry.keep)) if entry.close else one.top
-        back = one.top - top
-        self._narrow(entry.tenant, wallet, one, top)
-        return Applied(entry, "done", back)
+        self._record_spent(wallet, allocation, entry.spent)
+        ceiling = (
+            max(allocation.spent, min(allocation.ceiling, entry.spent + entry.retain))
+            if entry.close
+            else allocation.ceiling
+        )
+        returned = allocation.ceiling - ceiling
+        self._lower_ceiling(entry.tenant, wallet, allocation, ceiling)
+        return Applied(entry, "done", returned)
 
     def _expire(self, wallet: Wallet, entry: Expire, term: int) -> Applied:
-        one = self.slice(entry.tenant, entry.name, entry.process_epoch, entry.serial)
-        if one is None or entry.term != term or entry.mark < 0:
+        allocation = self.slice(entry.tenant, entry.name, entry.process_epoch, entry.serial)
+        if allocation is None or entry.term != term or entry.spend_limit < 0:
             return Applied(entry, "bad")
-        held = one.held
-        self._spend(wallet, one, entry.mark)
-        back = one.held
-        self._narrow(entry.tenant, wallet, one, one.spent)
-        return Applied(entry, "done", back if entry.told else held)
+        unspent = allocation.unspent
+        self._record_spent(wallet, allocation, entry.spend_limit)
+        returned = allocation.unspent
+        self._lower_ceiling(entry.tenant, wallet, allocation, allocation.spent)
+        return Applied(entry, "done", returned if entry.witnessed else unspent)
 
     def _advance(self, wallet: Wallet, entry: Advance) -> Applied:
         if (
-            entry.serial <= self.told(entry.tenant, (entry.name, entry.process_epoch))
-            or not 0 < entry.amount <= MOST_CREDIT
+            entry.serial <= self.last_advance_serial(entry.tenant, (entry.name, entry.process_epoch))
+            or not 0 < entry.amount <= MAX_CREDIT
         ):
             return Applied(entry, "bad")
-        process_epochs = wallet.advanced.pop(entry.name, {})
+        process_epochs = wallet.advance_serials.pop(entry.name, {})
         process_epochs.pop(entry.process_epoch, None)
         process_epochs[entry.process_epoch] = entry.serial
-        wallet.advanced[entry.name] = process_epochs  # the one told last stands last
-        while sum(map(len, wallet.advanced.values())) > MOST_ADVANCED:
-            first = next(iter(wallet.advanced))
-            del wallet.advanced[first][next(iter(wallet.advanced[first]))]
-            if not wallet.advanced[first]:
-                del wallet.advanced[first]
+        wallet.advance_serials[entry.name] = process_epochs  # the one told last stands last
+        while sum(map(len, wallet.advance_serials.values())) > MAX_ADVANCED_HOLDERS:
+            oldest = next(iter(wallet.advance_serials))
+            del wallet.advance_serials[oldest][next(iter(wallet.advance_serials[oldest]))]
+            if not wallet.advance_serials[oldest]:
+                del wallet.advance_serials[oldest]
         wallet.spent += entry.amount
-        wallet.left -= entry.amount
+        wallet.unallocated -= entry.amount
         return Applied(entry, "done", entry.amount)
 
-    def _spend(self, wallet: Wallet, one: Slice, spent: int) -> None:
-        new = max(0, min(spent, one.top) - one.spent)
-        one.spent += new
-        wallet.spent += new
+    def _record_spent(self, wallet: Wallet, allocation: Allocation, spent: int) -> None:
+        newly_spent = max(0, min(spent, allocation.ceiling) - allocation.spent)
+        allocation.spent += newly_spent
+        wallet.spent += newly_spent
 
-    def _narrow(self, tenant: str, wallet: Wallet, one: Slice, top: int) -> None:
+    def _lower_ceiling(self, tenant: str, wallet: Wallet, allocation: Allocation, ceiling: int) -> None:
         """What is above `top` goes back; a slice that holds nothing more ends."""
-        wallet.left += one.top - top
-        one.top = top
-        if one.held == 0:
-            del wallet.slices[one.serial]
-            owned = self.owners[one.owner]
-            owned.discard((tenant, one.serial))
-            if not owned:
-                del self.owners[one.owner]
+        wallet.unallocated += allocation.ceiling - ceiling
+        allocation.ceiling = ceiling
+        if allocation.unspent == 0:
+            del wallet.allocations[allocation.serial]
+            held_keys = self.allocations_by_holder[allocation.holder]
+            held_keys.discard((tenant, allocation.serial))
+            if not held_keys:
+                del self.allocations_by_holder[allocation.holder]
--- a/limenotch/fleet/wallet/messages.py
+++ b/limenotch/fleet/wallet/messages.py
@@ -9,15 +9,15 @@
 
 from ..interfaces import MAX_DATAGRAM_BYTES, Carrier, Message
 
-MOST = 256  # tenants' items in one message
+MAX_ITEMS = 256  # tenants' items in one message
 
 
-class AskLease(Message, frozen=True, array_like=True, tag="wa.ask"):
+class LeaseRequest(Message, frozen=True, array_like=True, tag="wa.ask"):
     serial: int
     process_epoch: int
 
 
-class Lease(Message, frozen=True, array_like=True, tag="wa.lease"):
+class LeaseGrant(Message, frozen=True, array_like=True, tag="wa.lease"):
     """Counts once the holder has applied the log up to `index`."""
 
     process_epoch: int
@@ -26,27 +26,27 @@
     index: int
 
 
-class Want(Message, frozen=True, array_like=True, tag="wa.want"):
+class AllocationRequest(Message, frozen=True, array_like=True, tag="wa.want"):
     """To the leader: tenant, the newest slice that the holder knows of, units, the least that helps (0: nobody was
     turned away), and what it uses in `slice_ms`."""
 
     process_epoch: int
-    wants: tuple[tuple[str, int, int, int, int], ...]
+    requests: tuple[tuple[str, int, int, int, int], ...]
 
 
-class Mark(Message, frozen=True, array_like=True, tag="wa.mark"):
+class SpendLimitRequest(Message, frozen=True, array_like=True, tag="wa.mark"):
     """To witnesses: so much of these slices may be spent. Tenant, serial, mark."""
 
     process_epoch: int
-    marks: tuple[tuple[str, int, int], ...]
+    limits: tuple[tuple[str, int, int], ...]
 
 
-class Held(Message, frozen=True, array_like=True, tag="wa.held"):
+class SpendLimitAck(Message, frozen=True, array_like=True, tag="wa.held"):
     """A witness, in its life: it holds these. To the holder of that other life."""
 
     process_epoch: int
-    holder: int
-    marks: tuple[tuple[str, int, int], ...]
+    holder_epoch: int
+    limits: tuple[tuple[str, int, int], ...]
 
 
 class Recall(Message, frozen=True, array_like=True, tag="wa.recall"):
@@ -57,29 +57,38 @@
     recalls: tuple[tuple[str, float], ...]
 
 
-class Question(Message, frozen=True, array_like=True, tag="wa.who"):
+class WitnessQuery(Message, frozen=True, array_like=True, tag="wa.who"):
     """To witnesses, of a holder that is gone: which marks of it do you hold? Tenant, serial."""
 
     number: int
-    asker: int  # its life
+    asker_epoch: int  # its life
     name: str
     process_epoch: int
-    slices: tuple[tuple[str, int], ...]
+    allocations: tuple[tuple[str, int], ...]
 
 
-class Told(Message, frozen=True, array_like=True, tag="wa.told"):
+class WitnessReply(Message, frozen=True, array_like=True, tag="wa.told"):
     """A witness, in its life: the marks in the question's order; 0: never heard of one."""
 
     number: int
-    asker: int
+    asker_epoch: int
     process_epoch: int
-    marks: tuple[int, ...]
+    limits: tuple[int, ...]
 
 
-WALLET = (AskLease, Lease, Want, Mark, Held, Recall, Question, Told)
+WALLET_MESSAGES = (
+    LeaseRequest,
+    LeaseGrant,
+    AllocationRequest,
+    SpendLimitRequest,
+    SpendLimitAck,
+    Recall,
+    WitnessQuery,
+    WitnessReply,
+)
 
 
-def carrier(names: Sequence[str]) -> Carrier:
+def choose_carrier(tenants: Sequence[str]) -> Carrier:
     """For a message with so many items, each of a tenant of that name and a few numbers."""
-    size = 300 + sum(4 * len(name) + 40 for name in names)
+    size = 300 + sum(4 * len(tenant) + 40 for tenant in tenants)
     return Carrier.DATAGRAM if size <= MAX_DATAGRAM_BYTES else Carrier.STREAM
--- a/limenotch/fleet/wallet/operator_requests.py
+++ b/limenotch/fleet/wallet/operator_requests.py
@@ -18,126 +18,134 @@
 from ..leases import NEVER
 from . import entries
 from .api import OperatorRequest, OperatorResponse
-from .ledger import MOST_CREDIT, MOST_NAME, Applied, Book
+from .ledger import MAX_CREDIT, MAX_NAME_LENGTH, Applied, Ledger
 from .tuning import Tuning
 
-MOST_SEEN = 1000  # credits applied here whose asker has not heard yet where they stand
-MOST_SHOWN = 1000  # wallets in one answer
+MAX_APPLIED_CREDITS = 1000  # credits applied here whose asker has not heard yet where they stand
+MAX_SHOWN_WALLETS = 1000  # wallets in one answer
 
 
 @dataclass(slots=True)
-class _Open:
-    ask: OperatorRequest
-    until: float
-    index: int = 0  # promised at
-
-
-class Asks:
-    def __init__(self, book: Book, tuning: Tuning, ticket: Callable[[], int]) -> None:
-        self._book, self._tuning, self._ticket = book, tuning, ticket
-        self.out: list[Any] = []
-        self._open: dict[int, _Open] = {}  # by ticket of the log's
-        self._seen: dict[int, Applied] = {}  # by index
-
-    def ask(self, now: float, ask: OperatorRequest) -> None:
-        fault = self._fault(ask)
-        if fault:
-            self.out.append(OperatorResponse(ask.ticket, "refused", fault))
+class _PendingRequest:
+    request: OperatorRequest
+    deadline_ms: float
+    committed_index: int = 0  # promised at
+
+
+class OperatorRequestHandler:
+    def __init__(self, ledger: Ledger, tuning: Tuning, ticket: Callable[[], int]) -> None:
+        self._ledger, self._tuning, self._next_ticket = ledger, tuning, ticket
+        self.actions: list[Any] = []
+        self._pending: dict[int, _PendingRequest] = {}  # by ticket of the log's
+        self._applied_credits: dict[int, Applied] = {}  # by index
+
+    def submit(self, now: float, request: OperatorRequest) -> None:
+        reason = self._validate(request)
+        if reason:
+            self.actions.append(OperatorResponse(request.ticket, "refused", reason))
             return
-        ticket = self._ticket()
-        self._open[ticket] = _Open(ask, now + self._tuning.ask_ms)
-        if ask.what == "add":
-            credit = entries.Credit(ask.tenant, ask.id, ask.amount, self._tuning.most_ids, self._tuning.most_tenants)
+        ticket = self._next_ticket()
+        self._pending[ticket] = _PendingRequest(request, now + self._tuning.ask_ms)
+        if request.action == "add":
+            credit = entries.Credit(
+                request.tenant, request.id, request.amount, self._tuning.most_ids, self._tuning.most_tenants
+            )
             # Without an id of the log's: which of two asks counted shows by where each stands.
-            self.out.append(log.Propose(ticket, entries.encode((credit,))))
+            self.actions.append(log.Propose(ticket, entries.encode((credit,))))
         else:
-            self.out.append(log.ReadIndex(ticket))
+            self.actions.append(log.ReadIndex(ticket))
 
-    def _fault(self, ask: OperatorRequest) -> str:
-        if len(self._open) >= self._tuning.most_asks:
+    def _validate(self, request: OperatorRequest) -> str:
+        if len(self._pending) >= self._tuning.most_asks:
             return "busy"
-        if ask.what == "show":
+        if request.action == "show":
             return ""
-        if ask.what != "add":
-            return f"{ask.what}: none of add, show"
-        for key, value in (("tenant", ask.tenant), ("id", ask.id)):
-            if not 0 < len(value) <= MOST_NAME:
-                return f"{key}: expected 1 to {MOST_NAME} letters"
-        if "*" not in self._tuning.tenants and ask.tenant not in self._tuning.tenants:
-            return f"tenant: {ask.tenant!r} does not pay here"
-        return "" if 0 < ask.amount <= MOST_CREDIT else f"amount: expected 1 to {MOST_CREDIT}"
-
-    def applied(self, index: int, one: Applied) -> None:
+        if request.action != "add":
+            return f"{request.action}: none of add, show"
+        for key, value in (("tenant", request.tenant), ("id", request.id)):
+            if not 0 < len(value) <= MAX_NAME_LENGTH:
+                return f"{key}: expected 1 to {MAX_NAME_LENGTH} letters"
+        if "*" not in self._tuning.tenants and request.tenant not in self._tuning.tenants:
+            return f"tenant: {request.tenant!r} does not pay here"
+        return "" if 0 < request.amount <= MAX_CREDIT else f"amount: expected 1 to {MAX_CREDIT}"
+
+    def credit_applied(self, index: int, credit: Applied) -> None:
         """A Credit, at that place of the log; the whole entry of the log is it alone."""
-        if self._open:
-            self._seen[index] = one
-            if len(self._seen) > MOST_SEEN:
-                del self._seen[next(iter(self._seen))]
-
-    def promised(self, ticket: int, index: int) -> None:
-        if (one := self._open.get(ticket)) is not None:
-            one.index = index
-
-    def ready(self, ticket: int) -> None:
-        one = self._open.pop(ticket, None)
-        if one is None:
+        if self._pending:
+            self._applied_credits[index] = credit
+            if len(self._applied_credits) > MAX_APPLIED_CREDITS:
+                del self._applied_credits[next(iter(self._applied_credits))]
+
+    def proposal_committed(self, ticket: int, index: int) -> None:
+        if (pending := self._pending.get(ticket)) is not None:
+            pending.committed_index = index
+
+    def read_ready(self, ticket: int) -> None:
+        pending = self._pending.pop(ticket, None)
+        if pending is None:
             return
-        wallets = self._book.wallets
-        names = [one.ask.tenant] if one.ask.tenant else sorted(wallets)[:MOST_SHOWN]
+        wallets = self._ledger.wallets
+        names = [pending.request.tenant] if pending.request.tenant else sorted(wallets)[:MAX_SHOWN_WALLETS]
         body = {
             name: {
                 "credit": wallet.credit,
                 "spent": wallet.spent,
-                "left": wallet.left,
-                "held": wallet.held,
-                "slices": len(wallet.slices),
+                "left": wallet.unallocated,
+                "held": wallet.allocated,
+                "slices": len(wallet.allocations),
             }
             for name in names
             if (wallet := wallets.get(name)) is not None
         }
-        if one.ask.tenant and not body:
-            self.out.append(OperatorResponse(one.ask.ticket, "none", f"no wallet of {one.ask.tenant!r}"))
+        if pending.request.tenant and not body:
+            self.actions.append(
+                OperatorResponse(pending.request.ticket, "none", f"no wallet of {pending.request.tenant!r}")
+            )
         else:
-            text = f"{len(names)} of {len(wallets)}" if len(names) < len(wallets) and not one.ask.tenant else ""
-            self.out.append(OperatorResponse(one.ask.ticket, "shown", text, body))
+            text = f"{len(names)} of {len(wallets)}" if len(names) < len(wallets) and not pending.request.tenant else ""
+            self.actions.append(OperatorResponse(pending.request.ticket, "shown", text, body))
 
-    def ended(self, ticket: int, word: str, text: str) -> None:
-        one = self._open.pop(ticket, None)
-        if one is not None:
-            self.out.append(OperatorResponse(one.ask.ticket, word, text))
+    def request_ended(self, ticket: int, outcome: str, text: str) -> None:
+        pending = self._pending.pop(ticket, None)
+        if pending is not None:
+            self.actions.append(OperatorResponse(pending.request.ticket, outcome, text))
 
     def tick(self, now: float) -> None:
-        if not self._open:
-            self._seen.clear()
+        if not self._pending:
+            self._applied_credits.clear()
             return
-        for ticket, one in list(self._open.items()):
-            if one.index and one.index <= self._book.index:
-                del self._open[ticket]
-                self.out.append(self._outcome(one))
-            elif now >= one.until:
-                add = one.ask.what == "add"
-                self.ended(ticket, "unknown" if add else "refused", "ask again with the same id" if add else "late")
-
-    def _outcome(self, one: _Open) -> OperatorResponse:
-        ask, applied = one.ask, self._seen.pop(one.index, None)
+        for ticket, pending in list(self._pending.items()):
+            if pending.committed_index and pending.committed_index <= self._ledger.index:
+                del self._pending[ticket]
+                self.actions.append(self._outcome(pending))
+            elif now >= pending.deadline_ms:
+                add = pending.request.action == "add"
+                self.request_ended(
+                    ticket, "unknown" if add else "refused", "ask again with the same id" if add else "late"
+                )
+
+    def _outcome(self, pending: _PendingRequest) -> OperatorResponse:
+        request, applied = pending.request, self._applied_credits.pop(pending.committed_index, None)
         if applied is None:  # a snapshot has passed over it
-            wallet = self._book.wallets.get(ask.tenant)
-            held = wallet.ids.get(ask.id) if wallet is not None else None
+            wallet = self._ledger.wallets.get(request.tenant)
+            counted_amount = wallet.credit_ids.get(request.id) if wallet is not None else None
             return (
-                OperatorResponse(ask.ticket, "unknown", "ask again with the same id")
-                if held is None
-                else OperatorResponse(ask.ticket, "counted", f"{held} under {ask.id!r}", held)
+                OperatorResponse(request.ticket, "unknown", "ask again with the same id")
+                if counted_amount is None
+                else OperatorResponse(
+                    request.ticket, "counted", f"{counted_amount} under {request.id!r}", counted_amount
+                )
             )
-        if applied.word == "counted":
-            return OperatorResponse(ask.ticket, "counted", f"{applied.amount} under {ask.id!r}", applied.amount)
+        if applied.outcome == "counted":
+            return OperatorResponse(request.ticket, "counted", f"{applied.amount} under {request.id!r}", applied.amount)
         if applied.ok:
-            return OperatorResponse(ask.ticket, "done")
-        why = (
+            return OperatorResponse(request.ticket, "done")
+        reason = (
             "too many wallets, or ids of this one: none is forgotten"
-            if applied.word == "full"
-            else f"more than {MOST_CREDIT} in one wallet"
+            if applied.outcome == "full"
+            else f"more than {MAX_CREDIT} in one wallet"
         )
-        return OperatorResponse(ask.ticket, "refused", why)
+        return OperatorResponse(request.ticket, "refused", reason)
 
-    def due(self) -> float:
-        return min((one.until for one in self._open.values()), default=NEVER)
+    def next_due_ms(self) -> float:
+        return min((pending.deadline_ms for pending in self._pending.values()), default=NEVER)
--- a/limenotch/fleet/wallet/quota_grants.py
+++ b/limenotch/fleet/wallet/quota_grants.py
@@ -19,318 +19,359 @@
 from ..interfaces import Carrier, SendToMember
 from ..leases import NEVER
 from . import entries, messages
-from .lease import Granter
-from .ledger import Book, Owner, Wallet
-from .spend_witness import MOST_ASKED, Gone
+from .lease import SpendLeaseGranter
+from .ledger import Ledger, ProcessId, Wallet
+from .spend_witness import MAX_QUERIED_ALLOCATIONS, WitnessInquiry
 from .tuning import Tuning
 
-GONE = frozenset({"dead", "left"})
-MOST_SLICES = 8  # of one tenant at one holder, not settled yet
+UNREACHABLE_STATES = frozenset({"dead", "left"})
+MAX_ALLOCATIONS_PER_HOLDER = 8  # of one tenant at one holder, not settled yet
 Propose = Callable[[tuple[entries.Entry, ...], str], int]
 
 
-class Wanted(NamedTuple):
-    newest: int  # the newest slice that its holder knows of
+class AllocationDemand(NamedTuple):
+    newest_serial: int  # the newest slice that its holder knows of
     amount: int
-    least: int  # 0: nobody was turned away
-    pace: int  # what it uses in `slice_ms`
-    until: float
+    min_amount: int  # 0: nobody was turned away
+    usage: int  # what it uses in `slice_ms`
+    expires_at_ms: float
 
 
-class Short:
+class Shortage:
     """A tenant of which more is wanted than is left: whoever holds or wants of it has enough for `keep_ms` alone."""
 
-    __slots__ = ("keep_ms", "gap_ms", "at", "look_at", "spent", "credit", "demand", "seen", "new")
+    __slots__ = (
+        "retain_ms",
+        "interval_ms",
+        "next_recall_at_ms",
+        "next_check_at_ms",
+        "spent",
+        "credit",
+        "usage_by_holder",
+        "last_request_at_ms",
+        "never_recalled",
+    )
 
     def __init__(self, now: float, tuning: Tuning, wallet: Wallet) -> None:
-        self.keep_ms, self.gap_ms = tuning.slice_ms / 2, tuning.record_ms / 2
-        self.at = self.look_at = self.seen = now  # of the next recall; of the next look; when there was a want last
+        self.retain_ms, self.interval_ms = tuning.slice_ms / 2, tuning.record_ms / 2
+        self.next_recall_at_ms = self.next_check_at_ms = self.last_request_at_ms = (
+            now  # of the next recall; of the next look; when there was a want last
+        )
         self.spent, self.credit = wallet.spent, wallet.credit
-        self.new = True  # nobody was told
-        self.demand: dict[Owner, int] = {}  # what each used in `slice_ms`, when it wanted last
+        self.never_recalled = True  # nobody was told
+        self.usage_by_holder: dict[ProcessId, int] = {}  # what each used in `slice_ms`, when it wanted last
 
 
-class Granting:
+class AllocationGranter:
     def __init__(
-        self, name: str, process_epoch: int, book: Book, tuning: Tuning, voters: tuple[str, ...], propose: Propose
+        self, name: str, process_epoch: int, ledger: Ledger, tuning: Tuning, voters: tuple[str, ...], propose: Propose
     ) -> None:
-        self._own: Owner = (name, process_epoch)
-        self._book, self._tuning, self._propose = book, tuning, propose
+        self._own_id: ProcessId = (name, process_epoch)
+        self._ledger, self._tuning, self._propose = ledger, tuning, propose
         self.voters = voters
         self.members: dict[str, str] = {}
-        self.leases = Granter(tuning)
-        self.out: list[Any] = []
+        self.leases = SpendLeaseGranter(tuning)
+        self.actions: list[Any] = []
         self.term = 0
-        self.leads = False
-        self._wants: dict[str, dict[Owner, Wanted]] = {}  # those who came first, first
-        self._dirty: set[str] = set()
-        self._short: dict[str, Short] = {}
-        self._recalls: dict[Owner, list[tuple[str, float]]] = {}
+        self.is_leader = False
+        self._demands: dict[str, dict[ProcessId, AllocationDemand]] = {}  # those who came first, first
+        self._changed_tenants: set[str] = set()
+        self._shortages: dict[str, Shortage] = {}
+        self._recalls: dict[ProcessId, list[tuple[str, float]]] = {}
         self._serials: dict[str, int] = {}  # proposed last
-        self._flying: dict[int, dict[str, int]] = {}  # ticket of a Grant: units by tenant
-        self._granting: dict[tuple[str, Owner], int] = {}  # the ticket
-        self._expiring: dict[int, Owner] = {}  # by ticket
-        self._gone: dict[Owner, Gone] = {}
-        self._number = 0
-        self._gone_at = NEVER
+        self._in_flight: dict[int, dict[str, int]] = {}  # ticket of a Grant: units by tenant
+        self._grant_tickets: dict[tuple[str, ProcessId], int] = {}  # the ticket
+        self._expiring: dict[int, ProcessId] = {}  # by ticket
+        self._inquiries: dict[ProcessId, WitnessInquiry] = {}
+        self._last_query_number = 0
+        self._next_inquiry_at_ms = NEVER
 
     def begin(self, now: float, term: int) -> None:
         self.end()
-        self.leads, self.term = True, term
+        self.is_leader, self.term = True, term
         self.leases.begin(now)
-        self._gone_at = now + self._tuning.held_ms
+        self._next_inquiry_at_ms = now + self._tuning.max_lease_ms
 
     def end(self) -> None:
-        self.leads = False
+        self.is_leader = False
         self.leases.end()
         for table in (
-            self._wants,
-            self._short,
+            self._demands,
+            self._shortages,
             self._serials,
-            self._flying,
-            self._granting,
+            self._in_flight,
+            self._grant_tickets,
             self._expiring,
-            self._gone,
+            self._inquiries,
             self._recalls,
-            self._dirty,
+            self._changed_tenants,
         ):
             table.clear()
-        self._gone_at = NEVER
+        self._next_inquiry_at_ms = NEVER
 
     # Leases
 
-    def lease(self, now: float, name: str, ask: messages.AskLease) -> messages.Lease | None:
+    def grant_lease(self, now: float, name: str, request: messages.LeaseRequest) -> messages.LeaseGrant | None:
         """The log has said since the ask that this process leads."""
-        owner = (name, ask.process_epoch)
-        if owner in self._expiring.values():
+        holder = (name, request.process_epoch)
+        if holder in self._expiring.values():
             return None
-        if owner not in self.leases.records:
-            self._dirty.update(self._wants)  # it may have wanted before it had a lease
-        if not self.leases.grant(now, owner):
+        if holder not in self.leases.expiries:
+            self._changed_tenants.update(self._demands)  # it may have wanted before it had a lease
+        if not self.leases.grant(now, holder):
             return None
-        self._gone.pop(owner, None)
-        return messages.Lease(ask.process_epoch, ask.serial, self._tuning.lease_ms, self._book.index)
+        self._inquiries.pop(holder, None)
+        return messages.LeaseGrant(request.process_epoch, request.serial, self._tuning.lease_ms, self._ledger.index)
 
     # Wants
 
-    def wanted(self, now: float, name: str, want: messages.Want) -> None:
-        if not self.leads:
+    def requests_received(self, now: float, name: str, request: messages.AllocationRequest) -> None:
+        if not self.is_leader:
             return
-        owner, until = (name, want.process_epoch), now + self._tuning.lease_ms
-        for tenant, newest, amount, least, pace in want.wants:
-            if tenant not in self._book.wallets or amount <= 0 or least < 0 or pace < 0:
+        holder, expires_at_ms = (name, request.process_epoch), now + self._tuning.lease_ms
+        for tenant, newest_serial, amount, min_amount, usage in request.requests:
+            if tenant not in self._ledger.wallets or amount <= 0 or min_amount < 0 or usage < 0:
                 continue
-            wants = self._wants.setdefault(tenant, {})
-            if owner in wants or len(wants) < self._tuning.most_holders:
-                wants[owner] = Wanted(newest, amount, min(least, amount), pace, until)
-                self._dirty.add(tenant)
+            demands = self._demands.setdefault(tenant, {})
+            if holder in demands or len(demands) < self._tuning.most_holders:
+                demands[holder] = AllocationDemand(newest_serial, amount, min(min_amount, amount), usage, expires_at_ms)
+                self._changed_tenants.add(tenant)
 
-    def changed(self, tenant: str) -> None:
+    def ledger_changed(self, tenant: str) -> None:
         """The book, of that wallet."""
-        if tenant in self._wants:
-            self._dirty.add(tenant)
+        if tenant in self._demands:
+            self._changed_tenants.add(tenant)
 
-    def ended(self, ticket: int, agreed: bool) -> None:
+    def proposal_ended(self, ticket: int, committed: bool) -> None:
         """What was proposed is agreed, or refused. What was refused is not proposed again at once, or a log that
         refuses would be asked without end: whoever wants says so again."""
-        flying = self._flying.pop(ticket, {})
-        self._granting = {key: held for key, held in self._granting.items() if held != ticket}
+        in_flight = self._in_flight.pop(ticket, {})
+        self._grant_tickets = {key: proposed for key, proposed in self._grant_tickets.items() if proposed != ticket}
         self._expiring.pop(ticket, None)
-        if agreed:
-            self._dirty.update(tenant for tenant in flying if tenant in self._wants)
+        if committed:
+            self._changed_tenants.update(tenant for tenant in in_flight if tenant in self._demands)
 
-    def unknown(self, ticket: int) -> None:
+    def proposal_outcome_unknown(self, ticket: int) -> None:
         """It may be agreed yet, in this epoch alone: a holder whose Expire it is gets no lease of this leader."""
         if ticket not in self._expiring:
-            self.ended(ticket, False)
+            self.proposal_ended(ticket, False)
 
     def tick(self, now: float) -> None:
-        if not self.leads:
+        if not self.is_leader:
             return
-        for tenant, short in self._short.items():
-            if now >= short.look_at:
-                self._dirty.add(tenant)
-        if self._dirty:
-            self._grant(now)
+        for tenant, shortage in self._shortages.items():
+            if now >= shortage.next_check_at_ms:
+                self._changed_tenants.add(tenant)
+        if self._changed_tenants:
+            self._propose_grants(now)
         for (name, process_epoch), recalls in self._recalls.items():
-            for at in range(0, len(recalls), messages.MOST):
-                part = tuple(recalls[at : at + messages.MOST])
-                self.out.append(
+            for start in range(0, len(recalls), messages.MAX_ITEMS):
+                batch = tuple(recalls[start : start + messages.MAX_ITEMS])
+                self.actions.append(
                     SendToMember(
-                        name, messages.Recall(process_epoch, part), messages.carrier([recall[0] for recall in part])
+                        name,
+                        messages.Recall(process_epoch, batch),
+                        messages.choose_carrier([recall[0] for recall in batch]),
                     )
                 )
         self._recalls.clear()
-        if now >= self._gone_at:
-            self._look(now)
+        if now >= self._next_inquiry_at_ms:
+            self._query_witnesses(now)
 
-    def due(self) -> float:
-        if not self.leads:
+    def next_due_ms(self) -> float:
+        if not self.is_leader:
             return NEVER
-        return min(self._gone_at, min((short.look_at for short in self._short.values()), default=NEVER))
+        return min(
+            self._next_inquiry_at_ms,
+            min((shortage.next_check_at_ms for shortage in self._shortages.values()), default=NEVER),
+        )
 
-    def witnesses(self, now: float) -> tuple[Owner, ...]:
+    def choose_witnesses(self, now: float) -> tuple[ProcessId, ...]:
         """The voters that have asked for a lease lately, as they live now; none if those are not most of the voters."""
         process_epochs = self.leases.process_epochs(now)
-        process_epochs[self._own[0]] = self._own[1]
-        found = tuple((name, process_epochs[name]) for name in self.voters if name in process_epochs)
-        return found if 2 * len(found) > len(self.voters) else ()
+        process_epochs[self._own_id[0]] = self._own_id[1]
+        reachable = tuple((name, process_epochs[name]) for name in self.voters if name in process_epochs)
+        return reachable if 2 * len(reachable) > len(self.voters) else ()
 
-    def _grant(self, now: float) -> None:
-        witnesses = self.witnesses(now)
+    def _propose_grants(self, now: float) -> None:
+        witnesses = self.choose_witnesses(now)
         if not witnesses:  # they ask for leases soon
-            for short in self._short.values():
-                short.look_at = max(short.look_at, now + short.gap_ms)
+            for shortage in self._shortages.values():
+                shortage.next_check_at_ms = max(shortage.next_check_at_ms, now + shortage.interval_ms)
             return
-        dirty, self._dirty = self._dirty, set()
+        changed_tenants, self._changed_tenants = self._changed_tenants, set()
         grants: list[entries.Entry] = []
-        for tenant in sorted(dirty):
-            wallet = self._book.wallets.get(tenant)
+        for tenant in sorted(changed_tenants):
+            wallet = self._ledger.wallets.get(tenant)
             if wallet is None:
                 continue
-            if len(grants) + len(self._wants.get(tenant, ())) > entries.MOST and grants:
-                self._dirty.add(tenant)
+            if len(grants) + len(self._demands.get(tenant, ())) > entries.MAX_ENTRIES and grants:
+                self._changed_tenants.add(tenant)
                 continue
-            grants += self._shares(now, tenant, wallet, witnesses)
-        for at in range(0, len(grants), entries.MOST):
-            part = tuple(grants[at : at + entries.MOST])
-            flying: dict[str, int] = {}
-            ticket = self._propose(part, "grant")
-            for grant in part:
+            grants += self._allocate(now, tenant, wallet, witnesses)
+        for start in range(0, len(grants), entries.MAX_ENTRIES):
+            batch = tuple(grants[start : start + entries.MAX_ENTRIES])
+            in_flight: dict[str, int] = {}
+            ticket = self._propose(batch, "grant")
+            for grant in batch:
                 assert isinstance(grant, entries.Grant)
-                flying[grant.tenant] = flying.get(grant.tenant, 0) + grant.amount
-                self._granting[grant.tenant, (grant.name, grant.process_epoch)] = ticket
-            self._flying[ticket] = flying
+                in_flight[grant.tenant] = in_flight.get(grant.tenant, 0) + grant.amount
+                self._grant_tickets[grant.tenant, (grant.name, grant.process_epoch)] = ticket
+            self._in_flight[ticket] = in_flight
 
-    def _shares(self, now: float, tenant: str, wallet: Wallet, witnesses: tuple[Owner, ...]) -> list[entries.Grant]:
+    def _allocate(
+        self, now: float, tenant: str, wallet: Wallet, witnesses: tuple[ProcessId, ...]
+    ) -> list[entries.Grant]:
         """Grants of what is left of one wallet, and a recall if that is too little."""
-        wants = self._wants.get(tenant, {})
-        held: dict[Owner, list[int]] = {}
-        for one in wallet.slices.values():
-            held.setdefault(one.owner, []).append(one.serial)
-        for owner, want in list(wants.items()):
-            if now >= want.until or max(held.get(owner, (0,))) > want.newest:
-                del wants[owner]  # it got one since it said so, and will say so again
-        free = wallet.left - sum(units.get(tenant, 0) for units in self._flying.values())
+        demands = self._demands.get(tenant, {})
+        held_serials: dict[ProcessId, list[int]] = {}
+        for allocation in wallet.allocations.values():
+            held_serials.setdefault(allocation.holder, []).append(allocation.serial)
+        for holder, demand in list(demands.items()):
+            if now >= demand.expires_at_ms or max(held_serials.get(holder, (0,))) > demand.newest_serial:
+                del demands[holder]  # it got one since it said so, and will say so again
+        grantable = wallet.unallocated - sum(units.get(tenant, 0) for units in self._in_flight.values())
         grants: list[entries.Grant] = []
         # Slices that are still to be settled hold the credit that is wanted: more of them would bring nothing.
-        open_to = [
-            (owner, want)
-            for owner, want in wants.items()
-            if (tenant, owner) not in self._granting
-            and len(held.get(owner, ())) < MOST_SLICES
-            and now < self.leases.records.get(owner, -NEVER)
+        eligible = [
+            (holder, demand)
+            for holder, demand in demands.items()
+            if (tenant, holder) not in self._grant_tickets
+            and len(held_serials.get(holder, ())) < MAX_ALLOCATIONS_PER_HOLDER
+            and now < self.leases.expiries.get(holder, -NEVER)
         ]
-        short = self._judge(now, tenant, wallet, open_to, free)
-        unmet, half = False, free // (2 * max(1, len(open_to)))
-        for owner, want in open_to:
-            if short is None:
-                share = max(want.least, half)
+        shortage = self._update_shortage(now, tenant, wallet, eligible, grantable)
+        is_unmet, half = False, grantable // (2 * max(1, len(eligible)))
+        for holder, demand in eligible:
+            if shortage is None:
+                share = max(demand.min_amount, half)
             else:
-                share = max(want.least, int(want.pace * short.keep_ms / self._tuning.slice_ms), 1)
+                share = max(demand.min_amount, int(demand.usage * shortage.retain_ms / self._tuning.slice_ms), 1)
             # Of what is short half stays, for those who use little and would else run dry until the next recall.
-            most = free if short is None else min(free, max(want.least, (free + 1) // 2))
-            amount = min(want.amount, share, most)
-            unmet = unmet or amount < min(want.amount, share)
+            limit = grantable if shortage is None else min(grantable, max(demand.min_amount, (grantable + 1) // 2))
+            amount = min(demand.amount, share, limit)
+            is_unmet = is_unmet or amount < min(demand.amount, share)
             if amount <= 0:
                 break
             serial = self._serials[tenant] = max(wallet.serial, self._serials.get(tenant, 0)) + 1
-            grants.append(entries.Grant(tenant, *owner, serial, amount, witnesses, self.term))
-            del wants[owner]
-            free -= amount
-        if short is not None and now >= short.at:
-            if (unmet or short.new) and held.keys() - {owner for owner, _ in open_to[:1]}:
-                self._recall(now, tenant, wallet, short, [*held, *(owner for owner in wants if owner not in held)])
+            grants.append(entries.Grant(tenant, *holder, serial, amount, witnesses, self.term))
+            del demands[holder]
+            grantable -= amount
+        if shortage is not None and now >= shortage.next_recall_at_ms:
+            if (is_unmet or shortage.never_recalled) and held_serials.keys() - {holder for holder, _ in eligible[:1]}:
+                self._queue_recalls(
+                    now,
+                    tenant,
+                    wallet,
+                    shortage,
+                    [*held_serials, *(holder for holder in demands if holder not in held_serials)],
+                )
             else:
-                short.look_at = now + short.gap_ms
-        if not wants:
-            self._wants.pop(tenant, None)
+                shortage.next_check_at_ms = now + shortage.interval_ms
+        if not demands:
+            self._demands.pop(tenant, None)
         return grants
 
-    def _judge(
-        self, now: float, tenant: str, wallet: Wallet, open_to: list[tuple[Owner, Wanted]], free: int
-    ) -> Short | None:
+    def _update_shortage(
+        self,
+        now: float,
+        tenant: str,
+        wallet: Wallet,
+        eligible: list[tuple[ProcessId, AllocationDemand]],
+        grantable: int,
+    ) -> Shortage | None:
         """It is short from when less is left than two slices for each who wants, until there is credit, or so much is
         left for all who have wanted since."""
-        short = self._short.get(tenant)
-        if short is None:
-            if not open_to or 2 * sum(want.pace for _, want in open_to) <= free:
+        shortage = self._shortages.get(tenant)
+        if shortage is None:
+            if not eligible or 2 * sum(demand.usage for _, demand in eligible) <= grantable:
                 return None
-            short = self._short[tenant] = Short(now, self._tuning, wallet)
-        for owner, want in open_to:
-            short.demand[owner], short.seen = want.pace, now
-        late = now >= short.seen + 2 * self._tuning.idle_ms
-        if late or wallet.credit != short.credit or free > 2 * sum(short.demand.values()):
-            del self._short[tenant]
+            shortage = self._shortages[tenant] = Shortage(now, self._tuning, wallet)
+        for holder, demand in eligible:
+            shortage.usage_by_holder[holder], shortage.last_request_at_ms = demand.usage, now
+        overdue = now >= shortage.last_request_at_ms + 2 * self._tuning.idle_ms
+        if overdue or wallet.credit != shortage.credit or grantable > 2 * sum(shortage.usage_by_holder.values()):
+            del self._shortages[tenant]
             return None
-        return short
+        return shortage
 
-    def _recall(self, now: float, tenant: str, wallet: Wallet, short: Short, owners: list[Owner]) -> None:
+    def _queue_recalls(
+        self, now: float, tenant: str, wallet: Wallet, shortage: Shortage, holders: list[ProcessId]
+    ) -> None:
         tuning = self._tuning
-        if wallet.spent != short.spent:
-            short.spent, short.gap_ms = wallet.spent, tuning.record_ms / 2
-        if not short.new:
-            short.keep_ms = max(short.keep_ms / 2, tuning.record_ms / 4)
-        short.new = False
-        for owner in owners:
-            self._recalls.setdefault(owner, []).append((tenant, short.keep_ms))
-        short.at = short.look_at = now + short.gap_ms
-        short.gap_ms = min(2 * short.gap_ms, max(tuning.idle_ms, tuning.record_ms / 2))
+        if wallet.spent != shortage.spent:
+            shortage.spent, shortage.interval_ms = wallet.spent, tuning.record_ms / 2
+        if not shortage.never_recalled:
+            shortage.retain_ms = max(shortage.retain_ms / 2, tuning.record_ms / 4)
+        shortage.never_recalled = False
+        for holder in holders:
+            self._recalls.setdefault(holder, []).append((tenant, shortage.retain_ms))
+        shortage.next_recall_at_ms = shortage.next_check_at_ms = now + shortage.interval_ms
+        shortage.interval_ms = min(2 * shortage.interval_ms, max(tuning.idle_ms, tuning.record_ms / 2))
 
     # Holders that are gone
 
-    def _lost(self, now: float, gone: Gone, witness: Owner) -> bool:
+    def _is_witness_lost(self, now: float, inquiry: WitnessInquiry, witness: ProcessId) -> bool:
         """Whether that witness can't tell any more: another life is under its name, or it is held dead, for long
         enough, by one that is itself in reach of most voters."""
         name, process_epoch = witness
-        if witness == self._own or now < self.leases.records.get(witness, -NEVER):
+        if witness == self._own_id or now < self.leases.expiries.get(witness, -NEVER):
             return False
-        if name == self._own[0] or self.leases.process_epochs(now).get(name, process_epoch) != process_epoch:
+        if name == self._own_id[0] or self.leases.process_epochs(now).get(name, process_epoch) != process_epoch:
             return True
-        late = now >= gone.since + self._tuning.held_ms
-        return late and self.members.get(name) in GONE and bool(self.witnesses(now))
+        overdue = now >= inquiry.since_ms + self._tuning.max_lease_ms
+        return overdue and self.members.get(name) in UNREACHABLE_STATES and bool(self.choose_witnesses(now))
 
-    def _look(self, now: float) -> None:
+    def _query_witnesses(self, now: float) -> None:
         """Asks, and asks again, for slices of holders that surely don't spend."""
         tuning = self._tuning
-        self._gone_at = now + tuning.lease_ms / 6
-        for owner in [owner for owner in self._gone if owner not in self._book.owners]:
-            del self._gone[owner]
-        for owner, slices in self._book.owners.items():
-            if owner in self._expiring.values() or not self.leases.free(now, owner):
+        self._next_inquiry_at_ms = now + tuning.lease_ms / 6
+        for holder in [holder for holder in self._inquiries if holder not in self._ledger.allocations_by_holder]:
+            del self._inquiries[holder]
+        for holder, allocations in self._ledger.allocations_by_holder.items():
+            if holder in self._expiring.values() or not self.leases.is_certainly_expired(now, holder):
                 continue
-            gone = self._gone.get(owner)
-            if gone is None:
-                self._number += 1
-                asked = {
-                    key: one
-                    for key in sorted(slices)[:MOST_ASKED]
-                    if (one := self._book.slice(key[0], *owner, key[1])) is not None
+            inquiry = self._inquiries.get(holder)
+            if inquiry is None:
+                self._last_query_number += 1
+                queried = {
+                    key: allocation
+                    for key in sorted(allocations)[:MAX_QUERIED_ALLOCATIONS]
+                    if (allocation := self._ledger.slice(key[0], *holder, key[1])) is not None
                 }
-                gone = self._gone[owner] = Gone(self._number, owner, asked, now)
-            elif now < gone.asked_at + tuning.lease_ms / 3:
-                self._resolve(now, gone)
+                inquiry = self._inquiries[holder] = WitnessInquiry(self._last_query_number, holder, queried, now)
+            elif now < inquiry.queried_at_ms + tuning.lease_ms / 3:
+                self._propose_expiries(now, inquiry)
                 continue
-            gone.asked_at = now
-            for name, process_epoch in sorted(gone.witnesses()):
-                if not self._lost(now, gone, (name, process_epoch)):
-                    self._ask(name, gone)
-            self._resolve(now, gone)
-
-    def _ask(self, name: str, gone: Gone) -> None:
-        self.out.append(
-            SendToMember(name, messages.Question(gone.number, self._own[1], *gone.owner, gone.keys), Carrier.STREAM)
+            inquiry.queried_at_ms = now
+            for name, process_epoch in sorted(inquiry.unanswered()):
+                if not self._is_witness_lost(now, inquiry, (name, process_epoch)):
+                    self._send_query(name, inquiry)
+            self._propose_expiries(now, inquiry)
+
+    def _send_query(self, name: str, inquiry: WitnessInquiry) -> None:
+        self.actions.append(
+            SendToMember(
+                name,
+                messages.WitnessQuery(inquiry.number, self._own_id[1], *inquiry.holder, inquiry.keys),
+                Carrier.STREAM,
+            )
         )
 
-    def told(self, now: float, name: str, told: messages.Told) -> None:
-        gone = next((gone for gone in self._gone.values() if gone.number == told.number), None)
-        if not self.leads or told.asker != self._own[1] or gone is None or len(told.marks) != len(gone.slices):
+    def reply_received(self, now: float, name: str, reply: messages.WitnessReply) -> None:
+        inquiry = next((inquiry for inquiry in self._inquiries.values() if inquiry.number == reply.number), None)
+        if (
+            not self.is_leader
+            or reply.asker_epoch != self._own_id[1]
+            or inquiry is None
+            or len(reply.limits) != len(inquiry.allocations)
+        ):
             return
-        gone.told((name, told.process_epoch), dict(zip(gone.keys, told.marks, strict=True)))
-        self._resolve(now, gone)
-
-    def _resolve(self, now: float, gone: Gone) -> None:
-        ends = gone.ends(self.term, lambda witness: self._lost(now, gone, witness))
-        if ends and self.leases.free(now, gone.owner):
-            del self._gone[gone.owner]
-            self._expiring[self._propose(tuple(ends), "expire")] = gone.owner
+        inquiry.add_reply((name, reply.process_epoch), dict(zip(inquiry.keys, reply.limits, strict=True)))
+        self._propose_expiries(now, inquiry)
+
+    def _propose_expiries(self, now: float, inquiry: WitnessInquiry) -> None:
+        expiries = inquiry.expire_entries(self.term, lambda witness: self._is_witness_lost(now, inquiry, witness))
+        if expiries and self.leases.is_certainly_expired(now, inquiry.holder):
+            del self._inquiries[inquiry.holder]
+            self._expiring[self._propose(tuple(expiries), "expire")] = inquiry.holder
--- a/limenotch/fleet/wallet/quota_holder.py
+++ b/limenotch/fleet/wallet/quota_holder.py
@@ -18,310 +18,357 @@
 from ..interfaces import LogLine, SendToMember
 from ..leases import NEVER
 from . import entries, messages
-from .allocations import Account, Held, Purse
-from .ledger import Book, Owner, Slice
-from .spend_witness import Memory
+from .allocations import LocalAllocation, Spender, TenantAccount
+from .ledger import Allocation, Ledger, ProcessId
+from .spend_witness import SpendWitness
 from .tuning import Tuning
 
 Propose = Callable[[tuple[entries.Entry, ...], str], int]
 
 
-class Holding:
+class AllocationHolder:
     def __init__(
-        self, owner: Owner, book: Book, purse: Purse, memory: Memory, tuning: Tuning, propose: Propose
+        self,
+        holder: ProcessId,
+        ledger: Ledger,
+        spender: Spender,
+        spend_witness: SpendWitness,
+        tuning: Tuning,
+        propose: Propose,
     ) -> None:
-        self._owner, self._book, self._purse, self._memory = owner, book, purse, memory
+        self._own_id, self._ledger, self._spender, self._spend_witness = holder, ledger, spender, spend_witness
         self._tuning, self._propose = tuning, propose
-        self.out: list[Any] = []
-        self.leaving = False
+        self.actions: list[Any] = []
+        self.shutting_down = False
         self._settling = False  # an entry of ours is on its way
-        self._settle_at = -NEVER
-        self._regular_at = -NEVER
-        self._dirty = False  # something to settle, perhaps
-        self._heard = False  # there is a leader
-        self._scan_at = NEVER
-        self._again_at = NEVER  # marks that were not held yet
-        self._unheld: set[str] = set()  # tenants with such
-        self._wants: dict[str, tuple[int, int, int, int]] = {}
-        self._news = False  # a want that the leader was not told
+        self._settle_at_ms = -NEVER
+        self._regular_settle_at_ms = -NEVER
+        self._may_settle = False  # something to settle, perhaps
+        self._has_leader = False  # there is a leader
+        self._scan_at_ms = NEVER
+        self._resend_at_ms = NEVER  # marks that were not held yet
+        self._unacknowledged: set[str] = set()  # tenants with such
+        self._requests: dict[str, tuple[int, int, int, int]] = {}
+        self._has_new_request = False  # a want that the leader was not told
 
     # What the log says
 
-    def granted(self, now: float, tenant: str, serial: int, agreed: Slice) -> None:
-        account = self._purse.got(now, tenant, Held(serial, agreed.top, agreed.spent, agreed.witnesses, now))
-        account.ramp *= 2
-        account.dry = False
-        self._wants.pop(tenant, None)
-        self.out.append(LogLine(f"holds {tenant} {agreed.held}", {"serial": serial}))
-        if self.leaving:
-            account.slices[serial].narrow(0)
+    def allocation_granted(self, now: float, tenant: str, serial: int, recorded: Allocation) -> None:
+        account = self._spender.add_allocation(
+            now, tenant, LocalAllocation(serial, recorded.ceiling, recorded.spent, recorded.witnesses, now)
+        )
+        account.ramp_limit *= 2
+        account.shortage_known = False
+        self._requests.pop(tenant, None)
+        self.actions.append(LogLine(f"holds {tenant} {recorded.unspent}", {"serial": serial}))
+        if self.shutting_down:
+            account.allocations[serial].reduce(0)
 
-    def paid(self, tenant: str) -> None:
+    def credit_added(self, tenant: str) -> None:
         """Whoever was turned away wants at once."""
-        account = self._purse.accounts.get(tenant)
+        account = self._spender.accounts.get(tenant)
         if account is not None:
-            account.dry, account.span_until = False, -NEVER
-            self._purse.touched.add(tenant)
-            self._news = True  # a leader that knew no such wallet has not kept what was wanted
+            account.shortage_known, account.restricted_until_ms = False, -NEVER
+            self._spender.changed_tenants.add(tenant)
+            self._has_new_request = True  # a leader that knew no such wallet has not kept what was wanted
 
-    def leased(self, now: float) -> None:
+    def lease_granted(self, now: float) -> None:
         """From now on, or anew."""
-        self._purse.touched.update(
-            account.tenant for account in self._purse.accounts.values() if account.paused or account.lent
+        self._spender.changed_tenants.update(
+            account.tenant for account in self._spender.accounts.values() if account.paused or account.advanced_units
         )
 
-    def ended(self, tenant: str, serial: int) -> None:
-        self._purse.ended(tenant, serial)
+    def allocation_ended(self, tenant: str, serial: int) -> None:
+        self._spender.remove_allocation(tenant, serial)
 
-    def advanced(self, tenant: str, amount: int) -> None:
-        account = self._purse.accounts.get(tenant)
-        if account is not None and account.telling:
-            account.lent -= amount
-            account.telling = 0
+    def advance_recorded(self, tenant: str, amount: int) -> None:
+        account = self._spender.accounts.get(tenant)
+        if account is not None and account.advance_proposed:
+            account.advanced_units -= amount
+            account.advance_proposed = 0
 
-    def installed(self, now: float) -> None:
+    def ledger_replaced(self, now: float) -> None:
         """The book was replaced: slices that ended meanwhile, and such as were granted."""
-        for account in self._purse.accounts.values():
-            for serial in list(account.slices):
-                if self._book.slice(account.tenant, *self._owner, serial) is None:
-                    self._purse.ended(account.tenant, serial)
-            if account.telling and self._book.told(account.tenant, self._owner) >= account.told_serial:
-                self.advanced(account.tenant, account.telling)
+        for account in self._spender.accounts.values():
+            for serial in list(account.allocations):
+                if self._ledger.slice(account.tenant, *self._own_id, serial) is None:
+                    self._spender.remove_allocation(account.tenant, serial)
+            if (
+                account.advance_proposed
+                and self._ledger.last_advance_serial(account.tenant, self._own_id) >= account.advance_serial
+            ):
+                self.advance_recorded(account.tenant, account.advance_proposed)
             if account.paused:
-                self.paid(account.tenant)  # perhaps
-        for tenant, serial in sorted(self._book.owners.get(self._owner, ())):
-            one = self._book.slice(tenant, *self._owner, serial)
-            known = self._purse.accounts.get(tenant)
-            if one is not None and (known is None or serial not in known.slices):
-                self.granted(now, tenant, serial, one)
+                self.credit_added(account.tenant)  # perhaps
+        for tenant, serial in sorted(self._ledger.allocations_by_holder.get(self._own_id, ())):
+            allocation = self._ledger.slice(tenant, *self._own_id, serial)
+            known = self._spender.accounts.get(tenant)
+            if allocation is not None and (known is None or serial not in known.allocations):
+                self.allocation_granted(now, tenant, serial, allocation)
 
-    def told(self) -> None:
+    def settlement_ended(self) -> None:
         """The entry that was on its way has ended, so or so."""
         self._settling = False
         # What could not be said is said anew, at `settle_at`: a log that refuses would be asked without end.
-        self._dirty = True
+        self._may_settle = True
 
     # What others say
 
-    def held(self, witness: Owner, marks: Iterable[tuple[str, int, int]]) -> None:
-        for tenant, serial, mark in marks:
-            account = self._purse.accounts.get(tenant)
-            one = account.slices.get(serial) if account is not None else None
-            if account is not None and one is not None and one.acked(witness, mark):
-                account.dry = False
-                if account.first is None or not account.first.room:
-                    self._purse.point(account)
-                self._purse.touched.add(tenant)
+    def limits_acknowledged(self, witness: ProcessId, limits: Iterable[tuple[str, int, int]]) -> None:
+        for tenant, serial, limit in limits:
+            account = self._spender.accounts.get(tenant)
+            allocation = account.allocations.get(serial) if account is not None else None
+            if account is not None and allocation is not None and allocation.acknowledge(witness, limit):
+                account.shortage_known = False
+                if account.current is None or not account.current.available:
+                    self._spender.select_current(account)
+                self._spender.changed_tenants.add(tenant)
 
-    def recalled(self, now: float, recalls: Iterable[tuple[str, float]]) -> None:
-        for tenant, keep_ms in recalls:
-            account = self._purse.accounts.get(tenant)
-            if account is not None and keep_ms >= 0:
-                self._roll(now, account)
-                account.span_ms = min(keep_ms, self._tuning.slice_ms)
-                account.span_until = now + self._tuning.lease_ms
-                self._narrow(account, int(account.served * account.span_ms + 0.5))
-                self._settle_at = min(self._settle_at, now)
-                self._regular_at = -NEVER  # by what was spent the leader sees whether it goes on
+    def recalls_received(self, now: float, recalls: Iterable[tuple[str, float]]) -> None:
+        for tenant, retain_ms in recalls:
+            account = self._spender.accounts.get(tenant)
+            if account is not None and retain_ms >= 0:
+                self._update_rates(now, account)
+                account.restricted_span_ms = min(retain_ms, self._tuning.slice_ms)
+                account.restricted_until_ms = now + self._tuning.lease_ms
+                self._reduce(account, int(account.reserved_per_ms * account.restricted_span_ms + 0.5))
+                self._settle_at_ms = min(self._settle_at_ms, now)
+                self._regular_settle_at_ms = -NEVER  # by what was spent the leader sees whether it goes on
 
-    def void(self) -> None:
+    def reduce_all(self) -> None:
         """Fenced, or leaving: nothing held is reserved from any more."""
-        for account in self._purse.accounts.values():
-            self._narrow(account, 0)
-        self._settle_at = -NEVER
+        for account in self._spender.accounts.values():
+            self._reduce(account, 0)
+        self._settle_at_ms = -NEVER
 
-    def _narrow(self, account: Account, keep: int) -> None:
+    def _reduce(self, account: TenantAccount, retain: int) -> None:
         """The oldest keep; a slice that was narrowed before is not touched below what it keeps."""
-        for one in account.slices.values():
-            keep -= one.narrow(keep)
-        self._purse.point(account)
-        self._purse.touched.add(account.tenant)
+        for allocation in account.allocations.values():
+            retain -= allocation.reduce(retain)
+        self._spender.select_current(account)
+        self._spender.changed_tenants.add(account.tenant)
 
     # In the course of time
 
-    def tick(self, now: float, leader: bool) -> None:
+    def tick(self, now: float, has_leader: bool) -> None:
         """`leader`: there is one to be told."""
-        purse = self._purse
-        self._heard = leader
-        if now >= self._scan_at:
-            self._scan(now)
-        touched, purse.touched = purse.touched, set()
-        for tenant in sorted(touched):
-            if (account := purse.accounts.get(tenant)) is not None:
-                self._see(now, account)
-        if touched:
-            self._scan_at = min(self._scan_at, now + self._tuning.idle_ms / 4)
-            self._dirty = True
-        if now >= self._again_at:
-            self._again_at = NEVER
-            self._unheld = {
+        spender = self._spender
+        self._has_leader = has_leader
+        if now >= self._scan_at_ms:
+            self._scan_accounts(now)
+        changed_tenants, spender.changed_tenants = spender.changed_tenants, set()
+        for tenant in sorted(changed_tenants):
+            if (account := spender.accounts.get(tenant)) is not None:
+                self._review(now, account)
+        if changed_tenants:
+            self._scan_at_ms = min(self._scan_at_ms, now + self._tuning.idle_ms / 4)
+            self._may_settle = True
+        if now >= self._resend_at_ms:
+            self._resend_at_ms = NEVER
+            self._unacknowledged = {
                 tenant
-                for tenant in self._unheld
-                if (account := purse.accounts.get(tenant)) is not None
-                and any(one.waits for one in account.slices.values())
+                for tenant in self._unacknowledged
+                if (account := spender.accounts.get(tenant)) is not None
+                and any(allocation.awaits_witnesses for allocation in account.allocations.values())
             }
-            touched |= self._unheld
-        self._mark(now, touched)
-        self._settle(now)
+            changed_tenants |= self._unacknowledged
+        self._send_limits(now, changed_tenants)
+        self._propose_settlements(now)
 
-    def due(self) -> float:
-        due = min(self._scan_at, self._again_at)
-        return min(due, self._settle_at) if self._dirty and not self._settling and self._heard else due
+    def next_due_ms(self) -> float:
+        due_at_ms = min(self._scan_at_ms, self._resend_at_ms)
+        return (
+            min(due_at_ms, self._settle_at_ms)
+            if self._may_settle and not self._settling and self._has_leader
+            else due_at_ms
+        )
 
-    def _scan(self, now: float) -> None:
+    def _scan_accounts(self, now: float) -> None:
         """All accounts, a few times in `idle_ms`: rates, what is idle, what is not known any more."""
-        purse, tuning = self._purse, self._tuning
-        for account in list(purse.accounts.values()):
-            self._roll(now, account)
-            seen = max(account.last, account.turned_at)
-            for one in account.slices.values():
-                if not one.closing and now - max(account.last, one.got_at) >= tuning.idle_ms:
-                    one.narrow(0)
-                    self._purse.point(account)
-            account.dry = False
-            if now - account.turned_at >= tuning.idle_ms + tuning.retry_after_ms:
-                account.need = 0  # who was turned away does not come back
+        spender, tuning = self._spender, self._tuning
+        for account in list(spender.accounts.values()):
+            self._update_rates(now, account)
+            last_request_at_ms = max(account.last_reserved_at_ms, account.last_rejected_at_ms)
+            for allocation in account.allocations.values():
+                if (
+                    not allocation.closing
+                    and now - max(account.last_reserved_at_ms, allocation.granted_at_ms) >= tuning.idle_ms
+                ):
+                    allocation.reduce(0)
+                    self._spender.select_current(account)
+            account.shortage_known = False
+            if now - account.last_rejected_at_ms >= tuning.idle_ms + tuning.retry_after_ms:
+                account.needed = 0  # who was turned away does not come back
             if (
-                not account.slices
-                and not account.lent
-                and not account.lending
-                and now - seen >= tuning.idle_ms + tuning.retry_after_ms
+                not account.allocations
+                and not account.advanced_units
+                and not account.advance_reserved
+                and now - last_request_at_ms >= tuning.idle_ms + tuning.retry_after_ms
             ):
-                del purse.accounts[account.tenant]
-                self._wants.pop(account.tenant, None)
-            elif account.slices or account.need or account.lent:
-                purse.touched.add(account.tenant)
-        self._scan_at = now + tuning.idle_ms / 4 if purse.accounts else NEVER
+                del spender.accounts[account.tenant]
+                self._requests.pop(account.tenant, None)
+            elif account.allocations or account.needed or account.advanced_units:
+                spender.changed_tenants.add(account.tenant)
+        self._scan_at_ms = now + tuning.idle_ms / 4 if spender.accounts else NEVER
 
-    def _roll(self, now: float, account: Account) -> None:
-        if now - account.rolled_at >= self._tuning.record_ms / 4:
-            account.roll(now, self._tuning.slice_ms)
+    def _update_rates(self, now: float, account: TenantAccount) -> None:
+        if now - account.rates_updated_at_ms >= self._tuning.record_ms / 4:
+            account.update_rates(now, self._tuning.slice_ms)
 
-    def _see(self, now: float, account: Account) -> None:
+    def _review(self, now: float, account: TenantAccount) -> None:
         """What this tenant needs here: a mark told, a slice asked for; and where to look next."""
         tuning = self._tuning
-        self._roll(now, account)
-        if account.paused and not account.noted:
-            account.noted = True
-            account.ramp = max(1, tuning.least_slice // 2)  # doubled with each slice
-            why = "nothing left" if self._purse.until > now else "no lease"
-            self.out.append(LogLine(f"pauses {account.tenant}", {"why": why}))
-        room = account.room
-        if room and room >= account.need:
-            account.need = 0
-            account.dry = False
-            if account.paused and self._purse.until > now:
-                account.paused = account.noted = False
-                self.out.append(LogLine(f"resumes {account.tenant}"))
-        pace = ceil(account.rate * tuning.slice_ms)
-        target = max(pace, tuning.least_slice)
-        if now < account.span_until:  # there is little left
-            target = min(target, max(1, ceil(account.rate * account.span_ms)))
-        if account.ramp >= max(pace, tuning.least_slice):
-            account.ramp = 0
-        elif account.ramp:
-            target = min(target, account.ramp)
-        target = max(target, account.need)
-        free = account.free
-        short = max(0, account.need - room)
-        for one in account.slices.values():
-            if not one.closing and one.open < one.top and one.asked == one.open:
-                step = tuning.step_of(one.size, account.need)
-                if 2 * one.room < step or short:
-                    one.asked = max(one.open, min(one.top, one.used + max(step, short)))
-                    short -= max(0, one.asked - one.open)
-        active = now - max(account.last, account.turned_at) < tuning.idle_ms or account.need
-        if active and not self.leaving and (2 * free <= target or free < account.need):
-            newest = max(account.slices, default=0)
-            known = self._wants.get(account.tenant)
-            want = (newest, target, account.need, pace)
-            self._wants[account.tenant] = want
-            self._news = self._news or known is None or known[0] != newest or want[2] > known[2]
+        self._update_rates(now, account)
+        if account.paused and not account.pause_logged:
+            account.pause_logged = True
+            account.ramp_limit = max(1, tuning.least_slice // 2)  # doubled with each slice
+            reason = "nothing left" if self._spender.lease_expires_at_ms > now else "no lease"
+            self.actions.append(LogLine(f"pauses {account.tenant}", {"why": reason}))
+        available = account.available
+        if available and available >= account.needed:
+            account.needed = 0
+            account.shortage_known = False
+            if account.paused and self._spender.lease_expires_at_ms > now:
+                account.paused = account.pause_logged = False
+                self.actions.append(LogLine(f"resumes {account.tenant}"))
+        usage = ceil(account.demand_per_ms * tuning.slice_ms)
+        target = max(usage, tuning.least_slice)
+        if now < account.restricted_until_ms:  # there is little left
+            target = min(target, max(1, ceil(account.demand_per_ms * account.restricted_span_ms)))
+        if account.ramp_limit >= max(usage, tuning.least_slice):
+            account.ramp_limit = 0
+        elif account.ramp_limit:
+            target = min(target, account.ramp_limit)
+        target = max(target, account.needed)
+        unreserved = account.unreserved
+        missing = max(0, account.needed - available)
+        for allocation in account.allocations.values():
+            if (
+                not allocation.closing
+                and allocation.open_limit < allocation.ceiling
+                and allocation.requested_limit == allocation.open_limit
+            ):
+                step = tuning.step_of(allocation.size, account.needed)
+                if 2 * allocation.available < step or missing:
+                    allocation.requested_limit = max(
+                        allocation.open_limit, min(allocation.ceiling, allocation.used + max(step, missing))
+                    )
+                    missing -= max(0, allocation.requested_limit - allocation.open_limit)
+        is_active = (
+            now - max(account.last_reserved_at_ms, account.last_rejected_at_ms) < tuning.idle_ms or account.needed
+        )
+        if is_active and not self.shutting_down and (2 * unreserved <= target or unreserved < account.needed):
+            newest_serial = max(account.allocations, default=0)
+            previous = self._requests.get(account.tenant)
+            request = (newest_serial, target, account.needed, usage)
+            self._requests[account.tenant] = request
+            self._has_new_request = (
+                self._has_new_request or previous is None or previous[0] != newest_serial or request[2] > previous[2]
+            )
         else:
-            self._wants.pop(account.tenant, None)
-        for one in account.slices.values():
-            if one.asked > one.open or one.closing:
-                one.low = -1
-            elif one.open < one.top:
-                one.low = ceil(tuning.step_of(one.size) / 2)
+            self._requests.pop(account.tenant, None)
+        for allocation in account.allocations.values():
+            if allocation.requested_limit > allocation.open_limit or allocation.closing:
+                allocation.low_water = -1
+            elif allocation.open_limit < allocation.ceiling:
+                allocation.low_water = ceil(tuning.step_of(allocation.size) / 2)
             else:
-                one.low = -1 if account.tenant in self._wants else target // 2 + 1 - (free - one.free)
+                allocation.low_water = (
+                    -1 if account.tenant in self._requests else target // 2 + 1 - (unreserved - allocation.unreserved)
+                )
 
-    def _mark(self, now: float, tenants: set[str]) -> None:
+    def _send_limits(self, now: float, tenants: set[str]) -> None:
         """To each witness what it has not held yet: a new mark at once, an old one each `record_ms`."""
-        marks: dict[Owner, list[tuple[str, int, int]]] = {}
+        limits: dict[ProcessId, list[tuple[str, int, int]]] = {}
         for tenant in sorted(tenants):
-            account = self._purse.accounts.get(tenant)
-            for one in list(account.slices.values()) if account is not None else ():
-                if not one.waits or (one.told == one.asked and now < one.told_at + self._tuning.record_ms):
+            account = self._spender.accounts.get(tenant)
+            for allocation in list(account.allocations.values()) if account is not None else ():
+                if not allocation.awaits_witnesses or (
+                    allocation.sent_limit == allocation.requested_limit
+                    and now < allocation.sent_at_ms + self._tuning.record_ms
+                ):
                     continue
-                one.told, one.told_at = one.asked, now
-                if self._owner in one.witnesses and self._memory.tell(tenant, self._owner, one.serial, one.asked):
-                    self.held(self._owner, ((tenant, one.serial, one.asked),))
-                for witness in one.witnesses if one.waits else ():
-                    if witness != self._owner and one.asked > one.acks.get(witness, 0):
-                        marks.setdefault(witness, []).append((tenant, one.serial, one.asked))
-                        self._unheld.add(tenant)
-        for (name, _), of in marks.items():
-            for at in range(0, len(of), messages.MOST):
-                part = tuple(of[at : at + messages.MOST])
-                self.out.append(
+                allocation.sent_limit, allocation.sent_at_ms = allocation.requested_limit, now
+                if self._own_id in allocation.witnesses and self._spend_witness.record_limit(
+                    tenant, self._own_id, allocation.serial, allocation.requested_limit
+                ):
+                    self.limits_acknowledged(self._own_id, ((tenant, allocation.serial, allocation.requested_limit),))
+                for witness in allocation.witnesses if allocation.awaits_witnesses else ():
+                    if witness != self._own_id and allocation.requested_limit > allocation.acks.get(witness, 0):
+                        limits.setdefault(witness, []).append((tenant, allocation.serial, allocation.requested_limit))
+                        self._unacknowledged.add(tenant)
+        for (name, _), items in limits.items():
+            for start in range(0, len(items), messages.MAX_ITEMS):
+                batch = tuple(items[start : start + messages.MAX_ITEMS])
+                self.actions.append(
                     SendToMember(
-                        name, messages.Mark(self._owner[1], part), messages.carrier([mark[0] for mark in part])
+                        name,
+                        messages.SpendLimitRequest(self._own_id[1], batch),
+                        messages.choose_carrier([limit[0] for limit in batch]),
                     )
                 )
-        if self._unheld and self._again_at == NEVER:
-            self._again_at = now + self._tuning.record_ms
+        if self._unacknowledged and self._resend_at_ms == NEVER:
+            self._resend_at_ms = now + self._tuning.record_ms
 
-    def wants(self, again: bool) -> list[messages.Want]:
+    def pending_requests(self, again: bool) -> list[messages.AllocationRequest]:
         """What the leader is to be told: all of it `again`, or if there is something new."""
-        if not self._wants or not (again or self._news):
+        if not self._requests or not (again or self._has_new_request):
             return []
-        self._news = False
-        wants = [(tenant, *want) for tenant, want in self._wants.items()]
+        self._has_new_request = False
+        items = [(tenant, *request) for tenant, request in self._requests.items()]
         return [
-            messages.Want(self._owner[1], tuple(wants[at : at + messages.MOST]))
-            for at in range(0, len(wants), messages.MOST)
+            messages.AllocationRequest(self._own_id[1], tuple(items[start : start + messages.MAX_ITEMS]))
+            for start in range(0, len(items), messages.MAX_ITEMS)
         ]
 
     # The log
 
-    def _settle(self, now: float) -> None:
-        if not self._dirty or self._settling or not self._heard or now < self._settle_at:
+    def _propose_settlements(self, now: float) -> None:
+        if not self._may_settle or self._settling or not self._has_leader or now < self._settle_at_ms:
             return
-        self._dirty = False
-        told: list[entries.Entry] = []
-        owned = self._book.owners.get(self._owner, set())
-        regular = now >= self._regular_at
-        for tenant, serial in sorted(owned):
-            agreed = self._book.slice(tenant, *self._owner, serial)
-            account = self._purse.accounts.get(tenant)
-            one = account.slices.get(serial) if account is not None else None
-            if agreed is not None and one is not None and self._differs(agreed, one, regular):
-                told.append(
+        self._may_settle = False
+        proposed: list[entries.Entry] = []
+        own_keys = self._ledger.allocations_by_holder.get(self._own_id, set())
+        is_regular = now >= self._regular_settle_at_ms
+        for tenant, serial in sorted(own_keys):
+            recorded = self._ledger.slice(tenant, *self._own_id, serial)
+            account = self._spender.accounts.get(tenant)
+            allocation = account.allocations.get(serial) if account is not None else None
+            if (
+                recorded is not None
+                and allocation is not None
+                and self._needs_settling(recorded, allocation, is_regular)
+            ):
+                proposed.append(
                     entries.Settle(
                         tenant,
-                        *self._owner,
+                        *self._own_id,
                         serial,
-                        one.spent,
-                        one.narrowed or one.spent == one.top,
-                        one.top - one.spent,
+                        allocation.spent,
+                        allocation.reduced or allocation.spent == allocation.ceiling,
+                        allocation.ceiling - allocation.spent,
                     )
                 )
-        for account in self._purse.accounts.values():
-            if account.lent and self._purse.until > now:
-                if not account.telling:
-                    account.telling = account.lent
-                    account.told_serial = self._book.told(account.tenant, self._owner) + 1
-                told.append(entries.Advance(account.tenant, *self._owner, account.told_serial, account.telling))
-        if regular:
-            self._regular_at = now + self._tuning.lease_ms
-        if told:
+        for account in self._spender.accounts.values():
+            if account.advanced_units and self._spender.lease_expires_at_ms > now:
+                if not account.advance_proposed:
+                    account.advance_proposed = account.advanced_units
+                    account.advance_serial = self._ledger.last_advance_serial(account.tenant, self._own_id) + 1
+                proposed.append(
+                    entries.Advance(account.tenant, *self._own_id, account.advance_serial, account.advance_proposed)
+                )
+        if is_regular:
+            self._regular_settle_at_ms = now + self._tuning.lease_ms
+        if proposed:
             self._settling = True
-            self._settle_at = now + self._tuning.record_ms
-            self._propose(tuple(told[: entries.MOST]), "settle")
+            self._settle_at_ms = now + self._tuning.record_ms
+            self._propose(tuple(proposed[: entries.MAX_ENTRIES]), "settle")
         else:
-            self._settle_at = min(self._settle_at, now)
+            self._settle_at_ms = min(self._settle_at_ms, now)
 
-    def _differs(self, agreed: Slice, one: Held, regular: bool) -> bool:
-        return one.top < agreed.top or (one.spent == one.top) or (regular and one.spent > agreed.spent)
+    def _needs_settling(self, recorded: Allocation, allocation: LocalAllocation, is_regular: bool) -> bool:
+        return (
+            allocation.ceiling < recorded.ceiling
+            or (allocation.spent == allocation.ceiling)
+            or (is_regular and allocation.spent > recorded.spent)
+        )
--- a/limenotch/fleet/wallet/spend_witness.py
+++ b/limenotch/fleet/wallet/spend_witness.py
@@ -16,97 +16,108 @@
 from collections.abc import Callable, Iterable
 
 from .entries import Expire
-from .ledger import MOST_NAME, Book, Owner, Slice
+from .ledger import MAX_NAME_LENGTH, Allocation, Ledger, ProcessId
 
-MOST_ASKED = 128  # slices of one holder that are asked for at a time
+MAX_QUERIED_ALLOCATIONS = 128  # slices of one holder that are asked for at a time
 
-Key = tuple[str, str, int, int]  # tenant, name, life, serial
+AllocationKey = tuple[str, str, int, int]  # tenant, name, life, serial
 
 
-class Memory:
+class SpendWitness:
     """`most_early`: marks of slices that the book here doesn't know yet."""
 
-    def __init__(self, book: Book, most_early: int) -> None:
-        self._book, self._most = book, most_early
-        self._marks: dict[Key, int] = {}
-        self._early: set[Key] = set()
+    def __init__(self, ledger: Ledger, max_unknown: int) -> None:
+        self._ledger, self._max_unknown = ledger, max_unknown
+        self._limits: dict[AllocationKey, int] = {}
+        self._unknown: set[AllocationKey] = set()
 
     def __len__(self) -> int:
-        return len(self._marks)
+        return len(self._limits)
 
-    def tell(self, tenant: str, owner: Owner, serial: int, mark: int) -> bool:
+    def record_limit(self, tenant: str, holder: ProcessId, serial: int, limit: int) -> bool:
         """Whether it is held now. Not of a slice that has ended, nor of too many that are not known yet."""
-        key = (tenant, *owner, serial)
-        if len(tenant) > MOST_NAME or mark < 0:
+        key = (tenant, *holder, serial)
+        if len(tenant) > MAX_NAME_LENGTH or limit < 0:
             return False
-        if key not in self._marks and self._book.slice(*key) is None:
-            wallet = self._book.wallets.get(tenant)
-            if (wallet is not None and serial <= wallet.serial) or len(self._early) >= self._most:
+        if key not in self._limits and self._ledger.slice(*key) is None:
+            wallet = self._ledger.wallets.get(tenant)
+            if (wallet is not None and serial <= wallet.serial) or len(self._unknown) >= self._max_unknown:
                 return False
-            self._early.add(key)
-        self._marks[key] = max(mark, self._marks.get(key, 0))
+            self._unknown.add(key)
+        self._limits[key] = max(limit, self._limits.get(key, 0))
         return True
 
-    def mark(self, tenant: str, owner: Owner, serial: int) -> int:
-        return self._marks.get((tenant, *owner, serial), 0)
+    def limit(self, tenant: str, holder: ProcessId, serial: int) -> int:
+        return self._limits.get((tenant, *holder, serial), 0)
 
-    def granted(self, tenant: str, owner: Owner, serial: int) -> None:
-        self._early.discard((tenant, *owner, serial))
-        if self._early:  # those of lower serials never come any more
-            late = [key for key in self._early if key[0] == tenant and key[3] <= serial]
-            self._forget(late)
+    def allocation_granted(self, tenant: str, holder: ProcessId, serial: int) -> None:
+        self._unknown.discard((tenant, *holder, serial))
+        if self._unknown:  # those of lower serials never come any more
+            obsolete = [key for key in self._unknown if key[0] == tenant and key[3] <= serial]
+            self._forget(obsolete)
 
-    def ended(self, tenant: str, owner: Owner, serial: int) -> None:
-        self._marks.pop((tenant, *owner, serial), None)
+    def allocation_ended(self, tenant: str, holder: ProcessId, serial: int) -> None:
+        self._limits.pop((tenant, *holder, serial), None)
 
-    def installed(self) -> None:
+    def ledger_replaced(self) -> None:
         """The book was replaced."""
-        early = set()
-        for key in list(self._marks):
-            if self._book.slice(*key) is not None:
+        unknown = set()
+        for key in list(self._limits):
+            if self._ledger.slice(*key) is not None:
                 continue
-            wallet = self._book.wallets.get(key[0])
+            wallet = self._ledger.wallets.get(key[0])
             if wallet is not None and key[3] <= wallet.serial:
-                del self._marks[key]
+                del self._limits[key]
             else:
-                early.add(key)
-        self._early = early
+                unknown.add(key)
+        self._unknown = unknown
 
-    def _forget(self, keys: Iterable[Key]) -> None:
+    def _forget(self, keys: Iterable[AllocationKey]) -> None:
         for key in keys:
-            self._early.discard(key)
-            self._marks.pop(key, None)
+            self._unknown.discard(key)
+            self._limits.pop(key, None)
 
 
-class Gone:
+class WitnessInquiry:
     """A holder that is gone, and what its slices' witnesses have told. `number` is the question's."""
 
-    def __init__(self, number: int, owner: Owner, slices: dict[tuple[str, int], Slice], now: float) -> None:
-        self.number, self.owner, self.slices = number, owner, slices
-        self.since = self.asked_at = now
-        self._told: dict[Owner, dict[tuple[str, int], int]] = {}
+    def __init__(
+        self, number: int, holder: ProcessId, allocations: dict[tuple[str, int], Allocation], now: float
+    ) -> None:
+        self.number, self.holder, self.allocations = number, holder, allocations
+        self.since_ms = self.queried_at_ms = now
+        self._replies: dict[ProcessId, dict[tuple[str, int], int]] = {}
 
     @property
     def keys(self) -> tuple[tuple[str, int], ...]:
-        return tuple(self.slices)
+        return tuple(self.allocations)
 
-    def witnesses(self) -> set[Owner]:
+    def unanswered(self) -> set[ProcessId]:
         """Those that have not told."""
-        return {witness for one in self.slices.values() for witness in one.witnesses} - self._told.keys()
+        return {
+            witness for allocation in self.allocations.values() for witness in allocation.witnesses
+        } - self._replies.keys()
 
-    def told(self, witness: Owner, marks: dict[tuple[str, int], int]) -> None:
-        self._told[witness] = marks
+    def add_reply(self, witness: ProcessId, limits: dict[tuple[str, int], int]) -> None:
+        self._replies[witness] = limits
 
-    def ends(self, term: int, lost: Callable[[Owner], bool]) -> list[Expire]:
+    def expire_entries(self, term: int, is_lost: Callable[[ProcessId], bool]) -> list[Expire]:
         """Of those slices of which enough is known; `lost`: that witness, in that life, can't tell any more."""
-        ends: list[Expire] = []
-        for (tenant, serial), one in self.slices.items():
-            told = [marks.get((tenant, serial), 0) for witness, marks in self._told.items() if witness in one.witnesses]
-            if len(told) >= one.quorum:
-                ends.append(Expire(tenant, *self.owner, serial, max(0, min(one.top, max(told))), term))
+        expiries: list[Expire] = []
+        for (tenant, serial), allocation in self.allocations.items():
+            limits_answered = [
+                limits.get((tenant, serial), 0)
+                for witness, limits in self._replies.items()
+                if witness in allocation.witnesses
+            ]
+            if len(limits_answered) >= allocation.quorum:
+                expiries.append(
+                    Expire(tenant, *self.holder, serial, max(0, min(allocation.ceiling, max(limits_answered))), term)
+                )
             elif (
-                len(told) + sum(1 for witness in one.witnesses if witness not in self._told and not lost(witness))
-                < one.quorum
+                len(limits_answered)
+                + sum(1 for witness in allocation.witnesses if witness not in self._replies and not is_lost(witness))
+                < allocation.quorum
             ):
-                ends.append(Expire(tenant, *self.owner, serial, one.top, term, False))
-        return ends
+                expiries.append(Expire(tenant, *self.holder, serial, allocation.ceiling, term, False))
+        return expiries
--- a/limenotch/fleet/wallet/tuning.py
+++ b/limenotch/fleet/wallet/tuning.py
@@ -34,7 +34,7 @@
     most_reserved: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000  # calls open at one sidecar
 
     @property
-    def held_ms(self) -> float:
+    def max_lease_ms(self) -> float:
         """How long a lease counts at the leader, from its answer."""
         return self.lease_ms * (1 + self.drift)
 
@@ -44,7 +44,7 @@
         spent: what is held elsewhere comes back. A dead holder's lease and the question to its witnesses; a recall
         that waits its turn; settlements. The log's own time for a promise is in `record_ms`, twice.
         """
-        return self.held_ms + self.lease_ms / 3 + self.idle_ms + 4 * self.record_ms
+        return self.max_lease_ms + self.lease_ms / 3 + self.idle_ms + 4 * self.record_ms
 
     @property
     def resume_ms(self) -> float:
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -17,7 +17,7 @@
 from .. import logs
 from ..fleet.hub import LOG, ComponentEvent
 from ..fleet.wallet import Wallet, messages
-from ..fleet.wallet.api import Look, OperatorResponse, Purse, Reservation, Turned, Witnesses
+from ..fleet.wallet.api import DemandChanged, OperatorResponse, Rejected, Reservation, Spender, VotersChanged
 from ..fleet.wallet.tuning import Tuning
 from ..load_balancer_types import AttemptEnding
 from ..net.admin.wallet import PREFIX, WalletQueries
@@ -26,18 +26,20 @@
 
 log = logs.get(__name__)
 
-HOLDS = 2.0  # times `record_ms` that a call is held for a slice on its way: a grant and its mark come in well under one
-ASKS = 4.0  # parts of `record_ms` after which its purse is asked again
-MOST_SHOWN = 100  # tenants in the figures; operators' calls show the rest
+MAX_WAIT_RECORD_INTERVALS = (
+    2.0  # times `record_ms` that a call is held for a slice on its way: a grant and its mark come in well under one
+)
+RETRIES_PER_RECORD_INTERVAL = 4.0  # parts of `record_ms` after which its purse is asked again
+MAX_SHOWN_TENANTS = 100  # tenants in the figures; operators' calls show the rest
 
 
-class Parts(Protocol):
+class ComponentStops(Protocol):
     """The hub."""
 
     off: tuple[str, ...]  # prefixes of the parts stopped
 
 
-class Till:
+class RequestCharger:
     """Has a say in calls: each is reserved for when it is taken, and charged or given back once, at its end.
 
     The clock is the loop's, on which parts are told the time, read without a way through all that leads to it: twice a
@@ -47,140 +49,142 @@
     decisions are in the midst of an event that ended a call.
     """
 
-    def __init__(self, tuning: Tuning, look: Callable[[], None], parts: Parts) -> None:
-        self.purse: Purse | None = None
-        self.fault = False  # the purse raised
+    def __init__(self, tuning: Tuning, on_demand: Callable[[], None], component_stops: ComponentStops) -> None:
+        self.spender: Spender | None = None
+        self.faulted = False  # the purse raised
         self.counts = {"charged": 0, "given_back": 0, "turned": 0, "turned_without": 0}
-        self._tuning, self._look, self._parts = tuning, look, parts
+        self._tuning, self._on_demand, self._component_stops = tuning, on_demand, component_stops
         self._tenants = frozenset(tuning.tenants)
-        self._open: dict[int, Reservation] = {}  # by the call's number
-        self._looking = False
+        self._reservations: dict[int, Reservation] = {}  # by the call's number
+        self._is_notify_scheduled = False
 
     @property
-    def off(self) -> bool:
-        off = self._parts.off
-        return self.fault or PREFIX in off or LOG in off
+    def is_unavailable(self) -> bool:
+        stopped = self._component_stops.off
+        return self.faulted or PREFIX in stopped or LOG in stopped
 
-    def pays(self, tenant: str) -> bool:
+    def has_wallet(self, tenant: str) -> bool:
         return "*" in self._tenants or tenant in self._tenants
 
-    def request_received(self, call: Request) -> FinalResponse | RetryLater | None:
-        purse = self.purse
-        if purse is None or self.fault or (self._parts.off and self.off):
-            return self._without(call)
+    def request_received(self, request: Request) -> FinalResponse | RetryLater | None:
+        spender = self.spender
+        if spender is None or self.faulted or (self._component_stops.off and self.is_unavailable):
+            return self._decide_without_spender(request)
         try:
-            said = purse.reserve(monotonic() * 1000.0, call.tenant, call.class_name, call.already_charged)
-            if not self._looking and purse.wants():
-                self._see()
+            decision = spender.reserve(
+                monotonic() * 1000.0, request.tenant, request.class_name, request.already_charged
+            )
+            if not self._is_notify_scheduled and spender.has_changes():
+                self._schedule_notify()
         except Exception as error:
-            self._faulty(error)
-            return self._without(call)
-        if isinstance(said, Turned):
-            final = FinalResponse(Verdict.REJECTED, retry_after_ms=said.retry_after_ms, quota_exhausted=True)
-            if said.coming and call.waited_ms < HOLDS * self._tuning.record_ms:
+            self._record_fault(error)
+            return self._decide_without_spender(request)
+        if isinstance(decision, Rejected):
+            final = FinalResponse(Verdict.REJECTED, retry_after_ms=decision.retry_after_ms, quota_exhausted=True)
+            if decision.allocation_pending and request.waited_ms < MAX_WAIT_RECORD_INTERVALS * self._tuning.record_ms:
                 return RetryLater(
-                    self._tuning.record_ms / ASKS, final
+                    self._tuning.record_ms / RETRIES_PER_RECORD_INTERVAL, final
                 )  # its first call here in a while: not turned away
             self.counts["turned"] += 1
             return final
-        if said.cost:
-            self._open[call.number] = said
+        if decision.cost:
+            self._reservations[request.number] = decision
         return None
 
-    def attempt_started(self, invoker_call: Attempt) -> None:
+    def attempt_started(self, attempt: Attempt) -> None:
         pass
 
-    def attempt_ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
+    def attempt_ended(self, attempt: Attempt, ending: AttemptEnding) -> None:
         pass
 
-    def request_closed(self, call: Request) -> None:
-        reservation = self._open.pop(call.number, None)
-        purse = self.purse
-        if reservation is None or purse is None:
+    def request_closed(self, request: Request) -> None:
+        reservation = self._reservations.pop(request.number, None)
+        spender = self.spender
+        if reservation is None or spender is None:
             return
         try:
-            if call.final is not None and call.final.verdict is Verdict.SERVED:
-                purse.charge(monotonic() * 1000.0, reservation)
+            if request.final is not None and request.final.verdict is Verdict.SERVED:
+                spender.charge(monotonic() * 1000.0, reservation)
                 self.counts["charged"] += reservation.cost
             else:
-                purse.give_back(monotonic() * 1000.0, reservation)
+                spender.release(monotonic() * 1000.0, reservation)
                 self.counts["given_back"] += reservation.cost
-            if not self._looking and purse.wants():
-                self._see()
+            if not self._is_notify_scheduled and spender.has_changes():
+                self._schedule_notify()
         except Exception as error:
-            self._faulty(error)
+            self._record_fault(error)
 
-    def _without(self, call: Request) -> FinalResponse | None:
+    def _decide_without_spender(self, request: Request) -> FinalResponse | None:
         """Nobody can say what there is to spend."""
         tuning = self._tuning
         if (
-            call.already_charged
-            or not self.pays(call.tenant)
-            or not tuning.cost.get(call.class_name, tuning.other_cost)
+            request.already_charged
+            or not self.has_wallet(request.tenant)
+            or not tuning.cost.get(request.class_name, tuning.other_cost)
         ):
             return None
         self.counts["turned_without"] += 1
         return FinalResponse(Verdict.REJECTED, retry_after_ms=tuning.retry_after_ms, quota_exhausted=True)
 
-    def _see(self) -> None:
-        self._looking = True
-        asyncio.get_running_loop().call_soon(self._tell)
+    def _schedule_notify(self) -> None:
+        self._is_notify_scheduled = True
+        asyncio.get_running_loop().call_soon(self._notify)
 
-    def _tell(self) -> None:
-        self._looking = False
-        if not self.off:
-            self._look()
+    def _notify(self) -> None:
+        self._is_notify_scheduled = False
+        if not self.is_unavailable:
+            self._on_demand()
 
-    def _faulty(self, error: Exception) -> None:
-        if not self.fault:
-            log.error("fault in the purse: who pays is turned away", exc_info=error)
-        self.fault = True
+    def _record_fault(self, error: Exception) -> None:
+        if not self.faulted:
+            log.error("wallet spender failed; rejecting the requests of tenants with a wallet", exc_info=error)
+        self.faulted = True
 
     def status(self) -> dict[str, int]:
-        return {"reserved": len(self._open), **self.counts}
+        return {"reserved": len(self._reservations), **self.counts}
 
 
 class WalletAdapter(FleetAdapter):
     name, prefix = "wallet", PREFIX
     messages = message_types(messages)
 
-    def __init__(self, among: NodeContext, tuning: Tuning, parts: Parts) -> None:
+    def __init__(self, context: NodeContext, tuning: Tuning, component_stops: ComponentStops) -> None:
         super().__init__()
-        self._among, self._tuning = among, tuning
+        self._context, self._tuning = context, tuning
         self._wallet: Wallet | None = None
-        self._till = Till(tuning, self._look, parts)
-        paid = WalletQueries(among.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self._till.pays)
-        self.action_handlers = {OperatorResponse: paid.handle_answer}
-        self.routes = paid.paths
-        self.interceptor = self._till
+        self._charger = RequestCharger(tuning, self._demand_changed, component_stops)
+        queries = WalletQueries(context.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self._charger.has_wallet)
+        self.action_handlers = {OperatorResponse: queries.handle_answer}
+        self.routes = queries.paths
+        self.interceptor = self._charger
 
     def component(self, state: bytes | None, index: int) -> Wallet:
-        among = self._among
-        self._wallet = Wallet(among.name, among.process_epoch, self._tuning, among.voters, state)
+        context = self._context
+        self._wallet = Wallet(context.name, context.process_epoch, self._tuning, context.voters, state)
         return self._wallet
 
     def started(self) -> None:
-        self._till.purse = self._wallet.purse if self._wallet is not None else None
+        self._charger.spender = self._wallet.spender if self._wallet is not None else None
 
-    def _look(self) -> None:
-        self._among.dispatch(ComponentEvent(PREFIX, Look()))
+    def _demand_changed(self) -> None:
+        self._context.dispatch(ComponentEvent(PREFIX, DemandChanged()))
 
     def voters_changed(self, voters: tuple[str, ...]) -> None:
-        self._among.dispatch(ComponentEvent(PREFIX, Witnesses(voters)))
+        self._context.dispatch(ComponentEvent(PREFIX, VotersChanged(voters)))
 
     def status(self) -> dict[str, Any]:
         wallet = self._wallet
         if wallet is None:
             return {"state": "none"}
-        left = max(wallet.purse.until - self._among.now(), 0.0)
-        purse = dict(wallet.purse.status())
-        tenants = purse.pop("tenants", {})
+        left_ms = max(wallet.spender.lease_expires_at_ms - self._context.now(), 0.0)
+        spender = dict(wallet.spender.status())
+        tenants = spender.pop("tenants", {})
         return {
-            "state": "off" if self._till.off else "leased" if left else "no lease",
-            "lease_left_ms": round(left),
+            "state": "off" if self._charger.is_unavailable else "leased" if left_ms else "no lease",
+            "lease_left_ms": round(left_ms),
             "leader": wallet.leader,
-            "wallets": len(wallet.book.wallets),
-            "calls": self._till.status(),
-            "purse": {**purse, "tenants": dict(sorted(tenants.items())[:MOST_SHOWN])},
+            "wallets": len(wallet.ledger.wallets),
+            "calls": self._charger.status(),
+            "purse": {**spender, "tenants": dict(sorted(tenants.items())[:MAX_SHOWN_TENANTS])},
             "counts": dict(wallet.counts),
         }
--- a/limenotch/lab/fleet/checks_wallet.py
+++ b/limenotch/lab/fleet/checks_wallet.py
@@ -21,13 +21,13 @@
 from math import ceil
 from typing import NamedTuple
 
-Key = tuple[str, str, int, int]  # tenant, name, life, serial
+AllocationKey = tuple[str, str, int, int]  # tenant, name, life, serial
 
 
-class Part(NamedTuple):
+class AgreedAllocation(NamedTuple):
     """A slice in an agreed state."""
 
-    top: int  # what of it may be spent at all
+    ceiling: int  # what of it may be spent at all
     spent: int
     witnesses: tuple[tuple[str, int], ...] = ()  # names, lives
 
@@ -39,154 +39,174 @@
     expired: bool  # by the leader, not by its holder
 
 
-class Kept(NamedTuple):
+class AgreedWallet(NamedTuple):
     """One tenant's wallet in an agreed state."""
 
     credit: int
     spent: int
-    left: int
-    slices: Mapping[tuple[str, int, int], Part]  # by name, life, serial
+    unallocated: int
+    allocations: Mapping[tuple[str, int, int], AgreedAllocation]  # by name, life, serial
 
     @property
-    def held(self) -> int:
-        return sum(part.top - part.spent for part in self.slices.values())
+    def allocated(self) -> int:
+        return sum(allocation.ceiling - allocation.spent for allocation in self.allocations.values())
 
 
 @dataclass
-class Slice:
+class TrackedAllocation:
     """What is known of one, from the states alone."""
 
     amount: int  # as granted
-    top: int  # what may be taken of it; when it is closed, what counts as spent
+    ceiling: int  # what may be taken of it; when it is closed, what counts as spent
     spent: int = 0  # of it, in the wallet's `spent`
     taken: int = 0  # reserved and charged
-    peak: int = 0  # the most that was taken at any time: what was given back since may count as spent
+    peak_taken: int = 0  # the most that was taken at any time: what was given back since may count as spent
     closed: bool = False
-    over: int = 0  # at its closing: counted as spent and not taken
-    bound: int = 0  # of `over`: 0 where its holder settled it
+    overcounted: int = 0  # at its closing: counted as spent and not taken
+    max_overcounted: int = 0  # of `over`: 0 where its holder settled it
     witnesses: tuple[tuple[str, int], ...] = ()
 
 
 @dataclass
-class Sums:
+class TenantTotals:
     """Of one tenant, over all sidecars and their lives."""
 
-    ids: dict[str, int] = field(default_factory=dict)  # asked for: id, amount
-    sure: set[str] = field(default_factory=set)  # answered done or counted
+    requested_credits: dict[str, int] = field(default_factory=dict)  # asked for: id, amount
+    confirmed_ids: set[str] = field(default_factory=set)  # answered done or counted
     charged: int = 0
     reserved: int = 0
-    ahead: int = 0  # of both: on the advance
-    credit: int = 0  # the highest that was agreed anywhere
+    advanced: int = 0  # of both: on the advance
+    max_credit: int = 0  # the highest that was agreed anywhere
     served: list[tuple[float, str]] = field(default_factory=list)
-    turned: list[tuple[float, str, int]] = field(default_factory=list)  # with what was taken in all by then
-    coming: int = 0  # turned away for a moment only
+    rejections: list[tuple[float, str, int]] = field(default_factory=list)  # with what was taken in all by then
+    pending_rejections: int = 0  # turned away for a moment only
 
 
 class Checker:
-    def __init__(self, step: float, advance: int = 0, least: int = 1) -> None:
+    def __init__(self, step: float, advance: int = 0, min_step: int = 1) -> None:
         """`step`: the share of a slice that a death may count wrongly, `least` units at the least."""
-        self.step, self.advance, self.least = step, advance, least
-        self.sums: dict[str, Sums] = defaultdict(Sums)
-        self.slices: dict[Key, Slice] = {}
+        self.step, self.advance, self.min_step = step, advance, min_step
+        self.totals: dict[str, TenantTotals] = defaultdict(TenantTotals)
+        self.allocations: dict[AllocationKey, TrackedAllocation] = {}
         self.process_epochs: dict[str, int] = {}  # the latest of each name
-        self.ended: set[tuple[str, int]] = set()
-        self.away: set[str] = set()  # paused or cut off, now or a moment ago
-        self.index = 0
-        self.states: dict[int, int] = {}  # index: digest
-        self.latest: dict[str, Kept] = {}
-        self.empties: dict[str, list[float]] = defaultdict(list)  # when nothing was left any more
-        self._open: set[tuple[str, int, int]] = set()  # name, life, number of the call
+        self.ended_processes: set[tuple[str, int]] = set()
+        self.unreachable: set[str] = set()  # paused or cut off, now or a moment ago
+        self.last_index = 0
+        self.state_digests: dict[int, int] = {}  # index: digest
+        self.latest_state: dict[str, AgreedWallet] = {}
+        self.emptied_at_ms: dict[str, list[float]] = defaultdict(list)  # when nothing was left any more
+        self._open_requests: set[tuple[str, int, int]] = set()  # name, life, number of the call
 
     # Sidecars
 
     def started(self, name: str, process_epoch: int) -> None:
-        for before in range(self.process_epochs.get(name, process_epoch), process_epoch):
-            self.ended.add((name, before))
+        for previous in range(self.process_epochs.get(name, process_epoch), process_epoch):
+            self.ended_processes.add((name, previous))
         self.process_epochs[name] = process_epoch
 
     def died(self, name: str) -> None:
         if name in self.process_epochs:
-            self.ended.add((name, self.process_epochs[name]))
+            self.ended_processes.add((name, self.process_epochs[name]))
 
     # Operators
 
-    def asked(self, tenant: str, ident: str, amount: int) -> None:
+    def credit_requested(self, tenant: str, credit_id: str, amount: int) -> None:
         """The first amount of an id is what it counts for."""
-        self.sums[tenant].ids.setdefault(ident, amount)
-
-    def answered(self, tenant: str, ident: str, word: str) -> None:
-        if word in ("done", "counted"):
-            self.sums[tenant].sure.add(ident)
-            self._is(ident in self.sums[tenant].ids, f"{tenant}: {ident} is answered {word} and was never asked")
+        self.totals[tenant].requested_credits.setdefault(credit_id, amount)
+
+    def responded(self, tenant: str, credit_id: str, outcome: str) -> None:
+        if outcome in ("done", "counted"):
+            self.totals[tenant].confirmed_ids.add(credit_id)
+            self._require(
+                credit_id in self.totals[tenant].requested_credits,
+                f"{tenant}: {credit_id} is answered {outcome} but was never requested",
+            )
 
     # Calls
 
     def reserved(
-        self, at: float, name: str, process_epoch: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]
+        self,
+        at_ms: float,
+        name: str,
+        process_epoch: int,
+        number: int,
+        tenant: str,
+        allocations: Iterable[tuple[int, int]],
     ) -> None:
         """`slices`: serial and units; serial 0 is the advance."""
-        sums, who = self.sums[tenant], f"{at:.1f}: {name}.{process_epoch} {tenant}"
-        self._is((name, process_epoch) not in self.ended, f"{who}: reserves after its end")
-        self._open.add((name, process_epoch, number))
-        for serial, units in slices:
-            self._is(units > 0, f"{who}: reserves {units}")
-            sums.reserved += units
+        totals, context = self.totals[tenant], f"{at_ms:.1f}: {name}.{process_epoch} {tenant}"
+        self._require((name, process_epoch) not in self.ended_processes, f"{context}: reserves after its process ended")
+        self._open_requests.add((name, process_epoch, number))
+        for serial, units in allocations:
+            self._require(units > 0, f"{context}: reserves {units}")
+            totals.reserved += units
             if not serial:
-                sums.ahead += units
+                totals.advanced += units
                 continue
-            part = self.slices.get((tenant, name, process_epoch, serial))
-            self._is(part is not None, f"{who}: reserves of slice {serial}, which is agreed nowhere")
-            assert part is not None
-            part.taken += units
-            part.peak = max(part.peak, part.taken)
-            self._is(
-                part.taken <= part.top,
-                f"{who}: slice {serial} has {part.top}{' and is closed' * part.closed}, {part.taken} are taken",
+            tracked = self.allocations.get((tenant, name, process_epoch, serial))
+            self._require(
+                tracked is not None, f"{context}: reserves from allocation {serial}, which is in no replicated state"
+            )
+            assert tracked is not None
+            tracked.taken += units
+            tracked.peak_taken = max(tracked.peak_taken, tracked.taken)
+            self._require(
+                tracked.taken <= tracked.ceiling,
+                f"{context}: allocation {serial} has {tracked.ceiling}{' and is closed' * tracked.closed},"
+                f" {tracked.taken} are taken",
             )
-        whole = sums.charged + sums.reserved
-        bound = sums.credit + self.advance * max(1, len(self.ended) + len(self.process_epochs))
-        self._is(
-            whole <= bound,
-            f"{who}: overspent: {whole} charged and reserved, {sums.credit} credited, {sums.ahead} of them ahead of it",
+        total = totals.charged + totals.reserved
+        limit = totals.max_credit + self.advance * max(1, len(self.ended_processes) + len(self.process_epochs))
+        self._require(
+            total <= limit,
+            f"{context}: overspent: {total} charged and reserved, "
+            f"{totals.max_credit} credited, {totals.advanced} in advance",
         )
-        if sum(units for _, units in slices):
-            sums.served.append((at, name))
+        if sum(units for _, units in allocations):
+            totals.served.append((at_ms, name))
 
     def charged(
-        self, name: str, process_epoch: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]
+        self, name: str, process_epoch: int, number: int, tenant: str, allocations: Iterable[tuple[int, int]]
     ) -> None:
-        self._end(name, process_epoch, number)
-        for _, units in slices:
-            self.sums[tenant].reserved -= units
-            self.sums[tenant].charged += units
+        self._request_ended(name, process_epoch, number)
+        for _, units in allocations:
+            self.totals[tenant].reserved -= units
+            self.totals[tenant].charged += units
 
-    def given_back(
-        self, name: str, process_epoch: int, number: int, tenant: str, slices: Iterable[tuple[int, int]]
+    def released(
+        self, name: str, process_epoch: int, number: int, tenant: str, allocations: Iterable[tuple[int, int]]
     ) -> None:
-        self._end(name, process_epoch, number)
-        for serial, units in slices:
-            self.sums[tenant].reserved -= units
+        self._request_ended(name, process_epoch, number)
+        for serial, units in allocations:
+            self.totals[tenant].reserved -= units
             if serial:
-                self.slices[(tenant, name, process_epoch, serial)].taken -= units
+                self.allocations[(tenant, name, process_epoch, serial)].taken -= units
             else:
-                self.sums[tenant].ahead -= units
+                self.totals[tenant].advanced -= units
 
-    def turned(self, at: float, name: str, tenant: str, coming: bool = False) -> None:
+    def rejected(self, at_ms: float, name: str, tenant: str, pending: bool = False) -> None:
         """`coming`: told to come again at once, as there is credit that is not here yet."""
-        sums = self.sums[tenant]
-        if coming:
-            sums.coming += 1
+        totals = self.totals[tenant]
+        if pending:
+            totals.pending_rejections += 1
         else:
-            sums.turned.append((at, name, sums.charged + sums.reserved))
+            totals.rejections.append((at_ms, name, totals.charged + totals.reserved))
 
-    def _end(self, name: str, process_epoch: int, number: int) -> None:
-        self._is((name, process_epoch, number) in self._open, f"{name}.{process_epoch}: call {number} ends twice")
-        self._open.discard((name, process_epoch, number))
+    def _request_ended(self, name: str, process_epoch: int, number: int) -> None:
+        self._require(
+            (name, process_epoch, number) in self._open_requests, f"{name}.{process_epoch}: request {number} ends twice"
+        )
+        self._open_requests.discard((name, process_epoch, number))
 
     # Agreed states
 
-    def agreed(
-        self, at: float, name: str, index: int, state: Mapping[str, Kept], claims: Mapping[Key, Claim] | None = None
+    def state_applied(
+        self,
+        at_ms: float,
+        name: str,
+        index: int,
+        state: Mapping[str, AgreedWallet],
+        claims: Mapping[AllocationKey, Claim] | None = None,
     ) -> None:
         """The whole state of `name` right after entry `index`.
 
@@ -195,118 +215,168 @@
         """
         digest = hash(
             tuple(
-                (tenant, kept.credit, kept.spent, kept.left, frozenset(kept.slices.items()))
-                for tenant, kept in sorted(state.items())
+                (tenant, wallet.credit, wallet.spent, wallet.unallocated, frozenset(wallet.allocations.items()))
+                for tenant, wallet in sorted(state.items())
             )
         )
-        if index <= self.index:
-            known = self.states.get(index)
-            self._is(known is None or known == digest, f"{at:.1f}: {name} differs from others after entry {index}")
+        if index <= self.last_index:
+            known = self.state_digests.get(index)
+            self._require(
+                known is None or known == digest, f"{at_ms:.1f}: {name} differs from other members after entry {index}"
+            )
             return
-        self.index, self.states[index] = index, digest
-        for tenant, kept in state.items():
-            before = self.latest.get(tenant)
-            if kept != before:
-                self._step(f"{at:.1f}: {name}, entry {index}, {tenant}", at, tenant, before, kept, claims or {})
-        lost = self.latest.keys() - state.keys()
-        self._is(not lost, f"{at:.1f}: {name}, entry {index}: wallets gone: {sorted(lost)}")
-        self.latest = dict(state)
-
-    def _step(
-        self, where: str, at: float, tenant: str, before: Kept | None, kept: Kept, claims: Mapping[Key, Claim]
+        self.last_index, self.state_digests[index] = index, digest
+        for tenant, wallet in state.items():
+            previous = self.latest_state.get(tenant)
+            if wallet != previous:
+                self._check_wallet(
+                    f"{at_ms:.1f}: {name}, entry {index}, {tenant}", at_ms, tenant, previous, wallet, claims or {}
+                )
+        missing_wallets = self.latest_state.keys() - state.keys()
+        self._require(
+            not missing_wallets, f"{at_ms:.1f}: {name}, entry {index}: missing wallets: {sorted(missing_wallets)}"
+        )
+        self.latest_state = dict(state)
+
+    def _check_wallet(
+        self,
+        where: str,
+        at_ms: float,
+        tenant: str,
+        previous: AgreedWallet | None,
+        wallet: AgreedWallet,
+        claims: Mapping[AllocationKey, Claim],
     ) -> None:
-        before = before or Kept(0, 0, 0, {})
-        sums = self.sums[tenant]
-        self._is(
-            kept.credit == kept.spent + kept.left + kept.held,
-            f"{where}: credit {kept.credit} is not spent {kept.spent} + left {kept.left} + held {kept.held}",
+        previous = previous or AgreedWallet(0, 0, 0, {})
+        totals = self.totals[tenant]
+        self._require(
+            wallet.credit == wallet.spent + wallet.unallocated + wallet.allocated,
+            f"{where}: credit {wallet.credit} is not spent {wallet.spent} "
+            f"+ unallocated {wallet.unallocated} + allocated {wallet.allocated}",
+        )
+        negative = [
+            key for key, allocation in wallet.allocations.items() if not 0 <= allocation.spent <= allocation.ceiling
+        ]
+        self._require(
+            not negative and (wallet.unallocated >= 0 or self.advance > 0),
+            f"{where}: below 0: unallocated {wallet.unallocated}, allocations {negative}",
+        )
+        self._require(
+            wallet.credit >= previous.credit, f"{where}: credit decreased from {previous.credit} to {wallet.credit}"
         )
-        below = [key for key, part in kept.slices.items() if not 0 <= part.spent <= part.top]
-        self._is(
-            not below and (kept.left >= 0 or self.advance > 0), f"{where}: below 0: left {kept.left}, slices {below}"
+        self._require(
+            wallet.spent >= previous.spent, f"{where}: spent decreased from {previous.spent} to {wallet.spent}"
         )
-        self._is(kept.credit >= before.credit, f"{where}: credit fell from {before.credit} to {kept.credit}")
-        self._is(kept.spent >= before.spent, f"{where}: spent fell from {before.spent} to {kept.spent}")
-        asked = sum(sums.ids.values())
-        self._is(kept.credit <= asked, f"{where}: credit {kept.credit}, all ids asked for make {asked}")
-        sums.credit = max(sums.credit, kept.credit)
-        self._slices(where, tenant, before, kept, claims)
-        if kept.left <= 0 < before.left:
-            self.empties[tenant].append(at)
-
-    def _slices(self, where: str, tenant: str, before: Kept, kept: Kept, claims: Mapping[Key, Claim]) -> None:
-        rest = kept.spent - before.spent
-        for owner, part in kept.slices.items():
-            key = (tenant, *owner)
-            if owner not in before.slices:
-                self._is(key not in self.slices, f"{where}: slice {owner} is granted again")
-                self.slices[key] = Slice(part.top, part.top, witnesses=part.witnesses)
-            one = self.slices[key]
-            self._is(
-                part.top <= one.top and part.spent >= one.spent,
-                f"{where}: slice {owner} grew from {one.spent} of {one.top} to {part.spent} of {part.top}",
+        requested = sum(totals.requested_credits.values())
+        self._require(
+            wallet.credit <= requested, f"{where}: credit {wallet.credit}, all requested ids add up to {requested}"
+        )
+        totals.max_credit = max(totals.max_credit, wallet.credit)
+        self._check_allocations(where, tenant, previous, wallet, claims)
+        if wallet.unallocated <= 0 < previous.unallocated:
+            self.emptied_at_ms[tenant].append(at_ms)
+
+    def _check_allocations(
+        self,
+        where: str,
+        tenant: str,
+        previous: AgreedWallet,
+        wallet: AgreedWallet,
+        claims: Mapping[AllocationKey, Claim],
+    ) -> None:
+        unexplained = wallet.spent - previous.spent
+        for local_key, agreed in wallet.allocations.items():
+            key = (tenant, *local_key)
+            if local_key not in previous.allocations:
+                self._require(key not in self.allocations, f"{where}: allocation {local_key} is granted again")
+                self.allocations[key] = TrackedAllocation(agreed.ceiling, agreed.ceiling, witnesses=agreed.witnesses)
+            tracked = self.allocations[key]
+            self._require(
+                agreed.ceiling <= tracked.ceiling and agreed.spent >= tracked.spent,
+                f"{where}: allocation {local_key} grew from {tracked.spent} of {tracked.ceiling} "
+                f"to {agreed.spent} of {agreed.ceiling}",
             )
-            rest -= part.spent - one.spent
-            one.top, one.spent = part.top, part.spent
-            self._is(one.taken <= one.top, f"{where}: slice {owner} has {one.top} now, {one.taken} are taken")
-        gone = [owner for owner in before.slices if owner not in kept.slices]
-        for owner in gone:
-            key = (tenant, *owner)
-            one = self.slices[key]
-            claim = claims.get(key, Claim(one.spent + rest, False))
-            new = min(one.top, max(one.spent, claim.spent)) - one.spent
-            rest -= new
-            one.spent += new
-            one.top, one.closed, one.over = one.spent, True, one.spent - one.taken
-            one.bound = self._bound(one) if claim.expired else 0
-            self._is(one.over >= 0, f"{where}: slice {owner} is closed with {one.spent} spent, {one.taken} are taken")
-        self._is(rest == 0 or rest > 0 and self.advance > 0, f"{where}: spent is {rest} more than its slices tell")
-
-    def _bound(self, part: Slice) -> int:
-        there = sum(not self._gone(name, process_epoch) for name, process_epoch in part.witnesses)
-        step = max(self.least, ceil(self.step * part.amount))
-        return part.amount if 2 * there <= len(part.witnesses) else min(part.amount, step + part.peak - part.taken)
-
-    def _gone(self, name: str, process_epoch: int) -> bool:
+            unexplained -= agreed.spent - tracked.spent
+            tracked.ceiling, tracked.spent = agreed.ceiling, agreed.spent
+            self._require(
+                tracked.taken <= tracked.ceiling,
+                f"{where}: allocation {local_key} has {tracked.ceiling} now, {tracked.taken} are taken",
+            )
+        ended_keys = [local_key for local_key in previous.allocations if local_key not in wallet.allocations]
+        for local_key in ended_keys:
+            key = (tenant, *local_key)
+            tracked = self.allocations[key]
+            claim = claims.get(key, Claim(tracked.spent + unexplained, False))
+            newly_spent = min(tracked.ceiling, max(tracked.spent, claim.spent)) - tracked.spent
+            unexplained -= newly_spent
+            tracked.spent += newly_spent
+            tracked.ceiling, tracked.closed, tracked.overcounted = tracked.spent, True, tracked.spent - tracked.taken
+            tracked.max_overcounted = self._max_overcounted(tracked) if claim.expired else 0
+            self._require(
+                tracked.overcounted >= 0,
+                f"{where}: allocation {local_key} is closed with {tracked.spent} spent, {tracked.taken} are taken",
+            )
+        self._require(
+            unexplained == 0 or unexplained > 0 and self.advance > 0,
+            f"{where}: spent is {unexplained} more than its allocations account for",
+        )
+
+    def _max_overcounted(self, tracked: TrackedAllocation) -> int:
+        present = sum(not self._is_gone(name, process_epoch) for name, process_epoch in tracked.witnesses)
+        step = max(self.min_step, ceil(self.step * tracked.amount))
+        return (
+            tracked.amount
+            if 2 * present <= len(tracked.witnesses)
+            else min(tracked.amount, step + tracked.peak_taken - tracked.taken)
+        )
+
+    def _is_gone(self, name: str, process_epoch: int) -> bool:
         return (
-            (name, process_epoch) in self.ended
+            (name, process_epoch) in self.ended_processes
             or self.process_epochs.get(name, process_epoch) != process_epoch
-            or name in self.away
+            or name in self.unreachable
         )
 
     # The end
 
-    def finished(self) -> None:
+    def check_final_state(self) -> None:
         """After a calm in which all calls ended and each slice was settled or expired."""
-        for tenant, sums in self.sums.items():
-            kept = self.latest.get(tenant, Kept(0, 0, 0, {}))
-            sure = sum(sums.ids[one] for one in sums.sure)
-            self._is(kept.credit >= sure, f"{tenant}: credit lost: {kept.credit}, answered were {sure}")
-            taken = sums.charged + sums.reserved
-            untold = sums.ahead if self.advance else 0
-            self._is(kept.spent + untold >= taken, f"{tenant}: {taken} were taken, {kept.spent} count as spent")
-            self._is(not kept.slices, f"{tenant}: slices are held yet: {dict(kept.slices)}")
-        for key, part in self.slices.items():
-            self._is(
-                part.over <= part.bound,
-                f"{key}: {part.over} of {part.amount} count as spent for nothing, at the most {part.bound} may",
+        for tenant, totals in self.totals.items():
+            wallet = self.latest_state.get(tenant, AgreedWallet(0, 0, 0, {}))
+            confirmed = sum(totals.requested_credits[credit_id] for credit_id in totals.confirmed_ids)
+            self._require(
+                wallet.credit >= confirmed, f"{tenant}: credit lost: {wallet.credit}, confirmed were {confirmed}"
+            )
+            taken = totals.charged + totals.reserved
+            unrecorded = totals.advanced if self.advance else 0
+            self._require(
+                wallet.spent + unrecorded >= taken, f"{tenant}: {taken} were taken, {wallet.spent} count as spent"
+            )
+            self._require(not wallet.allocations, f"{tenant}: allocations remain: {dict(wallet.allocations)}")
+        for key, tracked in self.allocations.items():
+            self._require(
+                tracked.overcounted <= tracked.max_overcounted,
+                f"{key}: {tracked.overcounted} of {tracked.amount} wrongly count as spent, "
+                f"at most {tracked.max_overcounted} may",
             )
 
-    def paused_ms(self, tenant: str, since: float) -> float:
+    def paused_ms(self, tenant: str, since_ms: float) -> float:
         """From when first nothing was left and somebody was turned away, till the last reservation anywhere."""
-        empty = min((at for at in self.empties[tenant] if at >= since), default=float("inf"))
-        first = min((at for at, _, _ in self.sums[tenant].turned if at >= empty), default=float("inf"))
-        return max([0.0, *(at - first for at, _ in self.sums[tenant].served if at > first)])
+        emptied_ms = min((at_ms for at_ms in self.emptied_at_ms[tenant] if at_ms >= since_ms), default=float("inf"))
+        start_ms = min(
+            (at_ms for at_ms, _, _ in self.totals[tenant].rejections if at_ms >= emptied_ms), default=float("inf")
+        )
+        return max([0.0, *(at_ms - start_ms for at_ms, _ in self.totals[tenant].served if at_ms > start_ms)])
 
-    def resumed_ms(self, tenant: str, since: float, names: Iterable[str]) -> float:
+    def resumed_ms(self, tenant: str, since_ms: float, names: Iterable[str]) -> float:
         """From `since`, when credit was answered, till each of `names` has had a reservation."""
         firsts: dict[str, float] = {}
-        for at, name in self.sums[tenant].served:
-            if at >= since:
-                firsts.setdefault(name, at)
-        return max(firsts.get(name, float("inf")) for name in names) - since
+        for at_ms, name in self.totals[tenant].served:
+            if at_ms >= since_ms:
+                firsts.setdefault(name, at_ms)
+        return max(firsts.get(name, float("inf")) for name in names) - since_ms
 
     @staticmethod
-    def _is(holds: bool, fault: str) -> None:
-        if not holds:
-            raise AssertionError(fault)
+    def _require(condition: bool, error: str) -> None:
+        if not condition:
+            raise AssertionError(error)
--- a/limenotch/lab/fleet/wallet_drawings.py
+++ b/limenotch/lab/fleet/wallet_drawings.py
@@ -18,13 +18,13 @@
 import msgspec
 
 from limenotch.fleet import consensus
-from limenotch.fleet.membership import Tuning as Members
+from limenotch.fleet.membership import Tuning as MembershipTuning
 from limenotch.fleet.wallet.tuning import Tuning
 from limenotch.lab.fleet.comparing import exact
 from limenotch.lab.fleet.drawing import Scenario
 from limenotch.lab.fleet.faults import Ask, Fault
 from limenotch.lab.fleet.scenario import Outcome
-from limenotch.lab.fleet.wallet_run import Call, Calls, Run
+from limenotch.lab.fleet.wallet_run import ClientRequest, RequestBurst, Run
 
 TUNING = Tuning(
     lease_ms=900,
@@ -36,7 +36,7 @@
     ask_ms=3000,
     retry_after_ms=1000,
 )
-LOG = consensus.Tuning(
+LOG_TUNING = consensus.Tuning(
     heartbeat_ms=50,
     election_least_ms=200,
     election_most_ms=400,
@@ -45,45 +45,55 @@
     retry_ms=100,
     ask_ms=1000,
 )
-MEMBERS = Members(period_ms=300, timeout_ms=60, gossip_ms=20)
+MEMBERSHIP_TUNING = MembershipTuning(period_ms=300, timeout_ms=60, gossip_ms=20)
 
 
-def run_of(scenario: Scenario) -> Run:
+def create_run(scenario: Scenario) -> Run:
     changes: dict[str, Any] = {}
     if "advance" in scenario.head:
         changes.update(without_lease="advance", advance=int(scenario.figure("advance", 0)))
     changes["least_slice"] = int(scenario.figure("least", TUNING.least_slice))
     changes["slice_ms"] = scenario.figure("span", TUNING.slice_ms)
     tuning = msgspec.structs.replace(TUNING, **changes)
-    return Run(scenario.nodes, tuple(scenario.nodes[:3]), tuning, log_tuning=LOG, members=MEMBERS)
+    return Run(
+        scenario.nodes, tuple(scenario.nodes[:3]), tuning, log_tuning=LOG_TUNING, member_tuning=MEMBERSHIP_TUNING
+    )
 
 
-def _ask(run: Run, node: str, words: str) -> None:
+def _handle_ask(run: Run, node: str, words: str) -> None:
     word, tenant, *rest = words.split()
     if word == "credit":
-        run.ask(node, "add", tenant, int(rest[0]), rest[1])
+        run.operator_request(node, "add", tenant, int(rest[0]), rest[1])
     elif word == "show":
-        run.ask(node, "show", tenant)
+        run.operator_request(node, "show", tenant)
     elif word == "calls":
-        run.stream(node, tenant, float(rest[0]))
+        run.send_stream(node, tenant, float(rest[0]))
     elif word == "at_once":
-        many, span = int(rest[0]), float(rest[1])
-        run.calls += many
-        run.world.poke(node, Calls(tuple(Call(run.calls - number, tenant, span_ms=span) for number in range(many))))
+        count, duration_ms = int(rest[0]), float(rest[1])
+        run.request_count += count
+        run.world.poke(
+            node,
+            RequestBurst(
+                tuple(
+                    ClientRequest(run.request_count - number, tenant, duration_ms=duration_ms)
+                    for number in range(count)
+                )
+            ),
+        )
     else:
-        raise ValueError(f"nothing to ask: {words!r}")
+        raise ValueError(f"unknown request: {words!r}")
 
 
-def _happen(run: Run, fault: Fault) -> None:
+def _apply_fault(run: Run, fault: Fault) -> None:
     if isinstance(fault, Ask):
-        _ask(run, fault.node, fault.words)
+        _handle_ask(run, fault.node, fault.words)
     else:
         run.fault(str(fault))
 
 
 def outcome(scenario: Scenario, judge: bool = True) -> Outcome:
     """AssertionError where it did not come out, if `judge`, or where the checker found something in any case."""
-    run = run_of(scenario)
+    run = create_run(scenario)
     run.begin(
         scenario.seed,
         later=scenario.later,
@@ -91,11 +101,11 @@
         delay_ms=scenario.figure("delay", 1.0),
         fsync_ms=scenario.figure("fsync", 2.0),
     )
-    for at, fault in scenario.faults:
-        run.world.kernel.at(float(at), _happen, run, fault)
+    for at_ms, fault in scenario.faults:
+        run.world.kernel.at(float(at_ms), _apply_fault, run, fault)
     run.world.run(scenario.ends + 0.4999)
     seen = [(note.at_ms, note.node, note.text) for note in run.world.seen]
     found = Outcome(scenario, run.world, scenario.looked_at(seen), exact(scenario, seen))
     if judge and found.difference is not None:
-        raise AssertionError(f"{found.difference}\n\nSeen, drawn anew:\n\n{found.drawn_anew()}")
+        raise AssertionError(f"{found.difference}\n\nThe timeline as it occurred:\n\n{found.drawn_anew()}")
     return found
--- a/limenotch/net/admin/wallet.py
+++ b/limenotch/net/admin/wallet.py
@@ -20,7 +20,7 @@
 
 from ...fleet.hub import ComponentEvent
 from ...fleet.wallet.api import OperatorRequest, OperatorResponse
-from ...fleet.wallet.ledger import MOST_CREDIT, MOST_NAME
+from ...fleet.wallet.ledger import MAX_CREDIT, MAX_NAME_LENGTH
 from .. import http1
 from .queries import OperatorQueries, json_response
 from .server import RequestHandler, method_not_allowed
@@ -34,8 +34,8 @@
 class Credit(Struct, forbid_unknown_fields=True):
     """The body of a POST: `add` units under an idempotency key."""
 
-    id: Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
-    add: Annotated[int, Meta(ge=1, le=MOST_CREDIT)]
+    id: Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+    add: Annotated[int, Meta(ge=1, le=MAX_CREDIT)]
 
 
 class WalletQueries:
@@ -52,22 +52,22 @@
         self.handle_answer = self._queries.handle_answer
         self.paths: dict[str, RequestHandler] = {WALLETS: self._handle_all, f"{WALLETS}/": self._handle_one}
 
-    async def _query(self, what: str, tenant: str = "", amount: int = 0, credit_id: str = "") -> OperatorResponse:
-        answer = await self._queries.query(lambda ticket: OperatorRequest(ticket, what, tenant, amount, credit_id))
+    async def _query(self, action: str, tenant: str = "", amount: int = 0, credit_id: str = "") -> OperatorResponse:
+        answer = await self._queries.query(lambda ticket: OperatorRequest(ticket, action, tenant, amount, credit_id))
         return answer or OperatorResponse(0, "unknown", "no answer in time")
 
     async def _handle_all(self, request: http1.Message) -> bytes:
         if request.method != b"GET":
             return method_not_allowed(b"GET")
         answer = await self._query("show")
-        if answer.word != "shown":
+        if answer.outcome != "shown":
             return _failure(answer)
         return json_response(200, {"wallets": answer.body, "text": answer.text})
 
     async def _handle_one(self, request: http1.Message) -> bytes:
         tenant = unquote(request.target.partition(b"?")[0].decode("latin-1").removeprefix(f"{WALLETS}/"))
-        if not 0 < len(tenant) <= MOST_NAME:
-            return _bad_request(f"tenant: expected 1 to {MOST_NAME} letters")
+        if not 0 < len(tenant) <= MAX_NAME_LENGTH:
+            return _bad_request(f"tenant: expected 1 to {MAX_NAME_LENGTH} letters")
         if request.method == b"GET":
             return await self._show(tenant)
         if request.method != b"POST":
@@ -83,17 +83,17 @@
 
     async def _show(self, tenant: str) -> bytes:
         answer = await self._query("show", tenant)
-        if answer.word != "shown":
+        if answer.outcome != "shown":
             return _failure(answer)
         return json_response(200, {"tenant": tenant, **answer.body[tenant]})
 
     async def _add(self, tenant: str, credit: Credit) -> bytes:
         answer = await self._query("add", tenant, credit.add, credit.id)
-        if answer.word == "counted" and answer.body != credit.add:
+        if answer.outcome == "counted" and answer.body != credit.add:
             text = f"id: was {answer.body}, not {credit.add}"
             return json_response(409, {"ok": False, "text": text, "added": answer.body})
-        if answer.word in ("done", "counted"):
-            return json_response(200, {"ok": True, "counted": answer.word == "counted", "added": credit.add})
+        if answer.outcome in ("done", "counted"):
+            return json_response(200, {"ok": True, "counted": answer.outcome == "counted", "added": credit.add})
         return _failure(answer)
 
 
@@ -102,5 +102,5 @@
 
 
 def _failure(answer: OperatorResponse) -> bytes:
-    text = f"{answer.word}: {answer.text}" if answer.text else answer.word
-    return json_response(STATUS[answer.word], {"ok": False, "text": text})
+    text = f"{answer.outcome}: {answer.text}" if answer.text else answer.outcome
+    return json_response(STATUS[answer.outcome], {"ok": False, "text": text})
