--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -14,7 +14,7 @@
 from limenotch.fleet.interfaces import LogLine, MessageReceived, SendToMember, SetTimer, Started, TimerFired
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries
 
-QUICK = Tuning(
+FAST_TUNING = Tuning(
     lease_ms=600,
     drift=0.1,
     slice_ms=400,
@@ -26,186 +26,190 @@
 )
 
 
-class Group:
-    def __init__(self, names: str = "abc", voters: str = "abc", tuning: Tuning = QUICK) -> None:
+class FakeFleet:
+    def __init__(self, names: str = "abc", voters: str = "abc", tuning: Tuning = FAST_TUNING) -> None:
         self.tuning, self.voters = tuning, tuple(voters)
         self.now = 0.0
         self.term = 0
         self.leader: str | None = None
-        self.log: list[log.EntryCommitted] = []
-        self.said: list[tuple[float, str, str]] = []  # notes: when, whose, text
-        self.answers: list[api.OperatorResponse] = []
-        self.lost: Callable[[str, str, Any], bool] = lambda frm, to, message: False
-        self.fate: Callable[[str, tuple[entries.Entry, ...]], str] = lambda frm, told: "promised"
-        self.late: list[tuple[str, log.Propose, int]] = []  # of fate `unknown`: who, what, the epoch it was asked in
-        self.asleep: set[str] = set()
-        self.behind: set[str] = set()  # what is agreed comes to them later
-        self.wallets: dict[str, Wallet] = {}
-        self._lives = 0
+        self.committed: list[log.EntryCommitted] = []
+        self.log_lines: list[tuple[float, str, str]] = []  # notes: when, whose, text
+        self.responses: list[api.OperatorResponse] = []
+        self.is_lost: Callable[[str, str, Any], bool] = lambda sender, member, message: False
+        self.outcome_of: Callable[[str, tuple[entries.Entry, ...]], str] = lambda sender, wallet_entries: "committed"
+        self.unanswered: list[
+            tuple[str, log.Propose, int]
+        ] = []  # of fate `unknown`: who, what, the epoch it was asked in
+        self.suspended: set[str] = set()
+        self.lagging: set[str] = set()  # what is agreed comes to them later
+        self.members: dict[str, Wallet] = {}
+        self._last_process_epoch = 0
         self._timers: list[tuple[float, str, int, int]] = []  # when, whose, its life, token
-        self._waiting: deque[tuple[str, Any]] = deque()
-        self._kept: list[tuple[str, Any]] = []  # for those asleep
-        self._later: list[tuple[str, Any]] = []  # for those behind
+        self._queue: deque[tuple[str, Any]] = deque()
+        self._held_for_suspended: list[tuple[str, Any]] = []  # for those asleep
+        self._held_for_lagging: list[tuple[str, Any]] = []  # for those behind
         for name in names:
             self.start(name)
 
     def start(self, name: str) -> Wallet:
         """A new process; it finds all that was agreed."""
-        self._lives += 1
-        self.behind.discard(name)
-        self._later = [one for one in self._later if one[0] != name]
-        self.wallets[name] = Wallet(name, self._lives, self.tuning, self.voters)
-        self._tell(
+        self._last_process_epoch += 1
+        self.lagging.discard(name)
+        self._held_for_lagging = [item for item in self._held_for_lagging if item[0] != name]
+        self.members[name] = Wallet(name, self._last_process_epoch, self.tuning, self.voters)
+        self._deliver_all(
             [
                 (name, Started()),
-                *((name, agreed) for agreed in self.log),
+                *((name, committed_entry) for committed_entry in self.committed),
                 (name, log.LeaderChanged(self.leader, self.term)),
             ]
         )
-        return self.wallets[name]
+        return self.members[name]
 
     def kill(self, name: str) -> None:
-        del self.wallets[name]
-        self._kept = [(other, event) for other, event in self._kept if other != name]
-        self._later = [(other, event) for other, event in self._later if other != name]
-        self.asleep.discard(name)
-        self.behind.discard(name)
+        del self.members[name]
+        self._held_for_suspended = [(member, event) for member, event in self._held_for_suspended if member != name]
+        self._held_for_lagging = [(member, event) for member, event in self._held_for_lagging if member != name]
+        self.suspended.discard(name)
+        self.lagging.discard(name)
 
     def wake(self, name: str) -> None:
-        self.asleep.discard(name)
-        kept, self._kept = self._kept, []
-        self._tell(kept)
+        self.suspended.discard(name)
+        held, self._held_for_suspended = self._held_for_suspended, []
+        self._deliver_all(held)
 
     def catch_up(self, name: str) -> None:
         """One that is awake."""
-        self.behind.discard(name)
-        now = [one for one in self._later if one[0] == name]
-        self._later = [one for one in self._later if one[0] != name]
-        self._tell(now)
+        self.lagging.discard(name)
+        held = [item for item in self._held_for_lagging if item[0] == name]
+        self._held_for_lagging = [item for item in self._held_for_lagging if item[0] != name]
+        self._deliver_all(held)
 
     def lead(self, name: str | None) -> None:
         self.term += 1
         self.leader = name
-        self._tell([(other, log.LeaderChanged(name, self.term)) for other in self.wallets])
+        self._deliver_all([(member, log.LeaderChanged(name, self.term)) for member in self.members])
 
-    def agree(self, *told: entries.Entry, term: int | None = None) -> int:
+    def commit(self, *wallet_entries: entries.Entry, term: int | None = None) -> int:
         """The index."""
-        agreed = log.EntryCommitted(len(self.log) + 1, self.term if term is None else term, entries.encode(told), "")
-        self.log.append(agreed)
-        self._tell([(name, agreed) for name in self.wallets])
-        return agreed.index
-
-    def tell(self, name: str, event: Any) -> None:
-        self._tell([(name, event)])
-
-    def _tell(self, events: list[tuple[str, Any]]) -> None:
-        begun = bool(self._waiting)
-        self._waiting.extend(events)
-        while self._waiting and not begun:  # else whoever began goes on with it
-            self._told(*self._waiting[0])
-            self._waiting.popleft()
-
-    def _told(self, name: str, event: Any) -> None:
-        if name not in self.wallets:
+        committed_entry = log.EntryCommitted(
+            len(self.committed) + 1, self.term if term is None else term, entries.encode(wallet_entries), ""
+        )
+        self.committed.append(committed_entry)
+        self._deliver_all([(name, committed_entry) for name in self.members])
+        return committed_entry.index
+
+    def deliver(self, name: str, event: Any) -> None:
+        self._deliver_all([(name, event)])
+
+    def _deliver_all(self, events: list[tuple[str, Any]]) -> None:
+        is_nested = bool(self._queue)
+        self._queue.extend(events)
+        while self._queue and not is_nested:  # else whoever began goes on with it
+            self._handle(*self._queue[0])
+            self._queue.popleft()
+
+    def _handle(self, name: str, event: Any) -> None:
+        if name not in self.members:
             return
-        if name in self.asleep:
-            self._kept.append((name, event))
+        if name in self.suspended:
+            self._held_for_suspended.append((name, event))
             return
-        if name in self.behind and isinstance(event, log.EntryCommitted):
-            self._later.append((name, event))
+        if name in self.lagging and isinstance(event, log.EntryCommitted):
+            self._held_for_lagging.append((name, event))
             return
-        wallet = self.wallets[name]
+        wallet = self.members[name]
         for action in wallet.handle(self.now, event):
-            self._act(name, wallet.process_epoch, action)
-        for tenant, held in wallet.book.wallets.items():
-            assert held.sound, (tenant, held)
+            self._perform(name, wallet.process_epoch, action)
+        for tenant, tenant_wallet in wallet.ledger.wallets.items():
+            assert tenant_wallet.is_balanced, (tenant, tenant_wallet)
 
-    def _act(self, name: str, process_epoch: int, action: Any) -> None:
+    def _perform(self, name: str, process_epoch: int, action: Any) -> None:
         if isinstance(action, SendToMember):
-            if action.member in self.wallets and not self.lost(name, action.member, action.message):
-                self.tell(action.member, MessageReceived((name, 1), name, action.message, action.carrier))
+            if action.member in self.members and not self.is_lost(name, action.member, action.message):
+                self.deliver(action.member, MessageReceived((name, 1), name, action.message, action.carrier))
         elif isinstance(action, SetTimer):
             self._timers.append((action.at_ms, name, process_epoch, action.token))
         elif isinstance(action, LogLine):
-            self.said.append((self.now, name, action.text))
+            self.log_lines.append((self.now, name, action.text))
         elif isinstance(action, api.OperatorResponse):
-            self.answers.append(action)
+            self.responses.append(action)
         elif isinstance(action, log.ReadIndex):
-            ready = self.leader is not None and self.leader in self.wallets
-            self.tell(
+            ready = self.leader is not None and self.leader in self.members
+            self.deliver(
                 name,
-                log.ReadReady(action.ticket, len(self.log))
+                log.ReadReady(action.ticket, len(self.committed))
                 if ready
                 else log.ProposalRejected(action.ticket, "no leader", None),
             )
         else:
             assert isinstance(action, log.Propose), action
-            self._proposed(name, action)
-
-    def _proposed(self, name: str, action: log.Propose) -> None:
-        told = entries.decode(action.data)
-        assert told is not None
-        fate = self.fate(name, told) if self.leader is not None else "refused"
-        if fate == "promised":
-            self.tell(name, log.ProposalCommitted(action.ticket, self.agree(*told)))
-        elif fate == "unknown":
-            self.late.append((name, action, self.term))
-            self.tell(name, log.OutcomeUnknown(action.ticket))
-        elif fate == "refused":
-            self.tell(name, log.ProposalRejected(action.ticket, "busy", self.leader))
+            self._handle_proposal(name, action)
+
+    def _handle_proposal(self, name: str, action: log.Propose) -> None:
+        wallet_entries = entries.decode(action.data)
+        assert wallet_entries is not None
+        outcome = self.outcome_of(name, wallet_entries) if self.leader is not None else "refused"
+        if outcome == "committed":
+            self.deliver(name, log.ProposalCommitted(action.ticket, self.commit(*wallet_entries)))
+        elif outcome == "unknown":
+            self.unanswered.append((name, action, self.term))
+            self.deliver(name, log.OutcomeUnknown(action.ticket))
+        elif outcome == "refused":
+            self.deliver(name, log.ProposalRejected(action.ticket, "busy", self.leader))
         else:
-            self.late.append((name, action, self.term))  # not answered yet
+            self.unanswered.append((name, action, self.term))  # not answered yet
 
     def run(self, ms: float) -> None:
-        until = self.now + ms
+        until_ms = self.now + ms
         while True:
-            due = [timer for timer in self._timers if timer[0] <= until and timer[1] not in self.asleep]
+            due = [timer for timer in self._timers if timer[0] <= until_ms and timer[1] not in self.suspended]
             if not due:
                 break
             first = min(due)
             self._timers.remove(first)
             self.now = max(self.now, first[0])
-            if first[1] in self.wallets and self.wallets[first[1]].process_epoch == first[2]:
-                self.tell(first[1], TimerFired(first[3]))
-        self.now = until
+            if first[1] in self.members and self.members[first[1]].process_epoch == first[2]:
+                self.deliver(first[1], TimerFired(first[3]))
+        self.now = until_ms
 
     # What a host does
 
-    def call(self, name: str, tenant: str = "acme", kind: str = "call") -> api.Reservation | api.Turned:
-        got = self.wallets[name].purse.reserve(self.now, tenant, kind)
-        self.look(name)
-        return got
+    def reserve(self, name: str, tenant: str = "acme", request_class: str = "call") -> api.Reservation | api.Rejected:
+        decision = self.members[name].spender.reserve(self.now, tenant, request_class)
+        self.notify_if_changed(name)
+        return decision
 
-    def look(self, name: str) -> None:
-        if self.wallets[name].purse.wants():
-            self.tell(name, api.Look())
+    def notify_if_changed(self, name: str) -> None:
+        if self.members[name].spender.has_changes():
+            self.deliver(name, api.DemandChanged())
 
-    def serve(self, name: str, tenant: str = "acme", kind: str = "call") -> bool:
+    def serve(self, name: str, tenant: str = "acme", request_class: str = "call") -> bool:
         """Whether it was."""
-        got = self.call(name, tenant, kind)
-        if isinstance(got, api.Turned):
+        decision = self.reserve(name, tenant, request_class)
+        if isinstance(decision, api.Rejected):
             return False
-        self.wallets[name].purse.charge(self.now, got)
-        self.look(name)
+        self.members[name].spender.charge(self.now, decision)
+        self.notify_if_changed(name)
         return True
 
-    def add(
-        self, amount: int, ident: str = "one", name: str = "a", tenant: str = "acme"
+    def add_credit(
+        self, amount: int, credit_id: str = "one", name: str = "a", tenant: str = "acme"
     ) -> api.OperatorResponse | None:
         """The answer, if it has come."""
-        ticket = len(self.answers) + 1000
-        self.tell(name, api.OperatorRequest(ticket, "add", tenant, amount, ident))
-        return next((answer for answer in self.answers if answer.ticket == ticket), None)
+        ticket = len(self.responses) + 1000
+        self.deliver(name, api.OperatorRequest(ticket, "add", tenant, amount, credit_id))
+        return next((response for response in self.responses if response.ticket == ticket), None)
 
-    def texts(self, name: str) -> list[str]:
-        return [text for _, whose, text in self.said if whose == name]
+    def log_texts(self, name: str) -> list[str]:
+        return [text for _, member, text in self.log_lines if member == name]
 
 
-def ready(amount: int = 1000, names: str = "abc", tuning: Tuning = QUICK) -> Group:
+def ready(amount: int = 1000, names: str = "abc", tuning: Tuning = FAST_TUNING) -> FakeFleet:
     """a leads, all have leases, acme has credit."""
-    group = Group(names, tuning=tuning)
-    group.lead("a")
-    group.run(10)
-    answer = group.add(amount)
-    assert answer is not None and answer.word == "done"
-    return group
+    fleet = FakeFleet(names, tuning=tuning)
+    fleet.lead("a")
+    fleet.run(10)
+    response = fleet.add_credit(amount)
+    assert response is not None and response.outcome == "done"
+    return fleet
--- a/tests/fleet/test_wallet_core.py
+++ b/tests/fleet/test_wallet_core.py
@@ -9,65 +9,65 @@
 from limenotch.fleet.interfaces import MemberChanged, MessageReceived, ShutdownStarted, Started
 from limenotch.fleet.wallet import Tuning, Wallet, api, entries, messages
 from limenotch.fleet.wallet.entries import Credit
-from tests.fleet.fake_wallets import QUICK, Group, ready
-
-ADVANCE = msgspec.structs.replace(QUICK, without_lease="advance", advance=5)
-
-
-def test_an_id_counts_once_wherever_it_is_said() -> None:
-    group = ready()
-    again = group.add(1000, name="c")
-    assert again is not None
-    assert (again.word, again.text) == ("counted", "1000 under 'one'")
-    other = group.add(7, "two", name="b")
-    assert other is not None and other.word == "done"
-    assert group.wallets["b"].book.wallets["acme"].credit == 1007
-    assert group.texts("c") == ["paid acme 1000", "paid acme 7"]
-
-
-def test_a_lost_answer_costs_nothing() -> None:
-    group = ready()
-    group.fate = lambda frm, told: "unknown"
-    lost = group.add(50, "two")
-    assert lost is not None and lost.word == "unknown"
-    [(_, propose, _)] = group.late
-    told = entries.decode(propose.data)
-    assert told is not None
-    group.agree(*told)
-    group.fate = lambda frm, told: "promised"
-    again = group.add(50, "two", name="b")
-    assert again is not None and again.word == "counted"
-    assert group.wallets["a"].book.wallets["acme"].credit == 1050
-
-
-def test_two_at_once_with_one_id_are_told_apart() -> None:
-    group = ready()
-    group.fate = lambda frm, told: "held"
-    assert group.add(50, "two", name="a") is None
-    assert group.add(50, "two", name="b") is None
-    for name, propose, _ in reversed(group.late):
-        told = entries.decode(propose.data)
-        assert told is not None
-        group.tell(name, log.ProposalCommitted(propose.ticket, group.agree(*told)))
-    assert [answer.word for answer in group.answers] == ["done", "done", "counted"]
-
-
-def test_promised_but_not_applied_here_is_waited_for_and_then_unknown() -> None:
-    group = ready()
-    group.fate = lambda frm, told: "held"
-    group.add(50, "two")
-    [(_, propose, _)] = group.late
-    group.tell("a", log.ProposalCommitted(propose.ticket, 40))
-    group.run(QUICK.ask_ms - 1)
-    assert len(group.answers) == 1
-    group.run(1)
-    assert group.answers[-1].word == "unknown"
-    group.tell("a", log.OutcomeUnknown(propose.ticket))
-    assert len(group.answers) == 2, "each gets one answer"
+from tests.fleet.fake_wallets import FAST_TUNING, FakeFleet, ready
+
+ADVANCE = msgspec.structs.replace(FAST_TUNING, without_lease="advance", advance=5)
+
+
+def test_an_id_counts_once_at_any_member() -> None:
+    fleet = ready()
+    repeated = fleet.add_credit(1000, name="c")
+    assert repeated is not None
+    assert (repeated.outcome, repeated.text) == ("counted", "1000 under 'one'")
+    other = fleet.add_credit(7, "two", name="b")
+    assert other is not None and other.outcome == "done"
+    assert fleet.members["b"].ledger.wallets["acme"].credit == 1007
+    assert fleet.log_texts("c") == ["paid acme 1000", "paid acme 7"]
+
+
+def test_repeat_after_unknown_outcome_counts_once() -> None:
+    fleet = ready()
+    fleet.outcome_of = lambda sender, wallet_entries: "unknown"
+    unconfirmed = fleet.add_credit(50, "two")
+    assert unconfirmed is not None and unconfirmed.outcome == "unknown"
+    [(_, propose, _)] = fleet.unanswered
+    wallet_entries = entries.decode(propose.data)
+    assert wallet_entries is not None
+    fleet.commit(*wallet_entries)
+    fleet.outcome_of = lambda sender, wallet_entries: "committed"
+    repeated = fleet.add_credit(50, "two", name="b")
+    assert repeated is not None and repeated.outcome == "counted"
+    assert fleet.members["a"].ledger.wallets["acme"].credit == 1050
+
+
+def test_concurrent_requests_with_one_id() -> None:
+    fleet = ready()
+    fleet.outcome_of = lambda sender, wallet_entries: "pending"
+    assert fleet.add_credit(50, "two", name="a") is None
+    assert fleet.add_credit(50, "two", name="b") is None
+    for name, propose, _ in reversed(fleet.unanswered):
+        wallet_entries = entries.decode(propose.data)
+        assert wallet_entries is not None
+        fleet.deliver(name, log.ProposalCommitted(propose.ticket, fleet.commit(*wallet_entries)))
+    assert [response.outcome for response in fleet.responses] == ["done", "done", "counted"]
+
+
+def test_committed_but_not_applied_in_time_is_unknown() -> None:
+    fleet = ready()
+    fleet.outcome_of = lambda sender, wallet_entries: "pending"
+    fleet.add_credit(50, "two")
+    [(_, propose, _)] = fleet.unanswered
+    fleet.deliver("a", log.ProposalCommitted(propose.ticket, 40))
+    fleet.run(FAST_TUNING.ask_ms - 1)
+    assert len(fleet.responses) == 1
+    fleet.run(1)
+    assert fleet.responses[-1].outcome == "unknown"
+    fleet.deliver("a", log.OutcomeUnknown(propose.ticket))
+    assert len(fleet.responses) == 2, "each request gets one response"
 
 
 @pytest.mark.parametrize(
-    ("tenant", "amount", "ident", "word"),
+    ("tenant", "amount", "credit_id", "key"),
     [
         ("acme", 0, "x", "amount"),
         ("acme", 1 << 61, "x", "amount"),
@@ -77,240 +77,245 @@
         ("acme", 1, "i" * 300, "id"),
     ],
 )
-def test_what_can_be_no_credit_is_refused_by_its_key(tenant: str, amount: int, ident: str, word: str) -> None:
-    group = ready(tuning=msgspec.structs.replace(QUICK, tenants=("acme",)))
-    before = len(group.log)
-    answer = group.add(amount, ident, tenant=tenant)
-    assert answer is not None
-    assert answer.word == "refused"
-    assert answer.text.startswith(word)
-    assert len(group.log) == before
-
-
-def test_what_the_wallet_can_hold_no_more_of_is_refused() -> None:
-    group = ready(1 << 60)
-    full = group.add(5, "two")
-    assert full is not None and (full.word, full.text[:9]) == ("refused", "more than")
-    group = ready(tuning=msgspec.structs.replace(QUICK, most_ids=1))
-    full = group.add(5, "two")
-    assert full is not None and (full.word, full.text[:8]) == ("refused", "too many")
-
-
-def test_show_sees_all_that_was_promised() -> None:
-    group = ready()
+def test_invalid_credit_is_refused_by_its_key(tenant: str, amount: int, credit_id: str, key: str) -> None:
+    fleet = ready(tuning=msgspec.structs.replace(FAST_TUNING, tenants=("acme",)))
+    before = len(fleet.committed)
+    response = fleet.add_credit(amount, credit_id, tenant=tenant)
+    assert response is not None
+    assert response.outcome == "refused"
+    assert response.text.startswith(key)
+    assert len(fleet.committed) == before
+
+
+def test_credit_beyond_the_limits_is_refused() -> None:
+    fleet = ready(1 << 60)
+    full = fleet.add_credit(5, "two")
+    assert full is not None and (full.outcome, full.text[:9]) == ("refused", "more than")
+    fleet = ready(tuning=msgspec.structs.replace(FAST_TUNING, most_ids=1))
+    full = fleet.add_credit(5, "two")
+    assert full is not None and (full.outcome, full.text[:8]) == ("refused", "too many")
+
+
+def test_show_includes_all_committed_entries() -> None:
+    fleet = ready()
     for _ in range(3):
-        group.serve("b")
-    group.tell("c", api.OperatorRequest(1, "show", "acme"))
-    group.tell("c", api.OperatorRequest(2, "show"))
-    group.tell("c", api.OperatorRequest(3, "show", "nobody"))
-    group.tell("c", api.OperatorRequest(4, "odd"))
-    one, every, none, odd = group.answers[1:]
-    assert one.body == {"acme": {"credit": 1000, "spent": 0, "left": 990, "held": 10, "slices": 1}}
-    assert every == api.OperatorResponse(2, "shown", "", one.body)
-    assert (none.word, odd.word) == ("none", "refused")
-    group.leader = None
-    group.tell("c", api.OperatorRequest(5, "show"))
-    assert group.answers[-1].word == "refused"
-
-
-def test_askers_are_bounded() -> None:
-    group = ready(tuning=msgspec.structs.replace(QUICK, most_asks=2))
-    group.fate = lambda frm, told: "held"
+        fleet.serve("b")
+    fleet.deliver("c", api.OperatorRequest(1, "show", "acme"))
+    fleet.deliver("c", api.OperatorRequest(2, "show"))
+    fleet.deliver("c", api.OperatorRequest(3, "show", "nobody"))
+    fleet.deliver("c", api.OperatorRequest(4, "odd"))
+    own, every, none, invalid = fleet.responses[1:]
+    assert own.body == {"acme": {"credit": 1000, "spent": 0, "left": 990, "held": 10, "slices": 1}}
+    assert every == api.OperatorResponse(2, "shown", "", own.body)
+    assert (none.outcome, invalid.outcome) == ("none", "refused")
+    fleet.leader = None
+    fleet.deliver("c", api.OperatorRequest(5, "show"))
+    assert fleet.responses[-1].outcome == "refused"
+
+
+def test_pending_operator_requests_are_bounded() -> None:
+    fleet = ready(tuning=msgspec.structs.replace(FAST_TUNING, most_asks=2))
+    fleet.outcome_of = lambda sender, wallet_entries: "pending"
     for number in range(3):
-        group.add(5, f"x{number}")
-    assert [answer.text for answer in group.answers[1:]] == ["busy"]
-    group.run(QUICK.ask_ms)
-    assert [answer.word for answer in group.answers[1:]] == ["refused", "unknown", "unknown"]
+        fleet.add_credit(5, f"x{number}")
+    assert [response.text for response in fleet.responses[1:]] == ["busy"]
+    fleet.run(FAST_TUNING.ask_ms)
+    assert [response.outcome for response in fleet.responses[1:]] == ["refused", "unknown", "unknown"]
 
 
-def test_pauses_and_resumes_within_the_stated_time() -> None:
-    group = ready(20)
-    turned = 0
+def test_resumes_within_the_stated_time() -> None:
+    fleet = ready(20)
+    rejected = 0
     for _ in range(200):
-        turned += not group.serve("b")
-        group.run(5)
-    assert "pauses acme" in group.texts("b")
-    assert group.wallets["a"].book.wallets["acme"].spent == 20
-    last = group.wallets["b"].purse.reserve(group.now, "acme", "call")
-    assert last == api.Turned(QUICK.retry_after_ms)
-    begin = group.now
-    group.add(500, "two")
-    while not group.serve("b"):
-        group.run(1)
-    assert group.now - begin <= QUICK.resume_ms
-    texts = group.texts("b")
+        rejected += not fleet.serve("b")
+        fleet.run(5)
+    assert "pauses acme" in fleet.log_texts("b")
+    assert fleet.members["a"].ledger.wallets["acme"].spent == 20
+    last = fleet.members["b"].spender.reserve(fleet.now, "acme", "call")
+    assert last == api.Rejected(FAST_TUNING.retry_after_ms)
+    begin_ms = fleet.now
+    fleet.add_credit(500, "two")
+    while not fleet.serve("b"):
+        fleet.run(1)
+    assert fleet.now - begin_ms <= FAST_TUNING.resume_ms
+    texts = fleet.log_texts("b")
     assert "resumes acme" in texts[texts.index("paid acme 500") :]
 
 
-def test_slices_after_a_pause_begin_small_and_double() -> None:
-    group = ready(300)
+def test_allocations_after_a_pause_start_small_and_double() -> None:
+    fleet = ready(300)
     for _ in range(150):
         for _ in range(3):
-            group.serve("b")
-        group.run(5)
-    assert group.texts("b")[-1] == "pauses acme"
-    already = len(group.texts("b"))
-    group.add(100_000, "two")
+            fleet.serve("b")
+        fleet.run(5)
+    assert fleet.log_texts("b")[-1] == "pauses acme"
+    earlier_lines = len(fleet.log_texts("b"))
+    fleet.add_credit(100_000, "two")
     for _ in range(100):
         for _ in range(3):
-            group.serve("b")
-        group.run(5)
-    sizes = [int(text.split()[-1]) for text in group.texts("b")[already:] if text.startswith("holds")]
+            fleet.serve("b")
+        fleet.run(5)
+    sizes = [int(text.split()[-1]) for text in fleet.log_texts("b")[earlier_lines:] if text.startswith("holds")]
     assert sizes[:4] == [5, 10, 20, 40]
 
 
-def test_other_tenants_notice_nothing_of_a_pause() -> None:
-    group = ready(20)
-    group.add(100_000, tenant="other")
-    group.serve("b", "other")
+def test_pause_does_not_affect_other_tenants() -> None:
+    fleet = ready(20)
+    fleet.add_credit(100_000, tenant="other")
+    fleet.serve("b", "other")
     for _ in range(100):
         for _ in range(3):
-            group.serve("b")
-        assert group.serve("b", "other")
-        group.run(5)
-    assert "pauses acme" in group.texts("b")
-    assert "pauses other" not in group.texts("b")
+            fleet.serve("b")
+        assert fleet.serve("b", "other")
+        fleet.run(5)
+    assert "pauses acme" in fleet.log_texts("b")
+    assert "pauses other" not in fleet.log_texts("b")
 
 
-def test_without_a_quorum_slices_last_to_the_lease_s_end() -> None:
-    group = ready()
+def test_without_a_quorum_spending_lasts_until_lease_expiry() -> None:
+    fleet = ready()
     for _ in range(20):
-        group.serve("b")
-        group.run(5)
-    group.leader = None
-    group.tell("b", log.LeaderChanged(None, 2))
-    until = group.wallets["b"].purse.until
-    assert group.serve("b")
-    group.run(until - group.now)
-    assert not group.serve("b")
-    assert group.texts("b")[-1] == "pauses acme"
-
-
-def test_an_advance_is_told_once_when_the_log_is_back() -> None:
-    group = ready(names="abc", tuning=ADVANCE)
-    group.serve("b")
-    group.leader = None
-    group.tell("b", log.LeaderChanged(None, 2))
-    group.run(QUICK.held_ms + 100)
-    spent = group.wallets["a"].book.wallets["acme"].spent
-    assert [group.serve("b") for _ in range(7)] == [True] * 5 + [False] * 2
-    group.fate = lambda frm, told: "unknown" if isinstance(told[0], entries.Advance) else "promised"
-    group.lead("a")
-    group.run(200)
-    assert group.late
-    first = entries.decode(group.late[0][1].data)
+        fleet.serve("b")
+        fleet.run(5)
+    fleet.leader = None
+    fleet.deliver("b", log.LeaderChanged(None, 2))
+    expires_at_ms = fleet.members["b"].spender.lease_expires_at_ms
+    assert fleet.serve("b")
+    fleet.run(expires_at_ms - fleet.now)
+    assert not fleet.serve("b")
+    assert fleet.log_texts("b")[-1] == "pauses acme"
+
+
+def test_advance_is_recorded_once_when_the_log_is_back() -> None:
+    fleet = ready(names="abc", tuning=ADVANCE)
+    fleet.serve("b")
+    fleet.leader = None
+    fleet.deliver("b", log.LeaderChanged(None, 2))
+    fleet.run(FAST_TUNING.max_lease_ms + 100)
+    spent = fleet.members["a"].ledger.wallets["acme"].spent
+    assert [fleet.serve("b") for _ in range(7)] == [True] * 5 + [False] * 2
+    fleet.outcome_of = (
+        lambda sender, wallet_entries: "unknown" if isinstance(wallet_entries[0], entries.Advance) else "committed"
+    )
+    fleet.lead("a")
+    fleet.run(200)
+    assert fleet.unanswered
+    first = entries.decode(fleet.unanswered[0][1].data)
     assert first is not None
-    group.fate = lambda frm, told: "promised"
-    group.agree(*first)
-    group.run(300)
-    wallet = group.wallets["a"].book.wallets["acme"]
-    assert wallet.advanced == {"b": {2: 1}}
-    assert wallet.spent + wallet.held >= spent + 5
-    assert group.wallets["b"].purse.accounts["acme"].lent == 0
-    group.leader = None
-    group.tell("b", log.LeaderChanged(None, 4))
-    group.run(QUICK.held_ms + 100)
-    assert [group.serve("b") for _ in range(6)] == [True] * 5 + [False], "it was told: as much again"
-
-
-def test_a_snapshot_brings_all_of_it_and_one_s_own_slices() -> None:
-    group = ready()
+    fleet.outcome_of = lambda sender, wallet_entries: "committed"
+    fleet.commit(*first)
+    fleet.run(300)
+    wallet = fleet.members["a"].ledger.wallets["acme"]
+    assert wallet.advance_serials == {"b": {2: 1}}
+    assert wallet.spent + wallet.allocated >= spent + 5
+    assert fleet.members["b"].spender.accounts["acme"].advanced_units == 0
+    fleet.leader = None
+    fleet.deliver("b", log.LeaderChanged(None, 4))
+    fleet.run(FAST_TUNING.max_lease_ms + 100)
+    assert [fleet.serve("b") for _ in range(6)] == [True] * 5 + [False], "the first advance is recorded: as much again"
+
+
+def test_snapshot_restores_the_ledger_and_keeps_own_allocations() -> None:
+    fleet = ready()
     for _ in range(30):
-        group.serve("b")
-        group.run(5)
-    held = group.wallets["b"]
-    state, index = group.wallets["a"].state(), len(group.log)
-    fresh = Wallet("d", 9, QUICK, ("a", "b", "c"), state)
-    assert fresh.state() == state
-    assert fresh.book.index == index
-    before = dict(held.purse.accounts["acme"].slices)
-    group.tell("b", log.SnapshotInstalled(index, state))
-    assert held.purse.accounts["acme"].slices == before, "those it holds go on as they are"
-    assert held.handle(group.now, log.EntryCommitted(index, 1, entries.encode((Credit("acme", "late", 5),)), "")) == []
-    assert held.book.wallets["acme"].credit == 1000
-
-
-def test_slices_that_ended_or_came_within_a_snapshot() -> None:
-    group = ready()
-    group.serve("b")
-    group.asleep.add("b")
-    group.run(QUICK.held_ms + QUICK.lease_ms)
-    process_epoch = group.wallets["b"].process_epoch
-    serial = group.wallets["a"].book.wallets["acme"].serial + 1
-    group.agree(entries.Grant("acme", "b", process_epoch, serial, 7, (("a", 1), ("c", 3)), 1))
-    group._kept = []
-    group.asleep.clear()
-    group.tell("b", log.SnapshotInstalled(len(group.log), group.wallets["a"].state()))
-    slices = group.wallets["b"].purse.accounts["acme"].slices
-    assert list(slices) == [serial]
-    assert slices[serial].top == 7
-
-
-def test_costs_no_message_and_no_entry_a_call() -> None:
-    group = ready(1_000_000)
+        fleet.serve("b")
+        fleet.run(5)
+    holder_wallet = fleet.members["b"]
+    state, index = fleet.members["a"].state(), len(fleet.committed)
+    restored = Wallet("d", 9, FAST_TUNING, ("a", "b", "c"), state)
+    assert restored.state() == state
+    assert restored.ledger.index == index
+    before = dict(holder_wallet.spender.accounts["acme"].allocations)
+    fleet.deliver("b", log.SnapshotInstalled(index, state))
+    assert holder_wallet.spender.accounts["acme"].allocations == before, "known allocations stay as they are"
+    assert (
+        holder_wallet.handle(fleet.now, log.EntryCommitted(index, 1, entries.encode((Credit("acme", "late", 5),)), ""))
+        == []
+    )
+    assert holder_wallet.ledger.wallets["acme"].credit == 1000
+
+
+def test_allocations_that_ended_or_were_granted_within_a_snapshot() -> None:
+    fleet = ready()
+    fleet.serve("b")
+    fleet.suspended.add("b")
+    fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
+    process_epoch = fleet.members["b"].process_epoch
+    serial = fleet.members["a"].ledger.wallets["acme"].serial + 1
+    fleet.commit(entries.Grant("acme", "b", process_epoch, serial, 7, (("a", 1), ("c", 3)), 1))
+    fleet._held_for_suspended = []
+    fleet.suspended.clear()
+    fleet.deliver("b", log.SnapshotInstalled(len(fleet.committed), fleet.members["a"].state()))
+    allocations = fleet.members["b"].spender.accounts["acme"].allocations
+    assert list(allocations) == [serial]
+    assert allocations[serial].ceiling == 7
+
+
+def test_requests_cost_no_message_and_no_entry_each() -> None:
+    fleet = ready(1_000_000)
     for _ in range(200):
-        group.serve("b")
-        group.run(1)
-    said, told = 0, len(group.log)
+        fleet.serve("b")
+        fleet.run(1)
+    message_count, committed_before = 0, len(fleet.committed)
 
-    def count(frm: str, to: str, message: object) -> bool:
-        nonlocal said
-        said += 1
+    def count(sender: str, member: str, message: object) -> bool:
+        nonlocal message_count
+        message_count += 1
         return False
 
-    group.lost = count
+    fleet.is_lost = count
     for _ in range(1000):
         for _ in range(20):
-            assert group.serve("b")
-        group.run(1)
-    assert said < 250, "20 000 calls in a second"
-    assert len(group.log) - told < 60
+            assert fleet.serve("b")
+        fleet.run(1)
+    assert message_count < 250, "20 000 requests in a second"
+    assert len(fleet.committed) - committed_before < 60
 
 
 def test_tenants_share_messages_and_entries() -> None:
-    group = ready()
-    many = [f"t{number}" for number in range(100)]
-    for tenant in many:
-        group.add(1000, tenant=tenant)
-    marks: list[int] = []
-
-    def count(frm: str, to: str, message: object) -> bool:
-        if isinstance(message, messages.Mark):
-            marks.append(len(message.marks))
+    fleet = ready()
+    tenants = [f"t{number}" for number in range(100)]
+    for tenant in tenants:
+        fleet.add_credit(1000, tenant=tenant)
+    limit_counts: list[int] = []
+
+    def count(sender: str, member: str, message: object) -> bool:
+        if isinstance(message, messages.SpendLimitRequest):
+            limit_counts.append(len(message.limits))
         return False
 
-    group.lost = count
-    before = len(group.log)
-    for tenant in many:
-        group.wallets["b"].purse.reserve(group.now, tenant, "call")
-    group.look("b")
-    assert len(group.log) - before == 1
-    assert marks == [100, 100], "to each other voter"
-    group.run(3 * QUICK.idle_ms)
-    assert len(group.log) - before <= 4
-    assert not group.wallets["a"].book.owners
+    fleet.is_lost = count
+    before = len(fleet.committed)
+    for tenant in tenants:
+        fleet.members["b"].spender.reserve(fleet.now, tenant, "call")
+    fleet.notify_if_changed("b")
+    assert len(fleet.committed) - before == 1
+    assert limit_counts == [100, 100], "to each of the other voters"
+    fleet.run(3 * FAST_TUNING.idle_ms)
+    assert len(fleet.committed) - before <= 4
+    assert not fleet.members["a"].ledger.allocations_by_holder
 
 
-def test_bad_messages_change_nothing() -> None:
-    group = ready()
+def test_invalid_messages_change_nothing() -> None:
+    fleet = ready()
     for _ in range(3):
-        group.serve("b")
-    before = group.wallets["b"].state()
-    process_epoch = group.wallets["b"].process_epoch
+        fleet.serve("b")
+    before = fleet.members["b"].state()
+    process_epoch = fleet.members["b"].process_epoch
     for message in (
-        messages.Lease(process_epoch, 99, float("nan"), 0),
-        messages.Lease(process_epoch + 1, 1, 600, 0),
-        messages.Held(1, process_epoch, (("acme", 77, 5), ("odd", 1, 5), ("acme", 1, -5))),
+        messages.LeaseGrant(process_epoch, 99, float("nan"), 0),
+        messages.LeaseGrant(process_epoch + 1, 1, 600, 0),
+        messages.SpendLimitAck(1, process_epoch, (("acme", 77, 5), ("odd", 1, 5), ("acme", 1, -5))),
         messages.Recall(process_epoch, (("acme", float("nan")), ("odd", 5.0))),
         messages.Recall(process_epoch + 1, (("acme", 0.0),)),
-        messages.Told(1, 1, 1, (5,)),
-        messages.Question(1, 1, "x", 1, (("acme", 1),) * 500),
-        messages.Mark(5, (("t" * 900, 1, 5), ("acme", 900, -1))),
+        messages.WitnessReply(1, 1, 1, (5,)),
+        messages.WitnessQuery(1, 1, "x", 1, (("acme", 1),) * 500),
+        messages.SpendLimitRequest(5, (("t" * 900, 1, 5), ("acme", 900, -1))),
     ):
-        group.tell("b", MessageReceived(("x", 1), "c", message))
-    assert group.wallets["b"].state() == before
-    assert group.serve("b")
-    assert group.wallets["b"].counts == {}
+        fleet.deliver("b", MessageReceived(("x", 1), "c", message))
+    assert fleet.members["b"].state() == before
+    assert fleet.serve("b")
+    assert fleet.members["b"].counts == {}
     wallet = Wallet("a", 1)
     with pytest.raises(TypeError):
         wallet.handle(0.0, object())
@@ -322,31 +327,31 @@
     assert wallet.counts == {"no entry of the wallet": 1}
 
 
-def test_whoever_votes_now_is_a_witness() -> None:
-    group = ready(names="abcd")
+def test_current_voters_are_witnesses() -> None:
+    fleet = ready(names="abcd")
     for name in "abcd":
-        group.tell(name, api.Witnesses(("b", "c", "d")))
-    group.serve("b")
-    slices = group.wallets["a"].book.wallets["acme"].slices
-    assert [one.witnesses for one in slices.values()] == [(("b", 2), ("c", 3), ("d", 4))]
+        fleet.deliver(name, api.VotersChanged(("b", "c", "d")))
+    fleet.serve("b")
+    allocations = fleet.members["a"].ledger.wallets["acme"].allocations
+    assert [allocation.witnesses for allocation in allocations.values()] == [(("b", 2), ("c", 3), ("d", 4))]
 
 
-def test_one_sidecar_alone() -> None:
-    group = Group("a", "a")
-    group.lead("a")
-    group.run(10)
-    group.add(30)
+def test_single_sidecar() -> None:
+    fleet = FakeFleet("a", "a")
+    fleet.lead("a")
+    fleet.run(10)
+    fleet.add_credit(30)
     served = 0
     for _ in range(200):
-        served += group.serve("a")
-        group.run(5)
+        served += fleet.serve("a")
+        fleet.run(5)
     assert served == 30
-    assert group.wallets["a"].book.wallets["acme"].spent == 30
+    assert fleet.members["a"].ledger.wallets["acme"].spent == 30
 
 
 def test_stated_times_follow_from_the_settings() -> None:
     tuning = Tuning()
-    assert tuning.held_ms == 3060
+    assert tuning.max_lease_ms == 3060
     assert tuning.pause_ms == 3060 + 1000 + 2000 + 800
     assert tuning.resume_ms == 1000 + 600
     assert [tuning.step_of(size) for size in (1, 10, 30, 400)] == [1, 10, 10, 100]
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -7,223 +7,237 @@
 from limenotch.fleet.consensus import api as log
 from limenotch.fleet.interfaces import Fenced, ShutdownStarted
 from limenotch.fleet.wallet import Tuning, api, entries, messages
-from limenotch.fleet.wallet.lease import MOST_WAITING, Granter, Holder
-from tests.fleet.fake_wallets import QUICK, Group, ready
+from limenotch.fleet.wallet.lease import MAX_PENDING_GRANTS, SpendLease, SpendLeaseGranter
+from tests.fleet.fake_wallets import FAST_TUNING, FakeFleet, ready
 
 TUNING = Tuning(lease_ms=1000, drift=0.1, most_holders=2)
 
 
-def lease(serial: int, index: int = 0) -> messages.Lease:
-    return messages.Lease(1, serial, 1000, index)
+def create_grant(serial: int, index: int = 0) -> messages.LeaseGrant:
+    return messages.LeaseGrant(1, serial, 1000, index)
 
 
-def test_counts_from_the_ask_and_once_all_is_applied() -> None:
-    holder = Holder(TUNING)
-    first, second = holder.request(100.0), holder.request(200.0)
-    holder.grant(lease(second, 7))
-    holder.grant(lease(first, 5))
-    assert not holder.look(300.0, 4)
-    assert holder.look(300.0, 5)
-    assert holder.expires_at_ms == 1100.0
-    assert holder.look(400.0, 7)
-    assert holder.expires_at_ms == 1200.0
-    assert not holder.look(500.0, 9), "each counts once"
-    assert not holder.is_valid(1200.0)
+def test_lease_counts_from_the_request_and_once_the_log_is_applied() -> None:
+    spend_lease = SpendLease(TUNING)
+    first, second = spend_lease.request(100.0), spend_lease.request(200.0)
+    spend_lease.add_grant(create_grant(second, 7))
+    spend_lease.add_grant(create_grant(first, 5))
+    assert not spend_lease.activate_grants(300.0, 4)
+    assert spend_lease.activate_grants(300.0, 5)
+    assert spend_lease.expires_at_ms == 1100.0
+    assert spend_lease.activate_grants(400.0, 7)
+    assert spend_lease.expires_at_ms == 1200.0
+    assert not spend_lease.activate_grants(500.0, 9), "each counts once"
+    assert not spend_lease.is_valid(1200.0)
 
 
-def test_one_that_was_applied_too_late_is_over() -> None:
-    holder = Holder(TUNING)
-    holder.grant(lease(holder.request(0.0), 5))
-    assert not holder.look(1000.0, 5)
-    assert not holder.is_valid(1000.0)
+def test_grant_applied_after_its_expiry_is_ignored() -> None:
+    spend_lease = SpendLease(TUNING)
+    spend_lease.add_grant(create_grant(spend_lease.request(0.0), 5))
+    assert not spend_lease.activate_grants(1000.0, 5)
+    assert not spend_lease.is_valid(1000.0)
 
 
-def test_drops_what_it_has_and_what_it_waits_for() -> None:
-    holder = Holder(TUNING)
-    one, two = holder.request(0.0), holder.request(1.0)
-    holder.grant(lease(one))
-    assert holder.look(1.0, 0)
-    holder.grant(lease(two, 9))
-    holder.release()
-    assert not holder.is_valid(2.0)
-    assert not holder.look(2.0, 9)
-    holder.grant(lease(two, 9))
-    assert not holder.look(2.0, 9), "asked for before it was fenced"
+def test_release_drops_the_lease_and_pending_grants() -> None:
+    spend_lease = SpendLease(TUNING)
+    first, second = spend_lease.request(0.0), spend_lease.request(1.0)
+    spend_lease.add_grant(create_grant(first))
+    assert spend_lease.activate_grants(1.0, 0)
+    spend_lease.add_grant(create_grant(second, 9))
+    spend_lease.release()
+    assert not spend_lease.is_valid(2.0)
+    assert not spend_lease.activate_grants(2.0, 9)
+    spend_lease.add_grant(create_grant(second, 9))
+    assert not spend_lease.activate_grants(2.0, 9), "requested before the fence"
 
 
-def test_grants_that_wait_are_bounded() -> None:
-    holder = Holder(TUNING)
-    for _ in range(MOST_WAITING + 5):
-        holder.grant(lease(holder.request(0.0), 9))
-    assert len(holder._waiting) == MOST_WAITING
+def test_pending_grants_are_bounded() -> None:
+    spend_lease = SpendLease(TUNING)
+    for _ in range(MAX_PENDING_GRANTS + 5):
+        spend_lease.add_grant(create_grant(spend_lease.request(0.0), 9))
+    assert len(spend_lease._pending_grants) == MAX_PENDING_GRANTS
 
 
-def test_a_granter_counts_longer_than_any_holder() -> None:
-    granter = Granter(TUNING)
-    assert not granter.free(1e9, ("a", 1)), "it is no leader"
+def test_granter_counts_longer_than_any_holder() -> None:
+    granter = SpendLeaseGranter(TUNING)
+    assert not granter.is_certainly_expired(1e9, ("a", 1)), "not the leader"
     granter.begin(0.0)
-    assert not granter.free(1099.0, ("a", 1)), "another may have granted before"
-    assert granter.free(1100.0, ("a", 1))
+    assert not granter.is_certainly_expired(1099.0, ("a", 1)), "an earlier leader may have granted a lease"
+    assert granter.is_certainly_expired(1100.0, ("a", 1))
     assert granter.grant(1200.0, ("a", 1))
     assert granter.grant(1300.0, ("b", 1))
-    assert not granter.grant(1300.0, ("c", 1)), "as many as the settings say"
-    assert not granter.free(2299.0, ("a", 1))
-    assert granter.free(2300.0, ("a", 1))
+    assert not granter.grant(1300.0, ("c", 1)), "as many holders as the settings allow"
+    assert not granter.is_certainly_expired(2299.0, ("a", 1))
+    assert granter.is_certainly_expired(2300.0, ("a", 1))
     assert granter.grant(2300.0, ("c", 1))
     assert granter.process_epochs(2300.0) == {"b": 1, "c": 1}
     granter.end()
-    assert not granter.free(1e9, ("b", 1))
+    assert not granter.is_certainly_expired(1e9, ("b", 1))
 
 
-def spends(group: Group, name: str) -> bool:
+def can_spend(fleet: FakeFleet, name: str) -> bool:
     """It has what it would need, but perhaps for the lease."""
     for _ in range(3):
-        if group.serve(name):
+        if fleet.serve(name):
             return True
-        group.run(5)
+        fleet.run(5)
     return False
 
 
-def test_a_pause_longer_than_the_lease_is_seen_at_the_first_call() -> None:
-    group = ready()
-    assert spends(group, "b")
-    group.asleep.add("b")
-    group.run(QUICK.lease_ms)
-    got = group.wallets["b"].purse.reserve(group.now, "acme", "call")
-    assert got == api.Turned(QUICK.retry_after_ms), "before any event has told it"
-
-
-def test_one_that_slept_spends_nothing_of_a_slice_that_ended_meanwhile() -> None:
-    group = ready()
-    assert spends(group, "b")
-    group.asleep.add("b")
-    group.run(QUICK.held_ms + QUICK.lease_ms)
-    assert any(text.startswith("back acme") for text in group.texts("a"))
-    held = group.wallets["b"].purse.accounts["acme"]
-    assert held.slices, "it has not heard"
-    group.wake("b")
-    assert not held.slices
-    assert spends(group, "b")
-    assert sum(wallet.sound for wallet in group.wallets["a"].book.wallets.values()) == 1
-
-
-def test_a_fence_drops_the_lease_at_once_and_gives_back() -> None:
-    group = ready()
-    assert spends(group, "b")
-    under_way = group.call("b")
-    group.leader = None  # what it asks next is not answered
-    group.lost = lambda frm, to, message: isinstance(message, (messages.AskLease, messages.Lease))
-    group.tell("b", Fenced())
-    assert isinstance(group.call("b"), api.Turned)
-    assert isinstance(under_way, api.Reservation)
-    group.wallets["b"].purse.charge(group.now, under_way)
-    account = group.wallets["b"].purse.accounts["acme"]
-    assert all(one.closing and one.top == one.spent for one in account.slices.values())
-    group.leader, group.lost = "a", lambda frm, to, message: False
-    group.run(QUICK.lease_ms)
-    assert spends(group, "b"), "as somebody who asks anew"
-    wallet = group.wallets["a"].book.wallets["acme"]
-    assert wallet.spent + wallet.held + wallet.left == 1000
-    assert ("b", 2) in group.wallets["a"].book.owners
-
-
-def test_who_leaves_settles_and_wants_no_more() -> None:
-    group = ready()
+def test_suspension_longer_than_the_lease_is_noticed_at_the_first_request() -> None:
+    fleet = ready()
+    assert can_spend(fleet, "b")
+    fleet.suspended.add("b")
+    fleet.run(FAST_TUNING.lease_ms)
+    decision = fleet.members["b"].spender.reserve(fleet.now, "acme", "call")
+    assert decision == api.Rejected(FAST_TUNING.retry_after_ms), "before any event has been handled"
+
+
+def test_suspended_holder_spends_nothing_of_an_expired_allocation() -> None:
+    fleet = ready()
+    assert can_spend(fleet, "b")
+    fleet.suspended.add("b")
+    fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
+    assert any(text.startswith("back acme") for text in fleet.log_texts("a"))
+    account = fleet.members["b"].spender.accounts["acme"]
+    assert account.allocations, "the end of its allocations has not arrived yet"
+    fleet.wake("b")
+    assert not account.allocations
+    assert can_spend(fleet, "b")
+    assert sum(wallet.is_balanced for wallet in fleet.members["a"].ledger.wallets.values()) == 1
+
+
+def test_fence_drops_the_lease_and_returns_allocations() -> None:
+    fleet = ready()
+    assert can_spend(fleet, "b")
+    in_flight = fleet.reserve("b")
+    fleet.leader = None  # what it asks next is not answered
+    fleet.is_lost = lambda sender, member, message: isinstance(message, (messages.LeaseRequest, messages.LeaseGrant))
+    fleet.deliver("b", Fenced())
+    assert isinstance(fleet.reserve("b"), api.Rejected)
+    assert isinstance(in_flight, api.Reservation)
+    fleet.members["b"].spender.charge(fleet.now, in_flight)
+    account = fleet.members["b"].spender.accounts["acme"]
+    assert all(
+        allocation.closing and allocation.ceiling == allocation.spent for allocation in account.allocations.values()
+    )
+    fleet.leader, fleet.is_lost = "a", lambda sender, member, message: False
+    fleet.run(FAST_TUNING.lease_ms)
+    assert can_spend(fleet, "b"), "like a new process"
+    wallet = fleet.members["a"].ledger.wallets["acme"]
+    assert wallet.spent + wallet.allocated + wallet.unallocated == 1000
+    assert ("b", 2) in fleet.members["a"].ledger.allocations_by_holder
+
+
+def test_shutdown_settles_and_requests_no_more() -> None:
+    fleet = ready()
     for _ in range(4):
-        assert spends(group, "b")
-    group.tell("b", ShutdownStarted())
-    group.run(QUICK.record_ms * 2)
-    assert ("b", 2) not in group.wallets["a"].book.owners
-    assert group.wallets["a"].book.wallets["acme"].spent == 4
-    assert not spends(group, "b")
-
-
-def test_a_leader_that_was_followed_by_another_grants_nothing_more() -> None:
-    group = ready()
-    group.lost = lambda frm, to, message: to == "a"
-    group.leader = "c"  # a has not heard of it: the log does not tell it that it leads
-    group.term += 1
-    group.tell("c", log.LeaderChanged(group.leader, group.term))
-    group.run(QUICK.lease_ms + 1)
-    until = group.wallets["b"].purse.until
-    assert until <= group.now
-    group.tell("b", log.LeaderChanged(group.leader, group.term))
-    group.run(1)
-    assert group.wallets["b"].purse.until > group.now
-
-
-def test_two_processes_of_one_name_hold_what_is_each_ones_own() -> None:
-    group = ready()
-    assert spends(group, "b")
-    old = group.wallets["b"]
-    group.start("b")  # the old one runs on: it hears nothing that is told to that name
-    group.run(QUICK.lease_ms / 2)
-    assert spends(group, "b")
-    assert {process_epoch for name, process_epoch in group.wallets["a"].book.owners if name == "b"} == {2, 4}
-    assert old.purse.accounts["acme"].slices.keys().isdisjoint(group.wallets["b"].purse.accounts["acme"].slices)
-    group.run(QUICK.held_ms + QUICK.lease_ms)
-    assert isinstance(old.purse.reserve(group.now, "acme", "call"), api.Turned)
-    assert {process_epoch for name, process_epoch in group.wallets["a"].book.owners if name == "b"} <= {4}
-
-
-def test_no_lease_while_an_expiry_is_on_its_way() -> None:
+        assert can_spend(fleet, "b")
+    fleet.deliver("b", ShutdownStarted())
+    fleet.run(FAST_TUNING.record_ms * 2)
+    assert ("b", 2) not in fleet.members["a"].ledger.allocations_by_holder
+    assert fleet.members["a"].ledger.wallets["acme"].spent == 4
+    assert not can_spend(fleet, "b")
+
+
+def test_replaced_leader_grants_no_leases() -> None:
+    fleet = ready()
+    fleet.is_lost = lambda sender, member, message: member == "a"
+    fleet.leader = "c"  # a has not heard of it: the log does not tell it that it leads
+    fleet.term += 1
+    fleet.deliver("c", log.LeaderChanged(fleet.leader, fleet.term))
+    fleet.run(FAST_TUNING.lease_ms + 1)
+    expires_at_ms = fleet.members["b"].spender.lease_expires_at_ms
+    assert expires_at_ms <= fleet.now
+    fleet.deliver("b", log.LeaderChanged(fleet.leader, fleet.term))
+    fleet.run(1)
+    assert fleet.members["b"].spender.lease_expires_at_ms > fleet.now
+
+
+def test_two_processes_of_one_name_have_separate_allocations() -> None:
+    fleet = ready()
+    assert can_spend(fleet, "b")
+    replaced = fleet.members["b"]
+    fleet.start("b")  # the old one runs on: it hears nothing that is told to that name
+    fleet.run(FAST_TUNING.lease_ms / 2)
+    assert can_spend(fleet, "b")
+    assert {
+        process_epoch for name, process_epoch in fleet.members["a"].ledger.allocations_by_holder if name == "b"
+    } == {2, 4}
+    assert (
+        replaced.spender.accounts["acme"]
+        .allocations.keys()
+        .isdisjoint(fleet.members["b"].spender.accounts["acme"].allocations)
+    )
+    fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
+    assert isinstance(replaced.spender.reserve(fleet.now, "acme", "call"), api.Rejected)
+    assert {
+        process_epoch for name, process_epoch in fleet.members["a"].ledger.allocations_by_holder if name == "b"
+    } <= {4}
+
+
+def test_no_lease_while_an_expiry_is_in_flight() -> None:
     """What of it may come true after the answer would come true for one that spends."""
-    group = ready()
-    assert spends(group, "b")
-    group.asleep.add("b")
-    group.fate = lambda frm, told: "held" if isinstance(told[0], entries.Expire) else "promised"
-    group.run(QUICK.held_ms + QUICK.lease_ms)
-    assert group.late, "it was asked for"
-    group.wake("b")
-    group.run(QUICK.lease_ms)
-    assert group.wallets["b"].purse.until <= group.now
-    name, expire, term = group.late.pop()
-    told = entries.decode(expire.data)
-    assert told is not None
-    index = group.agree(*told, term=term)
-    group.tell(name, log.ProposalCommitted(expire.ticket, index))
-    group.run(QUICK.lease_ms)
-    assert group.wallets["b"].purse.until > group.now
-    assert not group.wallets["b"].purse.accounts
-
-
-def test_an_expiry_of_a_leader_before_comes_to_nothing() -> None:
-    group = ready(tuning=msgspec.structs.replace(QUICK, idle_ms=10_000))
-    assert spends(group, "b")
-    group.asleep.add("b")
-    group.fate = lambda frm, told: "unknown" if isinstance(told[0], entries.Expire) else "promised"
-    group.run(QUICK.held_ms + QUICK.lease_ms)
-    assert group.late
-    group.lead("c")
-    group.wake("b")
-    group.run(QUICK.lease_ms / 2)
-    assert group.wallets["b"].purse.until > group.now
-    held = dict(group.wallets["b"].purse.accounts["acme"].slices)
-    assert held
-    told = entries.decode(group.late[0][1].data)
-    assert told is not None
-    group.agree(*told)  # forwarded to the new leader, late
-    assert group.wallets["a"].counts["Expire bad"] == 1
-    assert any(serial in group.wallets["b"].purse.accounts["acme"].slices for serial in held)
-
-
-def test_a_lease_counts_only_where_an_expiry_before_it_is_applied() -> None:
-    group = ready()
-    assert spends(group, "b")
-    group.asleep.add("b")
-    group.run(QUICK.held_ms + QUICK.lease_ms)
-    assert any(text.startswith("back acme") for text in group.texts("a"))
-    group.behind.add("b")  # it has its leases, the log comes later
-    group.wake("b")
-    group.run(QUICK.lease_ms / 2)
-    held = group.wallets["b"]
-    assert ("b", held.process_epoch) in group.wallets["a"].granting.leases.records
-    assert held.purse.accounts["acme"].slices, "of which it does not know that it has ended"
-    assert held.purse.until <= group.now
-    assert isinstance(group.call("b"), api.Turned)
-    group.catch_up("b")
-    assert held.purse.until > group.now
-    assert not held.purse.accounts["acme"].slices or all(
-        group.wallets["a"].book.slice("acme", "b", held.process_epoch, serial)
-        for serial in held.purse.accounts["acme"].slices
+    fleet = ready()
+    assert can_spend(fleet, "b")
+    fleet.suspended.add("b")
+    fleet.outcome_of = (
+        lambda sender, wallet_entries: "pending" if isinstance(wallet_entries[0], entries.Expire) else "committed"
+    )
+    fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
+    assert fleet.unanswered, "an Expire was proposed"
+    fleet.wake("b")
+    fleet.run(FAST_TUNING.lease_ms)
+    assert fleet.members["b"].spender.lease_expires_at_ms <= fleet.now
+    name, expire, term = fleet.unanswered.pop()
+    wallet_entries = entries.decode(expire.data)
+    assert wallet_entries is not None
+    index = fleet.commit(*wallet_entries, term=term)
+    fleet.deliver(name, log.ProposalCommitted(expire.ticket, index))
+    fleet.run(FAST_TUNING.lease_ms)
+    assert fleet.members["b"].spender.lease_expires_at_ms > fleet.now
+    assert not fleet.members["b"].spender.accounts
+
+
+def test_expiry_by_an_earlier_leader_has_no_effect() -> None:
+    fleet = ready(tuning=msgspec.structs.replace(FAST_TUNING, idle_ms=10_000))
+    assert can_spend(fleet, "b")
+    fleet.suspended.add("b")
+    fleet.outcome_of = (
+        lambda sender, wallet_entries: "unknown" if isinstance(wallet_entries[0], entries.Expire) else "committed"
+    )
+    fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
+    assert fleet.unanswered
+    fleet.lead("c")
+    fleet.wake("b")
+    fleet.run(FAST_TUNING.lease_ms / 2)
+    assert fleet.members["b"].spender.lease_expires_at_ms > fleet.now
+    allocations_before = dict(fleet.members["b"].spender.accounts["acme"].allocations)
+    assert allocations_before
+    wallet_entries = entries.decode(fleet.unanswered[0][1].data)
+    assert wallet_entries is not None
+    fleet.commit(*wallet_entries)  # forwarded to the new leader, late
+    assert fleet.members["a"].counts["Expire bad"] == 1
+    assert any(serial in fleet.members["b"].spender.accounts["acme"].allocations for serial in allocations_before)
+
+
+def test_lease_counts_only_after_earlier_expiries_are_applied() -> None:
+    fleet = ready()
+    assert can_spend(fleet, "b")
+    fleet.suspended.add("b")
+    fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
+    assert any(text.startswith("back acme") for text in fleet.log_texts("a"))
+    fleet.lagging.add("b")  # it has its leases, the log comes later
+    fleet.wake("b")
+    fleet.run(FAST_TUNING.lease_ms / 2)
+    member = fleet.members["b"]
+    assert ("b", member.process_epoch) in fleet.members["a"].granter.leases.expiries
+    assert member.spender.accounts["acme"].allocations, "its end has not arrived yet"
+    assert member.spender.lease_expires_at_ms <= fleet.now
+    assert isinstance(fleet.reserve("b"), api.Rejected)
+    fleet.catch_up("b")
+    assert member.spender.lease_expires_at_ms > fleet.now
+    assert not member.spender.accounts["acme"].allocations or all(
+        fleet.members["a"].ledger.slice("acme", "b", member.process_epoch, serial)
+        for serial in member.spender.accounts["acme"].allocations
     )
--- a/tests/fleet/test_wallet_processes.py
+++ b/tests/fleet/test_wallet_processes.py
@@ -22,7 +22,7 @@
 from limenotch.lab.fleet import drawing, weather
 from limenotch.lab.fleet.processes import NodeProcess, NotReachedError, Processes
 from limenotch.lab.fleet.stage import Outcome, together
-from tests.helpers.wallet_clients import COST, Answered, Paying, Reading
+from tests.helpers.wallet_clients import COST, ClientResponse, PayingStage, Reading
 
 from .test_log_processes import AGREEMENT, MEMBERSHIP, leader
 from .test_processes import TRAFFIC
@@ -39,56 +39,64 @@
 }
 TUNING = msgspec.convert(WALLET, Tuning)
 DEAREST = max(COST.values())
-WARM_MS = 700.0  # each sidecar has its first slices by then
-GRAIN_MS = 50.0  # of this test's own clock
-LOG_MS = 300.0  # what a promise, a message and a busy machine may take beside the wallet's own times
-LEADS_MS = AGREEMENT["election_least_ms"]  # so long a leader that hears of nobody knows that none follows it
+FIRST_ALLOCATIONS_MS = 700.0  # each sidecar has its first slices by then
+CLOCK_RESOLUTION_MS = 50.0  # of this test's own clock
+COMMIT_MS = 300.0  # what a promise, a message and a busy machine may take beside the wallet's own times
+LEADERLESS_MS = AGREEMENT["election_least_ms"]  # so long a leader that hears of nobody knows that none follows it
 ELECTION_MS = AGREEMENT["election_most_ms"] * 1.5
 ACCOUNTS = "".join(f'[[account]]\nname = "{name}"\nshare = 1\n' for name in ("ann", "bob", "cid"))
-BOB = 100_000
-TRIES, LATE_MS = 3, 60.0
+BOB_CREDIT = 100_000
+MAX_RUNS, LATE_TIMERS_MS = 3, 60.0
 
 
-class Played:
-    def __init__(self, stage: Paying, outcome: Outcome, ends: dict[str, Reading], states: dict[str, Any]) -> None:
+class CompletedRun:
+    def __init__(self, stage: PayingStage, outcome: Outcome, ends: dict[str, Reading], states: dict[str, Any]) -> None:
         self.stage, self.outcome, self.ends, self.states = stage, outcome, ends, states
 
-    def at(self, number: int) -> float:
+    def fault_at_ms(self, number: int) -> float:
         """When the fault of that number in the drawing had come."""
         return self.outcome.happened[number]
 
-    def notes(self, node: str) -> list[str]:
+    def log_texts(self, node: str) -> list[str]:
         return [text for at, name, text in self.outcome.seen if name == node and at >= 0]
 
-    def statuses(self, tenant: str, node: str, since: float, until: float = 1e12) -> set[int | None]:
-        return {one.status for one in self.stage.answered(tenant, node, since, until)}
+    def statuses(self, tenant: str, node: str, since_ms: float, until_ms: float = 1e12) -> set[int | None]:
+        return {response.status for response in self.stage.answered(tenant, node, since_ms, until_ms)}
 
-    def wrongly(self, tenant: str) -> int:
+    def max_overcounted(self, tenant: str) -> int:
         """What may be told as spent though no consumer was served: of each slice that was expired a step, and what
         consumers did not wait for.
         """
-        texts = {node: [text.split() for text in self.notes(node)] for node in self.states}
-        expired = max(sum(words[0] in ("back", "lost") and words[1] == tenant for words in of) for of in texts.values())
-        sizes = [int(words[2]) for of in texts.values() for words in of if words[:2] == ["holds", tenant]]
-        broken = sum(one.cost for one in self.stage.answered(tenant) if one.status is None)
-        late = DEAREST * (self.outcome.calls["timed out"] + self.outcome.excused)
-        return TUNING.step_of(max(sizes), DEAREST) * expired + broken + late
-
-    def first(self, tenant: str, node: str, since: float) -> Answered:
-        served = self.stage.served(tenant, node, since)
-        assert served, f"{node} serves {tenant} no more since {since:.0f}"
+        texts = {node: [text.split() for text in self.log_texts(node)] for node in self.states}
+        expired = max(
+            sum(words[0] in ("back", "lost") and words[1] == tenant for words in words_by_line)
+            for words_by_line in texts.values()
+        )
+        sizes = [
+            int(words[2])
+            for words_by_line in texts.values()
+            for words in words_by_line
+            if words[:2] == ["holds", tenant]
+        ]
+        broken = sum(response.cost for response in self.stage.answered(tenant) if response.status is None)
+        unawaited = DEAREST * (self.outcome.calls["timed out"] + self.outcome.excused)
+        return TUNING.step_of(max(sizes), DEAREST) * expired + broken + unawaited
+
+    def first_served(self, tenant: str, node: str, since_ms: float) -> ClientResponse:
+        served = self.stage.served(tenant, node, since_ms)
+        assert served, f"{node} does not serve {tenant} since {since_ms:.0f}"
         return served[0]
 
 
-class Operator:
+class TimelineOperator:
     """One of a stage; each `ask` of a drawing is theirs."""
 
-    stage: Paying
+    stage: PayingStage
 
     async def asked(self, node: NodeProcess, words: str) -> None:
-        word, *rest = words.split()
+        word, *arguments = words.split()
         if word in ("pay", "again", "other", "late"):
-            status, said = await self.stage.add(node, rest[0], int(rest[1]), rest[2])
+            status, said = await self.stage.add(node, arguments[0], int(arguments[1]), arguments[2])
             expected = {"pay": (200, False), "again": (200, True), "other": (409, None)}
             if word == "late":
                 assert status in (503, 504), (words, status, said)
@@ -96,106 +104,126 @@
                 assert (status, said.get("counted")) == expected[word], (words, status, said)
         elif word == "dry":
             async with asyncio.timeout(15):
-                while (wallet := await self.stage.wallet(node, rest[0])) is None or wallet.left or wallet.held:
+                while (wallet := await self.stage.wallet(node, arguments[0])) is None or wallet.left or wallet.held:
                     await asyncio.sleep(0.02)
-            self.stage.dry_readings.append(wallet)
+            self.stage.empty_readings.append(wallet)
         elif word == "spends":
-            since = self.stage.clock()
-            await self.stage.processes.until(lambda: bool(self.stage.served(rest[0], node.name, since)), 15, words)
+            since_ms = self.stage.clock()
+            await self.stage.processes.until(
+                lambda: bool(self.stage.served(arguments[0], node.name, since_ms)), 15, words
+            )
         else:
-            await self.stage.processes.until_all(leased, 15, words, [node.name])
+            await self.stage.processes.until_all(is_leased, 15, words, [node.name])
 
 
-def leased(name: str, state: dict[str, Any]) -> bool:
+def is_leased(name: str, state: dict[str, Any]) -> bool:
     return bool(state["parts"].get("wallet", {}).get("state") == "leased")
 
 
-def play(text: str, folder: Path, judge: Callable[[Played], None], error_rate: float = 0.0, **more: Any) -> None:
+def play(
+    text: str, folder: Path, judge: Callable[[CompletedRun], None], error_rate: float = 0.0, **overrides: Any
+) -> None:
     """One run, and `judge` of it. Anew, TRIES at most, where it did not come out and the host's own timers were late by
     LATE_MS or more, which says something of the machine, or it did not begin: somebody else has a port that was free.
     What the checker finds wrong counts whatever the timers were.
     """
-    for number in range(TRIES):
-        place = folder / str(number)
-        place.mkdir()
-        late: list[float] = []
+    for number in range(MAX_RUNS):
+        run_folder = folder / str(number)
+        run_folder.mkdir()
+        late_timers_ms: list[float] = []
         try:
-            judge(asyncio.run(asyncio.wait_for(_played(text, place, late, error_rate, more), 60)))
+            judge(
+                asyncio.run(
+                    asyncio.wait_for(_complete_run(text, run_folder, late_timers_ms, error_rate, overrides), 60)
+                )
+            )
             return
         except (AssertionError, TimeoutError, NotReachedError):
-            if max(late, default=0.0) < LATE_MS or number == TRIES - 1:
+            if max(late_timers_ms, default=0.0) < LATE_TIMERS_MS or number == MAX_RUNS - 1:
                 raise
 
 
-async def _played(text: str, folder: Path, late: list[float], error_rate: float, more: dict[str, Any]) -> Played:
-    drawn = drawing.read(text)
+async def _complete_run(
+    text: str, folder: Path, late_timers_ms: list[float], error_rate: float, overrides: dict[str, Any]
+) -> CompletedRun:
+    timeline = drawing.read(text)
     traffic = (
-        TRAFFIC.replace("length_s = 3", f"length_s = {drawn.ends / 1000.0}")
+        TRAFFIC.replace("length_s = 3", f"length_s = {timeline.ends / 1000.0}")
         .replace("rate_per_s = 60", "rate_per_s = 150")
         .replace('name = "k"', f'name = "k"\nerror_rate = {error_rate}')
     )
-    traffic = traffic.replace("count = 3", f"count = {len(drawn.nodes)}") + ACCOUNTS
+    traffic = traffic.replace("count = 3", f"count = {len(timeline.nodes)}") + ACCOUNTS
     key = folder / "key"
     key.write_text("a key for tests, of 16 bytes or more")
-    operator = Operator()
-    table = {**WALLET, **more}
+    operator = TimelineOperator()
+    table = {**WALLET, **overrides}
     costs = "\n[fleet.wallet.cost]\n" + "".join(f"{name} = {units}\n" for name, units in COST.items())
-    fleet = together(drawn.nodes, key, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT, wallet=table)
-    stage = operator.stage = Paying(
+    fleet = together(timeline.nodes, key, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT, wallet=table)
+    stage = operator.stage = PayingStage(
         planning.plan(scenario.parse(traffic, "wallet"), 3),
         folder,
-        drawn,
-        weather.Weather(drawn.seed),
+        timeline,
+        weather.Weather(timeline.seed),
         ask=operator.asked,
         spoils=True,
         fleet=lambda stage, node: fleet(stage, node) + costs,
     )
 
-    async def settled(processes: Processes) -> None:
+    async def start(processes: Processes) -> None:
         await processes.until_all(
-            lambda name, state: leader(state) == "a" and leased(name, state), 20, "a leads, all hold leases"
+            lambda name, state: leader(state) == "a" and is_leased(name, state), 20, "a leads, all have leases"
         )
-        assert (await stage.add(processes.nodes["a"], "bob", BOB, "bob"))[0] == 200
+        assert (await stage.add(processes.nodes["a"], "bob", BOB_CREDIT, "bob"))[0] == 200
         stage.begin()
 
     try:
-        outcome = await stage.perform(settled)
-        ends = await stage.audit(len(drawn.nodes) * table.get("advance", 0))
+        outcome = await stage.perform(start)
+        ends = await stage.audit(len(timeline.nodes) * table.get("advance", 0))
         states = {name: await node.state() or {} for name, node in stage.processes.nodes.items()}
         outcome.check()
         assert len(stage.served("cid")) > 50 and len(stage.served("bob")) > 50
         assert not any(state["off"] for state in states.values() if state)
-        return Played(stage, outcome, ends, states)
+        return CompletedRun(stage, outcome, ends, states)
     finally:
-        late.append(stage.late_ms if stage.began_ms is not None else inf)
+        late_timers_ms.append(stage.late_ms if stage.began_ms is not None else inf)
         for node in stage.processes.nodes.values():
             node.kill()  # what they do in leaving is not looked for here
         await stage.close()
 
 
 def test_credit_is_spent_at_all_counted_once_runs_dry_and_resumes_and_the_leader_dies(tmp_path: Path) -> None:
-    def judge(played: Played) -> None:
-        stage, ends = played.stage, played.ends
-        paid, more, killed = played.at(0), played.at(4), played.at(8)
+    def judge(completed: CompletedRun) -> None:
+        stage, ends = completed.stage, completed.ends
+        credited_ms, added_ms, killed_ms = completed.fault_at_ms(0), completed.fault_at_ms(4), completed.fault_at_ms(8)
         assert ends["ann"].credit == 1060
-        assert {one.node for one in stage.served("ann", since=paid, until=more)} == {"a", "b", "c"}
+        assert {response.node for response in stage.served("ann", since_ms=credited_ms, until_ms=added_ms)} == {
+            "a",
+            "b",
+            "c",
+        }
         # Nothing left: from then on it takes so long until all turn it away, and nobody else is.
         # The reader may have read no node in the moment between that and the next credit; the operator did.
-        readings = [*stage.readings, *stage.dry_readings]
-        empty = min(one.at_ms for one in readings if one.tenant == "ann" and one.credit and not one.left)
-        first = next(one.at_ms for one in stage.answered("ann", since=paid) if one.status == 429)
-        last = stage.served("ann", until=more)[-1].asked_ms
-        assert last - max(empty, first) <= TUNING.pause_ms + LOG_MS
-        assert sum(one.cost for one in stage.served("ann", until=more)) == 60
-        assert played.statuses("bob", "", WARM_MS, played.at(7)) <= {200}
+        readings = [*stage.readings, *stage.empty_readings]
+        emptied_ms = min(
+            response.at_ms
+            for response in readings
+            if response.tenant == "ann" and response.credit and not response.left
+        )
+        first_rejection_ms = next(
+            response.at_ms for response in stage.answered("ann", since_ms=credited_ms) if response.status == 429
+        )
+        last_served_ms = stage.served("ann", until_ms=added_ms)[-1].asked_ms
+        assert last_served_ms - max(emptied_ms, first_rejection_ms) <= TUNING.pause_ms + COMMIT_MS
+        assert sum(response.cost for response in stage.served("ann", until_ms=added_ms)) == 60
+        assert completed.statuses("bob", "", FIRST_ALLOCATIONS_MS, completed.fault_at_ms(7)) <= {200}
         for node in "abc":
-            assert played.first("ann", node, more).asked_ms - more <= TUNING.resume_ms + LOG_MS
+            assert completed.first_served("ann", node, added_ms).asked_ms - added_ms <= TUNING.resume_ms + COMMIT_MS
         for tenant in ("ann", "bob"):
             for node in "bc":
                 # A new leader waits for leases that the old one may have granted; slices held are spent meanwhile.
-                after = killed + ELECTION_MS + TUNING.held_ms
-                assert played.statuses(tenant, node, after) <= {200}, (tenant, node)
-                assert played.first(tenant, node, after)
+                after = killed_ms + ELECTION_MS + TUNING.max_lease_ms
+                assert completed.statuses(tenant, node, after) <= {200}, (tenant, node)
+                assert completed.first_served(tenant, node, after)
 
     play(
         """
@@ -218,22 +246,26 @@
     )
 
 
-def test_a_paused_holder_spends_nothing_after_its_lease_and_a_dead_one_s_slice_comes_back(tmp_path: Path) -> None:
-    def judge(played: Played) -> None:
-        stage, end = played.stage, played.ends["ann"]
-        paused, paid = played.at(1), played.at(5)
-        assert stage.served("ann", "b", until=paused) and stage.served("ann", "c", since=paid)
-        assert not stage.served("ann", "b", paused + 1.0, paid)
-        assert played.statuses("ann", "b", paused + 1.0, paid) == {429}  # those that came before it woke as well
-        assert played.first("ann", "b", paid)
+def test_paused_holder_stops_after_its_lease_and_dead_holders_units_return(tmp_path: Path) -> None:
+    def judge(completed: CompletedRun) -> None:
+        stage, end = completed.stage, completed.ends["ann"]
+        paused_ms, credited_ms = completed.fault_at_ms(1), completed.fault_at_ms(5)
+        assert stage.served("ann", "b", until_ms=paused_ms) and stage.served("ann", "c", since_ms=credited_ms)
+        assert not stage.served("ann", "b", paused_ms + 1.0, credited_ms)
+        assert completed.statuses("ann", "b", paused_ms + 1.0, credited_ms) == {
+            429
+        }  # those that came before it woke as well
+        assert completed.first_served("ann", "b", credited_ms)
         assert (end.credit, end.spent, end.left, end.held) == (230, 230, 0, 0)
-        backs = [
+        returned = [
             (seen.node, seen.text.split()[0], seen.fields["of"])
             for seen in stage.processes.seen()
             if seen.text.split()[:2] in (["back", "ann"], ["lost", "ann"])
         ]
-        assert {("a", "back", "b"), ("a", "back", "c")} <= set(backs) and not [one for one in backs if one[1] == "lost"]
-        assert end.spent - stage.units("ann") <= played.wrongly("ann")
+        assert {("a", "back", "b"), ("a", "back", "c")} <= set(returned) and not [
+            line for line in returned if line[1] == "lost"
+        ]
+        assert end.spent - stage.units("ann") <= completed.max_overcounted("ann")
 
     play(
         """
@@ -270,53 +302,61 @@
 """
 
 
-def test_without_a_quorum_slices_are_spent_to_the_lease_s_end_and_then_who_pays_waits(tmp_path: Path) -> None:
-    def judge(played: Played) -> None:
-        stage, cut, healed = played.stage, played.at(1), played.at(3)
-        over = cut + LEADS_MS + TUNING.lease_ms + GRAIN_MS
+def test_without_a_quorum_spending_stops_at_lease_expiry(tmp_path: Path) -> None:
+    def judge(completed: CompletedRun) -> None:
+        stage, cut_ms, healed_ms = completed.stage, completed.fault_at_ms(1), completed.fault_at_ms(3)
+        expired_ms = cut_ms + LEADERLESS_MS + TUNING.lease_ms + CLOCK_RESOLUTION_MS
         for node in "abc":
-            assert stage.served("ann", node, cut, over) and stage.served("cid", node, over, healed)
+            assert stage.served("ann", node, cut_ms, expired_ms) and stage.served("cid", node, expired_ms, healed_ms)
             for tenant in ("ann", "bob"):
-                assert played.statuses(tenant, node, over, healed) == {429}
-                assert played.first(tenant, node, healed).asked_ms <= healed + ELECTION_MS + TUNING.held_ms + LOG_MS
+                assert completed.statuses(tenant, node, expired_ms, healed_ms) == {429}
+                assert (
+                    completed.first_served(tenant, node, healed_ms).asked_ms
+                    <= healed_ms + ELECTION_MS + TUNING.max_lease_ms + COMMIT_MS
+                )
 
     play(NO_QUORUM, tmp_path, judge)
 
 
-def test_without_a_quorum_some_is_advanced_and_told_afterwards(tmp_path: Path) -> None:
+def test_without_a_quorum_an_advance_is_served_and_recorded_later(tmp_path: Path) -> None:
     advance = 10
 
-    def judge(played: Played) -> None:
-        stage, cut, healed = played.stage, played.at(1), played.at(3)
-        over = cut + LEADS_MS + TUNING.lease_ms + GRAIN_MS
+    def judge(completed: CompletedRun) -> None:
+        stage, cut_ms, healed_ms = completed.stage, completed.fault_at_ms(1), completed.fault_at_ms(3)
+        expired_ms = cut_ms + LEADERLESS_MS + TUNING.lease_ms + CLOCK_RESOLUTION_MS
         for node in "abc":
             for tenant in ("ann", "bob"):
-                assert sum(one.cost for one in stage.served(tenant, node, over, healed)) <= advance
-                assert played.statuses(tenant, node, healed - 300.0, healed) == {429}
-                assert played.first(tenant, node, healed).asked_ms <= healed + ELECTION_MS + TUNING.held_ms + LOG_MS
-            assert played.states[node]["parts"]["wallet"]["purse"]["counts"]["advanced"] > 2 * (advance - DEAREST)
+                assert sum(response.cost for response in stage.served(tenant, node, expired_ms, healed_ms)) <= advance
+                assert completed.statuses(tenant, node, healed_ms - 300.0, healed_ms) == {429}
+                assert (
+                    completed.first_served(tenant, node, healed_ms).asked_ms
+                    <= healed_ms + ELECTION_MS + TUNING.max_lease_ms + COMMIT_MS
+                )
+            assert completed.states[node]["parts"]["wallet"]["purse"]["counts"]["advanced"] > 2 * (advance - DEAREST)
         for tenant in ("ann", "bob"):  # all is told, and nothing twice
-            end = played.ends[tenant]
-            assert stage.units(tenant) <= end.spent <= stage.units(tenant) + played.wrongly(tenant)
+            end = completed.ends[tenant]
+            assert stage.units(tenant) <= end.spent <= stage.units(tenant) + completed.max_overcounted(tenant)
 
     play(NO_QUORUM, tmp_path, judge, without_lease="advance", advance=advance)
 
 
-def test_of_five_what_fails_costs_nothing_and_repeats_and_copies_cost_once(tmp_path: Path) -> None:
-    def judge(played: Played) -> None:
-        stage, more = played.stage, played.at(5)
-        assert {one.node for one in stage.served("ann", until=more)} == set("abcde")
-        again, calls = stage.record.tiers[0].again, played.outcome.calls
-        assert again > 20 and calls["failed"] > 5, (again, calls)
+def test_failed_requests_are_free_and_retries_and_hedges_cost_once(tmp_path: Path) -> None:
+    def judge(completed: CompletedRun) -> None:
+        stage, added_ms = completed.stage, completed.fault_at_ms(5)
+        assert {status.node for status in stage.served("ann", until_ms=added_ms)} == set("abcde")
+        repeated, calls = stage.record.tiers[0].again, completed.outcome.calls
+        assert repeated > 20 and calls["failed"] > 5, (repeated, calls)
         for tenant in ("ann", "bob"):
-            end = played.ends[tenant]
-            assert not any(text.startswith(("back", "lost")) for node in "abcde" for text in played.notes(node))
-            assert stage.units(tenant) <= end.spent <= stage.units(tenant) + played.wrongly(tenant)
-        told = [state["parts"]["wallet"]["calls"] for state in played.states.values()]
-        assert sum(one["given_back"] for one in told) > 5 and not any(one["reserved"] for one in told)
-        assert sum(one["charged"] for one in told) == sum(end.spent for end in played.ends.values())
+            end = completed.ends[tenant]
+            assert not any(text.startswith(("back", "lost")) for node in "abcde" for text in completed.log_texts(node))
+            assert stage.units(tenant) <= end.spent <= stage.units(tenant) + completed.max_overcounted(tenant)
+        wallet_status = [state["parts"]["wallet"]["calls"] for state in completed.states.values()]
+        assert sum(status["given_back"] for status in wallet_status) > 5 and not any(
+            status["reserved"] for status in wallet_status
+        )
+        assert sum(status["charged"] for status in wallet_status) == sum(end.spent for end in completed.ends.values())
         for node in "abcde":
-            assert played.first("ann", node, more).asked_ms - more <= TUNING.resume_ms + LOG_MS
+            assert completed.first_served("ann", node, added_ms).asked_ms - added_ms <= TUNING.resume_ms + COMMIT_MS
 
     play(
         """
--- a/tests/fleet/test_wallet_spend_witness.py
+++ b/tests/fleet/test_wallet_spend_witness.py
@@ -8,17 +8,17 @@
 from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.wallet import messages
 from limenotch.fleet.wallet.entries import Credit, Expire, Grant, Settle
-from limenotch.fleet.wallet.ledger import Book, Owner, Slice
-from limenotch.fleet.wallet.spend_witness import Gone, Memory
-from tests.fleet.fake_wallets import QUICK, Group, ready
+from limenotch.fleet.wallet.ledger import Allocation, Ledger, ProcessId
+from limenotch.fleet.wallet.spend_witness import SpendWitness, WitnessInquiry
+from tests.fleet.fake_wallets import FAST_TUNING, FakeFleet, ready
 
-WITNESSES: tuple[Owner, ...] = (("a", 1), ("b", 1), ("c", 1))
+WITNESSES: tuple[ProcessId, ...] = (("a", 1), ("b", 1), ("c", 1))
 HOLDER = ("h", 1)
 
 
-def book(*amounts: int) -> Book:
-    made = Book()
-    made.apply(
+def create_ledger(*amounts: int) -> Ledger:
+    ledger = Ledger()
+    ledger.apply(
         1,
         1,
         (
@@ -26,213 +26,229 @@
             *(Grant("acme", *HOLDER, serial, amount, WITNESSES, 1) for serial, amount in enumerate(amounts, 1)),
         ),
     )
-    return made
-
-
-def test_remembers_the_highest_until_the_slice_ends() -> None:
-    held = book(10)
-    memory = Memory(held, 5)
-    assert memory.tell("acme", HOLDER, 1, 4)
-    assert memory.tell("acme", HOLDER, 1, 2)
-    assert memory.mark("acme", HOLDER, 1) == 4
-    assert memory.mark("acme", ("h", 2), 1) == 0
-    held.apply(2, 1, (Settle("acme", *HOLDER, 1, 4, True),))
-    memory.ended("acme", HOLDER, 1)
-    assert not memory.tell("acme", HOLDER, 1, 9), "a mark that comes after the end"
-    assert len(memory) == 0
-
-
-def test_marks_that_come_before_their_grant_are_bounded_and_forgotten() -> None:
-    held = book()
-    memory = Memory(held, 2)
-    assert memory.tell("acme", HOLDER, 1, 3)
-    assert memory.tell("acme", HOLDER, 3, 3)
-    assert not memory.tell("acme", HOLDER, 4, 3)
-    assert not memory.tell("t" * 500, HOLDER, 1, 3)
-    assert not memory.tell("acme", HOLDER, 1, -3)
-    held.apply(2, 1, (Grant("acme", *HOLDER, 3, 10, WITNESSES, 1),))
-    memory.granted("acme", HOLDER, 3)
-    assert len(memory) == 1, "1 will never be granted any more"
-    assert memory.mark("acme", HOLDER, 3) == 3
-    assert memory.tell("acme", HOLDER, 4, 1)
-
-
-def test_an_installed_book_ends_what_it_does_not_know() -> None:
-    held = book(10, 10)
-    memory = Memory(held, 5)
+    return ledger
+
+
+def test_highest_limit_is_kept_until_the_allocation_ends() -> None:
+    ledger = create_ledger(10)
+    spend_witness = SpendWitness(ledger, 5)
+    assert spend_witness.record_limit("acme", HOLDER, 1, 4)
+    assert spend_witness.record_limit("acme", HOLDER, 1, 2)
+    assert spend_witness.limit("acme", HOLDER, 1) == 4
+    assert spend_witness.limit("acme", ("h", 2), 1) == 0
+    ledger.apply(2, 1, (Settle("acme", *HOLDER, 1, 4, True),))
+    spend_witness.allocation_ended("acme", HOLDER, 1)
+    assert not spend_witness.record_limit("acme", HOLDER, 1, 9), "a limit that arrives after the end"
+    assert len(spend_witness) == 0
+
+
+def test_limits_of_unknown_allocations_are_bounded_and_forgotten() -> None:
+    ledger = create_ledger()
+    spend_witness = SpendWitness(ledger, 2)
+    assert spend_witness.record_limit("acme", HOLDER, 1, 3)
+    assert spend_witness.record_limit("acme", HOLDER, 3, 3)
+    assert not spend_witness.record_limit("acme", HOLDER, 4, 3)
+    assert not spend_witness.record_limit("t" * 500, HOLDER, 1, 3)
+    assert not spend_witness.record_limit("acme", HOLDER, 1, -3)
+    ledger.apply(2, 1, (Grant("acme", *HOLDER, 3, 10, WITNESSES, 1),))
+    spend_witness.allocation_granted("acme", HOLDER, 3)
+    assert len(spend_witness) == 1, "serial 1 can no longer be granted"
+    assert spend_witness.limit("acme", HOLDER, 3) == 3
+    assert spend_witness.record_limit("acme", HOLDER, 4, 1)
+
+
+def test_replaced_ledger_ends_unknown_allocations() -> None:
+    ledger = create_ledger(10, 10)
+    spend_witness = SpendWitness(ledger, 5)
     for serial in (1, 2, 3):
-        assert memory.tell("acme", HOLDER, serial, 5)
-    held.apply(2, 1, (Settle("acme", *HOLDER, 1, 1, True),))
-    memory.installed()
-    assert [memory.mark("acme", HOLDER, serial) for serial in (1, 2, 3)] == [0, 5, 5]
+        assert spend_witness.record_limit("acme", HOLDER, serial, 5)
+    ledger.apply(2, 1, (Settle("acme", *HOLDER, 1, 1, True),))
+    spend_witness.ledger_replaced()
+    assert [spend_witness.limit("acme", HOLDER, serial) for serial in (1, 2, 3)] == [0, 5, 5]
 
 
-def gone(*tops: int) -> Gone:
-    return Gone(
+def create_inquiry(*ceilings: int) -> WitnessInquiry:
+    return WitnessInquiry(
         1,
         HOLDER,
-        {("acme", serial): Slice(*HOLDER, serial, top, 0, WITNESSES) for serial, top in enumerate(tops, 1)},
+        {
+            ("acme", serial): Allocation(*HOLDER, serial, ceiling, 0, WITNESSES)
+            for serial, ceiling in enumerate(ceilings, 1)
+        },
         0.0,
     )
 
 
-def marks(**told: int) -> dict[tuple[str, int], int]:
-    return {("acme", int(serial[1:])): mark for serial, mark in told.items()}
-
-
-def test_most_must_tell_and_the_highest_counts() -> None:
-    one = gone(10, 10)
-    one.told(("a", 1), marks(s1=4, s2=0))
-    assert one.ends(1, lambda witness: False) == []
-    one.told(("b", 2), marks(s1=9, s2=9))
-    assert one.ends(1, lambda witness: False) == [], "another life knows nothing of it"
-    one.told(("c", 1), marks(s1=6, s2=0))
-    assert one.ends(3, lambda witness: False) == [Expire("acme", *HOLDER, 1, 6, 3), Expire("acme", *HOLDER, 2, 0, 3)]
-    assert one.witnesses() == {("b", 1)}
-
-
-def test_too_few_live_on_so_all_of_it_counts() -> None:
-    one = gone(10)
-    lost = {("b", 1)}
-    assert one.ends(1, lost.__contains__) == []
-    lost.add(("c", 1))
-    assert one.ends(1, lost.__contains__) == [Expire("acme", *HOLDER, 1, 10, 1, False)]
-    two = gone(10)
-    two.told(("b", 1), marks(s1=3))
-    assert two.ends(1, lost.__contains__) == [], "one that told and fell then has told"
+def limits(**limits_by_serial: int) -> dict[tuple[str, int], int]:
+    return {("acme", int(serial[1:])): limit for serial, limit in limits_by_serial.items()}
+
+
+def test_majority_must_answer_and_the_highest_limit_counts() -> None:
+    inquiry = create_inquiry(10, 10)
+    inquiry.add_reply(("a", 1), limits(s1=4, s2=0))
+    assert inquiry.expire_entries(1, lambda witness: False) == []
+    inquiry.add_reply(("b", 2), limits(s1=9, s2=9))
+    assert inquiry.expire_entries(1, lambda witness: False) == [], "another process of that name knows no limits"
+    inquiry.add_reply(("c", 1), limits(s1=6, s2=0))
+    assert inquiry.expire_entries(3, lambda witness: False) == [
+        Expire("acme", *HOLDER, 1, 6, 3),
+        Expire("acme", *HOLDER, 2, 0, 3),
+    ]
+    assert inquiry.unanswered() == {("b", 1)}
+
+
+def test_without_a_majority_the_whole_allocation_counts() -> None:
+    inquiry = create_inquiry(10)
+    lost_witnesses = {("b", 1)}
+    assert inquiry.expire_entries(1, lost_witnesses.__contains__) == []
+    lost_witnesses.add(("c", 1))
+    assert inquiry.expire_entries(1, lost_witnesses.__contains__) == [Expire("acme", *HOLDER, 1, 10, 1, False)]
+    second_inquiry = create_inquiry(10)
+    second_inquiry.add_reply(("b", 1), limits(s1=3))
+    assert second_inquiry.expire_entries(1, lost_witnesses.__contains__) == [], (
+        "an answer counts also if the witness ends afterwards"
+    )
 
 
-def test_a_mark_above_the_slice_counts_no_more_than_it() -> None:
-    one = gone(10)
-    one.told(("a", 1), marks(s1=400))
-    one.told(("b", 1), marks(s1=-4))
-    assert one.ends(1, lambda witness: False) == [Expire("acme", *HOLDER, 1, 10, 1)]
+def test_limit_above_the_allocation_is_clamped() -> None:
+    inquiry = create_inquiry(10)
+    inquiry.add_reply(("a", 1), limits(s1=400))
+    inquiry.add_reply(("b", 1), limits(s1=-4))
+    assert inquiry.expire_entries(1, lambda witness: False) == [Expire("acme", *HOLDER, 1, 10, 1)]
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(some.integers(1, 7), some.data())
-def test_no_majority_that_tells_misses_one_that_held(many: int, data: some.DataObject) -> None:
+def test_any_majority_of_replies_covers_the_recorded_limit(witness_count: int, data: some.DataObject) -> None:
     """Whatever majority held a mark that was open, whatever majority is heard: it counts."""
-    witnesses = tuple((f"w{number}", 1) for number in range(many))
-    quorum = many // 2 + 1
-    told: dict[Owner, int] = dict.fromkeys(witnesses, 0)
-    opened = 0
-    for mark in sorted(data.draw(some.lists(some.integers(1, 50), max_size=5))):
-        held = data.draw(some.sets(some.sampled_from(witnesses), max_size=many))
-        for witness in held:
-            told[witness] = mark
-        if len(held) >= quorum:
-            opened = mark
-    one = Gone(1, HOLDER, {("acme", 1): Slice(*HOLDER, 1, 50, 0, witnesses)}, 0.0)
+    witnesses = tuple((f"w{number}", 1) for number in range(witness_count))
+    quorum = witness_count // 2 + 1
+    recorded: dict[ProcessId, int] = dict.fromkeys(witnesses, 0)
+    effective_limit = 0
+    for limit in sorted(data.draw(some.lists(some.integers(1, 50), max_size=5))):
+        recording = data.draw(some.sets(some.sampled_from(witnesses), max_size=witness_count))
+        for witness in recording:
+            recorded[witness] = limit
+        if len(recording) >= quorum:
+            effective_limit = limit
+    inquiry = WitnessInquiry(1, HOLDER, {("acme", 1): Allocation(*HOLDER, 1, 50, 0, witnesses)}, 0.0)
     for witness in data.draw(some.sets(some.sampled_from(witnesses), min_size=quorum)):
-        one.told(witness, {("acme", 1): told[witness]})
-    ends = one.ends(1, lambda witness: True)
-    assert len(ends) == 1
-    assert ends[0].mark >= opened
+        inquiry.add_reply(witness, {("acme", 1): recorded[witness]})
+    expiries = inquiry.expire_entries(1, lambda witness: True)
+    assert len(expiries) == 1
+    assert expiries[0].spend_limit >= effective_limit
 
 
 # In a group
 
 
-def died(group: Group, name: str, calls: int) -> int:
+def serve_and_kill(fleet: FakeFleet, name: str, requests: int) -> int:
     """How many it had served, when it was killed."""
     served = 0
-    while served < calls:
-        if group.serve(name):
+    while served < requests:
+        if fleet.serve(name):
             served += 1
         else:
-            group.run(5)
-    group.kill(name)
+            fleet.run(5)
+    fleet.kill(name)
     return served
 
 
-def test_a_dead_holder_s_slice_comes_back_less_at_most_a_step() -> None:
-    group = ready(names="abcd")
-    served = died(group, "d", 25)
-    group.run(QUICK.held_ms - 100)
-    assert not any(text.startswith("back") for text in group.texts("a")), "it may spend yet"
-    group.run(100 + QUICK.lease_ms)
-    wallet = group.wallets["a"].book.wallets["acme"]
-    assert wallet.held == 0
-    sizes = [int(text.split()[-1]) for text in group.texts("d") if text.startswith("holds")]
-    assert served <= wallet.spent <= served + sum(map(QUICK.step_of, sizes))
-    assert wallet.left == 1000 - wallet.spent
-    assert any(text.startswith("back acme") for text in group.texts("b"))
-
-
-def test_where_most_witnesses_live_anew_the_slice_is_lost() -> None:
-    group = ready(names="abcd")
-    died(group, "d", 3)
-    held = group.wallets["a"].book.wallets["acme"].held
+def test_dead_holders_allocation_returns_less_at_most_a_step() -> None:
+    fleet = ready(names="abcd")
+    served = serve_and_kill(fleet, "d", 25)
+    fleet.run(FAST_TUNING.max_lease_ms - 100)
+    assert not any(text.startswith("back") for text in fleet.log_texts("a")), "it may still spend"
+    fleet.run(100 + FAST_TUNING.lease_ms)
+    wallet = fleet.members["a"].ledger.wallets["acme"]
+    assert wallet.allocated == 0
+    sizes = [int(text.split()[-1]) for text in fleet.log_texts("d") if text.startswith("holds")]
+    assert served <= wallet.spent <= served + sum(map(FAST_TUNING.step_of, sizes))
+    assert wallet.unallocated == 1000 - wallet.spent
+    assert any(text.startswith("back acme") for text in fleet.log_texts("b"))
+
+
+def test_allocation_is_lost_when_most_witnesses_restarted() -> None:
+    fleet = ready(names="abcd")
+    serve_and_kill(fleet, "d", 3)
+    unspent = fleet.members["a"].ledger.wallets["acme"].allocated
     for name in "bc":
-        group.kill(name)
-        group.start(name)
-    group.run(3 * QUICK.held_ms)
-    assert f"lost acme {held}" in group.texts("a")
-    assert group.wallets["a"].book.wallets["acme"].spent == held
-
-
-def test_a_witness_that_is_held_dead_is_lost_to_one_in_reach_of_most_voters() -> None:
-    group = ready(names="abcd")
-    group.kill("c")
-    group.run(QUICK.held_ms)
-    died(group, "d", 3)
-    [one] = group.wallets["a"].book.wallets["acme"].slices.values()
-    held = one.held
-    assert one.witnesses == (("a", 1), ("b", 2))
-    group.kill("b")
-    group.tell("a", MemberChanged("b", "dead", ("b", 1), 1, 1))
-    group.run(5 * QUICK.held_ms)
-    assert group.wallets["a"].book.wallets["acme"].held, "a is alone: who knows which of them is cut off"
-    group.start("c")
-    group.run(3 * QUICK.held_ms)
-    assert f"lost acme {held}" in group.texts("a")
-
-
-def test_witnesses_that_are_out_of_reach_are_waited_for() -> None:
-    group = ready(names="abcd")
-    died(group, "d", 3)
-    group.lost = lambda frm, to, message: isinstance(message, (messages.Question, messages.Told)) and "a" in (frm, to)
-    group.run(5 * QUICK.held_ms)
-    assert group.wallets["a"].book.wallets["acme"].held
-    group.lost = lambda frm, to, message: False
-    group.run(QUICK.lease_ms)
-    assert group.wallets["a"].book.wallets["acme"].held == 0
-    assert any(text.startswith("back acme") for text in group.texts("a"))
-
-
-def test_a_holder_that_comes_back_ends_the_question() -> None:
-    group = ready(names="abcd")
-    while not group.serve("d"):
-        group.run(5)
-    group.asleep.add("d")
-    group.lost = lambda frm, to, message: isinstance(message, messages.Told)
-    group.run(QUICK.held_ms + QUICK.lease_ms)
-    group.wake("d")
-    group.run(QUICK.lease_ms / 2)
-    group.lost = lambda frm, to, message: False
-    group.run(QUICK.lease_ms / 2)
-    assert not any(text.startswith(("back", "lost")) for text in group.texts("a"))
-
-
-def test_what_was_told_to_a_process_before_is_no_answer() -> None:
-    group = ready(names="abcd")
-    died(group, "d", 12)
-    told: list[messages.Told] = []
-
-    def lost(frm: str, to: str, message: object) -> bool:
-        if isinstance(message, messages.Told):
-            told.append(message)
-        return isinstance(message, messages.Told)
-
-    group.lost = lost
-    group.run(QUICK.held_ms + QUICK.lease_ms)
-    first = told[0]
-    for wrong in (
-        messages.Told(first.number, first.asker + 1, first.process_epoch, first.marks),
-        messages.Told(first.number + 99, first.asker, first.process_epoch, first.marks),
-        messages.Told(first.number, first.asker, first.process_epoch, first.marks + (1,)),
+        fleet.kill(name)
+        fleet.start(name)
+    fleet.run(3 * FAST_TUNING.max_lease_ms)
+    assert f"lost acme {unspent}" in fleet.log_texts("a")
+    assert fleet.members["a"].ledger.wallets["acme"].spent == unspent
+
+
+def test_dead_witness_is_given_up_only_by_a_leader_that_reaches_most_voters() -> None:
+    fleet = ready(names="abcd")
+    fleet.kill("c")
+    fleet.run(FAST_TUNING.max_lease_ms)
+    serve_and_kill(fleet, "d", 3)
+    [allocation] = fleet.members["a"].ledger.wallets["acme"].allocations.values()
+    unspent = allocation.unspent
+    assert allocation.witnesses == (("a", 1), ("b", 2))
+    fleet.kill("b")
+    fleet.deliver("a", MemberChanged("b", "dead", ("b", 1), 1, 1))
+    fleet.run(5 * FAST_TUNING.max_lease_ms)
+    assert fleet.members["a"].ledger.wallets["acme"].allocated, "a is alone: it may be the isolated one"
+    fleet.start("c")
+    fleet.run(3 * FAST_TUNING.max_lease_ms)
+    assert f"lost acme {unspent}" in fleet.log_texts("a")
+
+
+def test_unreachable_witnesses_are_waited_for() -> None:
+    fleet = ready(names="abcd")
+    serve_and_kill(fleet, "d", 3)
+    fleet.is_lost = lambda sender, member, message: isinstance(
+        message, (messages.WitnessQuery, messages.WitnessReply)
+    ) and "a" in (sender, member)
+    fleet.run(5 * FAST_TUNING.max_lease_ms)
+    assert fleet.members["a"].ledger.wallets["acme"].allocated
+    fleet.is_lost = lambda sender, member, message: False
+    fleet.run(FAST_TUNING.lease_ms)
+    assert fleet.members["a"].ledger.wallets["acme"].allocated == 0
+    assert any(text.startswith("back acme") for text in fleet.log_texts("a"))
+
+
+def test_returning_holder_ends_the_query() -> None:
+    fleet = ready(names="abcd")
+    while not fleet.serve("d"):
+        fleet.run(5)
+    fleet.suspended.add("d")
+    fleet.is_lost = lambda sender, member, message: isinstance(message, messages.WitnessReply)
+    fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
+    fleet.wake("d")
+    fleet.run(FAST_TUNING.lease_ms / 2)
+    fleet.is_lost = lambda sender, member, message: False
+    fleet.run(FAST_TUNING.lease_ms / 2)
+    assert not any(text.startswith(("back", "lost")) for text in fleet.log_texts("a"))
+
+
+def test_replies_to_another_query_are_ignored() -> None:
+    fleet = ready(names="abcd")
+    serve_and_kill(fleet, "d", 12)
+    replies: list[messages.WitnessReply] = []
+
+    def drop_replies(sender: str, member: str, message: object) -> bool:
+        if isinstance(message, messages.WitnessReply):
+            replies.append(message)
+        return isinstance(message, messages.WitnessReply)
+
+    fleet.is_lost = drop_replies
+    fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
+    first_reply = replies[0]
+    for invalid in (
+        messages.WitnessReply(
+            first_reply.number, first_reply.asker_epoch + 1, first_reply.process_epoch, first_reply.limits
+        ),
+        messages.WitnessReply(
+            first_reply.number + 99, first_reply.asker_epoch, first_reply.process_epoch, first_reply.limits
+        ),
+        messages.WitnessReply(
+            first_reply.number, first_reply.asker_epoch, first_reply.process_epoch, first_reply.limits + (1,)
+        ),
     ):
-        group.wallets["a"].granting.told(group.now, "b", wrong)
-        group.wallets["a"].granting.told(group.now, "c", wrong)
-    assert group.wallets["a"].book.wallets["acme"].held
+        fleet.members["a"].granter.reply_received(fleet.now, "b", invalid)
+        fleet.members["a"].granter.reply_received(fleet.now, "c", invalid)
+    assert fleet.members["a"].ledger.wallets["acme"].allocated
--- a/tests/fleet/wallet_bugs.py
+++ b/tests/fleet/wallet_bugs.py
@@ -10,13 +10,13 @@
 from limenotch.fleet import leases
 from limenotch.fleet.wallet import allocations, entries, lease, ledger, quota_grants, spend_witness
 from limenotch.lab.fleet.wallet_run import Run
-from limenotch.lab.fleet.wallet_storm import aside, storm
+from limenotch.lab.fleet.wallet_storm import isolated_holder_run, random_fault_run
 
-Plant = Callable[[pytest.MonkeyPatch], None]
-Storm = Callable[[int], Run]
+InjectBug = Callable[[pytest.MonkeyPatch], None]
+FaultRun = Callable[[int], Run]
 
 
-def lease_kept_over_a_pause(patch: pytest.MonkeyPatch) -> None:
+def lease_counted_from_the_response(patch: pytest.MonkeyPatch) -> None:
     """Counted from when the answer is handled, not from when it was asked for."""
     real = leases.HeldLease.accept
 
@@ -28,134 +28,136 @@
     patch.setattr(leases.HeldLease, "accept", take)
 
 
-def lease_not_looked_at(patch: pytest.MonkeyPatch) -> None:
+def lease_not_checked(patch: pytest.MonkeyPatch) -> None:
     """Once it was had; for each call, that is: the part still asks in time."""
-    real = allocations.Purse.reserve
+    real = allocations.Spender.reserve
 
-    def reserve(self: allocations.Purse, now: float, tenant: str, kind: str, paid: bool = False) -> Any:
-        return real(self, min(now, self.until - 1), tenant, kind, paid)
+    def reserve(
+        self: allocations.Spender, now: float, tenant: str, request_class: str, already_charged: bool = False
+    ) -> Any:
+        return real(self, min(now, self.lease_expires_at_ms - 1), tenant, request_class, already_charged)
 
-    patch.setattr(allocations.Purse, "reserve", reserve)
+    patch.setattr(allocations.Spender, "reserve", reserve)
 
 
-def credit_counted_twice_after_a_lost_answer(patch: pytest.MonkeyPatch) -> None:
+def credit_ids_forgotten(patch: pytest.MonkeyPatch) -> None:
     """The ids are forgotten, all but the last."""
-    real = ledger.Book._credit
+    real = ledger.Ledger._credit
 
-    def credit(self: ledger.Book, entry: entries.Credit) -> ledger.Applied:
+    def credit(self: ledger.Ledger, entry: entries.Credit) -> ledger.Applied:
         if (
             (wallet := self.wallets.get(entry.tenant)) is not None
-            and entry.id in wallet.ids
-            and next(reversed(wallet.ids)) != entry.id
+            and entry.id in wallet.credit_ids
+            and next(reversed(wallet.credit_ids)) != entry.id
         ):
-            del wallet.ids[entry.id]
+            del wallet.credit_ids[entry.id]
         return real(self, entry)
 
-    patch.setattr(ledger.Book, "_credit", credit)
+    patch.setattr(ledger.Ledger, "_credit", credit)
 
 
-def expired_without_the_witnesses(patch: pytest.MonkeyPatch) -> None:
+def expired_without_querying_witnesses(patch: pytest.MonkeyPatch) -> None:
     """What its holder had settled counts."""
 
-    def ends(self: spend_witness.Gone, term: int, lost: Any) -> list[entries.Expire]:
+    def expire_entries(self: spend_witness.WitnessInquiry, term: int, is_lost: Any) -> list[entries.Expire]:
         return [
-            entries.Expire(tenant, *self.owner, serial, one.spent, term)
-            for (tenant, serial), one in self.slices.items()
+            entries.Expire(tenant, *self.holder, serial, allocation.spent, term)
+            for (tenant, serial), allocation in self.allocations.items()
         ]
 
-    patch.setattr(spend_witness.Gone, "ends", ends)
+    patch.setattr(spend_witness.WitnessInquiry, "expire_entries", expire_entries)
 
 
-def lowest_mark_told(patch: pytest.MonkeyPatch) -> None:
+def lowest_limit_counts(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(spend_witness, "max", min, raising=False)
 
 
-def mark_opened_by_one_witness(patch: pytest.MonkeyPatch) -> None:
-    real = allocations.Held.acked
+def limit_raised_by_one_witness(patch: pytest.MonkeyPatch) -> None:
+    real = allocations.LocalAllocation.acknowledge
 
-    def acked(self: allocations.Held, name: Any, mark: int) -> bool:
+    def acknowledge(self: allocations.LocalAllocation, name: Any, limit: int) -> bool:
         self.quorum = 1
-        return real(self, name, mark)
+        return real(self, name, limit)
 
-    patch.setattr(allocations.Held, "acked", acked)
+    patch.setattr(allocations.LocalAllocation, "acknowledge", acknowledge)
 
 
-def marks_forgotten_in_an_election(patch: pytest.MonkeyPatch) -> None:
+def limits_forgotten_in_an_election(patch: pytest.MonkeyPatch) -> None:
     """By a witness that begins to lead."""
-    forgets: dict[int, Callable[[], None]] = {}
-    real = quota_grants.Granting.begin
+    forget_by_ledger: dict[int, Callable[[], None]] = {}
+    real = quota_grants.AllocationGranter.begin
 
-    def begin(self: quota_grants.Granting, now: float, term: int) -> None:
+    def begin(self: quota_grants.AllocationGranter, now: float, term: int) -> None:
         real(self, now, term)
-        forgets[id(self._book)]()
+        forget_by_ledger[id(self._ledger)]()
 
-    made = spend_witness.Memory.__init__
+    real_init = spend_witness.SpendWitness.__init__
 
-    def init(self: spend_witness.Memory, of: ledger.Book, most_early: int) -> None:
-        made(self, of, most_early)
-        forgets[id(of)] = self._marks.clear
+    def init(self: spend_witness.SpendWitness, own_ledger: ledger.Ledger, max_unknown: int) -> None:
+        real_init(self, own_ledger, max_unknown)
+        forget_by_ledger[id(own_ledger)] = self._limits.clear
 
-    patch.setattr(spend_witness.Memory, "__init__", init)
-    patch.setattr(quota_grants.Granting, "begin", begin)
+    patch.setattr(spend_witness.SpendWitness, "__init__", init)
+    patch.setattr(quota_grants.AllocationGranter, "begin", begin)
 
 
-def recall_that_forgets_what_is_reserved(patch: pytest.MonkeyPatch) -> None:
-    def narrow(self: allocations.Held, keep: int) -> int:
-        kept = min(keep, self.free)
-        self.top = self.spent + kept
-        self.narrowed = True
-        self.closing = self.closing or not kept
-        self.fit()
-        return kept
+def recall_ignores_reservations(patch: pytest.MonkeyPatch) -> None:
+    def reduce(self: allocations.LocalAllocation, retain: int) -> int:
+        retained = min(retain, self.unreserved)
+        self.ceiling = self.spent + retained
+        self.reduced = True
+        self.closing = self.closing or not retained
+        self.update_available()
+        return retained
 
-    patch.setattr(allocations.Held, "narrow", narrow)
+    patch.setattr(allocations.LocalAllocation, "reduce", reduce)
 
 
 def new_leader_expires_at_once(patch: pytest.MonkeyPatch) -> None:
     """It knows no leases, and takes that for there being none."""
-    real = quota_grants.Granting.begin
+    real = quota_grants.AllocationGranter.begin
 
-    def begin(self: quota_grants.Granting, now: float, term: int) -> None:
+    def begin(self: quota_grants.AllocationGranter, now: float, term: int) -> None:
         real(self, now, term)
-        self._gone_at = now
+        self._next_inquiry_at_ms = now
 
-    patch.setattr(quota_grants.Granting, "begin", begin)
+    patch.setattr(quota_grants.AllocationGranter, "begin", begin)
     patch.setattr(leases.LeaseGranter, "earlier_leases_expired", lambda self, now: now >= self.leader_since_ms)
 
 
-def expired_during_a_lease(patch: pytest.MonkeyPatch) -> None:
+def lease_record_too_short(patch: pytest.MonkeyPatch) -> None:
     """Its answer is on its way, and the record is of when it was asked for."""
-    real = lease.Granter.grant
+    real = lease.SpendLeaseGranter.grant
 
-    def grant(self: lease.Granter, now: float, owner: tuple[str, int]) -> bool:
-        found = real(self, now, owner)
-        if found:
-            self.records[owner] = now + self.max_lease_ms / 4
-        return found
+    def grant(self: lease.SpendLeaseGranter, now: float, holder: tuple[str, int]) -> bool:
+        recorded = real(self, now, holder)
+        if recorded:
+            self.expiries[holder] = now + self.max_lease_ms / 4
+        return recorded
 
-    patch.setattr(lease.Granter, "grant", grant)
+    patch.setattr(lease.SpendLeaseGranter, "grant", grant)
 
 
-def closing_slice_takes_calls(patch: pytest.MonkeyPatch) -> None:
+def closing_allocation_serves_requests(patch: pytest.MonkeyPatch) -> None:
     """What is given back of it is reserved again."""
 
-    def fit(self: allocations.Held) -> None:
-        self.room = max(0, min(self.open, self.size) - self.spent - self.reserved)
+    def update_available(self: allocations.LocalAllocation) -> None:
+        self.available = max(0, min(self.open_limit, self.size) - self.spent - self.reserved)
 
-    patch.setattr(allocations.Held, "fit", fit)
+    patch.setattr(allocations.LocalAllocation, "update_available", update_available)
 
 
 # The storm, and the first of its seeds that finds it: one more than that many were needed.
-BUGS: dict[Any, tuple[Storm, int]] = {
-    lease_kept_over_a_pause: (aside, 24),
-    lease_not_looked_at: (aside, 0),
-    new_leader_expires_at_once: (aside, 1),
-    expired_during_a_lease: (aside, 0),
-    credit_counted_twice_after_a_lost_answer: (storm, 0),
-    expired_without_the_witnesses: (storm, 0),
-    lowest_mark_told: (storm, 0),
-    mark_opened_by_one_witness: (storm, 5),
-    marks_forgotten_in_an_election: (storm, 15),
-    recall_that_forgets_what_is_reserved: (storm, 4),
-    closing_slice_takes_calls: (storm, 0),
+BUGS: dict[Any, tuple[FaultRun, int]] = {
+    lease_counted_from_the_response: (isolated_holder_run, 24),
+    lease_not_checked: (isolated_holder_run, 0),
+    new_leader_expires_at_once: (isolated_holder_run, 1),
+    lease_record_too_short: (isolated_holder_run, 0),
+    credit_ids_forgotten: (random_fault_run, 0),
+    expired_without_querying_witnesses: (random_fault_run, 0),
+    lowest_limit_counts: (random_fault_run, 0),
+    limit_raised_by_one_witness: (random_fault_run, 5),
+    limits_forgotten_in_an_election: (random_fault_run, 15),
+    recall_ignores_reservations: (random_fault_run, 4),
+    closing_allocation_serves_requests: (random_fault_run, 0),
 }
--- a/tests/helpers/wallet_clients.py
+++ b/tests/helpers/wallet_clients.py
@@ -26,17 +26,17 @@
 from .log_operators import call
 
 PATH = "/fleet/wallets/"
-READ_S = 0.05  # between two readings
-END_S = 15.0
+READING_INTERVAL_S = 0.05  # between two readings
+SETTLE_LIMIT_S = 15.0
 COST = {"once": 2}  # of a call, by class; 1 of others
-FREE = "cid"  # does not pay
+TENANT_WITHOUT_WALLET = "cid"  # does not pay
 
 
-class UnsoundError(Exception):
+class RuleViolationError(Exception):
     """What the checker found."""
 
 
-class Answered(NamedTuple):
+class ClientResponse(NamedTuple):
     at_ms: float  # of the run
     node: str
     tenant: str
@@ -56,33 +56,33 @@
     held: int
 
 
-class _Way:
+class _RecordingPool:
     """A consumer's way to a sidecar, as its pool; notes what it is answered."""
 
-    def __init__(self, pool: Pool, note: Callable[[http1.Message | None], None]) -> None:
-        self._pool, self._note = pool, note
+    def __init__(self, pool: Pool, record_response: Callable[[http1.Message | None], None]) -> None:
+        self._pool, self._record_response = pool, record_response
 
     def ask(
         self, wire: bytes, done: Callable[[http1.Message | None], None], began: Callable[[Asking], None] | None = None
     ) -> None:
-        def answered(message: http1.Message | None) -> None:
-            self._note(message)
+        def record_and_forward(message: http1.Message | None) -> None:
+            self._record_response(message)
             done(message)
 
-        self._pool.ask(wire, answered, began)
+        self._pool.ask(wire, record_and_forward, began)
 
 
-class Paying(Stage):
+class PayingStage(Stage):
     """A stage whose consumers pay."""
 
-    answers: list[Answered]
+    answers: list[ClientResponse]
     readings: list[Reading]
-    dry_readings: list[Reading]  # of operators that waited until nothing was left
+    empty_readings: list[Reading]  # of operators that waited until nothing was left
 
     def begin(self) -> None:
         """Wallets are read from now on. To be called once, when the run is about to begin."""
-        self.readings, self.dry_readings, self.broken = [], [], list[str]()
-        self._reader = asyncio.get_running_loop().create_task(self._read_on())
+        self.readings, self.empty_readings, self.broken = [], [], list[str]()
+        self._reader = asyncio.get_running_loop().create_task(self._read_wallets())
 
     def _choose(self, request: Request) -> Pool | None:
         pool = super()._choose(request)
@@ -90,21 +90,21 @@
             return None
         self.answers = getattr(self, "answers", [])
         node = next(name for name, key in self.keys_of.items() if self._pools.get(key) is pool)
-        asked, tenant = self.clock(), self.plan.accounts[request.account].name
+        asked_ms, tenant = self.clock(), self.plan.accounts[request.account].name
         cost = COST.get(self.plan.classes[request.cls].name, 1)
 
-        def note(message: http1.Message | None) -> None:
-            retry = float(message.fields.get(b"retry-after", b"0")) if message is not None else 0.0
+        def record_response(message: http1.Message | None) -> None:
+            retry_after_s = float(message.fields.get(b"retry-after", b"0")) if message is not None else 0.0
             status = message.status if message is not None else None
-            self.answers.append(Answered(self.clock(), node, tenant, cost, status, retry, asked))
+            self.answers.append(ClientResponse(self.clock(), node, tenant, cost, status, retry_after_s, asked_ms))
 
-        return _Way(pool, note)  # type: ignore[return-value]
+        return _RecordingPool(pool, record_response)  # type: ignore[return-value]
 
     # Wallets
 
-    async def add(self, node: NodeProcess, tenant: str, amount: int, ident: str) -> tuple[int, Any]:
-        answer = await call(node, "POST", PATH + tenant, json.dumps({"id": ident, "add": amount}).encode())
-        assert answer is not None, f"{node.name}: no answer to credit"
+    async def add(self, node: NodeProcess, tenant: str, amount: int, credit_id: str) -> tuple[int, Any]:
+        answer = await call(node, "POST", PATH + tenant, json.dumps({"id": credit_id, "add": amount}).encode())
+        assert answer is not None, f"{node.name}: no response to a credit"
         return answer.status, json.loads(answer.body)
 
     async def wallet(self, node: NodeProcess, tenant: str) -> Reading | None:
@@ -112,13 +112,13 @@
         answer = await call(node, "GET", PATH + tenant)
         if answer is None or answer.status != 200:
             return None
-        told = json.loads(answer.body)
-        reading = Reading(self.clock(), node.name, tenant, told["credit"], told["spent"], told["left"], told["held"])
+        body = json.loads(answer.body)
+        reading = Reading(self.clock(), node.name, tenant, body["credit"], body["spent"], body["left"], body["held"])
         if reading.credit != reading.spent + reading.left + reading.held:
-            self.broken.append(f"not conserved: {reading}")
+            self.broken.append(f"credit not conserved: {reading}")
         return reading
 
-    async def _read_on(self) -> None:
+    async def _read_wallets(self) -> None:
         while True:
             for node in self.processes.nodes.values():
                 if node.alive and not node.paused:
@@ -126,59 +126,71 @@
                         reading = await self.wallet(node, tenant)
                         if reading is not None and self.began_ms is not None:
                             self.readings.append(reading)
-                await asyncio.sleep(READ_S)
+                await asyncio.sleep(READING_INTERVAL_S)
 
     async def settled(self, tenant: str) -> Reading:
         """When nothing is held any more: all that was spent is told then."""
-        async with asyncio.timeout(END_S):
+        async with asyncio.timeout(SETTLE_LIMIT_S):
             while True:
                 for node in self.processes.nodes.values():
                     reading = await self.wallet(node, tenant) if node.alive else None
                     if reading is not None and not reading.held:
                         return reading
-                await asyncio.sleep(READ_S)
+                await asyncio.sleep(READING_INTERVAL_S)
 
     # What was seen
 
-    def served(self, tenant: str, node: str = "", since: float = 0.0, until: float = 1e12) -> list[Answered]:
-        return [one for one in self.answered(tenant, node, since, until) if one.status == 200]
+    def served(
+        self, tenant: str, node: str = "", since_ms: float = 0.0, until_ms: float = 1e12
+    ) -> list[ClientResponse]:
+        return [response for response in self.answered(tenant, node, since_ms, until_ms) if response.status == 200]
 
-    def answered(self, tenant: str, node: str = "", since: float = 0.0, until: float = 1e12) -> list[Answered]:
+    def answered(
+        self, tenant: str, node: str = "", since_ms: float = 0.0, until_ms: float = 1e12
+    ) -> list[ClientResponse]:
         """Calls that were asked since, and answered until."""
         return [
-            one
-            for one in self.answers
-            if one.tenant == tenant and node in ("", one.node) and one.asked_ms >= since and one.at_ms <= until
+            response
+            for response in self.answers
+            if response.tenant == tenant
+            and node in ("", response.node)
+            and response.asked_ms >= since_ms
+            and response.at_ms <= until_ms
         ]
 
     def units(self, tenant: str) -> int:
         """What consumers were served costs."""
-        return sum(one.cost for one in self.served(tenant))
+        return sum(response.cost for response in self.served(tenant))
 
-    async def audit(self, beyond: int = 0, advice_s: float = 2.0) -> dict[str, Reading]:
+    async def audit(self, allowed_excess: int = 0, max_retry_after_s: float = 2.0) -> dict[str, Reading]:
         """The checker; all is healed. `beyond`: what may be served of a tenant beyond its credit."""
         self._reader.cancel()
-        ends = {tenant: await self.settled(tenant) for tenant in ("ann", "bob")}
-        wrong = list(self.broken)
-        for tenant, end in ends.items():
+        final_readings = {tenant: await self.settled(tenant) for tenant in ("ann", "bob")}
+        violations = list(self.broken)
+        for tenant, final_reading in final_readings.items():
             units = self.units(tenant)
-            if units > end.credit + beyond:
-                wrong.append(f"{tenant}: overspent, {units} of {end.credit}")
-            if units > end.spent:
-                wrong.append(f"{tenant}: {units} were served, {end.spent} are told")
-            last: dict[str, Reading] = {}
-            for one in self.readings:
-                if one.tenant == tenant:
-                    before = last.get(one.node, one)
-                    if (one.credit, one.spent) < (before.credit, before.spent) or one.spent < before.spent:
-                        wrong.append(f"{before} and then {one}")
-                    last[one.node] = one
-        for told in self.answers:
-            if told.status == 429 and (told.tenant == FREE or not 0 < told.retry_after_s <= advice_s):
-                wrong.append(f"turned away: {told}")
-        if wrong:
-            raise UnsoundError("\n".join(wrong[:20]))
-        return ends
+            if units > final_reading.credit + allowed_excess:
+                violations.append(f"{tenant}: overspent, {units} of {final_reading.credit}")
+            if units > final_reading.spent:
+                violations.append(f"{tenant}: {units} were served, {final_reading.spent} are recorded")
+            last_reading: dict[str, Reading] = {}
+            for reading in self.readings:
+                if reading.tenant == tenant:
+                    previous = last_reading.get(reading.node, reading)
+                    if (reading.credit, reading.spent) < (
+                        previous.credit,
+                        previous.spent,
+                    ) or reading.spent < previous.spent:
+                        violations.append(f"{previous} and then {reading}")
+                    last_reading[reading.node] = reading
+        for response in self.answers:
+            if response.status == 429 and (
+                response.tenant == TENANT_WITHOUT_WALLET or not 0 < response.retry_after_s <= max_retry_after_s
+            ):
+                violations.append(f"invalid rejection: {response}")
+        if violations:
+            raise RuleViolationError("\n".join(violations[:20]))
+        return final_readings
 
     @property
     def late_ms(self) -> float:
