--- a/limenotch/fleet/wallet/__init__.py
+++ b/limenotch/fleet/wallet/__init__.py
@@ -1,6 +1,6 @@
-"""Layer 4: credit that sidecars spend without asking, and never overspend. Design: docs/fleet/wallet-design.md.
+"""Prepaid credit of tenants, which sidecars spend locally and never overspend. Design: docs/fleet/wallet-design.md.
 
-The decisions are imported when they are asked for: settings need `tuning` alone, also where nobody pays.
+`Wallet` is imported on first access: the settings need only `tuning`, also where no tenant has a wallet.
 """
 
 from __future__ import annotations
--- a/limenotch/fleet/wallet/allocations.py
+++ b/limenotch/fleet/wallet/allocations.py
@@ -1,9 +1,10 @@
-"""What one sidecar may spend without asking anybody: its slices, as far as their marks are open, under its lease.
+"""What one sidecar may spend without a round trip: its allocations, up to their spend limits, while its lease is valid.
 
-    spent + reserved + room = min(open, top), or less        of each slice; `room` is what the next call may take
+    spent + reserved + available <= min(open_limit, ceiling)   of each allocation; `available`: for the next requests
 
-For each call the clock is held against `until`, and one slice is looked at; all else waits for `holding.py`, which is
-told by `wants()`. The host's clock is the part's: a process that slept finds its lease over before it takes a call.
+The path of each request compares the clock with `lease_expires_at_ms` and looks at one allocation. All other work is
+left to quota_holder.py, which `has_changes()` calls for. The clock is the component's, read by the host for each
+request: a process that was suspended finds its lease expired before it admits a request.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from .ledger import Ledger, ProcessId
 from .tuning import Tuning
 
-ADVANCE_SERIAL = 0  # the serial of what was reserved without a lease
+ADVANCE_SERIAL = 0  # serial in reservations that were made on the advance, without a lease
 
 
 class LocalAllocation:
-    """A slice of one's own."""
+    """An allocation of this process. All amounts are units of credit."""
 
     __slots__ = (
         "serial",
@@ -46,34 +47,36 @@
         self.serial, self.size, self.ceiling, self.spent = serial, ceiling, ceiling, spent
         self.witnesses, self.quorum = witnesses, len(witnesses) // 2 + 1
         self.reserved = self.available = 0
-        self.open_limit = self.requested_limit = spent  # the mark that most witnesses hold, and that they were told
-        self.low_water = -1  # below this room the holder looks
+        # the spend limit that most witnesses have acknowledged, and the one requested
+        self.open_limit = self.requested_limit = spent
+        self.low_water = -1  # the holder reviews the account when `available` falls below it
         self.reduced = self.closing = False
         self.acks: dict[ProcessId, int] = {}
         self.granted_at_ms = now
-        self.sent_limit, self.sent_at_ms = spent, -NEVER  # the mark last said to witnesses, and when
+        self.sent_limit, self.sent_at_ms = spent, -NEVER  # the limit sent to witnesses last, and when
 
     @property
     def awaits_witnesses(self) -> bool:
-        """For witnesses."""
+        """Whether a higher spend limit is requested and not yet acknowledged by most witnesses."""
         return self.requested_limit > self.open_limit and not self.closing
 
     @property
     def used(self) -> int:
+        """Units charged or reserved."""
         return self.spent + self.reserved
 
     @property
     def unreserved(self) -> int:
-        """May be reserved once it is open."""
+        """Units that may still be reserved, once the spend limit is raised to the ceiling."""
         return 0 if self.closing else self.ceiling - self.spent - self.reserved
 
     def acknowledge(self, witness: ProcessId, limit: int) -> bool:
-        """Whether more of it is open now."""
+        """Records a witness's acknowledgement; returns whether the spend limit rose."""
         if witness not in self.witnesses or limit <= self.acks.get(witness, 0):
             return False
         self.acks[witness] = limit
         acknowledged = sorted(self.acks.values(), reverse=True)
-        # Never above what was told here: a witness can't open what its holder did not ask for.
+        # Never above what was requested here: a witness can't allow more than the holder asked for.
         limit = min(acknowledged[self.quorum - 1], self.requested_limit) if len(acknowledged) >= self.quorum else 0
         if limit <= self.open_limit:
             return False
@@ -82,10 +85,11 @@
         return True
 
     def update_available(self) -> None:
+        """Recomputes `available` after a change of limits or reservations."""
         self.available = 0 if self.closing else max(0, min(self.open_limit, self.ceiling) - self.spent - self.reserved)
 
     def reduce(self, retain: int) -> int:
-        """All but `keep` of what is free is given up for good. Returns what of `keep` is kept."""
+        """Permanently gives up all unreserved units but `retain`; returns how many of `retain` are retained."""
         retained = min(retain, self.unreserved)
         self.ceiling = self.used + retained
         self.reduced = True
@@ -95,7 +99,7 @@
 
 
 class TenantAccount:
-    """A tenant's, here."""
+    """The local state of a tenant's account."""
 
     __slots__ = (
         "tenant",
@@ -126,33 +130,40 @@
         self.tenant = tenant
         self.allocations: dict[int, LocalAllocation] = {}
         self.current: LocalAllocation | None = None
-        self.reserved_units = self.rejected_units = 0  # reserved, and turned away, ever
-        self.last_reserved_at_ms = self.last_rejected_at_ms = -NEVER  # when
-        self.needed = 0  # the dearest call turned away since there was room
-        self.shortage_known = False  # the holder knows of it
+        self.reserved_units = self.rejected_units = 0  # units reserved and units rejected since the account was created
+        self.last_reserved_at_ms = self.last_rejected_at_ms = -NEVER  # times of the last reservation and rejection
+        self.needed = 0  # cost of the most expensive request rejected since units were last available
+        self.shortage_known = False  # the holder has already been notified of the shortage
         self.paused = self.pause_logged = False
-        self.ramp_limit = 0  # the largest slice to ask for after a pause; 0: any
+        self.ramp_limit = 0  # the largest allocation to request after a pause; 0: no limit
         self.restricted_span_ms, self.restricted_until_ms = (
             0.0,
             -NEVER,
-        )  # how long slices may last, while there is little left
-        self.demand_per_ms = self.reserved_per_ms = 0.0  # units a ms wanted lately, and reserved
+        )  # how long allocations may last while the wallet is nearly empty, and until when that applies
+        # units per ms: requested recently (reserved or rejected), and reserved
+        self.demand_per_ms = self.reserved_per_ms = 0.0
         self.rates_base, self.rates_updated_at_ms = (0, 0), now
-        self.advanced_units = self.advance_reserved = 0  # of the advance: served and not told yet, reserved
-        self.advance_proposed = 0  # of `lent`, on its way to the log
+        # units of the advance: served and not yet in the ledger; reserved
+        self.advanced_units = self.advance_reserved = 0
+        self.advance_proposed = 0  # of `advanced_units`: proposed to the log and not yet committed
         self.advance_serial = 0
 
     @property
     def unreserved(self) -> int:
+        """Sum over the allocations; see LocalAllocation."""
         return sum(allocation.unreserved for allocation in self.allocations.values())
 
     @property
     def available(self) -> int:
+        """Sum over the allocations."""
         return sum(allocation.available for allocation in self.allocations.values())
 
     def update_rates(self, now: float, span_ms: float) -> None:
-        """Rates over what has passed since: of the whole `span_ms` what is old counts little. A rise counts at once
-        for a half, or who begins would be turned away until the average has seen it."""
+        """Updates the moving averages with what has happened since the last update; old data fades over `span_ms`.
+
+        A rise counts with a weight of at least one half: otherwise requests of a tenant that has just started would be
+        rejected until the average had caught up.
+        """
         elapsed_ms = now - self.rates_updated_at_ms
         if elapsed_ms <= 0:
             return
@@ -167,7 +178,10 @@
 
 
 class Spender:
-    """See api.Purse. `until`, the slices and their marks are the part's to change; the host calls the rest."""
+    """Charges requests; see api.Spender.
+
+    The lease's expiry, the allocations and their limits are changed by the component alone; the host calls the rest.
+    """
 
     def __init__(self, tuning: Tuning, ledger: Ledger) -> None:
         self._tuning, self._ledger = tuning, ledger
@@ -175,20 +189,23 @@
         self._tenants = frozenset(tuning.tenants)
         self._max_reservations = tuning.most_reserved
         self.lease_expires_at_ms = -NEVER
-        self.open_reservations = 0  # reservations
+        self.open_reservations = 0  # reservations that are neither charged nor released
         self.accounts: dict[str, TenantAccount] = {}
-        self.changed_tenants: set[str] = set()  # tenants to look at
+        self.changed_tenants: set[str] = set()  # tenants that the holder has to review
         self.counts = {"turned": 0, "coming": 0, "advanced": 0}
 
     def has_wallet(self, tenant: str) -> bool:
+        """Whether the settings have a wallet for the tenant."""
         return tenant in self._tenants or "*" in self._tenants
 
     def has_changes(self) -> bool:
+        """Whether the holder has accounts to review; the host then sends `DemandChanged`."""
         return bool(self.changed_tenants)
 
     def reserve(
         self, now: float, tenant: str, request_class: str, already_charged: bool = False
     ) -> Reservation | Rejected:
+        """See api.Spender."""
         cost = self._cost_by_class.get(request_class, self._other_cost)
         if already_charged or not cost:
             return Reservation(tenant, 0)
@@ -211,6 +228,7 @@
         return self._reserve(now, tenant, account, cost)
 
     def charge(self, now: float, reservation: Reservation) -> None:
+        """See api.Spender."""
         tenant, cost, allocations = reservation
         if not cost:
             return
@@ -231,6 +249,7 @@
                 self.changed_tenants.add(tenant)
 
     def release(self, now: float, reservation: Reservation) -> None:
+        """See api.Spender."""
         tenant, cost, allocations = reservation
         if not cost:
             return
@@ -254,7 +273,7 @@
                 account.advance_reserved -= units
 
     def _reserve(self, now: float, tenant: str, account: TenantAccount | None, cost: int) -> Reservation | Rejected:
-        """What the first slice alone does not answer."""
+        """The slow path: anything that the current allocation alone can't decide."""
         tuning = self._tuning
         if not self.has_wallet(tenant):
             return Reservation(tenant, 0)
@@ -299,7 +318,7 @@
         return Rejected(tuning.retry_after_ms)
 
     def _reserve_across(self, account: TenantAccount, cost: int) -> tuple[tuple[int, int], ...]:
-        """Of several slices, the oldest first; nothing is taken if all of them are not enough."""
+        """Reserves from several allocations, the oldest first; reserves nothing if their sum is below `cost`."""
         if account.available < cost:
             return ()
         reserved: list[tuple[int, int]] = []
@@ -315,9 +334,10 @@
                 break
         return tuple(reserved)
 
-    # The part's
+    # For the component alone
 
     def add_allocation(self, now: float, tenant: str, allocation: LocalAllocation) -> TenantAccount:
+        """Adds a granted allocation and returns its account, which is created if needed."""
         account = self.accounts.get(tenant)
         if account is None:
             account = self.accounts[tenant] = TenantAccount(tenant, now)
@@ -326,6 +346,7 @@
         return account
 
     def remove_allocation(self, tenant: str, serial: int) -> None:
+        """Removes an allocation that has ended in the ledger."""
         account = self.accounts.get(tenant)
         if account is not None and (allocation := account.allocations.pop(serial, None)) is not None:
             if account.current is allocation:
@@ -333,13 +354,15 @@
             self.changed_tenants.add(tenant)
 
     def select_current(self, account: TenantAccount) -> None:
-        """`first` is the oldest slice with room."""
+        """Makes the oldest allocation with available units the current one."""
         account.current = next(
             (allocation for allocation in account.allocations.values() if allocation.available), None
         )
 
     def status(self) -> Mapping[str, Any]:
-        """Units by tenant: reserved and not ended yet, free under slices held, open for the next calls."""
+        """For `GET /fleet`, units by tenant: reserved by requests in flight, unreserved, available to the next
+        requests.
+        """
         return {
             "open": self.open_reservations,
             "counts": dict(self.counts),
--- a/limenotch/fleet/wallet/api.py
+++ b/limenotch/fleet/wallet/api.py
@@ -1,7 +1,8 @@
-"""What operators and the host say to the wallet and hear of it, besides contract.py and the log's api.py.
+"""Events and actions of the wallet component for operators and the host, beside interfaces.py and the log's api.py.
 
-The host calls `Purse` itself, for each call, with the same clock as `handle`; nothing there waits or speaks. When
-`Purse.wants()` turns true the host tells the part `Look()`, once: what it wants is then asked for.
+The host calls `Spender` directly for each request, with the same clock as `handle`; its methods neither block nor send
+messages. When `Spender.has_changes()` becomes true the host sends the component one `DemandChanged`, and the component
+requests what is needed.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 
 class OperatorRequest(NamedTuple):
-    """An operator's. Each gets exactly one OperatorResponse with its ticket, in `ask_ms` and a little at the latest.
+    """An operator's request. Each gets exactly one response with its ticket, within `ask_ms` and the delay of a timer.
 
-    | what | |
+    | `action` | |
     | --- | --- |
-    | add | `tenant`, `amount` above 0, `id`: counts once |
-    | show | `tenant`: its wallet; empty: all of them |
+    | add | adds `amount` (above 0) to the wallet of `tenant`; counts once for each `id` |
+    | show | the wallet of `tenant`, or all wallets if it is empty |
     """
 
     ticket: int
@@ -29,11 +30,11 @@
 
 
 class DemandChanged(NamedTuple):
-    """The purse wants something: a slice is running low, or somebody was turned away."""
+    """An allocation is running low, or a request was rejected."""
 
 
 class VotersChanged(NamedTuple):
-    """Who votes on the log now; the leader makes the living ones witnesses of new slices."""
+    """The log's voters have changed. The leader uses the reachable ones as witnesses of new allocations."""
 
     names: tuple[str, ...]
 
@@ -42,8 +43,11 @@
 
 
 class OperatorResponse(NamedTuple):
-    """`word`: done, counted (that id was, before), shown, none, refused, unknown. `body` of shown: for JSON; of
-    counted: how much that id was for."""
+    """The response to an operator's request.
+
+    `outcome`: done, counted (that id was counted earlier), shown, none, refused, unknown. `body` of shown: wallets by
+    tenant, for JSON; of counted: the amount that the id was counted with.
+    """
 
     ticket: int
     outcome: str
@@ -51,42 +55,51 @@
     body: Any = None
 
 
-# What the host asks of the purse
+# Called by the host
 
 
 class Reservation(NamedTuple):
-    """Of one call. `cost` 0: nothing is owed, and nothing was taken."""
+    """The reservation for one request. `cost` 0: the request is free of charge and nothing was reserved."""
 
     tenant: str
     cost: int
-    allocations: tuple[tuple[int, int], ...] = ()  # serial and units; serial 0: of the advance
+    allocations: tuple[tuple[int, int], ...] = ()  # serial and units; serial 0: reserved on the advance
 
 
 class Rejected(NamedTuple):
-    """Nothing to spend here now: 429. `coming`: there is credit and it is being asked for; a host that can hold a call
-    for `retry_after_ms` may ask once more then."""
+    """No units for the request: the host responds with 429.
+
+    `allocation_pending`: the wallet has credit, which is being requested; a host that can delay a request for
+    `retry_after_ms` may try once more then.
+    """
 
     retry_after_ms: float
     allocation_pending: bool = False
 
 
 class Spender(Protocol):
-    """Each Reservation is ended once, by `charge` or `give_back`."""
+    """Charges requests. Each reservation is ended exactly once, by `charge` or `release`."""
 
     def reserve(
         self, now: float, tenant: str, request_class: str, already_charged: bool = False
     ) -> Reservation | Rejected:
-        """For a call that was taken; `paid`: a repeat of one that was charged. Never waits."""
+        """Reserves the cost of a request, or rejects it; never blocks. `already_charged`: the request repeats a charged
+        one.
+        """
         ...
 
     def charge(self, now: float, reservation: Reservation) -> None:
-        """It was served."""
+        """Ends the reservation of a request that was served."""
         ...
 
     def release(self, now: float, reservation: Reservation) -> None:
-        """It was rejected, failed, or its consumer has gone."""
+        """Ends the reservation of a request that was rejected, failed, or whose client disconnected."""
         ...
 
-    def has_changes(self) -> bool: ...
+    def has_changes(self) -> bool:
+        """Whether the component has to be sent `DemandChanged`."""
+        ...
 
-    def status(self) -> Mapping[str, Any]: ...
+    def status(self) -> Mapping[str, Any]:
+        """For `GET /fleet`."""
+        ...
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -1,19 +1,21 @@
-"""The wallet as a part: the book in the log's order, one's own slices, others' marks, and the leader's grants.
+"""The wallet component: applies the log's entries to the ledger, spends this sidecar's allocations, serves as a witness
+for other holders, and grants allocations while it leads.
 
-| state of a holder | calls of a paying tenant | till |
+| state of a holder | requests of a tenant with a wallet | until |
 | --- | --- | --- |
-| no lease | turned away, or bounded advance, by the settings | a lease, and all that its granter had applied |
-| leased, room | reserved at once | its lease's end, being fenced, a slice's end |
-| leased, no room, credit left | turned away shortly: a slice is coming | a slice and its mark |
-| leased, nothing left | turned away: paused | credit, or what comes back of others |
+| no lease | rejected, or a bounded advance, by the settings | a lease, and all entries its granter had applied |
+| leased, units available | reserved at once | the lease expires, a fence, an allocation ends |
+| leased, no units, credit unallocated | rejected briefly: an allocation is requested | allocation and spend limit |
+| leased, no credit | rejected: the tenant is paused | new credit, or units that other holders return |
 
 Rules
-- No unit is reserved that is not in a slice of one's own, below a mark that most of its witnesses hold, under a lease.
-- A lease counts from when it was asked for, and only once all is applied here that its granter had applied.
-- A slice ends by its holder's word, or when its holder surely spends nothing and its witnesses were asked.
-- What narrows (a recall, a fence, a leave) acts in the event that tells it, and for good: it is settled afterwards.
-- `process_epoch` is the process's: marks and slices end with it. The lives of members after a fence are other numbers,
-  so a voter's life is taken from its asks for a lease.
+- A unit is reserved only from an allocation of this process, below a limit acknowledged by most witnesses, on a lease.
+- A lease counts from when it was requested, and only after all entries that its granter had applied are applied here.
+- An allocation ends when its holder settles it, or when its holder can no longer spend and its witnesses were queried.
+- What reduces an allocation (a recall, a fence, a shutdown) takes effect in the event that brings it, permanently; it
+  is settled afterwards.
+- `process_epoch` is the process's: limits and allocations end with it. After a fence, members are known under other
+  incarnations, so the leader takes a voter's process epoch from its lease requests.
 
 Source: docs/fleet/wallet-design.md. Messages: messages.py. Entries: entries.py.
 """
@@ -39,11 +41,15 @@
 from .spend_witness import SpendWitness
 from .tuning import Tuning
 
-OWN_ADDRESS = ("", 0)  # where what is said to oneself comes from
+OWN_ADDRESS = ("", 0)  # sender address of messages that this process sends to itself
 
 
 class Wallet:
-    """`state`: of the log's snapshot found at the start, if any. Raises msgspec.DecodeError on one that is none."""
+    """The component; see the module.
+
+    `state`: the wallet's share of the log's snapshot found at start, if any. Raises msgspec.DecodeError if it is
+    invalid.
+    """
 
     def __init__(
         self,
@@ -74,11 +80,11 @@
         self._timer_at_ms = NEVER
         self._request_lease_at_ms = NEVER
         self._ticket = 0
-        self._proposal_kinds: dict[int, str] = {}  # what was proposed: settle, grant, expire
+        self._proposal_kinds: dict[int, str] = {}  # what each proposal is for: settle, grant, expire
         self._lease_requests: dict[
             tuple[str, int], messages.LeaseRequest
-        ] = {}  # asks for a lease, until the log says it leads
-        # ticket: term, the asks before
+        ] = {}  # not yet confirmed by a read of the log
+        # by ticket: term, and the lease requests received before the read
         self._pending_reads: dict[int, tuple[int, dict[tuple[str, int], messages.LeaseRequest]]] = {}
         self._event_handlers: dict[type, Callable[[Any], None]] = {
             interfaces.Started: lambda event: None,
@@ -115,9 +121,13 @@
 
     @property
     def is_leader(self) -> bool:
+        """Whether this process leads the log, as far as it knows."""
         return self.leader == self.name
 
     def handle(self, now: float, event: Any) -> list[Any]:
+        """Handles an event; returns actions. ValueError if `now` (ms) moves backwards, TypeError on an unknown
+        event.
+        """
         if now < self._now:
             raise ValueError(f"clock moved backwards from {self._now} to {now}")
         handler = self._event_handlers.get(type(event))
@@ -132,7 +142,7 @@
         return self._actions
 
     def state(self) -> bytes:
-        """For the log's snapshot, of exactly this moment."""
+        """The ledger for the log's snapshot, exactly as of the last entry applied."""
         return self.ledger.state()
 
     # Events
@@ -154,7 +164,7 @@
             members[event.name] = event.state
 
     def _fenced(self) -> None:
-        """What others said of this process is void for leases; its memory as a witness is as true as before."""
+        """Other members declared this process dead: its lease is void. What it recorded as a witness stays valid."""
         self.lease.release()
         self.spender.lease_expires_at_ms = -NEVER
         self.allocation_holder.reduce_all()
@@ -286,7 +296,7 @@
         if grant.process_epoch == self.process_epoch:
             self.lease.add_grant(grant)
 
-    # Marks and recalls
+    # Spend limits and recalls
 
     def _limits_requested(self, sender: str, request: messages.SpendLimitRequest) -> None:
         holder = (sender, request.process_epoch)
@@ -351,7 +361,7 @@
                 self._actions.append(SendToMember(self.leader, request, carrier))
 
     def _deliver_to_self(self) -> None:
-        """What this process says to itself as leader, holder and witness never leaves it."""
+        """Delivers messages of this process to itself (as leader, holder, witness); they never go over the network."""
         pending: deque[Any] = deque()
 
         def collect() -> None:
--- a/limenotch/fleet/wallet/entries.py
+++ b/limenotch/fleet/wallet/entries.py
@@ -1,9 +1,10 @@
-"""What the wallet puts into the log: a few entries at a time, as msgpack. Fields are only ever added at the end, with
+"""The wallet's log entries, encoded as msgpack, several to one entry of the log. Fields are only added at the end, with
 defaults.
 
-Bounds travel in the entry: whoever applies it decides as its proposer did, whatever its own settings are. `term` is
-the leader's that proposed it: it counts only if the log took it in that epoch. So what an old leader asked for and
-never heard of again can't come true under a new one, which has granted other leases since.
+Limits are part of the entry: every member applies it as its proposer decided, whatever its own settings are. `term` is
+the term of the leader that proposed the entry; the entry counts only if the log committed it in that term. So a
+proposal of a former leader, whose outcome it never learned, can't take effect under a new leader that has granted other
+leases since.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 import msgspec
 from msgspec import Struct
 
-MAX_ENTRIES = 128  # entries in one of the log's
+MAX_ENTRIES = 128  # wallet entries in one entry of the log
 
 
 class Credit(Struct, frozen=True, array_like=True, tag="add"):
-    """`id` counts once for the wallet's life."""
+    """Adds credit. An `id` counts once in the lifetime of the wallet."""
 
     tenant: str
     id: str
@@ -28,20 +29,23 @@
 
 
 class Grant(Struct, frozen=True, array_like=True, tag="grant"):
-    """min(amount, left) is held by (name, life); `serial` is above all before it of this wallet."""
+    """Allocates min(amount, unallocated) to (name, process_epoch). `serial` is higher than all earlier ones of the
+    wallet.
+    """
 
     tenant: str
     name: str
     process_epoch: int
     serial: int
     amount: int
-    witnesses: tuple[tuple[str, int], ...]  # names and lives
+    witnesses: tuple[tuple[str, int], ...]  # names and process epochs
     term: int
 
 
 class Settle(Struct, frozen=True, array_like=True, tag="settle"):
-    """`spent`: the whole so far. `close`: all that is held goes back to `left`, but for `keep`, if calls under way or
-    soon to come want it; the slice ends where that is 0."""
+    """The holder reports `spent`, the total so far. `close`: what is unspent returns to the wallet but for `retain`
+    units, for requests in flight or expected soon; the allocation ends when nothing is retained.
+    """
 
     tenant: str
     name: str
@@ -53,7 +57,10 @@
 
 
 class Expire(Struct, frozen=True, array_like=True, tag="expire"):
-    """`mark` counts as spent, the rest goes back. `told` false: too few witnesses live on, so all counts as spent."""
+    """Ends the allocation of a holder that can no longer spend: `spend_limit` counts as spent, the rest returns.
+
+    `witnessed` false: too few witnesses are left, so the whole allocation counts as spent.
+    """
 
     tenant: str
     name: str
@@ -65,7 +72,7 @@
 
 
 class Advance(Struct, frozen=True, array_like=True, tag="advance"):
-    """Served beyond all slices; `serial` is above all before it of this wallet and holder."""
+    """Units served without an allocation. `serial` is higher than all earlier ones of this wallet and holder."""
 
     tenant: str
     name: str
@@ -80,11 +87,12 @@
 
 
 def encode(entries: Sequence[Entry]) -> bytes:
+    """Several entries as the data of one entry of the log."""
     return _ENCODER.encode(entries)
 
 
 def decode(data: bytes) -> tuple[Entry, ...] | None:
-    """None: it is none of these, so another part's or of a newer program."""
+    """None: no entry of the wallet, but of another component or of a newer version."""
     try:
         return _DECODER.decode(data)
     except msgspec.DecodeError:
--- a/limenotch/fleet/wallet/lease.py
+++ b/limenotch/fleet/wallet/lease.py
@@ -1,7 +1,8 @@
-"""The lease on slices: a holder spends only while it has one, whatever it holds.
+"""The lease on allocations: a holder spends only while its lease is valid, whatever its allocations are.
 
-A grant of it counts only once its holder has applied the log up to the index that the granter had applied: so whoever
-spends knows of each Expire that came before. While an Expire is on its way the holder is given none (granting.py).
+A lease takes effect only after its holder has applied the log up to the index that the granter had applied, so a holder
+that spends knows of every earlier Expire. While an Expire of its allocations is in flight the holder gets no lease
+(quota_grants.py).
 """
 
 from __future__ import annotations
@@ -10,19 +11,22 @@
 from .messages import LeaseGrant
 from .tuning import Tuning
 
-MAX_PENDING_GRANTS = 8  # grants that wait for the log
+MAX_PENDING_GRANTS = 8  # grants kept until the log has been applied far enough
 
 
 class SpendLease(HeldLease):
+    """The holder's side. Grants wait until the log has been applied far enough."""
+
     def __init__(self, tuning: Tuning) -> None:
         super().__init__(tuning.lease_ms)
         self._pending_grants: list[LeaseGrant] = []
 
     def add_grant(self, grant: LeaseGrant) -> None:
+        """Keeps a grant until `activate_grants`; the oldest of more than MAX_PENDING_GRANTS is dropped."""
         self._pending_grants = [*self._pending_grants, grant][-MAX_PENDING_GRANTS:]
 
     def activate_grants(self, now: float, index: int) -> bool:
-        """Whether one of the grants counts from now on, as all up to `index` is applied."""
+        """Accepts the pending grants whose `index` has been applied; returns whether one of them extends the lease."""
         ready = [grant for grant in self._pending_grants if grant.index <= index]
         if not ready:
             return False
@@ -30,12 +34,13 @@
         return any([self.accept(now, grant.serial, grant.lease_ms) for grant in ready])
 
     def release(self) -> None:
+        """Drops the lease and the pending grants."""
         super().release()
         self._pending_grants.clear()
 
 
 class SpendLeaseGranter(LeaseGranter):
-    """The leader's record: until when which holder (name, life) may spend."""
+    """The leader's record of the time until which each holder (name, process_epoch) may spend."""
 
     def __init__(self, tuning: Tuning) -> None:
         super().__init__(tuning.max_lease_ms)
@@ -43,24 +48,27 @@
         self.expiries: dict[tuple[str, int], float] = {}
 
     def begin(self, now: float) -> None:
+        """This process has become leader."""
         self.leader_since_ms = now
         self.expiries = {}
 
     def end(self) -> None:
+        """This process no longer leads."""
         self.leader_since_ms = NEVER
         self.expiries = {}
 
     def grant(self, now: float, holder: tuple[str, int]) -> bool:
-        """Whether it is recorded; too many hold one else."""
+        """Records a lease; False if as many holders as allowed have one."""
         self.prune(now)
         if holder not in self.expiries and len(self.expiries) >= self._max_holders:
             return False
         self.expiries.pop(holder, None)
-        self.expiries[holder] = now + self.max_lease_ms  # the latest stands last
+        self.expiries[holder] = now + self.max_lease_ms  # the latest expiry stays last
         return True
 
     def prune(self, now: float) -> None:
-        # In the order of their ends.
+        """Removes the leases that have expired."""
+        # In the order of expiry.
         while self.expiries:
             holder, expires_at_ms = next(iter(self.expiries.items()))
             if expires_at_ms > now:
@@ -68,11 +76,11 @@
             del self.expiries[holder]
 
     def is_certainly_expired(self, now: float, holder: tuple[str, int]) -> bool:
-        """Whether that holder surely spends nothing, and will not without asking."""
+        """Whether that holder certainly can't spend now, nor later without a new lease."""
         return self.earlier_leases_expired(now) and self.expiries.get(holder, -NEVER) <= now
 
     def process_epochs(self, now: float) -> dict[str, int]:
-        """By name, the life of who asked last."""
+        """By name, the process epoch that requested a lease last, of valid leases."""
         return {
             name: process_epoch for (name, process_epoch), expires_at_ms in self.expiries.items() if expires_at_ms > now
         }
--- a/limenotch/fleet/wallet/ledger.py
+++ b/limenotch/fleet/wallet/ledger.py
@@ -1,10 +1,13 @@
-"""The agreed state of all wallets: what the log's entries make of them, the same at all, without clocks or settings.
+"""The replicated state of all wallets. Every member applies the log's entries to it, without clocks or settings, and
+arrives at the same state.
 
-    credit = spent + left + sum of held        at every step, for each wallet; `left` alone may be below 0 (Advance)
+    credit = spent + unallocated + sum of unspent    at every step, for each wallet; only `unallocated` may be negative,
+                                                     after an Advance
 
-- A slice is of (name, life, serial) and ends for good: `serial` only rises, so a Grant that comes twice, or late,
-  makes none. `spent` of a slice only rises and its `top` only sinks, so Settles may come twice or in any order.
-- An entry that is out of order, of an unknown slice, or of another epoch than the one the log took it in, changes
+- An allocation belongs to (name, process_epoch, serial) and ends for good: `serial` only rises, so a repeated or late
+  Grant creates none. `spent` of an allocation only rises and its `ceiling` only falls, so Settles may be repeated or
+  reordered.
+- An entry that is out of order, of an unknown allocation, or committed in another term than it was proposed in changes
   nothing.
 """
 
@@ -19,47 +22,57 @@
 
 MAX_CREDIT = 1 << 60
 MAX_NAME_LENGTH = 200
-MAX_ADVANCED_HOLDERS = 1000  # holders of a wallet whose Advances are told apart; the first told are forgotten first
+# holders of a wallet whose last Advance is kept; the least recently updated is dropped first
+MAX_ADVANCED_HOLDERS = 1000
 
-ProcessId = tuple[str, int]  # name, life
+ProcessId = tuple[str, int]  # name, process epoch
 
 
 class Allocation(Struct, array_like=True):
+    """Units of a wallet that one process may spend."""
+
     name: str
     process_epoch: int
     serial: int
-    ceiling: int  # what of it may be spent at all
+    ceiling: int  # how much of it may be spent at all
     spent: int  # settled so far
     witnesses: tuple[ProcessId, ...]
 
     @property
     def unspent(self) -> int:
+        """Units allocated and not settled as spent."""
         return self.ceiling - self.spent
 
     @property
     def holder(self) -> ProcessId:
+        """The process that spends it."""
         return (self.name, self.process_epoch)
 
     @property
     def quorum(self) -> int:
+        """How many witnesses are a majority."""
         return len(self.witnesses) // 2 + 1
 
 
 class Wallet(Struct, array_like=True):
+    """One tenant's wallet, in units of credit."""
+
     credit: int = 0
     spent: int = 0
     unallocated: int = 0
-    serial: int = 0  # of the newest slice
+    serial: int = 0  # of the newest allocation
     allocations: dict[int, Allocation] = {}
-    credit_ids: dict[str, int] = {}  # of credits: amount
-    advance_serials: dict[str, dict[int, int]] = {}  # name, life: the serial told last
+    credit_ids: dict[str, int] = {}  # by id of a credit: amount
+    advance_serials: dict[str, dict[int, int]] = {}  # by name and process epoch: serial of the last Advance
 
     @property
     def allocated(self) -> int:
+        """Units allocated to holders and not settled as spent."""
         return sum(allocation.unspent for allocation in self.allocations.values())
 
     @property
     def is_balanced(self) -> bool:
+        """Whether no credit is lost or created."""
         return self.credit == self.spent + self.unallocated + self.allocated
 
 
@@ -72,8 +85,11 @@
 
 
 class Applied(NamedTuple):
-    """What became of an entry. `word`: done, counted, full, bad (nothing changed); `amount`: what was granted, came
-    back, or was counted under that id before."""
+    """The effect of an entry.
+
+    `outcome`: done, counted (the id was counted earlier), full (too many ids or wallets), bad (invalid or out of
+    order); only done changes the ledger. `amount`: what was granted or returned, or what that id was counted with.
+    """
 
     entry: Entry
     outcome: str
@@ -81,20 +97,24 @@
 
     @property
     def ok(self) -> bool:
+        """Whether the entry has changed the ledger."""
         return self.outcome == "done"
 
 
 class Ledger:
+    """All wallets by tenant; see the module."""
+
     def __init__(self) -> None:
-        self.index = 0  # of the last that was applied
+        self.index = 0  # of the last entry applied
         self.wallets: dict[str, Wallet] = {}
-        self.allocations_by_holder: dict[ProcessId, set[tuple[str, int]]] = {}  # tenant and serial of their slices
+        self.allocations_by_holder: dict[ProcessId, set[tuple[str, int]]] = {}  # tenant and serial
 
     def state(self) -> bytes:
+        """The encoded state, for a snapshot."""
         return msgspec.msgpack.encode(_State(self.index, self.wallets))
 
     def install(self, state: bytes) -> None:
-        """Raises msgspec.DecodeError on what is no state."""
+        """Replaces the ledger with an encoded state. Raises msgspec.DecodeError if that is invalid."""
         read: _State = _DECODER.decode(state)
         self.index, self.wallets = read.index, read.wallets
         self.allocations_by_holder = {}
@@ -103,17 +123,20 @@
                 self.allocations_by_holder.setdefault(allocation.holder, set()).add((tenant, allocation.serial))
 
     def slice(self, tenant: str, name: str, process_epoch: int, serial: int) -> Allocation | None:
+        """The allocation if it exists and belongs to that process."""
         wallet = self.wallets.get(tenant)
         allocation = wallet.allocations.get(serial) if wallet is not None else None
         return allocation if allocation is not None and allocation.holder == (name, process_epoch) else None
 
     def last_advance_serial(self, tenant: str, holder: ProcessId) -> int:
-        """The serial of its last Advance."""
+        """The serial of the holder's last Advance, 0 if none."""
         wallet = self.wallets.get(tenant)
         return wallet.advance_serials.get(holder[0], {}).get(holder[1], 0) if wallet is not None else 0
 
     def apply(self, index: int, term: int, entries: tuple[Entry, ...]) -> list[Applied]:
-        """Each index once: one that was applied changes nothing, and nothing is returned."""
+        """Applies an entry of the log once; an index that was already applied changes nothing and returns an empty
+        list.
+        """
         if index <= self.index:
             return []
         self.index = index
@@ -199,7 +222,7 @@
         process_epochs = wallet.advance_serials.pop(entry.name, {})
         process_epochs.pop(entry.process_epoch, None)
         process_epochs[entry.process_epoch] = entry.serial
-        wallet.advance_serials[entry.name] = process_epochs  # the one told last stands last
+        wallet.advance_serials[entry.name] = process_epochs  # the most recently updated stays last
         while sum(map(len, wallet.advance_serials.values())) > MAX_ADVANCED_HOLDERS:
             oldest = next(iter(wallet.advance_serials))
             del wallet.advance_serials[oldest][next(iter(wallet.advance_serials[oldest]))]
@@ -215,7 +238,7 @@
         wallet.spent += newly_spent
 
     def _lower_ceiling(self, tenant: str, wallet: Wallet, allocation: Allocation, ceiling: int) -> None:
-        """What is above `top` goes back; a slice that holds nothing more ends."""
+        """Returns what is above `ceiling` to the wallet; an allocation without unspent units ends."""
         wallet.unallocated += allocation.ceiling - ceiling
         allocation.ceiling = ceiling
         if allocation.unspent == 0:
--- a/limenotch/fleet/wallet/messages.py
+++ b/limenotch/fleet/wallet/messages.py
@@ -1,6 +1,7 @@
-"""What sidecars say to each other about slices; for all tenants of a holder in one message, never for one call.
+"""Messages between sidecars about allocations. One message carries the items of all tenants of a holder; none is sent
+for a single request.
 
-Short ones go by datagram, as a lost one is said again anyway; see `carrier`.
+Short messages go by datagram: all of them are repeated if lost. See `choose_carrier`.
 """
 
 from __future__ import annotations
@@ -9,16 +10,18 @@
 
 from ..interfaces import MAX_DATAGRAM_BYTES, Carrier, Message
 
-MAX_ITEMS = 256  # tenants' items in one message
+MAX_ITEMS = 256  # items, one of a tenant, in one message
 
 
 class LeaseRequest(Message, frozen=True, array_like=True, tag="wa.ask"):
+    """From a holder to the leader. `serial` rises with each request."""
+
     serial: int
     process_epoch: int
 
 
 class LeaseGrant(Message, frozen=True, array_like=True, tag="wa.lease"):
-    """Counts once the holder has applied the log up to `index`."""
+    """Takes effect once the holder has applied the log up to `index`."""
 
     process_epoch: int
     serial: int
@@ -27,22 +30,23 @@
 
 
 class AllocationRequest(Message, frozen=True, array_like=True, tag="wa.want"):
-    """To the leader: tenant, the newest slice that the holder knows of, units, the least that helps (0: nobody was
-    turned away), and what it uses in `slice_ms`."""
+    """To the leader. Each item: tenant; serial of the newest allocation that the holder knows of; units; the least
+    number of units that helps (0: no request was rejected); units that the holder uses in `slice_ms`.
+    """
 
     process_epoch: int
     requests: tuple[tuple[str, int, int, int, int], ...]
 
 
 class SpendLimitRequest(Message, frozen=True, array_like=True, tag="wa.mark"):
-    """To witnesses: so much of these slices may be spent. Tenant, serial, mark."""
+    """To witnesses: allow spending of these allocations up to a limit. Each item: tenant, serial, limit."""
 
     process_epoch: int
     limits: tuple[tuple[str, int, int], ...]
 
 
 class SpendLimitAck(Message, frozen=True, array_like=True, tag="wa.held"):
-    """A witness, in its life: it holds these. To the holder of that other life."""
+    """From the witness with `process_epoch` to the holder with `holder_epoch`: these limits are recorded."""
 
     process_epoch: int
     holder_epoch: int
@@ -50,25 +54,28 @@
 
 
 class Recall(Message, frozen=True, array_like=True, tag="wa.recall"):
-    """There is little left: give back all but what is used of it within so many ms, and want no more than that for a
-    lease's time. Tenant, ms."""
+    """The wallet is nearly empty: keep only what is used of it within so many ms, return the rest, and request no more
+    than that for the span of a lease. Each item: tenant, ms.
+    """
 
     process_epoch: int
     recalls: tuple[tuple[str, float], ...]
 
 
 class WitnessQuery(Message, frozen=True, array_like=True, tag="wa.who"):
-    """To witnesses, of a holder that is gone: which marks of it do you hold? Tenant, serial."""
+    """To witnesses of a holder that can no longer spend: which spend limits have you recorded? Each item: tenant,
+    serial.
+    """
 
     number: int
-    asker_epoch: int  # its life
+    asker_epoch: int  # process epoch of the leader that sends the query
     name: str
     process_epoch: int
     allocations: tuple[tuple[str, int], ...]
 
 
 class WitnessReply(Message, frozen=True, array_like=True, tag="wa.told"):
-    """A witness, in its life: the marks in the question's order; 0: never heard of one."""
+    """From the witness with `process_epoch`: the limits in the order of the query; 0: no limit recorded."""
 
     number: int
     asker_epoch: int
@@ -89,6 +96,6 @@
 
 
 def choose_carrier(tenants: Sequence[str]) -> Carrier:
-    """For a message with so many items, each of a tenant of that name and a few numbers."""
+    """The carrier for a message with one item, of a name and a few numbers, for each of these tenants."""
     size = 300 + sum(4 * len(tenant) + 40 for tenant in tenants)
     return Carrier.DATAGRAM if size <= MAX_DATAGRAM_BYTES else Carrier.STREAM
--- a/limenotch/fleet/wallet/operator_requests.py
+++ b/limenotch/fleet/wallet/operator_requests.py
@@ -1,11 +1,12 @@
-"""What operators ask: credit, and what wallets hold. Each gets one OperatorResponse, in `ask_ms` at the latest.
+"""Operators' requests: adding credit, and showing wallets. Each request gets one response, within `ask_ms`.
 
-| OperatorRequest | OperatorResponse's word |
+| request | outcome |
 | --- | --- |
-| add | done; counted: that id was, before, `text` says of how much; refused: surely not; unknown |
+| add | done; counted: that id was counted earlier, `text` has the amount; refused: certainly not added; unknown |
 | show | shown, none; refused |
 
-Nothing is proposed twice here. A lost answer costs nothing: the id counts once, whoever asks again, wherever.
+Nothing is proposed twice. A lost response is harmless: the id counts once, whichever sidecar the request is repeated
+at.
 """
 
 from __future__ import annotations
@@ -21,25 +22,29 @@
 from .ledger import MAX_CREDIT, MAX_NAME_LENGTH, Applied, Ledger
 from .tuning import Tuning
 
-MAX_APPLIED_CREDITS = 1000  # credits applied here whose asker has not heard yet where they stand
-MAX_SHOWN_WALLETS = 1000  # wallets in one answer
+# credits applied here whose index in the log is not yet known to be that of a pending request
+MAX_APPLIED_CREDITS = 1000
+MAX_SHOWN_WALLETS = 1000  # wallets in one response
 
 
 @dataclass(slots=True)
 class _PendingRequest:
     request: OperatorRequest
     deadline_ms: float
-    committed_index: int = 0  # promised at
+    committed_index: int = 0  # at which the proposal was committed; 0: not yet
 
 
 class OperatorRequestHandler:
+    """Owns the operators' requests that have no response yet."""
+
     def __init__(self, ledger: Ledger, tuning: Tuning, ticket: Callable[[], int]) -> None:
         self._ledger, self._tuning, self._next_ticket = ledger, tuning, ticket
         self.actions: list[Any] = []
-        self._pending: dict[int, _PendingRequest] = {}  # by ticket of the log's
+        self._pending: dict[int, _PendingRequest] = {}  # by ticket of the log
         self._applied_credits: dict[int, Applied] = {}  # by index
 
     def submit(self, now: float, request: OperatorRequest) -> None:
+        """Proposes a credit to the log, or reads the log's index before showing; refuses an invalid request at once."""
         reason = self._validate(request)
         if reason:
             self.actions.append(OperatorResponse(request.ticket, "refused", reason))
@@ -50,7 +55,7 @@
             credit = entries.Credit(
                 request.tenant, request.id, request.amount, self._tuning.most_ids, self._tuning.most_tenants
             )
-            # Without an id of the log's: which of two asks counted shows by where each stands.
+            # Without an id of the log: of two requests with one id, the index in the log tells which was counted.
             self.actions.append(log.Propose(ticket, entries.encode((credit,))))
         else:
             self.actions.append(log.ReadIndex(ticket))
@@ -70,17 +75,19 @@
         return "" if 0 < request.amount <= MAX_CREDIT else f"amount: expected 1 to {MAX_CREDIT}"
 
     def credit_applied(self, index: int, credit: Applied) -> None:
-        """A Credit, at that place of the log; the whole entry of the log is it alone."""
+        """A Credit was applied at that index; it is the only entry at that index."""
         if self._pending:
             self._applied_credits[index] = credit
             if len(self._applied_credits) > MAX_APPLIED_CREDITS:
                 del self._applied_credits[next(iter(self._applied_credits))]
 
     def proposal_committed(self, ticket: int, index: int) -> None:
+        """The credit was committed at `index`; it is answered when that has been applied."""
         if (pending := self._pending.get(ticket)) is not None:
             pending.committed_index = index
 
     def read_ready(self, ticket: int) -> None:
+        """The ledger is up to date as of the request: responds with wallets."""
         pending = self._pending.pop(ticket, None)
         if pending is None:
             return
@@ -106,11 +113,13 @@
             self.actions.append(OperatorResponse(pending.request.ticket, "shown", text, body))
 
     def request_ended(self, ticket: int, outcome: str, text: str) -> None:
+        """Responds without a result."""
         pending = self._pending.pop(ticket, None)
         if pending is not None:
             self.actions.append(OperatorResponse(pending.request.ticket, outcome, text))
 
     def tick(self, now: float) -> None:
+        """Responds to credits that have been applied, and to requests whose deadline has passed."""
         if not self._pending:
             self._applied_credits.clear()
             return
@@ -126,7 +135,7 @@
 
     def _outcome(self, pending: _PendingRequest) -> OperatorResponse:
         request, applied = pending.request, self._applied_credits.pop(pending.committed_index, None)
-        if applied is None:  # a snapshot has passed over it
+        if applied is None:  # a snapshot has replaced the entry
             wallet = self._ledger.wallets.get(request.tenant)
             counted_amount = wallet.credit_ids.get(request.id) if wallet is not None else None
             return (
@@ -148,4 +157,5 @@
         return OperatorResponse(request.ticket, "refused", reason)
 
     def next_due_ms(self) -> float:
+        """When `tick` has to be called next."""
         return min((pending.deadline_ms for pending in self._pending.values()), default=NEVER)
--- a/limenotch/fleet/wallet/quota_grants.py
+++ b/limenotch/fleet/wallet/quota_grants.py
@@ -1,14 +1,15 @@
-"""The leader's side: who may spend, who wants what, how much each gets, who is asked to give back, who is gone.
+"""The leader's side: grants leases and allocations, recalls allocations, and expires those of holders that are gone.
 
-| tenant | what |
+| tenant | what the leader does |
 | --- | --- |
-| wanted, credit left | Grants: what each wants, at most left / (2 x those who want), smaller towards the end |
-| short: less left than wanted | Recalls to its other holders, the ms to keep halved each time; without progress rarer |
-| of a holder without a lease | a question to its slices' witnesses, then Expire |
-
-- A lease is answered only after the log has said that it leads yet (ReadAt), so none is after another leader's Expire.
-- While a holder's Expire is on its way it gets no lease; a lease that is granted ends the question.
-- Whoever wants gets at most one slice for each time it has said so, knowing of all it had before.
+| allocations requested, credit left | Grants: what is requested, at most left / (2 x requesting holders) |
+| shortage: less left than requested | Recalls to other holders, each halves the ms to retain; rarer without effect |
+| allocations of a holder without a lease | queries their witnesses, then proposes Expire |
+
+- A lease request is answered only after the log has confirmed the leadership (ReadIndex), so no lease follows another
+  leader's Expire.
+- While a holder's Expire is in flight the holder gets no lease; granting a lease ends the query of its witnesses.
+- A holder gets at most one allocation for each request that it sent with knowledge of all its earlier allocations.
 """
 
 from __future__ import annotations
@@ -25,20 +26,22 @@
 from .tuning import Tuning
 
 UNREACHABLE_STATES = frozenset({"dead", "left"})
-MAX_ALLOCATIONS_PER_HOLDER = 8  # of one tenant at one holder, not settled yet
+MAX_ALLOCATIONS_PER_HOLDER = 8  # of one tenant at one holder, not yet settled
 Propose = Callable[[tuple[entries.Entry, ...], str], int]
 
 
 class AllocationDemand(NamedTuple):
-    newest_serial: int  # the newest slice that its holder knows of
+    """The last allocation request of a holder for one tenant."""
+
+    newest_serial: int  # serial of the newest allocation that the holder knows of
     amount: int
-    min_amount: int  # 0: nobody was turned away
-    usage: int  # what it uses in `slice_ms`
+    min_amount: int  # 0: no request was rejected
+    usage: int  # units that the holder uses in `slice_ms`
     expires_at_ms: float
 
 
 class Shortage:
-    """A tenant of which more is wanted than is left: whoever holds or wants of it has enough for `keep_ms` alone."""
+    """A tenant of which more is requested than is unallocated: each holder may retain what it uses in `retain_ms`."""
 
     __slots__ = (
         "retain_ms",
@@ -55,14 +58,17 @@
     def __init__(self, now: float, tuning: Tuning, wallet: Wallet) -> None:
         self.retain_ms, self.interval_ms = tuning.slice_ms / 2, tuning.record_ms / 2
         self.next_recall_at_ms = self.next_check_at_ms = self.last_request_at_ms = (
-            now  # of the next recall; of the next look; when there was a want last
+            now  # of the next recall, the next check, the last allocation request
         )
         self.spent, self.credit = wallet.spent, wallet.credit
-        self.never_recalled = True  # nobody was told
-        self.usage_by_holder: dict[ProcessId, int] = {}  # what each used in `slice_ms`, when it wanted last
+        self.never_recalled = True  # no recall was sent yet
+        # units that each holder used in `slice_ms`, by its last request
+        self.usage_by_holder: dict[ProcessId, int] = {}
 
 
 class AllocationGranter:
+    """Active only on the leader, between `begin` and `end`."""
+
     def __init__(
         self, name: str, process_epoch: int, ledger: Ledger, tuning: Tuning, voters: tuple[str, ...], propose: Propose
     ) -> None:
@@ -74,25 +80,27 @@
         self.actions: list[Any] = []
         self.term = 0
         self.is_leader = False
-        self._demands: dict[str, dict[ProcessId, AllocationDemand]] = {}  # those who came first, first
+        self._demands: dict[str, dict[ProcessId, AllocationDemand]] = {}  # in the order of arrival
         self._changed_tenants: set[str] = set()
         self._shortages: dict[str, Shortage] = {}
         self._recalls: dict[ProcessId, list[tuple[str, float]]] = {}
-        self._serials: dict[str, int] = {}  # proposed last
-        self._in_flight: dict[int, dict[str, int]] = {}  # ticket of a Grant: units by tenant
-        self._grant_tickets: dict[tuple[str, ProcessId], int] = {}  # the ticket
+        self._serials: dict[str, int] = {}  # of the last Grant proposed
+        self._in_flight: dict[int, dict[str, int]] = {}  # by ticket of a proposal of Grants: units by tenant
+        self._grant_tickets: dict[tuple[str, ProcessId], int] = {}  # ticket of the proposed Grant
         self._expiring: dict[int, ProcessId] = {}  # by ticket
         self._inquiries: dict[ProcessId, WitnessInquiry] = {}
         self._last_query_number = 0
         self._next_inquiry_at_ms = NEVER
 
     def begin(self, now: float, term: int) -> None:
+        """This process has become leader of `term`."""
         self.end()
         self.is_leader, self.term = True, term
         self.leases.begin(now)
         self._next_inquiry_at_ms = now + self._tuning.max_lease_ms
 
     def end(self) -> None:
+        """This process no longer leads: everything learned as leader is dropped."""
         self.is_leader = False
         self.leases.end()
         for table in (
@@ -112,20 +120,21 @@
     # Leases
 
     def grant_lease(self, now: float, name: str, request: messages.LeaseRequest) -> messages.LeaseGrant | None:
-        """The log has said since the ask that this process leads."""
+        """Grants a lease. The log must have confirmed this process's leadership since the request came."""
         holder = (name, request.process_epoch)
         if holder in self._expiring.values():
             return None
         if holder not in self.leases.expiries:
-            self._changed_tenants.update(self._demands)  # it may have wanted before it had a lease
+            self._changed_tenants.update(self._demands)  # it may have requested allocations before it had a lease
         if not self.leases.grant(now, holder):
             return None
         self._inquiries.pop(holder, None)
         return messages.LeaseGrant(request.process_epoch, request.serial, self._tuning.lease_ms, self._ledger.index)
 
-    # Wants
+    # Allocation requests
 
     def requests_received(self, now: float, name: str, request: messages.AllocationRequest) -> None:
+        """Records a holder's allocation requests; invalid items are ignored."""
         if not self.is_leader:
             return
         holder, expires_at_ms = (name, request.process_epoch), now + self._tuning.lease_ms
@@ -138,13 +147,16 @@
                 self._changed_tenants.add(tenant)
 
     def ledger_changed(self, tenant: str) -> None:
-        """The book, of that wallet."""
+        """The ledger has changed for that tenant."""
         if tenant in self._demands:
             self._changed_tenants.add(tenant)
 
     def proposal_ended(self, ticket: int, committed: bool) -> None:
-        """What was proposed is agreed, or refused. What was refused is not proposed again at once, or a log that
-        refuses would be asked without end: whoever wants says so again."""
+        """A proposal was committed or rejected.
+
+        What was rejected is not proposed again at once, or a log that rejects everything would get proposals without
+        end: the holder will repeat its request.
+        """
         in_flight = self._in_flight.pop(ticket, {})
         self._grant_tickets = {key: proposed for key, proposed in self._grant_tickets.items() if proposed != ticket}
         self._expiring.pop(ticket, None)
@@ -152,11 +164,12 @@
             self._changed_tenants.update(tenant for tenant in in_flight if tenant in self._demands)
 
     def proposal_outcome_unknown(self, ticket: int) -> None:
-        """It may be agreed yet, in this epoch alone: a holder whose Expire it is gets no lease of this leader."""
+        """It may still be committed, in this term alone: a holder whose Expire it is gets no lease of this leader."""
         if ticket not in self._expiring:
             self.proposal_ended(ticket, False)
 
     def tick(self, now: float) -> None:
+        """Proposes grants, sends recalls and queries that are due."""
         if not self.is_leader:
             return
         for tenant, shortage in self._shortages.items():
@@ -179,6 +192,7 @@
             self._query_witnesses(now)
 
     def next_due_ms(self) -> float:
+        """When `tick` has to be called next."""
         if not self.is_leader:
             return NEVER
         return min(
@@ -187,7 +201,7 @@
         )
 
     def choose_witnesses(self, now: float) -> tuple[ProcessId, ...]:
-        """The voters that have asked for a lease lately, as they live now; none if those are not most of the voters."""
+        """The voters with a lease, under their current process epochs; none if they are no majority of the voters."""
         process_epochs = self.leases.process_epochs(now)
         process_epochs[self._own_id[0]] = self._own_id[1]
         reachable = tuple((name, process_epochs[name]) for name in self.voters if name in process_epochs)
@@ -195,7 +209,7 @@
 
     def _propose_grants(self, now: float) -> None:
         witnesses = self.choose_witnesses(now)
-        if not witnesses:  # they ask for leases soon
+        if not witnesses:  # voters will request leases soon
             for shortage in self._shortages.values():
                 shortage.next_check_at_ms = max(shortage.next_check_at_ms, now + shortage.interval_ms)
             return
@@ -222,17 +236,17 @@
     def _allocate(
         self, now: float, tenant: str, wallet: Wallet, witnesses: tuple[ProcessId, ...]
     ) -> list[entries.Grant]:
-        """Grants of what is left of one wallet, and a recall if that is too little."""
+        """Grants from what one wallet has unallocated, and recalls if that is too little."""
         demands = self._demands.get(tenant, {})
         held_serials: dict[ProcessId, list[int]] = {}
         for allocation in wallet.allocations.values():
             held_serials.setdefault(allocation.holder, []).append(allocation.serial)
         for holder, demand in list(demands.items()):
             if now >= demand.expires_at_ms or max(held_serials.get(holder, (0,))) > demand.newest_serial:
-                del demands[holder]  # it got one since it said so, and will say so again
+                del demands[holder]  # it got an allocation since it sent the request, and will send another
         grantable = wallet.unallocated - sum(units.get(tenant, 0) for units in self._in_flight.values())
         grants: list[entries.Grant] = []
-        # Slices that are still to be settled hold the credit that is wanted: more of them would bring nothing.
+        # Allocations that are not settled yet hold the credit that is requested: granting more would not help.
         eligible = [
             (holder, demand)
             for holder, demand in demands.items()
@@ -247,7 +261,8 @@
                 share = max(demand.min_amount, half)
             else:
                 share = max(demand.min_amount, int(demand.usage * shortage.retain_ms / self._tuning.slice_ms), 1)
-            # Of what is short half stays, for those who use little and would else run dry until the next recall.
+            # In a shortage half is kept back, for holders that use little and would otherwise have none until the next
+            # recall.
             limit = grantable if shortage is None else min(grantable, max(demand.min_amount, (grantable + 1) // 2))
             amount = min(demand.amount, share, limit)
             is_unmet = is_unmet or amount < min(demand.amount, share)
@@ -280,8 +295,10 @@
         eligible: list[tuple[ProcessId, AllocationDemand]],
         grantable: int,
     ) -> Shortage | None:
-        """It is short from when less is left than two slices for each who wants, until there is credit, or so much is
-        left for all who have wanted since."""
+        """The tenant's shortage, if any. It begins when less is unallocated than two allocations for each requesting
+        holder. It ends when credit is added, when as much is unallocated for all that have requested since, or when
+        nobody requests.
+        """
         shortage = self._shortages.get(tenant)
         if shortage is None:
             if not eligible or 2 * sum(demand.usage for _, demand in eligible) <= grantable:
@@ -312,8 +329,9 @@
     # Holders that are gone
 
     def _is_witness_lost(self, now: float, inquiry: WitnessInquiry, witness: ProcessId) -> bool:
-        """Whether that witness can't tell any more: another life is under its name, or it is held dead, for long
-        enough, by one that is itself in reach of most voters."""
+        """Whether that witness can no longer answer: its name has another process epoch, or it has been considered dead
+        for long enough by a leader that itself reaches most voters.
+        """
         name, process_epoch = witness
         if witness == self._own_id or now < self.leases.expiries.get(witness, -NEVER):
             return False
@@ -323,7 +341,7 @@
         return overdue and self.members.get(name) in UNREACHABLE_STATES and bool(self.choose_witnesses(now))
 
     def _query_witnesses(self, now: float) -> None:
-        """Asks, and asks again, for slices of holders that surely don't spend."""
+        """Queries, and queries again, the witnesses of holders that certainly can't spend."""
         tuning = self._tuning
         self._next_inquiry_at_ms = now + tuning.lease_ms / 6
         for holder in [holder for holder in self._inquiries if holder not in self._ledger.allocations_by_holder]:
@@ -359,6 +377,7 @@
         )
 
     def reply_received(self, now: float, name: str, reply: messages.WitnessReply) -> None:
+        """Records a witness's answer to the current query of a holder."""
         inquiry = next((inquiry for inquiry in self._inquiries.values() if inquiry.number == reply.number), None)
         if (
             not self.is_leader
--- a/limenotch/fleet/wallet/quota_holder.py
+++ b/limenotch/fleet/wallet/quota_holder.py
@@ -1,12 +1,12 @@
-"""The holder's side: a purse's marks, wants, settlements and advances, and how recalls narrow it.
+"""The holder's side: raises spend limits, requests allocations, settles them, records advances, and follows recalls.
 
-| what | when | goes to |
+| what | when | where to |
 | --- | --- | --- |
-| mark | less than half a step is open | the slice's witnesses, each `record_ms` until held |
-| want | less than half of a slice's worth is free, or a call was turned away | the leader, again with each lease |
-| settle, closing | used up, idle, recalled, fenced, leaving | the log, all tenants in one entry, one at a time |
-| settle | something was spent | the same, once a lease's time |
-| advance | the log answers again | the log, with its serial until it is agreed |
+| spend limit | less than half a step is available | the witnesses, each `record_ms` until acknowledged |
+| allocation request | less than half an allocation is unreserved; a rejection | the leader, again with each lease |
+| settlement, closing | used up, idle, recalled, fenced, shutdown | the log, all tenants in one entry, one at a time |
+| settlement | something was spent | the same, once in the span of a lease |
+| advance | the log is available again | the log, with one serial until it is committed |
 """
 
 from __future__ import annotations
@@ -27,6 +27,8 @@
 
 
 class AllocationHolder:
+    """Manages the allocations of this process."""
+
     def __init__(
         self,
         holder: ProcessId,
@@ -40,20 +42,21 @@
         self._tuning, self._propose = tuning, propose
         self.actions: list[Any] = []
         self.shutting_down = False
-        self._settling = False  # an entry of ours is on its way
+        self._settling = False  # a settlement entry is in flight
         self._settle_at_ms = -NEVER
         self._regular_settle_at_ms = -NEVER
-        self._may_settle = False  # something to settle, perhaps
-        self._has_leader = False  # there is a leader
+        self._may_settle = False  # there may be something to settle
+        self._has_leader = False  # a leader is known
         self._scan_at_ms = NEVER
-        self._resend_at_ms = NEVER  # marks that were not held yet
-        self._unacknowledged: set[str] = set()  # tenants with such
+        self._resend_at_ms = NEVER  # to send unacknowledged limits again
+        self._unacknowledged: set[str] = set()  # tenants with unacknowledged limits
         self._requests: dict[str, tuple[int, int, int, int]] = {}
-        self._has_new_request = False  # a want that the leader was not told
+        self._has_new_request = False  # an allocation request that was not yet sent to the leader
 
-    # What the log says
+    # Events of the ledger
 
     def allocation_granted(self, now: float, tenant: str, serial: int, recorded: Allocation) -> None:
+        """A Grant for this process was applied."""
         account = self._spender.add_allocation(
             now, tenant, LocalAllocation(serial, recorded.ceiling, recorded.spent, recorded.witnesses, now)
         )
@@ -65,30 +68,32 @@
             account.allocations[serial].reduce(0)
 
     def credit_added(self, tenant: str) -> None:
-        """Whoever was turned away wants at once."""
+        """Credit was added: a tenant whose requests were rejected requests an allocation at once."""
         account = self._spender.accounts.get(tenant)
         if account is not None:
             account.shortage_known, account.restricted_until_ms = False, -NEVER
             self._spender.changed_tenants.add(tenant)
-            self._has_new_request = True  # a leader that knew no such wallet has not kept what was wanted
+            self._has_new_request = True  # a leader that knew no such wallet has not recorded the request
 
     def lease_granted(self, now: float) -> None:
-        """From now on, or anew."""
+        """The lease was granted or extended."""
         self._spender.changed_tenants.update(
             account.tenant for account in self._spender.accounts.values() if account.paused or account.advanced_units
         )
 
     def allocation_ended(self, tenant: str, serial: int) -> None:
+        """An allocation of this process has ended in the ledger."""
         self._spender.remove_allocation(tenant, serial)
 
     def advance_recorded(self, tenant: str, amount: int) -> None:
+        """An Advance of this process was applied."""
         account = self._spender.accounts.get(tenant)
         if account is not None and account.advance_proposed:
             account.advanced_units -= amount
             account.advance_proposed = 0
 
     def ledger_replaced(self, now: float) -> None:
-        """The book was replaced: slices that ended meanwhile, and such as were granted."""
+        """The ledger was replaced: some allocations may have ended or been granted in between."""
         for account in self._spender.accounts.values():
             for serial in list(account.allocations):
                 if self._ledger.slice(account.tenant, *self._own_id, serial) is None:
@@ -99,7 +104,7 @@
             ):
                 self.advance_recorded(account.tenant, account.advance_proposed)
             if account.paused:
-                self.credit_added(account.tenant)  # perhaps
+                self.credit_added(account.tenant)  # credit may have been added
         for tenant, serial in sorted(self._ledger.allocations_by_holder.get(self._own_id, ())):
             allocation = self._ledger.slice(tenant, *self._own_id, serial)
             known = self._spender.accounts.get(tenant)
@@ -107,14 +112,16 @@
                 self.allocation_granted(now, tenant, serial, allocation)
 
     def settlement_ended(self) -> None:
-        """The entry that was on its way has ended, so or so."""
+        """The settlement entry in flight was committed, rejected, or its outcome is unknown."""
         self._settling = False
-        # What could not be said is said anew, at `settle_at`: a log that refuses would be asked without end.
+        # What was not committed is proposed again at `_settle_at_ms`: a log that rejects would otherwise get proposals
+        # without end.
         self._may_settle = True
 
-    # What others say
+    # Messages
 
     def limits_acknowledged(self, witness: ProcessId, limits: Iterable[tuple[str, int, int]]) -> None:
+        """A witness has recorded spend limits."""
         for tenant, serial, limit in limits:
             account = self._spender.accounts.get(tenant)
             allocation = account.allocations.get(serial) if account is not None else None
@@ -125,6 +132,7 @@
                 self._spender.changed_tenants.add(tenant)
 
     def recalls_received(self, now: float, recalls: Iterable[tuple[str, float]]) -> None:
+        """The leader asks to return what is not used within some ms."""
         for tenant, retain_ms in recalls:
             account = self._spender.accounts.get(tenant)
             if account is not None and retain_ms >= 0:
@@ -133,25 +141,26 @@
                 account.restricted_until_ms = now + self._tuning.lease_ms
                 self._reduce(account, int(account.reserved_per_ms * account.restricted_span_ms + 0.5))
                 self._settle_at_ms = min(self._settle_at_ms, now)
-                self._regular_settle_at_ms = -NEVER  # by what was spent the leader sees whether it goes on
+                # the leader tells by what was spent whether its recalls have an effect
+                self._regular_settle_at_ms = -NEVER
 
     def reduce_all(self) -> None:
-        """Fenced, or leaving: nothing held is reserved from any more."""
+        """After a fence or at shutdown: gives up all that is unreserved."""
         for account in self._spender.accounts.values():
             self._reduce(account, 0)
         self._settle_at_ms = -NEVER
 
     def _reduce(self, account: TenantAccount, retain: int) -> None:
-        """The oldest keep; a slice that was narrowed before is not touched below what it keeps."""
+        """The oldest allocations retain first; one that was reduced before is not reduced below what it retains."""
         for allocation in account.allocations.values():
             retain -= allocation.reduce(retain)
         self._spender.select_current(account)
         self._spender.changed_tenants.add(account.tenant)
 
-    # In the course of time
+    # Timers
 
     def tick(self, now: float, has_leader: bool) -> None:
-        """`leader`: there is one to be told."""
+        """`has_leader`: there is a leader to send to."""
         spender = self._spender
         self._has_leader = has_leader
         if now >= self._scan_at_ms:
@@ -176,6 +185,7 @@
         self._propose_settlements(now)
 
     def next_due_ms(self) -> float:
+        """When `tick` has to be called next."""
         due_at_ms = min(self._scan_at_ms, self._resend_at_ms)
         return (
             min(due_at_ms, self._settle_at_ms)
@@ -184,7 +194,7 @@
         )
 
     def _scan_accounts(self, now: float) -> None:
-        """All accounts, a few times in `idle_ms`: rates, what is idle, what is not known any more."""
+        """Reviews all accounts, four times in `idle_ms`: rates, idle allocations, accounts to forget."""
         spender, tuning = self._spender, self._tuning
         for account in list(spender.accounts.values()):
             self._update_rates(now, account)
@@ -198,7 +208,7 @@
                     self._spender.select_current(account)
             account.shortage_known = False
             if now - account.last_rejected_at_ms >= tuning.idle_ms + tuning.retry_after_ms:
-                account.needed = 0  # who was turned away does not come back
+                account.needed = 0  # the rejected clients do not retry any more
             if (
                 not account.allocations
                 and not account.advanced_units
@@ -216,12 +226,12 @@
             account.update_rates(now, self._tuning.slice_ms)
 
     def _review(self, now: float, account: TenantAccount) -> None:
-        """What this tenant needs here: a mark told, a slice asked for; and where to look next."""
+        """Decides what this tenant needs here (a higher spend limit, an allocation) and when to review it next."""
         tuning = self._tuning
         self._update_rates(now, account)
         if account.paused and not account.pause_logged:
             account.pause_logged = True
-            account.ramp_limit = max(1, tuning.least_slice // 2)  # doubled with each slice
+            account.ramp_limit = max(1, tuning.least_slice // 2)  # doubled with each allocation
             reason = "nothing left" if self._spender.lease_expires_at_ms > now else "no lease"
             self.actions.append(LogLine(f"pauses {account.tenant}", {"why": reason}))
         available = account.available
@@ -233,7 +243,7 @@
                 self.actions.append(LogLine(f"resumes {account.tenant}"))
         usage = ceil(account.demand_per_ms * tuning.slice_ms)
         target = max(usage, tuning.least_slice)
-        if now < account.restricted_until_ms:  # there is little left
+        if now < account.restricted_until_ms:  # the wallet is nearly empty
             target = min(target, max(1, ceil(account.demand_per_ms * account.restricted_span_ms)))
         if account.ramp_limit >= max(usage, tuning.least_slice):
             account.ramp_limit = 0
@@ -278,7 +288,9 @@
                 )
 
     def _send_limits(self, now: float, tenants: set[str]) -> None:
-        """To each witness what it has not held yet: a new mark at once, an old one each `record_ms`."""
+        """Sends each witness the limits that it has not acknowledged: a new one at once, an old one each
+        `record_ms`.
+        """
         limits: dict[ProcessId, list[tuple[str, int, int]]] = {}
         for tenant in sorted(tenants):
             account = self._spender.accounts.get(tenant)
@@ -311,7 +323,7 @@
             self._resend_at_ms = now + self._tuning.record_ms
 
     def pending_requests(self, again: bool) -> list[messages.AllocationRequest]:
-        """What the leader is to be told: all of it `again`, or if there is something new."""
+        """Messages for the leader: all requests if `again`, else only if there is a new one."""
         if not self._requests or not (again or self._has_new_request):
             return []
         self._has_new_request = False
--- a/limenotch/fleet/wallet/spend_witness.py
+++ b/limenotch/fleet/wallet/spend_witness.py
@@ -1,14 +1,14 @@
-"""What a witness remembers of others' slices, and how a leader asks for it when a holder is gone.
+"""What a witness records of other holders' allocations, and how a leader queries it when a holder is gone.
 
-A mark counts as spent if its holder may have spent up to it. Only a mark that most witnesses of the slice hold is
-spent up to; of those asked, most answer; two majorities of one set meet. A witness forgets a mark only once its own
-book says that the slice has ended, or with its life.
+A holder spends only up to a limit that most witnesses of the allocation have recorded. The leader waits for answers of
+a majority; two majorities of one set intersect, so the highest limit answered covers all that may have been spent. A
+witness forgets a limit only when its own ledger shows that the allocation has ended, or when its process ends.
 
-| a slice of a holder that is gone | comes out as |
+| an allocation of a holder that is gone | result |
 | --- | --- |
-| most of its witnesses have told | Expire with the highest mark told |
-| too few live on that most could tell | Expire with all of it |
-| else | the leader asks on |
+| most of its witnesses have answered | Expire with the highest limit answered |
+| too few are left for a majority | Expire with the whole allocation |
+| else | the leader queries again |
 """
 
 from __future__ import annotations
@@ -18,13 +18,16 @@
 from .entries import Expire
 from .ledger import MAX_NAME_LENGTH, Allocation, Ledger, ProcessId
 
-MAX_QUERIED_ALLOCATIONS = 128  # slices of one holder that are asked for at a time
+MAX_QUERIED_ALLOCATIONS = 128  # allocations of one holder in one query
 
-AllocationKey = tuple[str, str, int, int]  # tenant, name, life, serial
+AllocationKey = tuple[str, str, int, int]  # tenant, name, process epoch, serial
 
 
 class SpendWitness:
-    """`most_early`: marks of slices that the book here doesn't know yet."""
+    """The spend limits that this process has recorded as a witness.
+
+    `max_unknown`: how many limits of allocations that are not yet in this process's ledger are kept.
+    """
 
     def __init__(self, ledger: Ledger, max_unknown: int) -> None:
         self._ledger, self._max_unknown = ledger, max_unknown
@@ -35,7 +38,10 @@
         return len(self._limits)
 
     def record_limit(self, tenant: str, holder: ProcessId, serial: int, limit: int) -> bool:
-        """Whether it is held now. Not of a slice that has ended, nor of too many that are not known yet."""
+        """Records a limit; returns whether it is recorded now.
+
+        Rejected: limits of an allocation that has ended, and of too many allocations that are not yet known.
+        """
         key = (tenant, *holder, serial)
         if len(tenant) > MAX_NAME_LENGTH or limit < 0:
             return False
@@ -48,19 +54,22 @@
         return True
 
     def limit(self, tenant: str, holder: ProcessId, serial: int) -> int:
+        """The recorded limit, 0 if none."""
         return self._limits.get((tenant, *holder, serial), 0)
 
     def allocation_granted(self, tenant: str, holder: ProcessId, serial: int) -> None:
+        """The allocation has appeared in the ledger."""
         self._unknown.discard((tenant, *holder, serial))
-        if self._unknown:  # those of lower serials never come any more
+        if self._unknown:  # allocations with lower serials can no longer be granted
             obsolete = [key for key in self._unknown if key[0] == tenant and key[3] <= serial]
             self._forget(obsolete)
 
     def allocation_ended(self, tenant: str, holder: ProcessId, serial: int) -> None:
+        """Forgets the limit of an allocation that has ended."""
         self._limits.pop((tenant, *holder, serial), None)
 
     def ledger_replaced(self) -> None:
-        """The book was replaced."""
+        """The ledger was replaced."""
         unknown = set()
         for key in list(self._limits):
             if self._ledger.slice(*key) is not None:
@@ -79,7 +88,7 @@
 
 
 class WitnessInquiry:
-    """A holder that is gone, and what its slices' witnesses have told. `number` is the question's."""
+    """The query of witnesses about a holder that is gone, and their answers. `number` identifies the query."""
 
     def __init__(
         self, number: int, holder: ProcessId, allocations: dict[tuple[str, int], Allocation], now: float
@@ -90,19 +99,23 @@
 
     @property
     def keys(self) -> tuple[tuple[str, int], ...]:
+        """Tenant and serial of each allocation, in the order of the query."""
         return tuple(self.allocations)
 
     def unanswered(self) -> set[ProcessId]:
-        """Those that have not told."""
+        """Witnesses that have not answered."""
         return {
             witness for allocation in self.allocations.values() for witness in allocation.witnesses
         } - self._replies.keys()
 
     def add_reply(self, witness: ProcessId, limits: dict[tuple[str, int], int]) -> None:
+        """Records a witness's answer."""
         self._replies[witness] = limits
 
     def expire_entries(self, term: int, is_lost: Callable[[ProcessId], bool]) -> list[Expire]:
-        """Of those slices of which enough is known; `lost`: that witness, in that life, can't tell any more."""
+        """Expire entries for the allocations of which enough is known. `is_lost`: that witness, a process, can no
+        longer answer.
+        """
         expiries: list[Expire] = []
         for (tenant, serial), allocation in self.allocations.items():
             limits_answered = [
--- a/limenotch/fleet/wallet/tuning.py
+++ b/limenotch/fleet/wallet/tuning.py
@@ -1,4 +1,4 @@
-"""The `[fleet.wallet]` table. Spans in ms of one's own monotonic clock, amounts in whole units of credit."""
+"""The `[fleet.wallet]` table. Spans in ms of the local monotonic clock, amounts in whole units of credit."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 
 
 class Tuning(Struct, frozen=True, kw_only=True):
-    tenants: tuple[Name, ...] = ("*",)  # who pays; "*": all that the configuration names
-    cost: dict[Name, Units] = {}  # of a call, by class
+    tenants: tuple[Name, ...] = ("*",)  # who has a wallet; "*": all tenants of the configuration
+    cost: dict[Name, Units] = {}  # of a request, by class
     other_cost: Units = 1  # of a class that `cost` does not name
-    lease_ms: Span = 3000.0  # how long slices are spent without a word of the leader
+    lease_ms: Span = 3000.0  # how long allocations are spent without contact to the leader
     drift: Annotated[float, Meta(ge=0, le=0.5)] = 0.02  # how much faster one clock may run than another, as a share
-    slice_ms: Span = 2000.0  # of a holder's own rate, in one slice
+    slice_ms: Span = 2000.0  # span that one allocation lasts at the holder's own rate
     least_slice: Annotated[int, Meta(ge=1, le=1_000_000_000)] = 10
-    step: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of a slice: what a new mark opens, `least_slice` at least
-    record_ms: Span = 200.0  # between two words of what was spent, while something was
-    idle_ms: Span = 2000.0  # a slice that nothing was taken from for so long is called back
-    retry_after_ms: Span = 5000.0  # what those turned away are told, where the configuration allows that
+    # share of an allocation that each raise of the spend limit allows, at least `least_slice`
+    step: Annotated[float, Meta(gt=0, le=1)] = 0.25
+    record_ms: Span = 200.0  # between two records of what was spent, while there is spending
+    idle_ms: Span = 2000.0  # an allocation that was not used for so long is returned
+    retry_after_ms: Span = 5000.0  # Retry-After of rejected requests, where the configuration allows it
     without_lease: Literal["pause", "advance"] = "pause"
-    advance: Units = 0  # a tenant and sidecar, with "advance"
-    ask_ms: Span = 10_000.0  # an operator's call without a word of its end is answered `unknown`
+    advance: Units = 0  # units for each tenant and sidecar, with "advance"
+    ask_ms: Span = 10_000.0  # an operator's request without a result by then is answered `unknown`
     most_tenants: Annotated[int, Meta(ge=1, le=100_000)] = 10_000
-    most_ids: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000  # credits of one wallet
+    most_ids: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000  # ids of credits of one wallet
     most_holders: Annotated[int, Meta(ge=1, le=10_000)] = 1000
     most_asks: Annotated[int, Meta(ge=1, le=10_000)] = 64
-    most_reserved: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000  # calls open at one sidecar
+    most_reserved: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000  # open reservations at one sidecar
 
     @property
     def max_lease_ms(self) -> float:
@@ -40,19 +41,25 @@
 
     @property
     def pause_ms(self) -> float:
-        """From when nothing is left, and somebody was turned away, until all turn that tenant away or the credit is
-        spent: what is held elsewhere comes back. A dead holder's lease and the question to its witnesses; a recall
-        that waits its turn; settlements. The log's own time for a promise is in `record_ms`, twice.
+        """From when nothing is unallocated and a request was rejected, until all sidecars reject that tenant or the
+        credit is spent: what other holders have comes back.
+
+        The sum of a dead holder's lease and the query of its witnesses, a recall that waits for its interval, and
+        settlements. The log's own time to commit is counted as `record_ms`, twice.
         """
         return self.max_lease_ms + self.lease_ms / 3 + self.idle_ms + 4 * self.record_ms
 
     @property
     def resume_ms(self) -> float:
-        """From when credit is agreed until whoever turned somebody away can spend: they have said so, or say so at
-        their next ask; a grant, a first mark."""
+        """From when credit is committed until each sidecar that rejected the tenant can spend: it has sent an
+        allocation request, or sends it with its next lease request; then a grant and a first spend limit.
+        """
         return self.lease_ms / 3 + 3 * self.record_ms
 
     def step_of(self, size: int, dearest: int = 1) -> int:
-        """Units of a slice that a death can count wrongly, at the most: as spent, though nobody was served. `dearest`:
-        the cost of the dearest call. All of the slice where most of its witnesses are gone as well."""
+        """The most units of an allocation of `size` that may wrongly count as spent after a crash of the holder.
+
+        `dearest`: the cost of the most expensive request. If most witnesses are gone as well the whole allocation
+        counts.
+        """
         return min(size, max(ceil(self.step * size), self.least_slice, dearest))
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -1,10 +1,10 @@
-"""Prepaid wallets: what calls pay, and operators' credit.
+"""Prepaid wallets: charges requests, and adds operators' credit.
 
-| | calls of who pays | calls of others |
+| | requests of tenants with a wallet | other requests |
 | --- | --- | --- |
-| the part is there | by its purse: taken, or 429 | taken |
-| not there yet, or never as the log can't be read | 429 | taken |
-| the part, the log or the purse off by a fault | 429 | taken |
+| the component runs | admitted by the spender, or 429 | admitted |
+| not started yet, or never as the log can't be read | 429 | admitted |
+| the component, the log or the spender stopped by a fault | 429 | admitted |
 """
 
 from __future__ import annotations
@@ -27,46 +27,52 @@
 log = logs.get(__name__)
 
 MAX_WAIT_RECORD_INTERVALS = (
-    2.0  # times `record_ms` that a call is held for a slice on its way: a grant and its mark come in well under one
+    # multiple of `record_ms` that a request may wait for a pending allocation: grant and spend limit take well under
+    # one
+    2.0
 )
-RETRIES_PER_RECORD_INTERVAL = 4.0  # parts of `record_ms` after which its purse is asked again
-MAX_SHOWN_TENANTS = 100  # tenants in the figures; operators' calls show the rest
+RETRIES_PER_RECORD_INTERVAL = 4.0  # how often in `record_ms` the spender is tried again for a waiting request
+MAX_SHOWN_TENANTS = 100  # tenants in the status; operators' requests for wallets show the rest
 
 
 class ComponentStops(Protocol):
-    """The hub."""
+    """The component hub."""
 
-    off: tuple[str, ...]  # prefixes of the parts stopped
+    off: tuple[str, ...]  # prefixes of the components stopped by a fault
 
 
 class RequestCharger:
-    """Has a say in calls: each is reserved for when it is taken, and charged or given back once, at its end.
+    """Interceptor that reserves the cost of each request at admission and charges or releases it once, at the request's
+    end.
 
-    The clock is the loop's, on which parts are told the time, read without a way through all that leads to it: twice a
-    call that is much of what a wallet costs.
+    It reads the event loop's clock, which components are given too, directly: two calls through the layers that lead to
+    it for each request would be much of what a wallet costs.
 
-    What its purse wants is told in a turn of the loop of its own: never in a call's time, and never while the fleet's
-    decisions are in the midst of an event that ended a call.
+    The component is notified of changed demand in a separate iteration of the loop: never while a request is handled,
+    and never while the fleet's components handle an event that has ended a request.
     """
 
     def __init__(self, tuning: Tuning, on_demand: Callable[[], None], component_stops: ComponentStops) -> None:
         self.spender: Spender | None = None
-        self.faulted = False  # the purse raised
+        self.faulted = False  # the spender raised an exception
         self.counts = {"charged": 0, "given_back": 0, "turned": 0, "turned_without": 0}
         self._tuning, self._on_demand, self._component_stops = tuning, on_demand, component_stops
         self._tenants = frozenset(tuning.tenants)
-        self._reservations: dict[int, Reservation] = {}  # by the call's number
+        self._reservations: dict[int, Reservation] = {}  # by the request's number
         self._is_notify_scheduled = False
 
     @property
     def is_unavailable(self) -> bool:
+        """Whether the spender, the component or the log was stopped by a fault."""
         stopped = self._component_stops.off
         return self.faulted or PREFIX in stopped or LOG in stopped
 
     def has_wallet(self, tenant: str) -> bool:
+        """Whether the settings have a wallet for the tenant."""
         return "*" in self._tenants or tenant in self._tenants
 
     def request_received(self, request: Request) -> FinalResponse | RetryLater | None:
+        """Admits the request (None) and keeps its reservation, rejects it, or lets it wait for a pending allocation."""
         spender = self.spender
         if spender is None or self.faulted or (self._component_stops.off and self.is_unavailable):
             return self._decide_without_spender(request)
@@ -84,7 +90,7 @@
             if decision.allocation_pending and request.waited_ms < MAX_WAIT_RECORD_INTERVALS * self._tuning.record_ms:
                 return RetryLater(
                     self._tuning.record_ms / RETRIES_PER_RECORD_INTERVAL, final
-                )  # its first call here in a while: not turned away
+                )  # first request here in a while: not rejected yet
             self.counts["turned"] += 1
             return final
         if decision.cost:
@@ -98,6 +104,7 @@
         pass
 
     def request_closed(self, request: Request) -> None:
+        """Charges a request that was served; releases the reservation of any other."""
         reservation = self._reservations.pop(request.number, None)
         spender = self.spender
         if reservation is None or spender is None:
@@ -115,7 +122,7 @@
             self._record_fault(error)
 
     def _decide_without_spender(self, request: Request) -> FinalResponse | None:
-        """Nobody can say what there is to spend."""
+        """The decision while no spender is available."""
         tuning = self._tuning
         if (
             request.already_charged
@@ -141,10 +148,13 @@
         self.faulted = True
 
     def status(self) -> dict[str, int]:
+        """For `GET /fleet`: reservations in flight, and counts in units and requests."""
         return {"reserved": len(self._reservations), **self.counts}
 
 
 class WalletAdapter(FleetAdapter):
+    """Connects the wallet component with the host."""
+
     name, prefix = "wallet", PREFIX
     messages = message_types(messages)
 
