--- a/benchmarks/wallet.py
+++ b/benchmarks/wallet.py
@@ -1,17 +1,17 @@
-"""Figures of the wallet: share spent before the first pause, overspend, times to pause and to resume, what it costs.
+"""Results of the wallet: share spent before the first pause, overspend, times to pause and to resume, what it costs.
 
     python -m benchmarks.wallet [--seeds 20] [--storms 500] [--first 0] [--members 9,50,200]
                                 [--only spent,storms,bytes,cost]
 
-In simulated time but for `cost`, with the settings as they come (`[fleet]`, log, membership and wallet).
+In simulated time but for `cost`, with the default settings (`[fleet]`, log, membership and wallet).
 
-- spent: 9 members, 3 of them voters; one takes nine tenths of 400 calls a second, credit for 20 s of that. The share of
-  the credit that was taken when first somebody was turned away as nothing was left; how many calls were told to come
-  again before that, as credit was on its way; pause and resume (with 50 calls a second at each) against the stated
-  times. One run a seed.
-- storms: runs of lab/fleet/wallet_storm, each held against the checker; units overspent in all of them.
-- bytes: of the wallet's messages, of the log's, and of entries of the log, a member and second, with 10 calls a second
-  and member of one tenant, over 6 s.
+- spent: 9 members, 3 of them voters; one gets nine tenths of 400 requests per s, credit for 20 s of that. The share of
+  the credit that was reserved at the first rejection because nothing was left; how many requests were rejected before
+  that with a pending allocation; pause and resume (with 50 requests per s at each) against the stated times. One run a
+  seed.
+- storms: randomized fault runs of lab/fleet/wallet_storm, each checked; how many of them overspent.
+- bytes: of the wallet's messages, of the log's, and log entries, per member and second, with 10 requests per second and
+  member of one tenant, over 6 s.
 - cost: us of reserve and charge in this process, beside a loop that calls two functions that do nothing.
 """
 
@@ -36,17 +36,19 @@
 
 
 def create_run(count: int, voters: int, seed: int) -> Run:
+    """A fleet that has run for 3 s after all follow a leader."""
     names = [f"n{number}" for number in range(count)]
     run = Run(names, tuple(names[:voters]), Tuning(), log_tuning=consensus.Tuning(), member_tuning=MembershipTuning())
     run.begin(seed)
     run.wait_for_leader(60_000)
-    run.observed = frozenset({run.leader() or ""})  # who applies each entry first; no faults here that could change it
+    # the leader applies each entry first; there are no faults here that could change the leader
+    run.observed = frozenset({run.leader() or ""})
     run.world.run(run.now() + 3000)
     return run
 
 
 def measure_spending(seed: int) -> tuple[float, float, float, float]:
-    """Share before the first pause; calls told to come again, of all before it; ms to pause and to resume."""
+    """Share before the first pause; share of rejections with a pending allocation; ms to pause and to resume."""
     run, random = create_run(9, 3, seed), Random(f"{seed} spent")
     credit = int(PER_S * CREDIT_S)
     begin_ms = run.add_credit("t", credit, "first")
@@ -73,7 +75,7 @@
 
 
 def measure_traffic(count: int) -> tuple[float, float, float, float]:
-    """A member and second: bytes of the wallet's messages, of the log's, entries of the log; bytes of membership."""
+    """Per member and second: bytes of the wallet's messages, of the log's, log entries; bytes of membership."""
     run = create_run(count, min(5, count), 1)
     run.add_credit("t", 10_000_000, "first")
     random = Random("traffic")
@@ -98,7 +100,9 @@
 
 
 def measure_cost(calls: int = 200_000) -> tuple[float, float]:
-    """us a call: reserve and charge, the part told when the purse wants it left out; two calls without effect."""
+    """us a request: reserve and charge, without the component's work on changes; and two calls of a function that does
+    nothing.
+    """
     spender = Spender(Tuning(), Ledger())
     allocation = LocalAllocation(1, calls * 2, 0, (("a", 1),), 0.0)
     allocation.requested_limit = calls * 2
@@ -125,6 +129,7 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
+    """The value below which that share of the values is."""
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
--- a/benchmarks/wallet_cost.py
+++ b/benchmarks/wallet_cost.py
@@ -1,12 +1,12 @@
-"""What a wallet costs a call.
+"""What a wallet costs a request.
 
     python -m benchmarks.wallet_cost [CALLS]
 
-First the purse alone, in this process: `reserve` and `charge` of calls that a slice with an open mark covers, the
-median of rounds, in us a call; and the layer around it (`taken` and `closed`), which is what a call sees. Then on
-processes, two fleets of one voter each that differ in `[fleet.wallet]` alone, and a sidecar without a fleet: they get
-the same calls in turns, and CPU is that of the process by the kernel's clock, all that the fleet does in that time
-included. The ratio is of the medians of the turns, so noise of the machine falls on all.
+First the spender alone, in this process: `reserve` and `charge` of requests covered by one allocation, the median of
+rounds, in us a request; and the interceptor around it (`request_received` and `request_closed`), which is what a
+request passes. Then on processes: two fleets of one voter each that differ only in `[fleet.wallet]`, and a sidecar
+without a fleet. They get the same requests in turns; CPU is that of the process by the kernel's clock, with all that
+the fleet does in that time. The ratio is of the medians of the turns, so noise of the machine affects all alike.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 from .replicated_notes import SETTINGS, TURN, listed, provider, turn
 
-REQUESTS_PER_ROUND = 20_000  # calls of the purse alone
+REQUESTS_PER_ROUND = 20_000  # requests to the spender alone
 ROUNDS = 9
 CREDIT = 100_000_000
 SERVED = FinalResponse(Verdict.SERVED)
 
 
 def create_spender() -> Spender:
-    """With a slice that lasts for all rounds."""
+    """With an allocation that lasts for all rounds."""
     spender = Spender(Tuning(tenants=("acme",)), Ledger())
     allocation = LocalAllocation(1, CREDIT, 0, (("a", 1), ("b", 1), ("c", 1)), 0.0)
     allocation.open_limit = allocation.requested_limit = CREDIT
@@ -53,7 +53,7 @@
 
 
 def measure_spender() -> float:
-    """us a call."""
+    """us a request."""
     spender, rounds = create_spender(), []
     for _ in range(ROUNDS):
         before = process_time_ns()
@@ -66,7 +66,7 @@
 
 
 def measure_interceptor() -> float:
-    """us a call."""
+    """us a request."""
 
     async def case() -> float:
         charger = RequestCharger(Tuning(tenants=("acme",)), lambda: None, SimpleNamespace(off=()))
@@ -104,8 +104,8 @@
             "folder": str(node.data),
         }
         if node.name == "paying":
-            # A turn comes at once after a rest, so its rate is not known: slices as large as they would soon be, and
-            # none is called back while others have their turns.
+            # A turn comes at once after a rest, so its rate is not known: allocations as large as they would soon be,
+            # and none is returned while other sidecars have their turns.
             fleet_settings["wallet"] = {"tenants": ["acme"], "least_slice": 10 * TURN, "idle_ms": 60_000.0}
         return fleet_table(f"127.0.0.1:{free_port()}", {}, fleet_settings)
 
@@ -127,7 +127,7 @@
 
 
 async def measure_turn(processes: Processes, name: str) -> float:
-    """One turn, in us a call, after some calls that are not counted: until a slice is there."""
+    """One turn, in us a request, after some requests that are not counted, until an allocation is there."""
     node = processes.nodes[name]
 
     async def warm() -> bool:
--- a/limenotch/lab/fleet/checks_wallet.py
+++ b/limenotch/lab/fleet/checks_wallet.py
@@ -1,16 +1,19 @@
-"""Checks a history of spending, independent of the wallet's own code: it knows calls, operators and agreed states.
-
-Told in the order of true time: what operators asked and were answered, each reservation and its end at every sidecar,
-and each member's agreed state after each entry. Raises AssertionError at the first of these:
-
-1. What is charged and reserved at all sidecars, dead ones too, is more than the credit that anybody holds as agreed.
-2. An agreed state in which credit is not spent + left + held, something is below 0, or credit or spent fell.
-3. Two members with different states after one entry.
-4. More credit than the ids asked for make; credit answered and not there at the end.
-5. More taken of a slice than the agreed states leave it, before or after it was settled or expired.
-6. At the end: a call charged and not in `spent`; more in `spent` than was taken, beyond the bound for each slice.
-
-With an advance, sidecars may be ahead of the credit by as much as `advance` for each process that ever ran.
+"""Checks a history of spending, independently of the wallet's own code: it knows requests, operators and replicated
+states.
+
+It is notified, in the order of simulated time, of operators' requests and their responses, of each reservation and its
+end at every sidecar, and of each member's replicated state after each entry. Raises AssertionError at the first of:
+
+1. More is charged and reserved at all sidecars, crashed ones included, than the highest credit in any replicated state.
+2. A replicated state in which credit is not spent + unallocated + allocated, an amount is negative, or credit or spent
+   has decreased.
+3. Two members with different states after the same entry.
+4. More credit than the requested ids add up to; at the end, credit that was confirmed and is missing.
+5. More reserved from an allocation than the replicated states leave it, before or after it was settled or expired.
+6. At the end: a charged request that is missing in `spent`; or `spent` above what was reserved, beyond the bound of
+   each allocation.
+
+With an advance, sidecars may exceed the credit by `advance` for each process that ever ran.
 """
 
 from __future__ import annotations
@@ -21,100 +24,107 @@
 from math import ceil
 from typing import NamedTuple
 
-AllocationKey = tuple[str, str, int, int]  # tenant, name, life, serial
+AllocationKey = tuple[str, str, int, int]  # tenant, name, process epoch, serial
 
 
 class AgreedAllocation(NamedTuple):
-    """A slice in an agreed state."""
+    """An allocation in a replicated state."""
 
-    ceiling: int  # what of it may be spent at all
+    ceiling: int  # how much of it may be spent at all
     spent: int
-    witnesses: tuple[tuple[str, int], ...] = ()  # names, lives
+    witnesses: tuple[tuple[str, int], ...] = ()  # names and process epochs
 
 
 class Claim(NamedTuple):
-    """What an entry says of a slice."""
+    """What a log entry states about an allocation."""
 
     spent: int
     expired: bool  # by the leader, not by its holder
 
 
 class AgreedWallet(NamedTuple):
-    """One tenant's wallet in an agreed state."""
+    """One tenant's wallet in a replicated state."""
 
     credit: int
     spent: int
     unallocated: int
-    allocations: Mapping[tuple[str, int, int], AgreedAllocation]  # by name, life, serial
+    allocations: Mapping[tuple[str, int, int], AgreedAllocation]  # by name, process epoch, serial
 
     @property
     def allocated(self) -> int:
+        """Units allocated to holders and not settled as spent."""
         return sum(allocation.ceiling - allocation.spent for allocation in self.allocations.values())
 
 
 @dataclass
 class TrackedAllocation:
-    """What is known of one, from the states alone."""
+    """What the states alone show of an allocation."""
 
     amount: int  # as granted
-    ceiling: int  # what may be taken of it; when it is closed, what counts as spent
-    spent: int = 0  # of it, in the wallet's `spent`
+    ceiling: int  # how much may be reserved of it; once closed, what counts as spent
+    spent: int = 0  # its share of the wallet's `spent`
     taken: int = 0  # reserved and charged
-    peak_taken: int = 0  # the most that was taken at any time: what was given back since may count as spent
+    peak_taken: int = 0  # highest `taken` so far: units released since may count as spent
     closed: bool = False
-    overcounted: int = 0  # at its closing: counted as spent and not taken
-    max_overcounted: int = 0  # of `over`: 0 where its holder settled it
+    overcounted: int = 0  # at its closing: units that count as spent and were not taken
+    max_overcounted: int = 0  # of `overcounted`: 0 if its holder settled it
     witnesses: tuple[tuple[str, int], ...] = ()
 
 
 @dataclass
 class TenantTotals:
-    """Of one tenant, over all sidecars and their lives."""
+    """One tenant's totals over all sidecars and their process epochs."""
 
-    requested_credits: dict[str, int] = field(default_factory=dict)  # asked for: id, amount
+    requested_credits: dict[str, int] = field(default_factory=dict)  # requested by operators: id, amount
     confirmed_ids: set[str] = field(default_factory=set)  # answered done or counted
     charged: int = 0
     reserved: int = 0
-    advanced: int = 0  # of both: on the advance
-    max_credit: int = 0  # the highest that was agreed anywhere
+    advanced: int = 0  # of both, on the advance
+    max_credit: int = 0  # the highest in any replicated state
     served: list[tuple[float, str]] = field(default_factory=list)
-    rejections: list[tuple[float, str, int]] = field(default_factory=list)  # with what was taken in all by then
-    pending_rejections: int = 0  # turned away for a moment only
+    rejections: list[tuple[float, str, int]] = field(default_factory=list)  # with what was taken in total by then
+    pending_rejections: int = 0  # rejections with a pending allocation
 
 
 class Checker:
+    """Owns the history; see the module. Times are in ms."""
+
     def __init__(self, step: float, advance: int = 0, min_step: int = 1) -> None:
-        """`step`: the share of a slice that a death may count wrongly, `least` units at the least."""
+        """`step`: the share of an allocation that a crash may count wrongly, at least `min_step` units."""
         self.step, self.advance, self.min_step = step, advance, min_step
         self.totals: dict[str, TenantTotals] = defaultdict(TenantTotals)
         self.allocations: dict[AllocationKey, TrackedAllocation] = {}
         self.process_epochs: dict[str, int] = {}  # the latest of each name
         self.ended_processes: set[tuple[str, int]] = set()
-        self.unreachable: set[str] = set()  # paused or cut off, now or a moment ago
+        self.unreachable: set[str] = set()  # paused or partitioned, now or a moment ago
         self.last_index = 0
-        self.state_digests: dict[int, int] = {}  # index: digest
+        self.state_digests: dict[int, int] = {}  # digest by index
         self.latest_state: dict[str, AgreedWallet] = {}
-        self.emptied_at_ms: dict[str, list[float]] = defaultdict(list)  # when nothing was left any more
-        self._open_requests: set[tuple[str, int, int]] = set()  # name, life, number of the call
+        # times at which nothing was unallocated any more
+        self.emptied_at_ms: dict[str, list[float]] = defaultdict(list)
+        self._open_requests: set[tuple[str, int, int]] = set()  # name, process epoch, number of the request
 
     # Sidecars
 
     def started(self, name: str, process_epoch: int) -> None:
+        """A process of that name has started; all earlier ones have ended."""
         for previous in range(self.process_epochs.get(name, process_epoch), process_epoch):
             self.ended_processes.add((name, previous))
         self.process_epochs[name] = process_epoch
 
     def died(self, name: str) -> None:
+        """The current process of that name has ended."""
         if name in self.process_epochs:
             self.ended_processes.add((name, self.process_epochs[name]))
 
     # Operators
 
     def credit_requested(self, tenant: str, credit_id: str, amount: int) -> None:
-        """The first amount of an id is what it counts for."""
+        """An id counts for the amount that it was first requested with."""
         self.totals[tenant].requested_credits.setdefault(credit_id, amount)
 
     def responded(self, tenant: str, credit_id: str, outcome: str) -> None:
+        """An operator's request was answered."""
         if outcome in ("done", "counted"):
             self.totals[tenant].confirmed_ids.add(credit_id)
             self._require(
@@ -122,7 +132,7 @@
                 f"{tenant}: {credit_id} is answered {outcome} but was never requested",
             )
 
-    # Calls
+    # Requests
 
     def reserved(
         self,
@@ -133,7 +143,7 @@
         tenant: str,
         allocations: Iterable[tuple[int, int]],
     ) -> None:
-        """`slices`: serial and units; serial 0 is the advance."""
+        """`allocations`: serial and units; serial 0 is the advance."""
         totals, context = self.totals[tenant], f"{at_ms:.1f}: {name}.{process_epoch} {tenant}"
         self._require((name, process_epoch) not in self.ended_processes, f"{context}: reserves after its process ended")
         self._open_requests.add((name, process_epoch, number))
@@ -168,6 +178,7 @@
     def charged(
         self, name: str, process_epoch: int, number: int, tenant: str, allocations: Iterable[tuple[int, int]]
     ) -> None:
+        """A request was served: its reservation counts as charged."""
         self._request_ended(name, process_epoch, number)
         for _, units in allocations:
             self.totals[tenant].reserved -= units
@@ -176,6 +187,7 @@
     def released(
         self, name: str, process_epoch: int, number: int, tenant: str, allocations: Iterable[tuple[int, int]]
     ) -> None:
+        """A request was not served: its reservation is released."""
         self._request_ended(name, process_epoch, number)
         for serial, units in allocations:
             self.totals[tenant].reserved -= units
@@ -185,7 +197,7 @@
                 self.totals[tenant].advanced -= units
 
     def rejected(self, at_ms: float, name: str, tenant: str, pending: bool = False) -> None:
-        """`coming`: told to come again at once, as there is credit that is not here yet."""
+        """`pending`: the client may retry at once, as there is credit that is not allocated here yet."""
         totals = self.totals[tenant]
         if pending:
             totals.pending_rejections += 1
@@ -198,7 +210,7 @@
         )
         self._open_requests.discard((name, process_epoch, number))
 
-    # Agreed states
+    # Replicated states
 
     def state_applied(
         self,
@@ -208,10 +220,11 @@
         state: Mapping[str, AgreedWallet],
         claims: Mapping[AllocationKey, Claim] | None = None,
     ) -> None:
-        """The whole state of `name` right after entry `index`.
+        """Records the complete state of `name` right after entry `index`.
 
-        `claims`: what the entry says of slices, as the states don't tell what of a sum is whose when several end with
-        it; the sum is held against the states. Without a claim a slice counts as settled by its holder.
+        `claims`: what the entry states about allocations. Where several end with one entry the states show only the sum
+        of what was spent; the sum is checked against the states. Without a claim an allocation counts as settled by its
+        holder.
         """
         digest = hash(
             tuple(
@@ -340,7 +353,9 @@
     # The end
 
     def check_final_state(self) -> None:
-        """After a calm in which all calls ended and each slice was settled or expired."""
+        """The last check, after a quiet phase in which all requests ended and each allocation was settled or
+        expired.
+        """
         for tenant, totals in self.totals.items():
             wallet = self.latest_state.get(tenant, AgreedWallet(0, 0, 0, {}))
             confirmed = sum(totals.requested_credits[credit_id] for credit_id in totals.confirmed_ids)
@@ -361,7 +376,7 @@
             )
 
     def paused_ms(self, tenant: str, since_ms: float) -> float:
-        """From when first nothing was left and somebody was turned away, till the last reservation anywhere."""
+        """From the first rejection after nothing was unallocated to the last reservation at any sidecar."""
         emptied_ms = min((at_ms for at_ms in self.emptied_at_ms[tenant] if at_ms >= since_ms), default=float("inf"))
         start_ms = min(
             (at_ms for at_ms, _, _ in self.totals[tenant].rejections if at_ms >= emptied_ms), default=float("inf")
@@ -369,7 +384,7 @@
         return max([0.0, *(at_ms - start_ms for at_ms, _ in self.totals[tenant].served if at_ms > start_ms)])
 
     def resumed_ms(self, tenant: str, since_ms: float, names: Iterable[str]) -> float:
-        """From `since`, when credit was answered, till each of `names` has had a reservation."""
+        """From `since_ms`, when the credit was confirmed, until each of `names` has had a reservation."""
         firsts: dict[str, float] = {}
         for at_ms, name in self.totals[tenant].served:
             if at_ms >= since_ms:
--- a/limenotch/lab/fleet/wallet_drawings.py
+++ b/limenotch/lab/fleet/wallet_drawings.py
@@ -1,14 +1,14 @@
-"""Members, operators and consumers for drawings of the wallet. The first three nodes vote on the log.
+"""Members, operators and clients for expected timelines of the wallet. The first three nodes vote on the log.
 
-| `ask a ...` | what | notes |
+| `ask a ...` | what | log lines |
 | --- | --- | --- |
-| `credit t1 100 x` | an operator's, with the id `x` | `done`, `counted`, `refused`, `unknown` |
-| `show t1` | an operator's | `t1: credit 100; spent 40; left 60` |
-| `calls t1 50` | so many a second from now on, evenly; 0: none | `serves t1`, `turns away t1` when it changes |
-| `at_once t1 30 400` | thirty calls, each over after 400 ms | `takes 20 of 30` |
+| `credit t1 100 x` | an operator adds credit with the id `x` | `done`, `counted`, `refused`, `unknown` |
+| `show t1` | an operator | `t1: credit 100; spent 40; left 60` |
+| `calls t1 50` | so many requests per s from now on, evenly; 0: none | `serves t1`, `turns away t1` on a change |
+| `at_once t1 30 400` | thirty requests, each ends after 400 ms | `takes 20 of 30` |
 
-A call that came through is charged after 20 ms if not said otherwise. Of the head, `advance` makes sidecars without a
-lease spend that much ahead; `least` is the least slice, `span` a slice in ms. Each run is held against the checker.
+A request that was admitted is charged after 20 ms by default. In the head, `advance` lets sidecars without a lease
+spend that much in advance; `least` is `least_slice`, `span` is `slice_ms`. Each run is checked by checks_wallet.
 """
 
 from __future__ import annotations
@@ -49,6 +49,7 @@
 
 
 def create_run(scenario: Scenario) -> Run:
+    """The simulated fleet with the settings in the timeline's head."""
     changes: dict[str, Any] = {}
     if "advance" in scenario.head:
         changes.update(without_lease="advance", advance=int(scenario.figure("advance", 0)))
@@ -92,7 +93,9 @@
 
 
 def outcome(scenario: Scenario, judge: bool = True) -> Outcome:
-    """AssertionError where it did not come out, if `judge`, or where the checker found something in any case."""
+    """Runs the timeline. AssertionError if it differs from what is expected and `judge` is set, or if the checker finds
+    a fault.
+    """
     run = create_run(scenario)
     run.begin(
         scenario.seed,
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -1,7 +1,8 @@
-"""The wallet in simulated time: membership, log and wallet of each member in one hub, calls and operators from a seed.
+"""The wallet in simulated time: each member has a hub with membership, log and wallet.
 
-Each call is reserved at its member when it comes, and charged or given back when it is over; one that is under way when
-its process dies stays reserved for ever. All is held against checks_wallet.Checker. The storms are in wallet_storm.
+Each request is reserved at its member when it arrives, and charged or released when it ends; a request in flight at the
+crash of its process stays reserved for ever. All is checked by checks_wallet.Checker. Randomized fault runs are in
+wallet_storm.
 """
 
 from __future__ import annotations
@@ -53,7 +54,7 @@
 
 
 class ClientRequest(NamedTuple):
-    """Of a consumer: over after `span_ms`, `served` or not. `number` is the run's own."""
+    """A client's request that ends after `duration_ms`, `served` or not. `number` is unique in the run."""
 
     number: int
     tenant: str
@@ -63,7 +64,7 @@
 
 
 class RequestBurst(NamedTuple):
-    """At one instant; how many were taken is noted."""
+    """Several requests at one instant; a log line states how many were admitted."""
 
     requests: tuple[ClientRequest, ...]
 
@@ -74,7 +75,7 @@
 
 
 def agreed_state(ledger: Ledger) -> dict[str, AgreedWallet]:
-    """The agreed state as the checker takes it: the one place here that knows how the book holds it."""
+    """The ledger in the checker's terms; the only place here that depends on the ledger's structure."""
     return {
         tenant: AgreedWallet(
             wallet.credit,
@@ -92,7 +93,7 @@
 
 
 def claims_in(data: bytes) -> dict[AllocationKey, Claim]:
-    """What an entry says of slices that may end with it."""
+    """What a log entry states about allocations that may end with it."""
     claims: dict[AllocationKey, Claim] = {}
     for entry in entries.decode(data) or ():
         if isinstance(entry, (entries.Settle, entries.Expire)):
@@ -103,7 +104,7 @@
 
 
 class ObservedWallet:
-    """The wallet's part, its agreed state told to the checker after each entry."""
+    """The wallet component; reports its state to the checker after each entry."""
 
     def __init__(self, member: Member, wallet: Wallet) -> None:
         self.member, self.wallet = member, wallet
@@ -119,7 +120,7 @@
 
 
 class Member:
-    """A part for the world. Hosts the purse as the program does: calls first, `Look` when it wants something."""
+    """A node for the simulator. Calls the spender, and sends `DemandChanged`, as the program does."""
 
     def __init__(self, run: Run, name: str, seed: int, process_epoch: int, stored_log: StoredLog) -> None:
         self.run, self.name, self.process_epoch = run, name, process_epoch
@@ -141,6 +142,7 @@
         run.checker.started(name, process_epoch)
 
     def entry_applied(self, event: log.EntryCommitted | log.SnapshotInstalled) -> None:
+        """Reports the replicated state to the checker."""
         run = self.run
         if run.observed is None or self.name in run.observed:
             claims = claims_in(event.data) if isinstance(event, log.EntryCommitted) else {}
@@ -161,7 +163,7 @@
             out = self.hub.handle(now, event)
             if isinstance(event, Started):
                 out += self.hub.handle(now, ComponentEvent(PREFIX, api.VotersChanged(self.run.voters)))
-        # Once each time that it turns true.
+        # Once each time that it becomes true.
         has_changes = self.spender.has_changes()
         if has_changes and not self._had_changes:
             out += self.hub.handle(now, ComponentEvent(PREFIX, api.DemandChanged()))
@@ -188,7 +190,7 @@
     def _ended(self, now: float, end: RequestEnded) -> None:
         reserved = self.reservations.pop(end.number, None)
         if reserved is None:
-            return  # it was taken by an earlier process of this name
+            return  # it was reserved by an earlier process of this name
         if end.served:
             self.spender.charge(now, reserved)
             self.run.checker.charged(self.name, self.process_epoch, end.number, reserved.tenant, reserved.allocations)
@@ -198,7 +200,8 @@
 
     def _responded(self, response: api.OperatorResponse) -> None:
         self.run.responded(response)
-        body = response.body if isinstance(response.body, dict) else {}  # of one counted before: its amount
+        # for `counted` it is the amount of the earlier request
+        body = response.body if isinstance(response.body, dict) else {}
         text, shown = response.outcome, body.get(self.run.operator_requests[response.ticket].tenant)
         if shown is not None:
             text = "shown: " + " ".join(f"{key} {shown[key]}" for key in ("spent", "left", "held"))
@@ -206,7 +209,7 @@
 
 
 class Run:
-    """`world` is made by `begin`, or is a drawing's own."""
+    """A simulated fleet. `world` is created by `begin`."""
 
     def __init__(
         self,
@@ -218,7 +221,7 @@
         member_tuning: MembershipTuning = MEMBERSHIP_TUNING,
         observed: Iterable[str] | None = None,
     ) -> None:
-        """`watched`: whose agreed states the checker is told; all, if not said."""
+        """`observed`: the members whose states are reported to the checker; all by default."""
         self.names, self.voters = list(nodes), voters
         self.tuning, self.log_tuning, self.member_tuning = tuning, log_tuning, member_tuning
         self.observed = None if observed is None else frozenset(observed)
@@ -230,10 +233,12 @@
         self.responses: dict[int, tuple[float, api.OperatorResponse]] = {}
         self.request_count = 0
         self._paused: set[str] = set()
-        self._partitioned: set[str] = set()  # the smaller side of each cut
-        self._streams: dict[tuple[str, str], int] = {}  # node, tenant: the stream that runs now
+        self._partitioned: set[str] = set()  # the smaller side of each partition
+        # by node and tenant: number of the request stream that is active
+        self._streams: dict[tuple[str, str], int] = {}
 
     def begin(self, seed: int, **conditions: Any) -> None:
+        """Creates the world; `conditions` are World's."""
         self.world = World(self.names, self.make, seed, **conditions)
 
     def make(self, name: str, seed: int, process_epoch: int, stored_log: StoredLog) -> Member:
@@ -248,6 +253,7 @@
     # Operators
 
     def operator_request(self, name: str, action: str, tenant: str = "", amount: int = 0, credit_id: str = "") -> int:
+        """Sends an operator's request to a member; returns its ticket."""
         request = api.OperatorRequest(len(self.operator_requests) + 1, action, tenant, amount, credit_id)
         self.operator_requests[request.ticket] = request
         if action == "add":
@@ -256,6 +262,7 @@
         return request.ticket
 
     def responded(self, response: api.OperatorResponse) -> None:
+        """Each request must be answered once."""
         request = self.operator_requests[response.ticket]
         if response.ticket in self.responses:
             raise AssertionError(f"{request} is answered twice: {self.responses[response.ticket]}, {response}")
@@ -264,7 +271,7 @@
             self.checker.responded(request.tenant, request.id, response.outcome)
 
     def add_credit(self, tenant: str, amount: int, credit_id: str, limit_ms: float = 20_000.0) -> float:
-        """Asks one member after the other until it is done; gives the time of that answer."""
+        """Sends the credit to one member after the other until it is done; returns the time of that response."""
         deadline_ms, turn = self.world.now + limit_ms, 0
         while self.world.now < deadline_ms:
             name = self.names[turn % len(self.names)]
@@ -280,7 +287,7 @@
             self.world.run(self.world.now + 50)
         raise AssertionError(f"{credit_id}: {amount} for {tenant} were not credited within {limit_ms:g} ms")
 
-    # Consumers
+    # Clients
 
     def send_request(
         self, name: str, tenant: str, request_class: str = "plain", duration_ms: float = 20.0, served: bool = True
@@ -298,7 +305,7 @@
         failed: float = 0.0,
         duration_ms: float = 20.0,
     ) -> None:
-        """Calls at that rate from now on, instead of those before; evenly, or as `random` has them. 0: none."""
+        """Sends requests at that rate from now on, replacing the current ones; evenly, or at random times. 0: none."""
         number = self._streams[name, tenant] = self._streams.get((name, tenant), 0) + 1
         if per_s > 0:
             gap = 1000 / per_s
@@ -328,13 +335,14 @@
         self.world.kernel.at(self.world.now + after, self._next, name, tenant, number, gap, random, mix)
 
     def stop_streams(self) -> None:
-        """No further calls."""
+        """Sends no further requests."""
         for key in self._streams:
             self._streams[key] += 1
 
     # Processes
 
     def fault(self, text: str) -> None:
+        """Applies a fault, in the words of faults.py, and notifies the checker."""
         self.world.fault(faults.parse(text))
         words = text.split()
         if words[0] in ("kill", "wipe", "leave"):
@@ -360,7 +368,7 @@
         return max(leading)[1] if leading else None
 
     def run_until(self, condition: Callable[[], bool], limit_ms: float, label: str, step_ms: float = 10.0) -> float:
-        """Runs till it holds; gives the ms that took. AssertionError when it doesn't in time."""
+        """Runs until the condition holds; returns the ms that took. AssertionError after `limit_ms`."""
         began_ms = self.world.now
         while not condition():
             if self.world.now - began_ms >= limit_ms:
@@ -369,7 +377,7 @@
         return self.world.now - began_ms
 
     def wait_for_leader(self, limit_ms: float = 10_000.0) -> None:
-        """Till all follow a leader and know each other."""
+        """Runs until all members follow a leader and know each other."""
 
         def ready() -> bool:
             members = [self.world.part(name) for name in self.names]
@@ -383,7 +391,7 @@
         self.run_until(ready, limit_ms, "all follow a leader")
 
     def wait_until_settled(self, limit_ms: float = 20_000.0) -> None:
-        """Till no slice is held that its holder does not spend from any more: after calls ended, none at all."""
+        """Runs until no allocation is left: once requests have ended, all of them are settled or expired."""
         self.run_until(
             lambda: not any(wallet.allocations for wallet in self.checker.latest_state.values()),
             limit_ms,
--- a/limenotch/lab/fleet/wallet_storm.py
+++ b/limenotch/lab/fleet/wallet_storm.py
@@ -1,6 +1,7 @@
-"""One run of the wallet under everything at once, the same for the same seed: calls everywhere, one sidecar with nine
-tenths of them, operators on both sides of cuts with repeated ids, cuts, one-way cuts, pauses, kills, wipes, leaders
-gone, clocks that drift as far as the settings allow. Then a calm in which all must come out exactly.
+"""One randomized fault run of the wallet, the same for the same seed: requests everywhere, one sidecar with nine tenths
+of them, operators on both sides of network partitions with repeated ids, partitions, one-way partitions, pauses,
+crashes, wiped disks, lost leaders, clocks that drift as far as the settings allow. Then a quiet phase in which all must
+add up.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 TENANTS = ("t1", "t2")
 LONG_ALLOCATIONS = msgspec.structs.replace(
     FAST_TUNING, slice_ms=3000, step=0.02
-)  # slices outlast a lease, marks come often
-SETTLE_LIMIT_MS = 20_000.0  # for all to settle in the calm: a failing run's bound
+)  # allocations outlast a lease, spend limits are raised often
+SETTLE_LIMIT_MS = 20_000.0  # for all to settle in the quiet phase: the bound of a failing run
 
 
 def random_fault_run(seed: int, duration_ms: float = 2000.0, tuning: Tuning = FAST_TUNING) -> Run:
-    """AssertionError with what did not hold."""
+    """AssertionError with the violated rule."""
     random = Random(f"{seed} wallet")
     voters = random.choice((3, 3, 5))
     names = list("abcdefg"[: voters + random.choice((0, 1, 2))])
@@ -59,9 +60,12 @@
 
 
 def isolated_holder_run(seed: int, rounds: int = 2, tuning: Tuning = LONG_ALLOCATIONS) -> Run:
-    """A busy holder that its witnesses hear, and the leader, or the next one, doesn't; half of the time it is paused
-    for about a lease, with a grant on its way. What a lease is for shows here: the leader takes it for gone while it
-    could go on, mark after mark."""
+    """A busy holder that reaches its witnesses, but not the leader, or the next one; half of the time it is also paused
+    for about the span of a lease, with a grant in flight.
+
+    This shows what the lease is for: the leader considers the holder gone while it could go on spending, raising limit
+    after limit.
+    """
     random = Random(f"{seed} aside")
     names = list("abcdef")
     run = Run(names, tuple("abcde"), tuning)
@@ -93,12 +97,14 @@
 
 
 def check_end(run: Run, ids: list[tuple[str, str, int]]) -> None:
-    """In the calm: no further calls, all slices come in, every id is counted once, all agree."""
+    """In the quiet phase: no further requests, all allocations are settled, each id is counted once, all members
+    agree.
+    """
     run.stop_streams()
     run.wait_until_settled(SETTLE_LIMIT_MS)
     for tenant, credit_id, amount in dict.fromkeys(ids):
         run.add_credit(tenant, amount, credit_id, SETTLE_LIMIT_MS)
-    # Who was turned away asks again with the credit, and gives back what nobody wants any more.
+    # A client that was rejected tries again with the credit, and allocations that are no longer needed are returned.
     run.world.run(run.now() + 3 * (run.tuning.idle_ms + run.tuning.lease_ms))
     run.wait_until_settled(SETTLE_LIMIT_MS)
     for tenant, totals in run.checker.totals.items():
@@ -109,10 +115,10 @@
 
 
 def measure_pause(run: Run, tenant: str = "dry", amount: int = 150, per_s: float = 200.0) -> tuple[float, float]:
-    """In a calm: a wallet that runs dry under calls at all members, nine tenths at the first, and new credit.
+    """In a quiet phase: a wallet that runs out under requests at all members, nine tenths at the first, and new credit.
 
-    ms to pause and to resume, of which at most the time between two calls is their own; AssertionError where that is
-    more than the settings say.
+    Returns the ms to pause and to resume, of which at most the time between two requests is their own; AssertionError
+    if that is more than the settings state.
     """
     begin_ms = run.add_credit(tenant, amount, f"{tenant} first")
     rest = per_s * 0.1 / (len(run.names) - 1)
@@ -144,7 +150,7 @@
 
 
 def _random_operator_request(run: Run, random: Random, ids: list[tuple[str, str, int]]) -> None:
-    """At one sidecar, or at two with one id; or an id of before again."""
+    """A credit at one sidecar, or at two with one id; or an earlier id again."""
     first, second = random.choice(run.names), random.choice(run.names)
     chance = random.random()
     if chance < 0.5:
@@ -235,6 +241,7 @@
 
 
 def end_faults(run: Run) -> None:
+    """Ends all faults and starts or wakes all members."""
     for text in ("heal", "loss 0%", "double 0%", "delay 1..1"):
         run.fault(text)
     for name, node in run.world.nodes.items():
