--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -1,7 +1,7 @@
-"""A few wallets on a log that always works, or is told not to: for what one event after another brings about.
+"""Several wallets on a fake log, which works or fails as told: for the effects of one event after another.
 
-One clock for all, messages arrive at once and in order, unless `lost(frm, to, message)`. The real log, clocks that run
-apart and lossy paths are limenotch/lab/fleet's.
+All share one clock; messages arrive at once and in order, unless `is_lost(sender, member, message)`. The real log,
+drifting clocks and lossy links are in limenotch/lab/fleet.
 """
 
 from __future__ import annotations
@@ -27,32 +27,34 @@
 
 
 class FakeFleet:
+    """The members and the log. Each event is handled completely, with all that follows from it, before the next one."""
+
     def __init__(self, names: str = "abc", voters: str = "abc", tuning: Tuning = FAST_TUNING) -> None:
         self.tuning, self.voters = tuning, tuple(voters)
         self.now = 0.0
         self.term = 0
         self.leader: str | None = None
         self.committed: list[log.EntryCommitted] = []
-        self.log_lines: list[tuple[float, str, str]] = []  # notes: when, whose, text
+        self.log_lines: list[tuple[float, str, str]] = []  # log lines: time, member, text
         self.responses: list[api.OperatorResponse] = []
         self.is_lost: Callable[[str, str, Any], bool] = lambda sender, member, message: False
         self.outcome_of: Callable[[str, tuple[entries.Entry, ...]], str] = lambda sender, wallet_entries: "committed"
         self.unanswered: list[
             tuple[str, log.Propose, int]
-        ] = []  # of fate `unknown`: who, what, the epoch it was asked in
+        ] = []  # unanswered or of outcome `unknown`: member, proposal, the term it was proposed in
         self.suspended: set[str] = set()
-        self.lagging: set[str] = set()  # what is agreed comes to them later
+        self.lagging: set[str] = set()  # members that get committed entries only at `catch_up`
         self.members: dict[str, Wallet] = {}
         self._last_process_epoch = 0
-        self._timers: list[tuple[float, str, int, int]] = []  # when, whose, its life, token
+        self._timers: list[tuple[float, str, int, int]] = []  # time, member, its process epoch, token
         self._queue: deque[tuple[str, Any]] = deque()
-        self._held_for_suspended: list[tuple[str, Any]] = []  # for those asleep
-        self._held_for_lagging: list[tuple[str, Any]] = []  # for those behind
+        self._held_for_suspended: list[tuple[str, Any]] = []  # for suspended members
+        self._held_for_lagging: list[tuple[str, Any]] = []  # for members behind
         for name in names:
             self.start(name)
 
     def start(self, name: str) -> Wallet:
-        """A new process; it finds all that was agreed."""
+        """Starts a new process, which is given all committed entries."""
         self._last_process_epoch += 1
         self.lagging.discard(name)
         self._held_for_lagging = [item for item in self._held_for_lagging if item[0] != name]
@@ -79,7 +81,7 @@
         self._deliver_all(held)
 
     def catch_up(self, name: str) -> None:
-        """One that is awake."""
+        """Delivers the entries that were withheld from a member that is not suspended."""
         self.lagging.discard(name)
         held = [item for item in self._held_for_lagging if item[0] == name]
         self._held_for_lagging = [item for item in self._held_for_lagging if item[0] != name]
@@ -91,7 +93,7 @@
         self._deliver_all([(member, log.LeaderChanged(name, self.term)) for member in self.members])
 
     def commit(self, *wallet_entries: entries.Entry, term: int | None = None) -> int:
-        """The index."""
+        """Commits an entry; returns its index."""
         committed_entry = log.EntryCommitted(
             len(self.committed) + 1, self.term if term is None else term, entries.encode(wallet_entries), ""
         )
@@ -105,7 +107,7 @@
     def _deliver_all(self, events: list[tuple[str, Any]]) -> None:
         is_nested = bool(self._queue)
         self._queue.extend(events)
-        while self._queue and not is_nested:  # else whoever began goes on with it
+        while self._queue and not is_nested:  # else an outer call delivers them
             self._handle(*self._queue[0])
             self._queue.popleft()
 
@@ -173,7 +175,7 @@
                 self.deliver(first[1], TimerFired(first[3]))
         self.now = until_ms
 
-    # What a host does
+    # The host's part
 
     def reserve(self, name: str, tenant: str = "acme", request_class: str = "call") -> api.Reservation | api.Rejected:
         decision = self.members[name].spender.reserve(self.now, tenant, request_class)
@@ -185,7 +187,7 @@
             self.deliver(name, api.DemandChanged())
 
     def serve(self, name: str, tenant: str = "acme", request_class: str = "call") -> bool:
-        """Whether it was."""
+        """Whether the request was served."""
         decision = self.reserve(name, tenant, request_class)
         if isinstance(decision, api.Rejected):
             return False
@@ -196,7 +198,7 @@
     def add_credit(
         self, amount: int, credit_id: str = "one", name: str = "a", tenant: str = "acme"
     ) -> api.OperatorResponse | None:
-        """The answer, if it has come."""
+        """The response, if it has come."""
         ticket = len(self.responses) + 1000
         self.deliver(name, api.OperatorRequest(ticket, "add", tenant, amount, credit_id))
         return next((response for response in self.responses if response.ticket == ticket), None)
--- a/tests/fleet/test_wallet_allocations.py
+++ b/tests/fleet/test_wallet_allocations.py
@@ -1,4 +1,4 @@
-"""What a sidecar may spend by itself: under a lease, below an open mark, once."""
+"""What a sidecar may spend locally: only under a lease, below an acknowledged limit, and once."""
 
 from __future__ import annotations
 
@@ -189,7 +189,7 @@
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(some.lists(some.tuples(some.sampled_from("rrrrcgmnk"), some.integers(0, 12)), max_size=80))
 def test_random_operations_stay_below_the_limits(steps: list[tuple[str, int]]) -> None:
-    """r reserves, c charges, g gives back, m opens a mark, n narrows, k ends a slice."""
+    """r reserves, c charges, g releases, m raises a limit, n reduces, k ends an allocation."""
     spender = create_spender(create_allocation(1, 10, 0), create_allocation(2, 20, 0))
     account = spender.accounts["acme"]
     allocations, open_reservations, served = dict(account.allocations), [], 0
--- a/tests/fleet/test_wallet_any_order.py
+++ b/tests/fleet/test_wallet_any_order.py
@@ -1,5 +1,5 @@
-"""Whatever happens, in any order: no unit is spent twice. A log that answers late, or under the next leader, or never;
-messages lost; processes that sleep, fall, come back, run twice under one name, are fenced.
+"""Random sequences of events: no unit is spent twice. The log answers late, or under the next leader, or never;
+messages are lost; processes are suspended, crash, restart, run twice under one name, are fenced.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
         self.fleet = FakeFleet("abcde", "abc", tuning)
         self.fleet.outcome_of = self._choose_outcome
         self.credit: dict[str, int] = {}
-        self.used = 0  # reserved and not ended, or charged, by anybody
+        self.used = 0  # reserved and not ended, or charged, by any process
         self.charged = 0
-        self.taken: dict[tuple[str, int, int], int] = {}  # charged, by name, life, serial
+        self.taken: dict[tuple[str, int, int], int] = {}  # charged, by name, process epoch, serial
         self.open_reservations: list[tuple[Wallet, api.Reservation]] = []
-        self.replaced_processes: list[Wallet] = []  # that run on under a name which is another's now
+        self.replaced_processes: list[Wallet] = []  # processes that run on under a name that a new process has taken
         self.faults_active = True
 
     def _choose_outcome(self, sender: str, wallet_entries: tuple[entries.Entry, ...]) -> str:
-        """A leader's own asking is not answered as long as it leads; others' may be unknown at any time."""
+        """A leader's own proposal stays unanswered as long as it leads; others' outcome may be unknown at any time."""
         if not self.faults_active or self.random.random() > 0.15:
             return "committed"
         return (
@@ -42,7 +42,7 @@
         )
 
     def _commit_unanswered(self, forwarded: bool) -> None:
-        """Some of what was not answered comes true: in its own epoch, or taken by a later leader."""
+        """Commits some of the unanswered proposals: in their own term, or forwarded to a later leader."""
         unanswered, self.fleet.unanswered = self.fleet.unanswered, []
         for name, propose, term in unanswered:
             wallet_entries = entries.decode(propose.data)
@@ -90,7 +90,7 @@
 
     def add_credit(self) -> None:
         credit_id = f"i{self.random.randint(1, 9)}"
-        self.credit.setdefault(credit_id, 30)  # from when it is asked for it may count
+        self.credit.setdefault(credit_id, 30)  # it may count from when it is requested
         self.fleet.add_credit(
             30, credit_id, self.random.choice([name for name in "abcde" if name in self.fleet.members] or ["a"])
         )
@@ -152,7 +152,7 @@
 
 
 def spent_by_allocation(committed: list[log.EntryCommitted]) -> dict[tuple[str, int, int], int]:
-    """What the log says was spent of each slice, in the end."""
+    """What the log's entries count as spent of each allocation, in the end."""
     ledger, spent = Ledger(), dict[tuple[str, int, int], int]()
     for committed_entry in committed:
         wallet_entries = entries.decode(committed_entry.data)
--- a/tests/fleet/test_wallet_checks.py
+++ b/tests/fleet/test_wallet_checks.py
@@ -1,4 +1,4 @@
-"""The checker of spending against histories made by hand: one that is right, and one for each thing it must find."""
+"""The wallet's checker on histories written by hand: a correct one, and one for each fault that it must find."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def granted_checker(amount: int = 10) -> Checker:
-    """100 credited, a slice of ten at a."""
+    """100 credited, an allocation of ten at a."""
     checker = Checker(step=0.25)
     for name in "abc":
         checker.started(name, 1)
@@ -77,7 +77,7 @@
 
 
 def overspent_in_total(checker: Checker) -> None:
-    """The agreed states are right, and yet more is taken in all."""
+    """The replicated states are consistent, and yet more is reserved in total than the credit."""
     checker.credit_requested("u", "y", 100)
     checker.state_applied(
         2.5,
--- a/tests/fleet/test_wallet_core.py
+++ b/tests/fleet/test_wallet_core.py
@@ -1,4 +1,4 @@
-"""The part: operators' answers, snapshots, advance, what it tells operators, bad messages, what a call costs."""
+"""The component: operators' responses, snapshots, advance, log lines, invalid messages, cost of a request."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_wallet_drawings.py
+++ b/tests/fleet/test_wallet_drawings.py
@@ -1,4 +1,6 @@
-"""The wallet's drawings, each of which must come out exactly in simulated time, with nothing found by the checker."""
+"""The wallet's expected timelines, each of which must occur exactly in simulated time, without a fault by the
+checker.
+"""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_wallet_leases.py
+++ b/tests/fleet/test_wallet_leases.py
@@ -1,4 +1,4 @@
-"""The lease on slices: spans, what must be applied first, pauses, fences, leaders that change."""
+"""The lease on allocations: spans, entries that must be applied first, pauses, fences, new leaders."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 
 def can_spend(fleet: FakeFleet, name: str) -> bool:
-    """It has what it would need, but perhaps for the lease."""
+    """Whether it serves a request within three tries: it has an allocation, and perhaps no lease."""
     for _ in range(3):
         if fleet.serve(name):
             return True
@@ -111,7 +111,7 @@
     fleet = ready()
     assert can_spend(fleet, "b")
     in_flight = fleet.reserve("b")
-    fleet.leader = None  # what it asks next is not answered
+    fleet.leader = None  # its next requests are not answered
     fleet.is_lost = lambda sender, member, message: isinstance(message, (messages.LeaseRequest, messages.LeaseGrant))
     fleet.deliver("b", Fenced())
     assert isinstance(fleet.reserve("b"), api.Rejected)
@@ -143,7 +143,7 @@
 def test_replaced_leader_grants_no_leases() -> None:
     fleet = ready()
     fleet.is_lost = lambda sender, member, message: member == "a"
-    fleet.leader = "c"  # a has not heard of it: the log does not tell it that it leads
+    fleet.leader = "c"  # a has not learned of it, but the log does not confirm its leadership
     fleet.term += 1
     fleet.deliver("c", log.LeaderChanged(fleet.leader, fleet.term))
     fleet.run(FAST_TUNING.lease_ms + 1)
@@ -158,7 +158,7 @@
     fleet = ready()
     assert can_spend(fleet, "b")
     replaced = fleet.members["b"]
-    fleet.start("b")  # the old one runs on: it hears nothing that is told to that name
+    fleet.start("b")  # the old process runs on without receiving messages to its name
     fleet.run(FAST_TUNING.lease_ms / 2)
     assert can_spend(fleet, "b")
     assert {
@@ -177,7 +177,7 @@
 
 
 def test_no_lease_while_an_expiry_is_in_flight() -> None:
-    """What of it may come true after the answer would come true for one that spends."""
+    """An Expire that is committed after the lease was granted would hit a holder that spends."""
     fleet = ready()
     assert can_spend(fleet, "b")
     fleet.suspended.add("b")
@@ -227,7 +227,7 @@
     fleet.suspended.add("b")
     fleet.run(FAST_TUNING.max_lease_ms + FAST_TUNING.lease_ms)
     assert any(text.startswith("back acme") for text in fleet.log_texts("a"))
-    fleet.lagging.add("b")  # it has its leases, the log comes later
+    fleet.lagging.add("b")  # it receives its leases, the log's entries come later
     fleet.wake("b")
     fleet.run(FAST_TUNING.lease_ms / 2)
     member = fleet.members["b"]
--- a/tests/fleet/test_wallet_ledger.py
+++ b/tests/fleet/test_wallet_ledger.py
@@ -1,4 +1,4 @@
-"""The agreed state of wallets: what each entry does, that none does it twice, and that nothing is ever lost."""
+"""The replicated state of wallets: the effect of each entry, that none counts twice, and that no credit is lost."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LedgerHarness:
-    """A book that is told entries one after the other."""
+    """A ledger that applies entries one after the other."""
 
     def __init__(self, *first: Entry) -> None:
         self.ledger = Ledger()
@@ -30,7 +30,7 @@
 
     @property
     def acme(self) -> tuple[int, int, int, int]:
-        """Credit, spent, left, held."""
+        """Credit, spent, unallocated, allocated."""
         wallet = self.ledger.wallets["acme"]
         return wallet.credit, wallet.spent, wallet.unallocated, wallet.allocated
 
@@ -175,14 +175,14 @@
 
 
 class LedgerModel(RuleBasedStateMachine):
-    """Entries of all kinds, right and wrong, again and out of order, against plain sums of what counted."""
+    """Valid and invalid entries of all kinds, repeated and reordered, against plain sums of those that counted."""
 
     @initialize()
     def begin(self) -> None:
         self.ledger, self.index = Ledger(), 0
         self.credits: dict[str, dict[str, int]] = {"x": {}, "y": {}}
         self.advanced = {"x": 0, "y": 0}
-        self.spent: dict[tuple[str, int], int] = {}  # the highest word of it, by tenant and serial
+        self.spent: dict[tuple[str, int], int] = {}  # the highest one settled, by tenant and serial
         self.earlier: list[tuple[Entry, int]] = []
 
     def apply(self, entry: Entry, term: int = 1) -> Applied:
@@ -244,7 +244,7 @@
 
     @rule(index=some.integers(0, 1000))
     def repeat(self, index: int) -> None:
-        """Any entry from before: what counts of it has counted, but for a credit's none."""
+        """An earlier entry again: credits count once."""
         if self.earlier:
             entry, term = self.earlier[index % len(self.earlier)]
             credit = self.ledger.wallets.get(entry.tenant)
--- a/tests/fleet/test_wallet_processes.py
+++ b/tests/fleet/test_wallet_processes.py
@@ -1,10 +1,11 @@
-"""Wallets on processes: credit is spent by all and never overspent, while consumers call and faults come between.
-
-Of each run four verdicts: the drawing's words, the rules for calls, the checker of `helpers/wallet_clients.py`, and
-what the test itself looks for in consumers' answers. `ann` and `bob` pay, `cid` does not; bob has credit for all of
-the run and notices nothing of ann's. Words of `ask`: `pay T N I` (N units under the id I, told 200 and added), `again
-T N I` (told 200, counted before), `other T N I` (409), `late T N I` (not told 200), `dry T` (all is spent), `spends
-T` (this node has served T since), `leased`.
+"""Wallets on real processes: all members spend credit and never overspend, while clients send requests and faults
+occur.
+
+Each run is judged four times: by the timeline's words, the rules for requests, the checker of
+`helpers/wallet_clients.py`, and what the test looks for in clients' responses. `ann` and `bob` have wallets, `cid` has
+none; bob has credit for the whole run and must not be affected by ann's. Words of `ask`: `pay T N I` (N units under the
+id I, answered 200 and added), `again T N I` (answered 200, counted before), `other T N I` (409), `late T N I` (not
+answered 200), `dry T` (all is spent), `spends T` (this node has served T since), `leased`.
 """
 
 from __future__ import annotations
@@ -39,10 +40,10 @@
 }
 TUNING = msgspec.convert(WALLET, Tuning)
 DEAREST = max(COST.values())
-FIRST_ALLOCATIONS_MS = 700.0  # each sidecar has its first slices by then
-CLOCK_RESOLUTION_MS = 50.0  # of this test's own clock
-COMMIT_MS = 300.0  # what a promise, a message and a busy machine may take beside the wallet's own times
-LEADERLESS_MS = AGREEMENT["election_least_ms"]  # so long a leader that hears of nobody knows that none follows it
+FIRST_ALLOCATIONS_MS = 700.0  # each sidecar has its first allocations by then
+CLOCK_RESOLUTION_MS = 50.0  # resolution of this test's own clock
+COMMIT_MS = 300.0  # what a commit, a message and a busy machine may take beside the wallet's own times
+LEADERLESS_MS = AGREEMENT["election_least_ms"]  # a leader without contact for so long knows that it has no followers
 ELECTION_MS = AGREEMENT["election_most_ms"] * 1.5
 ACCOUNTS = "".join(f'[[account]]\nname = "{name}"\nshare = 1\n' for name in ("ann", "bob", "cid"))
 BOB_CREDIT = 100_000
@@ -54,7 +55,7 @@
         self.stage, self.outcome, self.ends, self.states = stage, outcome, ends, states
 
     def fault_at_ms(self, number: int) -> float:
-        """When the fault of that number in the drawing had come."""
+        """Time of the fault with that number in the timeline."""
         return self.outcome.happened[number]
 
     def log_texts(self, node: str) -> list[str]:
@@ -64,8 +65,8 @@
         return {response.status for response in self.stage.answered(tenant, node, since_ms, until_ms)}
 
     def max_overcounted(self, tenant: str) -> int:
-        """What may be told as spent though no consumer was served: of each slice that was expired a step, and what
-        consumers did not wait for.
+        """What may count as spent though no client was served: a step for each allocation that expired, and requests
+        whose client did not wait.
         """
         texts = {node: [text.split() for text in self.log_texts(node)] for node in self.states}
         expired = max(
@@ -89,7 +90,7 @@
 
 
 class TimelineOperator:
-    """One of a stage; each `ask` of a drawing is theirs."""
+    """Carries out each `ask` of a timeline on its stage."""
 
     stage: PayingStage
 
@@ -123,9 +124,9 @@
 def play(
     text: str, folder: Path, judge: Callable[[CompletedRun], None], error_rate: float = 0.0, **overrides: Any
 ) -> None:
-    """One run, and `judge` of it. Anew, TRIES at most, where it did not come out and the host's own timers were late by
-    LATE_MS or more, which says something of the machine, or it did not begin: somebody else has a port that was free.
-    What the checker finds wrong counts whatever the timers were.
+    """One run, and `judge` of it. Repeated, MAX_RUNS at most, if it failed while the host's own timers were late by
+    LATE_TIMERS_MS or more, which says something of the machine, or if it did not start: another process took a port
+    that was free. What the checker finds counts whatever the timers were.
     """
     for number in range(MAX_RUNS):
         run_folder = folder / str(number)
@@ -187,7 +188,7 @@
     finally:
         late_timers_ms.append(stage.late_ms if stage.began_ms is not None else inf)
         for node in stage.processes.nodes.values():
-            node.kill()  # what they do in leaving is not looked for here
+            node.kill()  # their shutdown is not part of the test
         await stage.close()
 
 
@@ -201,8 +202,8 @@
             "b",
             "c",
         }
-        # Nothing left: from then on it takes so long until all turn it away, and nobody else is.
-        # The reader may have read no node in the moment between that and the next credit; the operator did.
+        # Nothing left: from then on it takes so long until all reject it, and no other tenant is rejected. The reader
+        # may have read no node in the moment between that and the next credit; the operator did.
         readings = [*stage.readings, *stage.empty_readings]
         emptied_ms = min(
             response.at_ms
@@ -220,7 +221,8 @@
             assert completed.first_served("ann", node, added_ms).asked_ms - added_ms <= TUNING.resume_ms + COMMIT_MS
         for tenant in ("ann", "bob"):
             for node in "bc":
-                # A new leader waits for leases that the old one may have granted; slices held are spent meanwhile.
+                # A new leader waits for leases that the old one may have granted; existing allocations are spent
+                # meanwhile.
                 after = killed_ms + ELECTION_MS + TUNING.max_lease_ms
                 assert completed.statuses(tenant, node, after) <= {200}, (tenant, node)
                 assert completed.first_served(tenant, node, after)
@@ -254,7 +256,7 @@
         assert not stage.served("ann", "b", paused_ms + 1.0, credited_ms)
         assert completed.statuses("ann", "b", paused_ms + 1.0, credited_ms) == {
             429
-        }  # those that came before it woke as well
+        }  # also the requests that arrived before it woke
         assert completed.first_served("ann", "b", credited_ms)
         assert (end.credit, end.spent, end.left, end.held) == (230, 230, 0, 0)
         returned = [
@@ -333,7 +335,7 @@
                     <= healed_ms + ELECTION_MS + TUNING.max_lease_ms + COMMIT_MS
                 )
             assert completed.states[node]["parts"]["wallet"]["purse"]["counts"]["advanced"] > 2 * (advance - DEAREST)
-        for tenant in ("ann", "bob"):  # all is told, and nothing twice
+        for tenant in ("ann", "bob"):  # all is recorded, and nothing twice
             end = completed.ends[tenant]
             assert stage.units(tenant) <= end.spent <= stage.units(tenant) + completed.max_overcounted(tenant)
 
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -1,6 +1,4 @@
-"""The wallet in the program: what calls pay at their ends, what operators are answered, and who is turned away where
-there is no purse to trust. One voter, so that all is agreed at once; the fleet of several is in test_wallet_processes.
-"""
+"""The wallet in the program, with one voter: charging, operators' responses, rejections without a spender."""
 
 from __future__ import annotations
 
@@ -26,7 +24,7 @@
 from .test_fleet_off import serving
 
 REJECTED = whole(503, (b"X-Rejected", b"1"))
-LOOK_OF_OTHER_TENANT = LOOK.replace(b"acme", b"zeta")  # of a tenant that does not pay
+LOOK_OF_OTHER_TENANT = LOOK.replace(b"acme", b"zeta")  # of a tenant without a wallet
 TIER: dict[str, Any] = dict(SETTINGS)
 TIER |= {
     "tenants": [{"name": "acme", "quota_per_s": 100.0}, {"name": "zeta", "quota_per_s": 100.0}],
@@ -75,7 +73,6 @@
         return await self.operator("POST", "/fleet/wallets/acme", {"id": credit_id, "add": amount})
 
     async def wait_for_wallet(self) -> None:
-        """Until the log takes what is asked, and slices are spent."""
         async with asyncio.timeout(20):
             while (await self.operator("GET", "/fleet/wallets"))[0] != 200:
                 await asyncio.sleep(0.01)
@@ -84,14 +81,14 @@
         return (await self.operator("GET", "/fleet"))[1]["parts"]["wallet"]
 
     async def serve(self, wire: bytes) -> None:
-        """Until a slice is there: whoever is turned away before is told so."""
+        """Until there is an allocation: requests before are rejected with 429."""
         async with asyncio.timeout(20):
             while (response := await self.request(wire)).status == 429:
                 await asyncio.sleep(0.01)
         assert response.status == 200
 
     async def wait_until_settled(self) -> Any:
-        """The wallet once nothing is held: what was spent is all told then."""
+        """The wallet once nothing is allocated: all that was spent is recorded then."""
         async with asyncio.timeout(20):
             while (wallet := (await self.operator("GET", "/fleet/wallets/acme"))[1])["held"]:
                 await asyncio.sleep(0.01)
@@ -188,7 +185,7 @@
                 writer.write(whole(200))
             else:
                 arrived.set()
-                await reader.read()  # until it is given up
+                await reader.read()  # until the sidecar gives up
         writer.close()
 
     arrived = asyncio.Event()
@@ -198,7 +195,7 @@
         await program.add_credit("i", 100)
         await program.serve(LOOK)
         async with asyncio.timeout(20):
-            while not arrived.is_set():  # turned away while there is no slice of three units yet
+            while not arrived.is_set():  # rejected while there is no allocation of three units yet
                 reader, writer = await asyncio.open_connection("127.0.0.1", program.port)
                 writer.write(DELIVER)
                 tasks = [asyncio.ensure_future(arrived.wait()), asyncio.ensure_future(reader.read(1))]
@@ -341,7 +338,7 @@
 
 
 class FakeSpender:
-    """A purse of ten units that notes what it is told."""
+    """A spender of ten units that records its calls."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
--- a/tests/fleet/test_wallet_quota_grants.py
+++ b/tests/fleet/test_wallet_quota_grants.py
@@ -1,4 +1,4 @@
-"""Who gets how much, who gives back, and what a leader does with answers that never come."""
+"""How much each holder gets, who returns units, and what a leader does about proposals without an answer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LeaderUnderTest:
-    """a leads; a, b, c vote; whoever `leased` names has a lease. What is proposed waits in `asked`."""
+    """a leads; a, b, c vote; those named by `leased` have a lease. Proposals are recorded in `proposals`."""
 
     def __init__(self, *credits: int, leased: str = "abc", tuning: Tuning = TUNING) -> None:
         self.ledger, self.now, self.proposals = Ledger(), 0.0, dict[int, tuple[Entry, ...]]()
@@ -46,7 +46,7 @@
         )
 
     def tick(self, ms: float = 0.0) -> list[Grant]:
-        """The grants asked for."""
+        """Runs timers after so many ms; returns the grants proposed."""
         self.now += ms
         before = len(self.proposals)
         self.granter.actions = []
@@ -64,7 +64,7 @@
         }
 
     def commit_last(self) -> None:
-        """The last that was asked for."""
+        """Commits the last proposal."""
         ticket = len(self.proposals)
         self.commit(*self.proposals[ticket])
         self.granter.proposal_ended(ticket, True)
@@ -239,7 +239,7 @@
 
 
 def serve_requests(fleet: FakeFleet, name: str, ms: float, interval_ms: float, request_class: str = "call") -> int:
-    """A call each so many ms; how many were served."""
+    """A request each so many ms; returns how many were served."""
     served = 0
     for _ in range(int(ms / interval_ms)):
         served += fleet.serve(name, request_class=request_class)
--- a/tests/fleet/test_wallet_spend_witness.py
+++ b/tests/fleet/test_wallet_spend_witness.py
@@ -1,4 +1,4 @@
-"""Marks: what witnesses remember, and what a holder that is gone is counted to have spent."""
+"""Spend limits: what witnesses record, and how much a holder that is gone counts as having spent."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(some.integers(1, 7), some.data())
 def test_any_majority_of_replies_covers_the_recorded_limit(witness_count: int, data: some.DataObject) -> None:
-    """Whatever majority held a mark that was open, whatever majority is heard: it counts."""
+    """Whichever majority recorded an effective limit, and whichever majority answers: the limit counts."""
     witnesses = tuple((f"w{number}", 1) for number in range(witness_count))
     quorum = witness_count // 2 + 1
     recorded: dict[ProcessId, int] = dict.fromkeys(witnesses, 0)
@@ -143,7 +143,7 @@
 
 
 def serve_and_kill(fleet: FakeFleet, name: str, requests: int) -> int:
-    """How many it had served, when it was killed."""
+    """Kills a member once it has served so many requests; returns how many it had served."""
     served = 0
     while served < requests:
         if fleet.serve(name):
--- a/tests/fleet/test_wallet_storms.py
+++ b/tests/fleet/test_wallet_storms.py
@@ -1,4 +1,4 @@
-"""The wallet in simulated time: storms, pause and resume in their stated time, many members, planted faults."""
+"""The wallet in simulated time: randomized fault runs, times to pause and resume, many members, injected bugs."""
 
 from __future__ import annotations
 
--- a/tests/fleet/wallet_bugs.py
+++ b/tests/fleet/wallet_bugs.py
@@ -1,4 +1,4 @@
-"""Faults planted into the wallet by hand, one at a time: each must be found, in the storm of its seed."""
+"""Bugs injected into the wallet, one at a time: the randomized fault run with the given seed must find each."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def lease_counted_from_the_response(patch: pytest.MonkeyPatch) -> None:
-    """Counted from when the answer is handled, not from when it was asked for."""
+    """Counted from when the answer is handled, not from when the lease was requested."""
     real = leases.HeldLease.accept
 
     def take(self: leases.HeldLease, now: float, serial: int, lease_ms: float) -> bool:
@@ -29,7 +29,7 @@
 
 
 def lease_not_checked(patch: pytest.MonkeyPatch) -> None:
-    """Once it was had; for each call, that is: the part still asks in time."""
+    """After it was once granted: not checked for each request; the component still requests it in time."""
     real = allocations.Spender.reserve
 
     def reserve(
@@ -41,7 +41,7 @@
 
 
 def credit_ids_forgotten(patch: pytest.MonkeyPatch) -> None:
-    """The ids are forgotten, all but the last."""
+    """All ids but the last are forgotten."""
     real = ledger.Ledger._credit
 
     def credit(self: ledger.Ledger, entry: entries.Credit) -> ledger.Applied:
@@ -83,7 +83,7 @@
 
 
 def limits_forgotten_in_an_election(patch: pytest.MonkeyPatch) -> None:
-    """By a witness that begins to lead."""
+    """By a witness that becomes leader."""
     forget_by_ledger: dict[int, Callable[[], None]] = {}
     real = quota_grants.AllocationGranter.begin
 
@@ -114,7 +114,7 @@
 
 
 def new_leader_expires_at_once(patch: pytest.MonkeyPatch) -> None:
-    """It knows no leases, and takes that for there being none."""
+    """The leader knows no leases, and takes that for there being none."""
     real = quota_grants.AllocationGranter.begin
 
     def begin(self: quota_grants.AllocationGranter, now: float, term: int) -> None:
@@ -126,7 +126,7 @@
 
 
 def lease_record_too_short(patch: pytest.MonkeyPatch) -> None:
-    """Its answer is on its way, and the record is of when it was asked for."""
+    """The grant is in flight, and the granter's record ends too early."""
     real = lease.SpendLeaseGranter.grant
 
     def grant(self: lease.SpendLeaseGranter, now: float, holder: tuple[str, int]) -> bool:
@@ -139,7 +139,7 @@
 
 
 def closing_allocation_serves_requests(patch: pytest.MonkeyPatch) -> None:
-    """What is given back of it is reserved again."""
+    """Units released from it are reserved again."""
 
     def update_available(self: allocations.LocalAllocation) -> None:
         self.available = max(0, min(self.open_limit, self.size) - self.spent - self.reserved)
@@ -147,7 +147,7 @@
     patch.setattr(allocations.LocalAllocation, "update_available", update_available)
 
 
-# The storm, and the first of its seeds that finds it: one more than that many were needed.
+# The run, and the first seed that finds the bug: one more than that many were needed.
 BUGS: dict[Any, tuple[FaultRun, int]] = {
     lease_counted_from_the_response: (isolated_holder_run, 24),
     lease_not_checked: (isolated_holder_run, 0),
--- a/tests/helpers/wallet_clients.py
+++ b/tests/helpers/wallet_clients.py
@@ -1,13 +1,13 @@
-"""Tenants that pay, on the stage: every answer their consumers got is noted, wallets are read throughout, and a checker
-judges both. It knows answers alone, nothing of the program:
+"""Clients of tenants with wallets, on the stage: every response is recorded, wallets are read throughout, and a checker
+judges both. It knows responses alone, nothing of the program's state:
 
 | rule | of |
 | --- | --- |
-| credit = spent + left + held, and credit and spent of one sidecar's answers never fall | every reading |
-| what consumers were served costs no more than the credit (and the advance) | the whole run |
-| once nothing is held, spent is at least what consumers were served | the end |
-| who does not pay is never told 429 | every answer |
-| who is told 429 is told when to return, and no later than the configuration allows | every answer |
+| credit = spent + left + held, and credit and spent in one sidecar's answers never fall | every reading |
+| what clients were served costs no more than the credit (and the advance) | the whole run |
+| once nothing is held, spent is at least what clients were served | the end |
+| a tenant without a wallet never gets 429 | every response |
+| a 429 states when to retry, no later than the configuration allows | every response |
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 PATH = "/fleet/wallets/"
 READING_INTERVAL_S = 0.05  # between two readings
 SETTLE_LIMIT_S = 15.0
-COST = {"once": 2}  # of a call, by class; 1 of others
-TENANT_WITHOUT_WALLET = "cid"  # does not pay
+COST = {"once": 2}  # of a request, by class; 1 of others
+TENANT_WITHOUT_WALLET = "cid"  # a tenant without a wallet
 
 
 class RuleViolationError(Exception):
@@ -57,7 +57,7 @@
 
 
 class _RecordingPool:
-    """A consumer's way to a sidecar, as its pool; notes what it is answered."""
+    """A client's pool of connections to a sidecar that also records each response."""
 
     def __init__(self, pool: Pool, record_response: Callable[[http1.Message | None], None]) -> None:
         self._pool, self._record_response = pool, record_response
@@ -73,14 +73,14 @@
 
 
 class PayingStage(Stage):
-    """A stage whose consumers pay."""
+    """A stage whose clients have wallets."""
 
     answers: list[ClientResponse]
     readings: list[Reading]
     empty_readings: list[Reading]  # of operators that waited until nothing was left
 
     def begin(self) -> None:
-        """Wallets are read from now on. To be called once, when the run is about to begin."""
+        """Starts reading wallets. To be called once, when the run is about to begin."""
         self.readings, self.empty_readings, self.broken = [], [], list[str]()
         self._reader = asyncio.get_running_loop().create_task(self._read_wallets())
 
@@ -108,7 +108,7 @@
         return answer.status, json.loads(answer.body)
 
     async def wallet(self, node: NodeProcess, tenant: str) -> Reading | None:
-        """None: it can't be told now."""
+        """None: no valid answer now."""
         answer = await call(node, "GET", PATH + tenant)
         if answer is None or answer.status != 200:
             return None
@@ -129,7 +129,7 @@
                 await asyncio.sleep(READING_INTERVAL_S)
 
     async def settled(self, tenant: str) -> Reading:
-        """When nothing is held any more: all that was spent is told then."""
+        """Waits until nothing is held any more: all that was spent is recorded then."""
         async with asyncio.timeout(SETTLE_LIMIT_S):
             while True:
                 for node in self.processes.nodes.values():
@@ -138,7 +138,7 @@
                         return reading
                 await asyncio.sleep(READING_INTERVAL_S)
 
-    # What was seen
+    # Results
 
     def served(
         self, tenant: str, node: str = "", since_ms: float = 0.0, until_ms: float = 1e12
@@ -148,7 +148,7 @@
     def answered(
         self, tenant: str, node: str = "", since_ms: float = 0.0, until_ms: float = 1e12
     ) -> list[ClientResponse]:
-        """Calls that were asked since, and answered until."""
+        """Requests sent since, and answered until."""
         return [
             response
             for response in self.answers
@@ -159,11 +159,13 @@
         ]
 
     def units(self, tenant: str) -> int:
-        """What consumers were served costs."""
+        """What the requests served cost."""
         return sum(response.cost for response in self.served(tenant))
 
     async def audit(self, allowed_excess: int = 0, max_retry_after_s: float = 2.0) -> dict[str, Reading]:
-        """The checker; all is healed. `beyond`: what may be served of a tenant beyond its credit."""
+        """The checker, after all faults have ended. `allowed_excess`: what may be served of a tenant beyond its
+        credit.
+        """
         self._reader.cancel()
         final_readings = {tenant: await self.settled(tenant) for tenant in ("ann", "bob")}
         violations = list(self.broken)
