--- a/benchmarks/wallet_cost.py
+++ b/benchmarks/wallet_cost.py
@@ -117,11 +117,11 @@
     )
     paying = processes.nodes["paying"]
 
-    async def paid() -> bool:
+    async def credit_added() -> bool:
         answer = await paying.ask("/fleet/wallets/acme", "POST", json.dumps({"id": "i", "add": CREDIT}).encode())
         return answer is not None and answer[0] == 200
 
-    await processes.until(paid, 30, "credit")
+    await processes.until(credit_added, 30, "credit")
 
     return processes
 
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -9,7 +9,8 @@
 | leased, no credit | rejected: the tenant is paused | new credit, or units that other holders return |
 
 Rules
-- A unit is reserved only from an allocation of this process, below a limit acknowledged by most witnesses, on a lease.
+- A unit is reserved only from an allocation of this process, below a limit acknowledged by most witnesses, under a
+  lease.
 - A lease counts from when it was requested, and only after all entries that its granter had applied are applied here.
 - An allocation ends when its holder settles it, or when its holder can no longer spend and its witnesses were queried.
 - What reduces an allocation (a recall, a fence, a shutdown) takes effect in the event that brings it, permanently; it
--- a/limenotch/fleet/wallet/operator_requests.py
+++ b/limenotch/fleet/wallet/operator_requests.py
@@ -55,7 +55,7 @@
             credit = entries.Credit(
                 request.tenant, request.id, request.amount, self._tuning.most_ids, self._tuning.most_tenants
             )
-            # Without an id of the log: of two requests with one id, the index in the log tells which was counted.
+            # Without an id of the log: of two requests with one id, the index in the log shows which was counted.
             self.actions.append(log.Propose(ticket, entries.encode((credit,))))
         else:
             self.actions.append(log.ReadIndex(ticket))
--- a/limenotch/fleet/wallet/quota_grants.py
+++ b/limenotch/fleet/wallet/quota_grants.py
@@ -1,4 +1,4 @@
-"""The leader's side: grants leases and allocations, recalls allocations, and expires those of holders that are gone.
+"""The leader's side: grants leases and allocations, recalls allocations, and expires those of lost holders.
 
 | tenant | what the leader does |
 | --- | --- |
@@ -326,7 +326,7 @@
         shortage.next_recall_at_ms = shortage.next_check_at_ms = now + shortage.interval_ms
         shortage.interval_ms = min(2 * shortage.interval_ms, max(tuning.idle_ms, tuning.record_ms / 2))
 
-    # Holders that are gone
+    # Lost holders: without a lease
 
     def _is_witness_lost(self, now: float, inquiry: WitnessInquiry, witness: ProcessId) -> bool:
         """Whether that witness can no longer answer: its name has another process epoch, or it has been considered dead
--- a/limenotch/fleet/wallet/quota_holder.py
+++ b/limenotch/fleet/wallet/quota_holder.py
@@ -141,7 +141,7 @@
                 account.restricted_until_ms = now + self._tuning.lease_ms
                 self._reduce(account, int(account.reserved_per_ms * account.restricted_span_ms + 0.5))
                 self._settle_at_ms = min(self._settle_at_ms, now)
-                # the leader tells by what was spent whether its recalls have an effect
+                # what was spent shows the leader whether its recalls have an effect
                 self._regular_settle_at_ms = -NEVER
 
     def reduce_all(self) -> None:
--- a/limenotch/fleet/wallet/spend_witness.py
+++ b/limenotch/fleet/wallet/spend_witness.py
@@ -1,10 +1,10 @@
-"""What a witness records of other holders' allocations, and how a leader queries it when a holder is gone.
+"""What a witness records of other holders' allocations, and how a leader queries it about a lost holder.
 
 A holder spends only up to a limit that most witnesses of the allocation have recorded. The leader waits for answers of
 a majority; two majorities of one set intersect, so the highest limit answered covers all that may have been spent. A
 witness forgets a limit only when its own ledger shows that the allocation has ended, or when its process ends.
 
-| an allocation of a holder that is gone | result |
+| an allocation of a lost holder, one that can no longer spend | result |
 | --- | --- |
 | most of its witnesses have answered | Expire with the highest limit answered |
 | too few are left for a majority | Expire with the whole allocation |
@@ -88,7 +88,7 @@
 
 
 class WitnessInquiry:
-    """The query of witnesses about a holder that is gone, and their answers. `number` identifies the query."""
+    """The query of witnesses about a lost holder, and their answers. `number` identifies the query."""
 
     def __init__(
         self, number: int, holder: ProcessId, allocations: dict[tuple[str, int], Allocation], now: float
--- a/limenotch/fleet/wallet/tuning.py
+++ b/limenotch/fleet/wallet/tuning.py
@@ -59,7 +59,7 @@
     def step_of(self, size: int, dearest: int = 1) -> int:
         """The most units of an allocation of `size` that may wrongly count as spent after a crash of the holder.
 
-        `dearest`: the cost of the most expensive request. If most witnesses are gone as well the whole allocation
+        `dearest`: the cost of the most expensive request. If most witnesses are lost as well the whole allocation
         counts.
         """
         return min(size, max(ceil(self.step * size), self.least_slice, dearest))
--- a/limenotch/lab/fleet/wallet_drawings.py
+++ b/limenotch/lab/fleet/wallet_drawings.py
@@ -108,7 +108,7 @@
         run.world.kernel.at(float(at_ms), _apply_fault, run, fault)
     run.world.run(scenario.ends + 0.4999)
     seen = [(note.at_ms, note.node, note.text) for note in run.world.seen]
-    found = Outcome(scenario, run.world, scenario.looked_at(seen), exact(scenario, seen))
-    if judge and found.difference is not None:
-        raise AssertionError(f"{found.difference}\n\nThe timeline as it occurred:\n\n{found.drawn_anew()}")
-    return found
+    result = Outcome(scenario, run.world, scenario.looked_at(seen), exact(scenario, seen))
+    if judge and result.difference is not None:
+        raise AssertionError(f"{result.difference}\n\nThe timeline as it occurred:\n\n{result.drawn_anew()}")
+    return result
--- a/limenotch/net/admin/wallet.py
+++ b/limenotch/net/admin/wallet.py
@@ -6,7 +6,7 @@
 | `GET /fleet/wallets/TENANT` | 200: its wallet; 404: it has none |
 | `POST /fleet/wallets/TENANT {"id": "...", "add": 1000}` | 200: added, or `counted` before; 409: for another amount |
 
-400 names the invalid key. 503: rejected, surely not added. 504: may have been added; the same id again counts once.
+400 names the invalid key. 503: rejected, certainly not added. 504: may have been added; the same id again counts once.
 """
 
 from __future__ import annotations
--- a/tests/fleet/fake_wallets.py
+++ b/tests/fleet/fake_wallets.py
@@ -1,4 +1,4 @@
-"""Several wallets on a fake log, which works or fails as told: for the effects of one event after another.
+"""Several wallets on a fake log, which works or fails as the test chooses: for the effects of one event after another.
 
 All share one clock; messages arrive at once and in order, unless `is_lost(sender, member, message)`. The real log,
 drifting clocks and lossy links are in limenotch/lab/fleet.
--- a/tests/fleet/test_wallet_processes.py
+++ b/tests/fleet/test_wallet_processes.py
@@ -59,7 +59,7 @@
         return self.outcome.happened[number]
 
     def log_texts(self, node: str) -> list[str]:
-        return [text for at, name, text in self.outcome.seen if name == node and at >= 0]
+        return [text for at_ms, name, text in self.outcome.seen if name == node and at_ms >= 0]
 
     def statuses(self, tenant: str, node: str, since_ms: float, until_ms: float = 1e12) -> set[int | None]:
         return {response.status for response in self.stage.answered(tenant, node, since_ms, until_ms)}
@@ -94,15 +94,15 @@
 
     stage: PayingStage
 
-    async def asked(self, node: NodeProcess, words: str) -> None:
+    async def handle_ask(self, node: NodeProcess, words: str) -> None:
         word, *arguments = words.split()
         if word in ("pay", "again", "other", "late"):
-            status, said = await self.stage.add(node, arguments[0], int(arguments[1]), arguments[2])
+            status, reply = await self.stage.add(node, arguments[0], int(arguments[1]), arguments[2])
             expected = {"pay": (200, False), "again": (200, True), "other": (409, None)}
             if word == "late":
-                assert status in (503, 504), (words, status, said)
+                assert status in (503, 504), (words, status, reply)
             else:
-                assert (status, said.get("counted")) == expected[word], (words, status, said)
+                assert (status, reply.get("counted")) == expected[word], (words, status, reply)
         elif word == "dry":
             async with asyncio.timeout(15):
                 while (wallet := await self.stage.wallet(node, arguments[0])) is None or wallet.left or wallet.held:
@@ -165,7 +165,7 @@
         folder,
         timeline,
         weather.Weather(timeline.seed),
-        ask=operator.asked,
+        ask=operator.handle_ask,
         spoils=True,
         fleet=lambda stage, node: fleet(stage, node) + costs,
     )
--- a/tests/fleet/test_wallet_spend_witness.py
+++ b/tests/fleet/test_wallet_spend_witness.py
@@ -1,4 +1,4 @@
-"""Spend limits: what witnesses record, and how much a holder that is gone counts as having spent."""
+"""Spend limits: what witnesses record, and how much a lost holder counts as having spent."""
 
 from __future__ import annotations
 
