--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -101,7 +101,7 @@
             log.SnapshotInstalled: self._snapshot_installed,
             log.LeaderChanged: self._leader_changed,
             log.ProposalCommitted: lambda event: self._proposal_ended(event.ticket, "committed", "", event.index),
-            log.ProposalRejected: lambda event: self._proposal_ended(event.ticket, "refused", event.reason),
+            log.ProposalRejected: lambda event: self._proposal_ended(event.ticket, "refused", event.why),
             log.OutcomeUnknown: lambda event: self._proposal_ended(
                 event.ticket, "unknown", "ask again with the same id"
             ),
--- a/limenotch/fleet/wallet/tuning.py
+++ b/limenotch/fleet/wallet/tuning.py
@@ -13,6 +13,8 @@
 
 
 class Tuning(Struct, frozen=True, kw_only=True):
+    """The keys of the table; see the module."""
+
     tenants: tuple[Name, ...] = ("*",)  # who has a wallet; "*": all tenants of the configuration
     cost: dict[Name, Units] = {}  # of a request, by class
     other_cost: Units = 1  # of a class that `cost` does not name
