--- a/tests/test_restricted_mode.py
+++ b/tests/test_restricted_mode.py
@@ -1,4 +1,4 @@
-"""A sidecar without the others' word: it does less, for open calls too, from its lease's end on whatever wakes it."""
+"""A sidecar without a valid lease does less, for open requests too, from the first event after the end of its lease."""
 
 from __future__ import annotations
 
@@ -29,42 +29,44 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 @pytest.mark.parametrize("cls", [READ, KEYED, WRITE])
-def test_what_may_have_run_is_not_sent_again_and_not_said_to_be_harmless(cls: TrafficClass, outcome: Outcome) -> None:
-    given = settings(classes=(cls,))
-    referee = Referee(given, rows=fleet(7))
+def test_a_request_that_may_have_run_is_not_retried_and_not_reported_as_harmless(
+    cls: TrafficClass, outcome: Outcome
+) -> None:
+    configured = settings(classes=(cls,))
+    referee = Referee(configured, rows=fleet(7))
     name, _ = referee.arrive(0)
-    referee.retune(replace(given, restricted=True))  # an open call as well
-    answer = referee.finish(name, 0, outcome)
-    assert not sends(answer) and referee.calls[name].over
-    assert not any(isinstance(act, actions.RejectRequest) for act in answer)
+    referee.retune(replace(configured, restricted=True))  # for an open request as well
+    result = referee.finish(name, 0, outcome)
+    assert not sends(result) and referee.calls[name].over
+    assert not any(isinstance(action, actions.RejectRequest) for action in result)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_what_surely_never_ran_goes_on(outcome: Outcome) -> None:
+def test_a_request_that_certainly_did_not_run_is_retried(outcome: Outcome) -> None:
     referee = Referee(settings(restricted=True), rows=fleet(7))
     name, _ = referee.arrive(0)
     assert sends(referee.finish(name, 0, outcome))
 
 
-def test_no_copy_is_made() -> None:
-    """The same days as where copies are seen to be made at once or when overdue."""
+def test_no_request_is_hedged() -> None:
+    """On the same schedule, requests are hedged at once or when overdue without restricted mode."""
 
-    def copies(narrow: bool) -> int:
-        referee = Referee(settings(restricted=narrow), rows=fleet(9))
-        twice = 0
-        for turn in range(300):
+    def count_hedged(restricted: bool) -> int:
+        referee = Referee(settings(restricted=restricted), rows=fleet(9))
+        hedged = 0
+        for number in range(300):
             name, _ = referee.arrive(0)
-            referee.wait(100.0 if turn % 8 else 500.0)
-            twice += len(referee.calls[name].sent) > 1
+            referee.wait(100.0 if number % 8 else 500.0)
+            hedged += len(referee.calls[name].sent) > 1
             for attempt in range(len(referee.calls[name].sent)):
                 referee.finish(name, attempt, Outcome.CANCELLED if referee.calls[name].over else Outcome.OK)
-        return twice
+        return hedged
 
-    assert copies(False) and not copies(True)
+    assert count_hedged(False) and not count_hedged(True)
 
 
-def test_cold_upstreams_get_nothing_from_who_has_no_part() -> None:
-    rows = tuple(row._replace(started_ms=999.0) for row in fleet(7))  # all: where else could a call go
+def test_endpoints_in_slow_start_get_nothing_without_a_share_of_the_allowance() -> None:
+    rows = tuple(row._replace(started_ms=999.0) for row in fleet(7))  # all of them, so that there is no other endpoint
     for changes in ({"restricted": True}, {"agreed_slow_start_divisor": inf}):
         referee = Referee(settings(classes=(READ,), **changes), rows=rows)
         for _ in range(100):
@@ -78,19 +80,19 @@
     assert sends(referee.log)
 
 
-def test_the_allowance_of_cold_upstreams_is_divided_by_the_parts_agreed_on() -> None:
-    rooms = []
-    for parts in (0.0, 4.0, 16.0):
+def test_the_slow_start_allowance_is_divided_by_the_agreed_divisor() -> None:
+    rates = []
+    for divisor in (0.0, 4.0, 16.0):
         referee = Referee(settings(balancers=2, processes=2), rows=fleet(7))
         referee.balancer.tier_profile.reported_rate = referee.balancer.tier_profile.reported_use = (
-            1.0  # reports tell what the tier can do
+            1.0  # load reports say what the tier can do
         )
-        referee.retune(settings(balancers=2, processes=2, agreed_slow_start_divisor=parts))
-        rooms.append(referee.balancer.slow_start_rate)
-    assert rooms[0] == pytest.approx(2 * rooms[1]) and rooms[1] == pytest.approx(4 * rooms[2])
+        referee.retune(settings(balancers=2, processes=2, agreed_slow_start_divisor=divisor))
+        rates.append(referee.balancer.slow_start_rate)
+    assert rates[0] == pytest.approx(2 * rates[1]) and rates[1] == pytest.approx(4 * rates[2])
 
 
-class Clock:
+class ManualClock:
     def __init__(self) -> None:
         self.now = 1000.0
 
@@ -98,58 +100,58 @@
         return self.now
 
 
-def leased(refusing: bool = False) -> tuple[LoadBalancer, Clock]:
-    clock = Clock()
-    facade = LoadBalancer(settings(classes=(READ,)), 7, clock=clock)
-    facade.start()
-    facade.endpoints_listed(
+def leased(reject_without_lease: bool = False) -> tuple[LoadBalancer, ManualClock]:
+    clock = ManualClock()
+    load_balancer = LoadBalancer(settings(classes=(READ,)), 7, clock=clock)
+    load_balancer.start()
+    load_balancer.endpoints_listed(
         [DiscoveredEndpoint(f"p{n}", ("127.0.0.1", n), DiscoveryStatus.IN_SERVICE) for n in range(5)], True
     )
-    facade.set_lease(1500.0, reject_without_lease=refusing)
-    return facade, clock
+    load_balancer.set_lease(1500.0, reject_without_lease=reject_without_lease)
+    return load_balancer, clock
 
 
-def made(orders: list[Command]) -> list[StartAttempt]:
-    return [order for order in orders if isinstance(order, StartAttempt)]
+def started_attempts(commands: list[Command]) -> list[StartAttempt]:
+    return [command for command in commands if isinstance(command, StartAttempt)]
 
 
-def test_the_first_event_after_a_pause_finds_the_lease_run_out() -> None:
-    """No timer runs here: SIGSTOP for 10 s, and the provider's answer is what the loop handles first."""
-    facade, clock = leased()
-    (call,) = made(facade.request_arrived(1, "read", "", 900.0))[:1]
+def test_the_first_event_after_a_pause_finds_the_lease_expired() -> None:
+    """No timer runs here: after SIGSTOP for 10 s, the endpoint's response is what the loop handles first."""
+    load_balancer, clock = leased()
+    (attempt,) = started_attempts(load_balancer.request_arrived(1, "read", "", 900.0))[:1]
     clock.now = 1499.0
-    assert made(facade.attempt_finished(1, 0, call.endpoint, 5.0, AttemptEnding.ERROR, False)), (
-        "the lease holds: it is tried again"
+    assert started_attempts(load_balancer.attempt_finished(1, 0, attempt.endpoint, 5.0, AttemptEnding.ERROR, False)), (
+        "the lease is valid: the request is retried"
     )
-    facade, clock = leased()
-    (call,) = made(facade.request_arrived(1, "read", "", 900.0))[:1]
+    load_balancer, clock = leased()
+    (attempt,) = started_attempts(load_balancer.request_arrived(1, "read", "", 900.0))[:1]
     clock.now = 1500.0
-    orders = facade.attempt_finished(1, 0, call.endpoint, 5.0, AttemptEnding.ERROR, False)
-    assert not made(orders) and any(isinstance(order, FailRequest) for order in orders)
-    assert facade.restricted
+    commands = load_balancer.attempt_finished(1, 0, attempt.endpoint, 5.0, AttemptEnding.ERROR, False)
+    assert not started_attempts(commands) and any(isinstance(command, FailRequest) for command in commands)
+    assert load_balancer.restricted
 
 
-def test_a_new_lease_widens_again_and_settings_read_meanwhile_do_not() -> None:
-    facade, clock = leased()
+def test_a_new_lease_ends_restricted_mode_and_reloaded_settings_do_not() -> None:
+    load_balancer, clock = leased()
     clock.now = 5000.0
-    facade.apply_settings(settings(classes=(READ,)))
-    (call,) = made(facade.request_arrived(1, "read", "", 20000.0))[:1]
-    assert not made(facade.attempt_finished(1, 0, call.endpoint, 5.0, AttemptEnding.RESET, False))
-    facade.set_lease(8000.0)
-    (call,) = made(facade.request_arrived(2, "read", "", 20000.0))[:1]
-    assert made(facade.attempt_finished(2, 0, call.endpoint, 5.0, AttemptEnding.RESET, False))
+    load_balancer.apply_settings(settings(classes=(READ,)))
+    (attempt,) = started_attempts(load_balancer.request_arrived(1, "read", "", 20000.0))[:1]
+    assert not started_attempts(load_balancer.attempt_finished(1, 0, attempt.endpoint, 5.0, AttemptEnding.RESET, False))
+    load_balancer.set_lease(8000.0)
+    (attempt,) = started_attempts(load_balancer.request_arrived(2, "read", "", 20000.0))[:1]
+    assert started_attempts(load_balancer.attempt_finished(2, 0, attempt.endpoint, 5.0, AttemptEnding.RESET, False))
 
 
 def test_without_a_lease_all_is_rejected_where_the_settings_say_so() -> None:
-    facade, clock = leased(refusing=True)
-    assert not facade.rejects_all
+    load_balancer, clock = leased(reject_without_lease=True)
+    assert not load_balancer.rejects_all
     clock.now = 1500.0
-    assert facade.rejects_all and not leased()[0].rejects_all
+    assert load_balancer.rejects_all and not leased()[0].rejects_all
 
 
-def test_one_that_is_alone_never_becomes_narrow() -> None:
-    clock = Clock()
-    facade = LoadBalancer(settings(classes=(READ,)), 7, clock=clock)
+def test_a_sidecar_without_a_fleet_is_never_restricted() -> None:
+    clock = ManualClock()
+    load_balancer = LoadBalancer(settings(classes=(READ,)), 7, clock=clock)
     clock.now = 1e12
-    assert not facade.restricted and not facade.rejects_all
-    assert not [order for order in facade.start() if not isinstance(order, (ScheduleTimer, RejectRequest))]
+    assert not load_balancer.restricted and not load_balancer.rejects_all
+    assert not [command for command in load_balancer.start() if not isinstance(command, (ScheduleTimer, RejectRequest))]
