--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -16,11 +16,11 @@
 from limenotch.fleet.hub import LOG, ComponentEvent, ComponentHub
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.fleet.rules import Rules
-from limenotch.fleet.rules.api import InForce, Narrow
+from limenotch.fleet.rules.api import RestrictedRules, RulesInForce
 from limenotch.fleet.rules.endpoint_list_messages import AgreedEndpointsChanged, PeerDrainsChanged
 from limenotch.fleet.rules.endpoint_lists import EndpointLists
 from limenotch.lab.fleet.lists_drawings import event_of
-from limenotch.lab.fleet.rules_run import FIRST, settings_check
+from limenotch.lab.fleet.rules_run import FIRST_DOCUMENT, settings_check
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
 
@@ -36,12 +36,12 @@
         [
             ("mb.", members),
             (LOG, log),
-            ("ru.", Rules(name, process_epoch, voters, FIRST, settings_check)),
+            ("ru.", Rules(name, process_epoch, voters, FIRST_DOCUMENT, settings_check)),
             ("li.", EndpointLists(name, process_epoch, "d1", voters)),
         ],
         members,
     )
-    for kind in (InForce, Narrow, PeerDrainsChanged, AgreedEndpointsChanged):
+    for kind in (RulesInForce, RestrictedRules, PeerDrainsChanged, AgreedEndpointsChanged):
         hub.register_action_handler(kind, lambda said: None)
     return hub
 
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -1,11 +1,12 @@
-"""The longest contradiction between sidecars' rules over many storms, against the stated time.
+"""The longest contradiction between sidecars' rules over many randomized fault runs, against the stated time.
 
     python -m benchmarks.rules [--seeds 500] [--processes 2] [--span 6000]
 
-One run a seed: three to eight sidecars, clocks apart in rate by the bound of drift, cuts, pauses, kills, fences, loss
-and slow links by chance, operators who change rules everywhere all the time (`lab.fleet.rules_run.storm`); then calm,
-until all act on one version. What each acted on at each moment is held against every other by a checker that knows
-nothing of the rules' code (`checks_rules`). A run that breaks a rule ends the whole with its seed.
+One run a seed: three to eight sidecars whose clocks differ in rate by the bound of drift; random network partitions,
+pauses, kills, fences, loss and slow links; operators who change rules at every sidecar all the time
+(`lab.fleet.rules_run.randomized_run`); then no faults, until all use one version. What each used at each moment is
+compared with every other by a checker that is independent of the rules' code (`checks_rules`). A run that breaks a rule
+ends the whole benchmark with its seed.
 """
 
 from __future__ import annotations
@@ -15,47 +16,57 @@
 from functools import partial
 from typing import NamedTuple
 
-from limenotch.lab.fleet.rules_run import QUICK, storm
+from limenotch.lab.fleet.rules_run import QUICK_TUNING, randomized_run
 
 
-class Found(NamedTuple):
+class Result(NamedTuple):
+    """The outcome of one run."""
+
     seed: int
-    longest: float  # ms of contradiction
-    what: str
+    longest_ms: float  # longest contradiction
+    cause: str
     versions: int  # agreed
-    asked: int
-    answered: int  # yes or no, of those asked for
+    requested: int
+    answered: int  # yes or no, of the requests
 
 
-def one(seed: int, span_ms: float = 6000.0) -> Found:
-    run = storm(seed, span_ms)
+def run_seed(seed: int, span_ms: float = 6000.0) -> Result:
+    run = randomized_run(seed, span_ms)
     checker = run.checker
-    return Found(seed, checker.longest, checker.what, max(checker.versions, default=0), run.ticket, len(run.answers))
+    return Result(
+        seed, checker.longest_ms, checker.longest_cause, max(checker.versions, default=0), run.ticket, len(run.answers)
+    )
 
 
-def at(values: list[float], part: float) -> float:
-    return sorted(values)[min(len(values) - 1, int(len(values) * part))]
+def percentile(values: list[float], fraction: float) -> float:
+    """The value below which this fraction of the values lies."""
+    return sorted(values)[min(len(values) - 1, int(len(values) * fraction))]
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seeds", type=int, default=500)
     parser.add_argument("--processes", type=int, default=2)
-    parser.add_argument("--span", type=float, default=6000.0, help="of each storm, ms")
-    given = parser.parse_args()
-    with ProcessPoolExecutor(given.processes) as pool:
-        found = list(pool.map(partial(one, span_ms=given.span), range(given.seeds), chunksize=5))
-    stated = QUICK.contradiction_ms
-    spans = [each.longest for each in found]
-    worst = max(found, key=lambda each: each.longest)
+    parser.add_argument("--span", type=float, default=6000.0, help="of each run, ms")
+    options = parser.parse_args()
+    with ProcessPoolExecutor(options.processes) as pool:
+        runs = list(pool.map(partial(run_seed, span_ms=options.span), range(options.seeds), chunksize=5))
+    stated_ms = QUICK_TUNING.contradiction_ms
+    spans_ms = [each.longest_ms for each in runs]
+    worst = max(runs, key=lambda each: each.longest_ms)
+    print(
+        f"runs {len(runs)}, of {options.span:g} ms; versions agreed {sum(each.versions - 1 for each in runs)}, "
+        f"changes requested {sum(each.requested for each in runs)}, answered {sum(each.answered for each in runs)}"
+    )
     print(
-        f"storms {len(found)}, of {given.span:g} ms; versions agreed {sum(each.versions - 1 for each in found)}, "
-        f"changes asked for {sum(each.asked for each in found)}, answered {sum(each.answered for each in found)}"
+        f"stated {stated_ms:.0f} ms: lease {QUICK_TUNING.lease_ms:g}, drift {QUICK_TUNING.drift:g}, "
+        f"grace {QUICK_TUNING.grace_ms:g}"
     )
-    print(f"stated {stated:.0f} ms: lease {QUICK.lease_ms:g}, drift {QUICK.drift:g}, grace {QUICK.grace_ms:g}")
     print(
-        f"contradiction: p50 {at(spans, 0.5):.0f} ms, p90 {at(spans, 0.9):.0f}, p99 {at(spans, 0.99):.0f}, "
-        f"longest {worst.longest:.1f} ({worst.longest / stated:.3f} of the stated; seed {worst.seed}: {worst.what})"
+        f"contradiction: p50 {percentile(spans_ms, 0.5):.0f} ms, p90 {percentile(spans_ms, 0.9):.0f}, "
+        f"p99 {percentile(spans_ms, 0.99):.0f}, "
+        f"longest {worst.longest_ms:.1f} "
+        f"({worst.longest_ms / stated_ms:.3f} of the stated time; seed {worst.seed}: {worst.cause})"
     )
 
 
--- a/limenotch/configuration_applier.py
+++ b/limenotch/configuration_applier.py
@@ -1,8 +1,8 @@
 """Puts the rules that a fleet has agreed on in force at this sidecar: settings, ejections, discovery, and their lease.
 
-The fleet's rules say what is in force and until when; here that becomes what the program's parts are notified of. A
-version is put in force completely or not at all, as a file read again is; one that this program can't read ends the
-lease at once.
+The rules component says what is in force and until when; here that becomes calls to the program's components. A version
+is put in force completely or not at all, as a reloaded file is; a version that this program can't read ends the lease
+at once.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 # The end, in ms, of a lease that is already over.
 NEVER = -math.inf
-# By what the allowance of endpoints in slow start is divided where this sidecar gets no part of it.
-NO_PART = math.inf
+# The divisor of the slow-start allowance of a sidecar that gets no share of it.
+NO_SHARE = math.inf
 Document = Mapping[str, Any]
 
 
 class ConfigurationTarget(Protocol):
-    """The part of the program that follows the rules."""
+    """What the rules configure."""
 
     def apply_config(self, config: Config) -> None:
-        """Use these settings, permissions and address of discovery for what comes from now on."""
+        """Use these settings, permissions and discovery address from now on."""
 
     def set_ejected(self, name: str, ejected: bool, at_ms: float) -> None:
         """An endpoint is ejected, or was readmitted at `at_ms` of Unix time."""
@@ -35,20 +35,20 @@
     def set_lease(self, until_ms: float, slow_start_divisor: float, reject_without_lease: bool) -> None:
         """Until when the rules are in force, by the host's monotonic clock in ms.
 
-        `slow_start_divisor`: by what the allowance of endpoints in slow start is divided. `reject_without_lease`:
-        whether all requests are rejected from then on, rather than handled in restricted mode.
+        `slow_start_divisor`: the allowance of endpoints in slow start is divided by it. `reject_without_lease`: whether
+        all requests are rejected from then on, rather than handled in restricted mode.
         """
 
 
 class ConfigurationApplier:
-    """Owns what is in force of the agreed rules."""
+    """Keeps what is in force of the agreed rules."""
 
     def __init__(self, file_config: Config, target: ConfigurationTarget) -> None:
         """`file_config` is the configuration of this sidecar's own file."""
         self._file_config = file_config
         self._target = target
         self._rejects_without_lease = False  # rather than handling requests in restricted mode
-        self._document: Document | None = None  # as put in force last
+        self._document: Document | None = None  # the one put in force last
         self._ejected: dict[str, float] = {}  # by the rules, and when, in ms of Unix time
         self.version = 0
         self._latency_objectives = _latency_objectives(file_config)
@@ -69,32 +69,32 @@
             return str(error)
         return None
 
-    def start_without_lease(self, refuse: bool) -> None:
-        """At the start: nothing is agreed on yet, so the file's own rules are in force in restricted mode.
+    def start_without_lease(self, reject_all: bool) -> None:
+        """At the start nothing is agreed on yet: the file's own rules are in force in restricted mode.
 
-        `refuse`: now and whenever a lease ends, all requests are rejected.
+        `reject_all`: now and whenever a lease ends, all requests are rejected.
         """
-        self._rejects_without_lease = refuse
-        self._target.set_lease(NEVER, NO_PART, refuse)
+        self._rejects_without_lease = reject_all
+        self._target.set_lease(NEVER, NO_SHARE, reject_all)
 
-    def put_in_force(self, document: Document, until_ms: float, parts: int, version: int) -> None:
+    def put_in_force(self, document: Document, until_ms: float, divisor: int, version: int) -> None:
         """Put `document` in force until then, by the host's monotonic clock.
 
-        `parts`: by what the allowance of endpoints in slow start is divided; 0: this sidecar gets no part of it.
+        `divisor`: the allowance of endpoints in slow start is divided by it; 0: this sidecar gets no share of it.
         """
         if not self._apply(document, version):
-            self._target.set_lease(NEVER, NO_PART, True)
+            self._target.set_lease(NEVER, NO_SHARE, True)
             return
-        self._target.set_lease(until_ms, float(parts) if parts > 0 else NO_PART, self._rejects_without_lease)
+        self._target.set_lease(until_ms, float(divisor) if divisor > 0 else NO_SHARE, self._rejects_without_lease)
 
-    def restrict(self, document: Document, refuse: bool, version: int) -> None:
-        """There is no lease: restricted mode under `document`, or with `refuse` all requests are rejected."""
+    def restrict(self, document: Document, reject_all: bool, version: int) -> None:
+        """There is no lease: restricted mode under `document`, or with `reject_all` all requests are rejected."""
         if not self._apply(document, version):
-            refuse = True
-        self._target.set_lease(NEVER, NO_PART, refuse)
+            reject_all = True
+        self._target.set_lease(NEVER, NO_SHARE, reject_all)
 
     def file_reloaded(self, file_config: Config) -> None:
-        """The file was read again: what is this sidecar's own follows it, what was agreed on does not."""
+        """The file was reloaded: this sidecar's own settings follow it, what was agreed on does not."""
         self._file_config = file_config
         document = self._document
         self._document = None
@@ -108,16 +108,16 @@
         try:
             config = with_document(self._file_config, document)
         except ConfigError as error:
-            # The rule of a newer program. A restriction must take effect: so this sidecar does nothing rather than
-            # too much.
+            # A rule of a newer program. A restriction must take effect, so this sidecar rejects everything rather than
+            # allow too much.
             log.error("rules: not readable by this program; rejecting all requests", version=version, error=str(error))
             return False
-        before = self._document
+        previous = self._document
         self._document = document
         self.version = version
         self._latency_objectives = _latency_objectives(config)
         self._apply_ejections(document.get("bans") or {})  # first: no requests to these under the new settings
-        if before is None or _without_ejections(before) != _without_ejections(document):
+        if previous is None or _without_ejections(previous) != _without_ejections(document):
             self._target.apply_config(config)
         return True
 
--- a/limenotch/fleet/rules/__init__.py
+++ b/limenotch/fleet/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Rules that the sidecars agree on: versions, leases, changes, bans. Layer 3; decisions only, see core.py."""
+"""The rules that a fleet agrees on: versions, leases, changes and ejections. Layer 3: decisions only, see core.py."""
 
 from .core import Rules
 from .tuning import Tuning
--- a/limenotch/fleet/rules/api.py
+++ b/limenotch/fleet/rules/api.py
@@ -1,4 +1,4 @@
-"""What operators and the host say to the rules and hear of them, besides contract.py and the log's api.py."""
+"""Events and actions between the rules component, the host and operators, besides `interfaces` and the log's API."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
     ticket: int
     what: str
     document: Mapping[str, Any]
-    id: str = ""  # counts once; made of name, life and ticket if empty
+    id: str = ""  # counted once; made of name, process epoch and ticket if empty
 
 
-class Voters(NamedTuple):
-    """Who votes on the log now: they check each change."""
+class VotersChanged(NamedTuple):
+    """The voters of the log have changed: they check each change of the rules."""
 
     names: tuple[str, ...]
 
 
-class Counted(NamedTuple):
-    """What this sidecar has counted of calls since it was told last, under the document then in force."""
+class RequestsCounted(NamedTuple):
+    """Requests of this sidecar since the last such event, under the document then in force."""
 
-    taken: int
-    bad: int  # rejected, failed or late
+    requests: int
+    unsuccessful: int  # rejected, failed or overdue
 
 
 # Actions
@@ -52,23 +52,26 @@
     version: int
 
 
-class InForce(NamedTuple):
-    """The host acts on `document` while its own clock, looked at for each call, is below `lease_until_ms`; from then
-    on `narrow` (or refuses, by the settings), until the next InForce. The same object again: it did not change.
-    `parts` 0: nothing is sent to cold providers.
+class RulesInForce(NamedTuple):
+    """The rules in force under a lease.
+
+    For each request the host compares its own clock with `lease_until_ms`: below it, `document` is in force; from then
+    on `restricted_document` (or all requests are rejected, by the settings), until the next RulesInForce. The same
+    object as before means that nothing in it changed. A `divisor` of 0: nothing is sent to endpoints in slow
+    start.
     """
 
     document: dict[str, Any]
     lease_until_ms: float
-    parts: int
-    narrow: dict[str, Any]
-    version: int  # the newest held
+    divisor: int
+    restricted_document: dict[str, Any]
+    version: int  # the newest that this sidecar has applied
     active: int
 
 
-class Narrow(NamedTuple):
-    """No lease is held. `refuse`: no call is taken at all."""
+class RestrictedRules(NamedTuple):
+    """No lease is valid: `document` is in force in restricted mode. `reject_all`: all requests are rejected."""
 
     document: dict[str, Any]
-    refuse: bool
+    reject_all: bool
     version: int
--- a/limenotch/fleet/rules/canary.py
+++ b/limenotch/fleet/rules/canary.py
@@ -1,17 +1,20 @@
-"""Whether a canary's calls go worse than the others': a sequential test on counts, of the leader.
+"""Whether the requests of a canary trial go worse than the others: the leader's sequential test on counts.
 
-Model: a call goes bad (rejected, failed, late) by chance p at the others and q at the canaries. Of all bad calls of one
-look, the canaries' share is, when p = q, and when theirs are `rise` times as likely,
+Model: a request is unsuccessful (rejected, failed, overdue) with probability p at the other sidecars and q at the
+canaries. Of all unsuccessful requests of one sample, the canaries' share is, when p = q, and when theirs are `rise`
+times as likely,
 
-    s0 = canaries' calls / all calls        s1 = rise s0 / (1 + (rise - 1) s0)
+    s0 = canaries' requests / all requests        s1 = rise s0 / (1 + (rise - 1) s0)
 
-so the unknown p falls out. A look adds  bad ln(s1 / s0) + (others' bad) ln((1 - s1) / (1 - s0))  with its own s0: rates
-that move with the day harm nothing. Given the total, the canaries' bad calls are hypergeometric when p = q; the added
-term's exponential is convex in them, so its mean is at most the binomial's (Hoeffding 1963, theorem 4), which is 1.
+so the unknown p cancels. A sample adds  bad ln(s1 / s0) + (others' bad) ln((1 - s1) / (1 - s0))  with its own s0, where
+bad counts unsuccessful requests: rates that change over the day do no harm. Given the total, the canaries' unsuccessful
+requests are hypergeometric when p = q; the exponential of the added term is convex in them, so its mean is at most the
+binomial's (Hoeffding 1963, theorem 4), which is 1.
 
-It goes back when the sum passes ln(1 / alpha). By Ville's inequality (1939) the chance that this ever happens, however
-often one looks, is at most alpha when q = p. It is kept when `span_ms` is over and canaries have taken `least_calls`;
-with fewer it goes on, to `most_ms` at the latest, and then goes back.
+The change is withdrawn when the sum exceeds ln(1 / alpha). By Ville's inequality (1939) the probability that this ever
+happens, however often samples are taken, is at most alpha when q = p. The change is kept when `span_ms` is over and the
+canaries have had `least_calls` requests; with fewer the trial goes on, until `most_ms` at the latest, and is then
+withdrawn.
 
 Source: Wald, "Sequential Tests of Statistical Hypotheses" (1945); Przyborowski, Wilenski (1940) for comparing two rates
 by their total.
@@ -27,8 +30,10 @@
 
 
 class Tuning(Struct, frozen=True, forbid_unknown_fields=True):
-    alpha: float = 0.01  # chance of going back for nothing
-    rise: float = 2.0  # the rise that is looked for: this many times the others' odds
+    """Settings of canary trials."""
+
+    alpha: float = 0.01  # probability of withdrawing a harmless change
+    rise: float = 2.0  # the rise to detect: this many times the odds at the other sidecars
     span_ms: float = 600_000.0
     most_ms: float = 3_600_000.0
     least_calls: int = 200
@@ -46,62 +51,69 @@
 
 
 @dataclass(slots=True)
-class Trend:
-    """One canary's test. `look` gives `back`, `keep` or nothing yet."""
+class SequentialTest:
+    """The test of one canary trial."""
 
     tuning: Tuning
-    since: float
-    evidence: float = 0.0  # ln of the likelihood ratio
-    taken: int = 0  # by canaries
-
-    def look(self, now: float, taken: int, bad: int, others_taken: int, others_bad: int) -> str:
-        """Counts since the last look. A look in which either group took nothing tells nothing."""
-        self.taken += taken
-        if taken > 0 and others_taken > 0:
-            none = taken / (taken + others_taken)
-            rise = self.tuning.rise * none / (1 + (self.tuning.rise - 1) * none)
-            self.evidence += bad * log(rise / none) + others_bad * log((1 - rise) / (1 - none))
-        if self.evidence >= -log(self.tuning.alpha):
+    started_at_ms: float
+    log_likelihood_ratio: float = 0.0
+    canary_requests: int = 0
+
+    def add_sample(
+        self, now: float, requests: int, unsuccessful: int, other_requests: int, other_unsuccessful: int
+    ) -> str:
+        """Add counts since the last sample; returns `back`, `keep` or nothing yet.
+
+        A sample in which either group had no requests tells nothing.
+        """
+        self.canary_requests += requests
+        if requests > 0 and other_requests > 0:
+            null_share = requests / (requests + other_requests)
+            rise_share = self.tuning.rise * null_share / (1 + (self.tuning.rise - 1) * null_share)
+            self.log_likelihood_ratio += unsuccessful * log(rise_share / null_share) + other_unsuccessful * log(
+                (1 - rise_share) / (1 - null_share)
+            )
+        if self.log_likelihood_ratio >= -log(self.tuning.alpha):
             return "back"
-        if now - self.since >= self.tuning.span_ms and self.taken >= self.tuning.least_calls:
+        if now - self.started_at_ms >= self.tuning.span_ms and self.canary_requests >= self.tuning.least_calls:
             return "keep"
-        return "back" if now - self.since >= self.tuning.most_ms else ""
+        return "back" if now - self.started_at_ms >= self.tuning.most_ms else ""
 
 
-LOOK_MS = 1000.0
-AGAIN_MS = 5000.0  # an end that was proposed and is not agreed yet
+SAMPLE_INTERVAL_MS = 1000.0
+REPEAT_INTERVAL_MS = 5000.0  # until an end that was proposed, and is not agreed on yet, is proposed again
 
 
-class Watch:
-    """The leader's: what sidecars counted of the canary that is under way. A new leader begins anew."""
+class CanaryMonitor:
+    """The leader's counts of the trial under way, as sidecars report them. A new leader starts from nothing."""
 
     def __init__(self, tuning: Tuning) -> None:
         self._tuning = tuning
-        self._trend: Trend | None = None
+        self._test: SequentialTest | None = None
         self._id = ""
-        self._counts = [0, 0, 0, 0]  # canaries' taken and bad, others' taken and bad
-        self._look_at = 0.0
-
-    def counted(self, now: float, ident: str, canary: bool, taken: int, bad: int) -> str:
-        """`back`, `keep` or nothing yet. Counts that can't be are not counted."""
-        if self._trend is None or self._id != ident:
-            self._trend, self._id = Trend(self._tuning, now), ident
-            self._counts, self._look_at = [0, 0, 0, 0], now + LOOK_MS
-        if not 0 <= bad <= taken:
+        self._counts = [0, 0, 0, 0]  # requests and unsuccessful ones of the canaries, then of the others
+        self._next_sample_ms = 0.0
+
+    def add_counts(self, now: float, ident: str, is_canary: bool, requests: int, unsuccessful: int) -> str:
+        """Returns `back`, `keep` or nothing yet. Impossible counts are ignored."""
+        if self._test is None or self._id != ident:
+            self._test, self._id = SequentialTest(self._tuning, now), ident
+            self._counts, self._next_sample_ms = [0, 0, 0, 0], now + SAMPLE_INTERVAL_MS
+        if not 0 <= unsuccessful <= requests:
             return ""
-        first = 0 if canary else 2
-        self._counts[first] += taken
-        self._counts[first + 1] += bad
-        if now < self._look_at:
+        offset = 0 if is_canary else 2
+        self._counts[offset] += requests
+        self._counts[offset + 1] += unsuccessful
+        if now < self._next_sample_ms:
             return ""
-        counts, self._counts, self._look_at = self._counts, [0, 0, 0, 0], now + LOOK_MS
-        found = self._trend.look(now, *counts)
-        if found:
-            self._look_at = now + AGAIN_MS
-        return found
+        counts, self._counts, self._next_sample_ms = self._counts, [0, 0, 0, 0], now + SAMPLE_INTERVAL_MS
+        verdict = self._test.add_sample(now, *counts)
+        if verdict:
+            self._next_sample_ms = now + REPEAT_INTERVAL_MS
+        return verdict
 
     def figures(self) -> Mapping[str, float]:
-        return {"evidence": self._trend.evidence, "taken": self._trend.taken} if self._trend else {}
+        return {"evidence": self._test.log_likelihood_ratio, "taken": self._test.canary_requests} if self._test else {}
 
-    def forget(self) -> None:
-        self._trend = None
+    def reset(self) -> None:
+        self._test = None
--- a/limenotch/fleet/rules/change_classification.py
+++ b/limenotch/fleet/rules/change_classification.py
@@ -1,11 +1,11 @@
-"""What a change of each key of a rule book does: narrows, widens or switches. The design's table, as data.
+"""What a change of each key of the rules does: it narrows, widens or switches. The design's table, as data.
 
-A document is flattened to `Flat`: key path to value, classes and tenants by name, with an entry's effect and scope as
-one rank. Kinds that narrow are total orders, so `meet` takes the narrower value key by key; a class or tenant that is
-not in both is in neither. A key that the table lacks switches: it is kept when a change is silent about it, and acts
-when its version is active.
+A document is flattened to `FlatDocument`: key path to value, classes and tenants by name, a class's effect and scope as
+one rank. Values of a kind that has a `permissiveness` are totally ordered by it, so `meet` takes the narrower value key
+by key; a class or tenant that is missing from one of two documents is missing from their `meet`. A key that is not in
+the table switches: it stays when a change does not name it, and takes effect when its version is active.
 
-`meet` is commutative, associative and idempotent, and never wider than either side (tests hold it to that).
+`meet` is commutative, associative and idempotent, and never wider than either side (tests check this).
 """
 
 from __future__ import annotations
@@ -17,192 +17,228 @@
 import msgspec
 
 Path = tuple[str, ...]
-Flat = dict[Path, Any]
+FlatDocument = dict[Path, Any]
 
-NAMED = ("classes", "tenants")  # lists whose entries are known by name
+NAMED_LISTS = ("classes", "tenants")  # lists whose entries are identified by name
 
 
-class Canary:
-    NARROWED = "narrowed"  # only where it makes the canary do less than the others
-    FREE = "free"  # any value: no mix does harm
+class CanaryPolicy:
+    """Which values a canary trial may give to a key."""
+
+    ONLY_NARROWER = "narrowed"  # only a value that allows the canary less than the other sidecars
+    ANY_VALUE = "free"  # two values in use at the same time do no harm
     NEVER = "never"
 
 
-class Kind(NamedTuple):
-    """`wide` grows as a value allows more (None: neither is narrower). `absent`: what a missing key means."""
+class KeyKind(NamedTuple):
+    """How the values of a key compare between two versions.
+
+    `permissiveness` grows as a value allows more; None: neither value is narrower. `default`: what a missing key
+    means.
+    """
 
     name: str
-    wide: Callable[[Any], Any] | None
-    absent: Any
-    contradicts: str  # when two sidecars do; empty: never
+    permissiveness: Callable[[Any], Any] | None
+    default: Any
+    contradiction: str  # between two sidecars on different versions; empty: none
     canary: str
 
 
-def _same(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     return value
 
 
-def _less(value: Any) -> Any:
+def _negated(value: Any) -> Any:
     return -value
 
 
-def _ban(value: Any) -> Any:
+def _ejection_permissiveness(value: Any) -> Any:
     return (not value[0], -value[1])
 
 
-REPEATED = "one repeats a call that may have run while the other's newer version forbids it"
-MADE = "one makes what the other's newer version forbids"
-SUM = "the sum let in exceeds what the newest version heard allows"
-HARMLESS = Kind("harmless", None, None, "", Canary.FREE)
-SWITCH = Kind("switch", None, None, "two act on different values for longer than the stated time", Canary.NEVER)
-OWN = Kind("own", None, None, "", Canary.NEVER)  # of one sidecar's place: no rule book may carry it
-THERE = Kind("there", _same, False, "one takes calls that the newer version has no class for", Canary.NEVER)
-REPEAT = Kind("repeat", _same, 0, REPEATED, Canary.NEVER)
-WINDOW = Kind("window", _same, 0.0, "one repeats after the newer version's window", Canary.NEVER)
-LIMIT = Kind("limit", _same, math.inf, SUM, Canary.NARROWED)
-BAN = Kind("ban", _ban, (False, 0.0), "one sends to a provider that another has heard is out", Canary.NEVER)
-
-
-def least(absent: float, contradicts: str = MADE) -> Kind:
-    return Kind("least", _same, absent, contradicts, Canary.NARROWED)
-
-
-def most(absent: float) -> Kind:
-    return Kind("most", _less, absent, MADE, Canary.NARROWED)
-
-
-FLAG = Kind("flag", _same, True, MADE, Canary.NARROWED)
-
-# `*` is any name. Longest known paths first is not needed: no path is the beginning of another but by `*` alone.
-TABLE: dict[Path, Kind] = {
-    ("bans", "*"): BAN,
+REPEATS_FORBIDDEN = "one repeats a call that may have run while the other's newer version forbids it"
+USES_FORBIDDEN = "one makes what the other's newer version forbids"
+SUM_TOO_HIGH = "the sum let in exceeds what the newest version heard allows"
+HARMLESS = KeyKind("harmless", None, None, "", CanaryPolicy.ANY_VALUE)
+SWITCH = KeyKind(
+    "switch", None, None, "two act on different values for longer than the stated time", CanaryPolicy.NEVER
+)
+LOCAL = KeyKind(
+    "own", None, None, "", CanaryPolicy.NEVER
+)  # belongs to one sidecar: the agreed rules may not contain it
+PRESENCE = KeyKind(
+    "there", _identity, False, "one takes calls that the newer version has no class for", CanaryPolicy.NEVER
+)
+REPEAT = KeyKind("repeat", _identity, 0, REPEATS_FORBIDDEN, CanaryPolicy.NEVER)
+WINDOW = KeyKind("window", _identity, 0.0, "one repeats after the newer version's window", CanaryPolicy.NEVER)
+LIMIT = KeyKind("limit", _identity, math.inf, SUM_TOO_HIGH, CanaryPolicy.ONLY_NARROWER)
+EJECTION = KeyKind(
+    "ban",
+    _ejection_permissiveness,
+    (False, 0.0),
+    "one sends to a provider that another has heard is out",
+    CanaryPolicy.NEVER,
+)
+
+
+def larger_is_wider(default: float, contradiction: str = USES_FORBIDDEN) -> KeyKind:
+    """A number of which larger values allow more."""
+    return KeyKind("least", _identity, default, contradiction, CanaryPolicy.ONLY_NARROWER)
+
+
+def smaller_is_wider(default: float) -> KeyKind:
+    """A number of which smaller values allow more."""
+    return KeyKind("most", _negated, default, USES_FORBIDDEN, CanaryPolicy.ONLY_NARROWER)
+
+
+FLAG = KeyKind("flag", _identity, True, USES_FORBIDDEN, CanaryPolicy.ONLY_NARROWER)
+
+# `*` is any name. The order does not matter: no path is a prefix of another except by `*` alone.
+TABLE: dict[Path, KeyKind] = {
+    ("bans", "*"): EJECTION,
     ("directory",): SWITCH,
-    ("settings", "classes", "*"): THERE,
-    ("settings", "classes", "*", "repeat"): REPEAT,  # effect and dedup_scope
+    ("settings", "classes", "*"): PRESENCE,
+    ("settings", "classes", "*", "repeat"): REPEAT,  # rank of effect and dedup_scope
     ("settings", "classes", "*", "window_ms"): WINDOW,
     ("settings", "classes", "*", "target_ms"): HARMLESS,
     ("settings", "classes", "*", "hard_limit_ms"): HARMLESS,
     ("settings", "classes", "*", "worth"): HARMLESS,
     ("settings", "classes", "*", "late_worth"): HARMLESS,
-    ("settings", "tenants", "*"): THERE,
+    ("settings", "tenants", "*"): PRESENCE,
     ("settings", "tenants", "*", "quota_per_s"): LIMIT,
-    ("settings", "permissions", "max_attempts"): least(3),
+    ("settings", "permissions", "max_attempts"): larger_is_wider(3),
     ("settings", "permissions", "parallel_tries"): FLAG,
-    ("settings", "permissions", "max_open"): least(20_000, SUM),
+    ("settings", "permissions", "max_open"): larger_is_wider(20_000, SUM_TOO_HIGH),
     ("settings", "permissions", "cancel"): HARMLESS,
     ("settings", "permissions", "retry_after"): HARMLESS,
     ("settings", "permissions", "max_retry_after_ms"): HARMLESS,
     ("settings", "permissions", "conn_idle_ms"): HARMLESS,
     ("settings", "permissions", "connect_timeout_ms"): HARMLESS,
-    ("settings", "rules", "start_capacity"): least(1.0),
-    ("settings", "rules", "cold_ms"): most(0.0),
-    ("settings", "rules", "fall_multiple"): least(2.0),
-    ("settings", "rules", "overload_for_ms"): least(1000.0),
+    ("settings", "rules", "start_capacity"): larger_is_wider(1.0),
+    ("settings", "rules", "cold_ms"): smaller_is_wider(0.0),
+    ("settings", "rules", "fall_multiple"): larger_is_wider(2.0),
+    ("settings", "rules", "overload_for_ms"): larger_is_wider(1000.0),
     ("settings", "over_share_worth"): HARMLESS,
     ("settings", "costs", "cross_zone"): HARMLESS,
-    ("settings", "balancers"): OWN,
-    ("settings", "rank"): OWN,
-    ("settings", "layer"): OWN,
-    ("settings", "locality"): OWN,
+    ("settings", "balancers"): LOCAL,
+    ("settings", "rank"): LOCAL,
+    ("settings", "layer"): LOCAL,
+    ("settings", "locality"): LOCAL,
 }
 
 
-def kind_of(path: Path) -> Kind:
-    found = TABLE.get(path)
-    if found is not None:
-        return found
+def kind_of(path: Path) -> KeyKind:
+    """The kind of a key; a key that is not in the table switches."""
+    kind = TABLE.get(path)
+    if kind is not None:
+        return kind
     if path[0] == "bans" and len(path) == 2:
-        return BAN
-    if len(path) >= 3 and path[1] in NAMED:
+        return EJECTION
+    if len(path) >= 3 and path[1] in NAMED_LISTS:
         return TABLE.get((path[0], path[1], "*", *path[3:]), SWITCH)
     return SWITCH
 
 
-def text_of(path: Path) -> str:
+def dotted_path(path: Path) -> str:
+    """The key path as operators read it."""
     return ".".join(path)
 
 
-def _least_first(value: Any) -> bytes:
+def _json_order(value: Any) -> bytes:
     return msgspec.json.encode(value, order="deterministic")
 
 
-def _value(flat: Mapping[Path, Any], path: Path, kind: Kind) -> Any:
-    return flat.get(path, kind.absent)
+def _value_or_default(flat: Mapping[Path, Any], path: Path, kind: KeyKind) -> Any:
+    return flat.get(path, kind.default)
 
 
-def _entry(path: Path) -> Path | None:
-    """The class or tenant that a path is of."""
-    return path[:3] if len(path) >= 3 and path[1] in NAMED else None
+def _entry_path(path: Path) -> Path | None:
+    """The path of the class or tenant that this path belongs to."""
+    return path[:3] if len(path) >= 3 and path[1] in NAMED_LISTS else None
 
 
-def meet(one: Flat, two: Flat) -> Flat:
-    """The narrowest of both. Where neither is narrower: the absent, then the one whose JSON is first."""
-    out: Flat = {}
-    for path in {**one, **two}:
-        entry = _entry(path)
-        if entry is not None and not (entry in one and entry in two):
+def meet(first: FlatDocument, second: FlatDocument) -> FlatDocument:
+    """The narrowest of both documents.
+
+    Where neither value is narrower: a missing key wins, then the value whose JSON sorts first.
+    """
+    result: FlatDocument = {}
+    for path in {**first, **second}:
+        entry = _entry_path(path)
+        if entry is not None and not (entry in first and entry in second):
             continue
         kind = kind_of(path)
-        if kind.wide is None:
-            if path in one and path in two:
-                out[path] = min(one[path], two[path], key=_least_first)
+        if kind.permissiveness is None:
+            if path in first and path in second:
+                result[path] = min(first[path], second[path], key=_json_order)
         else:
-            out[path] = min(_value(one, path, kind), _value(two, path, kind), key=kind.wide)
-    return out
-
-
-def in_force(active: Flat, heard: list[Flat]) -> Flat:
-    """The narrowest of `active` and all newer versions heard; where neither is narrower, what is active."""
-    out = active
-    for flat in heard:
-        out = meet(out, flat)
-    kept = {path: value for path, value in out.items() if kind_of(path).wide is not None}
+            result[path] = min(
+                _value_or_default(first, path, kind), _value_or_default(second, path, kind), key=kind.permissiveness
+            )
+    return result
+
+
+def in_force(active: FlatDocument, newer: list[FlatDocument]) -> FlatDocument:
+    """The narrowest of `active` and all newer versions received; where neither is narrower, what is active."""
+    narrowest = active
+    for flat in newer:
+        narrowest = meet(narrowest, flat)
+    result = {path: value for path, value in narrowest.items() if kind_of(path).permissiveness is not None}
     for path, value in active.items():
-        entry = _entry(path)
-        if kind_of(path).wide is None and (entry is None or entry in kept):
-            kept[path] = value
-    return kept
+        entry = _entry_path(path)
+        if kind_of(path).permissiveness is None and (entry is None or entry in result):
+            result[path] = value
+    return result
+
 
+def is_no_wider(first: FlatDocument, second: FlatDocument) -> bool:
+    """Whether `first` allows nothing that `second` forbids."""
+    return not any(effect == "widens" for _, effect in diff(second, first))
 
-def no_wider(one: Flat, two: Flat) -> bool:
-    """Whether `one` allows nothing that `two` forbids."""
-    return not any(word == "widens" for _, word in diff(two, one))
 
+def diff(old: FlatDocument, new: FlatDocument) -> list[tuple[Path, str]]:
+    """Each key path that differs, with `narrows`, `widens` or `switches`.
 
-def diff(old: Flat, new: Flat) -> list[tuple[Path, str]]:
-    """Each key path that differs, with `narrows`, `widens` or `switches`; of an entry that comes or goes, its own."""
-    out: list[tuple[Path, str]] = []
+    For a class or tenant that is added or removed, only its own path is listed.
+    """
+    differences: list[tuple[Path, str]] = []
     for path in sorted({**old, **new}):
-        entry, kind = _entry(path), kind_of(path)
+        entry, kind = _entry_path(path), kind_of(path)
         if entry is not None and entry != path and (entry in old) != (entry in new):
             continue
-        if kind.wide is None:
+        if kind.permissiveness is None:
             if (path in old) != (path in new) or old.get(path) != new.get(path):
-                out.append((path, "switches"))
+                differences.append((path, "switches"))
             continue
-        before, after = kind.wide(_value(old, path, kind)), kind.wide(_value(new, path, kind))
+        before, after = (
+            kind.permissiveness(_value_or_default(old, path, kind)),
+            kind.permissiveness(_value_or_default(new, path, kind)),
+        )
         if before != after:
-            out.append((path, "widens" if after > before else "narrows"))
-    return out
+            differences.append((path, "widens" if after > before else "narrows"))
+    return differences
 
 
-def canary_refuses(active: Flat, tried: Flat) -> str | None:
-    """The first key that a canary may not carry, with why."""
-    for path, word in diff(active, tried):
+def canary_rejection(active: FlatDocument, trial: FlatDocument) -> str | None:
+    """Why a canary trial may not use `trial`, naming the first such key; None if it may."""
+    for path, effect in diff(active, trial):
         kind = kind_of(path)
-        if kind.canary == Canary.NEVER:
-            return f"{text_of(path)}: {kind.name} is not for a canary"
-        if kind.canary == Canary.NARROWED and word != "narrows":
-            return f"{text_of(path)}: a canary may only narrow it"
+        if kind.canary == CanaryPolicy.NEVER:
+            return f"{dotted_path(path)}: {kind.name} is not for a canary"
+        if kind.canary == CanaryPolicy.ONLY_NARROWER and effect != "narrows":
+            return f"{dotted_path(path)}: a canary may only narrow it"
     return None
 
 
-def without_lease(flat: Flat) -> Flat:
-    """What a sidecar without a lease may do of it: nothing twice unless it surely never ran, no copies."""
-    out = dict(flat)
+def without_lease(flat: FlatDocument) -> FlatDocument:
+    """What a sidecar without a lease may do of `flat`.
+
+    A request is attempted again only if the attempt before certainly did not run, and never hedged.
+    """
+    restricted = dict(flat)
     for path in flat:
         if len(path) == 3 and path[1] == "classes":
-            out[(*path, "repeat")] = 0
-            out[(*path, "window_ms")] = 0.0
-    out["settings", "permissions", "parallel_tries"] = False
-    return out
+            restricted[(*path, "repeat")] = 0
+            restricted[(*path, "window_ms")] = 0.0
+    restricted["settings", "permissions", "parallel_tries"] = False
+    return restricted
--- a/limenotch/fleet/rules/changes.py
+++ b/limenotch/fleet/rules/changes.py
@@ -1,10 +1,13 @@
-"""Changes on their way: an operator's at any sidecar, and at the leader the voters' look at each.
-
-1. The sidecar asked tells the leader (`Suggest`), or is it. It answers its operator itself, once it sees the entry in
-   the log: so the answer does not hang on the leader's life. No word in ask_ms: `unknown`, ask again with the same id.
-2. The leader merges it over its base and looks at the whole; then every voter in reach does (`Look`, `Looked`).
-   A quorum must have looked and nobody may object; who is silent for check_ms is out of reach.
-3. It is proposed. Two of one base are both proposed: the log's order says which wins (book.py).
+"""Operators' changes from the request at any sidecar to the log, with the voters' check at the leader.
+
+1. The sidecar that gets the request sends it to the leader (`ChangeProposal`), or is the leader. It responds to its
+   operator itself, once it applies the entry from the log: so the response does not depend on the leader's survival.
+   Without an outcome in `ask_ms` the response is `unknown`, and the operator may repeat it with the same id.
+2. The leader merges the change over its base and checks the complete document; then every reachable voter does
+   (`CheckRequest`, `CheckResult`). A quorum must have checked it without an objection; a voter that does not answer in
+   `check_ms` counts as unreachable.
+3. The leader proposes it to the log. Two changes of one base are both proposed: the order of the log decides which wins
+   (versioned_rules.py).
 """
 
 from __future__ import annotations
@@ -18,219 +21,245 @@
 from . import document as doc
 from .api import OperatorRequest, OperatorResponse
 from .document import Document
-from .messages import MOST_NAME, Look, Looked, Suggest, Verdict
+from .messages import MAX_NAME_LENGTH, ChangeProposal, ChangeRejected, CheckRequest, CheckResult
 from .tuning import Tuning
-from .versioned_rules import Applied, Book
+from .versioned_rules import AppliedEntry, VersionedRules
 
-Check = Callable[[Document], "str | None"]
+DocumentCheck = Callable[[Document], "str | None"]
 
 
 @dataclass(slots=True)
-class Asked:
+class PendingRequest:
+    """An operator's request at this sidecar whose outcome is not known yet."""
+
     ticket: int
-    until: float
+    expires_at_ms: float
     id: str
 
 
 @dataclass(slots=True)
-class Looking:
+class PendingCheck:
+    """The voters' check of a proposal, at the leader."""
+
     sender: str
-    suggest: Suggest
-    whole: bytes
-    until: float
-    waits: set[str]
-    need: int
-    yes: int = 1  # oneself
+    proposal: ChangeProposal
+    document: bytes
+    expires_at_ms: float
+    awaited: set[str]
+    required: int
+    approvals: int = 1  # the leader
 
 
 @dataclass(slots=True)
-class Changes:
+class ChangeCoordinator:
+    """The requests of this sidecar's operators, and the checks under way if it is the leader."""
+
     name: str
-    book: Book
-    check: Check
+    rules: VersionedRules
+    check: DocumentCheck
     tuning: Tuning
-    reach: Callable[[Iterable[str]], list[str]]  # of these members those not held dead, oneself not among them
+    reachable: Callable[[Iterable[str]], list[str]]  # of these members those not considered dead, this sidecar excluded
     voters: tuple[str, ...]
     propose: Callable[[entries.Entry, str, int], None]
-    out: list[Any] = field(default_factory=list)
-    leads: bool = False
-    asked: dict[str, Asked] = field(default_factory=dict)  # by id
-    looking: dict[str, Looking] = field(default_factory=dict)
-
-    # At the sidecar that was asked
-
-    def ask(self, now: float, ask: OperatorRequest, ident: str, suggest: Suggest | None, leader: str | None) -> None:
-        """`suggest` None: it is in the log's hands already (a ban)."""
-        if len(self.asked) >= self.tuning.most_asks or ident in self.asked:
-            why = "asked already" if ident in self.asked else "too many changes are under way"
-            self.out.append(OperatorResponse(ask.ticket, False, why, self.book.newest))
+    actions: list[Any] = field(default_factory=list)
+    is_leader: bool = False
+    requests: dict[str, PendingRequest] = field(default_factory=dict)  # by id
+    checks: dict[str, PendingCheck] = field(default_factory=dict)
+
+    # At the sidecar that gets an operator's request
+
+    def submit(
+        self, now: float, request: OperatorRequest, ident: str, proposal: ChangeProposal | None, leader: str | None
+    ) -> None:
+        """Register an operator's request; without `proposal` its entry is sent to the log elsewhere (an ejection)."""
+        if len(self.requests) >= self.tuning.most_asks or ident in self.requests:
+            reason = "asked already" if ident in self.requests else "too many changes are under way"
+            self.actions.append(OperatorResponse(request.ticket, False, reason, self.rules.newest))
             return
-        known = next((version.number for version in self.book.versions.values() if version.id == ident), 0)
-        if known:
-            self.out.append(OperatorResponse(ask.ticket, True, "", known))
+        known_version = next((version.number for version in self.rules.by_number.values() if version.id == ident), 0)
+        if known_version:
+            self.actions.append(OperatorResponse(request.ticket, True, "", known_version))
             return
-        if suggest is not None and leader is None:
-            self.out.append(OperatorResponse(ask.ticket, False, "no leader in reach", self.book.newest))
+        if proposal is not None and leader is None:
+            self.actions.append(OperatorResponse(request.ticket, False, "no leader in reach", self.rules.newest))
             return
-        self.asked[ident] = Asked(ask.ticket, now + self.tuning.ask_ms, ident)
-        if suggest is None or leader is None:
+        self.requests[ident] = PendingRequest(request.ticket, now + self.tuning.ask_ms, ident)
+        if proposal is None or leader is None:
             return
         if leader == self.name:
-            self.suggested(now, self.name, suggest)
+            self.proposal_received(now, self.name, proposal)
         else:
-            self.out.append(SendToMember(leader, suggest))
+            self.actions.append(SendToMember(leader, proposal))
 
-    def answer(self, ident: str, ok: bool, text: str, version: int) -> None:
-        asked = self.asked.pop(ident, None)
-        if asked is not None:
-            self.out.append(OperatorResponse(asked.ticket, ok, text, version))
+    def respond(self, ident: str, ok: bool, text: str, version: int) -> None:
+        request = self.requests.pop(ident, None)
+        if request is not None:
+            self.actions.append(OperatorResponse(request.ticket, ok, text, version))
 
-    def applied(self, applied: Applied) -> None:
+    def entry_applied(self, applied: AppliedEntry) -> None:
         if applied.id:
-            self.answer(applied.id, applied.ok, applied.text, applied.version)
+            self.respond(applied.id, applied.ok, applied.text, applied.version)
 
     # At the leader
 
-    def suggested(self, now: float, sender: str, suggest: Suggest) -> None:
-        if not self.leads:
-            self._refuse(sender, suggest.id, "no leader here")
+    def proposal_received(self, now: float, sender: str, proposal: ChangeProposal) -> None:
+        """Check a proposal here and at every reachable voter."""
+        if not self.is_leader:
+            self._reject(sender, proposal.id, "no leader here")
             return
-        if len(self.looking) >= self.tuning.most_asks or suggest.id in self.looking:
+        if len(self.checks) >= self.tuning.most_asks or proposal.id in self.checks:
             return
         try:
-            whole = self._whole(suggest)
-            why = self.book.refusal(suggest.base, whole) or self.fault(whole)
-            if why is None and suggest.names:
-                why = change_classification.canary_refuses(self.book.flat(self.book.newest), doc.flatten(whole))
+            document = self._complete_document(proposal)
+            reason = self.rules.rejection_reason(proposal.base, document) or self.document_error(document)
+            if reason is None and proposal.canary_members:
+                reason = change_classification.canary_rejection(
+                    self.rules.flat(self.rules.newest), doc.flatten(document)
+                )
         except ValueError as error:
-            self._refuse(sender, suggest.id, str(error))
+            self._reject(sender, proposal.id, str(error))
             return
-        if why is not None:
-            self._refuse(sender, suggest.id, why)
+        if reason is not None:
+            self._reject(sender, proposal.id, reason)
             return
-        reach = self.reach(self.voters)
-        data = doc.encode(whole)
-        self.looking[suggest.id] = Looking(
-            sender, suggest, data, now + self.tuning.check_ms, set(reach), len(self.voters) // 2 + 1
+        reachable = self.reachable(self.voters)
+        encoded = doc.encode(document)
+        self.checks[proposal.id] = PendingCheck(
+            sender, proposal, encoded, now + self.tuning.check_ms, set(reachable), len(self.voters) // 2 + 1
         )
-        self.out += [SendToMember(voter, Look(suggest.id, data)) for voter in reach]
-        self._seen(suggest.id)
-
-    def _whole(self, suggest: Suggest) -> Document:
-        if suggest.to:
-            whole = self.book.document(suggest.to)
-            # Bans are not undone by going back: a return is asked for by name.
-            whole["bans"] = self.book.document(self.book.newest).get("bans", {})
-            return whole
-        if suggest.base != self.book.newest:
-            raise ValueError(f"version {self.book.newest} won, this was made for {suggest.base}")
-        return doc.merge(self.book.document(suggest.base), doc.decode(suggest.change))
-
-    def fault(self, whole: Document) -> str | None:
-        """Of a whole document, naming its key, by this program's own readers."""
+        self.actions += [SendToMember(voter, CheckRequest(proposal.id, encoded)) for voter in reachable]
+        self._conclude_check(proposal.id)
+
+    def _complete_document(self, proposal: ChangeProposal) -> Document:
+        if proposal.restore_version:
+            document = self.rules.document(proposal.restore_version)
+            # Restoring a version keeps all ejections: an endpoint is readmitted by its name only.
+            document["bans"] = self.rules.document(self.rules.newest).get("bans", {})
+            return document
+        if proposal.base != self.rules.newest:
+            raise ValueError(f"version {self.rules.newest} won, this was made for {proposal.base}")
+        return doc.merge(self.rules.document(proposal.base), doc.decode(proposal.change))
+
+    def document_error(self, document: Document) -> str | None:
+        """What is wrong with a complete document, naming its key, by this program's own readers."""
         try:
-            doc.flatten(whole)
+            doc.flatten(document)
         except ValueError as error:
             return str(error)
-        return self.check(whole)
+        return self.check(document)
 
-    def look(self, sender: str, look: Look) -> None:
+    def check_requested(self, sender: str, request: CheckRequest) -> None:
         try:
-            fault = self.fault(doc.decode(look.document)) or ""
+            problem = self.document_error(doc.decode(request.document)) or ""
         except ValueError as error:
-            fault = str(error)
-        self.out.append(SendToMember(sender, Looked(look.id, fault)))
+            problem = str(error)
+        self.actions.append(SendToMember(sender, CheckResult(request.id, problem)))
 
-    def looked(self, sender: str, looked: Looked) -> None:
-        looking = self.looking.get(looked.id)
-        if looking is None or sender not in looking.waits:
+    def check_answered(self, sender: str, result: CheckResult) -> None:
+        check = self.checks.get(result.id)
+        if check is None or sender not in check.awaited:
             return
-        if looked.fault:
-            del self.looking[looked.id]
-            self._refuse(looking.sender, looked.id, f"{sender} objects: {looked.fault}")
+        if result.error:
+            del self.checks[result.id]
+            self._reject(check.sender, result.id, f"{sender} objects: {result.error}")
             return
-        looking.waits.discard(sender)
-        looking.yes += 1
-        self._seen(looked.id)
-
-    def _seen(self, ident: str, late: bool = False) -> None:
-        looking = self.looking[ident]
-        if looking.waits and not late:
+        check.awaited.discard(sender)
+        check.approvals += 1
+        self._conclude_check(result.id)
+
+    def _conclude_check(self, ident: str, timed_out: bool = False) -> None:
+        """Propose or reject the change, once all awaited voters have answered or the time is over."""
+        check = self.checks[ident]
+        if check.awaited and not timed_out:
             return
-        del self.looking[ident]
-        suggest = looking.suggest
-        if looking.yes < looking.need:
-            self._refuse(
-                looking.sender, ident, f"{looking.yes} of {len(self.voters)} voters looked at it, {looking.need} must"
+        del self.checks[ident]
+        proposal = check.proposal
+        if check.approvals < check.required:
+            self._reject(
+                check.sender,
+                ident,
+                f"{check.approvals} of {len(self.voters)} voters looked at it, {check.required} must",
+            )
+        elif proposal.canary_members:
+            self.propose(
+                entries.Try(ident, proposal.base, check.document, proposal.canary_members), ident, proposal.base
             )
-        elif suggest.names:
-            self.propose(entries.Try(ident, suggest.base, looking.whole, suggest.names), ident, suggest.base)
         else:
-            self.propose(entries.Put(ident, suggest.base, looking.whole, suggest.to), ident, suggest.base)
+            self.propose(
+                entries.Put(ident, proposal.base, check.document, proposal.restore_version), ident, proposal.base
+            )
 
-    def _refuse(self, sender: str, ident: str, why: str) -> None:
+    def _reject(self, sender: str, ident: str, reason: str) -> None:
         if sender == self.name:
-            self.answer(ident, False, why, self.book.newest)
+            self.respond(ident, False, reason, self.rules.newest)
         else:
-            self.out.append(SendToMember(sender, Verdict(ident, why, self.book.newest)))
+            self.actions.append(SendToMember(sender, ChangeRejected(ident, reason, self.rules.newest)))
 
-    # In the course of time
+    # Time-outs and changes of leader
 
-    def lost(self) -> None:
-        """It leads no more: what was only looked at is told to be off; what was proposed, the log tells."""
-        for ident in list(self.looking):
-            self._refuse(self.looking.pop(ident).sender, ident, "the leader changed")
+    def leadership_lost(self) -> None:
+        """No longer the leader: reject what was only checked; the log reports on what was proposed."""
+        for ident in list(self.checks):
+            self._reject(self.checks.pop(ident).sender, ident, "the leader changed")
 
-    def refused(self, ident: str, why: str) -> None:
-        self.answer(ident, False, f"the log refused it: {why}", self.book.newest)
+    def proposal_rejected(self, ident: str, reason: str) -> None:
+        """The log did not accept the proposed entry."""
+        self.respond(ident, False, f"the log refused it: {reason}", self.rules.newest)
 
     def tick(self, now: float) -> None:
-        for ident in [ident for ident, looking in self.looking.items() if looking.until <= now]:
-            self._seen(ident, late=True)
-        for ident in [ident for ident, asked in self.asked.items() if asked.until <= now]:
-            told = any(ident == f"ban {upstream}" for upstream in self.book.told)
-            text = "told, not agreed yet: it acts where it was heard" if told else "unknown: ask again with its id"
-            self.answer(ident, False, text, self.book.newest)
-
-    def due(self) -> float:
+        for ident in [ident for ident, check in self.checks.items() if check.expires_at_ms <= now]:
+            self._conclude_check(ident, timed_out=True)
+        for ident in [ident for ident, request in self.requests.items() if request.expires_at_ms <= now]:
+            is_pending_ejection = any(ident == f"ban {endpoint}" for endpoint in self.rules.pending_ejections)
+            text = (
+                "told, not agreed yet: it acts where it was heard"
+                if is_pending_ejection
+                else "unknown: ask again with its id"
+            )
+            self.respond(ident, False, text, self.rules.newest)
+
+    def next_deadline_ms(self) -> float:
+        """When `tick` has something to do."""
         return min(
-            [looking.until for looking in self.looking.values()] + [asked.until for asked in self.asked.values()],
+            [check.expires_at_ms for check in self.checks.values()]
+            + [request.expires_at_ms for request in self.requests.values()],
             default=float("inf"),
         )
 
 
-# What operators write
+# Parsing of operators' requests
 
 
-def whole_number(document: Mapping[str, Any], key: str, usual: int | None = None) -> int:
-    """ValueError names the key."""
-    value = document.get(key, usual)
+def number_of(document: Mapping[str, Any], key: str, default: int | None = None) -> int:
+    """A number of a version. ValueError names the key."""
+    value = document.get(key, default)
     if not isinstance(value, int) or isinstance(value, bool):
         raise ValueError(f"{key}: expected the number of a version")
     return int(value)
 
 
-def upstream_of(document: Mapping[str, Any]) -> str:
-    upstream = document.get("upstream")
-    if not isinstance(upstream, str) or not 0 < len(upstream) <= MOST_NAME:
-        raise ValueError(f"upstream: expected a name of {MOST_NAME} signs at most")
-    return upstream
+def endpoint_of(document: Mapping[str, Any]) -> str:
+    """The name of the endpoint. Raises ValueError."""
+    endpoint = document.get("upstream")
+    if not isinstance(endpoint, str) or not 0 < len(endpoint) <= MAX_NAME_LENGTH:
+        raise ValueError(f"upstream: expected a name of {MAX_NAME_LENGTH} signs at most")
+    return endpoint
 
 
-def suggest_of(ask: OperatorRequest, ident: str, newest: int, most_bytes: int) -> Suggest:
-    """What is told to the leader. ValueError names the key that is wrong."""
-    document = ask.document
-    names: tuple[str, ...] = ()
-    base = whole_number(document, "base", newest)
-    if ask.what == "back":
-        return Suggest(ident, base, b"", whole_number(document, "to"))
-    if ask.what == "return":
-        change: Any = {"bans": {upstream_of(document): {"out": False, "at_ms": document.get("at_ms", 0.0)}}}
+def proposal_of(request: OperatorRequest, ident: str, newest: int, max_bytes: int) -> ChangeProposal:
+    """What is sent to the leader. ValueError names the faulty key."""
+    document = request.document
+    canary_members: tuple[str, ...] = ()
+    base = number_of(document, "base", newest)
+    if request.what == "back":
+        return ChangeProposal(ident, base, b"", number_of(document, "to"))
+    if request.what == "return":
+        change: Any = {"bans": {endpoint_of(document): {"out": False, "at_ms": document.get("at_ms", 0.0)}}}
     else:
-        change, names = document.get("change"), tuple(document.get("canary", ()))
-        if not isinstance(change, dict) or not all(isinstance(name, str) for name in names):
+        change, canary_members = document.get("change"), tuple(document.get("canary", ()))
+        if not isinstance(change, dict) or not all(isinstance(name, str) for name in canary_members):
             raise ValueError("change: expected an object")
     data = doc.encode(change)
-    if len(data) > most_bytes:
-        raise ValueError(f"change: more than {most_bytes} bytes")
-    return Suggest(ident, base, data, 0, names)
+    if len(data) > max_bytes:
+        raise ValueError(f"change: more than {max_bytes} bytes")
+    return ChangeProposal(ident, base, data, 0, canary_members)
--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -1,17 +1,14 @@
-"""Rules as a part: the book in the log's order, leases, changes, bans.
-
-| state | acts on | till |
-| --- | --- | --- |
-| narrow | the narrow rules (or refuses): no lease | a grant |
-| leased | the narrowest of active and all newer versions heard | its lease's end, being fenced, its process's end |
-
-- What narrows acts in the same event that tells it: each change of what is in force is one InForce.
-- The leader answers an ask for a lease only after the log has said that it leads yet (ReadAt), and only to who holds
-  the newest version and knows the newest activation. So from a version's agreement on, nobody's lease outlives
-  lease_ms without that version; lease_ms x (1 + drift) on any other clock.
-- `Activate n` is proposed once each lease of the record is of a holder of n; by a new leader, after one lease's time.
-- A ban acts where it is heard and told on until a version holds it. Without a leader, or in silence, leases alone end.
-Source: docs/fleet/rules-design.md. Messages: messages.py.
+"""The rules component: versions in the order of the log, leases, changes and ejections.
+
+Without a lease, the restricted rules are in force (or all requests are rejected); under a lease, until it expires, a
+fence or the process's end, the narrowest of the active and all newer versions received.
+
+- A restriction takes effect in the event that reports it: each change of what is in force is one RulesInForce.
+- The leader grants leases only after the log has confirmed that it leads (ReadIndex), to sidecars with the newest
+  version and activation: once a version is agreed on, no lease without it outlives lease_ms x (1 + drift).
+- `Activate n` is proposed once every lease on record is of a holder of n; by a new leader, after one lease's time.
+- An ejection takes effect where it is received, and is passed on until a version contains it.
+- Without a leader or any message, nothing happens but that leases expire. Source: docs/fleet/rules-design.md.
 """
 
 from __future__ import annotations
@@ -24,18 +21,18 @@
 from ..interfaces import Carrier, LogLine, SendToMember, SetTimer
 from ..leases import NEVER
 from . import entries, messages
-from .api import Counted, InForce, Narrow, OperatorRequest, OperatorResponse, Voters
-from .canary import Watch
-from .changes import Changes, Check, suggest_of, upstream_of, whole_number
+from .api import OperatorRequest, OperatorResponse, RequestsCounted, RestrictedRules, RulesInForce, VotersChanged
+from .canary import CanaryMonitor
+from .changes import ChangeCoordinator, DocumentCheck, endpoint_of, number_of, proposal_of
 from .document import Document
-from .ejection_gossip import Telling
-from .leases import Granter, Holder
+from .ejection_gossip import EjectionGossip
+from .leases import RulesLease, RulesLeaseGranter
 from .tuning import Tuning
-from .versioned_rules import Book
+from .versioned_rules import VersionedRules
 
 
 class Rules:
-    """`first` is version 1, the same for the whole group. `state`: of the log's snapshot found at the start, if any."""
+    """The rules component. `first` is version 1, the same for the whole group; `state` is from the log's snapshot."""
 
     def __init__(
         self,
@@ -43,358 +40,361 @@
         process_epoch: int,
         voters: tuple[str, ...],
         first: Document,
-        check: Check,
+        check: DocumentCheck,
         tuning: Tuning | None = None,
         state: bytes | None = None,
     ) -> None:
-        """Raises ValueError on a first document or a state that can't be."""
+        """Raises ValueError on an invalid first document or state."""
         self.name, self.process_epoch, self.tuning = name, process_epoch, tuning or Tuning()
-        self.book = Book(first, self.tuning.most_versions, self.tuning.most_document_bytes)
+        self.rules = VersionedRules(first, self.tuning.most_versions, self.tuning.most_document_bytes)
         if state is not None:
-            self.book.install(state)
-        self.holder, self.granter = Holder(self.tuning), Granter(self.tuning)
-        self.watch = Watch(self.tuning.canary)
+            self.rules.install(state)
+        self.lease, self.granter = RulesLease(self.tuning), RulesLeaseGranter(self.tuning)
+        self.canary_monitor = CanaryMonitor(self.tuning.canary)
         self.leader: str | None = None
         self.term = 0
         self.counts: dict[str, int] = {}
-        self.telling = Telling(
-            name, self.book, self.tuning.most_bans, self.tuning.most_holders, self.tuning.lease_ms, self._count
+        self.gossip = EjectionGossip(
+            name, self.rules, self.tuning.most_bans, self.tuning.most_holders, self.tuning.lease_ms, self._count
         )
-        self._out: list[Any] = []
+        self._actions: list[Any] = []
         self._now = -NEVER
-        self._armed = NEVER
+        self._timer_at_ms = NEVER
         self._ticket = 0
-        self._tickets: dict[int, tuple[str, str]] = {}  # ticket: what for, id
-        self._waiting: dict[tuple[str, int], messages.AskLease] = {}  # asks for a lease, until the log says it leads
-        # ticket: term, the asks before
-        self._reads: dict[int, tuple[int, dict[tuple[str, int], messages.AskLease]]] = {}
-        self._ask_at = NEVER
+        self._tickets: dict[int, tuple[str, str]] = {}  # by ticket: the kind of entry, its id
+        self._lease_requests: dict[tuple[str, int], messages.LeaseRequest] = {}  # until the log confirms that it leads
+        self._reads: dict[int, tuple[int, dict[tuple[str, int], messages.LeaseRequest]]] = {}  # by ticket, with term
+        self._request_at_ms = NEVER
         self._activating = 0
-        self._activate_at = -NEVER
-        self._acts: tuple[Document, Document] | None = None  # as last told
-        self._last: tuple[Document, Document] | None = None
-        self._number = 0  # of the pair last made
-        self._told: tuple[int, int, float, int, int] | None = None
-        self._leased = False
-        self._noted = 0
-        self._begun = False
-        self.changes = Changes(
-            name, self.book, check, self.tuning, self.telling.reachable, tuple(voters), self._propose
+        self._activate_at_ms = -NEVER
+        self._in_force: tuple[Document, Document] | None = None  # document and restricted one; None: to be computed
+        self._last_reported: tuple[Document, Document] | None = None
+        self._revision = 0  # counts the changes of `_last_reported`
+        self._reported_state: tuple[int, int, float, int, int] | None = None
+        self._reported_leased = False
+        self._logged_active = 0
+        self._started = False
+        self.changes = ChangeCoordinator(
+            name, self.rules, check, self.tuning, self.gossip.reachable, tuple(voters), self._propose
         )
         self._events: dict[type, Callable[[Any], None]] = {
-            interfaces.Started: lambda event: setattr(self, "_begun", True),
-            interfaces.MessageReceived: self._heard,
-            interfaces.TimerFired: self._fired,
+            interfaces.Started: lambda event: setattr(self, "_started", True),
+            interfaces.MessageReceived: self._message_received,
+            interfaces.TimerFired: self._timer_fired,
             interfaces.ShutdownStarted: lambda event: None,
-            interfaces.MemberChanged: self._member,
-            interfaces.Fenced: lambda event: self._fenced(),
-            OperatorRequest: self._ask,
-            Counted: self._counted,
-            Voters: lambda event: setattr(self.changes, "voters", event.names),
-            log.EntryCommitted: self._agreed,
-            log.SnapshotInstalled: self._install,
-            log.LeaderChanged: self._led,
-            log.ProposalCommitted: lambda event: self._ended(event.ticket, None),
-            log.ProposalRejected: lambda event: self._ended(event.ticket, event.why),
-            log.OutcomeUnknown: lambda event: self._ended(event.ticket, "unknown"),
-            log.ReadReady: self._ready,
+            interfaces.MemberChanged: self._member_changed,
+            interfaces.Fenced: lambda event: self._fence(),
+            OperatorRequest: self._operator_request,
+            RequestsCounted: self._requests_counted,
+            VotersChanged: lambda event: setattr(self.changes, "voters", event.names),
+            log.EntryCommitted: self._entry_committed,
+            log.SnapshotInstalled: self._snapshot_installed,
+            log.LeaderChanged: self._leader_changed,
+            log.ProposalCommitted: lambda event: self._proposal_ended(event.ticket, None),
+            log.ProposalRejected: lambda event: self._proposal_ended(event.ticket, event.why),
+            log.OutcomeUnknown: lambda event: self._proposal_ended(event.ticket, "unknown"),
+            log.ReadReady: self._read_ready,
         }
         self._messages: dict[type, Callable[[str, Any], None]] = {
-            messages.AskLease: self._asked,
-            messages.Grant: self._granted,
-            messages.Behind: lambda sender, behind: self._count("behind"),  # asks anew once the version is applied
-            messages.Told: lambda sender, told: self._bans(self.telling.heard(((told.upstream, told.after),))),
-            messages.Bans: lambda sender, bans: self._bans(self.telling.exchanged(sender, bans)),
-            messages.Suggest: lambda sender, suggest: self.changes.suggested(self._now, sender, suggest),
-            messages.Look: self.changes.look,
-            messages.Looked: self.changes.looked,
-            messages.Count: self._count_canary,
-            messages.Verdict: lambda sender, no: self.changes.answer(no.id, False, no.why, no.version),
+            messages.LeaseRequest: self._lease_requested,
+            messages.LeaseGrant: self._grant_received,
+            messages.StaleVersion: lambda sender, stale: self._count("behind"),  # retried once the version is applied
+            messages.EjectionNotice: lambda sender, notice: self._ejections_received(
+                self.gossip.received(((notice.endpoint, notice.known_version),))
+            ),
+            messages.EjectionExchange: lambda sender, exchange: self._ejections_received(
+                self.gossip.exchange_received(sender, exchange)
+            ),
+            messages.ChangeProposal: lambda sender, change: self.changes.proposal_received(self._now, sender, change),
+            messages.CheckRequest: self.changes.check_requested,
+            messages.CheckResult: self.changes.check_answered,
+            messages.CanaryCounts: self._count_canary,
+            messages.ChangeRejected: lambda sender, msg: self.changes.respond(msg.id, False, msg.reason, msg.version),
         }
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.leader == self.name
 
     def handle(self, now: float, event: Any) -> list[Any]:
         if now < self._now:
             raise ValueError(f"time runs back from {self._now} to {now}")
-        do = self._events.get(type(event))
-        if do is None:
+        handler = self._events.get(type(event))
+        if handler is None:
             raise TypeError(f"no event of rules: {event!r}")
         self._now = now
-        self._out = self.changes.out = []
-        do(event)
+        self._actions = self.changes.actions = []
+        handler(event)
         self._tick()
-        self._tell()
-        self._arm()
-        return self._out
-
-    # Events
+        self._report_rules()
+        self._arm_timer()
+        return self._actions
 
-    def _fired(self, event: interfaces.TimerFired) -> None:
-        if self._now >= self._armed:
-            self._armed = NEVER
+    def _timer_fired(self, event: interfaces.TimerFired) -> None:
+        if self._now >= self._timer_at_ms:
+            self._timer_at_ms = NEVER
 
-    def _heard(self, event: interfaces.MessageReceived) -> None:
-        do = self._messages.get(type(event.message))
-        if do is None:
+    def _message_received(self, event: interfaces.MessageReceived) -> None:
+        handler = self._messages.get(type(event.message))
+        if handler is None:
             self._count("no message of rules")
         else:
-            do(event.sender, event.message)
+            handler(event.sender, event.message)
 
-    def _member(self, event: interfaces.MemberChanged) -> None:
-        self._out += self.telling.member(self._now, event)
+    def _member_changed(self, event: interfaces.MemberChanged) -> None:
+        self._actions += self.gossip.member_changed(self._now, event)
 
-    def _fenced(self) -> None:
-        self.holder.release()
+    def _fence(self) -> None:
+        self.lease.release()
         self._reads.clear()
-        self._waiting.clear()
-        self._ask_at = self._now
+        self._lease_requests.clear()
+        self._request_at_ms = self._now
 
     # The log
 
     def _propose(self, entry: entries.Entry, ident: str, base: int) -> None:
-        """The log counts an id once; made again on another base it is another change."""
+        """The log counts an id, which contains the entry's class name, once; on another base it is another change."""
         self._ticket += 1
         self._tickets[self._ticket] = (type(entry).__name__, ident)
-        once = f"{type(entry).__name__} {ident} {base}" if ident else ""
-        self._out.append(log.Propose(self._ticket, entries.encode(entry), once))
+        entry_id = f"{type(entry).__name__} {ident} {base}" if ident else ""
+        self._actions.append(log.Propose(self._ticket, entries.encode(entry), entry_id))
 
-    def _ended(self, ticket: int, why: str | None) -> None:
-        what, ident = self._tickets.pop(ticket, ("", ""))
-        term, asks = self._reads.pop(ticket, (0, {}))
-        if what == "Activate":
+    def _proposal_ended(self, ticket: int, reason: str | None) -> None:
+        kind, ident = self._tickets.pop(ticket, ("", ""))
+        term, requests = self._reads.pop(ticket, (0, {}))
+        if kind == "Activate":
             self._activating = 0
-            self._activate_at = self._now + self.tuning.lease_ms / 3  # not at once: a log that refuses is asked forever
-        elif what in ("Put", "Try") and why is not None and why != "unknown":
-            self.changes.refused(ident, why)
+            self._activate_at_ms = self._now + self.tuning.lease_ms / 3  # not at once: a log that rejects it would loop
+        elif kind in ("Put", "Try") and reason is not None and reason != "unknown":
+            self.changes.proposal_rejected(ident, reason)
 
-    def _agreed(self, event: log.EntryCommitted) -> None:
+    def _entry_committed(self, event: log.EntryCommitted) -> None:
         entry = entries.decode(event.data)
         if entry is None:
             self._count("no entry of rules")
             return
-        active, newest = self.book.active, self.book.newest
-        applied = self.book.apply(entry)
-        self._acts = None
-        if self.book.newest != newest:
-            self._activate_at = -NEVER
-            self._out.append(LogLine(f"holds {self.book.newest}"))
-        self.changes.applied(applied)
+        active, newest = self.rules.active, self.rules.newest
+        applied = self.rules.apply(entry)
+        self._in_force = None
+        if self.rules.newest != newest:
+            self._activate_at_ms = -NEVER
+            self._actions.append(LogLine(f"holds {self.rules.newest}"))
+        self.changes.entry_applied(applied)
         if applied.ok and isinstance(entry, (entries.Try, entries.EndTry)):
-            word = "" if isinstance(entry, entries.Try) else " kept" if entry.keep else " back"
-            self._out.append(LogLine(f"canary {entry.id}{word}"))
-        if self.book.newest != newest or self.book.active != active:
-            self._ask_at = min(self._ask_at, self._now)
+            outcome = "" if isinstance(entry, entries.Try) else " kept" if entry.keep else " back"
+            self._actions.append(LogLine(f"canary {entry.id}{outcome}"))
+        if self.rules.newest != newest or self.rules.active != active:
+            self._request_at_ms = min(self._request_at_ms, self._now)
 
-    def _install(self, event: log.SnapshotInstalled) -> None:
-        self.book.install(event.state)
-        self._acts = None
-        self._out.append(LogLine(f"holds {self.book.newest}"))
-        self._ask_at = min(self._ask_at, self._now)
+    def _snapshot_installed(self, event: log.SnapshotInstalled) -> None:
+        self.rules.install(event.state)
+        self._in_force = None
+        self._actions.append(LogLine(f"holds {self.rules.newest}"))
+        self._request_at_ms = min(self._request_at_ms, self._now)
 
     def state(self) -> bytes:
-        """For the log's snapshot, of exactly this moment."""
-        return self.book.state()
+        """For the log's snapshot, as of exactly this moment."""
+        return self.rules.state()
 
-    def _led(self, event: log.LeaderChanged) -> None:
+    def _leader_changed(self, event: log.LeaderChanged) -> None:
         if (event.name, event.term) == (self.leader, self.term):
             return
         self.leader, self.term = event.name, event.term
-        self._waiting.clear()
+        self._lease_requests.clear()
         self._reads.clear()
-        self.watch.forget()
+        self.canary_monitor.reset()
         self._activating = 0
-        self.changes.lost()
-        self.changes.leads = self.leads
-        if self.leads:
-            self.granter.begin(self._now)
+        self.changes.leadership_lost()
+        self.changes.is_leader = self.is_leader
+        if self.is_leader:
+            self.granter.start_leadership(self._now)
         else:
-            self.granter.end()
-        self._ask_at = self._now if event.name is not None else NEVER
+            self.granter.end_leadership()
+        self._request_at_ms = self._now if event.name is not None else NEVER
 
-    # Leases: the holder
+    # Leases, as a holder
 
-    def _ask_lease(self) -> None:
+    def _request_lease(self) -> None:
         if self.leader is None:
-            self._ask_at = NEVER
+            self._request_at_ms = NEVER
             return
-        holder = self.holder
-        serial = holder.request(self._now)
-        parts = holder.parts if holder.is_valid(self._now) else 0
-        ask = messages.AskLease(
+        lease = self.lease
+        serial = lease.request(self._now)
+        divisor = lease.divisor if lease.is_valid(self._now) else 0
+        request = messages.LeaseRequest(
             serial,
             self.process_epoch,
-            self.book.newest,
-            self.book.active,
-            parts,
-            holder.granted_serial,
-            self.telling.riding(),
+            self.rules.newest,
+            self.rules.active,
+            divisor,
+            lease.granted_serial,
+            self.gossip.piggybacked(),
         )
-        self._ask_at = self._now + self.tuning.lease_ms / 3
-        if self.leads:
-            self._asked(self.name, ask)
+        self._request_at_ms = self._now + self.tuning.lease_ms / 3
+        if self.is_leader:
+            self._lease_requested(self.name, request)
         else:
-            self._out.append(SendToMember(self.leader, ask, Carrier.DATAGRAM))
+            self._actions.append(SendToMember(self.leader, request, Carrier.DATAGRAM))
 
-    def _granted(self, sender: str, grant: messages.Grant) -> None:
-        self._bans(self.telling.heard(grant.bans))
-        if not self.holder.grant(self._now, grant):
+    def _grant_received(self, sender: str, grant: messages.LeaseGrant) -> None:
+        self._ejections_received(self.gossip.received(grant.ejections))
+        if not self.lease.accept_grant(self._now, grant):
             self._count("late grant")
 
-    # Leases: the leader
+    # Leases, as the leader
 
-    def _asked(self, sender: str, ask: messages.AskLease) -> None:
-        self._bans(self.telling.heard(ask.bans))
-        if not self.leads:
+    def _lease_requested(self, sender: str, request: messages.LeaseRequest) -> None:
+        self._ejections_received(self.gossip.received(request.ejections))
+        if not self.is_leader:
             return
-        key = (sender, ask.process_epoch)
-        known = self._waiting.get(key)
-        if len(self._waiting) < self.tuning.most_holders and (known is None or known.serial < ask.serial):
-            self._waiting[key] = ask
-
-    def _ready(self, event: log.ReadReady) -> None:
-        term, asks = self._reads.pop(event.ticket, (0, {}))
-        if not self.leads or term != self.term:
+        key = (sender, request.process_epoch)
+        known = self._lease_requests.get(key)
+        if len(self._lease_requests) < self.tuning.most_holders and (known is None or known.serial < request.serial):
+            self._lease_requests[key] = request
+
+    def _read_ready(self, event: log.ReadReady) -> None:
+        term, requests = self._reads.pop(event.ticket, (0, {}))
+        if not self.is_leader or term != self.term:
             return
-        for (name, _), ask in asks.items():
-            self._grant(name, ask)
-
-    def _grant(self, name: str, ask: messages.AskLease) -> None:
-        book = self.book
-        answer: messages.Grant | messages.Behind | None = None
-        if ask.version == book.newest and ask.active == book.active:
-            grant = self.granter.grant(self._now, name, ask, book.newest)
+        for (name, _), request in requests.items():
+            self._grant(name, request)
+
+    def _grant(self, name: str, request: messages.LeaseRequest) -> None:
+        rules = self.rules
+        response: messages.LeaseGrant | messages.StaleVersion | None = None
+        if request.version == rules.newest and request.active == rules.active:
+            grant = self.granter.grant(self._now, name, request, rules.newest)
             if grant is not None:
-                answer = messages.Grant(grant.serial, grant.lease_ms, grant.parts, self.telling.riding())
+                response = messages.LeaseGrant(grant.serial, grant.lease_ms, grant.divisor, self.gossip.piggybacked())
         else:
-            answer = messages.Behind(ask.serial, book.newest, book.active)
+            response = messages.StaleVersion(request.serial, rules.newest, rules.active)
         if name == self.name:
-            if isinstance(answer, messages.Grant):
-                self._granted(name, answer)
-        elif answer is not None:
-            self._out.append(SendToMember(name, answer, Carrier.DATAGRAM))
+            if isinstance(response, messages.LeaseGrant):
+                self._grant_received(name, response)
+        elif response is not None:
+            self._actions.append(SendToMember(name, response, Carrier.DATAGRAM))
 
     def _activate(self) -> None:
-        book = self.book
-        due = book.newest > book.active and self._now >= self._activate_at
-        if self.leads and not self._activating and due and self.granter.may_activate(book.newest, self._now):
-            self._activating = book.newest
-            self._propose(entries.Activate(book.newest), "", book.newest)
+        rules = self.rules
+        is_due = rules.newest > rules.active and self._now >= self._activate_at_ms
+        if self.is_leader and not self._activating and is_due and self.granter.may_activate(rules.newest, self._now):
+            self._activating = rules.newest
+            self._propose(entries.Activate(rules.newest), "", rules.newest)
 
-    # Bans
+    # Ejections
 
-    def _bans(self, out: list[Any]) -> None:
-        """What came of bans heard."""
-        if any(isinstance(action, LogLine) for action in out):
-            self._acts = None
-        self._out += out
+    def _ejections_received(self, actions: list[Any]) -> None:
+        """The actions that received ejections led to."""
+        if any(isinstance(action, LogLine) for action in actions):
+            self._in_force = None
+        self._actions += actions
 
-    def _spread(self) -> None:
-        under_way = {ident for _, ident in self._tickets.values()}
-        self._out += self.telling.spread(self._now, under_way, self._propose if self.leader is not None else None)
+    def _spread_ejections(self) -> None:
+        proposed = {ident for _, ident in self._tickets.values()}
+        self._actions += self.gossip.spread(self._now, proposed, self._propose if self.leader is not None else None)
 
     # Operators
 
-    def _ask(self, ask: OperatorRequest) -> None:
-        ident = ask.id or f"{self.name}.{self.process_epoch}.{ask.ticket}"
+    def _operator_request(self, request: OperatorRequest) -> None:
+        ident = request.id or f"{self.name}.{self.process_epoch}.{request.ticket}"
         try:
-            if ask.what == "ban":
-                self._ask_ban(ask, upstream_of(ask.document))
-            elif ask.what in ("propose", "back", "return"):
-                suggest = suggest_of(ask, ident, self.book.newest, self.tuning.most_document_bytes)
-                self.changes.ask(self._now, ask, ident, suggest, self.leader)
-            elif ask.what == "diff":
-                changed = self.book.diff(whole_number(ask.document, "one"), whole_number(ask.document, "two"))
-                self._answer(ask, True, ", ".join(f"{key} {word}" for key, word in changed))
-            elif ask.what == "status":
-                self._answer(ask, True, "leased" if self.holder.is_valid(self._now) else "narrow")
+            if request.what == "ban":
+                self._request_ejection(request, endpoint_of(request.document))
+            elif request.what in ("propose", "back", "return"):
+                proposal = proposal_of(request, ident, self.rules.newest, self.tuning.most_document_bytes)
+                self.changes.submit(self._now, request, ident, proposal, self.leader)
+            elif request.what == "diff":
+                changed = self.rules.diff(number_of(request.document, "one"), number_of(request.document, "two"))
+                self._respond(request, True, ", ".join(f"{key} {effect}" for key, effect in changed))
+            elif request.what == "status":
+                self._respond(request, True, "leased" if self.lease.is_valid(self._now) else "narrow")
             else:
-                raise ValueError(f"{ask.what}: none of propose, back, ban, return, diff, status")
+                raise ValueError(f"{request.what}: none of propose, back, ban, return, diff, status")
         except ValueError as error:
-            self._answer(ask, False, str(error))
+            self._respond(request, False, str(error))
 
-    def _answer(self, ask: OperatorRequest, ok: bool, text: str) -> None:
-        self._out.append(OperatorResponse(ask.ticket, ok, text, self.book.newest))
+    def _respond(self, request: OperatorRequest, ok: bool, text: str) -> None:
+        self._actions.append(OperatorResponse(request.ticket, ok, text, self.rules.newest))
 
-    def _ask_ban(self, ask: OperatorRequest, upstream: str) -> None:
-        held = self.book.flat(self.book.newest).get(("bans", upstream), (False, 0.0))
-        if held[0]:
-            self._answer(ask, True, "")
+    def _request_ejection(self, request: OperatorRequest, endpoint: str) -> None:
+        entry = self.rules.flat(self.rules.newest).get(("bans", endpoint), (False, 0.0))
+        if entry[0]:
+            self._respond(request, True, "")
             return
-        if self.book.tell_ban(upstream, self.book.newest, self.tuning.most_bans):
-            self._acts = None
-        self.changes.ask(self._now, ask, f"ban {upstream}", None, self.leader)
-        self._spread()
-
-    def _counted(self, event: Counted) -> None:
-        if self.book.trial is not None and self.leader is not None:
-            count = messages.Count(self.book.trial.id, event.taken, event.bad)
-            if self.leads:
-                self._count_canary(self.name, count)
+        if self.rules.add_pending_ejection(endpoint, self.rules.newest, self.tuning.most_bans):
+            self._in_force = None
+        self.changes.submit(self._now, request, f"ban {endpoint}", None, self.leader)
+        self._spread_ejections()
+
+    def _requests_counted(self, event: RequestsCounted) -> None:
+        if self.rules.trial is not None and self.leader is not None:
+            counts = messages.CanaryCounts(self.rules.trial.id, event.requests, event.unsuccessful)
+            if self.is_leader:
+                self._count_canary(self.name, counts)
             else:
-                self._out.append(SendToMember(self.leader, count, Carrier.DATAGRAM))
-
-    def _count_canary(self, sender: str, count: messages.Count) -> None:
-        trial = self.book.trial
-        if self.leads and trial is not None and trial.id == count.id:
-            end = self.watch.counted(self._now, trial.id, sender in trial.names, count.taken, count.bad)
-            if end:
-                self._out.append(LogLine(f"canary {trial.id} should {end}", self.watch.figures()))
-                self._propose(entries.EndTry(trial.id, end == "keep", end), "", 0)
-
-    # After each event
+                self._actions.append(SendToMember(self.leader, counts, Carrier.DATAGRAM))
+
+    def _count_canary(self, sender: str, counts: messages.CanaryCounts) -> None:
+        trial = self.rules.trial
+        if self.is_leader and trial is not None and trial.id == counts.id:
+            verdict = self.canary_monitor.add_counts(
+                self._now, trial.id, sender in trial.members, counts.requests, counts.unsuccessful
+            )
+            if verdict:
+                self._actions.append(LogLine(f"canary {trial.id} should {verdict}", self.canary_monitor.figures()))
+                self._propose(entries.EndTry(trial.id, verdict == "keep", verdict), "", 0)
 
     def _tick(self) -> None:
         now = self._now
         self.changes.tick(now)
-        if now >= self._ask_at:
-            self._ask_lease()
-        if now >= self.telling.at:
-            self._spread()
-        if self._waiting and len(self._reads) < 2:
+        if now >= self._request_at_ms:
+            self._request_lease()
+        if now >= self.gossip.repeat_at_ms:
+            self._spread_ejections()
+        if self._lease_requests and len(self._reads) < 2:
             self._ticket += 1
-            self._reads[self._ticket] = (self.term, self._waiting)
-            self._waiting = {}
-            self._out.append(log.ReadIndex(self._ticket))
+            self._reads[self._ticket] = (self.term, self._lease_requests)
+            self._lease_requests = {}
+            self._actions.append(log.ReadIndex(self._ticket))
         self._activate()
 
-    def _tell(self) -> None:
-        """InForce or Narrow, if what acts here is not what was told last."""
-        if not self._begun:
+    def _report_rules(self) -> None:
+        """RulesInForce or RestrictedRules, if what is in force here is not what was reported last."""
+        if not self._started:
             return
-        book, holder = self.book, self.holder
-        if self._acts is None:
-            acts = (book.written(book.acting(self.name), True), book.written(book.narrow(), False))
-            if self._last is None or acts != self._last:
-                self._last, self._number = acts, self._number + 1
-            self._acts = self._last  # the same object where nothing changed: the host looks at that alone
-        document, narrow = self._acts
-        leased = holder.is_valid(self._now)
-        told = (self._number, book.newest, holder.expires_at_ms if leased else -NEVER, holder.parts, book.active)
-        if told == self._told:
+        rules, lease = self.rules, self.lease
+        if self._in_force is None:
+            pair = (rules.document_of(rules.in_force_at(self.name), True), rules.document_of(rules.restricted(), False))
+            if self._last_reported is None or pair != self._last_reported:
+                self._last_reported, self._revision = pair, self._revision + 1
+            self._in_force = self._last_reported  # the same object if nothing changed: the host compares identity
+        document, restricted = self._in_force
+        leased = lease.is_valid(self._now)
+        state = (self._revision, rules.newest, lease.expires_at_ms if leased else -NEVER, lease.divisor, rules.active)
+        if state == self._reported_state:
             return
-        self._told = told
+        self._reported_state = state
         if leased:
-            self._out.append(InForce(document, holder.expires_at_ms, holder.parts, narrow, book.newest, book.active))
-            if not self._leased or self._noted != book.active:
-                self._out.append(LogLine(f"rules {book.active}", {"newest": book.newest}))
+            self._actions.append(
+                RulesInForce(document, lease.expires_at_ms, lease.divisor, restricted, rules.newest, rules.active)
+            )
+            if not self._reported_leased or self._logged_active != rules.active:
+                self._actions.append(LogLine(f"rules {rules.active}", {"newest": rules.newest}))
         else:
-            self._out.append(Narrow(narrow, self.tuning.without_lease == "refuse", book.newest))
-            if self._leased or not self._noted:
-                self._out.append(LogLine("narrow"))
-        self._leased, self._noted = leased, book.active
-
-    def _arm(self) -> None:
-        due = min(self._ask_at, self.telling.at, self.changes.due())
-        if self.holder.is_valid(self._now):
-            due = min(due, self.holder.expires_at_ms)
-        if self.leads and not self._activating and self.book.newest > self.book.active:
-            due = min(due, max(self._now, self._activate_at, self.granter.due(self.book.newest, self._now)))
-        if due < self._armed:
-            self._armed = due
-            self._out.append(SetTimer(due, 1))
-
-    def _count(self, why: str) -> None:
-        self.counts[why] = self.counts.get(why, 0) + 1
+            self._actions.append(RestrictedRules(restricted, self.tuning.without_lease == "refuse", rules.newest))
+            if self._reported_leased or not self._logged_active:
+                self._actions.append(LogLine("narrow"))
+        self._reported_leased, self._logged_active = leased, rules.active
+
+    def _arm_timer(self) -> None:
+        due = min(self._request_at_ms, self.gossip.repeat_at_ms, self.changes.next_deadline_ms())
+        if self.lease.is_valid(self._now):
+            due = min(due, self.lease.expires_at_ms)
+        if self.is_leader and not self._activating and self.rules.newest > self.rules.active:
+            due = min(due, max(self._now, self._activate_at_ms, self.granter.due_at_ms(self.rules.newest, self._now)))
+        if due < self._timer_at_ms:
+            self._timer_at_ms = due
+            self._actions.append(SetTimer(due, 1))
+
+    def _count(self, reason: str) -> None:
+        self.counts[reason] = self.counts.get(reason, 0) + 1
--- a/limenotch/fleet/rules/document.py
+++ b/limenotch/fleet/rules/document.py
@@ -1,7 +1,7 @@
-"""A rule book's document: `settings` (as the platform gives them), `bans` and `directory`; flat, merged, and back.
+"""The document of the rules: `settings` (as the platform gives them), `bans` and `directory`; flattened and merged.
 
-A change is a partial document, merged over its base as RFC 7396 merges JSON: null removes, what it is silent about
-stays. Classes and tenants are merged by name, given as a list of entries or as an object by name.
+A change is a partial document, merged over its base as RFC 7396 merges JSON: null removes a key, and a key that the
+change does not name stays. Classes and tenants are merged by name, given as a list of entries or as an object by name.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from .change_classification import NAMED, OWN, Flat, Path, kind_of, text_of
+from .change_classification import LOCAL, NAMED_LISTS, FlatDocument, Path, dotted_path, kind_of
 
 Document = dict[str, Any]
-TOP = ("settings", "bans", "directory")
-# Narrowest first: what a second run of a call may do, see the design's table.
-RANKS = (
+TOP_LEVEL_KEYS = ("settings", "bans", "directory")
+# Narrowest first: what a repeated execution of a request may do, see the design's table.
+REPEAT_RANKS = (
     ("at_most_once", ""),
     ("deduplicated", "cell"),
     ("deduplicated", "zone"),
@@ -26,66 +26,66 @@
 )
 
 
-def rank_of(entry: Mapping[str, Any]) -> int:
-    """Of a class. What is no known effect or scope is the narrowest: the check of the whole names it."""
+def repeat_rank(entry: Mapping[str, Any]) -> int:
+    """The rank of a class. An unknown effect or scope ranks lowest: the check of the complete document reports it."""
     effect = entry.get("effect")
     scope = entry.get("dedup_scope", "all") if effect == "deduplicated" else ""
-    return RANKS.index((effect, scope)) if (effect, scope) in RANKS else 0
+    return REPEAT_RANKS.index((effect, scope)) if (effect, scope) in REPEAT_RANKS else 0
 
 
-def _number(value: Any, absent: float) -> float:
-    return value if isinstance(value, (int, float)) and not isinstance(value, bool) and value == value else absent
+def _number(value: Any, default: float) -> float:
+    return value if isinstance(value, (int, float)) and not isinstance(value, bool) and value == value else default
 
 
-def flatten(document: Document) -> Flat:
-    """Key paths to values. ValueError names the key that has not the shape of its place."""
-    out: Flat = {}
+def flatten(document: Document) -> FlatDocument:
+    """Key paths to values. ValueError names the key whose value has a wrong shape."""
+    flat: FlatDocument = {}
     for key in document:
-        if key not in TOP:
-            raise ValueError(f"{key}: none of {', '.join(TOP)}")
+        if key not in TOP_LEVEL_KEYS:
+            raise ValueError(f"{key}: none of {', '.join(TOP_LEVEL_KEYS)}")
     settings = document.get("settings")
     if not isinstance(settings, dict):
         raise ValueError("settings: expected an object")
     for key, value in settings.items():
         path: Path = ("settings", key)
-        if key in NAMED:
-            for name, entry in _entries(value, text_of(path)).items():
-                _flatten_entry(out, (*path, name), entry)
+        if key in NAMED_LISTS:
+            for name, entry in _entries(value, dotted_path(path)).items():
+                _flatten_entry(flat, (*path, name), entry)
         elif isinstance(value, dict):
-            for inner, held in value.items():
-                out[(*path, inner)] = held
+            for inner_key, inner_value in value.items():
+                flat[(*path, inner_key)] = inner_value
         else:
-            out[path] = value
-    for name, ban in _object(document.get("bans", {}), "bans").items():
-        if not isinstance(ban, dict) or not isinstance(ban.get("out"), bool):
+            flat[path] = value
+    for name, ejection in _object(document.get("bans", {}), "bans").items():
+        if not isinstance(ejection, dict) or not isinstance(ejection.get("out"), bool):
             raise ValueError(f'bans.{name}: expected {{"out": true or false, "at_ms": number}}')
-        out["bans", name] = (ban["out"], float(_number(ban.get("at_ms"), 0.0)))
+        flat["bans", name] = (ejection["out"], float(_number(ejection.get("at_ms"), 0.0)))
     if "directory" in document:
-        out["directory",] = document["directory"]
-    for path, value in out.items():
+        flat["directory",] = document["directory"]
+    for path, value in flat.items():
         kind = kind_of(path)
-        if kind is OWN:
-            raise ValueError(f"{text_of(path)}: is of each sidecar's own, no rule for all")
+        if kind is LOCAL:
+            raise ValueError(f"{dotted_path(path)}: is of each sidecar's own, no rule for all")
         if kind.name in ("least", "most", "limit") and _number(value, -1.0) < 0:
-            raise ValueError(f"{text_of(path)}: expected a number of 0 or more")
+            raise ValueError(f"{dotted_path(path)}: expected a number of 0 or more")
         if kind.name == "flag" and not isinstance(value, bool):
-            raise ValueError(f"{text_of(path)}: expected true or false")
-    return out
+            raise ValueError(f"{dotted_path(path)}: expected true or false")
+    return flat
 
 
-def _flatten_entry(out: Flat, path: Path, entry: Mapping[str, Any]) -> None:
-    out[path] = True
+def _flatten_entry(flat: FlatDocument, path: Path, entry: Mapping[str, Any]) -> None:
+    flat[path] = True
     for key, value in entry.items():
         if key not in ("name", "effect", "dedup_scope", "window_ms"):
-            out[(*path, key)] = value
+            flat[(*path, key)] = value
     if path[1] == "classes":
-        rank = rank_of(entry)
-        out[(*path, "repeat")] = rank
-        # Who may repeat at will has no window unless it says one; who has none may repeat no deduplicated call.
-        usual = math.inf if rank == len(RANKS) - 1 else 0.0
-        out[(*path, "window_ms")] = _number(entry.get("window_ms", usual), 0.0)
+        rank = repeat_rank(entry)
+        flat[(*path, "repeat")] = rank
+        # An idempotent class without a window may repeat at any time, a deduplicated one not at all.
+        default_window_ms = math.inf if rank == len(REPEAT_RANKS) - 1 else 0.0
+        flat[(*path, "window_ms")] = _number(entry.get("window_ms", default_window_ms), 0.0)
     elif not entry.get("quota_per_s"):
-        out[(*path, "quota_per_s")] = math.inf  # 0 is no quota: the widest
+        flat[(*path, "quota_per_s")] = math.inf  # 0 means no quota: the widest
 
 
 def _object(value: Any, key: str) -> dict[str, Any]:
@@ -95,7 +95,7 @@
 
 
 def _entries(value: Any, key: str) -> dict[str, Any]:
-    """A list of entries, or an object of them by name, by name. A null entry is one to be removed."""
+    """The entries by name, from a list of them or an object by name. A null entry is to be removed."""
     if isinstance(value, dict):
         found = {
             name: None if entry is None else {**_object(entry, f"{key}.{name}"), "name": name}
@@ -104,49 +104,49 @@
         return found
     if not isinstance(value, list):
         raise ValueError(f"{key}: expected a list, or an object by name")
-    out: dict[str, Any] = {}
+    by_name: dict[str, Any] = {}
     for entry in value:
         name = entry.get("name") if isinstance(entry, dict) else None
-        if not isinstance(name, str) or not name or name in out:
+        if not isinstance(name, str) or not name or name in by_name:
             raise ValueError(f"{key}: expected entries with names of their own")
-        out[name] = entry
-    return out
+        by_name[name] = entry
+    return by_name
 
 
-def unflatten(flat: Flat, order: Document) -> Document:
-    """Flat again as a document, its classes and tenants in the order of `order`'s, then by name."""
+def unflatten(flat: FlatDocument, order: Document) -> Document:
+    """The document of a flat one, its classes and tenants in the order of `order`'s, then by name."""
     settings: dict[str, Any] = {}
-    out: Document = {"settings": settings, "bans": {}}
-    named: dict[str, dict[str, dict[str, Any]]] = {}
+    document: Document = {"settings": settings, "bans": {}}
+    by_list: dict[str, dict[str, dict[str, Any]]] = {}
     for path in sorted(flat):
         value = flat[path]
         if path[0] == "bans":
-            out["bans"][path[1]] = {"out": value[0], "at_ms": value[1]}
+            document["bans"][path[1]] = {"out": value[0], "at_ms": value[1]}
         elif path == ("directory",):
-            out["directory"] = value
-        elif path[1] in NAMED:
-            _put(named.setdefault(path[1], {}), path, value)
+            document["directory"] = value
+        elif path[1] in NAMED_LISTS:
+            _put_value(by_list.setdefault(path[1], {}), path, value)
         elif len(path) == 3:
             settings.setdefault(path[1], {})[path[2]] = value
         else:
             settings[path[1]] = value
-    for key in NAMED:
-        given = order.get("settings", {}).get(key)
-        known = list(_entries(given, key)) if given else []
-        held = named.get(key, {})
-        if held or key == "classes" or known:
-            first = [name for name in known if name in held]
-            settings[key] = [held[name] for name in [*first, *sorted(held.keys() - set(first))]]
-    return out
+    for key in NAMED_LISTS:
+        ordered = order.get("settings", {}).get(key)
+        ordered_names = list(_entries(ordered, key)) if ordered else []
+        entries = by_list.get(key, {})
+        if entries or key == "classes" or ordered_names:
+            leading = [name for name in ordered_names if name in entries]
+            settings[key] = [entries[name] for name in [*leading, *sorted(entries.keys() - set(leading))]]
+    return document
 
 
-def _put(held: dict[str, dict[str, Any]], path: Path, value: Any) -> None:
+def _put_value(entries: dict[str, dict[str, Any]], path: Path, value: Any) -> None:
     if len(path) == 3:
-        held[path[2]] = {"name": path[2]}
+        entries[path[2]] = {"name": path[2]}
         return
-    entry, key = held[path[2]], path[3]
+    entry, key = entries[path[2]], path[3]
     if key == "repeat":
-        effect, scope = RANKS[value]
+        effect, scope = REPEAT_RANKS[value]
         entry["effect"] = effect
         if scope:
             entry["dedup_scope"] = scope
@@ -155,39 +155,43 @@
 
 
 def merge(base: Document, change: Document) -> Document:
-    """`change` over `base`, a new document. ValueError names a key of the wrong shape."""
-    out = {**base, **{key: value for key, value in change.items() if key not in ("settings", "bans")}}
-    out = {key: value for key, value in out.items() if value is not None}
-    before = _object(base.get("settings", {}), "settings")
-    settings = _patch(
-        before,
-        {key: value for key, value in _object(change.get("settings", {}), "settings").items() if key not in NAMED},
+    """`change` over `base`, as a new document. ValueError names a key whose value has a wrong shape."""
+    merged = {**base, **{key: value for key, value in change.items() if key not in ("settings", "bans")}}
+    merged = {key: value for key, value in merged.items() if value is not None}
+    base_settings = _object(base.get("settings", {}), "settings")
+    settings = _merge_patch(
+        base_settings,
+        {
+            key: value
+            for key, value in _object(change.get("settings", {}), "settings").items()
+            if key not in NAMED_LISTS
+        },
     )
-    for key in NAMED:
+    for key in NAMED_LISTS:
         if key not in change.get("settings", {}):
             continue
-        held = _entries(before.get(key, []), key)
+        entries = _entries(base_settings.get(key, []), key)
         for name, entry in _entries(change["settings"][key], f"settings.{key}").items():
             if entry is None:
-                held.pop(name, None)
+                entries.pop(name, None)
             else:
-                held[name] = _patch(held.get(name, {}), entry)
-        settings[key] = list(held.values())
-    out["settings"] = settings
-    out["bans"] = _patch(_object(base.get("bans", {}), "bans"), _object(change.get("bans", {}), "bans"))
-    return out
+                entries[name] = _merge_patch(entries.get(name, {}), entry)
+        settings[key] = list(entries.values())
+    merged["settings"] = settings
+    merged["bans"] = _merge_patch(_object(base.get("bans", {}), "bans"), _object(change.get("bans", {}), "bans"))
+    return merged
 
 
-def _patch(base: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
-    out = dict(base)
+def _merge_patch(base: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
+    patched = dict(base)
     for key, value in change.items():
         if value is None:
-            out.pop(key, None)
-        elif isinstance(value, dict) and isinstance(out.get(key), dict):
-            out[key] = _patch(out[key], value)
+            patched.pop(key, None)
+        elif isinstance(value, dict) and isinstance(patched.get(key), dict):
+            patched[key] = _merge_patch(patched[key], value)
         else:
-            out[key] = value
-    return out
+            patched[key] = value
+    return patched
 
 
 def encode(document: Document) -> bytes:
@@ -195,9 +199,9 @@
 
 
 def decode(data: bytes) -> Document:
-    """ValueError on what is no object in JSON."""
+    """Raises ValueError if `data` is not a JSON object."""
     try:
-        found = msgspec.json.decode(data)
+        document = msgspec.json.decode(data)
     except msgspec.DecodeError as error:
         raise ValueError(f"document: {error}") from None
-    return _object(found, "document")
+    return _object(document, "document")
--- a/limenotch/fleet/rules/ejection_gossip.py
+++ b/limenotch/fleet/rules/ejection_gossip.py
@@ -1,13 +1,14 @@
-"""Bans on their way from sidecar to sidecar, until a version holds them.
+"""Distributes ejections between sidecars until a version of the rules contains them.
 
-| when | what is said |
+| when | what is sent |
 | --- | --- |
-| one is made here, and each lease's time while the log has it not | to all members by datagram, and to the log |
-| an ask for a lease or a grant goes out | the latest ride on it |
-| a member is there that was not: a start, a heal, a fence | it is asked for all of its, and given all of one's own |
+| an ejection is requested here; again each lease's time until it is in the log | to all members and to the log |
+| a lease request or a grant is sent | the latest ejections go along with it |
+| a member appears or returns: by its start, a healed partition, a fence | all ejections, with a request for its |
 
-The last is for who comes new: membership's tables have told it of members, and with the first three of them it
-exchanges all bans by stream before a lease lets it act on more than the narrow rules. Both sides ask: one suffices.
+The last is for a sidecar that joins: membership has told it of other members, and with the first three of them it
+exchanges all ejections by stream, before a lease allows it more than the restricted rules. Both sides request an
+exchange, and either of the two suffices.
 """
 
 from __future__ import annotations
@@ -17,84 +18,99 @@
 
 from ..interfaces import Carrier, LogLine, MemberChanged, SendToMember
 from . import entries, messages
-from .versioned_rules import Book
+from .versioned_rules import VersionedRules
 
-GONE = frozenset({"dead", "left"})
+DEPARTED_STATES = frozenset({"dead", "left"})
 NEVER = float("inf")
-EXCHANGES, SPAN_MS = 3, 1000.0  # so many with members that are new here in such a span
+MAX_EXCHANGES, EXCHANGE_WINDOW_MS = 3, 1000.0  # at most so many with new members in one window
 
 
-class Telling:
+class EjectionGossip:
+    """The ejections that this sidecar has to pass on, and the members that it passes them to."""
+
     def __init__(
-        self, name: str, book: Book, most_bans: int, most_members: int, again_ms: float, count: Callable[[str], None]
+        self,
+        name: str,
+        rules: VersionedRules,
+        max_ejections: int,
+        max_members: int,
+        repeat_ms: float,
+        count: Callable[[str], None],
     ) -> None:
-        self.name, self.book, self._most, self._most_members = name, book, most_bans, most_members
-        self._again_ms, self._count = again_ms, count
-        self.members: dict[str, tuple[str, int]] = {}  # state and life
-        self.at = NEVER  # when to tell all again
-        self._exchanged = (-NEVER, 0)  # since when, how many
+        self.name, self.rules, self._max_ejections, self._max_members = name, rules, max_ejections, max_members
+        self._repeat_ms, self._count = repeat_ms, count
+        self.members: dict[str, tuple[str, int]] = {}  # state and process epoch
+        self.repeat_at_ms = NEVER
+        self._recent_exchanges = (-NEVER, 0)  # start of the window, count
 
     def reachable(self, names: Iterable[str]) -> list[str]:
-        """Of these members those that are not held dead, oneself not among them."""
-        return [name for name in names if name != self.name and self.members.get(name, ("",))[0] not in GONE]
+        """Of these members those that are not considered dead, this sidecar excluded."""
+        return [name for name in names if name != self.name and self.members.get(name, ("",))[0] not in DEPARTED_STATES]
+
+    def piggybacked(self) -> tuple[tuple[str, int], ...]:
+        return tuple(list(self.rules.pending_ejections.items())[-messages.MAX_PIGGYBACKED_EJECTIONS :])
 
-    def riding(self) -> tuple[tuple[str, int], ...]:
-        return tuple(list(self.book.told.items())[-messages.MOST_BANS :])
+    def received(self, ejections: tuple[tuple[str, int], ...]) -> list[Any]:
+        """Ejections from any member take effect at once.
 
-    def heard(self, bans: tuple[tuple[str, int], ...]) -> list[Any]:
-        """Heard from anyone: acts at once. A version that holds it, or a later return, makes it no news."""
-        out: list[Any] = []
-        for upstream, after in bans:
-            if len(upstream) > messages.MOST_NAME or after < 0:
+        They are ignored if a version contains them, or if a version later than the reporter's readmitted the endpoint.
+        """
+        actions: list[Any] = []
+        for endpoint, known_version in ejections:
+            if len(endpoint) > messages.MAX_NAME_LENGTH or known_version < 0:
                 self._count("bad ban")
                 continue
-            held = self.book.flat(self.book.newest).get(("bans", upstream), (False, 0.0))
-            if held[0] or after < self.book.returned(upstream):
+            entry = self.rules.flat(self.rules.newest).get(("bans", endpoint), (False, 0.0))
+            if entry[0] or known_version < self.rules.readmitted_in(endpoint):
                 continue
-            if self.book.tell_ban(upstream, after, self._most):
-                out.append(LogLine(f"heard ban {upstream}"))
-        return out
+            if self.rules.add_pending_ejection(endpoint, known_version, self._max_ejections):
+                actions.append(LogLine(f"heard ban {endpoint}"))
+        return actions
 
     def spread(
-        self, now: float, under_way: set[str], propose: Callable[[entries.Entry, str, int], None] | None
+        self, now: float, proposed_ids: set[str], propose: Callable[[entries.Entry, str, int], None] | None
     ) -> list[Any]:
-        """Own told bans again: to all members, and to the log where one leads."""
-        self.at = NEVER
-        out: list[Any] = []
-        for upstream, after in list(self.book.told.items())[-messages.MOST_BANS :]:
-            ident = f"ban {upstream}"
-            if propose is not None and ident not in under_way:
-                propose(entries.Out(ident, upstream), ident, after)
-            out += [
-                SendToMember(name, messages.Told(upstream, after), Carrier.DATAGRAM)
+        """Send the ejections not yet agreed on again, to all members and to the log if there is a leader."""
+        self.repeat_at_ms = NEVER
+        actions: list[Any] = []
+        for endpoint, known_version in list(self.rules.pending_ejections.items())[
+            -messages.MAX_PIGGYBACKED_EJECTIONS :
+        ]:
+            ident = f"ban {endpoint}"
+            if propose is not None and ident not in proposed_ids:
+                propose(entries.Out(ident, endpoint), ident, known_version)
+            actions += [
+                SendToMember(name, messages.EjectionNotice(endpoint, known_version), Carrier.DATAGRAM)
                 for name, (state, _) in self.members.items()
-                if name != self.name and state not in GONE
+                if name != self.name and state not in DEPARTED_STATES
             ]
-            self.at = now + self._again_ms
-        return out
+            self.repeat_at_ms = now + self._repeat_ms
+        return actions
 
-    def member(self, now: float, event: MemberChanged) -> list[Any]:
-        before = self.members.get(event.name)
-        if before is None and len(self.members) >= self._most_members:
+    def member_changed(self, now: float, event: MemberChanged) -> list[Any]:
+        previous = self.members.get(event.name)
+        if previous is None and len(self.members) >= self._max_members:
             return []
         self.members[event.name] = (event.state, event.process_epoch)
-        new = before is None or before[0] in GONE or before[1] != event.process_epoch
-        if event.name == self.name or event.state in GONE or not new:
+        is_new = previous is None or previous[0] in DEPARTED_STATES or previous[1] != event.process_epoch
+        if event.name == self.name or event.state in DEPARTED_STATES or not is_new:
             return []
-        since, many = self._exchanged if now - self._exchanged[0] < SPAN_MS else (now, 0)
-        if many >= EXCHANGES:
+        window_start_ms, count = (
+            self._recent_exchanges if now - self._recent_exchanges[0] < EXCHANGE_WINDOW_MS else (now, 0)
+        )
+        if count >= MAX_EXCHANGES:
             return []
-        self._exchanged = (since, many + 1)
-        return [SendToMember(event.name, messages.Bans(self._all(), True))]
+        self._recent_exchanges = (window_start_ms, count + 1)
+        return [SendToMember(event.name, messages.EjectionExchange(self._all_pending(), True))]
 
-    def exchanged(self, sender: str, bans: messages.Bans) -> list[Any]:
-        if len(bans.bans) > self._most:
+    def exchange_received(self, sender: str, exchange: messages.EjectionExchange) -> list[Any]:
+        if len(exchange.ejections) > self._max_ejections:
             self._count("too many bans")
             return []
-        out = self.heard(bans.bans)
-        if bans.wanted:
-            out.append(SendToMember(sender, messages.Bans(self._all())))
-        return out
+        actions = self.received(exchange.ejections)
+        if exchange.reply_requested:
+            actions.append(SendToMember(sender, messages.EjectionExchange(self._all_pending())))
+        return actions
 
-    def _all(self) -> tuple[tuple[str, int], ...]:
-        return tuple(self.book.told.items())
+    def _all_pending(self) -> tuple[tuple[str, int], ...]:
+        return tuple(self.rules.pending_ejections.items())
--- a/limenotch/fleet/rules/endpoint_lists.py
+++ b/limenotch/fleet/rules/endpoint_lists.py
@@ -22,7 +22,7 @@
 from .. import interfaces
 from ..consensus import api as log
 from ..interfaces import Carrier, LogLine, SendToMember, SetTimer
-from .api import Voters
+from .api import VotersChanged
 from .drain_notices import PeerDrains
 from .endpoint_additions import NEVER, EndpointAdditions
 from .endpoint_list_messages import (
@@ -89,7 +89,7 @@
             interfaces.MessageReceived: self._message_received,
             interfaces.MemberChanged: self._member_changed,
             interfaces.TimerFired: self._timer_fired,
-            Voters: lambda event: self.additions.voters_changed(self._now, event.names),
+            VotersChanged: lambda event: self.additions.voters_changed(self._now, event.names),
             log.EntryCommitted: lambda event: self.additions.apply(event),
             log.SnapshotInstalled: lambda event: self.additions.install(event.state),
             log.LeaderChanged: lambda event: self.additions.leader_changed(self._now, event.name),
--- a/limenotch/fleet/rules/entries.py
+++ b/limenotch/fleet/rules/entries.py
@@ -1,4 +1,7 @@
-"""What the rules put into the log, as msgpack. Fields are only ever added at the end, with defaults."""
+"""The log entries of the rules, as msgpack. New fields are added only at the end, with defaults.
+
+The names of the classes are part of the ids under which the log counts an entry once (core.py).
+"""
 
 from __future__ import annotations
 
@@ -9,40 +12,42 @@
 
 
 class Put(Struct, frozen=True, array_like=True, tag="put"):
-    """Version newest + 1, if `base` is still the newest. `document` is whole, as JSON."""
+    """Creates version newest + 1 if `base` is still the newest. `document` is complete, as JSON."""
 
     id: str
     base: int
     document: bytes
-    back: int = 0  # the version whose body it is, if it goes back
+    restored_version: int = 0  # the version whose document this is, if it restores one
 
 
 class Out(Struct, frozen=True, array_like=True, tag="out"):
-    """A ban: a version on whatever is the newest, as it only narrows."""
+    """An operator's ejection of an endpoint: a version on top of whichever is the newest, as it only restricts."""
 
     id: str
-    upstream: str
+    endpoint: str
 
 
 class Activate(Struct, frozen=True, array_like=True, tag="act"):
+    """Makes version `number` the active one."""
+
     number: int
 
 
 class Try(Struct, frozen=True, array_like=True, tag="try"):
-    """A canary: these sidecars act on the document, if `base` is still the newest."""
+    """Starts a canary trial: these sidecars use the document, if `base` is still the newest version."""
 
     id: str
     base: int
     document: bytes
-    names: tuple[str, ...]
+    canary_members: tuple[str, ...]
 
 
 class EndTry(Struct, frozen=True, array_like=True, tag="end"):
-    """Of the canary of that id; kept, it becomes a version."""
+    """Ends the canary trial `id`; with `keep`, its document becomes a version."""
 
     id: str
     keep: bool
-    why: str = ""
+    reason: str = ""
 
 
 Entry = Union[Put, Out, Activate, Try, EndTry]
@@ -55,7 +60,7 @@
 
 
 def decode(data: bytes) -> Entry | None:
-    """None: it is none of these, so another part's or of a newer program."""
+    """None if the data are not one of these entries: another component's, or of a newer program."""
     try:
         return _DECODER.decode(data)
     except msgspec.DecodeError:
--- a/limenotch/fleet/rules/leases.py
+++ b/limenotch/fleet/rules/leases.py
@@ -1,16 +1,18 @@
-"""Leases on rules: how long a sidecar may act on more than the narrow rules, and who grants that.
+"""Leases on rules: how long a sidecar may use more than the restricted rules, and who grants that.
 
 | who | counts from | for |
 | --- | --- | --- |
-| holder | when it asked | lease_ms |
+| holder | when it sent the request | lease_ms |
 | granter | when it granted, which is later | lease_ms x (1 + drift) |
 
-So a lease is over at its holder before it is over in the granter's record (leasing.py); a grant counts only for the
-newest ask that it could answer. Who grants leads the log, and has asked it whether it still does
-since the ask came (core.py). One that has just become leader knows no leases: it waits one out before `may_activate`.
+So a lease expires at its holder before it expires in the granter's records (../leases.py); a grant is accepted only for
+the newest request that it can answer. The granter is the leader of the log, and has confirmed with the log since the
+request arrived that it still leads (core.py). A new leader knows no leases: it waits for one lease's time before
+`may_activate`.
 
-Parts of the cold budget: the sum of 1 / parts over all that may hold a lease is at most 1. A record keeps every part
-that a holder may act under yet; a newcomer gets 0 until the others have said that they act under a larger number.
+The slow-start budget is divided: the sum of 1 / divisor over all sidecars that may hold a lease is at most
+1. A record keeps each divisor that its holder may still use; a new sidecar gets 0 until the others have reported that
+they use a larger divisor.
 
 Source of leases on monotonic clocks with bounded drift: Gray, Cheriton, "Leases" (1989).
 """
@@ -22,101 +24,109 @@
 from math import ceil
 
 from ..leases import NEVER, HeldLease, LeaseGranter
-from .messages import AskLease, Grant
+from .messages import LeaseGrant, LeaseRequest
 from .tuning import Tuning
 
-MOST_OUT = 8  # grants of one holder that are told apart; further ones are counted as the widest of them
+MAX_OUTSTANDING_GRANTS = 8  # grants of one holder kept apart; above this, all count as the one with the largest share
 
 
-class Holder(HeldLease):
+class RulesLease(HeldLease):
     """A sidecar's own lease."""
 
     def __init__(self, tuning: Tuning) -> None:
         super().__init__(tuning.lease_ms)
-        self.parts = 0
+        self.divisor = 0
 
-    def grant(self, now: float, grant: Grant) -> bool:
-        """Whether it counts."""
+    def accept_grant(self, now: float, grant: LeaseGrant) -> bool:
+        """Whether the grant is accepted: it is of a request that can still be answered."""
         if not self.accept(now, grant.serial, grant.lease_ms):
             return False
-        self.parts = max(0, grant.parts)
+        self.divisor = max(0, grant.divisor)
         return True
 
     def release(self) -> None:
         super().release()
-        self.parts = 0
+        self.divisor = 0
 
 
 @dataclass(slots=True)
-class Record:
-    """What a holder (name and life) may act under: version, and each part with its grant's serial and end."""
+class LeaseRecord:
+    """What a holder (name and process epoch) may use: a version, and the divisors of its grants."""
 
     version: int
-    until: float = -NEVER
-    out: list[tuple[int, int, float]] = field(default_factory=list)  # serial, parts, until
+    expires_at_ms: float = -NEVER
+    grants: list[tuple[int, int, float]] = field(default_factory=list)  # serial, divisor, expiry
 
-    def share(self, now: float) -> Fraction:
-        held = [parts for _, parts, until in self.out if parts and until > now]
-        return Fraction(1, min(held)) if held else Fraction(0)
+    def slow_start_share(self, now: float) -> Fraction:
+        divisors = [divisor for _, divisor, expires_at_ms in self.grants if divisor and expires_at_ms > now]
+        return Fraction(1, min(divisors)) if divisors else Fraction(0)
 
 
-class Granter(LeaseGranter):
-    """The leader's record of leases."""
+class RulesLeaseGranter(LeaseGranter):
+    """The leader's records of leases."""
 
     def __init__(self, tuning: Tuning) -> None:
-        super().__init__(tuning.held_ms)
+        super().__init__(tuning.max_lease_ms)
         self._tuning = tuning
-        self.records: dict[tuple[str, int], Record] = {}
+        self.records: dict[tuple[str, int], LeaseRecord] = {}
 
-    def begin(self, now: float) -> None:
+    def start_leadership(self, now: float) -> None:
+        """This sidecar became the leader: it knows no leases yet."""
         self.leader_since_ms = now
         self.records = {}
 
-    def end(self) -> None:
+    def end_leadership(self) -> None:
         self.leader_since_ms = NEVER
         self.records = {}
 
     def prune(self, now: float) -> None:
-        for key in [key for key, record in self.records.items() if record.until <= now]:
+        for key in [key for key, record in self.records.items() if record.expires_at_ms <= now]:
             del self.records[key]
 
-    def grant(self, now: float, name: str, ask: AskLease, version: int) -> Grant | None:
-        """To who has said that it holds `version`, the newest. None: too many hold one."""
+    def grant(self, now: float, name: str, request: LeaseRequest, version: int) -> LeaseGrant | None:
+        """A lease for a sidecar that has applied `version`, the newest.
+
+        None: too many sidecars hold a lease.
+        """
         self.prune(now)
-        key = (name, ask.process_epoch)
+        key = (name, request.process_epoch)
         record = self.records.get(key)
         if record is None:
             if len(self.records) >= self._tuning.most_holders:
                 return None
-            record = self.records[key] = Record(version)
-            if ask.parts and not self.earlier_leases_expired(now):
-                # Of a leader before: how long it may act under that is not known, one lease at the most.
-                record.out.append((ask.granted, ask.parts, now + self._tuning.held_ms))
-        record.out = [one for one in record.out if one[0] >= ask.granted and one[2] > now]
+            record = self.records[key] = LeaseRecord(version)
+            if request.divisor and not self.earlier_leases_expired(now):
+                # Granted by an earlier leader: its expiry is not known, but is at most one lease's time away.
+                record.grants.append((request.granted_serial, request.divisor, now + self._tuning.max_lease_ms))
+        record.grants = [
+            granted for granted in record.grants if granted[0] >= request.granted_serial and granted[2] > now
+        ]
         record.version = max(record.version, version)
-        record.until = max(record.until, now + self._tuning.held_ms)
-        parts = self._parts(now, key, ask)
-        record.out.append((ask.serial, parts, record.until))
-        if len(record.out) > MOST_OUT:
-            held = [parts for _, parts, _ in record.out if parts]
-            record.out = [(ask.serial, min(held, default=0), record.until)]
-        return Grant(ask.serial, self._tuning.lease_ms, parts)
-
-    def _parts(self, now: float, key: tuple[str, int], ask: AskLease) -> int:
+        record.expires_at_ms = max(record.expires_at_ms, now + self._tuning.max_lease_ms)
+        divisor = self._divisor(now, key, request)
+        record.grants.append((request.serial, divisor, record.expires_at_ms))
+        if len(record.grants) > MAX_OUTSTANDING_GRANTS:
+            divisors = [divisor for _, divisor, _ in record.grants if divisor]
+            record.grants = [(request.serial, min(divisors, default=0), record.expires_at_ms)]
+        return LeaseGrant(request.serial, self._tuning.lease_ms, divisor)
+
+    def _divisor(self, now: float, key: tuple[str, int], request: LeaseRequest) -> int:
         if not self.earlier_leases_expired(now):
-            return max(ask.parts, len(self.records)) if ask.parts else 0
-        free = 1 - sum((record.share(now) for other, record in self.records.items() if other != key), Fraction(0))
-        if free <= 0:
+            return max(request.divisor, len(self.records)) if request.divisor else 0
+        available_share = 1 - sum(
+            (record.slow_start_share(now) for holder, record in self.records.items() if holder != key), Fraction(0)
+        )
+        if available_share <= 0:
             return 0
-        return max(len(self.records), ceil(1 / free))
+        return max(len(self.records), ceil(1 / available_share))
 
     def may_activate(self, number: int, now: float) -> bool:
-        """Whether every lease that may be held is of a sidecar that holds this version."""
+        """Whether every lease that may still be valid belongs to a sidecar that has applied this version."""
         return self.earlier_leases_expired(now) and all(
-            record.version >= number or record.until <= now for record in self.records.values()
+            record.version >= number or record.expires_at_ms <= now for record in self.records.values()
         )
 
-    def due(self, number: int, now: float) -> float:
-        """When `may_activate` may come true by time alone."""
-        late = [record.until for record in self.records.values() if record.version < number]
-        return max([self.leader_since_ms + self._tuning.held_ms, *late], default=now)
+    def due_at_ms(self, number: int, now: float) -> float:
+        """When `may_activate` may become true because leases expire."""
+        outdated = [record.expires_at_ms for record in self.records.values() if record.version < number]
+        return max([self.leader_since_ms + self._tuning.max_lease_ms, *outdated], default=now)
--- a/limenotch/fleet/rules/messages.py
+++ b/limenotch/fleet/rules/messages.py
@@ -1,86 +1,106 @@
-"""What sidecars say to each other about rules. Asks for leases, their answers and bans go by datagram."""
+"""Messages between sidecars about rules. Lease requests, their responses and ejections are sent as datagrams."""
 
 from __future__ import annotations
 
 from ..interfaces import Message
 
-MOST_BANS = 8  # that ride on one ask or grant; a name is at most MOST_NAME
-MOST_NAME = 80
+MAX_PIGGYBACKED_EJECTIONS = 8  # that go along with one lease request or grant
+MAX_NAME_LENGTH = 80
 
 
-class AskLease(Message, frozen=True, array_like=True, tag="ru.ask"):
+class LeaseRequest(Message, frozen=True, array_like=True, tag="ru.ask"):
     serial: int
     process_epoch: int  # differs between two processes of one name
-    version: int  # the newest held
+    version: int  # the newest that the sender has applied
     active: int
-    parts: int  # acted under now, 0: none
-    granted: int  # the serial of the grant acted under
-    bans: tuple[tuple[str, int], ...] = ()
+    divisor: int  # of the lease in force, 0: none
+    granted_serial: int  # of the grant in force
+    ejections: tuple[tuple[str, int], ...] = ()
 
 
-class Grant(Message, frozen=True, array_like=True, tag="ru.grant"):
+class LeaseGrant(Message, frozen=True, array_like=True, tag="ru.grant"):
+    """A lease. With a `divisor` of 0 its holder may send nothing to endpoints in slow start."""
+
     serial: int
     lease_ms: float
-    parts: int  # 0: cold providers are not to be sent anything yet
-    bans: tuple[tuple[str, int], ...] = ()
+    divisor: int
+    ejections: tuple[tuple[str, int], ...] = ()
 
 
-class Behind(Message, frozen=True, array_like=True, tag="ru.behind"):
-    """No lease: who asked does not hold this version yet."""
+class StaleVersion(Message, frozen=True, array_like=True, tag="ru.behind"):
+    """Rejects a lease request: its sender has not applied this version yet."""
 
     serial: int
     version: int
     active: int
 
 
-class Told(Message, frozen=True, array_like=True, tag="ru.ban"):
-    upstream: str
-    after: int  # the newest version that its teller held
+class EjectionNotice(Message, frozen=True, array_like=True, tag="ru.ban"):
+    """One ejection by an operator that no version of the rules contains yet."""
+
+    endpoint: str
+    known_version: int  # the newest version that its reporter had applied
+
 
+class EjectionExchange(Message, frozen=True, array_like=True, tag="ru.bans"):
+    """Every ejection that the sender knows of and that no version known to it contains.
 
-class Bans(Message, frozen=True, array_like=True, tag="ru.bans"):
-    """All that the speaker was told and no version of its holds. `wanted`: the hearer's in turn."""
+    With `reply_requested`, the receiver answers with its own.
+    """
 
-    bans: tuple[tuple[str, int], ...] = ()
-    wanted: bool = False
+    ejections: tuple[tuple[str, int], ...] = ()
+    reply_requested: bool = False
 
 
-class Suggest(Message, frozen=True, array_like=True, tag="ru.new"):
-    """To the leader: please agree on this. `to` above 0: go back to that version's body."""
+class ChangeProposal(Message, frozen=True, array_like=True, tag="ru.new"):
+    """Asks the leader to have a change agreed on. `restore_version` above 0: the document of that version again."""
 
     id: str
     base: int
     change: bytes
-    to: int = 0
-    names: tuple[str, ...] = ()
+    restore_version: int = 0
+    canary_members: tuple[str, ...] = ()
 
 
-class Look(Message, frozen=True, array_like=True, tag="ru.look"):
-    """To the voters: can you read this?"""
+class CheckRequest(Message, frozen=True, array_like=True, tag="ru.look"):
+    """The leader asks the voters whether their programs can read this document."""
 
     id: str
     document: bytes
 
 
-class Looked(Message, frozen=True, array_like=True, tag="ru.seen"):
+class CheckResult(Message, frozen=True, array_like=True, tag="ru.seen"):
+    """A voter's answer to a CheckRequest."""
+
     id: str
-    fault: str  # the key and why; empty: none
+    error: str  # the key and the reason; empty: the document is readable
 
 
-class Verdict(Message, frozen=True, array_like=True, tag="ru.no"):
-    """To who suggested: it will not be."""
+class ChangeRejected(Message, frozen=True, array_like=True, tag="ru.no"):
+    """The leader informs a proposal's sender that the change was rejected."""
 
     id: str
-    why: str
+    reason: str
     version: int
 
 
-class Count(Message, frozen=True, array_like=True, tag="ru.count"):
-    """To the leader, of the canary of that id: calls since the last, by the sender."""
+class CanaryCounts(Message, frozen=True, array_like=True, tag="ru.count"):
+    """Requests at the sender since its last report, for the leader's comparison of the canary trial `id`."""
 
     id: str
-    taken: int
-    bad: int
-
-
-RULES = (AskLease, Grant, Behind, Told, Bans, Suggest, Look, Looked, Verdict, Count)
+    requests: int
+    unsuccessful: int
+
+
+RULES_MESSAGES = (
+    LeaseRequest,
+    LeaseGrant,
+    StaleVersion,
+    EjectionNotice,
+    EjectionExchange,
+    ChangeProposal,
+    CheckRequest,
+    CheckResult,
+    ChangeRejected,
+    CanaryCounts,
+)
--- a/limenotch/fleet/rules/versioned_rules.py
+++ b/limenotch/fleet/rules/versioned_rules.py
@@ -1,8 +1,9 @@
-"""The rule book: numbered versions in the log's order, and what is in force of them at one sidecar.
+"""The versions of the rules, in the order of the log, and which rules they amount to at one sidecar.
 
-Every sidecar applies the same entries in the same order, so all that is decided here comes out the same everywhere:
-who of two proposals wins, which version a canary becomes, what is too much. `told` alone is one sidecar's own: bans
-that it has heard and that no version holds yet. The log's `active` is what may widen; see kinds.in_force.
+Every sidecar applies the same entries in the same order, so what is decided here is the same everywhere: which of two
+proposals wins, which version a canary trial becomes, what exceeds a limit. Only `pending_ejections` is this sidecar's
+own: ejections that it has received and that no version contains yet. Only the `active` version may widen; see
+change_classification.in_force.
 """
 
 from __future__ import annotations
@@ -14,35 +15,39 @@
 
 from . import change_classification
 from . import document as doc
-from .change_classification import Flat
+from .change_classification import FlatDocument
 from .document import Document
 from .entries import Activate, EndTry, Entry, Out, Put, Try
 
 
 class Version(Struct, frozen=True, array_like=True):
+    """A version of the rules. `document` is complete, as JSON."""
+
     number: int
     id: str
     base: int
     document: bytes
-    ban: bool = False  # differs from its base by bans alone
-    back: int = 0
+    ejection_only: bool = False  # differs from its base by ejections alone
+    restored_version: int = 0
+
 
+class CanaryTrial(Struct, frozen=True, array_like=True):
+    """A canary trial: `members` use `document`, made for version `base`."""
 
-class Trial(Struct, frozen=True, array_like=True):
     id: str
     base: int
     document: bytes
-    names: tuple[str, ...]
+    members: tuple[str, ...]
 
 
 class _State(Struct, frozen=True, array_like=True):
     versions: list[Version]
     active: int
-    trial: Trial | None
+    trial: CanaryTrial | None
 
 
-class Applied(NamedTuple):
-    """What became of an entry: its id (empty: nobody's), whether it counts, why not, and the newest number then."""
+class AppliedEntry(NamedTuple):
+    """The outcome of an entry: its id (empty: none), whether it counts, why not, and the newest version then."""
 
     id: str
     ok: bool
@@ -50,207 +55,231 @@
     version: int
 
 
-class Book:
-    def __init__(self, first: Document, most_versions: int = 32, most_bytes: int = 128 << 10) -> None:
+class VersionedRules:
+    """All versions of the rules that this sidecar retains."""
+
+    def __init__(self, first: Document, max_versions: int = 32, max_bytes: int = 128 << 10) -> None:
         """`first` is version 1, active, the same at every sidecar of the group. ValueError names its faulty key."""
-        self._most, self._most_bytes = most_versions, most_bytes
+        self._max_versions, self._max_bytes = max_versions, max_bytes
         flat = doc.flatten(first)
         self.active = self.newest = 1
-        self.trial: Trial | None = None
-        self.versions: dict[int, Version] = {1: Version(1, "", 0, doc.encode(first))}
-        self._flats: dict[int, Flat] = {1: flat}
-        self.told: dict[str, int] = {}  # upstream: the newest version of who told it, then
+        self.trial: CanaryTrial | None = None
+        self.by_number: dict[int, Version] = {1: Version(1, "", 0, doc.encode(first))}
+        self._flats: dict[int, FlatDocument] = {1: flat}
+        self.pending_ejections: dict[str, int] = {}  # by endpoint: the newest version that its reporter had applied
 
     # Versions
 
     def document(self, number: int) -> Document:
-        """ValueError if it is not there (any more)."""
-        if number not in self.versions:
-            raise ValueError(f"version {number}: not held, the last {len(self.versions)} are")
-        return doc.decode(self.versions[number].document)
+        """ValueError if this version is not retained (any more)."""
+        if number not in self.by_number:
+            raise ValueError(f"version {number}: not held, the last {len(self.by_number)} are")
+        return doc.decode(self.by_number[number].document)
 
-    def flat(self, number: int) -> Flat:
+    def flat(self, number: int) -> FlatDocument:
         if number not in self._flats:
             self._flats[number] = doc.flatten(self.document(number))
         return self._flats[number]
 
-    def refusal(self, base: int, whole: Document) -> str | None:
-        """Why `whole` can't be the next version on `base`, by what this sidecar knows; names a key or a number."""
+    def rejection_reason(self, base: int, complete: Document) -> str | None:
+        """Why `complete` can't become the version after `base`, as far as this sidecar knows; names a key or number."""
         if base != self.newest:
             return f"version {self.newest} won, this was made for {base}"
         try:
-            flat = doc.flatten(whole)
+            flat = doc.flatten(complete)
         except ValueError as error:
             return str(error)
-        if len(doc.encode(whole)) > self._most_bytes:
-            return f"document: more than {self._most_bytes} bytes"
-        if self.waiting >= self._most:
-            return f"{self.waiting} versions wait to be active"
-        between = change_classification.in_force(self.flat(self.active), [*self._newer(), flat])
-        if not any(len(path) == 3 and path[1] == "classes" for path in between):
+        if len(doc.encode(complete)) > self._max_bytes:
+            return f"document: more than {self._max_bytes} bytes"
+        if self.inactive_count >= self._max_versions:
+            return f"{self.inactive_count} versions wait to be active"
+        meanwhile = change_classification.in_force(self.flat(self.active), [*self._newer(), flat])
+        if not any(len(path) == 3 and path[1] == "classes" for path in meanwhile):
             return "settings.classes: none would be left until it is active; add the new before removing the old"
         return None
 
     @property
-    def waiting(self) -> int:
-        return sum(1 for number in self.versions if number > self.active)
+    def inactive_count(self) -> int:
+        """How many versions are newer than the active one."""
+        return sum(1 for number in self.by_number if number > self.active)
 
-    def _newer(self) -> list[Flat]:
-        return [self.flat(number) for number in sorted(self.versions) if number > self.active]
+    def _newer(self) -> list[FlatDocument]:
+        return [self.flat(number) for number in sorted(self.by_number) if number > self.active]
 
-    def diff(self, one: int, two: int) -> list[tuple[str, str]]:
-        """Key and `narrows`, `widens` or `switches`, from version one to two. ValueError if either is not held."""
+    def diff(self, first: int, second: int) -> list[tuple[str, str]]:
+        """Each key that differs, with `narrows`, `widens` or `switches` from version `first` to `second`.
+
+        ValueError if either is not retained.
+        """
         return [
-            (change_classification.text_of(path), word)
-            for path, word in change_classification.diff(self.flat(one), self.flat(two))
+            (change_classification.dotted_path(path), effect)
+            for path, effect in change_classification.diff(self.flat(first), self.flat(second))
         ]
 
-    def returned(self, upstream: str, upto: int | None = None) -> int:
-        """The version that let it back, if that is how it stands at `upto`; else 0."""
-        found = 0
-        for number in sorted(self.versions, reverse=True):
-            if upto is not None and number > upto:
+    def readmitted_in(self, endpoint: str, up_to: int | None = None) -> int:
+        """The version that readmitted this endpoint, if it still is at `up_to` (default: the newest); else 0."""
+        readmitted = 0
+        for number in sorted(self.by_number, reverse=True):
+            if up_to is not None and number > up_to:
                 continue
-            ban = self.flat(number).get(("bans", upstream))
-            if ban is None or ban[0]:
+            entry = self.flat(number).get(("bans", endpoint))
+            if entry is None or entry[0]:
                 break
-            found = number
-        return found
+            readmitted = number
+        return readmitted
 
     # The log
 
-    def apply(self, entry: Entry) -> Applied:
-        """Never raises: what can't count is counted as refused, the same at every sidecar."""
+    def apply(self, entry: Entry) -> AppliedEntry:
+        """Never raises: an entry that can't be applied is rejected, the same at every sidecar."""
         if isinstance(entry, Put):
             return self._put(entry)
         if isinstance(entry, Out):
-            return self._out(entry)
+            return self._eject(entry)
         if isinstance(entry, Try):
-            return self._try(entry)
+            return self._start_trial(entry)
         if isinstance(entry, EndTry):
-            return self._end(entry)
-        if self.active < entry.number <= self.newest and entry.number in self.versions:
+            return self._end_trial(entry)
+        if self.active < entry.number <= self.newest and entry.number in self.by_number:
             self._activate(entry)
-            return Applied("", True, "", entry.number)
-        return Applied("", False, "", self.newest)
+            return AppliedEntry("", True, "", entry.number)
+        return AppliedEntry("", False, "", self.newest)
 
-    def _put(self, entry: Put) -> Applied:
+    def _put(self, entry: Put) -> AppliedEntry:
         try:
-            why = self.refusal(entry.base, doc.decode(entry.document))
+            reason = self.rejection_reason(entry.base, doc.decode(entry.document))
         except ValueError as error:
-            why = str(error)
-        if why is not None:
-            return Applied(entry.id, False, why, self.newest)
-        self._add(Version(self.newest + 1, entry.id, entry.base, entry.document, back=entry.back))
-        return Applied(entry.id, True, "", self.newest)
-
-    def _out(self, entry: Out) -> Applied:
-        self.told.pop(entry.upstream, None)
-        if self.flat(self.newest).get(("bans", entry.upstream), (False, 0.0))[0]:
-            return Applied(entry.id, True, "", self.newest)
-        whole = self.document(self.newest)
-        whole["bans"] = {**whole.get("bans", {}), entry.upstream: {"out": True, "at_ms": 0.0}}
+            reason = str(error)
+        if reason is not None:
+            return AppliedEntry(entry.id, False, reason, self.newest)
+        self._append_version(
+            Version(self.newest + 1, entry.id, entry.base, entry.document, restored_version=entry.restored_version)
+        )
+        return AppliedEntry(entry.id, True, "", self.newest)
+
+    def _eject(self, entry: Out) -> AppliedEntry:
+        self.pending_ejections.pop(entry.endpoint, None)
+        if self.flat(self.newest).get(("bans", entry.endpoint), (False, 0.0))[0]:
+            return AppliedEntry(entry.id, True, "", self.newest)
+        complete = self.document(self.newest)
+        complete["bans"] = {**complete.get("bans", {}), entry.endpoint: {"out": True, "at_ms": 0.0}}
         number = self.newest
-        self._add(Version(number + 1, "", number, doc.encode(whole), ban=True))
-        # One ban after another while nothing can be active: the later is narrower in every key, the earlier may go.
-        if self.versions[number].ban and number > self.active:
-            self._drop(number)
-        return Applied(entry.id, True, "", self.newest)
-
-    def _add(self, version: Version) -> None:
+        self._append_version(Version(number + 1, "", number, doc.encode(complete), ejection_only=True))
+        # Consecutive ejections while no version can become active: the later is narrower in every key, so that the
+        # earlier is not needed.
+        if self.by_number[number].ejection_only and number > self.active:
+            self._remove_version(number)
+        return AppliedEntry(entry.id, True, "", self.newest)
+
+    def _append_version(self, version: Version) -> None:
         self.newest = version.number
-        self.versions[version.number] = version
-        self.trial = None  # it was made for a version that is not the newest any more
+        self.by_number[version.number] = version
+        self.trial = None  # it was made for a version that is no longer the newest
 
     def _activate(self, entry: Activate) -> None:
         self.active = entry.number
-        # A return ends each ban that was told before it was made; one told later stands.
-        for upstream in [name for name, after in self.told.items() if after < self.returned(name, self.active)]:
-            del self.told[upstream]
-        old = [number for number in sorted(self.versions) if number < self.active]
-        for number in old[: max(0, len(old) - self._most)]:
-            self._drop(number)
-
-    def _drop(self, number: int) -> None:
-        del self.versions[number]
+        # A readmission ends each ejection reported before it was made; one reported later stays.
+        for endpoint in [
+            name
+            for name, known_version in self.pending_ejections.items()
+            if known_version < self.readmitted_in(name, self.active)
+        ]:
+            del self.pending_ejections[endpoint]
+        earlier = [number for number in sorted(self.by_number) if number < self.active]
+        for number in earlier[: max(0, len(earlier) - self._max_versions)]:
+            self._remove_version(number)
+
+    def _remove_version(self, number: int) -> None:
+        del self.by_number[number]
         self._flats.pop(number, None)
 
-    def _try(self, entry: Try) -> Applied:
+    def _start_trial(self, entry: Try) -> AppliedEntry:
         try:
-            whole = doc.decode(entry.document)
-            why = self.refusal(entry.base, whole) or change_classification.canary_refuses(
-                self.flat(self.newest), doc.flatten(whole)
+            complete = doc.decode(entry.document)
+            reason = self.rejection_reason(entry.base, complete) or change_classification.canary_rejection(
+                self.flat(self.newest), doc.flatten(complete)
             )
         except ValueError as error:
-            why = str(error)
-        if why is None and self.trial is not None:
-            why = f"canary {self.trial.id} is under way"
-        if why is not None:
-            return Applied(entry.id, False, why, self.newest)
-        self.trial = Trial(entry.id, entry.base, entry.document, entry.names)
-        return Applied(entry.id, True, "", self.newest)
-
-    def _end(self, entry: EndTry) -> Applied:
+            reason = str(error)
+        if reason is None and self.trial is not None:
+            reason = f"canary {self.trial.id} is under way"
+        if reason is not None:
+            return AppliedEntry(entry.id, False, reason, self.newest)
+        self.trial = CanaryTrial(entry.id, entry.base, entry.document, entry.canary_members)
+        return AppliedEntry(entry.id, True, "", self.newest)
+
+    def _end_trial(self, entry: EndTry) -> AppliedEntry:
         trial = self.trial
         if trial is None or trial.id != entry.id:
-            return Applied("", False, "", self.newest)
+            return AppliedEntry("", False, "", self.newest)
         self.trial = None
         if entry.keep:
-            self._add(Version(self.newest + 1, trial.id, trial.base, trial.document))
-        return Applied("", True, entry.why, self.newest)
+            self._append_version(Version(self.newest + 1, trial.id, trial.base, trial.document))
+        return AppliedEntry("", True, entry.reason, self.newest)
 
     # What acts here
 
-    def tell_ban(self, upstream: str, after: int, most: int) -> bool:
-        """A ban was heard. Whether it is news here."""
-        if self.told.get(upstream, -1) >= after or len(self.told) >= most and upstream not in self.told:
+    def add_pending_ejection(self, endpoint: str, known_version: int, limit: int) -> bool:
+        """Record a received ejection. Returns whether it was not known here."""
+        if (
+            self.pending_ejections.get(endpoint, -1) >= known_version
+            or len(self.pending_ejections) >= limit
+            and endpoint not in self.pending_ejections
+        ):
             return False
-        self.told[upstream] = after
+        self.pending_ejections[endpoint] = known_version
         return True
 
-    def acting(self, name: str) -> Flat:
-        """Under a lease, at the sidecar of that name."""
-        active, heard = self.flat(self.active), [*self._newer(), *self._bans()]
+    def in_force_at(self, name: str) -> FlatDocument:
+        """The rules under a lease, at the sidecar of that name."""
+        active, newer = self.flat(self.active), [*self._newer(), *self._with_pending_ejections()]
         trial = self.trial
-        if trial is not None and name in trial.names:
-            tried = doc.flatten(doc.decode(trial.document))
-            heard.append(tried)
+        if trial is not None and name in trial.members:
+            trial_rules = doc.flatten(doc.decode(trial.document))
+            newer.append(trial_rules)
             active = {
                 **active,
-                **{path: value for path, value in tried.items() if change_classification.kind_of(path).wide is None},
+                **{
+                    path: value
+                    for path, value in trial_rules.items()
+                    if change_classification.kind_of(path).permissiveness is None
+                },
             }
-        return change_classification.in_force(active, heard)
+        return change_classification.in_force(active, newer)
 
-    def narrow(self) -> Flat:
-        """Without a lease."""
+    def restricted(self) -> FlatDocument:
+        """The rules without a lease."""
         return change_classification.without_lease(
-            change_classification.in_force(self.flat(self.active), [*self._newer(), *self._bans()])
+            change_classification.in_force(self.flat(self.active), [*self._newer(), *self._with_pending_ejections()])
         )
 
-    def _bans(self) -> list[Flat]:
-        if not self.told:
+    def _with_pending_ejections(self) -> list[FlatDocument]:
+        """The newest version with the pending ejections added, if there are any."""
+        if not self.pending_ejections:
             return []
-        banned: Flat = {("bans", name): (True, 0.0) for name in self.told}
-        return [{**self.flat(self.newest), **banned}]
+        ejections: FlatDocument = {("bans", name): (True, 0.0) for name in self.pending_ejections}
+        return [{**self.flat(self.newest), **ejections}]
 
-    def written(self, flat: Flat, lease: bool) -> Document:
-        """For the host. `cold_sends` false: no provider that is cold is sent anything."""
-        return {**doc.unflatten(flat, self.document(self.active)), "cold_sends": lease}
+    def document_of(self, flat: FlatDocument, leased: bool) -> Document:
+        """The document for the host. With `cold_sends` false, nothing is sent to endpoints in slow start."""
+        return {**doc.unflatten(flat, self.document(self.active)), "cold_sends": leased}
 
     # Snapshots
 
     def state(self) -> bytes:
-        """Without what was told: that is one's own."""
-        return msgspec.msgpack.encode(_State(list(self.versions.values()), self.active, self.trial))
+        """For the log's snapshot: without the pending ejections, which are this sidecar's own."""
+        return msgspec.msgpack.encode(_State(list(self.by_number.values()), self.active, self.trial))
 
     def install(self, state: bytes) -> None:
-        """ValueError on what is no state of a book."""
+        """ValueError if `state` is no encoded state of the rules."""
         try:
-            held: _State = msgspec.msgpack.decode(state, type=_State)
+            decoded: _State = msgspec.msgpack.decode(state, type=_State)
         except msgspec.DecodeError as error:
             raise ValueError(f"rules' snapshot: {error}") from None
-        self.versions = {version.number: version for version in held.versions}
+        self.by_number = {version.number: version for version in decoded.versions}
         self._flats = {}
-        self.active, self.newest, self.trial = held.active, max(self.versions), held.trial
-        for name in [name for name in self.told if self.flat(self.newest).get(("bans", name), (False, 0.0))[0]]:
-            del self.told[name]
+        self.active, self.newest, self.trial = decoded.active, max(self.by_number), decoded.trial
+        for name in [
+            name for name in self.pending_ejections if self.flat(self.newest).get(("bans", name), (False, 0.0))[0]
+        ]:
+            del self.pending_ejections[name]
--- a/limenotch/fleet_adapters/endpoint_lists.py
+++ b/limenotch/fleet_adapters/endpoint_lists.py
@@ -14,7 +14,7 @@
 from ..config import Address, ConfigError, address, host_port
 from ..fleet.hub import ComponentEvent
 from ..fleet.rules import endpoint_list_messages
-from ..fleet.rules.api import Voters
+from ..fleet.rules.api import VotersChanged
 from ..fleet.rules.endpoint_list_messages import (
     AgreedEndpointsChanged,
     DirectoryListed,
@@ -85,7 +85,7 @@
             self._report(self._own_entries.values(), complete=True)
 
     def voters_changed(self, voters: tuple[str, ...]) -> None:
-        self._context.dispatch(ComponentEvent(PREFIX, Voters(voters)))
+        self._context.dispatch(ComponentEvent(PREFIX, VotersChanged(voters)))
 
     def endpoints_listed(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
         if self._lists is not None:
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -1,4 +1,4 @@
-"""The rules that sidecars agree on, put in force at this one."""
+"""The rules that the fleet agrees on, put in force at this sidecar."""
 
 from __future__ import annotations
 
@@ -12,116 +12,135 @@
 from ..configuration_applier import ConfigurationApplier
 from ..fleet.hub import ComponentEvent
 from ..fleet.rules import Rules, messages
-from ..fleet.rules.api import Counted, InForce, Narrow, OperatorResponse, Voters
+from ..fleet.rules.api import OperatorResponse, RequestsCounted, RestrictedRules, RulesInForce, VotersChanged
 from ..fleet.rules.tuning import Tuning
 from ..load_balancer_types import AttemptEnding
-from ..net.admin.rules import PREFIX, RULES, RulesQueries
+from ..net.admin.rules import PREFIX, RULES_PATH, RulesQueries
 from ..net.request import Attempt, FinalResponse, Request, Verdict
 from .base import SPARE_S, FleetAdapter, NodeContext, message_types
 
-COUNT_S = 1.0  # between two words of what calls came to
+COUNT_INTERVAL_S = 1.0  # between two reports of request counts
 
 
-class Late:
-    """Counts answers that came beyond their class's aim, from the last byte of the call's message on."""
+class OverdueResponses:
+    """Counts responses that came later than their class's latency objective.
+
+    Measured from the last byte of the request.
+    """
 
     def __init__(self) -> None:
         self.count = 0
-        self.aim_ms: Callable[[str], float] = lambda name: math.inf
+        self.latency_objective_ms: Callable[[str], float] = lambda name: math.inf
 
-    def request_received(self, call: Request) -> FinalResponse | None:
+    def request_received(self, request: Request) -> FinalResponse | None:
         return None
 
-    def attempt_started(self, invoker_call: Attempt) -> None:
-        """Nothing to see yet."""
+    def attempt_started(self, attempt: Attempt) -> None:
+        """Nothing is known yet."""
 
-    def attempt_ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
-        """One attempt says nothing of its call."""
+    def attempt_ended(self, attempt: Attempt, ending: AttemptEnding) -> None:
+        """An attempt alone does not tell its request's outcome."""
 
-    def request_closed(self, call: Request) -> None:
-        if call.final is not None and call.final.verdict is Verdict.SERVED:
-            spent_s = monotonic() - (call.deadline - call.budget_left_s)
-            self.count += spent_s * 1000.0 > self.aim_ms(call.class_name)
+    def request_closed(self, request: Request) -> None:
+        if request.final is not None and request.final.verdict is Verdict.SERVED:
+            spent_s = monotonic() - (request.deadline - request.budget_left_s)
+            self.count += spent_s * 1000.0 > self.latency_objective_ms(request.class_name)
 
 
 class RulesAdapter(FleetAdapter):
+    """Connects the rules component with the program."""
+
     name, prefix = "rules", PREFIX
     messages = message_types(messages)
 
-    def __init__(self, among: NodeContext, tuning: Tuning) -> None:
+    def __init__(self, context: NodeContext, tuning: Tuning) -> None:
         super().__init__()
-        self._among, self._tuning = among, tuning
-        self._voters = among.voters
-        self._acting: ConfigurationApplier | None = None
-        self._rules: Rules | None = None
-        self._counted: Callable[[], tuple[int, int]] = lambda: (0, 0)
-        self._before = (0, 0)
-        self._late = Late()
-        self.interceptor = self._late
-        self._counting = PeriodicCallback(self._count, COUNT_S * 1000.0)
-        ruled = RulesQueries(among.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self.status)
-        self.action_handlers = {OperatorResponse: ruled.handle_answer, InForce: self._in_force, Narrow: self._narrow}
-        self.routes = {RULES: ruled.answer}
-
-    def follow(self, acting: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
-        """Put what is agreed on in force there. `counted`: calls taken so far, and those of them rejected or failed: by
-        these, and by late answers, a canary is judged.
+        self._context, self._tuning = context, tuning
+        self._voters = context.voters
+        self._applier: ConfigurationApplier | None = None
+        self._component: Rules | None = None
+        self._request_counts: Callable[[], tuple[int, int]] = lambda: (0, 0)
+        self._reported_counts = (0, 0)
+        self._overdue = OverdueResponses()
+        self.interceptor = self._overdue
+        self._count_timer = PeriodicCallback(self._count, COUNT_INTERVAL_S * 1000.0)
+        queries = RulesQueries(context.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self.status)
+        self.action_handlers = {
+            OperatorResponse: queries.handle_answer,
+            RulesInForce: self._put_in_force,
+            RestrictedRules: self._restrict,
+        }
+        self.routes = {RULES_PATH: queries.answer}
+
+    def attach(self, applier: ConfigurationApplier, request_counts: Callable[[], tuple[int, int]]) -> None:
+        """Put what is agreed on in force at `applier`.
+
+        `request_counts`: the requests accepted so far, and those of them that were rejected or failed. Together with
+        overdue responses, these decide on canary trials.
         """
-        self._acting = acting
-        self._late.aim_ms = acting.latency_objective_ms
-        acting.start_without_lease(self._tuning.without_lease == "refuse")
-        self._counted = counted
-        self._before = self._count_all()
+        self._applier = applier
+        self._overdue.latency_objective_ms = applier.latency_objective_ms
+        applier.start_without_lease(self._tuning.without_lease == "refuse")
+        self._request_counts = request_counts
+        self._reported_counts = self._total_counts()
 
     def component(self, state: bytes | None, index: int) -> Rules | None:
-        among, acting = self._among, self._acting
-        if acting is None:
+        context, applier = self._context, self._applier
+        if applier is None:
             return None
-        self._rules = Rules(
-            among.name, among.process_epoch, among.voters, acting.initial_document(), acting.check, self._tuning, state
+        self._component = Rules(
+            context.name,
+            context.process_epoch,
+            context.voters,
+            applier.initial_document(),
+            applier.check,
+            self._tuning,
+            state,
         )
-        return self._rules
+        return self._component
 
     def started(self) -> None:
-        self._counting.start()
+        self._count_timer.start()
 
     def close(self) -> None:
-        self._counting.stop()
+        self._count_timer.stop()
 
-    def _count_all(self) -> tuple[int, int]:
-        taken, bad = self._counted()
-        return taken, bad + self._late.count
+    def _total_counts(self) -> tuple[int, int]:
+        requests, unsuccessful = self._request_counts()
+        return requests, unsuccessful + self._overdue.count
 
     def _count(self) -> None:
-        (taken, bad), (taken_before, bad_before) = self._count_all(), self._before
-        self._before = taken, bad
-        self._among.dispatch(ComponentEvent(PREFIX, Counted(taken - taken_before, bad - bad_before)))
+        (requests, unsuccessful), (requests_before, unsuccessful_before) = self._total_counts(), self._reported_counts
+        self._reported_counts = requests, unsuccessful
+        self._context.dispatch(
+            ComponentEvent(PREFIX, RequestsCounted(requests - requests_before, unsuccessful - unsuccessful_before))
+        )
 
     def voters_changed(self, voters: tuple[str, ...]) -> None:
-        """Who votes on the log checks changes."""
-        self._among.dispatch(ComponentEvent(PREFIX, Voters(voters)))
+        """The voters of the log check changes."""
+        self._context.dispatch(ComponentEvent(PREFIX, VotersChanged(voters)))
 
-    def _in_force(self, said: InForce) -> None:
-        if self._acting is not None:
-            self._acting.put_in_force(said.document, said.lease_until_ms, said.parts, said.version)
+    def _put_in_force(self, action: RulesInForce) -> None:
+        if self._applier is not None:
+            self._applier.put_in_force(action.document, action.lease_until_ms, action.divisor, action.version)
 
-    def _narrow(self, said: Narrow) -> None:
-        if self._acting is not None:
-            self._acting.restrict(said.document, said.refuse, said.version)
+    def _restrict(self, action: RestrictedRules) -> None:
+        if self._applier is not None:
+            self._applier.restrict(action.document, action.reject_all, action.version)
 
     def status(self) -> dict[str, Any]:
-        rules = self._rules
-        if rules is None:
+        component = self._component
+        if component is None:
             return {"state": "none"}
-        book, holder, now = rules.book, rules.holder, self._among.now()
-        left = max(holder.expires_at_ms - now, 0.0) if holder.is_valid(now) else 0.0
+        rules, lease, now = component.rules, component.lease, self._context.now()
+        remaining_ms = max(lease.expires_at_ms - now, 0.0) if lease.is_valid(now) else 0.0
         return {
-            "state": "leased" if left else "narrow",
-            "newest": book.newest,
-            "active": book.active,
-            "lease_left_ms": round(left),
-            "parts": holder.parts,
-            "contradiction_ms": rules.tuning.contradiction_ms,
-            "leader": rules.leader,
-            "counts": dict(rules.counts),
+            "state": "leased" if remaining_ms else "narrow",
+            "newest": rules.newest,
+            "active": rules.active,
+            "lease_left_ms": round(remaining_ms),
+            "parts": lease.divisor,
+            "contradiction_ms": component.tuning.contradiction_ms,
+            "leader": component.leader,
+            "counts": dict(component.counts),
         }
--- a/limenotch/lab/fleet/checks_rules.py
+++ b/limenotch/lab/fleet/checks_rules.py
@@ -1,11 +1,11 @@
-"""Checks a history of what sidecars acted on: independent of the rules' own code, it reads documents as they are.
+"""Checks a history of the rules in force at sidecars; independent of the rules' own code, it reads documents itself.
 
-1. No sidecar acts on something wider than the newest version that another acts on, for longer than the stated time.
-2. What widens acts nowhere while a sidecar acts under a lease that has not heard of it.
-3. The parts of the cold budget of all that hold a lease make no more than the whole.
+1. No sidecar uses rules wider than the newest version that another sidecar uses for longer than the stated time.
+2. What widens is in force nowhere while a sidecar that has not received it holds a valid lease.
+3. The slow-start shares of all sidecars with a valid lease add up to at most 1.
 
-A sidecar acts on an InForce until its lease ends by its own clock, also while it is paused (which only makes the check
-harder), and on its narrow document from then on. One that is dead acts on nothing.
+A sidecar uses a RulesInForce until its lease ends by its own clock, also while it is paused (which only makes the check
+stricter), and its restricted document from then on. A dead sidecar uses nothing.
 """
 
 from __future__ import annotations
@@ -15,166 +15,195 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-SLACK_MS = 0.001  # of floats
+SLACK_MS = 0.001  # for rounding errors
 EFFECTS = {"at_most_once": 0, "deduplicated": 1, "idempotent": 4}
 SCOPES = {"cell": 0, "zone": 1, "all": 2}
 
 Document = Mapping[str, Any]
 
 
-def wider(one: Document, two: Document, narrow: bool = False) -> str | None:
-    """The first key by which `one` allows what `two` forbids.
+def first_wider_key(first: Document, second: Document, restricted: bool = False) -> str | None:
+    """The first key by which `first` allows what `second` forbids.
 
-    Of who acts on the narrow rules, second runs and copies alone are looked at: limits and bans that it never heard of
-    it can't keep, and is not promised to (docs/fleet/rules.md).
+    Of a sidecar in restricted mode, only repeated executions and hedging are checked: it can't follow limits and
+    ejections that it never received, and does not have to (docs/fleet/rules.md).
     """
-    first, second = one["settings"], two["settings"]
-    allowed, other = first.get("permissions", {}), second.get("permissions", {})
-    usuals: dict[str, float] = {"max_attempts": 3, "parallel_tries": True, "max_open": 20_000}
-    for key, usual in usuals.items():
-        if (key == "parallel_tries" or not narrow) and allowed.get(key, usual) > other.get(key, usual):
+    first_settings, second_settings = first["settings"], second["settings"]
+    first_permissions, second_permissions = (
+        first_settings.get("permissions", {}),
+        second_settings.get("permissions", {}),
+    )
+    defaults: dict[str, float] = {"max_attempts": 3, "parallel_tries": True, "max_open": 20_000}
+    for key, default in defaults.items():
+        if (key == "parallel_tries" or not restricted) and first_permissions.get(key, default) > second_permissions.get(
+            key, default
+        ):
             return key
-    classes = {entry["name"]: entry for entry in second["classes"]}
-    for entry in first["classes"]:
-        held = classes.get(entry["name"])
-        if held is None:
-            if narrow:
+    classes = {entry["name"]: entry for entry in second_settings["classes"]}
+    for entry in first_settings["classes"]:
+        counterpart = classes.get(entry["name"])
+        if counterpart is None:
+            if restricted:
                 continue
             return f"class {entry['name']}"
-        if _repeats(entry) > _repeats(held):
+        if _repeat_rank(entry) > _repeat_rank(counterpart):
             return f"class {entry['name']} repeats"
-    if narrow:
+    if restricted:
         return None
-    tenants = {entry["name"]: entry for entry in second.get("tenants", ())}
-    for entry in first.get("tenants", ()):
-        held = tenants.get(entry["name"])
-        if held is None:
+    tenants = {entry["name"]: entry for entry in second_settings.get("tenants", ())}
+    for entry in first_settings.get("tenants", ()):
+        counterpart = tenants.get(entry["name"])
+        if counterpart is None:
             return f"tenant {entry['name']}"
-        if (entry.get("quota_per_s") or math.inf) > (held.get("quota_per_s") or math.inf):
+        if (entry.get("quota_per_s") or math.inf) > (counterpart.get("quota_per_s") or math.inf):
             return f"tenant {entry['name']} limit"
-    for name, ban in two.get("bans", {}).items():
-        if ban["out"] and not one.get("bans", {}).get(name, {"out": False})["out"]:
+    for name, ejection in second.get("bans", {}).items():
+        if ejection["out"] and not first.get("bans", {}).get(name, {"out": False})["out"]:
             return f"ban {name}"
     return None
 
 
-def _repeats(entry: Mapping[str, Any]) -> int:
+def _repeat_rank(entry: Mapping[str, Any]) -> int:
     rank = EFFECTS[entry["effect"]]
     return rank + SCOPES[entry.get("dedup_scope", "all")] if rank == 1 else rank
 
 
-class Act(NamedTuple):
+class RulesReport(NamedTuple):
+    """What a node reported to its host."""
+
     at_ms: float
-    until_ms: float  # of the lease, as the world sees it; before `at_ms`: none
-    document: Document | None  # None: it acts on nothing
-    narrow: Document | None
+    until_ms: float  # of the lease, in the world's time; before `at_ms`: none
+    document: Document | None  # None: it uses nothing
+    restricted_document: Document | None
     version: int
     active: int
-    parts: int
+    divisor: int
+
 
+class RulesInUse(NamedTuple):
+    """The rules that a node uses at one time."""
 
-class Moment(NamedTuple):
     document: Document
     version: int
     active: int
-    parts: int
+    divisor: int
     leased: bool
 
 
 @dataclass
-class Checker:
+class RulesChecker:
+    """The rules in force at every node over time."""
+
     versions: dict[int, Document] = field(default_factory=dict)
-    acts: dict[str, list[Act]] = field(default_factory=dict)
-    longest: float = 0.0  # ms of contradiction seen
-    what: str = ""
+    reports: dict[str, list[RulesReport]] = field(default_factory=dict)
+    longest_ms: float = 0.0  # the longest contradiction observed
+    longest_cause: str = ""
 
-    def agreed(self, number: int, document: Document) -> None:
-        """AssertionError where a number has two bodies."""
+    def version_agreed(self, number: int, document: Document) -> None:
+        """AssertionError if one version has two documents."""
         if self.versions.setdefault(number, document) != document:
             raise AssertionError(f"version {number} has two bodies")
 
-    def acted(self, at_ms: float, node: str, action: Any, ahead: float, rate: float) -> None:
-        """An InForce or a Narrow. The node's clock shows `ahead` + the world's time x `rate`."""
+    def rules_reported(self, at_ms: float, node: str, action: Any, clock_offset_ms: float, clock_rate: float) -> None:
+        """A RulesInForce or RestrictedRules.
+
+        The node's clock shows `clock_offset_ms` + the world's time x `clock_rate`.
+        """
         leased = hasattr(action, "lease_until_ms")
-        self.acts.setdefault(node, []).append(
-            Act(
+        self.reports.setdefault(node, []).append(
+            RulesReport(
                 at_ms,
-                (action.lease_until_ms - ahead) / rate if leased else -math.inf,
+                (action.lease_until_ms - clock_offset_ms) / clock_rate if leased else -math.inf,
                 action.document,
-                action.narrow if leased else action.document,
+                action.restricted_document if leased else action.document,
                 action.version,
                 action.active if leased else 0,
-                action.parts if leased else 0,
+                action.divisor if leased else 0,
             )
         )
 
-    def ended(self, at_ms: float, node: str) -> None:
-        self.acts.setdefault(node, []).append(Act(at_ms, -math.inf, None, None, 0, 0, 0))
+    def process_ended(self, at_ms: float, node: str) -> None:
+        self.reports.setdefault(node, []).append(RulesReport(at_ms, -math.inf, None, None, 0, 0, 0))
 
     def check(self, end_ms: float, bound_ms: float) -> float:
-        """The longest contradiction seen, ms. AssertionError where a rule does not hold."""
+        """The longest contradiction observed, in ms. AssertionError where a rule is broken."""
         edges = sorted(
             {0.0, end_ms}
             | {
                 edge
-                for acts in self.acts.values()
-                for act in acts
-                for edge in (act.at_ms, act.until_ms)
+                for reports in self.reports.values()
+                for report in reports
+                for edge in (report.at_ms, report.until_ms)
                 if 0 <= edge <= end_ms
             }
         )
-        since: dict[str, float] = {}
-        heads = dict.fromkeys(self.acts, 0)
-        for begin, end in zip(edges, edges[1:], strict=False):
-            if end - begin <= SLACK_MS:
+        wider_since_ms: dict[str, float] = {}
+        positions = dict.fromkeys(self.reports, 0)
+        for start_ms, stop_ms in zip(edges, edges[1:], strict=False):
+            if stop_ms - start_ms <= SLACK_MS:
                 continue
-            now: dict[str, Moment] = {}
-            for node, acts in self.acts.items():
-                while heads[node] + 1 < len(acts) and acts[heads[node] + 1].at_ms <= begin + SLACK_MS / 2:
-                    heads[node] += 1
-                moment = self._moment(acts[heads[node]], begin)
-                if moment is not None:
-                    now[node] = moment
-            self._at(begin, end, now, since)
-        if self.longest > bound_ms:
-            raise AssertionError(f"contradiction of {self.longest:.1f} ms, stated are {bound_ms:.1f}: {self.what}")
-        return self.longest
-
-    def _moment(self, act: Act, at: float) -> Moment | None:
-        if act.at_ms > at + SLACK_MS or act.document is None or act.narrow is None:
+            in_use_by_node: dict[str, RulesInUse] = {}
+            for node, reports in self.reports.items():
+                while (
+                    positions[node] + 1 < len(reports) and reports[positions[node] + 1].at_ms <= start_ms + SLACK_MS / 2
+                ):
+                    positions[node] += 1
+                in_use = self._rules_in_use(reports[positions[node]], start_ms)
+                if in_use is not None:
+                    in_use_by_node[node] = in_use
+            self._check_interval(start_ms, stop_ms, in_use_by_node, wider_since_ms)
+        if self.longest_ms > bound_ms:
+            raise AssertionError(
+                f"contradiction of {self.longest_ms:.1f} ms, the stated bound is {bound_ms:.1f}: {self.longest_cause}"
+            )
+        return self.longest_ms
+
+    def _rules_in_use(self, report: RulesReport, at_ms: float) -> RulesInUse | None:
+        if report.at_ms > at_ms + SLACK_MS or report.document is None or report.restricted_document is None:
             return None
-        leased = at + SLACK_MS < act.until_ms
-        return Moment(act.document if leased else act.narrow, act.version, act.active, act.parts, leased)
+        leased = at_ms + SLACK_MS < report.until_ms
+        return RulesInUse(
+            report.document if leased else report.restricted_document,
+            report.version,
+            report.active,
+            report.divisor,
+            leased,
+        )
 
-    def _key(self, moment: Moment, newest: int) -> str | None:
-        if moment.version >= newest or newest not in self.versions:
+    def _wider_key(self, in_use: RulesInUse, newest: int) -> str | None:
+        if in_use.version >= newest or newest not in self.versions:
             return None
-        return wider(moment.document, self.versions[newest], narrow=not moment.leased)
+        return first_wider_key(in_use.document, self.versions[newest], restricted=not in_use.leased)
 
-    def _at(self, begin: float, end: float, now: dict[str, Moment], since: dict[str, float]) -> None:
-        if not now:
+    def _check_interval(
+        self, begin_ms: float, end_ms: float, in_use_by_node: dict[str, RulesInUse], wider_since_ms: dict[str, float]
+    ) -> None:
+        if not in_use_by_node:
             return
-        newest = max(moment.version for moment in now.values())
-        for node, moment in now.items():
-            key = self._key(moment, newest)
+        newest = max(in_use.version for in_use in in_use_by_node.values())
+        for node, in_use in in_use_by_node.items():
+            key = self._wider_key(in_use, newest)
             if key is None:
-                since.pop(node, None)
+                wider_since_ms.pop(node, None)
                 continue
-            span = end - since.setdefault(node, begin)
-            if span > self.longest:
-                self.longest, self.what = span, f"{node} at {begin:.1f}: {key}, version {newest} forbids it"
-        leased = {node: moment for node, moment in now.items() if moment.leased}
-        for node, moment in leased.items():
-            for other, held in leased.items():
-                if held.version >= moment.version or held.version not in self.versions:
+            span_ms = end_ms - wider_since_ms.setdefault(node, begin_ms)
+            if span_ms > self.longest_ms:
+                self.longest_ms, self.longest_cause = (
+                    span_ms,
+                    f"{node} at {begin_ms:.1f}: {key}, version {newest} forbids it",
+                )
+        leased = {node: in_use for node, in_use in in_use_by_node.items() if in_use.leased}
+        for node, in_use in leased.items():
+            for other_node, other_in_use in leased.items():
+                if other_in_use.version >= in_use.version or other_in_use.version not in self.versions:
                     continue
-                key = wider(moment.document, self.versions[held.version])
+                key = first_wider_key(in_use.document, self.versions[other_in_use.version])
                 if key is not None:
                     raise AssertionError(
-                        f"{begin:.1f}: {node} acts on {key} of version {moment.version} while {other} "
-                        f"holds a lease on version {held.version}"
+                        f"{begin_ms:.1f}: {node} uses {key} of version {in_use.version} while {other_node} "
+                        f"holds a lease on version {other_in_use.version}"
                     )
-        parts = sum(1 / moment.parts for moment in leased.values() if moment.parts)
-        if parts > 1 + 1e-9:
-            shares = {node: moment.parts for node, moment in leased.items()}
-            raise AssertionError(f"{begin:.1f}: parts of the cold budget make {parts:.3f}: {shares}")
+        total_share = sum(1 / in_use.divisor for in_use in leased.values() if in_use.divisor)
+        if total_share > 1 + 1e-9:
+            divisors = {node: in_use.divisor for node, in_use in leased.items()}
+            raise AssertionError(f"{begin_ms:.1f}: slow-start shares add up to {total_share:.3f}: {divisors}")
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -22,7 +22,7 @@
 )
 from limenotch.fleet.rules.endpoint_lists import EndpointLists
 from limenotch.lab.fleet.drawing import Scenario
-from limenotch.lab.fleet.rules_run import LOG as LOG_TUNING
+from limenotch.lab.fleet.rules_run import LOG_TUNING
 from limenotch.lab.fleet.scenario import Outcome, check, play
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
