--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -1,7 +1,8 @@
-"""Rules over the log in simulated time: each member is the log's part and the rules' part, put together by hand.
+"""Rules over the log in simulated time: each member is a log component and a rules component, connected by hand.
 
-`storm(seed)` is one run under cuts, pauses, kills, leader changes and clocks that drift as far as the settings allow,
-with operators who change the rules everywhere; what came in force is held against checks_rules.Checker.
+`randomized_run(seed)` is one run with network partitions, pauses, kills, leader changes and clocks that drift as far as
+the settings allow, with operators who change the rules at every member; what was in force is checked by
+checks_rules.RulesChecker.
 """
 
 from __future__ import annotations
@@ -26,15 +27,15 @@
     TimerFired,
 )
 from limenotch.fleet.rules import Rules, Tuning, api
-from limenotch.fleet.rules.changes import Check
+from limenotch.fleet.rules.changes import DocumentCheck
 from limenotch.fleet.rules.document import Document
-from limenotch.fleet.rules.messages import RULES
+from limenotch.fleet.rules.messages import RULES_MESSAGES
 from limenotch.lab.fleet import faults
-from limenotch.lab.fleet.checks_rules import Checker
+from limenotch.lab.fleet.checks_rules import RulesChecker
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
 
-TO_RULES = (
+FOR_RULES = (
     log.EntryCommitted,
     log.SnapshotInstalled,
     log.ProposalCommitted,
@@ -43,8 +44,8 @@
     log.ReadReady,
     log.LeaderChanged,
 )
-TOKEN = 1000  # the rules' timers begin here
-LOG = consensus.Tuning(
+FIRST_RULES_TOKEN = 1000  # the rules' timers have tokens from here on
+LOG_TUNING = consensus.Tuning(
     heartbeat_ms=50,
     election_least_ms=200,
     election_most_ms=400,
@@ -54,8 +55,8 @@
     snapshot_entries=20,
     tail_entries=5,
 )
-QUICK = Tuning(lease_ms=600, drift=0.02, grace_ms=50, check_ms=200, ask_ms=3000)
-FIRST: Document = {
+QUICK_TUNING = Tuning(lease_ms=600, drift=0.02, grace_ms=50, check_ms=200, ask_ms=3000)
+FIRST_DOCUMENT: Document = {
     "settings": {
         "classes": [
             {"name": "read", "effect": "idempotent", "target_ms": 100, "hard_limit_ms": 1000},
@@ -84,106 +85,116 @@
     return None
 
 
-class Member:
-    def __init__(self, run: Run, name: str, seed: int, process_epoch: int, held: StoredLog) -> None:
+class RulesMember:
+    """One node's components."""
+
+    def __init__(self, run: RulesRun, name: str, seed: int, process_epoch: int, stored: StoredLog) -> None:
         self.run, self.name = run, name
-        self.agreement = consensus.Agreement(name, run.voters, held, run.log, seed)
-        self.rules = Rules(
+        self.log_component = consensus.Agreement(name, run.voters, stored, run.log, seed)
+        self.rules_component = Rules(
             name,
             process_epoch,
             run.voters,
-            FIRST,
+            FIRST_DOCUMENT,
             run.checks.get(name, settings_check),
             run.tuning,
-            self.agreement.state,
+            self.log_component.state,
         )
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """What parts say to each other waits until all that came before it has been given out, as in a hub: an entry's
-        Store must not be passed by that of a proposal which it led to.
+        """Feed an event to the components.
+
+        What they send to each other waits until all actions before it have been handed out, as in a hub: an entry's
+        Store must not be overtaken by that of a proposal which it led to.
         """
-        out: list[Any] = []
-        waiting: deque[tuple[bool, Any]] = deque()  # for the rules or the log, event
-        mine = isinstance(event, MessageReceived) and isinstance(event.message, RULES)
-        if isinstance(event, TimerFired) and event.token >= TOKEN:
-            mine, event = True, TimerFired(event.token - TOKEN)
-        both = isinstance(event, (Started, Fenced, ShutdownStarted))
-        if both or mine or isinstance(event, (api.OperatorRequest, api.Counted, api.Voters)):
-            waiting.append((True, event))
+        actions: list[Any] = []
+        pending: deque[tuple[bool, Any]] = deque()  # whether for the rules (else the log), and the event
+        is_for_rules = isinstance(event, MessageReceived) and isinstance(event.message, RULES_MESSAGES)
+        if isinstance(event, TimerFired) and event.token >= FIRST_RULES_TOKEN:
+            is_for_rules, event = True, TimerFired(event.token - FIRST_RULES_TOKEN)
+        is_for_both = isinstance(event, (Started, Fenced, ShutdownStarted))
+        if (
+            is_for_both
+            or is_for_rules
+            or isinstance(event, (api.OperatorRequest, api.RequestsCounted, api.VotersChanged))
+        ):
+            pending.append((True, event))
         if isinstance(event, Started):
-            waiting += [(True, MemberChanged(other, "alive", address(other), 1, 1)) for other in self.run.names]
-        if both or not waiting:
-            waiting.append((False, event))
-        while waiting:
-            for_rules, event = waiting.popleft()
+            pending += [(True, MemberChanged(peer, "alive", address(peer), 1, 1)) for peer in self.run.names]
+        if is_for_both or not pending:
+            pending.append((False, event))
+        while pending:
+            for_rules, event = pending.popleft()
             if for_rules:
-                for action in self.rules.handle(now, event):
-                    self._from_rules(action, out, waiting)
-                if self.run.hosted:
-                    book = self.rules.book
-                    self.run.checker.agreed(book.newest, book.document(book.newest))
+                for action in self.rules_component.handle(now, event):
+                    self._apply_rules_action(action, actions, pending)
+                if self.run.has_world:
+                    rules = self.rules_component.rules
+                    self.run.checker.version_agreed(rules.newest, rules.document(rules.newest))
                 continue
-            if isinstance(event, log.SnapshotRequested):  # all that was agreed before it has been applied by now
-                event = log.SnapshotState(event.index, self.rules.state())
-            for action in self.agreement.handle(now, event):
+            if isinstance(event, log.SnapshotRequested):  # all entries before it have been applied by now
+                event = log.SnapshotState(event.index, self.rules_component.state())
+            for action in self.log_component.handle(now, event):
                 if isinstance(action, log.SnapshotRequested):
-                    waiting.append((False, action))
-                elif isinstance(action, TO_RULES):
-                    waiting.append((True, action))
+                    pending.append((False, action))
+                elif isinstance(action, FOR_RULES):
+                    pending.append((True, action))
                 else:
-                    out.append(action)
-        return out
+                    actions.append(action)
+        return actions
 
-    def _from_rules(self, action: Any, out: list[Any], waiting: deque[tuple[bool, Any]]) -> None:
+    def _apply_rules_action(self, action: Any, actions: list[Any], pending: deque[tuple[bool, Any]]) -> None:
         run = self.run
-        if isinstance(action, (api.InForce, api.Narrow)):
-            if run.hosted:
+        if isinstance(action, (api.RulesInForce, api.RestrictedRules)):
+            if run.has_world:
                 node = run.world.nodes[self.name]
-                run.checker.acted(run.world.now, self.name, action, node.ahead, node.rate)
+                run.checker.rules_reported(run.world.now, self.name, action, node.ahead, node.rate)
         elif isinstance(action, api.OperatorResponse):
-            if run.hosted:
+            if run.has_world:
                 run.answers.append((run.world.now, self.name, action))
-            yes = f"yes {action.version}" + (f": {action.text}" if action.text else "")
-            out.append(LogLine(yes if action.ok else f"no: {action.text}"))
+            text = f"yes {action.version}" + (f": {action.text}" if action.text else "")
+            actions.append(LogLine(text if action.ok else f"no: {action.text}"))
         elif isinstance(action, SetTimer):
-            out.append(SetTimer(action.at_ms, action.token + TOKEN))
+            actions.append(SetTimer(action.at_ms, action.token + FIRST_RULES_TOKEN))
         elif isinstance(action, (log.Propose, log.ReadIndex)):
-            waiting.append((False, action))
+            pending.append((False, action))
         elif isinstance(action, (SendToMember, LogLine)):
-            out.append(action)
+            actions.append(action)
         else:
             raise TypeError(f"no action of rules: {action!r}")
 
 
-class Run:
+class RulesRun:
+    """Members, and what operators and the checker know of them."""
+
     def __init__(
         self,
         nodes: Iterable[str],
         voters: tuple[str, ...],
         seed: int | None = 0,
         *,
-        tuning: Tuning = QUICK,
-        log_tuning: consensus.Tuning = LOG,
-        checks: dict[str, Check] | None = None,
-        **weather: Any,
+        tuning: Tuning = QUICK_TUNING,
+        log_tuning: consensus.Tuning = LOG_TUNING,
+        checks: dict[str, DocumentCheck] | None = None,
+        **network_conditions: Any,
     ) -> None:
-        """Without a `seed` it has no world and no checker: its members are hosted by a drawing's."""
+        """Without a `seed` it has no world and no checker: its members run in the world of an expected timeline."""
         self.names, self.voters = list(nodes), voters
         self.tuning, self.log = tuning, log_tuning
         self.checks = checks or {}
-        self.checker = Checker()
+        self.checker = RulesChecker()
         self.answers: list[tuple[float, str, api.OperatorResponse]] = []
         self.ticket = 0
-        self.hosted = seed is not None
+        self.has_world = seed is not None
         if seed is not None:
-            self.world = World(self.names, self.make, seed, **weather)
+            self.world = World(self.names, self.make, seed, **network_conditions)
 
-    def make(self, name: str, seed: int, process_epoch: int, held: StoredLog) -> Member:
-        return Member(self, name, seed, process_epoch, held)
+    def make(self, name: str, seed: int, process_epoch: int, stored: StoredLog) -> RulesMember:
+        return RulesMember(self, name, seed, process_epoch, stored)
 
-    def rules(self, name: str) -> Rules | None:
+    def component(self, name: str) -> Rules | None:
         part = self.world.part(name)
-        return part.rules if part is not None else None
+        return part.rules_component if part is not None else None
 
     def ask(self, name: str, what: str, **document: Any) -> int:
         self.ticket += 1
@@ -198,28 +209,33 @@
 
     def kill(self, name: str) -> None:
         self.world.kill(name)
-        self.checker.ended(self.world.now, name)
+        self.checker.process_ended(self.world.now, name)
 
     def leader(self) -> str | None:
-        leading = [(rules.term, name) for name in self.names if (rules := self.rules(name)) and rules.leads]
-        return max(leading)[1] if leading else None
+        leaders = [
+            (component.term, name) for name in self.names if (component := self.component(name)) and component.is_leader
+        ]
+        return max(leaders)[1] if leaders else None
 
-    def settled(self, most_ms: float = 10_000.0) -> None:
-        """Until all act under a lease on the newest version, active. AssertionError if not in time."""
-        until = self.world.now + most_ms
+    def converge(self, timeout_ms: float = 10_000.0) -> None:
+        """Run until all members hold a lease and use the newest version, active. AssertionError after `timeout_ms`."""
+        deadline_ms = self.world.now + timeout_ms
         while True:
-            held = [rules for name in self.names if (rules := self.rules(name)) is not None]
-            newest = max((rules.book.newest for rules in held), default=0)
-            if len(held) == len(self.names) and all(
-                rules.book.active == newest and rules.holder.parts and rules.holder.is_valid(self._clock(rules.name))
-                for rules in held
+            components = [component for name in self.names if (component := self.component(name)) is not None]
+            newest = max((component.rules.newest for component in components), default=0)
+            if len(components) == len(self.names) and all(
+                component.rules.active == newest
+                and component.lease.divisor
+                and component.lease.is_valid(self._clock(component.name))
+                for component in components
             ):
                 return
-            if self.world.now >= until:
+            if self.world.now >= deadline_ms:
                 raise AssertionError(
-                    f"not within {most_ms:g} ms: "
+                    f"not within {timeout_ms:g} ms: "
                     + ", ".join(
-                        f"{one.name} {one.book.active}/{one.book.newest} parts {one.holder.parts}" for one in held
+                        f"{each.name} {each.rules.active}/{each.rules.newest} divisor {each.lease.divisor}"
+                        for each in components
                     )
                 )
             self.world.run(self.world.now + 10)
@@ -242,41 +258,44 @@
     return {"settings": {"classes": {f"c{random.randint(1, 2)}": random.choice((None, entry))}}}
 
 
-def storm(seed: int, span_ms: float = 6000.0, tuning: Tuning = QUICK) -> Run:
-    """Clocks differ by up to the bound of drift: each is out by a little less than half of it."""
+def randomized_run(seed: int, span_ms: float = 6000.0, tuning: Tuning = QUICK_TUNING) -> RulesRun:
+    """One randomized fault run.
+
+    Clocks differ by up to the bound of drift: each is off by a little less than half of it.
+    """
     random = Random(f"{seed} rules")
-    many = random.choice((3, 3, 5))
-    names = list("abcdefgh"[: many + random.choice((0, 1, 3))])
-    run = Run(
+    voter_count = random.choice((3, 3, 5))
+    names = list("abcdefgh"[: voter_count + random.choice((0, 1, 3))])
+    run = RulesRun(
         names,
-        tuple(names[:many]),
+        tuple(names[:voter_count]),
         seed,
         tuning=tuning,
         drift_ppm=tuning.drift * 0.49e6,
         wake=random.choice(("timers", "heard")),
     )
     world = run.world
-    run.settled()
+    run.converge()
     world.fault(faults.parse(f"loss {random.choice((0, 0, 5, 20))}%"))
     world.fault(faults.parse(f"delay 1..{random.choice((1, 5, 40))}"))
-    begin = world.now
-    while world.now < begin + span_ms:
+    begin_ms = world.now
+    while world.now < begin_ms + span_ms:
         world.run(world.now + random.choice((5, 20, 60, 150)))
         name = random.choice(names)
-        what = random.random()
-        if what < 0.35:
+        choice = random.random()
+        if choice < 0.35:
             run.ask(name, "propose", change=_change(random, run.ticket))
-        elif what < 0.42:
+        elif choice < 0.42:
             run.ask(name, "ban", upstream=f"u{random.randint(1, 3)}")
-        elif what > 0.78:
-            _fault(run, random, name)
-    calm(run)
-    run.settled(15_000)
+        elif choice > 0.78:
+            _inject_fault(run, random, name)
+    end_faults(run)
+    run.converge(15_000)
     run.checker.check(world.now, tuning.contradiction_ms)
     return run
 
 
-def _fault(run: Run, random: Random, name: str) -> None:
+def _inject_fault(run: RulesRun, random: Random, name: str) -> None:
     world = run.world
     kind = random.choice(
         (
@@ -298,7 +317,7 @@
     if kind == "leader":
         name = run.leader() or name
         kind = random.choice(("pause", "kill", "one way", "cut"))
-    rest = " ".join(other for other in run.names if other != name)
+    others = " ".join(peer for peer in run.names if peer != name)
     if kind == "kill" and world.alive(name):
         run.kill(name)
     elif kind == "start" and not world.alive(name):
@@ -306,16 +325,17 @@
     elif kind in ("pause", "wake") and world.alive(name):
         getattr(world, kind)(name)
     elif kind == "cut":
-        world.fault(faults.parse(f"cut {name} | {rest}"))
+        world.fault(faults.parse(f"cut {name} | {others}"))
     elif kind == "one way":
-        world.fault(faults.parse(random.choice((f"cut {name} > {rest}", f"cut {rest} > {name}"))))
+        world.fault(faults.parse(random.choice((f"cut {name} > {others}", f"cut {others} > {name}"))))
     elif kind == "heal":
         world.fault(faults.parse("heal"))
     elif kind == "fence" and world.alive(name):
         world.poke(name, Fenced())
 
 
-def calm(run: Run) -> None:
+def end_faults(run: RulesRun) -> None:
+    """Remove all network faults, and start and wake all members."""
     world = run.world
     for text in ("heal", "loss 0%", "delay 1..1"):
         world.fault(faults.parse(text))
--- a/limenotch/net/admin/rules.py
+++ b/limenotch/net/admin/rules.py
@@ -15,7 +15,7 @@
 from .server import method_not_allowed
 
 PREFIX = "ru."  # the component's, in the hub
-RULES = "/fleet/rules"
+RULES_PATH = "/fleet/rules"
 
 
 class RulesRequest(Struct, forbid_unknown_fields=True):
@@ -27,7 +27,7 @@
 
 
 class RulesQueries:
-    """Answers operators' requests at RULES."""
+    """Answers operators' requests at RULES_PATH."""
 
     def __init__(
         self, send_event: Callable[[ComponentEvent], None], within_s: float, state: Callable[[], dict[str, Any]]
@@ -38,7 +38,7 @@
         self.handle_answer = self._queries.handle_answer
 
     async def answer(self, request: http1.Message) -> bytes:
-        """The response to a request at RULES."""
+        """The response to a request at RULES_PATH."""
         if request.method == b"GET":
             return json_response(200, self._state())
         if request.method != b"POST":
--- a/tests/fleet/returning_clients.py
+++ b/tests/fleet/returning_clients.py
@@ -31,7 +31,7 @@
 from limenotch.lab.model.faults import Deed
 from limenotch.net import http1
 
-from .test_rules_processes import Hands
+from .test_rules_processes import Operators
 
 FREE, KEYED = 0, 1
 BUDGET_MS = 600.0
@@ -93,7 +93,7 @@
         return verdict, answer.body.partition(b" ")[2].decode(), name
 
 
-class Comers(Hands):
+class Comers(Operators):
     """Consumers that come back, and operators."""
 
     stage: Bench | None
@@ -110,7 +110,7 @@
         assert self.stage is not None
         return self.stage
 
-    async def asked(self, node: NodeProcess, words: str) -> None:
+    async def execute(self, node: NodeProcess, words: str) -> None:
         word, *rest = words.split()
         do = {
             "same": self.same,
@@ -143,7 +143,7 @@
         elif word == "ban":
             await self.ban_of(node, what)
         else:
-            await super().asked(node, words)
+            await super().execute(node, words)
 
     # Calls
 
@@ -210,8 +210,8 @@
     async def agree(self, _: str, what: str) -> None:
         async def answers() -> set[Any]:
             if what.startswith("k"):
-                return {await self.keyed(name, what, True) for name in self.there}
-            return {await self.of_session(name, what) for name in self.there}
+                return {await self.keyed(name, what, True) for name in self.running}
+            return {await self.of_session(name, what) for name in self.running}
 
         async with asyncio.timeout(20):
             while len(found := await answers()) != 1:
@@ -227,7 +227,7 @@
                 bench._see_to(bench.fleet.carry_out(bench.clock(), Deed(bench.clock(), "drain", 0, number)))
         left = sum(not site.draining and site.name not in self.banned for site in bench.fleet.sites[0])
         await self.processes.until_all(
-            lambda _, state: state["parts"]["bindings"]["providers"] == left, 20, f"{providers} drain", self.there
+            lambda _, state: state["parts"]["bindings"]["providers"] == left, 20, f"{providers} drain", self.running
         )
 
     async def drain(self, _: str, session: str) -> None:
@@ -239,12 +239,12 @@
 
     async def ban_of(self, node: NodeProcess, session: str) -> None:
         self.banned.add(self.homes[session])
-        before = {name: (await self.figures(name))["providers"] for name in self.there}
-        status, said = await self.rules(node, "ban", {"upstream": self.homes[session]}, f"ban {session}")
+        before = {name: (await self.figures(name))["providers"] for name in self.running}
+        status, said = await self.request(node, "ban", {"upstream": self.homes[session]}, f"ban {session}")
         assert status == 200, said
         agreed = self.bench.clock()
         await self.processes.until_all(
-            lambda name, state: state["parts"]["bindings"]["providers"] < before[name], 5, "out at all", self.there
+            lambda name, state: state["parts"]["bindings"]["providers"] < before[name], 5, "out at all", self.running
         )
         took = self.bench.clock() - agreed
         assert took <= ENDS_MS + self.bench._lag.now_ms(), took
--- a/tests/fleet/rules_bugs.py
+++ b/tests/fleet/rules_bugs.py
@@ -1,4 +1,4 @@
-"""Faults planted into the rules by hand, one at a time: each must be found, in the storm of its seed."""
+"""Bugs injected into the rules, one at a time: the randomized run of its seed must find each."""
 
 from __future__ import annotations
 
@@ -9,74 +9,81 @@
 
 from limenotch.fleet.rules import change_classification, core, leases, messages, versioned_rules
 
-Plant = Callable[[pytest.MonkeyPatch], None]
+InjectBug = Callable[[pytest.MonkeyPatch], None]
 
 
-def lease_kept_over_a_pause(patch: pytest.MonkeyPatch) -> None:
-    """Counted from when the grant is handled, not from when it was asked for."""
-    real = leases.Holder.grant
+def lease_counted_from_the_grant(patch: pytest.MonkeyPatch) -> None:
+    """The lease counts from when the grant is handled, not from when it was requested."""
+    real = leases.RulesLease.accept_grant
 
-    def grant(self: leases.Holder, now: float, grant: messages.Grant) -> bool:
+    def accept_grant(self: leases.RulesLease, now: float, grant: messages.LeaseGrant) -> bool:
         if grant.serial in self._asked:
             self._asked[grant.serial] = now
         return real(self, now, grant)
 
-    patch.setattr(leases.Holder, "grant", grant)
+    patch.setattr(leases.RulesLease, "accept_grant", accept_grant)
 
 
-def activated_before_old_leases_ran_out(patch: pytest.MonkeyPatch) -> None:
-    """By a new leader, which knows none of them."""
+def activated_before_earlier_leases_expired(patch: pytest.MonkeyPatch) -> None:
+    """By a new leader, which knows none of these leases."""
 
-    def may(self: leases.Granter, number: int, now: float) -> bool:
-        return all(record.version >= number or record.until <= now for record in self.records.values())
+    def may_activate(self: leases.RulesLeaseGranter, number: int, now: float) -> bool:
+        return all(record.version >= number or record.expires_at_ms <= now for record in self.records.values())
 
-    patch.setattr(leases.Granter, "may_activate", may)
+    patch.setattr(leases.RulesLeaseGranter, "may_activate", may_activate)
 
 
-def newest_alone_in_force(patch: pytest.MonkeyPatch) -> None:
+def only_the_newest_version_in_force(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        versioned_rules.Book, "acting", lambda self, name: change_classification.in_force(self.flat(self.newest), [])
+        versioned_rules.VersionedRules,
+        "in_force_at",
+        lambda self, name: change_classification.in_force(self.flat(self.newest), []),
     )
 
 
-def part_before_the_others_counted_up(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(leases.Granter, "_parts", lambda self, now, key, ask: len(self.records))
+def share_granted_before_the_others_reduced_theirs(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(leases.RulesLeaseGranter, "_divisor", lambda self, now, key, request: len(self.records))
 
 
-def granted_to_who_is_behind(patch: pytest.MonkeyPatch) -> None:
+def grants_to_outdated_holders(patch: pytest.MonkeyPatch) -> None:
     real = core.Rules._grant
 
-    def grant(self: core.Rules, name: str, ask: messages.AskLease) -> None:
+    def grant(self: core.Rules, name: str, request: messages.LeaseRequest) -> None:
         real(
             self,
             name,
-            messages.AskLease(
-                ask.serial, ask.process_epoch, self.book.newest, self.book.active, ask.parts, ask.granted
+            messages.LeaseRequest(
+                request.serial,
+                request.process_epoch,
+                self.rules.newest,
+                self.rules.active,
+                request.divisor,
+                request.granted_serial,
             ),
         )
 
     patch.setattr(core.Rules, "_grant", grant)
 
 
-def granted_without_asking_the_log(patch: pytest.MonkeyPatch) -> None:
-    """A leader that is none any more goes on granting."""
+def grants_without_confirmed_leadership(patch: pytest.MonkeyPatch) -> None:
+    """A leader that has been replaced goes on granting."""
     real = core.Rules._tick
 
     def tick(self: core.Rules) -> None:
-        if self._waiting and self.leads:
-            waiting, self._waiting = self._waiting, {}
-            for (name, _), ask in waiting.items():
-                self._grant(name, ask)
+        if self._lease_requests and self.is_leader:
+            requests, self._lease_requests = self._lease_requests, {}
+            for (name, _), request in requests.items():
+                self._grant(name, request)
         real(self)
 
     patch.setattr(core.Rules, "_tick", tick)
 
 
 BUGS: dict[Any, int] = {
-    lease_kept_over_a_pause: 25,
-    activated_before_old_leases_ran_out: 29,
-    newest_alone_in_force: 1,
-    part_before_the_others_counted_up: 0,
-    granted_to_who_is_behind: 0,
-    granted_without_asking_the_log: 1,
+    lease_counted_from_the_grant: 25,
+    activated_before_earlier_leases_expired: 29,
+    only_the_newest_version_in_force: 1,
+    share_granted_before_the_others_reduced_theirs: 0,
+    grants_to_outdated_holders: 0,
+    grants_without_confirmed_leadership: 1,
 }
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -23,7 +23,7 @@
 from .returning_clients import Bench, Comers
 from .test_fleet_off import Sidecar, serving
 from .test_log_processes import AGREEMENT, MEMBERSHIP
-from .test_rules_processes import RULES
+from .test_rules_processes import RULES_TABLE
 
 TRAFFIC = """
 name = "bindings"
@@ -105,10 +105,10 @@
             folder,
             drawn,
             weather.Weather(drawn.seed),
-            ask=comers.asked,
-            fleet=lambda stage, node: fleet(stage, node) + (RULES if rules else ""),
+            ask=comers.execute,
+            fleet=lambda stage, node: fleet(stage, node) + (RULES_TABLE if rules else ""),
         )
-        comers.stage, comers.there = bench, list(drawn.nodes)
+        comers.stage, comers.running = bench, list(drawn.nodes)
 
         async def settled(processes: Processes) -> None:
             def holds(name: str, state: dict[str, Any]) -> bool:
--- a/tests/fleet/test_change_classification.py
+++ b/tests/fleet/test_change_classification.py
@@ -1,4 +1,4 @@
-"""What a change of each key does; the narrowest of two is a meet."""
+"""What a change of each key does; the narrowest of two documents is a meet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from limenotch.fleet.rules import change_classification
 from limenotch.fleet.rules import document as doc
 
-NONE: dict[Any, st.SearchStrategy[Any]] = {}
+NO_REQUIRED_KEYS: dict[Any, st.SearchStrategy[Any]] = {}
 FIELDS: dict[Any, st.SearchStrategy[Any]] = {
     "effect": st.sampled_from(("at_most_once", "deduplicated", "idempotent")),
     "dedup_scope": st.sampled_from(("cell", "zone", "all")),
@@ -19,25 +19,25 @@
     "worth": st.sampled_from((1, 2)),
     "unheard_of": st.booleans(),
 }
-CLASS = st.fixed_dictionaries(NONE, optional=FIELDS)
-DOCUMENT = st.fixed_dictionaries(
+CLASSES = st.fixed_dictionaries(NO_REQUIRED_KEYS, optional=FIELDS)
+DOCUMENTS = st.fixed_dictionaries(
     {
         "settings": st.fixed_dictionaries(
             {  # type: ignore[misc]
-                "classes": st.dictionaries(st.sampled_from("ab"), CLASS),
+                "classes": st.dictionaries(st.sampled_from("ab"), CLASSES),
                 "tenants": st.dictionaries(
                     st.sampled_from("tu"),
-                    st.fixed_dictionaries(NONE, optional={"quota_per_s": st.sampled_from((0, 5, 10))}),
+                    st.fixed_dictionaries(NO_REQUIRED_KEYS, optional={"quota_per_s": st.sampled_from((0, 5, 10))}),
                 ),
                 "permissions": st.fixed_dictionaries(
-                    NONE,
+                    NO_REQUIRED_KEYS,
                     optional={
                         "max_attempts": st.integers(1, 4),
                         "parallel_tries": st.booleans(),
                         "max_open": st.sampled_from((10, 20)),
                     },
                 ),
-                "rules": st.fixed_dictionaries(NONE, optional={"cold_ms": st.sampled_from((0, 10, 20))}),
+                "rules": st.fixed_dictionaries(NO_REQUIRED_KEYS, optional={"cold_ms": st.sampled_from((0, 10, 20))}),
             }
         )
     },
@@ -48,43 +48,47 @@
         "directory": st.sampled_from(("127.0.0.1:1", "127.0.0.1:2")),
     },
 )
-FLAT = DOCUMENT.map(doc.flatten)
+FLAT_DOCUMENTS = DOCUMENTS.map(doc.flatten)
 
 
 @settings(max_examples=150, deadline=None)
-@given(FLAT, FLAT, FLAT)
-def test_the_narrowest_is_a_meet(
-    one: change_classification.Flat, two: change_classification.Flat, three: change_classification.Flat
+@given(FLAT_DOCUMENTS, FLAT_DOCUMENTS, FLAT_DOCUMENTS)
+def test_meet_is_a_lower_bound(
+    first: change_classification.FlatDocument,
+    second: change_classification.FlatDocument,
+    third: change_classification.FlatDocument,
 ) -> None:
-    both = change_classification.meet(one, two)
-    assert both == change_classification.meet(two, one)
-    assert change_classification.meet(one, one) == one
-    assert change_classification.meet(both, three) == change_classification.meet(
-        one, change_classification.meet(two, three)
+    both = change_classification.meet(first, second)
+    assert both == change_classification.meet(second, first)
+    assert change_classification.meet(first, first) == first
+    assert change_classification.meet(both, third) == change_classification.meet(
+        first, change_classification.meet(second, third)
     )
-    assert change_classification.no_wider(both, one)
-    assert change_classification.no_wider(both, two)
+    assert change_classification.is_no_wider(both, first)
+    assert change_classification.is_no_wider(both, second)
 
 
 @settings(max_examples=100, deadline=None)
-@given(FLAT, FLAT, FLAT)
-def test_in_force_is_no_wider_than_any_and_switches_with_the_active(
-    active: change_classification.Flat, one: change_classification.Flat, two: change_classification.Flat
+@given(FLAT_DOCUMENTS, FLAT_DOCUMENTS, FLAT_DOCUMENTS)
+def test_in_force_is_no_wider_than_any_version_and_switches_with_the_active_one(
+    active: change_classification.FlatDocument,
+    first: change_classification.FlatDocument,
+    second: change_classification.FlatDocument,
 ) -> None:
-    held = change_classification.in_force(active, [one, two])
-    assert all(change_classification.no_wider(held, flat) for flat in (active, one, two))
-    assert held.get(("directory",)) == active.get(("directory",))
-    narrow = change_classification.without_lease(held)
-    assert change_classification.no_wider(narrow, held)
-    assert not any(value for path, value in narrow.items() if path[-1] == "repeat")
+    effective = change_classification.in_force(active, [first, second])
+    assert all(change_classification.is_no_wider(effective, flat) for flat in (active, first, second))
+    assert effective.get(("directory",)) == active.get(("directory",))
+    restricted = change_classification.without_lease(effective)
+    assert change_classification.is_no_wider(restricted, effective)
+    assert not any(value for path, value in restricted.items() if path[-1] == "repeat")
 
 
 @settings(max_examples=100, deadline=None)
-@given(DOCUMENT)
+@given(DOCUMENTS)
 def test_a_document_comes_back_from_its_flat_form(document: Any) -> None:
     flat = doc.flatten(document)
-    again = doc.unflatten(flat, document)
-    assert doc.flatten(again) == flat
+    restored = doc.unflatten(flat, document)
+    assert doc.flatten(restored) == flat
     assert doc.flatten(doc.merge(document, {})) == flat
 
 
@@ -99,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "word"),
+    ("change", "expected"),
     [
         ({"settings": {"classes": {"pay": {"dedup_scope": "all"}}}}, "settings.classes.pay.repeat widens"),
         ({"settings": {"classes": {"pay": {"dedup_scope": "cell"}}}}, "settings.classes.pay.repeat narrows"),
@@ -115,9 +119,9 @@
         ({"directory": "127.0.0.1:2"}, "directory switches"),
     ],
 )
-def test_what_a_change_does(change: dict[str, Any], word: str) -> None:
-    found = change_classification.diff(doc.flatten(base()), doc.flatten(doc.merge(base(), change)))
-    assert ", ".join(f"{change_classification.text_of(path)} {one}" for path, one in found) == word
+def test_classification_of_changes(change: dict[str, Any], expected: str) -> None:
+    differences = change_classification.diff(doc.flatten(base()), doc.flatten(doc.merge(base(), change)))
+    assert ", ".join(f"{change_classification.dotted_path(path)} {effect}" for path, effect in differences) == expected
 
 
 @pytest.mark.parametrize(
@@ -132,16 +136,16 @@
         ({"other": 1}, "other"),
     ],
 )
-def test_a_wrong_shape_is_told_by_its_key(change: dict[str, Any], key: str) -> None:
+def test_an_error_names_the_key_of_a_wrong_shape(change: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError, match=key):
         doc.flatten(doc.merge(base(), change))
 
 
-def test_a_canary_carries_harmless_keys_and_narrower_limits_alone() -> None:
-    def refused(change: dict[str, Any]) -> str | None:
-        return change_classification.canary_refuses(doc.flatten(base()), doc.flatten(doc.merge(base(), change)))
+def test_a_canary_trial_may_change_only_harmless_keys_and_narrow_limits() -> None:
+    def rejection(change: dict[str, Any]) -> str | None:
+        return change_classification.canary_rejection(doc.flatten(base()), doc.flatten(doc.merge(base(), change)))
 
-    assert refused({"settings": {"classes": {"pay": {"worth": 3}}, "permissions": {"max_attempts": 2}}}) is None
-    assert "max_attempts" in str(refused({"settings": {"permissions": {"max_attempts": 4}}}))
-    assert "pay.repeat" in str(refused({"settings": {"classes": {"pay": {"effect": "at_most_once"}}}}))
-    assert "odd" in str(refused({"settings": {"permissions": {"odd": 3}}}))
+    assert rejection({"settings": {"classes": {"pay": {"worth": 3}}, "permissions": {"max_attempts": 2}}}) is None
+    assert "max_attempts" in str(rejection({"settings": {"permissions": {"max_attempts": 4}}}))
+    assert "pay.repeat" in str(rejection({"settings": {"classes": {"pay": {"effect": "at_most_once"}}}}))
+    assert "odd" in str(rejection({"settings": {"permissions": {"odd": 3}}}))
--- a/tests/fleet/test_endpoint_lists.py
+++ b/tests/fleet/test_endpoint_lists.py
@@ -10,7 +10,7 @@
 from limenotch.fleet.consensus import api as log
 from limenotch.fleet.interfaces import MemberChanged, MessageReceived, SendToMember, Started
 from limenotch.fleet.rules import endpoint_additions, endpoint_list_messages
-from limenotch.fleet.rules.api import Voters
+from limenotch.fleet.rules.api import VotersChanged
 from limenotch.fleet.rules.endpoint_list_messages import (
     AgreedChange,
     AgreedEndpointsChanged,
@@ -234,7 +234,7 @@
 def test_a_new_voter_reports_its_endpoints() -> None:
     lists = lists_of(voters=())
     assert not [action for action in lists.handle(1.0, log.LeaderChanged("b", 1)) if isinstance(action, SendToMember)]
-    sent = lists.handle(2.0, Voters(("a", "b", "c")))
+    sent = lists.handle(2.0, VotersChanged(("a", "b", "c")))
     assert SendToMember("b", DifferenceReport("d1", (listed_endpoint("u"), listed_endpoint("v")))) in sent
 
 
--- a/tests/fleet/test_rules_processes.py
+++ b/tests/fleet/test_rules_processes.py
@@ -1,9 +1,9 @@
-"""Rules on processes: they are agreed on, act, narrow and widen while consumers call and faults come between.
+"""Rules on processes: they are agreed on, applied, narrowed and widened while clients send requests and faults occur.
 
-Words of `ask`: `set N` (attempts, told 200), `set N late` (not told 200), `set N surely` (asked until told 200),
-`ban P`, `back P`, `all N` (all that are there hold version N actively under a lease), `out K` (K providers are left
-out, at every node), `narrow`, `leased`, `two N M` (attempts, proposed here and at the next node at once: one wins, the
-other hears which), `undo N` (back to the body of version N), `ban P alone` (it can't be agreed, and acts here).
+Words of `ask`: `set N` (attempts, answered 200), `set N late` (not answered 200), `set N surely` (repeated until
+answered 200), `ban P`, `back P`, `all N` (all running nodes use version N, active, under a lease), `out K` (K endpoints
+are left out, at every node), `narrow`, `leased`, `two N M` (attempts, proposed here and at the next node at once: one
+wins, the other is told which), `undo N` (restore version N), `ban P alone` (it can't be agreed on, and applies here).
 """
 
 from __future__ import annotations
@@ -23,127 +23,134 @@
 from .test_log_processes import AGREEMENT, MEMBERSHIP, leader
 from .test_processes import TRAFFIC
 
-RULES = "\n[fleet.rules]\nlease_ms = 900.0\ndrift = 0.02\ngrace_ms = 200.0\nask_ms = 3000.0\ncheck_ms = 400.0\n"
+RULES_TABLE = "\n[fleet.rules]\nlease_ms = 900.0\ndrift = 0.02\ngrace_ms = 200.0\nask_ms = 3000.0\ncheck_ms = 400.0\n"
 
 
-class Hands:
-    """Operators of a stage; each `ask` of a drawing is one of theirs."""
+class Operators:
+    """Operators of a stage; each `ask` of a timeline is one request of theirs."""
 
     def __init__(self) -> None:
         self.stage: Stage | None = None
-        self.there: list[str] = []
+        self.running: list[str] = []
 
     @property
     def processes(self) -> Processes:
         assert self.stage is not None
         return self.stage.processes
 
-    async def rules(self, node: NodeProcess, what: str, document: dict[str, Any], ident: str) -> tuple[int, Any]:
+    async def request(self, node: NodeProcess, what: str, document: dict[str, Any], ident: str) -> tuple[int, Any]:
         body = json.dumps({"what": what, "document": document, "id": ident}).encode()
         answer = await call(node, "POST", "/fleet/rules", body)
         assert answer is not None, f"{node.name}: no answer to {what}"
         return answer.status, json.loads(answer.body)
 
-    async def asked(self, node: NodeProcess, words: str) -> None:
-        word, *rest = words.split()
-        if word == "set":
-            change = {"change": {"settings": {"permissions": {"max_attempts": int(rest[0])}}}}
-            status, said = await self.rules(node, "propose", change, f"set {rest[0]}")
-            for _ in range(10 if "surely" in rest else 0):  # the same id counts once
+    async def execute(self, node: NodeProcess, words: str) -> None:
+        command, *arguments = words.split()
+        if command == "set":
+            change = {"change": {"settings": {"permissions": {"max_attempts": int(arguments[0])}}}}
+            status, response = await self.request(node, "propose", change, f"set {arguments[0]}")
+            for _ in range(10 if "surely" in arguments else 0):  # the same id counts once
                 if status != 200:
-                    status, said = await self.rules(node, "propose", change, f"set {rest[0]}")
+                    status, response = await self.request(node, "propose", change, f"set {arguments[0]}")
                     await asyncio.sleep(0.1)
-            assert (status == 200) == ("late" not in rest), (words, status, said)
-        elif word == "two":
-            await self.two(node, int(rest[0]), int(rest[1]))
-        elif word == "undo":
-            status, said = await self.rules(node, "back", {"to": int(rest[0])}, words)
-            assert status == 200, said
-        elif word == "ban" and "alone" in rest:
-            status, said = await self.rules(node, "ban", {"upstream": await self.provider(int(rest[0]))}, words)
-            assert status != 200 and said["text"].startswith("told, not agreed"), said
-            assert await self.left_out(node) == 1
-        elif word in ("ban", "back"):
-            name = await self.provider(int(rest[0]))
-            document: dict[str, Any] = {"upstream": name} if word == "ban" else {"upstream": name, "at_ms": 1.0}
-            status, said = await self.rules(node, "ban" if word == "ban" else "return", document, words)
-            assert status == 200, (words, status, said)
-        elif word == "all":
-            await self.until(lambda state: (state["state"], state.get("active")) == ("leased", int(rest[0])), words)
-        elif word == "out":
-            await self.out(int(rest[0]))
-        elif word == "led":
+            assert (status == 200) == ("late" not in arguments), (words, status, response)
+        elif command == "two":
+            await self.propose_two(node, int(arguments[0]), int(arguments[1]))
+        elif command == "undo":
+            status, response = await self.request(node, "back", {"to": int(arguments[0])}, words)
+            assert status == 200, response
+        elif command == "ban" and "alone" in arguments:
+            status, response = await self.request(
+                node, "ban", {"upstream": await self.endpoint_name(int(arguments[0]))}, words
+            )
+            assert status != 200 and response["text"].startswith("told, not agreed"), response
+            assert await self.left_out_count(node) == 1
+        elif command in ("ban", "back"):
+            name = await self.endpoint_name(int(arguments[0]))
+            document: dict[str, Any] = {"upstream": name} if command == "ban" else {"upstream": name, "at_ms": 1.0}
+            status, response = await self.request(node, "ban" if command == "ban" else "return", document, words)
+            assert status == 200, (words, status, response)
+        elif command == "all":
+            await self.wait_until(
+                lambda state: (state["state"], state.get("active")) == ("leased", int(arguments[0])), words
+            )
+        elif command == "out":
+            await self.wait_left_out(int(arguments[0]))
+        elif command == "led":
             await self.processes.until_all(lambda name, state: leader(state) is None, 15, words, [node.name])
         else:
-            await self.until(lambda state: state["state"] == word, words, [node.name])
+            await self.wait_until(lambda state: state["state"] == command, words, [node.name])
 
-    async def two(self, node: NodeProcess, one: int, other: int) -> None:
+    async def propose_two(self, node: NodeProcess, first: int, second: int) -> None:
         state = await node.state()
         assert state is not None
         base = state["parts"]["rules"]["newest"]
-        second = self.processes.nodes[self.there[(self.there.index(node.name) + 1) % len(self.there)]]
-        made = [
-            {"change": {"settings": {"permissions": {"max_attempts": number}}}, "base": base} for number in (one, other)
+        peer = self.processes.nodes[self.running[(self.running.index(node.name) + 1) % len(self.running)]]
+        documents = [
+            {"change": {"settings": {"permissions": {"max_attempts": number}}}, "base": base}
+            for number in (first, second)
         ]
-        said = await asyncio.gather(
-            self.rules(node, "propose", made[0], "one"), self.rules(second, "propose", made[1], "other")
+        responses = await asyncio.gather(
+            self.request(node, "propose", documents[0], "one"), self.request(peer, "propose", documents[1], "other")
         )
-        assert sorted(status for status, _ in said) == [200, 409], said
-        lost = next(told for status, told in said if status == 409)
-        assert lost["text"].startswith(f"version {base + 1} won"), said
+        assert sorted(status for status, _ in responses) == [200, 409], responses
+        loser = next(response for status, response in responses if status == 409)
+        assert loser["text"].startswith(f"version {base + 1} won"), responses
 
-    async def until(self, holds: Any, what: str, nodes: list[str] | None = None) -> None:
+    async def wait_until(self, condition: Any, what: str, nodes: list[str] | None = None) -> None:
         await self.processes.until_all(
-            lambda name, state: bool(holds(state["parts"].get("rules", {}))), 15, what, nodes or self.there
+            lambda name, state: bool(condition(state["parts"].get("rules", {}))), 15, what, nodes or self.running
         )
 
-    async def provider(self, number: int) -> str:
+    async def endpoint_name(self, number: int) -> str:
         assert self.stage is not None
         return self.stage.fleet.sites[0][number].name
 
-    async def out(self, count: int) -> None:
-        """As each one's own figures tell."""
+    async def wait_left_out(self, count: int) -> None:
+        """By each node's own metrics."""
         async with asyncio.timeout(10):
-            for name in self.there:
-                while await self.left_out(self.processes.nodes[name]) != count:
+            for name in self.running:
+                while await self.left_out_count(self.processes.nodes[name]) != count:
                     await asyncio.sleep(0.02)
 
-    async def left_out(self, node: NodeProcess) -> int:
+    async def left_out_count(self, node: NodeProcess) -> int:
         answer = await call(node, "GET", "/stats")
         lines = answer.body.decode().splitlines() if answer is not None else []
-        found = [line for line in lines if line.startswith("lb.cluster_unhealthy:")]
-        return int(found[0].partition(":")[2].partition("|")[0]) if found else -1
-
-
-def play(text: str, folder: Path, more: str = "", kind: str = "") -> tuple[Outcome, dict[str, dict[str, Any]]]:
-    drawn = drawing.read(text)
-    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {drawn.ends / 1000.0}")
-    traffic = traffic.replace("count = 3", f"count = {len(drawn.nodes)}")
-    traffic = traffic.replace("queue = 4\n", f"queue = 4\n{kind}")
-    plan = planning.plan(scenario.parse(traffic + more, "rules"), 3)
-    key = folder / "key"
-    key.write_text("a key for tests, of 16 bytes or more")
-    hands = Hands()
+        matches = [line for line in lines if line.startswith("lb.cluster_unhealthy:")]
+        return int(matches[0].partition(":")[2].partition("|")[0]) if matches else -1
+
+
+def play(
+    text: str, folder: Path, faults: str = "", endpoint_keys: str = ""
+) -> tuple[Outcome, dict[str, dict[str, Any]]]:
+    timeline = drawing.read(text)
+    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {timeline.ends / 1000.0}")
+    traffic = traffic.replace("count = 3", f"count = {len(timeline.nodes)}")
+    traffic = traffic.replace("queue = 4\n", f"queue = 4\n{endpoint_keys}")
+    plan = planning.plan(scenario.parse(traffic + faults, "rules"), 3)
+    key_file = folder / "key"
+    key_file.write_text("a key for tests, of 16 bytes or more")
+    operators = Operators()
 
     async def case() -> tuple[Outcome, dict[str, dict[str, Any]]]:
-        with_log = together(drawn.nodes, key, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT)
+        fleet_settings = together(timeline.nodes, key_file, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT)
         stage = Stage(
             plan,
             folder,
-            drawn,
-            weather.Weather(drawn.seed),
-            ask=hands.asked,
+            timeline,
+            weather.Weather(timeline.seed),
+            ask=operators.execute,
             spoils=True,
-            fleet=lambda stage, node: with_log(stage, node) + RULES,
+            fleet=lambda stage, node: fleet_settings(stage, node) + RULES_TABLE,
         )
-        hands.stage = stage
-        hands.there = [name for name in drawn.nodes if name not in drawn.later]
+        operators.stage = stage
+        operators.running = [name for name in timeline.nodes if name not in timeline.later]
 
-        async def settled(processes: Processes) -> None:
-            await hands.until(lambda state: state.get("state") == "leased", "all hold leases")
+        async def leases_held(processes: Processes) -> None:
+            await operators.wait_until(lambda state: state.get("state") == "leased", "all hold leases")
 
         try:
-            outcome = await stage.perform(settled)
+            outcome = await stage.perform(leases_held)
             states = {name: await node.state() or {} for name, node in stage.processes.nodes.items()}
             return outcome, states
         finally:
@@ -155,11 +162,11 @@
     return outcome, states
 
 
-def notes(outcome: Outcome, node: str) -> list[str]:
-    return [text for at, name, text in outcome.seen if name == node and at >= 0]
+def log_lines(outcome: Outcome, node: str) -> list[str]:
+    return [text for at_ms, name, text in outcome.seen if name == node and at_ms >= 0]
 
 
-def test_a_change_and_a_ban_reach_all_whoever_is_asked(tmp_path: Path) -> None:
+def test_a_change_and_an_ejection_reach_all_whichever_sidecar_gets_them(tmp_path: Path) -> None:
     outcome, states = play(
         """
 nodes: a b c
@@ -179,11 +186,11 @@
     assert len(versions) == 1 and min(versions)[0] >= 3
 
 
-def test_one_that_is_cut_off_becomes_narrow_and_a_change_waits_for_its_lease_alone(tmp_path: Path) -> None:
-    """Its lease may run out before it misses its leader, or after.
+def test_an_isolated_sidecar_becomes_restricted_and_a_change_waits_only_for_its_lease(tmp_path: Path) -> None:
+    """Its lease may expire before it notices that its leader is missing, or after.
 
-    A change that it is asked for in between waits for 3 s, and with it the heal. All are held dead by then, and all are
-    narrow once they hear of that.
+    A change that it is asked for in between waits for 3 s, and with it the heal. By then all members are considered
+    dead by each other, and all are restricted once they learn that.
     """
     outcome, states = play(
         """
@@ -201,12 +208,12 @@
 """,
         tmp_path,
     )
-    assert "narrow" in notes(outcome, "c")
-    assert "narrow" not in notes(outcome, "b")
+    assert "narrow" in log_lines(outcome, "c")
+    assert "narrow" not in log_lines(outcome, "b")
     assert {state["parts"]["rules"]["active"] for state in states.values()} == {2}
 
 
-def test_one_that_wakes_after_its_lease_is_narrow_before_it_acts(tmp_path: Path) -> None:
+def test_a_sidecar_that_wakes_after_its_lease_is_restricted_at_once(tmp_path: Path) -> None:
     outcome, _ = play(
         """
 nodes: a b c
@@ -219,12 +226,12 @@
 """,
         tmp_path,
     )
-    texts = notes(outcome, "b")
+    texts = log_lines(outcome, "b")
     assert "narrow" in texts
     assert any(text.startswith("rules ") for text in texts[texts.index("narrow") :])
 
 
-def test_of_two_changes_at_once_one_wins_and_going_back_is_a_new_version(tmp_path: Path) -> None:
+def test_of_two_concurrent_changes_one_wins_and_restoring_is_a_new_version(tmp_path: Path) -> None:
     outcome, states = play(
         """
 nodes: a b c
@@ -241,7 +248,7 @@
     assert {state["parts"]["rules"]["newest"] for state in states.values()} == {3}
 
 
-def test_a_change_outlives_its_leader_and_a_ban_in_a_cut_is_agreed_after_it(tmp_path: Path) -> None:
+def test_a_change_survives_its_leader_and_an_ejection_in_a_partition_is_agreed_on_after_it(tmp_path: Path) -> None:
     outcome, states = play(
         """
 nodes: a b c
@@ -262,11 +269,11 @@
 """,
         tmp_path,
     )
-    assert "narrow" in notes(outcome, "c")
+    assert "narrow" in log_lines(outcome, "c")
     assert len({state["parts"]["rules"]["active"] for state in states.values()}) == 1
 
 
-def test_three_divide_the_cold_budget_of_a_provider_that_restarts_twice(tmp_path: Path) -> None:
+def test_three_sidecars_divide_the_slow_start_allowance_of_an_endpoint_that_restarts_twice(tmp_path: Path) -> None:
     outcome, states = play(
         """
 nodes: a b c
--- a/tests/fleet/test_versioned_rules.py
+++ b/tests/fleet/test_versioned_rules.py
@@ -1,4 +1,4 @@
-"""Versions: who wins, going back, what is in force, what is kept."""
+"""Versions of the rules: which change wins, restoring, what is in force, what is retained."""
 
 from __future__ import annotations
 
@@ -6,110 +6,112 @@
 
 from limenotch.fleet.rules import document as doc
 from limenotch.fleet.rules.entries import Activate, EndTry, Out, Put, Try
-from limenotch.fleet.rules.versioned_rules import Applied, Book
-from limenotch.lab.fleet.rules_run import FIRST
+from limenotch.fleet.rules.versioned_rules import AppliedEntry, VersionedRules
+from limenotch.lab.fleet.rules_run import FIRST_DOCUMENT
 
 
-def put(book: Book, change: dict[str, Any], base: int | None = None, ident: str = "x") -> Applied:
-    whole = doc.merge(book.document(book.newest), change)
-    return book.apply(Put(ident, book.newest if base is None else base, doc.encode(whole)))
+def put_change(
+    rules: VersionedRules, change: dict[str, Any], base: int | None = None, ident: str = "x"
+) -> AppliedEntry:
+    complete = doc.merge(rules.document(rules.newest), change)
+    return rules.apply(Put(ident, rules.newest if base is None else base, doc.encode(complete)))
 
 
 def attempts(number: int) -> dict[str, Any]:
     return {"settings": {"permissions": {"max_attempts": number}}}
 
 
-def acting(book: Book, name: str = "a") -> int:
-    return int(book.written(book.acting(name), True)["settings"]["permissions"]["max_attempts"])
+def max_attempts_at(rules: VersionedRules, name: str = "a") -> int:
+    return int(rules.document_of(rules.in_force_at(name), True)["settings"]["permissions"]["max_attempts"])
 
 
-def test_one_of_two_wins_and_the_other_hears_its_number() -> None:
-    book = Book(FIRST)
-    assert put(book, attempts(2), 1) == Applied("x", True, "", 2)
-    lost = put(book, attempts(5), 1, "y")
+def test_one_of_two_changes_wins_and_the_other_is_told_its_number() -> None:
+    rules = VersionedRules(FIRST_DOCUMENT)
+    assert put_change(rules, attempts(2), 1) == AppliedEntry("x", True, "", 2)
+    lost = put_change(rules, attempts(5), 1, "y")
     assert not lost.ok
     assert "version 2 won" in lost.text
 
 
-def test_narrows_when_heard_widens_when_active() -> None:
-    book = Book(FIRST)
-    put(book, attempts(5))
-    assert acting(book) == 3
-    put(book, attempts(2))
-    put(book, attempts(4))
-    assert acting(book) == 2
-    book.apply(Activate(3))
-    assert acting(book) == 2
-    book.apply(Activate(4))
-    assert acting(book) == 4
-    assert book.diff(3, 4) == [("settings.permissions.max_attempts", "widens")]
+def test_a_version_narrows_when_received_and_widens_when_active() -> None:
+    rules = VersionedRules(FIRST_DOCUMENT)
+    put_change(rules, attempts(5))
+    assert max_attempts_at(rules) == 3
+    put_change(rules, attempts(2))
+    put_change(rules, attempts(4))
+    assert max_attempts_at(rules) == 2
+    rules.apply(Activate(3))
+    assert max_attempts_at(rules) == 2
+    rules.apply(Activate(4))
+    assert max_attempts_at(rules) == 4
+    assert rules.diff(3, 4) == [("settings.permissions.max_attempts", "widens")]
 
 
-def test_no_class_would_be_left_between_is_refused_by_key() -> None:
-    book = Book(FIRST)
+def test_a_change_that_leaves_no_class_meanwhile_is_rejected() -> None:
+    rules = VersionedRules(FIRST_DOCUMENT)
     entry = {"effect": "idempotent", "target_ms": 1, "hard_limit_ms": 2}
-    refused = put(book, {"settings": {"classes": {"read": None, "pay": None, "new": entry}}})
-    assert "settings.classes" in refused.text
-
-
-def test_a_return_ends_bans_told_before_it_alone() -> None:
-    book = Book(FIRST)
-    book.tell_ban("u", 1, 10)
-    book.tell_ban("v", 2, 10)
-    put(book, {"bans": {"u": {"out": False}, "v": {"out": False}}})
-    assert book.acting("a")["bans", "u"][0]
-    book.apply(Activate(2))
-    assert not book.acting("a")["bans", "u"][0]
-    assert book.acting("a")["bans", "v"][0]
-    put(book, attempts(2))
-    book.apply(Activate(3))
-    assert book.acting("a")["bans", "v"][0], "a later version of something else returns nothing"
-
-
-def test_many_bans_while_nothing_can_be_active_take_one_place() -> None:
-    book = Book(FIRST, most_versions=4)
+    rejected = put_change(rules, {"settings": {"classes": {"read": None, "pay": None, "new": entry}}})
+    assert "settings.classes" in rejected.text
+
+
+def test_a_readmission_ends_only_ejections_reported_before_it() -> None:
+    rules = VersionedRules(FIRST_DOCUMENT)
+    rules.add_pending_ejection("u", 1, 10)
+    rules.add_pending_ejection("v", 2, 10)
+    put_change(rules, {"bans": {"u": {"out": False}, "v": {"out": False}}})
+    assert rules.in_force_at("a")["bans", "u"][0]
+    rules.apply(Activate(2))
+    assert not rules.in_force_at("a")["bans", "u"][0]
+    assert rules.in_force_at("a")["bans", "v"][0]
+    put_change(rules, attempts(2))
+    rules.apply(Activate(3))
+    assert rules.in_force_at("a")["bans", "v"][0], "a later version of another change readmits nothing"
+
+
+def test_ejections_while_no_version_can_be_active_take_one_slot() -> None:
+    rules = VersionedRules(FIRST_DOCUMENT, max_versions=4)
     for number in range(50):
-        assert book.apply(Out(f"b{number}", f"u{number}")).ok
-    assert book.waiting == 1
-    assert sum(ban["out"] for ban in book.written(book.acting("a"), True)["bans"].values()) == 50
+        assert rules.apply(Out(f"b{number}", f"u{number}")).ok
+    assert rules.inactive_count == 1
+    assert sum(ejection["out"] for ejection in rules.document_of(rules.in_force_at("a"), True)["bans"].values()) == 50
 
 
-def test_waiting_and_old_versions_are_bounded() -> None:
-    book = Book(FIRST, most_versions=4)
+def test_inactive_and_earlier_versions_are_bounded() -> None:
+    rules = VersionedRules(FIRST_DOCUMENT, max_versions=4)
     for _ in range(4):
-        assert put(book, attempts(2)).ok
-    assert "wait" in put(book, attempts(2)).text
+        assert put_change(rules, attempts(2)).ok
+    assert "wait" in put_change(rules, attempts(2)).text
     for _ in range(20):
-        book.apply(Activate(book.newest))
-        assert put(book, attempts(3)).ok
-    assert len(book.versions) <= 10
-
-
-def test_the_state_comes_back() -> None:
-    book = Book(FIRST)
-    put(book, attempts(5))
-    book.apply(Try("t", 2, doc.encode(doc.merge(book.document(2), attempts(1))), ("a",)))
-    again = Book(FIRST)
-    again.install(book.state())
-    assert (again.newest, again.active, again.trial) == (2, 1, book.trial)
-    assert again.acting("a") == book.acting("a")
-
-
-def test_a_canary_acts_where_named_and_is_kept_or_dropped() -> None:
-    book = Book(FIRST)
-    tried = doc.encode(doc.merge(FIRST, {**attempts(2)}))
-    assert book.apply(Try("t", 1, tried, ("a",))).ok
-    assert (acting(book, "a"), acting(book, "b")) == (2, 3)
-    assert not book.apply(Try("s", 1, tried, ("b",))).ok
-    book.apply(EndTry("t", False))
-    assert acting(book, "a") == 3
-    book.apply(Try("t2", 1, tried, ("a",)))
-    book.apply(EndTry("t2", True))
-    assert (book.newest, acting(book, "b")) == (2, 2)
-
-
-def test_without_a_lease_nothing_runs_twice() -> None:
-    document = Book(FIRST).written(Book(FIRST).narrow(), False)
+        rules.apply(Activate(rules.newest))
+        assert put_change(rules, attempts(3)).ok
+    assert len(rules.by_number) <= 10
+
+
+def test_the_state_is_restored() -> None:
+    rules = VersionedRules(FIRST_DOCUMENT)
+    put_change(rules, attempts(5))
+    rules.apply(Try("t", 2, doc.encode(doc.merge(rules.document(2), attempts(1))), ("a",)))
+    restored = VersionedRules(FIRST_DOCUMENT)
+    restored.install(rules.state())
+    assert (restored.newest, restored.active, restored.trial) == (2, 1, rules.trial)
+    assert restored.in_force_at("a") == rules.in_force_at("a")
+
+
+def test_a_canary_trial_applies_to_its_members_and_is_kept_or_withdrawn() -> None:
+    rules = VersionedRules(FIRST_DOCUMENT)
+    trial = doc.encode(doc.merge(FIRST_DOCUMENT, {**attempts(2)}))
+    assert rules.apply(Try("t", 1, trial, ("a",))).ok
+    assert (max_attempts_at(rules, "a"), max_attempts_at(rules, "b")) == (2, 3)
+    assert not rules.apply(Try("s", 1, trial, ("b",))).ok
+    rules.apply(EndTry("t", False))
+    assert max_attempts_at(rules, "a") == 3
+    rules.apply(Try("t2", 1, trial, ("a",)))
+    rules.apply(EndTry("t2", True))
+    assert (rules.newest, max_attempts_at(rules, "b")) == (2, 2)
+
+
+def test_without_a_lease_no_request_runs_twice() -> None:
+    document = VersionedRules(FIRST_DOCUMENT).document_of(VersionedRules(FIRST_DOCUMENT).restricted(), False)
     assert {entry["effect"] for entry in document["settings"]["classes"]} == {"at_most_once"}
     assert document["settings"]["permissions"] == {"max_attempts": 3, "parallel_tries": False}
     assert document["cold_sends"] is False
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -238,7 +238,7 @@
 def paths() -> list[str]:
     """What operators may ask for."""
     return sorted([server.HEALTH, server.STATS, server.ENDPOINTS, PATH, wallet.WALLETS, log.PROMISES,
-                   log.VOTERS, rules.RULES])  # fmt: skip
+                   log.VOTERS, rules.RULES_PATH])  # fmt: skip
 
 
 _key_file: Path | None = None
