--- a/limenotch/fleet/rules/api.py
+++ b/limenotch/fleet/rules/api.py
@@ -9,14 +9,16 @@
 
 
 class OperatorRequest(NamedTuple):
-    """An operator's. Each gets exactly one OperatorResponse with its ticket, in `ask_ms` and a little at the latest.
+    """An operator's request.
+
+    Each gets exactly one OperatorResponse with its ticket, `ask_ms` and a little later at the latest.
 
     | what | document |
     | --- | --- |
-    | propose | `change` (partial, see document.py); `base` (the newest here, if not said); `canary`: names |
-    | back | `to`: the version whose body is to come again |
-    | ban | `upstream` |
-    | return | `upstream`; `at_ms` of the return |
+    | propose | `change` (partial, see document.py); `base` (default: the newest here); `canary`: names |
+    | back | `to`: the version whose document is to be restored |
+    | ban | `upstream`: the endpoint to eject |
+    | return | `upstream`: the endpoint to readmit; `at_ms` of the readmission |
     | diff | `one`, `two`: versions |
     | status | |
     """
@@ -44,7 +46,7 @@
 
 
 class OperatorResponse(NamedTuple):
-    """`text` of one that is not ok names the key, or the version that won."""
+    """If not `ok`, `text` names the faulty key, or the version that won."""
 
     ticket: int
     ok: bool
--- a/limenotch/fleet/rules/canary.py
+++ b/limenotch/fleet/rules/canary.py
@@ -112,8 +112,10 @@
             self._next_sample_ms = now + REPEAT_INTERVAL_MS
         return verdict
 
-    def figures(self) -> Mapping[str, float]:
+    def log_fields(self) -> Mapping[str, float]:
+        """The state of the test, for a log line."""
         return {"evidence": self._test.log_likelihood_ratio, "taken": self._test.canary_requests} if self._test else {}
 
     def reset(self) -> None:
+        """Forget the counts: the leader has changed."""
         self._test = None
--- a/limenotch/fleet/rules/change_classification.py
+++ b/limenotch/fleet/rules/change_classification.py
@@ -56,27 +56,31 @@
     return (not value[0], -value[1])
 
 
-REPEATS_FORBIDDEN = "one repeats a call that may have run while the other's newer version forbids it"
-USES_FORBIDDEN = "one makes what the other's newer version forbids"
-SUM_TOO_HIGH = "the sum let in exceeds what the newest version heard allows"
+REPEATS_FORBIDDEN = "a request that may have run is repeated while a newer version at another sidecar forbids it"
+USES_FORBIDDEN = "one sidecar does what a newer version at another forbids"
+SUM_TOO_HIGH = "the sum of the requests admitted exceeds what the newest version received allows"
 HARMLESS = KeyKind("harmless", None, None, "", CanaryPolicy.ANY_VALUE)
 SWITCH = KeyKind(
-    "switch", None, None, "two act on different values for longer than the stated time", CanaryPolicy.NEVER
+    "switch", None, None, "two sidecars use different values for longer than the stated time", CanaryPolicy.NEVER
 )
-LOCAL = KeyKind(
-    "own", None, None, "", CanaryPolicy.NEVER
-)  # belongs to one sidecar: the agreed rules may not contain it
+LOCAL = KeyKind("own", None, None, "", CanaryPolicy.NEVER)  # no agreed document may contain it
 PRESENCE = KeyKind(
-    "there", _identity, False, "one takes calls that the newer version has no class for", CanaryPolicy.NEVER
+    "there",
+    _identity,
+    False,
+    "one sidecar accepts requests that the newer version has no class for",
+    CanaryPolicy.NEVER,
 )
 REPEAT = KeyKind("repeat", _identity, 0, REPEATS_FORBIDDEN, CanaryPolicy.NEVER)
-WINDOW = KeyKind("window", _identity, 0.0, "one repeats after the newer version's window", CanaryPolicy.NEVER)
+WINDOW = KeyKind(
+    "window", _identity, 0.0, "one sidecar repeats requests after the newer version's window", CanaryPolicy.NEVER
+)
 LIMIT = KeyKind("limit", _identity, math.inf, SUM_TOO_HIGH, CanaryPolicy.ONLY_NARROWER)
 EJECTION = KeyKind(
     "ban",
     _ejection_permissiveness,
     (False, 0.0),
-    "one sends to a provider that another has heard is out",
+    "one sidecar sends to an endpoint that another knows to be ejected",
     CanaryPolicy.NEVER,
 )
 
@@ -145,6 +149,7 @@
 
 
 def _json_order(value: Any) -> bytes:
+    """A total order of values that have no order of their own."""
     return msgspec.json.encode(value, order="deterministic")
 
 
--- a/limenotch/fleet/rules/changes.py
+++ b/limenotch/fleet/rules/changes.py
@@ -92,6 +92,7 @@
             self.actions.append(SendToMember(leader, proposal))
 
     def respond(self, ident: str, ok: bool, text: str, version: int) -> None:
+        """Respond to the operator's request `ident`, if it was made at this sidecar."""
         request = self.requests.pop(ident, None)
         if request is not None:
             self.actions.append(OperatorResponse(request.ticket, ok, text, version))
@@ -149,6 +150,7 @@
         return self.check(document)
 
     def check_requested(self, sender: str, request: CheckRequest) -> None:
+        """Check a document for the leader."""
         try:
             problem = self.document_error(doc.decode(request.document)) or ""
         except ValueError as error:
@@ -156,6 +158,7 @@
         self.actions.append(SendToMember(sender, CheckResult(request.id, problem)))
 
     def check_answered(self, sender: str, result: CheckResult) -> None:
+        """A voter's result: one objection rejects the change."""
         check = self.checks.get(result.id)
         if check is None or sender not in check.awaited:
             return
@@ -207,6 +210,7 @@
         self.respond(ident, False, f"the log refused it: {reason}", self.rules.newest)
 
     def tick(self, now: float) -> None:
+        """Conclude the checks and the requests whose time is over."""
         for ident in [ident for ident, check in self.checks.items() if check.expires_at_ms <= now]:
             self._conclude_check(ident, timed_out=True)
         for ident in [ident for ident, request in self.requests.items() if request.expires_at_ms <= now]:
--- a/limenotch/fleet/rules/ejection_gossip.py
+++ b/limenotch/fleet/rules/ejection_gossip.py
@@ -6,7 +6,7 @@
 | a lease request or a grant is sent | the latest ejections go along with it |
 | a member appears or returns: by its start, a healed partition, a fence | all ejections, with a request for its |
 
-The last is for a sidecar that joins: membership has told it of other members, and with the first three of them it
+The last is for a sidecar that joins: membership has reported other members to it, and with the first three of them it
 exchanges all ejections by stream, before a lease allows it more than the restricted rules. Both sides request an
 exchange, and either of the two suffices.
 """
@@ -22,7 +22,7 @@
 
 DEPARTED_STATES = frozenset({"dead", "left"})
 NEVER = float("inf")
-MAX_EXCHANGES, EXCHANGE_WINDOW_MS = 3, 1000.0  # at most so many with new members in one window
+MAX_EXCHANGES, EXCHANGE_WINDOW_MS = 3, 1000.0  # at most so many exchanges with new members in one window
 
 
 class EjectionGossip:
@@ -48,6 +48,7 @@
         return [name for name in names if name != self.name and self.members.get(name, ("",))[0] not in DEPARTED_STATES]
 
     def piggybacked(self) -> tuple[tuple[str, int], ...]:
+        """The latest pending ejections, to go along with a lease request or grant."""
         return tuple(list(self.rules.pending_ejections.items())[-messages.MAX_PIGGYBACKED_EJECTIONS :])
 
     def received(self, ejections: tuple[tuple[str, int], ...]) -> list[Any]:
@@ -88,6 +89,7 @@
         return actions
 
     def member_changed(self, now: float, event: MemberChanged) -> list[Any]:
+        """Exchange ejections with a member that is new here."""
         previous = self.members.get(event.name)
         if previous is None and len(self.members) >= self._max_members:
             return []
--- a/limenotch/fleet/rules/endpoint_additions.py
+++ b/limenotch/fleet/rules/endpoint_additions.py
@@ -109,6 +109,7 @@
     # At the leader
 
     def report_received(self, now: float, voter: str, report: DifferenceReport) -> None:
+        """Count a voter's report."""
         if self.leader != self.name or voter not in self.voters:
             return
         if len(report.ready) > MAX_REPORT_ENTRIES or len(report.gone) > MAX_REPORT_ENTRIES:
@@ -121,6 +122,7 @@
                 self._votes.setdefault(key, {})[voter] = now
 
     def propose(self, now: float) -> list[Any]:
+        """Propose what a quorum of voters has reported lately."""
         if self.leader != self.name or not self._votes:
             return []
         required = len(self.voters) // 2 + 1
--- a/limenotch/fleet/rules/endpoint_lists.py
+++ b/limenotch/fleet/rules/endpoint_lists.py
@@ -72,7 +72,7 @@
         self.runs = 0  # new runs of the directory observed
         self._serial = 0
         self._unsent: dict[str, int] = {}  # by name: how many more times to send its stage
-        self._reported_restricted: set[str] = set()  # what this sidecar has reported to peers as restricted
+        self._reported_restricted: set[str] = set()  # to peers, and not taken back
         self._send_at_ms = NEVER
         self._live_repeats = 0  # how many more times to send `live`
         self._recent_pulls = (0.0, 0)  # start of the window, count
@@ -182,6 +182,7 @@
         return self.stages.get(name, READY)
 
     def _drop_excess(self) -> None:
+        """Remove the oldest endpoints that are gone, and endpoints above the limit."""
         gone = [name for name, stage in self.stages.items() if stage == "gone"]
         for name in gone[: max(0, len(gone) - MAX_GONE)]:
             del self.stages[name]
--- a/limenotch/fleet/rules/leases.py
+++ b/limenotch/fleet/rules/leases.py
@@ -10,8 +10,8 @@
 request arrived that it still leads (core.py). A new leader knows no leases: it waits for one lease's time before
 `may_activate`.
 
-The slow-start budget is divided: the sum of 1 / divisor over all sidecars that may hold a lease is at most
-1. A record keeps each divisor that its holder may still use; a new sidecar gets 0 until the others have reported that
+The slow-start budget is divided: the sum of 1 / divisor over all sidecars that may hold a lease is at most 1.
+A record keeps each divisor that its holder may still use; a new sidecar gets 0 until the others have reported that
 they use a larger divisor.
 
 Source of leases on monotonic clocks with bounded drift: Gray, Cheriton, "Leases" (1989).
@@ -58,6 +58,7 @@
     grants: list[tuple[int, int, float]] = field(default_factory=list)  # serial, divisor, expiry
 
     def slow_start_share(self, now: float) -> Fraction:
+        """The largest share of the slow-start allowance that a valid grant gives."""
         divisors = [divisor for _, divisor, expires_at_ms in self.grants if divisor and expires_at_ms > now]
         return Fraction(1, min(divisors)) if divisors else Fraction(0)
 
@@ -80,6 +81,7 @@
         self.records = {}
 
     def prune(self, now: float) -> None:
+        """Remove the records whose leases have expired."""
         for key in [key for key, record in self.records.items() if record.expires_at_ms <= now]:
             del self.records[key]
 
--- a/limenotch/fleet/rules/messages.py
+++ b/limenotch/fleet/rules/messages.py
@@ -9,6 +9,8 @@
 
 
 class LeaseRequest(Message, frozen=True, array_like=True, tag="ru.ask"):
+    """Asks the leader for a lease, and reports what the sender uses."""
+
     serial: int
     process_epoch: int  # differs between two processes of one name
     version: int  # the newest that the sender has applied
--- a/limenotch/fleet/rules/tuning.py
+++ b/limenotch/fleet/rules/tuning.py
@@ -22,6 +22,8 @@
 
 
 class Tuning(Struct, frozen=True, forbid_unknown_fields=True):
+    """The settings under `[fleet.rules]`."""
+
     lease_ms: float = 3000.0
     drift: float = 0.02  # by which share one sidecar's clock may run faster than another's
     grace_ms: float = 250.0  # from the check of a request to its last sending: requests in flight when a lease ends
--- a/limenotch/fleet/rules/versioned_rules.py
+++ b/limenotch/fleet/rules/versioned_rules.py
@@ -41,6 +41,8 @@
 
 
 class _State(Struct, frozen=True, array_like=True):
+    """The encoded state."""
+
     versions: list[Version]
     active: int
     trial: CanaryTrial | None
@@ -77,6 +79,7 @@
         return doc.decode(self.by_number[number].document)
 
     def flat(self, number: int) -> FlatDocument:
+        """The flattened document of a version, computed once."""
         if number not in self._flats:
             self._flats[number] = doc.flatten(self.document(number))
         return self._flats[number]
@@ -217,7 +220,7 @@
             self._append_version(Version(self.newest + 1, trial.id, trial.base, trial.document))
         return AppliedEntry("", True, entry.reason, self.newest)
 
-    # What acts here
+    # What is in force here
 
     def add_pending_ejection(self, endpoint: str, known_version: int, limit: int) -> bool:
         """Record a received ejection. Returns whether it was not known here."""
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -78,6 +78,7 @@
 
 
 def settings_check(document: Document) -> str | None:
+    """What the program's own reader of settings objects to."""
     try:
         read_settings(document["settings"])
     except (ValueError, TypeError, AttributeError) as error:
@@ -193,12 +194,13 @@
         return RulesMember(self, name, seed, process_epoch, stored)
 
     def component(self, name: str) -> Rules | None:
-        part = self.world.part(name)
-        return part.rules_component if part is not None else None
+        member = self.world.part(name)
+        return member.rules_component if member is not None else None
 
-    def ask(self, name: str, what: str, **document: Any) -> int:
+    def ask(self, name: str, operation: str, **document: Any) -> int:
+        """An operator's request at a member; returns its ticket."""
         self.ticket += 1
-        self.world.poke(name, api.OperatorRequest(self.ticket, what, document, f"ask{self.ticket}"))
+        self.world.poke(name, api.OperatorRequest(self.ticket, operation, document, f"ask{self.ticket}"))
         return self.ticket
 
     def answer(self, ticket: int) -> api.OperatorResponse | None:
--- a/tests/fleet/test_endpoint_lists_processes.py
+++ b/tests/fleet/test_endpoint_lists_processes.py
@@ -150,7 +150,7 @@
             env={**os.environ, "LB_CONFIG": str(config), "LIMENOTCH_SETTINGS": str(settings)},
         )
     try:
-        await until(lambda: is_healthy(admin))
+        await wait_until(lambda: is_healthy(admin))
         yield request_port, admin
     finally:
         process.kill()
@@ -163,7 +163,7 @@
     return False
 
 
-async def until(condition: Callable[[], Any], within_s: float = 40.0) -> None:
+async def wait_until(condition: Callable[[], Any], within_s: float = 40.0) -> None:
     """The time is a bound for a broken program only."""
     async with asyncio.timeout(within_s):
         while not await condition():
@@ -187,7 +187,7 @@
         async def agreed(count: int) -> bool:
             return {(await list_status(admin)).get("agreed") for _, admin in sidecars.values()} == {count}
 
-        await until(lambda: agreed(2))
+        await wait_until(lambda: agreed(2))
         statuses: list[int] = []
 
         async def describe_state() -> str:
@@ -217,7 +217,7 @@
             async def arrived_there() -> bool:
                 return server.request_count >= before + increase
 
-            await until(arrived_there)
+            await wait_until(arrived_there)
 
         async def steps() -> None:
             await requests_at(u)
@@ -227,7 +227,7 @@
             async def is_silent() -> bool:
                 return (await list_status(sidecars["c"][1]))["live"] is False
 
-            await until(is_silent)
+            await wait_until(is_silent)
             await requests_at(u)
             reported_s = monotonic()
             directory.report(u.entry("terminating"))  # to a and b alone
@@ -242,7 +242,7 @@
             async def arrived() -> bool:
                 return bool((await list_status(sidecars["c"][1]))["arrived_by_agreement"] == 1)
 
-            await until(arrived)
+            await wait_until(arrived)
             await requests_at(w, 1)  # in slow start: by its share of the allowance, a few requests a second
             directory.report(u.entry("in_service"))
             await requests_at(u)
@@ -253,7 +253,7 @@
                 status = await list_status(sidecars["c"][1])
                 return bool(status["live"]) and status["arrived_by_agreement"] == 0 == status["drained_by_peers"]
 
-            await until(answers_again)
+            await wait_until(answers_again)
             await requests_at(w, 1)  # in slow start: by its share of the allowance, a few requests a second
             assert set(statuses) == {200} and not any(client.done() for client in clients)
 
--- a/tests/test_configuration_applier.py
+++ b/tests/test_configuration_applier.py
@@ -24,6 +24,8 @@
 
 
 class RecordingTarget:
+    """Records what it is called with."""
+
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
 
--- a/tests/test_restricted_mode.py
+++ b/tests/test_restricted_mode.py
@@ -93,6 +93,8 @@
 
 
 class ManualClock:
+    """A clock that the test sets, in ms."""
+
     def __init__(self) -> None:
         self.now = 1000.0
 
