--- a/limenotch/fleet/rules/core.py
+++ b/limenotch/fleet/rules/core.py
@@ -341,7 +341,7 @@
                 self._now, trial.id, sender in trial.members, counts.requests, counts.unsuccessful
             )
             if verdict:
-                self._actions.append(LogLine(f"canary {trial.id} should {verdict}", self.canary_monitor.log_fields()))
+                self._actions.append(LogLine(f"canary {trial.id} ends: {verdict}", self.canary_monitor.log_fields()))
                 self._propose(entries.EndTry(trial.id, verdict == "keep", verdict), "", 0)
 
     def _tick(self) -> None:
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -59,13 +59,13 @@
 class ListsRun:
     """The nodes of one timeline.
 
-    `made` has the list component of each node's current process, `reported` what it reported to its host last:
+    `components` has the list component of each node's current process, `reported` what it reported to its host last:
     endpoints restricted by peers, endpoints agreed on.
     """
 
     def __init__(self, nodes: tuple[str, ...], voters: tuple[str, ...] | None = None) -> None:
         self.nodes, self.voters = nodes, voters if voters is not None else nodes[:3]
-        self.made: dict[str, EndpointLists] = {}
+        self.components: dict[str, EndpointLists] = {}
         self.reported: dict[str, tuple[dict[str, str], set[str]]] = {}
 
     def make(self, name: str, seed: int, process_epoch: int, stored: StoredLog) -> ComponentHub:
@@ -74,7 +74,7 @@
         )
         log = consensus.Agreement(name, self.voters, stored, LOG_TUNING, seed)
         states = split_states(log.state)
-        lists = self.made[name] = EndpointLists(name, process_epoch, "d1", self.voters, state=states.get(PREFIX))
+        lists = self.components[name] = EndpointLists(name, process_epoch, "d1", self.voters, state=states.get(PREFIX))
         hub = ComponentHub([("mb.", membership), (LOG, log), (PREFIX, lists)], membership)
         hub.record_snapshot_prefixes(states)
         self.reported[name] = ({}, set())
--- a/tests/fleet/test_endpoint_lists.py
+++ b/tests/fleet/test_endpoint_lists.py
@@ -125,14 +125,14 @@
     assert receive(lists, notice(8, ("u", "gone")), now=2.0) == [PeerDrainsChanged({"u": "gone"})]
 
 
-@pytest.mark.parametrize("end", ["dead", "left", "anew", "silent"])
+@pytest.mark.parametrize("end", ["dead", "left", "restarted", "silent"])
 def test_without_its_reporter_a_later_list_of_the_own_directory_ends_a_drain(end: str) -> None:
     lists = lists_of()
     receive(lists, notice(1, DRAINING_U, directory="d2"))
     assert PeerDrainsChanged({}) not in lists.handle(1.0, event_of("change 6 u")), "its reporter still claims it"
     if end in ("dead", "left"):
         assert PeerDrainsChanged({}) not in lists.handle(2.0, member("b", end))
-    elif end == "anew":
+    elif end == "restarted":
         lists.handle(2.0, member("b", process_epoch=2))
         assert receive(lists, notice(1, directory="d2", process_epoch=2, complete=True), now=2.0) == [], (
             "it knows nothing of the earlier process"
--- a/tests/fleet/test_endpoint_lists_storms.py
+++ b/tests/fleet/test_endpoint_lists_storms.py
@@ -53,7 +53,7 @@
         return {
             name
             for name in stages
-            if run.made[node].stages.get(name, "gone") != "ready" or name in run.reported[node][0]
+            if run.components[node].stages.get(name, "gone") != "ready" or name in run.reported[node][0]
         }
 
     def change(name: str) -> None:
@@ -68,7 +68,7 @@
             if random.random() < 0.2:
                 break  # the watches of the rest end before they receive it
         for receiver in receivers:
-            if run.made[receiver].index < index:
+            if run.components[receiver].index < index:
                 live[receiver] = False
                 ask(world, receiver, "silent")
         if stage and receivers:
@@ -129,7 +129,7 @@
         for node in run.nodes:
             restricted, additions = run.reported[node]
             stuck = [name for name in restricted if not stages[name]]
-            agreed = {name for name, (source, _) in run.made[node].additions.agreed.items() if source == "d1"}
+            agreed = {name for name, (source, _) in run.components[node].additions.agreed.items() if source == "d1"}
             if stuck or additions or agreed != {name for name, stage in stages.items() if not stage}:
                 problem = f"{node} leaves out {stuck}, takes {additions}; {agreed} are agreed on"
     assert not problem, f"seed {seed}: {problem}"
