--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -91,8 +91,8 @@
     "rules try": rules_entries.Try,
     "rules end of a try": rules_entries.EndTry,
     "rules state": rules_book._State,
-    "lists agree": rules_listing.Agree,
-    "lists state": rules_listing.Held,
+    "lists agree": rules_listing.AgreedChange,
+    "lists state": rules_listing.AgreedState,
     "promises state": dict[str, tuple[int, bytes]],
     "promises entry": tuple[str, bytes],
     "states of all parts": dict[str, bytes],
@@ -238,7 +238,7 @@
 def paths() -> list[str]:
     """What operators may ask for."""
     return sorted([server.HEALTH, server.STATS, server.ENDPOINTS, PATH, wallet.WALLETS, log.PROMISES,
-                   log.VOTERS, rules.RULES])  # fmt: skip
+                   log.VOTERS, rules.RULES_PATH])  # fmt: skip
 
 
 _key_file: Path | None = None
