--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from limenotch.fleet import consensus
-from limenotch.fleet.hub import LOG, ComponentEvent, ComponentHub
+from limenotch.fleet.hub import LOG_PREFIX, ComponentEvent, ComponentHub
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.fleet.rules import Rules
 from limenotch.fleet.rules.api import InForce, Narrow
@@ -24,7 +24,7 @@
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
 
-LAYERS = ("mb.", LOG, "ru.", "li.")
+LAYERS = ("mb.", LOG_PREFIX, "ru.", "li.")
 SETTLE_MS = 20_000.0
 
 
@@ -35,7 +35,7 @@
     hub = ComponentHub(
         [
             ("mb.", members),
-            (LOG, log),
+            (LOG_PREFIX, log),
             ("ru.", Rules(name, process_epoch, voters, FIRST, settings_check)),
             ("li.", Lists(name, process_epoch, "d1", voters)),
         ],
--- a/benchmarks/fleet_wire.py
+++ b/benchmarks/fleet_wire.py
@@ -14,11 +14,11 @@
 from typing import get_args
 
 from limenotch.fleet.interfaces import Message
-from limenotch.fleet.membership.messages import Claim, Me, Ping, Spoken
-from limenotch.fleet.wire import DIGEST, FrameCodec
+from limenotch.fleet.membership.messages import Claim, MembershipMessage, Ping, SenderInfo
+from limenotch.fleet.wire import DIGEST_BYTES, FrameCodec
 
 KEY = b"of a benchmark only"
-ME = Me(("10.0.0.1", 7400), 1_790_000_000_000_000, 3)
+ME = SenderInfo(("10.0.0.1", 7400), 1_790_000_000_000_000, 3)
 NEWS = tuple(Claim(f"sidecar-{n}", 1, ("10.0.0.1", 7400), 1_790_000_000_000_000, n, "sidecar-7") for n in range(10))
 
 
@@ -35,7 +35,7 @@
 
 def main() -> None:
     rounds = int(sys.argv[1]) if len(sys.argv) > 1 else 20_000
-    wire = FrameCodec(KEY, "tier-front", get_args(Spoken))
+    wire = FrameCodec(KEY, "tier-front", get_args(MembershipMessage))
     probes: list[tuple[str, Message]] = [
         ("bare", Ping(12345, "sidecar-2", ME)),
         ("with 10 news", Ping(12345, "sidecar-2", ME, NEWS)),
@@ -49,7 +49,7 @@
             ("encode", lambda probe=probe: wire.encode("sidecar-1", probe)),
             ("decode", lambda frame=frame: wire.decode(frame)),
             ("drop a forged one", lambda forged=forged: wire.decode(forged)),
-            ("plain BLAKE2b", lambda frame=frame: blake2b(frame, key=KEY, digest_size=DIGEST).digest()),
+            ("plain BLAKE2b", lambda frame=frame: blake2b(frame, key=KEY, digest_size=DIGEST_BYTES).digest()),
         ]:
             print(f"  {what:<18} {cost(act, rounds):6.2f} us")
 
--- a/limenotch/fleet/consensus/core.py
+++ b/limenotch/fleet/consensus/core.py
@@ -60,7 +60,7 @@
             interfaces.TimerFired: lambda event: node.fired(),
             interfaces.ShutdownStarted: self._leave,
             interfaces.Stored: lambda event: node.stored(event.ticket),
-            interfaces.StoreFailed: lambda event: node.failed(event.ticket, event.why),
+            interfaces.StoreFailed: lambda event: node.failed(event.ticket, event.reason),
             interfaces.MemberChanged: self._member,
             interfaces.Fenced: self._fenced,
             api.Propose: lambda event: self._asks.propose(Asker(event.ticket), event.data, event.id),
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -49,14 +49,14 @@
 from .wire import tag_of
 
 COMPONENT_STOPPED = "fleet off: fault"  # the note's text
-LOG = "ag."
+LOG_PREFIX = "ag."
 LOG_REQUESTS = (api.Propose, api.ReadIndex, api.ChangeVoters)
 LOG_RESPONSES = (api.ProposalCommitted, api.ProposalRejected, api.OutcomeUnknown, api.ReadReady)
 
-Faulty = Callable[[str, Any, Exception], None]  # the part's prefix, the event, what it raised
+FaultHandler = Callable[[str, Any, Exception], None]  # the part's prefix, the event, what it raised
 
 
-class Names(Protocol):
+class AddressBook(Protocol):
     """What membership answers beside its events."""
 
     def address_of(self, name: str) -> Address | None:
@@ -75,180 +75,183 @@
     """A part made of parts."""
 
     def __init__(
-        self, components: Sequence[tuple[str, Component]], names: Names | None = None, on_fault: Faulty | None = None
+        self,
+        components: Sequence[tuple[str, Component]],
+        address_book: AddressBook | None = None,
+        on_fault: FaultHandler | None = None,
     ) -> None:
         """`components` with the prefix of their messages' tags, membership first. ValueError: a prefix twice."""
         self._components: list[Component] = []
         self._prefixes: list[str] = []
-        self._places: dict[str, int] = {}
-        self._names, self.on_fault = names, on_fault
-        self._off: set[int] = set()
-        self._begun = False
-        self._asking: deque[tuple[int, Any]] = deque()  # what is still to be told: part, event
+        self._indexes: dict[str, int] = {}
+        self._address_book, self.on_fault = address_book, on_fault
+        self._stopped_indexes: set[int] = set()
+        self._started = False
+        self._log_events: deque[tuple[int, Any]] = deque()  # what is still to be told: part, event
         self._action_handlers: dict[type, Callable[[Any], None]] = {}
-        self._whole = True  # every entry and every state so far was of a part that is here
+        self._all_states_known = True  # every entry and every state so far was of a part that is here
         for prefix, component in components:
             self.add(prefix, component)
-        self.off: tuple[str, ...] = ()  # prefixes of the parts stopped
+        self.stopped: tuple[str, ...] = ()  # prefixes of the parts stopped
         self.undeliverable_messages = 0  # messages to names without an address
         self.unhandled_messages = 0  # messages of no part, or of one that is off
 
     def add(self, prefix: str, component: Component) -> None:
         """Before Started alone: numbers of timers hang on how many parts there are."""
-        if self._begun or prefix in self._places:
+        if self._started or prefix in self._indexes:
             raise ValueError(f"{prefix}: begun already, or two parts with one prefix")
-        self._places[prefix] = len(self._components)
+        self._indexes[prefix] = len(self._components)
         self._components.append(component)
         self._prefixes.append(prefix)
 
-    def register_action_handler(self, kind: type, told: Callable[[Any], None]) -> None:
+    def register_action_handler(self, action_type: type, handler: Callable[[Any], None]) -> None:
         """Actions of this type, of any part, are told to the host so, in order. `told` must not call `handle`."""
-        self._action_handlers[kind] = told
+        self._action_handlers[action_type] = handler
 
     def record_snapshot_prefixes(self, states: Iterable[str]) -> None:
         """Prefixes of the states that the snapshot found at the start had."""
-        self._whole = self._whole and all(prefix in self._places for prefix in states)
+        self._all_states_known = self._all_states_known and all(prefix in self._indexes for prefix in states)
 
     def handle(self, now: float, event: Event | ComponentEvent) -> list[Action]:
         """Send, SetTimer, Store and LogLine only: the rest stays in here. Raises TypeError on what is no event."""
-        out: list[Action] = []
-        self._begun = self._begun or isinstance(event, Started)
-        for number, inner in self._route(event):
-            self._tell(now, number, inner, out)
-            while self._asking:
-                self._tell(now, *self._asking.popleft(), out)
-        return out
+        actions: list[Action] = []
+        self._started = self._started or isinstance(event, Started)
+        for index, inner in self._route(event):
+            self._dispatch(now, index, inner, actions)
+            while self._log_events:
+                self._dispatch(now, *self._log_events.popleft(), actions)
+        return actions
 
     def _route(self, event: Event | ComponentEvent) -> Iterable[tuple[int, Event]]:
         if isinstance(event, MessageReceived):
             tag = tag_of(event.message)
-            place = self._places.get(tag[: tag.find(".") + 1])
-            if place is None or place in self._off:
+            index = self._indexes.get(tag[: tag.find(".") + 1])
+            if index is None or index in self._stopped_indexes:
                 self.unhandled_messages += 1
                 return ()
-            return ((place, event),)
+            return ((index, event),)
         if isinstance(event, TimerFired):
-            token, place = self._back(event.token)
-            return ((place, TimerFired(token)),)
+            token, index = self._decode_number(event.token)
+            return ((index, TimerFired(token)),)
         if isinstance(event, Stored):
-            ticket, place = self._back(event.ticket)
-            return ((place, Stored(ticket)),)
+            ticket, index = self._decode_number(event.ticket)
+            return ((index, Stored(ticket)),)
         if isinstance(event, StoreFailed):
-            ticket, place = self._back(event.ticket)
-            return ((place, StoreFailed(ticket, event.why)),)
+            ticket, index = self._decode_number(event.ticket)
+            return ((index, StoreFailed(ticket, event.reason)),)
         if isinstance(event, (Started, ShutdownStarted)):
-            return [(place, event) for place in range(len(self._components))]
-        if isinstance(event, ComponentEvent) and event.component in self._places:
-            return ((self._places[event.component], event.event),)
+            return [(index, event) for index in range(len(self._components))]
+        if isinstance(event, ComponentEvent) and event.component in self._indexes:
+            return ((self._indexes[event.component], event.event),)
         raise TypeError(f"no event of the hub: {event!r}")
 
-    def _tell(self, now: float, number: int, event: Any, out: list[Action]) -> None:
+    def _dispatch(self, now: float, index: int, event: Any, actions: list[Action]) -> None:
         """What the part answers, carried as far as it goes within the hub."""
-        if number in self._off:
+        if index in self._stopped_indexes:
             return
         try:
-            for action in self._components[number].handle(now, event):
-                self._carry(now, number, action, out)
+            for action in self._components[index].handle(now, event):
+                self._apply_action(now, index, action, actions)
         except Exception as error:
             if self.on_fault is None:
                 raise
-            self._stop(number, event, error, out)
+            self._stop_faulty(index, event, error, actions)
 
-    def _carry(self, now: float, number: int, action: Any, out: list[Action]) -> None:
+    def _apply_action(self, now: float, index: int, action: Any, actions: list[Action]) -> None:
         if isinstance(action, SendToMember):
-            address = self._names.address_of(action.member) if self._names is not None else None
+            address = self._address_book.address_of(action.member) if self._address_book is not None else None
             if address is None:
                 self.undeliverable_messages += 1
             else:
-                out.append(SendToAddress(address, action.message, action.carrier))
+                actions.append(SendToAddress(address, action.message, action.carrier))
         elif isinstance(action, SetTimer):
-            out.append(SetTimer(action.at_ms, self._forth(action.token, number)))
+            actions.append(SetTimer(action.at_ms, self._encode_number(action.token, index)))
         elif isinstance(action, Store):
-            out.append(Store(self._forth(action.ticket, number), action.records))
+            actions.append(Store(self._encode_number(action.ticket, index), action.records))
         elif isinstance(action, (SendToAddress, LogLine)):
-            out.append(action)
-        elif isinstance(action, (MemberChanged, Fenced)) and number == 0:
-            for other in range(1, len(self._components)):
-                self._tell(now, other, action, out)
+            actions.append(action)
+        elif isinstance(action, (MemberChanged, Fenced)) and index == 0:
+            for listener in range(1, len(self._components)):
+                self._dispatch(now, listener, action, actions)
         elif type(action) in self._action_handlers:
             self._action_handlers[type(action)](action)
-        elif number == self._places.get(LOG):
-            self._of_the_log(now, number, action, out)
-        elif isinstance(action, LOG_REQUESTS) and number:
-            self._to_the_log(number, action)
+        elif index == self._indexes.get(LOG_PREFIX):
+            self._apply_log_action(now, index, action, actions)
+        elif isinstance(action, LOG_REQUESTS) and index:
+            self._forward_to_log(index, action)
         else:
-            raise TypeError(f"no action of {self._prefixes[number]}: {action!r}")
+            raise TypeError(f"no action of {self._prefixes[index]}: {action!r}")
 
     # The log
 
-    def _to_the_log(self, number: int, action: Any) -> None:
-        log = self._places.get(LOG)
-        if log is None or log in self._off or log > number:
-            why = "no log" if log is None or log > number else "the log is off"
-            self._asking.append((number, api.ProposalRejected(action.ticket, why, None)))
+    def _forward_to_log(self, index: int, action: Any) -> None:
+        log = self._indexes.get(LOG_PREFIX)
+        if log is None or log in self._stopped_indexes or log > index:
+            reason = "no log" if log is None or log > index else "the log is off"
+            self._log_events.append((index, api.ProposalRejected(action.ticket, reason, None)))
             return
-        prefix, ticket = self._prefixes[number], self._forth(action.ticket, number)
+        prefix, ticket = self._prefixes[index], self._encode_number(action.ticket, index)
         if isinstance(action, api.Propose):
             ident = prefix + action.id if action.id else ""
             action = api.Propose(ticket, log_multiplexer.add_prefix(prefix, action.data), ident)
         else:
             action = action._replace(ticket=ticket)
-        self._asking.append((log, action))
+        self._log_events.append((log, action))
 
-    def _of_the_log(self, now: float, log: int, action: Any, out: list[Action]) -> None:
-        layers = range(log + 1, len(self._components))
+    def _apply_log_action(self, now: float, log: int, action: Any, actions: list[Action]) -> None:
+        replicated = range(log + 1, len(self._components))
         if isinstance(action, LOG_RESPONSES):
-            ticket, number = self._back(action.ticket)
-            self._tell(now, number, action._replace(ticket=ticket), out)
+            ticket, index = self._decode_number(action.ticket)
+            self._dispatch(now, index, action._replace(ticket=ticket), actions)
         elif isinstance(action, api.EntryCommitted):
             prefix, data = log_multiplexer.split_prefix(action.data)
-            number = self._places.get(prefix, log)
-            if number > log:
-                self._tell(now, number, action._replace(data=data, id=action.id.removeprefix(prefix)), out)
+            index = self._indexes.get(prefix, log)
+            if index > log:
+                self._dispatch(now, index, action._replace(data=data, id=action.id.removeprefix(prefix)), actions)
             else:
-                self._whole = False
+                self._all_states_known = False
         elif isinstance(action, api.SnapshotInstalled):
             states = log_multiplexer.split_states(action.state)
             self.record_snapshot_prefixes(states)
-            for number in layers:
-                if (state := states.get(self._prefixes[number])) is not None:
-                    self._tell(now, number, action._replace(state=state), out)
+            for index in replicated:
+                if (state := states.get(self._prefixes[index])) is not None:
+                    self._dispatch(now, index, action._replace(state=state), actions)
         elif isinstance(action, api.LeaderChanged):
-            for number in layers:
-                self._tell(now, number, action, out)
+            for index in replicated:
+                self._dispatch(now, index, action, actions)
         elif isinstance(action, api.SnapshotRequested):
-            if not self._whole or self._off:
-                out.append(LogLine("no snapshot: entries of a part that is not here"))
+            if not self._all_states_known or self._stopped_indexes:
+                actions.append(LogLine("no snapshot: entries of a part that is not here"))
                 return
             states = {
-                self._prefixes[number]: cast(log_multiplexer.ReplicatedComponent, self._components[number]).state()
-                for number in layers
+                self._prefixes[index]: cast(log_multiplexer.ReplicatedComponent, self._components[index]).state()
+                for index in replicated
             }
-            self._asking.append((log, api.SnapshotState(action.index, log_multiplexer.join_states(states))))
+            self._log_events.append((log, api.SnapshotState(action.index, log_multiplexer.join_states(states))))
         else:
-            raise TypeError(f"no action of {LOG}: {action!r}")
+            raise TypeError(f"no action of {LOG_PREFIX}: {action!r}")
 
-    def _stop(self, number: int, event: Any, error: Exception, out: list[Action]) -> None:
+    def _stop_faulty(self, index: int, event: Any, error: Exception, actions: list[Action]) -> None:
         assert self.on_fault is not None
-        self._stopped(set(range(len(self._components))) if number == 0 else {number})
-        self.on_fault(self._prefixes[number], event, error)
-        out.append(LogLine(COMPONENT_STOPPED, {"part": self._prefixes[number], "off": ", ".join(self.off)}))
-        if number == self._places.get(LOG):
-            layers = range(number + 1, len(self._components))
-            self._asking.extend((layer, api.LeaderChanged(None, 0)) for layer in layers)
+        self._mark_stopped(set(range(len(self._components))) if index == 0 else {index})
+        self.on_fault(self._prefixes[index], event, error)
+        actions.append(LogLine(COMPONENT_STOPPED, {"part": self._prefixes[index], "off": ", ".join(self.stopped)}))
+        if index == self._indexes.get(LOG_PREFIX):
+            replicated = range(index + 1, len(self._components))
+            self._log_events.extend((layer, api.LeaderChanged(None, 0)) for layer in replicated)
 
     def stop_all(self) -> None:
         """The host tells no part anything more."""
-        self._stopped(set(range(len(self._components))))
+        self._mark_stopped(set(range(len(self._components))))
 
-    def _stopped(self, numbers: set[int]) -> None:
-        self._off |= numbers
-        self.off = tuple(self._prefixes[number] for number in sorted(self._off))
+    def _mark_stopped(self, numbers: set[int]) -> None:
+        self._stopped_indexes |= numbers
+        self.stopped = tuple(self._prefixes[index] for index in sorted(self._stopped_indexes))
 
     # A number of a part's own, and the part, in one number: nothing has to be kept, whatever parts ask for
 
-    def _forth(self, own: int, number: int) -> int:
-        return own * len(self._components) + number
+    def _encode_number(self, number: int, index: int) -> int:
+        return number * len(self._components) + index
 
-    def _back(self, both: int) -> tuple[int, int]:
-        return divmod(both, len(self._components))
+    def _decode_number(self, encoded: int) -> tuple[int, int]:
+        return divmod(encoded, len(self._components))
--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -72,7 +72,7 @@
     """
 
     ticket: int
-    why: str  # `full`, `read-only`, `torn`, `slow`: the operators read it
+    reason: str  # `full`, `read-only`, `torn`, `slow`: the operators read it
 
 
 class MemberChanged(NamedTuple):
--- a/limenotch/fleet/leases.py
+++ b/limenotch/fleet/leases.py
@@ -20,7 +20,7 @@
         self.expires_at_ms = -NEVER
         self.granted_serial = 0  # serial of the grant acted under
         self.serial = 0
-        self._asked: dict[int, float] = {}
+        self._requests: dict[int, float] = {}
 
     def is_valid(self, now: float) -> bool:
         """Whether the lease has not run out."""
@@ -29,26 +29,26 @@
     def request(self, now: float) -> int:
         """The serial of a new ask; those whose lease would be over are forgotten."""
         self.serial += 1
-        self._asked = {serial: at for serial, at in self._asked.items() if now - at < self.lease_ms}
-        self._asked[self.serial] = now
+        self._requests = {serial: at_ms for serial, at_ms in self._requests.items() if now - at_ms < self.lease_ms}
+        self._requests[self.serial] = now
         return self.serial
 
     def accept(self, now: float, serial: int, lease_ms: float) -> bool:
         """Whether it counts: it answers an ask that is newer than the one acted on, and is not over yet."""
-        asked = self._asked.get(serial)
-        if asked is None or serial <= self.granted_serial:
+        requested_at_ms = self._requests.get(serial)
+        if requested_at_ms is None or serial <= self.granted_serial:
             return False
-        until = asked + min(lease_ms, self.lease_ms)
-        if until <= now:
+        expires_at_ms = requested_at_ms + min(lease_ms, self.lease_ms)
+        if expires_at_ms <= now:
             return False
-        self._asked = {other: at for other, at in self._asked.items() if other > serial}
-        self.expires_at_ms, self.granted_serial = until, serial
+        self._requests = {earlier: at_ms for earlier, at_ms in self._requests.items() if earlier > serial}
+        self.expires_at_ms, self.granted_serial = expires_at_ms, serial
         return True
 
     def release(self) -> None:
         """All that is held, and all that was asked for, is void."""
         self.expires_at_ms = -NEVER
-        self._asked.clear()
+        self._requests.clear()
 
 
 class LeaseGranter:
--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -8,25 +8,25 @@
 from typing import Any
 
 from ..interfaces import Action, Address, Carrier, Fenced, LogLine, MemberChanged, Message, SendToAddress
-from .dissemination import Broadcasts
+from .dissemination import GossipQueue
 from .health import Health
-from .messages import Claim, Me
-from .states import CODES, State, wins
-from .table import Table
-from .timer_queue import Agenda
+from .messages import Claim, SenderInfo
+from .states import STATES_BY_CODE, State, supersedes
+from .table import MemberTable
+from .timer_queue import TimerQueue
 from .tuning import Tuning
 
-MOST_TOLD_OFF = 8  # as many as there are probes in a period, unless set otherwise
+MAX_CORRECTIONS_PER_PERIOD = 8  # as many as there are probes in a period, unless set otherwise
 
 
 class Phase(Enum):
     JOINING = "joining"  # asks seeds; nobody has been told of it
-    OUT = "out"  # another process has its name; it holds no duty
-    INSIDE = "inside"
-    GONE = "gone"  # it left
+    DISPLACED = "out"  # another process has its name; it holds no duty
+    ACTIVE = "inside"
+    LEFT = "gone"  # it left
 
 
-class Ground:
+class Context:
     def __init__(
         self,
         name: str,
@@ -42,14 +42,14 @@
         self.tuning, self.addresses = tuning, addresses
         self.random = Random(f"{seed} {name} {process_epoch}")
         self.phase = Phase.JOINING
-        self.table = Table(tuning.most_members - 1)
-        self.agenda = Agenda()
+        self.table = MemberTable(tuning.most_members - 1)
+        self.timers = TimerQueue()
         self.health = Health(tuning.health)
-        self.queue = Broadcasts()
+        self.gossip_queue = GossipQueue()
         self.counts: dict[str, int] = {}  # what was heard and not believed, by why
-        self.acts: list[Action] = []
+        self.actions: list[Action] = []
         self._seq = 0
-        self._told_off: dict[str, tuple[float, int]] = {}  # whom one told what is held of it: since when, how often
+        self._corrections: dict[str, tuple[float, int]] = {}  # whom one told what is held of it: since when, how often
 
     @property
     def size(self) -> int:
@@ -57,73 +57,77 @@
         return len(self.table.live) + 1
 
     @property
-    def me(self) -> Me:
-        return Me(self.address, self.process_epoch, self.incarnation, self.phase is Phase.INSIDE)
+    def own_sender(self) -> SenderInfo:
+        return SenderInfo(self.address, self.process_epoch, self.incarnation, self.phase is Phase.ACTIVE)
 
-    def seq(self) -> int:
+    def next_seq(self) -> int:
         self._seq += 1
         return self._seq
 
-    def count(self, why: str) -> None:
-        self.counts[why] = self.counts.get(why, 0) + 1
+    def count(self, reason: str) -> None:
+        self.counts[reason] = self.counts.get(reason, 0) + 1
 
-    def note(self, text: str, **fields: Any) -> None:
-        self.acts.append(LogLine(text, fields))
+    def log(self, text: str, **fields: Any) -> None:
+        self.actions.append(LogLine(text, fields))
 
-    def where(self, name: str, otherwise: Address) -> Address:
+    def send_address(self, name: str, otherwise: Address) -> Address:
         return self.addresses.get(name, otherwise)
 
-    def at_of(self, name: str) -> Address:
-        return self.where(name, self.table[name].address)
+    def address_of(self, name: str) -> Address:
+        return self.send_address(name, self.table[name].address)
 
-    def say(self, address: Address, message: Message, carrier: Carrier = Carrier.DATAGRAM) -> None:
-        self.acts.append(SendToAddress(address, message, carrier))
+    def send(self, address: Address, message: Message, carrier: Carrier = Carrier.DATAGRAM) -> None:
+        self.actions.append(SendToAddress(address, message, carrier))
 
     def own_claim(self, state: State = State.ALIVE) -> Claim:
-        return Claim(self.name, CODES.index(state), self.address, self.process_epoch, self.incarnation)
+        return Claim(self.name, STATES_BY_CODE.index(state), self.address, self.process_epoch, self.incarnation)
 
-    def against(self, name: str, me: Me | None, now: float) -> Claim | None:
+    def contradicting_claim(self, name: str, sender: SenderInfo | None, now: float) -> Claim | None:
         """What is held of somebody that beats what it says of itself: it must hear of that first."""
-        held = self.table.get(name)
-        if held is None:
+        known = self.table.get(name)
+        if known is None:
             return None
-        if me is None:
-            return None if held.state is State.ALIVE else held.claim(now)
-        return held.claim(now) if wins(held.standing, (me.process_epoch, State.ALIVE, me.incarnation)) else None
-
-    def may_tell_off(self, name: str, now: float) -> bool:
+        if sender is None:
+            return None if known.state is State.ALIVE else known.to_claim(now)
+        return (
+            known.to_claim(now)
+            if supersedes(known.standing, (sender.process_epoch, State.ALIVE, sender.incarnation))
+            else None
+        )
+
+    def may_correct(self, name: str, now: float) -> bool:
         """Whether to tell it now what is held against it: MOST_TOLD_OFF times a period and member, then counted.
 
         Who is dead and goes on in that life does not listen, or is faulty; each of its messages must not bring one.
         """
-        since, told = self._told_off.get(name, (now, 0))
-        if now - since >= self.tuning.period_ms:
-            since, told = now, 0
-        if told >= MOST_TOLD_OFF:
+        period_start_ms, sent = self._corrections.get(name, (now, 0))
+        if now - period_start_ms >= self.tuning.period_ms:
+            period_start_ms, sent = now, 0
+        if sent >= MAX_CORRECTIONS_PER_PERIOD:
             self.count("told often enough")
             return False
-        if name not in self._told_off and len(self._told_off) >= self.tuning.most_members:
-            del self._told_off[next(iter(self._told_off))]
-        self._told_off[name] = (since, told + 1)
+        if name not in self._corrections and len(self._corrections) >= self.tuning.most_members:
+            del self._corrections[next(iter(self._corrections))]
+        self._corrections[name] = (period_start_ms, sent + 1)
         return True
 
-    def news(self, first: Claim | None = None) -> tuple[Claim, ...]:
-        return self.queue.take(self.tuning.sends(self.size), first)
+    def next_claims(self, first: Claim | None = None) -> tuple[Claim, ...]:
+        return self.gossip_queue.next_claims(self.tuning.sends(self.size), first)
 
-    def tell(self, claim: Claim) -> None:
+    def disseminate(self, claim: Claim) -> None:
         """To be spread; and soon, even if nothing else is to be said."""
-        self.queue.add(claim)
+        self.gossip_queue.add(claim)
 
-    def all_known(self, now: float) -> tuple[Claim, ...]:
-        known = [member.claim(now) for member in self.table]
-        if self.phase is Phase.INSIDE:
+    def all_claims(self, now: float) -> tuple[Claim, ...]:
+        known = [member.to_claim(now) for member in self.table]
+        if self.phase is Phase.ACTIVE:
             known.append(self.own_claim())
         return tuple(known)
 
-    def changed(self, state: State) -> None:
+    def report_own_state(self, state: State) -> None:
         """Oneself, for the parts above."""
-        self.acts.append(MemberChanged(self.name, state.value, self.address, self.incarnation, self.process_epoch))
+        self.actions.append(MemberChanged(self.name, state.value, self.address, self.incarnation, self.process_epoch))
 
-    def fenced(self, **fields: Any) -> None:
-        self.acts.append(Fenced())
-        self.note("fenced", **fields)
+    def report_fenced(self, **fields: Any) -> None:
+        self.actions.append(Fenced())
+        self.log("fenced", **fields)
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -22,19 +22,34 @@
 from typing import Any, NamedTuple
 
 from ..interfaces import Action, Address, Carrier, MessageReceived, SetTimer, ShutdownStarted, Started, TimerFired
-from .context import Ground, Phase
-from .member_states import Holder
-from .messages import ALIVE, MOST_NEWS, Ack, Answer, Ask, Claim, Me, Nack, News, Ping, PingReq, Spoken, sound, sound_me
+from .context import Context, Phase
+from .member_states import MemberStates
+from .messages import (
+    ALIVE,
+    MAX_CLAIMS_PER_DATAGRAM,
+    Ack,
+    Claim,
+    Gossip,
+    MembershipMessage,
+    Nack,
+    Ping,
+    PingReq,
+    SenderInfo,
+    TableRequest,
+    TableResponse,
+    is_valid_claim,
+    is_valid_sender,
+)
 from .probing import Prober
-from .self_member import Own
+from .self_member import OwnMember
 from .states import State
 from .tuning import Tuning
 
-TOKEN = 1  # one timer at a time is looked at
-MOST_KNOCKS = 16
+TIMER_TOKEN = 1  # one timer at a time is looked at
+MAX_RECONNECT_PINGS = 16
 
 
-class Seen(NamedTuple):
+class MemberView(NamedTuple):
     """What is held of a member; `since` in ms of the host's clock."""
 
     name: str
@@ -42,7 +57,7 @@
     incarnation: int
     process_epoch: int
     address: Address
-    since: float
+    since_ms: float
 
 
 class Membership:
@@ -60,68 +75,70 @@
         seed: int,
         addresses: Mapping[str, Address] | None = None,
     ) -> None:
-        if not sound(Claim(name, 0, address, process_epoch, 0)):
+        if not is_valid_claim(Claim(name, 0, address, process_epoch, 0)):
             raise ValueError(f"name {name!r}, address {address} or life {process_epoch} can't be a member's")
-        self.ground = Ground(name, address, process_epoch, seeds, tuning, seed, addresses or {})
-        self.own = Own(self.ground, self._entered)
-        self.prober = Prober(self.ground, lambda now, name: self.holder.unanswered(now, name))
-        self.holder = Holder(self.ground, self.own, self.prober)
+        self.context = Context(name, address, process_epoch, seeds, tuning, seed, addresses or {})
+        self.own_member = OwnMember(self.context, self._on_joined)
+        self.prober = Prober(self.context, lambda now, name: self.member_states.probe_failed(now, name))
+        self.member_states = MemberStates(self.context, self.own_member, self.prober)
         self._now = float("-inf")
-        self._since = 0.0
-        self._knocks: dict[int, str] = {}
-        self._gossiped = float("-inf")
-        self._unsure_until = float("-inf")  # after a pause; nobody is accused before
+        self._joined_ms = 0.0
+        self._reconnect_pings: dict[int, str] = {}
+        self._last_gossip_ms = float("-inf")
+        self._no_probes_until_ms = float("-inf")  # after a pause; nobody is accused before
 
     # What others may look at
 
     @property
     def name(self) -> str:
-        return self.ground.name
+        return self.context.name
 
     @property
     def process_epoch(self) -> int:
-        return self.ground.process_epoch
+        return self.context.process_epoch
 
     @property
     def phase(self) -> Phase:
-        return self.ground.phase
+        return self.context.phase
 
     @property
-    def inside(self) -> bool:
+    def is_active(self) -> bool:
         """Whether this process may hold a duty under its name."""
-        return self.ground.phase is Phase.INSIDE
+        return self.context.phase is Phase.ACTIVE
 
     def size(self) -> int:
         """Members held alive (or suspect), oneself if inside."""
-        return len(self.ground.table.live) + self.inside
+        return len(self.context.table.live) + self.is_active
 
-    def members(self) -> list[Seen]:
+    def members(self) -> list[MemberView]:
         """All that is held, oneself first if inside."""
-        ground = self.ground
-        own = Seen(ground.name, State.ALIVE, ground.incarnation, ground.process_epoch, ground.address, self._since)
-        return [own] * self.inside + [
-            Seen(m.name, m.state, m.incarnation, m.process_epoch, m.address, m.since) for m in ground.table
+        context = self.context
+        own = MemberView(
+            context.name, State.ALIVE, context.incarnation, context.process_epoch, context.address, self._joined_ms
+        )
+        return [own] * self.is_active + [
+            MemberView(m.name, m.state, m.incarnation, m.process_epoch, m.address, m.since_ms) for m in context.table
         ]
 
     def address_of(self, name: str) -> Address | None:
         """Where to send to: the settings' own address before what it advertises."""
-        return self.ground.at_of(name) if self.ground.table.get(name) is not None else None
+        return self.context.address_of(name) if self.context.table.get(name) is not None else None
 
     def status(self) -> dict[str, Any]:
         """For operators: numbers of what is held, of what was not believed, and the own health (0 is well)."""
-        ground = self.ground
+        context = self.context
         states = {state.value: 0 for state in State}
-        for member in ground.table:
+        for member in context.table:
             states[member.state.value] += 1
         return {
-            "phase": ground.phase.value,
-            "life": ground.process_epoch,
-            "incarnation": ground.incarnation,
+            "phase": context.phase.value,
+            "life": context.process_epoch,
+            "incarnation": context.incarnation,
             **states,
-            "health": ground.health.score,
-            "queued": len(ground.queue),
-            "probing": len(self.prober.flights),
-            "counts": dict(ground.counts),
+            "health": context.health.score,
+            "queued": len(context.gossip_queue),
+            "probing": len(self.prober.probes),
+            "counts": dict(context.counts),
         }
 
     # Events
@@ -130,235 +147,264 @@
         """Raises TypeError on what is no event of membership, ValueError where `now` runs backwards."""
         if now < self._now:
             raise ValueError(f"time went back from {self._now} to {now}")
-        ground, started = self.ground, self._now > float("-inf")
+        context, started = self.context, self._now > float("-inf")
         self._now = now
         if isinstance(event, Started):
-            self.own.begin(now)
+            self.own_member.start(now)
         elif not isinstance(event, (MessageReceived, TimerFired, ShutdownStarted)):
             raise TypeError(f"no event of membership: {event!r}")
-        elif ground.phase is Phase.GONE or not started:
+        elif context.phase is Phase.LEFT or not started:
             return []
         else:
-            first = ground.agenda.first()
-            if first is not None and now - first > ground.tuning.timeout_ms:
-                self._woke(now, now - first)
+            next_due_ms = context.timers.next_due_ms()
+            if next_due_ms is not None and now - next_due_ms > context.tuning.timeout_ms:
+                self._resume_after_pause(now, now - next_due_ms)
             if isinstance(event, MessageReceived):
-                self._heard(now, event)
+                self._receive(now, event)
             elif isinstance(event, ShutdownStarted):
                 self._leave(now)
             else:
-                ground.agenda.fired(now)
-        if ground.phase is not Phase.GONE:
-            self._do_due(now)
-            if len(ground.queue) and ground.phase is Phase.INSIDE and ("gossip", "") not in ground.agenda:
+                context.timers.timer_fired(now)
+        if context.phase is not Phase.LEFT:
+            self._run_due(now)
+            if len(context.gossip_queue) and context.phase is Phase.ACTIVE and ("gossip", "") not in context.timers:
                 # The first word of a calm time goes at once: waiting at each member on its way is what made news late.
-                ground.agenda.at(max(now, self._gossiped + ground.tuning.gossip_ms), ("gossip", ""))
-            when = ground.agenda.arm()
-            if when is not None:
-                ground.acts.append(SetTimer(when, TOKEN))
-        acts, ground.acts = ground.acts, []
-        return acts
-
-    def _do_due(self, now: float) -> None:
-        agenda = self.ground.agenda
-        while (key := agenda.pop(now)) is not None:
-            what, of = key
-            if isinstance(of, int):
+                context.timers.schedule(max(now, self._last_gossip_ms + context.tuning.gossip_ms), ("gossip", ""))
+            timer_ms = context.timers.timer_to_set()
+            if timer_ms is not None:
+                context.actions.append(SetTimer(timer_ms, TIMER_TOKEN))
+        actions, context.actions = context.actions, []
+        return actions
+
+    def _run_due(self, now: float) -> None:
+        agenda = self.context.timers
+        while (key := agenda.pop_due(now)) is not None:
+            action, target = key
+            if isinstance(target, int):
                 {
-                    "indirect": self.prober.indirect,
-                    "failed": self.prober.fail,
-                    "nack": self._nack,
-                    "relayed": self._relayed,
-                }[what](now, of)
+                    "indirect": self.prober.probe_indirectly,
+                    "failed": self.prober.end_unanswered,
+                    "nack": self._nack_due,
+                    "relayed": self._relay_due,
+                }[action](now, target)
             else:
                 {
-                    "probe": self._probe,
-                    "gossip": self._gossip,
-                    "suspect": self.holder.over,
-                    "ask": self.holder.ask,
-                    "own": self._own,
-                    "tables": self._tables,
-                    "reconnect": self._reconnect,
-                    "forget": self.holder.forget,
-                }[what](now, of)
-
-    def _entered(self, now: float) -> None:
+                    "probe": self._probe_due,
+                    "gossip": self._gossip_due,
+                    "suspect": self.member_states.suspicion_due,
+                    "ask": self.member_states.ping_suspect,
+                    "own": self._own_due,
+                    "tables": self._tables_due,
+                    "reconnect": self._reconnect_due,
+                    "forget": self.member_states.forget_due,
+                }[action](now, target)
+
+    def _on_joined(self, now: float) -> None:
         """Inside: begins to probe, and gives its table to the seeds."""
-        ground, tuning = self.ground, self.ground.tuning
-        self._since = now
-        for address in ground.seeds:
-            ground.say(address, Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
-        part = ground.random.random
-        ground.agenda.at(now + part() * self._gap, ("probe", ""))
-        ground.agenda.at(now + part() * tuning.reconnect * tuning.period_ms, ("reconnect", ""))
-        ground.agenda.at(now + (0.5 + part()) * tuning.push_pull_ms(ground.size), ("tables", ""))
+        context, tuning = self.context, self.context.tuning
+        self._joined_ms = now
+        for address in context.seeds:
+            context.send(address, TableRequest(context.own_sender, context.all_claims(now)), Carrier.STREAM)
+        fraction = context.random.random
+        context.timers.schedule(now + fraction() * self._probe_interval_ms, ("probe", ""))
+        context.timers.schedule(now + fraction() * tuning.reconnect * tuning.period_ms, ("reconnect", ""))
+        context.timers.schedule(now + (0.5 + fraction()) * tuning.push_pull_ms(context.size), ("tables", ""))
 
     @property
-    def _gap(self) -> float:
-        return self.ground.tuning.period_ms / self.ground.tuning.probes
+    def _probe_interval_ms(self) -> float:
+        return self.context.tuning.period_ms / self.context.tuning.probes
 
     # What is due
 
-    def _probe(self, now: float, _: str) -> None:
-        ground = self.ground
-        if ground.phase is not Phase.INSIDE:
+    def _probe_due(self, now: float, _: str) -> None:
+        context = self.context
+        if context.phase is not Phase.ACTIVE:
             return
-        if now >= self._unsure_until:
-            self.prober.tick(now)
-        ground.agenda.at(now + self._gap, ("probe", ""))
+        if now >= self._no_probes_until_ms:
+            self.prober.start_probe(now)
+        context.timers.schedule(now + self._probe_interval_ms, ("probe", ""))
 
-    def _gossip(self, now: float, _: str) -> None:
-        ground = self.ground
-        if ground.phase is not Phase.INSIDE:
+    def _gossip_due(self, now: float, _: str) -> None:
+        context = self.context
+        if context.phase is not Phase.ACTIVE:
             return
-        self._gossiped = now
-        for name in ground.table.some(ground.random, ground.tuning.fanout):
-            news = ground.news(ground.against(name, None, now))
-            if not news:
+        self._last_gossip_ms = now
+        for name in context.table.sample(context.random, context.tuning.fanout):
+            claims = context.next_claims(context.contradicting_claim(name, None, now))
+            if not claims:
                 break
-            ground.say(ground.at_of(name), News(ground.me, news))
+            context.send(context.address_of(name), Gossip(context.own_sender, claims))
 
-    def _tables(self, now: float, _: str) -> None:
-        ground = self.ground
-        if ground.phase is not Phase.INSIDE:
+    def _tables_due(self, now: float, _: str) -> None:
+        context = self.context
+        if context.phase is not Phase.ACTIVE:
             return
-        for name in ground.table.some(ground.random, 1):
-            ground.say(ground.at_of(name), Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
-        ground.agenda.at(now + ground.tuning.push_pull_ms(ground.size), ("tables", ""))
+        for name in context.table.sample(context.random, 1):
+            context.send(
+                context.address_of(name), TableRequest(context.own_sender, context.all_claims(now)), Carrier.STREAM
+            )
+        context.timers.schedule(now + context.tuning.push_pull_ms(context.size), ("tables", ""))
 
-    def _reconnect(self, now: float, _: str) -> None:
+    def _reconnect_due(self, now: float, _: str) -> None:
         """Who is dead may be behind a cut that has healed; so may be seeds that were never heard."""
-        ground, tuning = self.ground, self.ground.tuning
-        if ground.phase is not Phase.INSIDE:
+        context, tuning = self.context, self.context.tuning
+        if context.phase is not Phase.ACTIVE:
             return
-        dead = ground.table.of(State.DEAD)
+        dead = context.table.names_in(State.DEAD)
         if dead:
-            name = ground.random.choice(dead)
-            if len(self._knocks) >= MOST_KNOCKS:
-                del self._knocks[next(iter(self._knocks))]
-            self._knocks[self.prober.knock(now, name)] = name
-        alive = {ground.table[name].address for name in ground.table.live}
-        missing = [address for address in ground.seeds if address not in alive]
-        if missing:
-            ground.say(ground.random.choice(missing), Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
-        periods = tuning.reconnect if ground.table.live else 1.0  # alone: sooner
-        ground.agenda.at(now + periods * tuning.period_ms, ("reconnect", ""))
-
-    def _nack(self, now: float, seq: int) -> None:
-        self.prober.say_nack(seq)
-
-    def _relayed(self, now: float, seq: int) -> None:
-        self.prober.unrelay(seq)
-
-    def _own(self, now: float, _: str) -> None:
-        self.own.tick(now)
-
-    def _woke(self, now: float, late: float) -> None:
-        ground = self.ground
-        ground.health.paused(late, ground.tuning.period_ms)
-        self.prober.drop_all()
-        self.holder.restart(now)
-        if ground.phase is Phase.INSIDE and late > ground.tuning.period_ms:
-            self._unsure_until = now + ground.tuning.period_ms
-            for name in ground.table.some(ground.random, ground.tuning.fanout):
-                ground.say(ground.at_of(name), Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
+            name = context.random.choice(dead)
+            if len(self._reconnect_pings) >= MAX_RECONNECT_PINGS:
+                del self._reconnect_pings[next(iter(self._reconnect_pings))]
+            self._reconnect_pings[self.prober.send_ping(now, name)] = name
+        alive = {context.table[name].address for name in context.table.live}
+        unreached = [address for address in context.seeds if address not in alive]
+        if unreached:
+            context.send(
+                context.random.choice(unreached),
+                TableRequest(context.own_sender, context.all_claims(now)),
+                Carrier.STREAM,
+            )
+        periods = tuning.reconnect if context.table.live else 1.0  # alone: sooner
+        context.timers.schedule(now + periods * tuning.period_ms, ("reconnect", ""))
+
+    def _nack_due(self, now: float, seq: int) -> None:
+        self.prober.send_nack(seq)
+
+    def _relay_due(self, now: float, seq: int) -> None:
+        self.prober.end_relay(seq)
+
+    def _own_due(self, now: float, _: str) -> None:
+        self.own_member.period_due(now)
+
+    def _resume_after_pause(self, now: float, late_ms: float) -> None:
+        context = self.context
+        context.health.on_pause(late_ms, context.tuning.period_ms)
+        self.prober.cancel_all()
+        self.member_states.restart_suspicions(now)
+        if context.phase is Phase.ACTIVE and late_ms > context.tuning.period_ms:
+            self._no_probes_until_ms = now + context.tuning.period_ms
+            for name in context.table.sample(context.random, context.tuning.fanout):
+                context.send(
+                    context.address_of(name), TableRequest(context.own_sender, context.all_claims(now)), Carrier.STREAM
+                )
 
     def _leave(self, now: float) -> None:
-        ground = self.ground
-        if ground.phase is Phase.INSIDE:
-            news = (ground.own_claim(State.LEFT),)
-            told = ground.table.some(ground.random, 2 * ground.tuning.sends(ground.size))
-            for number, name in enumerate(told):
-                ground.say(ground.at_of(name), News(ground.me, news))
-                if number < ground.tuning.fanout:
-                    ground.say(ground.at_of(name), News(ground.me, news), Carrier.STREAM)
-            ground.changed(State.LEFT)
-        ground.phase = Phase.GONE
+        context = self.context
+        if context.phase is Phase.ACTIVE:
+            claims = (context.own_claim(State.LEFT),)
+            targets = context.table.sample(context.random, 2 * context.tuning.sends(context.size))
+            for index, name in enumerate(targets):
+                context.send(context.address_of(name), Gossip(context.own_sender, claims))
+                if index < context.tuning.fanout:
+                    context.send(context.address_of(name), Gossip(context.own_sender, claims), Carrier.STREAM)
+            context.report_own_state(State.LEFT)
+        context.phase = Phase.LEFT
 
     # What is heard
 
-    def _heard(self, now: float, event: MessageReceived) -> None:
-        ground, message = self.ground, event.message
-        if not isinstance(message, Spoken):
-            ground.count("not of membership")
+    def _receive(self, now: float, event: MessageReceived) -> None:
+        context, message = self.context, event.message
+        if not isinstance(message, MembershipMessage):
+            context.count("not of membership")
             return
-        claims = message.members if isinstance(message, (Ask, Answer)) else message.news
-        most = ground.tuning.most_members if isinstance(message, (Ask, Answer)) else MOST_NEWS
-        if not sound_me(message.me) or len(claims) > most:
-            ground.count("unsound message")
+        claims = message.claims if isinstance(message, (TableRequest, TableResponse)) else message.claims
+        max_claims = (
+            context.tuning.most_members
+            if isinstance(message, (TableRequest, TableResponse))
+            else MAX_CLAIMS_PER_DATAGRAM
+        )
+        if not is_valid_sender(message.sender) or len(claims) > max_claims:
+            context.count("unsound message")
             return
-        if event.sender == ground.name:
-            self._namesake(now, message)
+        if event.sender == context.name:
+            self._receive_from_namesake(now, message)
             return
-        if ground.phase is Phase.JOINING:
-            self._heard_before(now, event, message, claims)
+        if context.phase is Phase.JOINING:
+            self._receive_while_joining(now, event, message, claims)
             return
-        self._unsure_until = float("-inf")
-        self._speaker(now, event.sender, message.me)
+        self._no_probes_until_ms = float("-inf")
+        self._update_sender(now, event.sender, message.sender)
         for claim in claims:
-            self.holder.hear(now, claim)
-        self._answer(now, event, message)
+            self.member_states.receive_claim(now, claim)
+        self._respond(now, event, message)
 
-    def _heard_before(self, now: float, event: MessageReceived, message: Spoken, claims: tuple[Claim, ...]) -> None:
+    def _receive_while_joining(
+        self, now: float, event: MessageReceived, message: MembershipMessage, claims: tuple[Claim, ...]
+    ) -> None:
         """Joining: only what a table says of the own name matters, until it is settled."""
-        if isinstance(message, Ask):
-            self._answer(now, event, message)
-        elif isinstance(message, Answer):
+        if isinstance(message, TableRequest):
+            self._respond(now, event, message)
+        elif isinstance(message, TableResponse):
             for claim in claims:
-                if claim.name == self.ground.name and sound(claim):
-                    self.own.hear(now, claim)
-            self.own.settle(now)
+                if claim.name == self.context.name and is_valid_claim(claim):
+                    self.own_member.receive_claim(now, claim)
+            self.own_member.table_received(now)
             if self.phase is not Phase.JOINING:
-                self._heard(now, event)
+                self._receive(now, event)
 
-    def _namesake(self, now: float, message: Spoken) -> None:
+    def _receive_from_namesake(self, now: float, message: MembershipMessage) -> None:
         """Another process has this name, or a message came back to its sender."""
-        ground, me = self.ground, message.me
-        if me.address == ground.address and me.process_epoch == ground.process_epoch:
+        context, sender = self.context, message.sender
+        if sender.address == context.address and sender.process_epoch == context.process_epoch:
             return
         if isinstance(message, Ack):
-            if me.inside:
-                self.own.answered(message)
+            if sender.active:
+                self.own_member.namesake_answered(message)
             return
-        if me.inside:
-            self.own.hear(now, Claim(ground.name, ALIVE, me.address, me.process_epoch, me.incarnation))
-        if isinstance(message, Ping) and ground.phase is Phase.INSIDE:
-            ground.say(me.address, Ack(message.seq, ground.name, ground.me))
-        elif isinstance(message, Ask):
-            ground.say(me.address, Answer(ground.me, ground.all_known(now)), Carrier.STREAM)
-
-    def _speaker(self, now: float, name: str, me: Me) -> None:
-        held = self.ground.table.get(name)
-        if me.inside and (
-            held is None
-            or (held.process_epoch, held.incarnation, held.address) != (me.process_epoch, me.incarnation, me.address)
+        if sender.active:
+            self.own_member.receive_claim(
+                now, Claim(context.name, ALIVE, sender.address, sender.process_epoch, sender.incarnation)
+            )
+        if isinstance(message, Ping) and context.phase is Phase.ACTIVE:
+            context.send(sender.address, Ack(message.seq, context.name, context.own_sender))
+        elif isinstance(message, TableRequest):
+            context.send(sender.address, TableResponse(context.own_sender, context.all_claims(now)), Carrier.STREAM)
+
+    def _update_sender(self, now: float, name: str, sender: SenderInfo) -> None:
+        known = self.context.table.get(name)
+        if sender.active and (
+            known is None
+            or (known.process_epoch, known.incarnation, known.address)
+            != (sender.process_epoch, sender.incarnation, sender.address)
         ):
-            self.holder.hear(now, Claim(name, ALIVE, me.address, me.process_epoch, me.incarnation))
-
-    def _answer(self, now: float, event: MessageReceived, message: Spoken) -> None:
-        ground = self.ground
-        address = ground.where(event.sender, message.me.address) if message.me.inside else message.me.address
-        against = ground.against(event.sender, message.me, now) if message.me.inside else None
+            self.member_states.receive_claim(
+                now, Claim(name, ALIVE, sender.address, sender.process_epoch, sender.incarnation)
+            )
+
+    def _respond(self, now: float, event: MessageReceived, message: MembershipMessage) -> None:
+        context = self.context
+        address = (
+            context.send_address(event.sender, message.sender.address)
+            if message.sender.active
+            else message.sender.address
+        )
+        contradiction = (
+            context.contradicting_claim(event.sender, message.sender, now) if message.sender.active else None
+        )
         if isinstance(message, Ping):
-            if message.target != ground.name:
-                ground.count("ping for another")
-            elif ground.phase is Phase.INSIDE:
-                ground.say(address, Ack(message.seq, ground.name, ground.me, ground.news(against)), event.carrier)
+            if message.target != context.name:
+                context.count("ping for another")
+            elif context.phase is Phase.ACTIVE:
+                context.send(
+                    address,
+                    Ack(message.seq, context.name, context.own_sender, context.next_claims(contradiction)),
+                    event.carrier,
+                )
             return
-        if isinstance(message, Ask):
-            ground.say(address, Answer(ground.me, ground.all_known(now)), Carrier.STREAM)
+        if isinstance(message, TableRequest):
+            context.send(address, TableResponse(context.own_sender, context.all_claims(now)), Carrier.STREAM)
             return
-        if isinstance(message, PingReq) and ground.phase is Phase.INSIDE:
-            if sound(Claim(message.target, ALIVE, message.address, 0, 0)):
-                self.prober.asked(now, event.sender, message)
+        if isinstance(message, PingReq) and context.phase is Phase.ACTIVE:
+            if is_valid_claim(Claim(message.target, ALIVE, message.address, 0, 0)):
+                self.prober.handle_ping_request(now, event.sender, message)
             else:
-                ground.count("unsound message")
+                context.count("unsound message")
         elif isinstance(message, Ack):
-            if self._knocks.pop(message.seq, None) == event.sender:
-                ground.say(address, Ask(ground.me, ground.all_known(now)), Carrier.STREAM)
+            if self._reconnect_pings.pop(message.seq, None) == event.sender:
+                context.send(address, TableRequest(context.own_sender, context.all_claims(now)), Carrier.STREAM)
             else:
-                self.prober.ack(event.sender, message)
+                self.prober.handle_ack(event.sender, message)
         elif isinstance(message, Nack):
-            self.prober.nack(event.sender, message)
-        if against is not None and ground.phase is Phase.INSIDE and ground.may_tell_off(event.sender, now):
-            ground.say(address, News(ground.me, (against,)))
+            self.prober.handle_nack(event.sender, message)
+        if contradiction is not None and context.phase is Phase.ACTIVE and context.may_correct(event.sender, now):
+            context.send(address, Gossip(context.own_sender, (contradiction,)))
--- a/limenotch/fleet/membership/dissemination.py
+++ b/limenotch/fleet/membership/dissemination.py
@@ -10,26 +10,28 @@
 import msgspec
 
 from ..interfaces import MAX_DATAGRAM_BYTES
-from .messages import MOST_NEWS, Claim
+from .messages import MAX_CLAIMS_PER_DATAGRAM, Claim
 
-OVERHEAD = 400  # bytes of a frame for its head, its digest, and the message's other fields with names at their longest
-ROOM = MAX_DATAGRAM_BYTES - OVERHEAD
+FRAME_OVERHEAD_BYTES = (
+    400  # bytes of a frame for its head, its digest, and the message's other fields with names at their longest
+)
+MAX_CLAIMS_BYTES = MAX_DATAGRAM_BYTES - FRAME_OVERHEAD_BYTES
 
 _encoder = msgspec.msgpack.Encoder()
 
 
-def size(claim: Claim) -> int:
+def encoded_size(claim: Claim) -> int:
     return len(_encoder.encode(claim))
 
 
 class _Entry:
-    __slots__ = ("bytes", "claim", "order", "sent")
+    __slots__ = ("claim", "order", "sent", "size")
 
     def __init__(self, claim: Claim, order: int) -> None:
-        self.claim, self.order, self.sent, self.bytes = claim, order, 0, size(claim)
+        self.claim, self.order, self.sent, self.size = claim, order, 0, encoded_size(claim)
 
 
-class Broadcasts:
+class GossipQueue:
     def __init__(self) -> None:
         self._queued: dict[str, _Entry] = {}
         self._count = 0
@@ -41,25 +43,27 @@
         self._count += 1
         self._queued[claim.name] = _Entry(claim, -self._count)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         self._queued.pop(name, None)
 
-    def take(self, sends: int, first: Claim | None = None, room: int = ROOM) -> tuple[Claim, ...]:
+    def next_claims(
+        self, max_sends: int, first: Claim | None = None, max_bytes: int = MAX_CLAIMS_BYTES
+    ) -> tuple[Claim, ...]:
         """What goes into one message; `first` goes in whether queued or not. `sends`: how often each may go out."""
-        taken, left = [], room
+        taken, free_bytes = [], max_bytes
         if first is not None:
             taken.append(first)
-            left -= size(first)
+            free_bytes -= encoded_size(first)
         if not self._queued:
             return tuple(taken)
         for entry in sorted(self._queued.values(), key=lambda entry: (entry.sent, entry.order)):
-            if len(taken) >= MOST_NEWS:
+            if len(taken) >= MAX_CLAIMS_PER_DATAGRAM:
                 break
-            if entry.bytes > left or (first is not None and first.name == entry.claim.name):
+            if entry.size > free_bytes or (first is not None and first.name == entry.claim.name):
                 continue
             taken.append(entry.claim)
-            left -= entry.bytes
+            free_bytes -= entry.size
             entry.sent += 1
-            if entry.sent >= sends:
+            if entry.sent >= max_sends:
                 del self._queued[entry.claim.name]
         return tuple(taken)
--- a/limenotch/fleet/membership/health.py
+++ b/limenotch/fleet/membership/health.py
@@ -15,19 +15,19 @@
 
 from __future__ import annotations
 
-ANSWERED, UNHEARD, REFUTED = -1, 1, 1
+PROBE_ANSWERED, PROBE_UNCONFIRMED, SUSPICION_REFUTED = -1, 1, 1
 
 
 class Health:
-    def __init__(self, highest: int) -> None:
-        self.highest = highest
+    def __init__(self, max_score: int) -> None:
+        self.max_score = max_score
         self.score = 0
 
-    def note(self, change: int) -> None:
-        self.score = max(0, min(self.highest, self.score + change))
+    def adjust(self, change: int) -> None:
+        self.score = max(0, min(self.max_score, self.score + change))
 
-    def paused(self, late_ms: float, period_ms: float) -> None:
-        self.note(1 + int(min(late_ms / period_ms, self.highest)))
+    def on_pause(self, late_ms: float, period_ms: float) -> None:
+        self.adjust(1 + int(min(late_ms / period_ms, self.max_score)))
 
-    def scale(self, span_ms: float) -> float:
+    def scale_ms(self, span_ms: float) -> float:
         return span_ms * (1 + self.score)
--- a/limenotch/fleet/membership/member_states.py
+++ b/limenotch/fleet/membership/member_states.py
@@ -12,123 +12,127 @@
 from __future__ import annotations
 
 from ..interfaces import Carrier, MemberChanged
-from .context import Ground, Phase
-from .messages import DEAD, SUSPECT, Claim, sound
+from .context import Context, Phase
+from .messages import DEAD, SUSPECT, Claim, is_valid_claim
 from .probing import Prober
-from .self_member import Own
+from .self_member import OwnMember
 from .states import FINAL, State
 from .suspicion import Suspicion
-from .table import Came, Member
+from .table import ClaimOutcome, Member
 
-LAST_ASKED = 3.5  # timeouts before a suspicion can be over: a stream that loses a segment still gets there
+LAST_PING_TIMEOUTS = 3.5  # timeouts before a suspicion can be over: a stream that loses a segment still gets there
 
 
-class Holder:
-    def __init__(self, ground: Ground, own: Own, prober: Prober) -> None:
-        self.ground, self.own, self.prober = ground, own, prober
+class MemberStates:
+    def __init__(self, context: Context, own_member: OwnMember, prober: Prober) -> None:
+        self.context, self.own_member, self.prober = context, own_member, prober
 
-    def hear(self, now: float, claim: Claim) -> None:
+    def receive_claim(self, now: float, claim: Claim) -> None:
         """A claim about anybody; the one way in which what is held changes."""
-        ground = self.ground
-        if not sound(claim):
-            ground.count("unsound claim")
+        context = self.context
+        if not is_valid_claim(claim):
+            context.count("unsound claim")
             return
-        if claim.name == ground.name:
-            self.own.hear(now, claim)
+        if claim.name == context.name:
+            self.own_member.receive_claim(now, claim)
             return
-        if claim.age_ms >= ground.tuning.keep_dead_ms and claim.says in FINAL:
+        if claim.age_ms >= context.tuning.keep_dead_ms and claim.claimed_state in FINAL:
             return
-        held = ground.table.get(claim.name)
-        absent = held is None or held.state in FINAL
-        came = ground.table.hear(claim, now)
-        if came is Came.FULL:
-            ground.count("no room for another member")
-        elif came is Came.SAME_SUSPICION:
+        known = context.table.get(claim.name)
+        joined = known is None or known.state in FINAL
+        outcome = context.table.apply(claim, now)
+        if outcome is ClaimOutcome.TABLE_FULL:
+            context.count("no room for another member")
+        elif outcome is ClaimOutcome.SAME_SUSPICION:
             self._confirm(now, claim)
-        elif came is not Came.OLD:
-            ground.tell(claim)
-            self._took(now, ground.table[claim.name], came, welcome=absent)
+        elif outcome is not ClaimOutcome.SUPERSEDED:
+            context.disseminate(claim)
+            self._report_change(now, context.table[claim.name], outcome, joined=joined)
 
-    def _took(self, now: float, member: Member, came: Came, *, welcome: bool) -> None:
-        ground, name = self.ground, member.name
+    def _report_change(self, now: float, member: Member, outcome: ClaimOutcome, *, joined: bool) -> None:
+        context, name = self.context, member.name
         if member.state is State.SUSPECT:
-            tuning = ground.tuning
-            shortest = tuning.shortest_ms(ground.size)
+            tuning = context.tuning
+            min_ms = tuning.shortest_ms(context.size)
             member.suspicion = Suspicion(
                 now,
-                member.by,
-                shortest,
-                shortest * tuning.suspicion_longest,
-                min(tuning.confirmations, ground.size - 2),
+                member.reported_by,
+                min_ms,
+                min_ms * tuning.suspicion_longest,
+                min(tuning.confirmations, context.size - 2),
             )
-            self._watch(member.suspicion, name)
+            self._schedule_suspicion(member.suspicion, name)
         else:
-            ground.agenda.drop(("suspect", name))
-            ground.agenda.drop(("ask", name))
+            context.timers.cancel(("suspect", name))
+            context.timers.cancel(("ask", name))
         if member.state in FINAL:
-            ground.agenda.at(member.since + ground.tuning.keep_dead_ms, ("forget", name))
+            context.timers.schedule(member.since_ms + context.tuning.keep_dead_ms, ("forget", name))
         else:
-            ground.agenda.drop(("forget", name))
-            if welcome:
-                self.prober.welcome(name)
-        if came is Came.REFRESHED:
+            context.timers.cancel(("forget", name))
+            if joined:
+                self.prober.add_target(name)
+        if outcome is ClaimOutcome.REFRESHED:
             return
         text = f"suspects {name}" if member.state is State.SUSPECT else f"{name} {member.state.value}"
-        ground.note(text, life=member.process_epoch, incarnation=member.incarnation, by=member.by)
-        ground.acts.append(
+        context.log(text, life=member.process_epoch, incarnation=member.incarnation, by=member.reported_by)
+        context.actions.append(
             MemberChanged(name, member.state.value, member.address, member.incarnation, member.process_epoch)
         )
 
     def _confirm(self, now: float, claim: Claim) -> None:
-        member = self.ground.table[claim.name]
-        known = claim.by == self.ground.name or self.ground.table.get(claim.by) is not None
-        if member.suspicion is not None and known and member.suspicion.confirm(claim.by):
-            self.ground.tell(claim)
-            self.ground.agenda.at(max(now, member.suspicion.until), ("suspect", claim.name))
+        member = self.context.table[claim.name]
+        known = claim.reported_by == self.context.name or self.context.table.get(claim.reported_by) is not None
+        if member.suspicion is not None and known and member.suspicion.confirm(claim.reported_by):
+            self.context.disseminate(claim)
+            self.context.timers.schedule(max(now, member.suspicion.expires_at_ms), ("suspect", claim.name))
 
-    def unanswered(self, now: float, name: str) -> None:
+    def probe_failed(self, now: float, name: str) -> None:
         """A probe failed."""
-        held = self.ground.table.get(name)
-        if held is not None and held.state not in FINAL and self.ground.phase is Phase.INSIDE:
-            self.hear(now, Claim(name, SUSPECT, held.address, held.process_epoch, held.incarnation, self.ground.name))
+        known = self.context.table.get(name)
+        if known is not None and known.state not in FINAL and self.context.phase is Phase.ACTIVE:
+            self.receive_claim(
+                now, Claim(name, SUSPECT, known.address, known.process_epoch, known.incarnation, self.context.name)
+            )
 
-    def over(self, now: float, name: str) -> None:
-        held = self.ground.table.get(name)
-        if held is None or held.state is not State.SUSPECT or held.suspicion is None:
+    def suspicion_due(self, now: float, name: str) -> None:
+        known = self.context.table.get(name)
+        if known is None or known.state is not State.SUSPECT or known.suspicion is None:
             return
-        if now < held.suspicion.until:
-            self.ground.agenda.at(held.suspicion.until, ("suspect", name))
+        if now < known.suspicion.expires_at_ms:
+            self.context.timers.schedule(known.suspicion.expires_at_ms, ("suspect", name))
             return
-        if self.ground.phase is not Phase.INSIDE:
-            self.ground.agenda.at(now + self.ground.tuning.period_ms, ("suspect", name))
+        if self.context.phase is not Phase.ACTIVE:
+            self.context.timers.schedule(now + self.context.tuning.period_ms, ("suspect", name))
             return
-        self.hear(now, Claim(name, DEAD, held.address, held.process_epoch, held.incarnation, self.ground.name))
+        self.receive_claim(
+            now, Claim(name, DEAD, known.address, known.process_epoch, known.incarnation, self.context.name)
+        )
 
-    def ask(self, now: float, name: str) -> None:
-        held = self.ground.table.get(name)
-        if held is not None and held.state is State.SUSPECT and self.ground.phase is Phase.INSIDE:
+    def ping_suspect(self, now: float, name: str) -> None:
+        known = self.context.table.get(name)
+        if known is not None and known.state is State.SUSPECT and self.context.phase is Phase.ACTIVE:
             for carrier in Carrier:
-                self.prober.knock(now, name, carrier)
+                self.prober.send_ping(now, name, carrier)
 
-    def forget(self, now: float, name: str) -> None:
-        held = self.ground.table.get(name)
-        if held is None or held.state not in FINAL:
+    def forget_due(self, now: float, name: str) -> None:
+        known = self.context.table.get(name)
+        if known is None or known.state not in FINAL:
             return
-        until = held.since + self.ground.tuning.keep_dead_ms
-        if now >= until:
-            self.ground.table.forget(name)
+        forget_at_ms = known.since_ms + self.context.tuning.keep_dead_ms
+        if now >= forget_at_ms:
+            self.context.table.forget(name)
         else:
-            self.ground.agenda.at(until, ("forget", name))
+            self.context.timers.schedule(forget_at_ms, ("forget", name))
 
-    def restart(self, now: float) -> None:
+    def restart_suspicions(self, now: float) -> None:
         """After a pause of one's own."""
-        for name in self.ground.table.live:
-            suspicion = self.ground.table[name].suspicion
+        for name in self.context.table.live:
+            suspicion = self.context.table[name].suspicion
             if suspicion is not None:
                 suspicion.restart(now)
-                self._watch(suspicion, name)
+                self._schedule_suspicion(suspicion, name)
 
-    def _watch(self, suspicion: Suspicion, name: str) -> None:
-        agenda, timeout = self.ground.agenda, self.ground.tuning.timeout_ms
-        agenda.at(suspicion.until, ("suspect", name))
-        agenda.at(suspicion.began + suspicion.shortest - LAST_ASKED * timeout, ("ask", name))
+    def _schedule_suspicion(self, suspicion: Suspicion, name: str) -> None:
+        agenda, timeout = self.context.timers, self.context.tuning.timeout_ms
+        agenda.schedule(suspicion.expires_at_ms, ("suspect", name))
+        agenda.schedule(suspicion.started_ms + suspicion.min_ms - LAST_PING_TIMEOUTS * timeout, ("ask", name))
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -8,24 +8,24 @@
 from msgspec import Struct
 
 from ..interfaces import Address, Message
-from .states import CODES, State
+from .states import STATES_BY_CODE, State
 
-MOST_NEWS = 40  # claims in one datagram; more is nonsense
-LONGEST_NAME = 64
-LONGEST_HOST = 255
+MAX_CLAIMS_PER_DATAGRAM = 40  # claims in one datagram; more is nonsense
+MAX_NAME_LENGTH = 64
+MAX_HOST_LENGTH = 255
 MAX_PROCESS_EPOCH = 1 << 52
-MOST_INCARNATION = 1 << 31
-MOST_AGE_MS = 1 << 40
-ALIVE, SUSPECT, DEAD, LEFT = range(len(CODES))
+MAX_INCARNATION = 1 << 31
+MAX_AGE_MS = 1 << 40
+ALIVE, SUSPECT, DEAD, LEFT = range(len(STATES_BY_CODE))
 
 
-class Me(Struct, frozen=True, array_like=True):
+class SenderInfo(Struct, frozen=True, array_like=True):
     """The speaker of a message; its name is its frame's."""
 
     address: Address  # as it wants to be spoken to
     process_epoch: int
     incarnation: int
-    inside: bool = True  # False: it asks before it joins, or stays out; not to be taken for a member
+    active: bool = True  # False: it asks before it joins, or stays out; not to be taken for a member
 
 
 class Claim(Struct, frozen=True, array_like=True):
@@ -36,34 +36,34 @@
     address: Address
     process_epoch: int
     incarnation: int
-    by: str = ""  # who found it: independent finders of one suspicion shorten it
+    reported_by: str = ""  # who found it: independent finders of one suspicion shorten it
     age_ms: int = 0  # in tables, of the dead and left: how long ago, so that all forget them together
 
     @property
-    def says(self) -> State:
-        return CODES[self.state]
+    def claimed_state(self) -> State:
+        return STATES_BY_CODE[self.state]
 
 
 class Ping(Message, frozen=True, tag="mb.ping"):
     seq: int
     target: str  # who is meant: another process at the same address must not answer for it
-    me: Me
-    news: tuple[Claim, ...] = ()
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
 class PingReq(Message, frozen=True, tag="mb.ping-req"):
     seq: int
     target: str
     address: Address
-    me: Me
-    news: tuple[Claim, ...] = ()
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
 class Ack(Message, frozen=True, tag="mb.ack"):
     seq: int
     about: str  # who answered: the speaker, or whom it was asked to probe
-    me: Me
-    news: tuple[Claim, ...] = ()
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
 class Nack(Message, frozen=True, tag="mb.nack"):
@@ -71,48 +71,50 @@
 
     seq: int
     about: str
-    me: Me
-    news: tuple[Claim, ...] = ()
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
-class News(Message, frozen=True, tag="mb.news"):
-    me: Me
-    news: tuple[Claim, ...] = ()
+class Gossip(Message, frozen=True, tag="mb.news"):
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
-class Ask(Message, frozen=True, tag="mb.ask"):
+class TableRequest(Message, frozen=True, tag="mb.ask"):
     """Push-pull: the speaker's whole table (empty before it joined), to be answered by the hearer's."""
 
-    me: Me
-    members: tuple[Claim, ...] = ()
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
-class Answer(Message, frozen=True, tag="mb.answer"):
-    me: Me
-    members: tuple[Claim, ...] = ()
+class TableResponse(Message, frozen=True, tag="mb.answer"):
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
-Spoken = Ping | PingReq | Ack | Nack | News | Ask | Answer
+MembershipMessage = Ping | PingReq | Ack | Nack | Gossip | TableRequest | TableResponse
 
 
-def _address(address: Address) -> bool:
-    return 0 < len(address[0]) <= LONGEST_HOST and 0 < address[1] < 65536
+def _is_valid_address(address: Address) -> bool:
+    return 0 < len(address[0]) <= MAX_HOST_LENGTH and 0 < address[1] < 65536
 
 
-def sound(claim: Claim) -> bool:
+def is_valid_claim(claim: Claim) -> bool:
     """Whether a claim's values can be meant; types were checked by the codec."""
     return (
-        0 < len(claim.name) <= LONGEST_NAME
-        and 0 <= claim.state < len(CODES)
-        and _address(claim.address)
+        0 < len(claim.name) <= MAX_NAME_LENGTH
+        and 0 <= claim.state < len(STATES_BY_CODE)
+        and _is_valid_address(claim.address)
         and 0 <= claim.process_epoch <= MAX_PROCESS_EPOCH
-        and 0 <= claim.incarnation <= MOST_INCARNATION
-        and len(claim.by) <= LONGEST_NAME
-        and 0 <= claim.age_ms <= MOST_AGE_MS
+        and 0 <= claim.incarnation <= MAX_INCARNATION
+        and len(claim.reported_by) <= MAX_NAME_LENGTH
+        and 0 <= claim.age_ms <= MAX_AGE_MS
     )
 
 
-def sound_me(me: Me) -> bool:
+def is_valid_sender(sender: SenderInfo) -> bool:
     return (
-        _address(me.address) and 0 <= me.process_epoch <= MAX_PROCESS_EPOCH and 0 <= me.incarnation <= MOST_INCARNATION
+        _is_valid_address(sender.address)
+        and 0 <= sender.process_epoch <= MAX_PROCESS_EPOCH
+        and 0 <= sender.incarnation <= MAX_INCARNATION
     )
--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -16,25 +16,25 @@
 from typing import NamedTuple
 
 from ..interfaces import Address, Carrier
-from .context import Ground
-from .health import ANSWERED, UNHEARD
+from .context import Context
+from .health import PROBE_ANSWERED, PROBE_UNCONFIRMED
 from .messages import Ack, Nack, Ping, PingReq
 from .states import FINAL
 
-MOST_RELAYED = 256  # probes under way for others
-NACK_AT = 0.8  # of the timeout
+MAX_RELAYED_PROBES = 256  # probes under way for others
+NACK_DELAY_TIMEOUTS = 0.8  # of the timeout
 
 
-class Flight:
-    __slots__ = ("asked", "nacks", "name", "process_epoch")
+class Probe:
+    __slots__ = ("nacks", "name", "process_epoch", "relays")
 
     def __init__(self, name: str, process_epoch: int) -> None:
         self.name, self.process_epoch = name, process_epoch
-        self.asked: tuple[str, ...] = ()
+        self.relays: tuple[str, ...] = ()
         self.nacks: set[str] = set()
 
 
-class Relayed(NamedTuple):
+class RelayedProbe(NamedTuple):
     origin: str
     address: Address
     seq: int
@@ -42,138 +42,142 @@
 
 
 class Prober:
-    def __init__(self, ground: Ground, failed: Callable[[float, str], None]) -> None:
-        self.ground = ground
-        self.failed = failed
-        self.flights: dict[int, Flight] = {}
-        self.probed: dict[str, int] = {}  # name: the seq under way
-        self.relayed: dict[int, Relayed] = {}
-        self.ring: list[str] = []  # who is still to be probed in this round
-
-    def tick(self, now: float) -> None:
-        name = self._next()
+    def __init__(self, context: Context, on_failure: Callable[[float, str], None]) -> None:
+        self.context = context
+        self.on_failure = on_failure
+        self.probes: dict[int, Probe] = {}
+        self.seq_by_name: dict[str, int] = {}  # name: the seq under way
+        self.relayed_probes: dict[int, RelayedProbe] = {}
+        self.round: list[str] = []  # who is still to be probed in this round
+
+    def start_probe(self, now: float) -> None:
+        name = self._next_target()
         if name is None:
             return
-        ground = self.ground
-        seq, flight = ground.seq(), Flight(name, ground.table[name].process_epoch)
-        self.flights[seq] = flight
-        self.probed[name] = seq
-        ground.say(ground.at_of(name), self._ping(seq, name, now))
-        ground.agenda.at(now + ground.health.scale(ground.tuning.timeout_ms), ("indirect", seq))
-        ground.agenda.at(now + ground.health.scale(3 * ground.tuning.timeout_ms), ("failed", seq))
-
-    def indirect(self, now: float, seq: int) -> None:
-        ground, flight = self.ground, self.flights.get(seq)
-        if flight is None or not self._stands(flight):
-            self._end(seq)
+        context = self.context
+        seq, probe = context.next_seq(), Probe(name, context.table[name].process_epoch)
+        self.probes[seq] = probe
+        self.seq_by_name[name] = seq
+        context.send(context.address_of(name), self._make_ping(seq, name, now))
+        context.timers.schedule(now + context.health.scale_ms(context.tuning.timeout_ms), ("indirect", seq))
+        context.timers.schedule(now + context.health.scale_ms(3 * context.tuning.timeout_ms), ("failed", seq))
+
+    def probe_indirectly(self, now: float, seq: int) -> None:
+        context, probe = self.context, self.probes.get(seq)
+        if probe is None or not self._is_current(probe):
+            self._end_probe(seq)
             return
-        address = ground.table[flight.name].address
-        flight.asked = tuple(ground.table.some(ground.random, ground.tuning.indirect, flight.name))
-        for relay in flight.asked:
-            ground.say(ground.at_of(relay), PingReq(seq, flight.name, address, ground.me, ground.news()))
-        ground.say(ground.at_of(flight.name), self._ping(seq, flight.name, now), Carrier.STREAM)
-
-    def fail(self, now: float, seq: int) -> None:
-        flight = self.flights.get(seq)
-        if flight is None:
+        address = context.table[probe.name].address
+        probe.relays = tuple(context.table.sample(context.random, context.tuning.indirect, probe.name))
+        for relay in probe.relays:
+            context.send(
+                context.address_of(relay), PingReq(seq, probe.name, address, context.own_sender, context.next_claims())
+            )
+        context.send(context.address_of(probe.name), self._make_ping(seq, probe.name, now), Carrier.STREAM)
+
+    def end_unanswered(self, now: float, seq: int) -> None:
+        probe = self.probes.get(seq)
+        if probe is None:
             return
-        self._end(seq)
-        if not self._stands(flight):
+        self._end_probe(seq)
+        if not self._is_current(probe):
             return
-        if 2 * len(flight.nacks) <= len(flight.asked):
-            self.ground.health.note(UNHEARD)
-        self.failed(now, flight.name)
-
-    def ack(self, sender: str, message: Ack) -> None:
-        ground, flight = self.ground, self.flights.get(message.seq)
-        if flight is not None and flight.name == message.about and (sender == flight.name or sender in flight.asked):
-            self._end(message.seq)
-            ground.health.note(ANSWERED)
+        if 2 * len(probe.nacks) <= len(probe.relays):
+            self.context.health.adjust(PROBE_UNCONFIRMED)
+        self.on_failure(now, probe.name)
+
+    def handle_ack(self, sender: str, message: Ack) -> None:
+        context, probe = self.context, self.probes.get(message.seq)
+        if probe is not None and probe.name == message.about and (sender == probe.name or sender in probe.relays):
+            self._end_probe(message.seq)
+            context.health.adjust(PROBE_ANSWERED)
             return
-        relayed = self.relayed.get(message.seq)
+        relayed = self.relayed_probes.get(message.seq)
         if relayed is None or relayed.target != message.about or sender != relayed.target:
-            ground.count("ack of nothing")  # late, mostly
+            context.count("ack of nothing")  # late, mostly
             return
-        self.unrelay(message.seq)
-        ground.say(relayed.address, Ack(relayed.seq, relayed.target, ground.me, ground.news()))
-
-    def nack(self, sender: str, message: Nack) -> None:
-        flight = self.flights.get(message.seq)
-        if flight is not None and flight.name == message.about and sender in flight.asked:
-            flight.nacks.add(sender)
-
-    def asked(self, now: float, sender: str, message: PingReq) -> None:
-        ground = self.ground
-        if len(self.relayed) >= MOST_RELAYED:
-            ground.count("too many ping-reqs")
+        self.end_relay(message.seq)
+        context.send(relayed.address, Ack(relayed.seq, relayed.target, context.own_sender, context.next_claims()))
+
+    def handle_nack(self, sender: str, message: Nack) -> None:
+        probe = self.probes.get(message.seq)
+        if probe is not None and probe.name == message.about and sender in probe.relays:
+            probe.nacks.add(sender)
+
+    def handle_ping_request(self, now: float, sender: str, message: PingReq) -> None:
+        context = self.context
+        if len(self.relayed_probes) >= MAX_RELAYED_PROBES:
+            context.count("too many ping-reqs")
             return
-        seq = ground.seq()
-        self.relayed[seq] = Relayed(sender, ground.where(sender, message.me.address), message.seq, message.target)
-        ground.say(ground.where(message.target, message.address), self._ping(seq, message.target, now))
-        ground.agenda.at(now + NACK_AT * ground.tuning.timeout_ms, ("nack", seq))
-        ground.agenda.at(now + 3 * ground.tuning.timeout_ms, ("relayed", seq))
-
-    def say_nack(self, seq: int) -> None:
-        relayed, ground = self.relayed.get(seq), self.ground
+        seq = context.next_seq()
+        self.relayed_probes[seq] = RelayedProbe(
+            sender, context.send_address(sender, message.sender.address), message.seq, message.target
+        )
+        context.send(context.send_address(message.target, message.address), self._make_ping(seq, message.target, now))
+        context.timers.schedule(now + NACK_DELAY_TIMEOUTS * context.tuning.timeout_ms, ("nack", seq))
+        context.timers.schedule(now + 3 * context.tuning.timeout_ms, ("relayed", seq))
+
+    def send_nack(self, seq: int) -> None:
+        relayed, context = self.relayed_probes.get(seq), self.context
         if relayed is not None:
-            ground.say(relayed.address, Nack(relayed.seq, relayed.target, ground.me, ground.news()))
+            context.send(relayed.address, Nack(relayed.seq, relayed.target, context.own_sender, context.next_claims()))
 
-    def unrelay(self, seq: int) -> None:
-        self.relayed.pop(seq, None)
-        self.ground.agenda.drop(("nack", seq))
-        self.ground.agenda.drop(("relayed", seq))
+    def end_relay(self, seq: int) -> None:
+        self.relayed_probes.pop(seq, None)
+        self.context.timers.cancel(("nack", seq))
+        self.context.timers.cancel(("relayed", seq))
 
-    def drop_all(self) -> None:
+    def cancel_all(self) -> None:
         """What was under way before a pause proves nothing after it."""
-        for seq in list(self.flights):
-            self._end(seq)
-        for seq in list(self.relayed):
-            self.unrelay(seq)
+        for seq in list(self.probes):
+            self._end_probe(seq)
+        for seq in list(self.relayed_probes):
+            self.end_relay(seq)
 
-    def knock(self, now: float, name: str, carrier: Carrier = Carrier.DATAGRAM) -> int:
+    def send_ping(self, now: float, name: str, carrier: Carrier = Carrier.DATAGRAM) -> int:
         """So that it hears what is held of it; no answer proves anything. Gives the seq an answer would bear."""
-        seq = self.ground.seq()
-        self.ground.say(self.ground.at_of(name), self._ping(seq, name, now), carrier)
+        seq = self.context.next_seq()
+        self.context.send(self.context.address_of(name), self._make_ping(seq, name, now), carrier)
         return seq
 
-    def _ping(self, seq: int, name: str, now: float) -> Ping:
-        ground = self.ground
-        return Ping(seq, name, ground.me, ground.news(ground.against(name, None, now)))
+    def _make_ping(self, seq: int, name: str, now: float) -> Ping:
+        context = self.context
+        return Ping(seq, name, context.own_sender, context.next_claims(context.contradicting_claim(name, None, now)))
 
-    def _stands(self, flight: Flight) -> bool:
-        held = self.ground.table.get(flight.name)
-        return held is not None and held.state not in FINAL and held.process_epoch == flight.process_epoch
+    def _is_current(self, probe: Probe) -> bool:
+        known = self.context.table.get(probe.name)
+        return known is not None and known.state not in FINAL and known.process_epoch == probe.process_epoch
 
-    def _end(self, seq: int) -> None:
-        flight = self.flights.pop(seq, None)
-        if flight is not None and self.probed.get(flight.name) == seq:
-            del self.probed[flight.name]
-        self.ground.agenda.drop(("indirect", seq))
-        self.ground.agenda.drop(("failed", seq))
+    def _end_probe(self, seq: int) -> None:
+        probe = self.probes.pop(seq, None)
+        if probe is not None and self.seq_by_name.get(probe.name) == seq:
+            del self.seq_by_name[probe.name]
+        self.context.timers.cancel(("indirect", seq))
+        self.context.timers.cancel(("failed", seq))
 
-    def _next(self) -> str | None:
+    def _next_target(self) -> str | None:
         """Round robin over a shuffled list; who is being probed already is passed over."""
-        table = self.ground.table
+        table = self.context.table
         for _ in range(2):
-            passed: list[str] = []
-            chosen = None
-            while self.ring:
-                name = self.ring.pop()
-                held = table.get(name)
-                if held is None or held.state in FINAL:
+            skipped: list[str] = []
+            target = None
+            while self.round:
+                name = self.round.pop()
+                known = table.get(name)
+                if known is None or known.state in FINAL:
                     continue
-                if name not in self.probed:
-                    chosen = name
+                if name not in self.seq_by_name:
+                    target = name
                     break
-                passed.append(name)
-            if chosen is not None:
-                self.ring += reversed(passed)
-                return chosen
-            self.ring = list(table.live)
-            self.ground.random.shuffle(self.ring)
-        self.ring = []
+                skipped.append(name)
+            if target is not None:
+                self.round += reversed(skipped)
+                return target
+            self.round = list(table.live)
+            self.context.random.shuffle(self.round)
+        self.round = []
         return None
 
-    def welcome(self, name: str) -> None:
+    def add_target(self, name: str) -> None:
         """A new one takes a place in this round by chance (SWIM 4.3)."""
-        self.ring.insert(self.ground.random.randrange(len(self.ring) + 1), name)
+        self.round.insert(self.context.random.randrange(len(self.round) + 1), name)
--- a/limenotch/fleet/membership/self_member.py
+++ b/limenotch/fleet/membership/self_member.py
@@ -20,148 +20,157 @@
 from collections.abc import Callable
 
 from ..interfaces import Carrier
-from .context import Ground, Phase
-from .health import REFUTED
-from .messages import MAX_PROCESS_EPOCH, MOST_INCARNATION, Ack, Ask, Claim, Ping
+from .context import Context, Phase
+from .health import SUSPICION_REFUTED
+from .messages import MAX_INCARNATION, MAX_PROCESS_EPOCH, Ack, Claim, Ping, TableRequest
 from .states import FINAL, State
 
 JOIN_PERIODS = 2  # that seeds have to answer
-JOIN_TRIES = 3  # one a period
-OUT_TRIES = 5
-
-
-class Own:
-    def __init__(self, ground: Ground, entered: Callable[[float], None]) -> None:
-        self.ground = ground
-        self.entered = entered
-        self.other: Claim | None = None  # the greatest heard of another process of this name
-        self.asked = 0  # seq of the question to it
-        self.unanswered = 0
-        self.began = 0.0
-
-    def begin(self, now: float) -> None:
-        self.began = now
-        if not self.ground.seeds:
-            self.enter(now)
+JOIN_PINGS = 3  # one a period
+DISPLACED_PINGS = 5
+
+
+class OwnMember:
+    def __init__(self, context: Context, on_joined: Callable[[float], None]) -> None:
+        self.context = context
+        self.on_joined = on_joined
+        self.namesake: Claim | None = None  # the greatest heard of another process of this name
+        self.namesake_ping_seq = 0  # seq of the question to it
+        self.unanswered_pings = 0
+        self.started_ms = 0.0
+
+    def start(self, now: float) -> None:
+        self.started_ms = now
+        if not self.context.seeds:
+            self.join(now)
             return
-        self._ask_seeds()
-        self.ground.agenda.at(now + self.ground.tuning.period_ms, ("own", ""))
+        self._request_tables()
+        self.context.timers.schedule(now + self.context.tuning.period_ms, ("own", ""))
 
-    def tick(self, now: float) -> None:
+    def period_due(self, now: float) -> None:
         """Each period while joining or out."""
-        ground = self.ground
-        if ground.phase not in (Phase.JOINING, Phase.OUT):
+        context = self.context
+        if context.phase not in (Phase.JOINING, Phase.DISPLACED):
             return
-        if self.other is not None:
-            tries = OUT_TRIES if ground.phase is Phase.OUT else JOIN_TRIES
-            if self.asked and self.unanswered >= tries:
-                self.enter(now)
+        if self.namesake is not None:
+            max_pings = DISPLACED_PINGS if context.phase is Phase.DISPLACED else JOIN_PINGS
+            if self.namesake_ping_seq and self.unanswered_pings >= max_pings:
+                self.join(now)
                 return
-            self._ask_other()
-        elif now - self.began >= JOIN_PERIODS * ground.tuning.period_ms:
-            self.enter(now)
+            self._ping_namesake()
+        elif now - self.started_ms >= JOIN_PERIODS * context.tuning.period_ms:
+            self.join(now)
             return
-        self._ask_seeds()
-        ground.agenda.at(now + ground.tuning.period_ms, ("own", ""))
+        self._request_tables()
+        context.timers.schedule(now + context.tuning.period_ms, ("own", ""))
 
-    def settle(self, now: float) -> None:
+    def table_received(self, now: float) -> None:
         """A member answered, and what it knows of this name was heard."""
-        if self.ground.phase is not Phase.JOINING or self.asked:
+        if self.context.phase is not Phase.JOINING or self.namesake_ping_seq:
             return
-        if self.other is None or self.other.says in FINAL or self.other.address == self.ground.address:
-            self.enter(now)
+        if (
+            self.namesake is None
+            or self.namesake.claimed_state in FINAL
+            or self.namesake.address == self.context.address
+        ):
+            self.join(now)
         else:
-            self._ask_other()
-
-    def enter(self, now: float) -> None:
-        ground = self.ground
-        if self.other is not None:
-            ground.process_epoch = max(ground.process_epoch, min(self.other.process_epoch + 1, MAX_PROCESS_EPOCH))
-        self.other, self.asked, self.unanswered = None, 0, 0
-        ground.incarnation = 0
-        ground.phase = Phase.INSIDE
-        ground.note("joined", life=ground.process_epoch)
-        ground.changed(State.ALIVE)
-        ground.tell(ground.own_claim())
-        self.entered(now)
-
-    def hear(self, now: float, claim: Claim) -> None:
+            self._ping_namesake()
+
+    def join(self, now: float) -> None:
+        context = self.context
+        if self.namesake is not None:
+            context.process_epoch = max(context.process_epoch, min(self.namesake.process_epoch + 1, MAX_PROCESS_EPOCH))
+        self.namesake, self.namesake_ping_seq, self.unanswered_pings = None, 0, 0
+        context.incarnation = 0
+        context.phase = Phase.ACTIVE
+        context.log("joined", life=context.process_epoch)
+        context.report_own_state(State.ALIVE)
+        context.disseminate(context.own_claim())
+        self.on_joined(now)
+
+    def receive_claim(self, now: float, claim: Claim) -> None:
         """A claim about this name."""
-        ground = self.ground
-        if ground.phase in (Phase.JOINING, Phase.OUT):
-            self._hear_of_other(now, claim)
-        elif ground.phase is Phase.INSIDE and claim.process_epoch >= ground.process_epoch:
-            here, final = claim.address == ground.address, claim.says in FINAL
-            if claim.process_epoch > ground.process_epoch:
-                if final or here:
-                    self._reborn(claim)
+        context = self.context
+        if context.phase in (Phase.JOINING, Phase.DISPLACED):
+            self._receive_namesake_claim(now, claim)
+        elif context.phase is Phase.ACTIVE and claim.process_epoch >= context.process_epoch:
+            same_address, final = claim.address == context.address, claim.claimed_state in FINAL
+            if claim.process_epoch > context.process_epoch:
+                if final or same_address:
+                    self._rejoin_fenced(claim)
                 else:
-                    self._step_out(now, claim)
+                    self._yield_name(now, claim)
             elif final:
-                self._reborn(claim)
-            elif not here:
-                if ground.address > claim.address:
-                    self._step_out(now, claim)
+                self._rejoin_fenced(claim)
+            elif not same_address:
+                if context.address > claim.address:
+                    self._yield_name(now, claim)
                 else:
-                    ground.count("twin of the same life")
-            elif claim.says is State.SUSPECT and claim.incarnation >= ground.incarnation:
+                    context.count("twin of the same life")
+            elif claim.claimed_state is State.SUSPECT and claim.incarnation >= context.incarnation:
                 self._refute(claim)
-            elif claim.incarnation > ground.incarnation:
-                ground.count("own incarnation from the future")
+            elif claim.incarnation > context.incarnation:
+                context.count("own incarnation from the future")
                 self._refute(claim)
 
-    def answered(self, message: Ack) -> None:
+    def namesake_answered(self, message: Ack) -> None:
         """By a process of the same name."""
-        ground = self.ground
-        if ground.phase not in (Phase.JOINING, Phase.OUT) or message.me.address == ground.address:
+        context = self.context
+        if context.phase not in (Phase.JOINING, Phase.DISPLACED) or message.sender.address == context.address:
             return
-        self.unanswered = 0
-        self.other = Claim(ground.name, 0, message.me.address, message.me.process_epoch, message.me.incarnation)
-        if not self.noted:
-            ground.note(f"twin {ground.name}", at=message.me.address, life=message.me.process_epoch)
-            self.noted = True
-        ground.phase = Phase.OUT
-
-    noted = False
-
-    def _hear_of_other(self, now: float, claim: Claim) -> None:
-        held = self.other
-        if held is None or (claim.process_epoch, claim.says in FINAL) > (held.process_epoch, held.says in FINAL):
-            self.other = claim
-        if self.ground.phase is Phase.OUT and self.other is claim and claim.says in FINAL:
-            self.enter(now)
-
-    def _ask_other(self) -> None:
-        ground = self.ground
-        if self.other is None:
+        self.unanswered_pings = 0
+        self.namesake = Claim(
+            context.name, 0, message.sender.address, message.sender.process_epoch, message.sender.incarnation
+        )
+        if not self.namesake_logged:
+            context.log(f"twin {context.name}", at=message.sender.address, life=message.sender.process_epoch)
+            self.namesake_logged = True
+        context.phase = Phase.DISPLACED
+
+    namesake_logged = False
+
+    def _receive_namesake_claim(self, now: float, claim: Claim) -> None:
+        known = self.namesake
+        if known is None or (claim.process_epoch, claim.claimed_state in FINAL) > (
+            known.process_epoch,
+            known.claimed_state in FINAL,
+        ):
+            self.namesake = claim
+        if self.context.phase is Phase.DISPLACED and self.namesake is claim and claim.claimed_state in FINAL:
+            self.join(now)
+
+    def _ping_namesake(self) -> None:
+        context = self.context
+        if self.namesake is None:
             return
-        self.asked = ground.seq()
-        self.unanswered += 1
+        self.namesake_ping_seq = context.next_seq()
+        self.unanswered_pings += 1
         for carrier in Carrier:
-            ground.say(self.other.address, Ping(self.asked, ground.name, ground.me), carrier)
+            context.send(self.namesake.address, Ping(self.namesake_ping_seq, context.name, context.own_sender), carrier)
 
-    def _ask_seeds(self) -> None:
-        ground = self.ground
-        for address in ground.seeds:
-            ground.say(address, Ask(ground.me), Carrier.STREAM)
+    def _request_tables(self) -> None:
+        context = self.context
+        for address in context.seeds:
+            context.send(address, TableRequest(context.own_sender), Carrier.STREAM)
 
     def _refute(self, claim: Claim) -> None:
-        ground = self.ground
-        ground.incarnation = min(claim.incarnation + 1, MOST_INCARNATION)
-        ground.health.note(REFUTED)
-        ground.tell(ground.own_claim())
-
-    def _reborn(self, claim: Claim) -> None:
-        ground = self.ground
-        ground.fenced(by=claim.by, life=ground.process_epoch)
-        ground.process_epoch, ground.incarnation = min(claim.process_epoch + 1, MAX_PROCESS_EPOCH), 0
-        ground.changed(State.ALIVE)
-        ground.tell(ground.own_claim())
-
-    def _step_out(self, now: float, claim: Claim) -> None:
-        ground = self.ground
-        ground.fenced(by=claim.name, life=ground.process_epoch)
-        ground.queue.drop(ground.name)
-        ground.phase, self.other, self.unanswered, self.noted = Phase.OUT, claim, 0, False
-        self._ask_other()
-        ground.agenda.at(now + ground.tuning.period_ms, ("own", ""))
+        context = self.context
+        context.incarnation = min(claim.incarnation + 1, MAX_INCARNATION)
+        context.health.adjust(SUSPICION_REFUTED)
+        context.disseminate(context.own_claim())
+
+    def _rejoin_fenced(self, claim: Claim) -> None:
+        context = self.context
+        context.report_fenced(by=claim.reported_by, life=context.process_epoch)
+        context.process_epoch, context.incarnation = min(claim.process_epoch + 1, MAX_PROCESS_EPOCH), 0
+        context.report_own_state(State.ALIVE)
+        context.disseminate(context.own_claim())
+
+    def _yield_name(self, now: float, claim: Claim) -> None:
+        context = self.context
+        context.report_fenced(by=claim.name, life=context.process_epoch)
+        context.gossip_queue.remove(context.name)
+        context.phase, self.namesake, self.unanswered_pings, self.namesake_logged = Phase.DISPLACED, claim, 0, False
+        self._ping_namesake()
+        context.timers.schedule(now + context.tuning.period_ms, ("own", ""))
--- a/limenotch/fleet/membership/states.py
+++ b/limenotch/fleet/membership/states.py
@@ -27,48 +27,53 @@
     LEFT = "left"
 
 
-CODES = (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)  # a state's number in messages; only ever added to
+STATES_BY_CODE = (
+    State.ALIVE,
+    State.SUSPECT,
+    State.DEAD,
+    State.LEFT,
+)  # a state's number in messages; only ever added to
 FINAL = frozenset((State.DEAD, State.LEFT))
 
 
-class Needs(Enum):
+class IncarnationRule(Enum):
     """Of the claim's incarnation, against the one held."""
 
     HIGHER = ">"
-    AS_HIGH = ">="
-    NOTHING = "always"
-    IMPOSSIBLE = "never"
-
-
-TABLE: dict[tuple[State, State], Needs] = {  # (held, claimed), in one life
-    (State.ALIVE, State.ALIVE): Needs.HIGHER,
-    (State.ALIVE, State.SUSPECT): Needs.AS_HIGH,
-    (State.ALIVE, State.DEAD): Needs.NOTHING,
-    (State.ALIVE, State.LEFT): Needs.NOTHING,
-    (State.SUSPECT, State.ALIVE): Needs.HIGHER,
-    (State.SUSPECT, State.SUSPECT): Needs.HIGHER,
-    (State.SUSPECT, State.DEAD): Needs.NOTHING,
-    (State.SUSPECT, State.LEFT): Needs.NOTHING,
-    (State.DEAD, State.ALIVE): Needs.IMPOSSIBLE,
-    (State.DEAD, State.SUSPECT): Needs.IMPOSSIBLE,
-    (State.DEAD, State.DEAD): Needs.IMPOSSIBLE,
-    (State.DEAD, State.LEFT): Needs.NOTHING,
-    (State.LEFT, State.ALIVE): Needs.IMPOSSIBLE,
-    (State.LEFT, State.SUSPECT): Needs.IMPOSSIBLE,
-    (State.LEFT, State.DEAD): Needs.IMPOSSIBLE,
-    (State.LEFT, State.LEFT): Needs.IMPOSSIBLE,
+    NOT_LOWER = ">="
+    ANY = "always"
+    NEVER = "never"
+
+
+PRECEDENCE: dict[tuple[State, State], IncarnationRule] = {  # (held, claimed), in one life
+    (State.ALIVE, State.ALIVE): IncarnationRule.HIGHER,
+    (State.ALIVE, State.SUSPECT): IncarnationRule.NOT_LOWER,
+    (State.ALIVE, State.DEAD): IncarnationRule.ANY,
+    (State.ALIVE, State.LEFT): IncarnationRule.ANY,
+    (State.SUSPECT, State.ALIVE): IncarnationRule.HIGHER,
+    (State.SUSPECT, State.SUSPECT): IncarnationRule.HIGHER,
+    (State.SUSPECT, State.DEAD): IncarnationRule.ANY,
+    (State.SUSPECT, State.LEFT): IncarnationRule.ANY,
+    (State.DEAD, State.ALIVE): IncarnationRule.NEVER,
+    (State.DEAD, State.SUSPECT): IncarnationRule.NEVER,
+    (State.DEAD, State.DEAD): IncarnationRule.NEVER,
+    (State.DEAD, State.LEFT): IncarnationRule.ANY,
+    (State.LEFT, State.ALIVE): IncarnationRule.NEVER,
+    (State.LEFT, State.SUSPECT): IncarnationRule.NEVER,
+    (State.LEFT, State.DEAD): IncarnationRule.NEVER,
+    (State.LEFT, State.LEFT): IncarnationRule.NEVER,
 }
 
 Standing = tuple[int, State, int]  # life, state, incarnation
 
 
-def wins(claimed: Standing, held: Standing) -> bool:
+def supersedes(claimed: Standing, held: Standing) -> bool:
     """Whether what is claimed takes the place of what is held."""
     if claimed[0] != held[0]:
         return claimed[0] > held[0]
-    needs = TABLE[held[1], claimed[1]]
-    if needs is Needs.HIGHER:
+    rule = PRECEDENCE[held[1], claimed[1]]
+    if rule is IncarnationRule.HIGHER:
         return claimed[2] > held[2]
-    if needs is Needs.AS_HIGH:
+    if rule is IncarnationRule.NOT_LOWER:
         return claimed[2] >= held[2]
-    return needs is Needs.NOTHING
+    return rule is IncarnationRule.ANY
--- a/limenotch/fleet/membership/suspicion.py
+++ b/limenotch/fleet/membership/suspicion.py
@@ -13,30 +13,30 @@
 class Suspicion:
     """Of one life and incarnation of a member, as held by one other. Spans in milliseconds."""
 
-    def __init__(self, now: float, by: str, shortest: float, longest: float, looked_for: int) -> None:
-        self.began = now
-        self.by = {by}
-        self.shortest, self.longest = shortest, longest
-        self.looked_for = looked_for
+    def __init__(self, now: float, reported_by: str, min_ms: float, max_ms: float, expected_confirmations: int) -> None:
+        self.started_ms = now
+        self.reporters = {reported_by}
+        self.min_ms, self.max_ms = min_ms, max_ms
+        self.expected_confirmations = expected_confirmations
 
     @property
-    def confirmed(self) -> int:
-        return len(self.by) - 1
+    def confirmations(self) -> int:
+        return len(self.reporters) - 1
 
     @property
-    def until(self) -> float:
-        if self.looked_for <= 0:
-            return self.began + self.shortest
-        share = log(self.confirmed + 1) / log(self.looked_for + 1)
-        return self.began + max(self.shortest, self.longest - (self.longest - self.shortest) * share)
+    def expires_at_ms(self) -> float:
+        if self.expected_confirmations <= 0:
+            return self.started_ms + self.min_ms
+        share = log(self.confirmations + 1) / log(self.expected_confirmations + 1)
+        return self.started_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
 
-    def confirm(self, by: str) -> bool:
+    def confirm(self, reported_by: str) -> bool:
         """Whether this was news: another finder, and not more than are looked for."""
-        if by in self.by or self.confirmed >= self.looked_for:
+        if reported_by in self.reporters or self.confirmations >= self.expected_confirmations:
             return False
-        self.by.add(by)
+        self.reporters.add(reported_by)
         return True
 
     def restart(self, now: float) -> None:
         """After a pause of one's own: what was found before it counts, but the suspect gets its time again."""
-        self.began = now
+        self.started_ms = now
--- a/limenotch/fleet/membership/table.py
+++ b/limenotch/fleet/membership/table.py
@@ -7,47 +7,53 @@
 from random import Random
 
 from .messages import Claim
-from .states import CODES, FINAL, Standing, State, wins
+from .states import FINAL, STATES_BY_CODE, Standing, State, supersedes
 from .suspicion import Suspicion
 
 
 class Member:
-    __slots__ = ("address", "by", "incarnation", "name", "process_epoch", "since", "state", "suspicion")
+    __slots__ = ("address", "incarnation", "name", "process_epoch", "reported_by", "since_ms", "state", "suspicion")
 
-    def __init__(self, claim: Claim, since: float) -> None:
+    def __init__(self, claim: Claim, since_ms: float) -> None:
         self.name = claim.name
         self.suspicion: Suspicion | None = None
-        self.take(claim, since)
+        self.apply(claim, since_ms)
 
-    def take(self, claim: Claim, since: float) -> None:
-        self.address, self.process_epoch, self.state = claim.address, claim.process_epoch, claim.says
-        self.incarnation, self.by, self.since = claim.incarnation, claim.by, since
+    def apply(self, claim: Claim, since_ms: float) -> None:
+        self.address, self.process_epoch, self.state = claim.address, claim.process_epoch, claim.claimed_state
+        self.incarnation, self.reported_by, self.since_ms = claim.incarnation, claim.reported_by, since_ms
 
     @property
     def standing(self) -> Standing:
         return (self.process_epoch, self.state, self.incarnation)
 
-    def claim(self, now: float) -> Claim:
-        age = int(max(0.0, now - self.since)) if self.state in FINAL else 0
+    def to_claim(self, now: float) -> Claim:
+        age = int(max(0.0, now - self.since_ms)) if self.state in FINAL else 0
         return Claim(
-            self.name, CODES.index(self.state), self.address, self.process_epoch, self.incarnation, self.by, age
+            self.name,
+            STATES_BY_CODE.index(self.state),
+            self.address,
+            self.process_epoch,
+            self.incarnation,
+            self.reported_by,
+            age,
         )
 
 
-class Came(Enum):
-    OLD = "nothing new"
+class ClaimOutcome(Enum):
+    SUPERSEDED = "nothing new"
     NEW = "a name not held before"
     CHANGED = "another state, life or address"
     REFRESHED = "a higher incarnation alone"
     SAME_SUSPICION = "the suspicion held, maybe by somebody else"
-    FULL = "no room for another name"
+    TABLE_FULL = "no room for another name"
 
 
-class Table:
+class MemberTable:
     """Bounded by `most` names; where it is full, who is dead or left longest makes room."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_members: int) -> None:
+        self.max_members = max_members
         self.members: dict[str, Member] = {}
         self.live: list[str] = []  # alive or suspect
 
@@ -60,55 +66,61 @@
     def __iter__(self) -> Iterator[Member]:
         return iter(self.members.values())
 
-    def hear(self, claim: Claim, now: float) -> Came:
-        held = self.members.get(claim.name)
-        since = now - claim.age_ms if claim.says in FINAL else now
-        if held is None:
-            if len(self.members) >= self.most and not self._make_room():
-                return Came.FULL
-            self.members[claim.name] = Member(claim, since)
-            self._count()
-            return Came.NEW
-        said = (claim.process_epoch, claim.says, claim.incarnation)
-        if said == held.standing and claim.says is State.SUSPECT:
-            return Came.SAME_SUSPICION
-        if not wins(said, held.standing):
-            return Came.OLD
-        same = held.process_epoch == claim.process_epoch and held.state is claim.says and held.address == claim.address
-        before = held.incarnation if held.process_epoch == claim.process_epoch else 0
-        held.take(claim, held.since if same else since)
-        held.incarnation = max(held.incarnation, before)  # a death may come of an older one than was heard of
-        held.suspicion = None
-        self._count()
-        return Came.REFRESHED if same else Came.CHANGED
+    def apply(self, claim: Claim, now: float) -> ClaimOutcome:
+        known = self.members.get(claim.name)
+        since_ms = now - claim.age_ms if claim.claimed_state in FINAL else now
+        if known is None:
+            if len(self.members) >= self.max_members and not self._evict_ended():
+                return ClaimOutcome.TABLE_FULL
+            self.members[claim.name] = Member(claim, since_ms)
+            self._update_live()
+            return ClaimOutcome.NEW
+        claimed = (claim.process_epoch, claim.claimed_state, claim.incarnation)
+        if claimed == known.standing and claim.claimed_state is State.SUSPECT:
+            return ClaimOutcome.SAME_SUSPICION
+        if not supersedes(claimed, known.standing):
+            return ClaimOutcome.SUPERSEDED
+        same = (
+            known.process_epoch == claim.process_epoch
+            and known.state is claim.claimed_state
+            and known.address == claim.address
+        )
+        min_incarnation = known.incarnation if known.process_epoch == claim.process_epoch else 0
+        known.apply(claim, known.since_ms if same else since_ms)
+        known.incarnation = max(
+            known.incarnation, min_incarnation
+        )  # a death may come of an older one than was heard of
+        known.suspicion = None
+        self._update_live()
+        return ClaimOutcome.REFRESHED if same else ClaimOutcome.CHANGED
 
     def forget(self, name: str) -> None:
         self.members.pop(name, None)
-        self._count()
+        self._update_live()
 
-    def some(self, random: Random, most: int, but: str = "") -> list[str]:
+    def sample(self, random: Random, max_members: int, excluded: str = "") -> list[str]:
         """Of the live, different ones, by chance."""
         chosen: list[str] = []
         live = self.live
-        if len(live) <= most + 1:
-            chosen = [name for name in live if name != but]
+        if len(live) <= max_members + 1:
+            chosen = [name for name in live if name != excluded]
             random.shuffle(chosen)
-            return chosen[:most]
-        while len(chosen) < most:
+            return chosen[:max_members]
+        while len(chosen) < max_members:
             name = live[random.randrange(len(live))]
-            if name != but and name not in chosen:
+            if name != excluded and name not in chosen:
                 chosen.append(name)
         return chosen
 
-    def of(self, state: State) -> list[str]:
+    def names_in(self, state: State) -> list[str]:
         return [member.name for member in self.members.values() if member.state is state]
 
-    def _make_room(self) -> bool:
+    def _evict_ended(self) -> bool:
         ended = [member for member in self.members.values() if member.state in FINAL]
         if not ended:
             return False
-        del self.members[min(ended, key=lambda member: member.since).name]
+        del self.members[min(ended, key=lambda member: member.since_ms).name]
         return True
 
-    def _count(self) -> None:
+    def _update_live(self) -> None:
         self.live = [member.name for member in self.members.values() if member.state not in FINAL]
--- a/limenotch/fleet/settings.py
+++ b/limenotch/fleet/settings.py
@@ -20,13 +20,13 @@
 from .membership.tuning import Tuning
 from .rules import tuning as rules
 from .wallet import tuning as wallet
-from .wire import LEAST_KEY, MOST_FRAME, MOST_KEY, MOST_NAME
+from .wire import MAX_FRAME_BYTES, MAX_KEY_BYTES, MAX_NAME_LENGTH, MIN_KEY_BYTES
 
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
-ANYWHERE = ("0.0.0.0", "::")  # what can be listened at, but not reached
-STORE_FILES = 8  # descriptors that the store and its thread may hold
-SOCKETS = 2
-FIELD = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{0,64}")  # a header field's name, or none
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+WILDCARD_HOSTS = ("0.0.0.0", "::")  # what can be listened at, but not reached
+STORE_DESCRIPTORS = 8  # descriptors that the store and its thread may hold
+SOCKET_DESCRIPTORS = 2
+HEADER_FIELD = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{0,64}")  # a header field's name, or none
 
 
 class Membership(Tuning, frozen=True, forbid_unknown_fields=True):
@@ -70,14 +70,14 @@
     @property
     def descriptors(self) -> int:
         """What the fleet may hold of the process's limit."""
-        return SOCKETS + 2 * self.streams + (STORE_FILES if self.folder is not None else 0)
+        return SOCKET_DESCRIPTORS + 2 * self.streams + (STORE_DESCRIPTORS if self.folder is not None else 0)
 
 
 class _WithFleet(base.Settings, frozen=True, forbid_unknown_fields=True, kw_only=True):
     fleet: Fleet
 
 
-class Placed(NamedTuple):
+class ResolvedFleet(NamedTuple):
     """A table that was found sound, as a sidecar of some name has it."""
 
     name: str
@@ -93,49 +93,49 @@
 def parse_with(text: str, name: str) -> base.Settings:
     """Settings whose `fleet` is there. Raises toml.FaultError."""
     settings = toml.decode(text, name, _WithFleet)
-    for path, what in _faults(settings.fleet):
+    for path, what in _find_faults(settings.fleet):
         raise toml.fault(text, name, path, what)
     return settings
 
 
-def place(table: Fleet, sidecar: str) -> Placed:
+def resolve(table: Fleet, sidecar: str) -> ResolvedFleet:
     """Raises FaultError where the sidecar's name has a say, or the key's file has changed since."""
     name = table.name or sidecar
-    addresses = {other: address(at, "") for other, at in table.addresses.items()}
+    addresses = {other: address(peer_address, "") for other, peer_address in table.addresses.items()}
     listen = address(table.listen, "")
-    at = addresses.get(name, listen)
-    if at[0] in ANYWHERE:
+    peer_address = addresses.get(name, listen)
+    if peer_address[0] in WILDCARD_HOSTS:
         raise toml.FaultError(f"fleet.listen: {table.listen} can't be reached; fleet.addresses has none for {name!r}")
-    if len(name) > MOST_NAME:  # the sidecar's
-        raise toml.FaultError(f"fleet.name: missing, {name!r} has more than {MOST_NAME} letters")
+    if len(name) > MAX_NAME_LENGTH:  # the sidecar's
+        raise toml.FaultError(f"fleet.name: missing, {name!r} has more than {MAX_NAME_LENGTH} letters")
     if name in table.voters and table.folder is None:
         raise toml.FaultError(f"fleet.folder: missing, {name!r} is a voter and what it says is stored")
     seeds = tuple(address(seed, "") for seed in table.seeds)
-    return Placed(name, table.group, read_key(table.key_file), listen, at, seeds, addresses, table)
+    return ResolvedFleet(name, table.group, read_key(table.key_file), listen, peer_address, seeds, addresses, table)
 
 
 def read_key(path: str) -> bytes:
     """The file's content without white space at its ends. Raises FaultError, which never shows any of it."""
     try:
         with open(path, "rb") as file:
-            key = file.read(4 * MOST_KEY).strip()
+            key = file.read(4 * MAX_KEY_BYTES).strip()
     except OSError as error:
         raise toml.FaultError(f"fleet.key_file: {path}: {error.strerror}") from None
     except ValueError:
         raise toml.FaultError("fleet.key_file: no path") from None
-    if not LEAST_KEY <= len(key) <= MOST_KEY:
-        raise toml.FaultError(f"fleet.key_file: {path}: expected {LEAST_KEY} to {MOST_KEY} bytes")
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        raise toml.FaultError(f"fleet.key_file: {path}: expected {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
     return key
 
 
-def _faults(table: Fleet) -> Iterator[tuple[str, str]]:
+def _find_faults(table: Fleet) -> Iterator[tuple[str, str]]:
     """Path and fault of what types alone don't say."""
     addresses = [("listen", table.listen)]
     addresses += [(f"seeds[{number}]", seed) for number, seed in enumerate(table.seeds)]
-    addresses += [(f"addresses.{name}", at) for name, at in table.addresses.items()]
-    for key, at in addresses:
+    addresses += [(f"addresses.{name}", peer_address) for name, peer_address in table.addresses.items()]
+    for key, peer_address in addresses:
         try:
-            host, port = address(at, "fleet")
+            host, port = address(peer_address, "fleet")
             ipaddress.ip_address(host)
             if port == 0:
                 yield f"fleet.{key}", "expected a port other than 0"
@@ -148,21 +148,21 @@
     if table.wallet is not None and not table.voters:
         yield "fleet.wallet", "credit is agreed on by voters, and fleet.voters has none"
     if table.wallet is not None:
-        yield from _of_the_wallet(table.wallet)
-    if table.bindings is not None and not FIELD.fullmatch(table.bindings.session):
+        yield from _find_wallet_faults(table.wallet)
+    if table.bindings is not None and not HEADER_FIELD.fullmatch(table.bindings.session):
         yield "fleet.bindings.session", f"expected the name of a header field, not {table.bindings.session!r}"
     if len(set(table.voters)) != len(table.voters):
         yield "fleet.voters", "a name stands twice"
     for key in ("most_entry_bytes", "most_batch_bytes", "chunk_bytes"):
-        if getattr(table.agreement, key) > MOST_FRAME // 2:
-            yield f"fleet.agreement.{key}", f"more than {MOST_FRAME // 2}, what one message may have"
+        if getattr(table.agreement, key) > MAX_FRAME_BYTES // 2:
+            yield f"fleet.agreement.{key}", f"more than {MAX_FRAME_BYTES // 2}, what one message may have"
     try:
         read_key(table.key_file)
     except toml.FaultError as error:
         yield "fleet.key_file", str(error).removeprefix("fleet.key_file: ")
 
 
-def _of_the_wallet(table: Wallet) -> Iterator[tuple[str, str]]:
+def _find_wallet_faults(table: Wallet) -> Iterator[tuple[str, str]]:
     if not table.tenants:
         yield "fleet.wallet.tenants", "nobody pays: leave the table out"
     elif len(set(table.tenants)) != len(table.tenants):
--- a/limenotch/fleet_adapters/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -14,7 +14,7 @@
 from ..net.admin.server import RequestHandler
 from ..net.request import RequestInterceptor
 
-SPARE_S = 1.0  # for an answer that comes by the log's own bounds
+RESPONSE_MARGIN_S = 1.0  # for an answer that comes by the log's own bounds
 
 
 class NodeContext(NamedTuple):
--- a/limenotch/fleet_adapters/replicated_notes.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -7,7 +7,7 @@
 from ..fleet.consensus.tuning import Tuning
 from ..fleet.replicated_notes import LATE_MS, OperatorResponse, ReplicatedNotes
 from ..net.admin.log import PREFIX, LogQueries, unavailable
-from .base import SPARE_S, FleetAdapter, NodeContext
+from .base import RESPONSE_MARGIN_S, FleetAdapter, NodeContext
 
 
 class ReplicatedNotesAdapter(FleetAdapter):
@@ -16,7 +16,7 @@
     def __init__(self, among: NodeContext, tuning: Tuning) -> None:
         super().__init__()
         self._promises = ReplicatedNotes()
-        self._promised = LogQueries(among.dispatch, (tuning.ask_ms + LATE_MS) / 1000.0 + SPARE_S)
+        self._promised = LogQueries(among.dispatch, (tuning.ask_ms + LATE_MS) / 1000.0 + RESPONSE_MARGIN_S)
         self.action_handlers = {OperatorResponse: self._promised.handle_answer}
         self.routes = self._promised.paths
 
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -17,7 +17,7 @@
 from ..load_balancer_types import AttemptEnding
 from ..net.admin.rules import PREFIX, RULES, RulesQueries
 from ..net.request import Attempt, FinalResponse, Request, Verdict
-from .base import SPARE_S, FleetAdapter, NodeContext, message_types
+from .base import RESPONSE_MARGIN_S, FleetAdapter, NodeContext, message_types
 
 COUNT_S = 1.0  # between two words of what calls came to
 
@@ -59,7 +59,7 @@
         self._late = Late()
         self.interceptor = self._late
         self._counting = PeriodicCallback(self._count, COUNT_S * 1000.0)
-        ruled = RulesQueries(among.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self.status)
+        ruled = RulesQueries(among.dispatch, tuning.ask_ms / 1000.0 + RESPONSE_MARGIN_S, self.status)
         self.action_handlers = {OperatorResponse: ruled.handle_answer, InForce: self._in_force, Narrow: self._narrow}
         self.routes = {RULES: ruled.answer}
 
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -15,14 +15,14 @@
 from typing import Any, Protocol
 
 from .. import logs
-from ..fleet.hub import LOG, ComponentEvent
+from ..fleet.hub import LOG_PREFIX, ComponentEvent
 from ..fleet.wallet import Wallet, messages
 from ..fleet.wallet.api import Look, OperatorResponse, Purse, Reservation, Turned, Witnesses
 from ..fleet.wallet.tuning import Tuning
 from ..load_balancer_types import AttemptEnding
 from ..net.admin.wallet import PREFIX, WalletQueries
 from ..net.request import Attempt, FinalResponse, Request, RetryLater, Verdict
-from .base import SPARE_S, FleetAdapter, NodeContext, message_types
+from .base import RESPONSE_MARGIN_S, FleetAdapter, NodeContext, message_types
 
 log = logs.get(__name__)
 
@@ -34,7 +34,7 @@
 class Parts(Protocol):
     """The hub."""
 
-    off: tuple[str, ...]  # prefixes of the parts stopped
+    stopped: tuple[str, ...]  # prefixes of the parts stopped
 
 
 class Till:
@@ -59,7 +59,7 @@
     @property
     def off(self) -> bool:
         off = self._parts.off
-        return self.fault or PREFIX in off or LOG in off
+        return self.fault or PREFIX in off or LOG_PREFIX in off
 
     def pays(self, tenant: str) -> bool:
         return "*" in self._tenants or tenant in self._tenants
@@ -149,7 +149,7 @@
         self._among, self._tuning = among, tuning
         self._wallet: Wallet | None = None
         self._till = Till(tuning, self._look, parts)
-        paid = WalletQueries(among.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self._till.pays)
+        paid = WalletQueries(among.dispatch, tuning.ask_ms / 1000.0 + RESPONSE_MARGIN_S, self._till.pays)
         self.action_handlers = {OperatorResponse: paid.handle_answer}
         self.routes = paid.paths
         self.interceptor = self._till
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -24,11 +24,11 @@
 from .fleet import log_multiplexer
 from .fleet.consensus import Agreement
 from .fleet.consensus import messages as consensus_messages
-from .fleet.hub import LOG, ComponentHub
+from .fleet.hub import LOG_PREFIX, ComponentHub
 from .fleet.interfaces import Component
 from .fleet.membership import Membership
-from .fleet.membership.messages import Spoken
-from .fleet.settings import Fleet, Placed, place
+from .fleet.membership.messages import MembershipMessage
+from .fleet.settings import Fleet, ResolvedFleet, resolve
 from .fleet.wire import FrameCodec
 from .fleet_adapters.base import FleetAdapter, NodeContext, message_types
 from .fleet_adapters.endpoint_lists import EndpointListsAdapter, Use, Where
@@ -46,7 +46,7 @@
 log = logs.get(__name__)
 
 # From the notice that this process leaves to the closing of its sockets.
-LEAVE_S = 0.5
+CLOSE_DELAY_S = 0.5
 # Where GET gives this node's state to operators.
 PATH = "/fleet"
 # Between two checks of who votes.
@@ -62,7 +62,7 @@
             "incarnation": member.incarnation,
             "life": member.process_epoch,
             "address": host_port(member.address),
-            "since_ms": round(now - member.since),
+            "since_ms": round(now - member.since_ms),
         }
         for member in membership.members()
     ]
@@ -73,22 +73,22 @@
 
     def __init__(self, table: Fleet, sidecar: str) -> None:
         """Raises toml.FaultError on settings that can't be used."""
-        self._placed = place(table, sidecar)
-        self.name = self._placed.name
-        self.group = self._placed.group
+        self._settings = resolve(table, sidecar)
+        self.name = self._settings.name
+        self.group = self._settings.group
         # Of two processes of one name the later has the higher one, unless the wall clock was set back in between:
         # the only use of that clock here, and to membership it is just a number.
         self.process_epoch = time.time_ns() // 1000
         self._membership = self._create_membership(table)
         self._hub = ComponentHub([("mb.", self._membership)], self._membership)
         self._context = NodeContext(
-            self.name, self.process_epoch, table.voters, self._placed.key, self._notify, self.now
+            self.name, self.process_epoch, table.voters, self._settings.key, self._dispatch, self.now
         )
         self._rules = RulesAdapter(self._context, table.rules) if table.rules is not None else None
         self._lists = EndpointListsAdapter(self._context) if table.rules is not None else None
         self._adapters = self._create_adapters(table)
         self._transport = self._create_transport(table)
-        self._disk = _open_disk(self._placed)
+        self._disk = _open_disk(self._settings)
         self._agreement: Agreement | None = None
         # Why there is no log; empty while there is one.
         self._no_log_reason = "the log is not read yet" if self._disk is not None else "no log: fleet.voters has none"
@@ -96,20 +96,20 @@
         self._voter_check = PeriodicCallback(self._check_voters, VOTER_CHECK_INTERVAL_S * MS_PER_S)
         self._closing: asyncio.TimerHandle | None = None
         self.descriptors = table.descriptors
-        self.paths: dict[str, RequestHandler] = {PATH: self._answer}
+        self.paths: dict[str, RequestHandler] = {PATH: self._handle_request}
         for adapter in self._adapters:
             self._register(adapter)
 
     def _create_membership(self, table: Fleet) -> Membership:
-        placed = self._placed
+        resolved = self._settings
         return Membership(
-            placed.name,
-            placed.address,
+            resolved.name,
+            resolved.address,
             self.process_epoch,
-            placed.seeds,
+            resolved.seeds,
             table.membership,
             _random_seed(),
-            placed.addresses,
+            resolved.addresses,
         )
 
     def _create_adapters(self, table: Fleet) -> list[FleetAdapter]:
@@ -132,22 +132,28 @@
         return adapters
 
     def _create_transport(self, table: Fleet) -> PeerTransport:
-        placed = self._placed
+        resolved = self._settings
         messages = (
-            *get_args(Spoken),
+            *get_args(MembershipMessage),
             *message_types(consensus_messages),
             *(message for adapter in self._adapters for message in adapter.messages),
         )
-        codec = FrameCodec(placed.key, placed.group, messages)
+        codec = FrameCodec(resolved.key, resolved.group, messages)
         return PeerTransport(
-            placed.listen, placed.name, self.process_epoch, self._hub, codec, table.streams, address=placed.address
+            resolved.listen,
+            resolved.name,
+            self.process_epoch,
+            self._hub,
+            codec,
+            table.streams,
+            address=resolved.address,
         )
 
     def _register(self, adapter: FleetAdapter) -> None:
         """Connect an adapter's actions and paths, and start its component if that needs no log."""
         for kind, listener in adapter.action_handlers.items():
             self._hub.register_action_handler(kind, listener)
-        self.paths |= {path: self._guarded(adapter, handler) for path, handler in adapter.routes.items()}
+        self.paths |= {path: self._guard(adapter, handler) for path, handler in adapter.routes.items()}
         if not adapter.is_replicated:
             self._start_component(adapter, adapter.component(None, 0))
 
@@ -156,8 +162,8 @@
             self._hub.add(adapter.prefix, component)
             adapter.started()
 
-    def _notify(self, event: Any) -> None:
-        self._transport.tell(event)
+    def _dispatch(self, event: Any) -> None:
+        self._transport.dispatch(event)
 
     def now(self) -> float:
         """The clock that leases are counted on, in ms."""
@@ -226,11 +232,13 @@
     async def _open_log(self) -> Disk | None:
         """The log and the adapters above it, from what the disk has. An unreadable disk costs the log alone."""
         disk = self._disk
-        placed = self._placed
+        resolved = self._settings
         assert disk is not None
         try:
             stored = await disk.open() if isinstance(disk, FolderStorage) else StoredLog(entries=[])
-            agreement = Agreement(placed.name, placed.table.voters, stored, placed.table.agreement, _random_seed())
+            agreement = Agreement(
+                resolved.name, resolved.table.voters, stored, resolved.table.agreement, _random_seed()
+            )
             states = log_multiplexer.split_states(agreement.state)
             components = [
                 (adapter, adapter.component(states.get(adapter.prefix), agreement.index))
@@ -239,10 +247,10 @@
             ]
         except (UnreadableError, msgspec.DecodeError, ValueError) as error:
             self._no_log_reason = f"no log: {error}"
-            log.error("fleet: goes on without the log", folder=placed.table.folder, error=str(error))
+            log.error("fleet: goes on without the log", folder=resolved.table.folder, error=str(error))
             disk.close()
             return None
-        self._hub.add(LOG, agreement)
+        self._hub.add(LOG_PREFIX, agreement)
         for adapter, component in components:
             self._start_component(adapter, component)
         self._hub.record_snapshot_prefixes(states)
@@ -267,7 +275,7 @@
         """
         if self._closing is None:
             self._transport.leave()
-            self._closing = asyncio.get_running_loop().call_later(LEAVE_S, self._transport.close)
+            self._closing = asyncio.get_running_loop().call_later(CLOSE_DELAY_S, self._transport.close)
 
     def close(self) -> None:
         """Close everything at once."""
@@ -282,19 +290,19 @@
 
     def state(self) -> dict[str, Any]:
         """The answer to GET /fleet."""
-        parts: dict[str, Any] = {"membership": self._membership.status()}
+        components: dict[str, Any] = {"membership": self._membership.status()}
         if self._disk is not None:
-            parts["agreement"] = self._log_state()
+            components["agreement"] = self._log_state()
         for adapter in self._adapters:
-            parts[adapter.name] = self._adapter_state(adapter)
+            components[adapter.name] = self._adapter_state(adapter)
         return {
             "name": self.name,
             "group": self.group,
             "life": self.process_epoch,
-            "at": host_port(self._placed.address),
+            "at": host_port(self._settings.address),
             "members": members(self._membership, self._transport.now()),
             **self._transport.state(),
-            "parts": parts,
+            "parts": components,
         }
 
     def _adapter_state(self, adapter: FleetAdapter) -> dict[str, Any]:
@@ -307,7 +315,7 @@
             return {"role": "none", "why": self._no_log_reason}
         return {**self._agreement.status(), "store": self._disk.state() if self._disk is not None else ""}
 
-    def _guarded(self, adapter: FleetAdapter, handler: RequestHandler) -> RequestHandler:
+    def _guard(self, adapter: FleetAdapter, handler: RequestHandler) -> RequestHandler:
         """The handler, or the adapter's own refusal while it lacks the log that it needs."""
 
         async def handle(request: http1.Message) -> bytes:
@@ -317,7 +325,7 @@
 
         return handle
 
-    async def _answer(self, request: http1.Message) -> bytes:
+    async def _handle_request(self, request: http1.Message) -> bytes:
         if request.method != b"GET":
             return http1.write_response(405, [(b"Allow", b"GET")], b"", close=True)
         return json_response(200, self.state())
@@ -327,14 +335,14 @@
     return int.from_bytes(os.urandom(8), "big")
 
 
-def _open_disk(placed: Placed) -> FolderStorage | MemoryStorage | None:
+def _open_disk(resolved: ResolvedFleet) -> FolderStorage | MemoryStorage | None:
     """None: no voters, so no log. Raises toml.FaultError where a library is missing."""
-    table = placed.table
+    table = resolved.table
     if not table.voters:
         return None
     if table.folder is None:
         log.info("fleet: no folder, what is agreed on is kept in memory only")
-        return MemoryStorage(placed.name)
+        return MemoryStorage(resolved.name)
     try:
         return FolderStorage(Path(table.folder))
     except ImportError as error:
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from limenotch.fleet import consensus
-from limenotch.fleet.hub import LOG, ComponentEvent, ComponentHub
+from limenotch.fleet.hub import LOG_PREFIX, ComponentEvent, ComponentHub
 from limenotch.fleet.log_multiplexer import split_states
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.fleet.rules.endpoint_list_messages import Arrived, DirectorySilent, Listed, Named, PeerDrain
@@ -65,7 +65,7 @@
         log = consensus.Agreement(name, self.voters, held, OF_THE_LOG, seed)
         states = split_states(log.state)
         lists = self.made[name] = Lists(name, process_epoch, "d1", self.voters, state=states.get(PREFIX))
-        hub = ComponentHub([("mb.", members), (LOG, log), (PREFIX, lists)], members)
+        hub = ComponentHub([("mb.", members), (LOG_PREFIX, log), (PREFIX, lists)], members)
         hub.record_snapshot_prefixes(states)
         self.uses[name] = ({}, set())
 
--- a/limenotch/net/peer_streams.py
+++ b/limenotch/net/peer_streams.py
@@ -18,23 +18,23 @@
 from .. import logs
 from ..config import Address, host_port
 from ..fleet.interfaces import Message
-from ..fleet.wire import MOST_FRAME, FrameCodec, FrameFault, FrameReader, Hello, with_length
+from ..fleet.wire import MAX_FRAME_BYTES, FrameCodec, FrameFault, FrameReader, Hello, with_length
 
 log = logs.get(__name__)
 
-MOST_QUEUED = 1024  # messages that wait for one peer ...
-MOST_BYTES = 4 * 1024 * 1024  # ... and their bytes
-BATCH = 256 * 1024  # bytes written at once, one frame at least
-STALE_S = 5.0  # a message that has waited for longer is not sent any more
-CONNECT_S = 2.0
-STALL_S = 5.0  # a peer that takes nothing for so long is silent: its stream is dropped
-IDLE_S = 60.0  # without a message: an own stream is closed, and another's after twice that
-FIRST_WAIT_S, MOST_WAIT_S = 0.1, 3.2  # between two attempts, doubled from one to the next
-HELLO_S = 2.0  # from a connection to its first frame
-MOST_HELLO = 1024  # bytes of that frame
-READ = 64 * 1024  # bytes at once
+MAX_QUEUED_MESSAGES = 1024  # messages that wait for one peer ...
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # ... and their bytes
+MAX_BATCH_BYTES = 256 * 1024  # bytes written at once, one frame at least
+MAX_QUEUE_AGE_S = 5.0  # a message that has waited for longer is not sent any more
+CONNECT_TIMEOUT_S = 2.0
+WRITE_TIMEOUT_S = 5.0  # a peer that takes nothing for so long is silent: its stream is dropped
+IDLE_TIMEOUT_S = 60.0  # without a message: an own stream is closed, and another's after twice that
+MIN_RETRY_WAIT_S, MAX_RETRY_WAIT_S = 0.1, 3.2  # between two attempts, doubled from one to the next
+HELLO_TIMEOUT_S = 2.0  # from a connection to its first frame
+MAX_HELLO_BYTES = 1024  # bytes of that frame
+READ_CHUNK_BYTES = 64 * 1024  # bytes at once
 
-USER_TIMEOUT: int | None = getattr(socket, "TCP_USER_TIMEOUT", None)  # Linux; RFC 5482
+TCP_USER_TIMEOUT: int | None = getattr(socket, "TCP_USER_TIMEOUT", None)  # Linux; RFC 5482
 
 COUNTS = (
     "connected",
@@ -51,28 +51,30 @@
 )
 
 
-def counts() -> dict[str, int]:
+def new_counts() -> dict[str, int]:
     """All counters of streams, at 0."""
     return dict.fromkeys(COUNTS, 0)
 
 
-def family(address: Address) -> socket.AddressFamily:
+def address_family(address: Address) -> socket.AddressFamily:
     """The address family of a numeric address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
-class _Link:
+class _OutboundStream:
     """What goes to one address: a queue, and a task that connects, writes and waits."""
 
-    def __init__(self, address: Address, hello: bytes, counted: dict[str, int], ended: Callable[[_Link], None]) -> None:
-        self.address, self._hello, self._counted, self._ended = address, hello, counted, ended
+    def __init__(
+        self, address: Address, hello: bytes, counts: dict[str, int], on_end: Callable[[_OutboundStream], None]
+    ) -> None:
+        self.address, self._hello, self._counts, self._on_end = address, hello, counts, on_end
         self._queue: deque[tuple[float, bytes]] = deque()
         self._bytes = 0
         self._wake = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._stream: IOStream | None = None
-        self.used = self._loop.time()  # when a message was given last
-        self._task = self._loop.create_task(self._keep())
+        self.last_used_s = self._loop.time()  # when a message was given last
+        self._task = self._loop.create_task(self._run_logged())
 
     @property
     def queued(self) -> tuple[int, int]:
@@ -83,62 +85,62 @@
     def connected(self) -> bool:
         return self._stream is not None
 
-    def put(self, frame: bytes) -> None:
-        self.used = self._loop.time()
-        self._queue.append((self.used, with_length(frame)))
+    def enqueue(self, frame: bytes) -> None:
+        self.last_used_s = self._loop.time()
+        self._queue.append((self.last_used_s, with_length(frame)))
         self._bytes += len(self._queue[-1][1])
-        while len(self._queue) > MOST_QUEUED or self._bytes > MOST_BYTES:
-            self._counted["dropped_full"] += 1
-            self._pop()
+        while len(self._queue) > MAX_QUEUED_MESSAGES or self._bytes > MAX_QUEUED_BYTES:
+            self._counts["dropped_full"] += 1
+            self._dequeue()
         self._wake.set()
 
     def close(self) -> None:
         self._task.cancel()
 
-    def _pop(self) -> bytes:
+    def _dequeue(self) -> bytes:
         data = self._queue.popleft()[1]
         self._bytes -= len(data)
         return data
 
-    def _batch(self) -> bytes:
+    def _next_batch(self) -> bytes:
         """What is written next; empty if nothing waits."""
-        taken: list[bytes] = []
-        size, old = 0, self._loop.time() - STALE_S
-        while self._queue and (not taken or size + len(self._queue[0][1]) <= BATCH):
-            at = self._queue[0][0]
-            data = self._pop()
-            if at < old:
-                self._counted["dropped_old"] += 1
+        batch: list[bytes] = []
+        size, oldest_s = 0, self._loop.time() - MAX_QUEUE_AGE_S
+        while self._queue and (not batch or size + len(self._queue[0][1]) <= MAX_BATCH_BYTES):
+            queued_at_s = self._queue[0][0]
+            data = self._dequeue()
+            if queued_at_s < oldest_s:
+                self._counts["dropped_old"] += 1
                 continue
-            taken.append(data)
+            batch.append(data)
             size += len(data)
-        self._counted["sent"] += len(taken)
-        return b"".join(taken)
+        self._counts["sent"] += len(batch)
+        return b"".join(batch)
 
-    async def _some(self) -> bool:
+    async def _wait_for_message(self) -> bool:
         """Wait for a message; False if none comes for long."""
         while not self._queue:
             self._wake.clear()
             try:
-                await asyncio.wait_for(self._wake.wait(), IDLE_S)
+                await asyncio.wait_for(self._wake.wait(), IDLE_TIMEOUT_S)
             except TimeoutError:
                 return False
             if self._stream is not None and self._stream.closed():
                 return True
         return True
 
-    async def _keep(self) -> None:
+    async def _run_logged(self) -> None:
         try:
             await self._run()
         except Exception:
             log.exception("fault in a stream to a sidecar", at=host_port(self.address))
         finally:
-            self._ended(self)  # before anything more can be put
+            self._on_end(self)  # before anything more can be put
 
     async def _run(self) -> None:
-        wait = FIRST_WAIT_S
-        while await self._some():
-            began = self._loop.time()
+        wait_s = MIN_RETRY_WAIT_S
+        while await self._wait_for_message():
+            connect_started_s = self._loop.time()
             stream = await self._connect()
             if stream is not None:
                 try:
@@ -146,25 +148,29 @@
                 finally:
                     self._stream = None
                     stream.close()
-                if self._loop.time() - began > MOST_WAIT_S:
-                    wait = FIRST_WAIT_S  # it was kept for a while: what ended it is new
-            if self._loop.time() - self.used > IDLE_S:
+                if self._loop.time() - connect_started_s > MAX_RETRY_WAIT_S:
+                    wait_s = MIN_RETRY_WAIT_S  # it was kept for a while: what ended it is new
+            if self._loop.time() - self.last_used_s > IDLE_TIMEOUT_S:
                 break
-            await asyncio.sleep(wait)  # also after a stream that ended at once: its peer may have no place for it
-            wait = min(2 * wait, MOST_WAIT_S)
+            await asyncio.sleep(wait_s)  # also after a stream that ended at once: its peer may have no place for it
+            wait_s = min(2 * wait_s, MAX_RETRY_WAIT_S)
 
     async def _connect(self) -> IOStream | None:
         stream = None
         try:
-            stream = IOStream(socket.socket(family(self.address), socket.SOCK_STREAM), max_buffer_size=READ)
+            stream = IOStream(
+                socket.socket(address_family(self.address), socket.SOCK_STREAM), max_buffer_size=READ_CHUNK_BYTES
+            )
             stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            if USER_TIMEOUT is not None:  # what is sent into a cut would else wait for TCP's own, ever rarer attempts
-                stream.socket.setsockopt(socket.IPPROTO_TCP, USER_TIMEOUT, int(STALL_S * 1000))
-            async with asyncio.timeout(CONNECT_S):
+            if (
+                TCP_USER_TIMEOUT is not None
+            ):  # what is sent into a cut would else wait for TCP's own, ever rarer attempts
+                stream.socket.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(WRITE_TIMEOUT_S * 1000))
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await stream.connect(self.address)
                 await stream.write(with_length(self._hello))
         except (OSError, StreamClosedError, TimeoutError) as error:
-            self._counted["connect_failed"] += 1
+            self._counts["connect_failed"] += 1
             log.debug("no stream to a sidecar", at=host_port(self.address), error=str(error) or type(error).__name__)
             if stream is not None:
                 stream.close()
@@ -173,148 +179,154 @@
             if stream is not None:
                 stream.close()
             raise
-        self._counted["connected"] += 1
+        self._counts["connected"] += 1
         self._stream = stream
         return stream
 
     async def _write(self, stream: IOStream) -> None:
         """Until the stream ends, or nothing is said on it for long."""
-        watch = self._loop.create_task(self._watch(stream))
+        watch = self._loop.create_task(self._watch_for_end(stream))
         try:
-            while await self._some() and not stream.closed():
-                data = self._batch()
+            while await self._wait_for_message() and not stream.closed():
+                data = self._next_batch()
                 if data:
-                    async with asyncio.timeout(STALL_S):
+                    async with asyncio.timeout(WRITE_TIMEOUT_S):
                         await stream.write(data)
         except TimeoutError:
-            self._counted["stalled"] += 1
+            self._counts["stalled"] += 1
         except StreamClosedError:
             pass
         finally:
             watch.cancel()
 
-    async def _watch(self, stream: IOStream) -> None:
+    async def _watch_for_end(self, stream: IOStream) -> None:
         """The peer says nothing on a stream of ours: whatever comes is its end."""
         with contextlib.suppress(StreamClosedError):
             await stream.read_bytes(1)
-        self._counted["lost"] += 1
+        self._counts["lost"] += 1
         stream.close()
         self._wake.set()
 
 
-class _Caller:
+class _InboundStream:
     """A stream that another process has opened."""
 
     def __init__(self, stream: IOStream, now: float) -> None:
-        self.stream, self.heard = stream, now
+        self.stream, self.last_received_s = stream, now
         self.hello: Hello | None = None
-        self.who: tuple[str, int] | None = None  # name and life
+        self.process: tuple[str, int] | None = None  # name and life
 
 
-Heed = Callable[[str, Address, Message], None]
+MessageHandler = Callable[[str, Address, Message], None]
 
 
 class PeerStreams:
     """Owns all kept streams of this process, `most` of its own and as many of others."""
 
-    def __init__(self, wire: FrameCodec, hello: bytes, most: int, heed: Heed) -> None:
+    def __init__(self, codec: FrameCodec, hello: bytes, max_streams: int, on_message: MessageHandler) -> None:
         """`hello`: the frame that opens each own stream. `heed` is given what was heard: sender, address, message."""
-        self._wire, self._hello, self._most, self._heed = wire, hello, most, heed
-        self._links: dict[Address, _Link] = {}
-        self._callers: dict[_Caller, asyncio.Task[None]] = {}
+        self._codec, self._hello, self._max_streams, self._on_message = codec, hello, max_streams, on_message
+        self._outbound: dict[Address, _OutboundStream] = {}
+        self._inbound: dict[_InboundStream, asyncio.Task[None]] = {}
         self._loop = asyncio.get_running_loop()
-        self.counts = counts()
+        self.counts = new_counts()
 
     def send(self, address: Address, frame: bytes) -> None:
         """Send a frame to the peer at this address, on its stream or a new one; dropped where it can't be."""
-        link = self._links.get(address)
-        if link is None:
-            if len(self._links) >= self._most:
-                self._give_up(min(self._links.values(), key=lambda each: each.used))
-            link = self._links[address] = _Link(address, self._hello, self.counts, self._ended)
-        link.put(frame)
-
-    def _give_up(self, link: _Link) -> None:
+        outbound = self._outbound.get(address)
+        if outbound is None:
+            if len(self._outbound) >= self._max_streams:
+                self._evict(min(self._outbound.values(), key=lambda each: each.last_used_s))
+            outbound = self._outbound[address] = _OutboundStream(
+                address, self._hello, self.counts, self._outbound_ended
+            )
+        outbound.enqueue(frame)
+
+    def _evict(self, outbound: _OutboundStream) -> None:
         self.counts["given_up"] += 1
-        self._links.pop(link.address, None)
-        link.close()
+        self._outbound.pop(outbound.address, None)
+        outbound.close()
 
-    def _ended(self, link: _Link) -> None:
-        if self._links.get(link.address) is link:
-            del self._links[link.address]
+    def _outbound_ended(self, outbound: _OutboundStream) -> None:
+        if self._outbound.get(outbound.address) is outbound:
+            del self._outbound[outbound.address]
 
-    def admit(self, sock: socket.socket) -> None:
+    def accept(self, sock: socket.socket) -> None:
         """A connection that came; when places are out the one that was silent for longest gives way."""
-        while len(self._callers) >= self._most:
-            silent = min(self._callers, key=lambda each: (each.who is not None, each.heard))
+        while len(self._inbound) >= self._max_streams:
+            longest_silent = min(self._inbound, key=lambda each: (each.process is not None, each.last_received_s))
             self.counts["refused"] += 1
-            self._shut(silent)
+            self._close_inbound(longest_silent)
         self.counts["accepted"] += 1
-        caller = _Caller(IOStream(sock, max_buffer_size=2 * READ), self._loop.time())
-        self._callers[caller] = self._loop.create_task(self._serve(caller))
+        inbound = _InboundStream(IOStream(sock, max_buffer_size=2 * READ_CHUNK_BYTES), self._loop.time())
+        self._inbound[inbound] = self._loop.create_task(self._serve(inbound))
 
-    def _shut(self, caller: _Caller) -> None:
-        self._callers.pop(caller, None)
-        caller.stream.close()
+    def _close_inbound(self, inbound: _InboundStream) -> None:
+        self._inbound.pop(inbound, None)
+        inbound.stream.close()
 
-    async def _serve(self, caller: _Caller) -> None:
-        frames = FrameReader(MOST_HELLO)
-        until = self._loop.time() + HELLO_S
+    async def _serve(self, inbound: _InboundStream) -> None:
+        frames = FrameReader(MAX_HELLO_BYTES)
+        deadline_s = self._loop.time() + HELLO_TIMEOUT_S
         try:
             while True:
-                async with asyncio.timeout_at(until):
-                    frames.feed(await caller.stream.read_bytes(READ, partial=True))
-                if not self._taken(caller, frames):
+                async with asyncio.timeout_at(deadline_s):
+                    frames.feed(await inbound.stream.read_bytes(READ_CHUNK_BYTES, partial=True))
+                if not self._process_frames(inbound, frames):
                     return
-                caller.heard = self._loop.time()
-                if caller.who is not None:
-                    until = caller.heard + 2 * IDLE_S
+                inbound.last_received_s = self._loop.time()
+                if inbound.process is not None:
+                    deadline_s = inbound.last_received_s + 2 * IDLE_TIMEOUT_S
         except (StreamClosedError, TimeoutError):
             pass
         except Exception:
             log.exception("fault in a sidecar's stream")
         finally:
-            self._shut(caller)
+            self._close_inbound(inbound)
 
-    def _taken(self, caller: _Caller, frames: FrameReader) -> bool:
+    def _process_frames(self, inbound: _InboundStream, frames: FrameReader) -> bool:
         """All whole frames that came; False ends the stream."""
-        while (frame := frames.take()) is not None:
+        while (frame := frames.next_frame()) is not None:
             if isinstance(frame, FrameFault):
-                self._wire.count(frame)
+                self._codec.count(frame)
                 return False
-            said = self._wire.decode(frame)
-            if isinstance(said, FrameFault):
-                if said in (FrameFault.DIGEST, FrameFault.GROUP, FrameFault.SHORT) or caller.who is None:
+            decoded = self._codec.decode(frame)
+            if isinstance(decoded, FrameFault):
+                if decoded in (FrameFault.DIGEST, FrameFault.GROUP, FrameFault.SHORT) or inbound.process is None:
                     return False
                 continue  # a kind or a version that is not spoken here: what follows may be
-            sender, message = said
+            sender, message = decoded
             if isinstance(message, Hello):
-                self._greeted(caller, sender, message)
-                frames.most = MOST_FRAME
-            elif caller.who is None or caller.hello is None or sender != caller.who[0]:
+                self._hello_received(inbound, sender, message)
+                frames.max_frame_bytes = MAX_FRAME_BYTES
+            elif inbound.process is None or inbound.hello is None or sender != inbound.process[0]:
                 return False
             else:
                 self.counts["heard"] += 1
-                self._heed(sender, caller.hello.address, message)
+                self._on_message(sender, inbound.hello.address, message)
         return True
 
-    def _greeted(self, caller: _Caller, sender: str, hello: Hello) -> None:
-        caller.hello, caller.who = hello, (sender, hello.process_epoch)
-        for other in [each for each in self._callers if each is not caller and each.who == caller.who]:
-            self._shut(other)
+    def _hello_received(self, inbound: _InboundStream, sender: str, hello: Hello) -> None:
+        inbound.hello, inbound.process = hello, (sender, hello.process_epoch)
+        for earlier in [each for each in self._inbound if each is not inbound and each.process == inbound.process]:
+            self._close_inbound(earlier)
 
     def state(self) -> dict[str, object]:
         """For operators: counts, and each own stream."""
-        links = {
-            host_port(address): {"connected": link.connected, "messages": link.queued[0], "bytes": link.queued[1]}
-            for address, link in self._links.items()
+        streams = {
+            host_port(address): {
+                "connected": outbound.connected,
+                "messages": outbound.queued[0],
+                "bytes": outbound.queued[1],
+            }
+            for address, outbound in self._outbound.items()
         }
-        return {**self.counts, "in": len(self._callers), "out": links}
+        return {**self.counts, "in": len(self._inbound), "out": streams}
 
     def close(self) -> None:
         """Close all streams, and listen no more."""
-        for link in list(self._links.values()):
-            link.close()
-        self._links.clear()
-        for caller in list(self._callers):
-            self._shut(caller)
+        for outbound in list(self._outbound.values()):
+            outbound.close()
+        self._outbound.clear()
+        for inbound in list(self._inbound):
+            self._close_inbound(inbound)
--- a/limenotch/settings_file.py
+++ b/limenotch/settings_file.py
@@ -43,9 +43,9 @@
 def check_as(settings: Settings, sidecar: str) -> None:
     """Check what depends on the sidecar's name. Raises toml.FaultError."""
     if settings.fleet is not None:
-        from .fleet.settings import place
+        from .fleet.settings import resolve
 
-        place(settings.fleet, sidecar)
+        resolve(settings.fleet, sidecar)
 
 
 def effective(settings: Settings) -> str:
--- a/tests/fleet/fake_nodes.py
+++ b/tests/fleet/fake_nodes.py
@@ -35,7 +35,7 @@
     def act(self, *actions: Any) -> None:
         """As if a part answered these."""
         self.toy.answer = lambda now, event: list(actions) if isinstance(event, ShutdownStarted) else []
-        self.others.tell(ShutdownStarted())
+        self.others.dispatch(ShutdownStarted())
         self.toy.answer = lambda now, event: []
 
     @property
--- a/tests/fleet/fake_parts.py
+++ b/tests/fleet/fake_parts.py
@@ -112,7 +112,7 @@
             return [LogLine(f"kept {event.ticket}")]
         if isinstance(event, StoreFailed):
             self.last = min(self.last, self.batches[event.ticket] - 1)
-            return [LogLine(f"refused {event.ticket} {event.why}")]
+            return [LogLine(f"refused {event.ticket} {event.reason}")]
         raise TypeError(event)
 
 
--- a/tests/fleet/members.py
+++ b/tests/fleet/members.py
@@ -34,5 +34,6 @@
     """Whether each of the names holds all of them alive, and itself to be inside."""
     want = dict.fromkeys(names, State.ALIVE)
     return all(
-        part(world, name).inside and {n: s for n, s in held(world, name).items() if n in want} == want for name in want
+        part(world, name).is_active and {n: s for n, s in held(world, name).items() if n in want} == want
+        for name in want
     )
--- a/tests/fleet/rules_bugs.py
+++ b/tests/fleet/rules_bugs.py
@@ -17,8 +17,8 @@
     real = leases.Holder.grant
 
     def grant(self: leases.Holder, now: float, grant: messages.Grant) -> bool:
-        if grant.serial in self._asked:
-            self._asked[grant.serial] = now
+        if grant.serial in self._requests:
+            self._requests[grant.serial] = now
         return real(self, now, grant)
 
     patch.setattr(leases.Holder, "grant", grant)
--- a/tests/fleet/test_affinity_join.py
+++ b/tests/fleet/test_affinity_join.py
@@ -10,7 +10,7 @@
 from limenotch.fleet.affinity.last_seen import MOST_COUNT
 from limenotch.fleet.affinity.tuning import Ages
 from limenotch.fleet.interfaces import MemberChanged, MessageReceived, SendToMember, TimerFired
-from limenotch.fleet.wire import MOST_FRAME
+from limenotch.fleet.wire import MAX_FRAME_BYTES
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.world import address
 from tests.fleet.affinity_worlds import QUICK, Fleet, alone
@@ -185,7 +185,7 @@
     assert repair.keys(part.table, 1, messages.AskKeys(1, 1, 256)) is None
     assert repair.keys(part.table, 1, messages.AskKeys(1, 1, 7, 1)) is None
     most = messages.Keys(1, 1, 1, 1, 1, bytes(2 * messages.MOST_KEYS * messages.KEY_BYTES))
-    assert len(msgspec.msgpack.encode(most)) < MOST_FRAME
+    assert len(msgspec.msgpack.encode(most)) < MAX_FRAME_BYTES
 
 
 def test_what_a_new_process_told_under_low_counters_is_asked_for() -> None:
--- a/tests/fleet/test_fleet_settings.py
+++ b/tests/fleet/test_fleet_settings.py
@@ -11,7 +11,7 @@
 import pytest
 
 from limenotch import toml
-from limenotch.fleet.settings import Agreement, Fleet, Membership, Rules, Wallet, place, read_key
+from limenotch.fleet.settings import Agreement, Fleet, Membership, Rules, Wallet, read_key, resolve
 from limenotch.settings import Settings
 from limenotch.settings_file import effective, parse
 
@@ -50,7 +50,7 @@
     assert settings.fleet.membership == Membership() and settings.fleet.agreement == Agreement()
     assert settings.fleet.rules == Rules() and settings.fleet.wallet == Wallet()
     assert settings.fleet.streams == Fleet("g", "h", "k").streams  # a value that stands there is the default
-    placed = place(settings.fleet, "sidecar")
+    placed = resolve(settings.fleet, "sidecar")
     assert (placed.name, placed.key, placed.listen, placed.address) == (
         "a",
         KEY,
@@ -110,16 +110,16 @@
 
 def test_the_sidecar_s_name_has_a_say(key: Path) -> None:
     anywhere = parse(table(key).replace("127.0.0.1", "0.0.0.0") + '[fleet.addresses]\nn = "127.0.0.1:7"\n', "x").fleet
-    assert place(anywhere, "n").address == ("127.0.0.1", 7)
+    assert resolve(anywhere, "n").address == ("127.0.0.1", 7)
     voter = parse(table(key, 'voters = ["v"]'), "x").fleet
-    assert place(voter, "n").name == "n"
+    assert resolve(voter, "n").name == "n"
     for fleet, name, says in [
         (anywhere, "m", "fleet.listen: 0.0.0.0:7400 can't be reached"),
         (voter, "v", "fleet.folder"),
         (voter, "x" * 65, "fleet.name"),
     ]:
         with pytest.raises(toml.FaultError, match="^" + says):
-            place(fleet, name)
+            resolve(fleet, name)
 
 
 @pytest.mark.parametrize("content", [b"", b"fifteen bytes..", b"   fifteen bytes..\n\n\n", b"x" * 65, b"x" * 100_000])
--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -47,7 +47,7 @@
 DEAD = MemberChanged("b", "dead", B, 0, 1)
 
 
-def hub(*answers: Answer, faulty: hubs.Faulty | None = None) -> tuple[ComponentHub, list[Toy]]:
+def hub(*answers: Answer, faulty: hubs.FaultHandler | None = None) -> tuple[ComponentHub, list[Toy]]:
     toys = [Toy(answer) for answer in answers]
     return ComponentHub(list(zip(("mb.", "ag.", "ru."), toys, strict=False)), Book({"b": B}), faulty), toys
 
@@ -152,9 +152,10 @@
     seen: list[tuple[str, Any, Exception]] = []
     both, (members, log) = hub(lambda *_: [DEAD, LogLine("goes on")], raising, faulty=lambda *told: seen.append(told))
     out = both.handle(0.0, MessageReceived(B, "b", Probe(1)))
-    assert out == [LogLine(hubs.COMPONENT_STOPPED, {"part": "ag.", "off": "ag."}), LogLine("goes on")] and both.off == (
-        "ag.",
-    )
+    assert out == [
+        LogLine(hubs.COMPONENT_STOPPED, {"part": "ag.", "off": "ag."}),
+        LogLine("goes on"),
+    ] and both.stopped == ("ag.",)
     assert [(part, event, str(error)) for part, event, error in seen] == [("ag.", DEAD, "'broken'")]
     assert both.handle(1.0, MessageReceived(B, "b", Probe(1))) == [LogLine("goes on")] and len(log.told) == 1
     assert both.handle(1.0, MessageReceived(B, "b", Line(""))) == [] and both.unhandled_messages == 1
@@ -266,7 +267,7 @@
     hub, of_log, _ = with_log(on(ShutdownStarted, SnapshotRequested(1)), raising)
     hub.on_fault = lambda *about: None
     hub.handle(0.0, MessageReceived(B, "b", Rule("")))
-    assert hub.off == ("ru.",) and isinstance(hub.handle(1.0, ShutdownStarted())[0], LogLine)
+    assert hub.stopped == ("ru.",) and isinstance(hub.handle(1.0, ShutdownStarted())[0], LogLine)
     assert not any(isinstance(told, SnapshotState) for told in of_log.told)
 
 
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -24,25 +24,25 @@
     TimerFired,
 )
 from limenotch.fleet.membership import Membership, State, Tuning
-from limenotch.fleet.membership.context import MOST_TOLD_OFF
-from limenotch.fleet.membership.dissemination import Broadcasts
-from limenotch.fleet.membership.health import ANSWERED, UNHEARD, Health
+from limenotch.fleet.membership.context import MAX_CORRECTIONS_PER_PERIOD
+from limenotch.fleet.membership.dissemination import GossipQueue
+from limenotch.fleet.membership.health import PROBE_ANSWERED, PROBE_UNCONFIRMED, Health
 from limenotch.fleet.membership.messages import (
-    LONGEST_HOST,
+    MAX_HOST_LENGTH,
     MAX_PROCESS_EPOCH,
     Ack,
-    Answer,
-    Ask,
     Claim,
-    Me,
-    News,
+    Gossip,
     Ping,
     PingReq,
+    SenderInfo,
+    TableRequest,
+    TableResponse,
 )
-from limenotch.fleet.membership.states import FINAL, TABLE, Needs, Standing, wins
+from limenotch.fleet.membership.states import FINAL, PRECEDENCE, IncarnationRule, Standing, supersedes
 from limenotch.fleet.membership.suspicion import Suspicion
-from limenotch.fleet.membership.table import Came, Table
-from limenotch.fleet.membership.timer_queue import Agenda
+from limenotch.fleet.membership.table import ClaimOutcome, MemberTable
+from limenotch.fleet.membership.timer_queue import TimerQueue
 
 STANDINGS: list[Standing] = list(product(range(2), State, range(3)))
 AT = ("h", 1)
@@ -53,18 +53,18 @@
 
 
 def test_states_are_in_one_order() -> None:
-    assert set(TABLE) == set(product(State, State))
+    assert set(PRECEDENCE) == set(product(State, State))
     for one, two in product(STANDINGS, STANDINGS):
         final = one[0] == two[0] and one[1] is two[1] and one[1] in FINAL  # their incarnations mean nothing
-        assert wins(one, two) + wins(two, one) == (one != two and not final)
+        assert supersedes(one, two) + supersedes(two, one) == (one != two and not final)
     for one, two, three in product(STANDINGS, repeat=3):
-        assert not (wins(one, two) and wins(two, three)) or wins(one, three)
+        assert not (supersedes(one, two) and supersedes(two, three)) or supersedes(one, three)
 
 
 def test_nothing_of_an_ended_life_revives_it() -> None:
     for ended, state in product(FINAL, (State.ALIVE, State.SUSPECT)):
-        assert TABLE[ended, state] is Needs.IMPOSSIBLE
-        assert wins((2, state, 0), (1, ended, 9))
+        assert PRECEDENCE[ended, state] is IncarnationRule.NEVER
+        assert supersedes((2, state, 0), (1, ended, 9))
 
 
 @given(st.permutations(STANDINGS), st.integers(1, len(STANDINGS)))
@@ -72,9 +72,11 @@
     some = heard[:count]
 
     def end(order: list[Standing]) -> Standing:
-        table = Table(5)
+        table = MemberTable(5)
         for process_epoch, state, incarnation in order:
-            table.hear(claim(state=list(State).index(state), process_epoch=process_epoch, incarnation=incarnation), 0.0)
+            table.apply(
+                claim(state=list(State).index(state), process_epoch=process_epoch, incarnation=incarnation), 0.0
+            )
         process_epoch, state, incarnation = table["b"].standing
         return (process_epoch, state, 0 if state in FINAL else incarnation)
 
@@ -82,81 +84,83 @@
 
 
 def test_a_death_of_an_older_incarnation_takes_none_back() -> None:
-    table = Table(5)
-    table.hear(claim(incarnation=3), 0.0)
-    table.hear(claim(state=2, incarnation=1), 1.0)
+    table = MemberTable(5)
+    table.apply(claim(incarnation=3), 0.0)
+    table.apply(claim(state=2, incarnation=1), 1.0)
     assert table["b"].standing == (1, State.DEAD, 3)
 
 
 def test_a_full_table_drops_who_is_dead_longest() -> None:
-    table = Table(3)
+    table = MemberTable(3)
     for number, name in enumerate("abc"):
-        table.hear(claim(name, state=2 if name != "b" else 0), float(number))
-    assert table.hear(claim("d"), 9.0) is Came.NEW
+        table.apply(claim(name, state=2 if name != "b" else 0), float(number))
+    assert table.apply(claim("d"), 9.0) is ClaimOutcome.NEW
     assert sorted(table.members) == ["b", "c", "d"]
-    table.hear(claim("e"), 9.0)
-    assert table.hear(claim("f"), 9.0) is Came.FULL
+    table.apply(claim("e"), 9.0)
+    assert table.apply(claim("f"), 9.0) is ClaimOutcome.TABLE_FULL
 
 
 def test_suspicion_gets_shorter_with_others_who_find_the_same() -> None:
     suspicion = Suspicion(100.0, "a", 1000.0, 3000.0, 3)
-    times = [suspicion.until]
+    times = [suspicion.expires_at_ms]
     for by in ("a", "c", "c", "d", "e", "f"):
         if suspicion.confirm(by):
-            times.append(suspicion.until)
+            times.append(suspicion.expires_at_ms)
     assert times[0] == 3100.0 and times[-1] == pytest.approx(1100.0) and len(times) == 4
     assert times == sorted(times, reverse=True)
     suspicion.restart(5000.0)
-    assert suspicion.until == pytest.approx(6000.0)
-    assert Suspicion(0.0, "a", 1000.0, 3000.0, 0).until == 1000.0  # nobody there to confirm
+    assert suspicion.expires_at_ms == pytest.approx(6000.0)
+    assert Suspicion(0.0, "a", 1000.0, 3000.0, 0).expires_at_ms == 1000.0  # nobody there to confirm
 
 
 def test_health_stays_within_its_bounds() -> None:
     health = Health(3)
-    health.note(ANSWERED)
+    health.adjust(PROBE_ANSWERED)
     assert health.score == 0
     for _ in range(9):
-        health.note(UNHEARD)
-    assert health.score == 3 and health.scale(100.0) == 400.0
-    health.note(ANSWERED)
-    health.paused(1e9, 1000.0)
+        health.adjust(PROBE_UNCONFIRMED)
+    assert health.score == 3 and health.scale_ms(100.0) == 400.0
+    health.adjust(PROBE_ANSWERED)
+    health.on_pause(1e9, 1000.0)
     assert health.score == 3
 
 
 def test_news_go_out_a_limited_number_of_times_newest_first() -> None:
-    queue = Broadcasts()
+    queue = GossipQueue()
     for name in "abc":
         queue.add(claim(name))
-    assert [one.name for one in queue.take(2)] == ["c", "b", "a"]
+    assert [one.name for one in queue.next_claims(2)] == ["c", "b", "a"]
     queue.add(claim("a", incarnation=1))
-    assert [one.name for one in queue.take(2)] == ["a", "c", "b"]
-    assert [one.name for one in queue.take(2)] == ["a"]
-    assert queue.take(2) == () and len(queue) == 0
+    assert [one.name for one in queue.next_claims(2)] == ["a", "c", "b"]
+    assert [one.name for one in queue.next_claims(2)] == ["a"]
+    assert queue.next_claims(2) == () and len(queue) == 0
 
 
 @given(st.lists(st.integers(1, 64), min_size=1, max_size=100), st.integers(1, 64))
 def test_a_message_with_news_fits_a_datagram(sizes: list[int], longest: int) -> None:
-    queue, name, host = Broadcasts(), "n" * longest, "h" * longest
+    queue, name, host = GossipQueue(), "n" * longest, "h" * longest
     for number, size in enumerate(sizes):
         queue.add(
             Claim(f"{number:03}" + "n" * (size - 3), 1, ("h" * size, 65535), MAX_PROCESS_EPOCH, 1 << 31, "b" * size)
         )
     first = Claim(name, 2, (host, 65535), MAX_PROCESS_EPOCH, 1 << 31, name)
-    message = PingReq(1 << 40, name, (host, 65535), Me((host, 65535), MAX_PROCESS_EPOCH, 1 << 31), queue.take(3, first))
+    message = PingReq(
+        1 << 40, name, (host, 65535), SenderInfo((host, 65535), MAX_PROCESS_EPOCH, 1 << 31), queue.next_claims(3, first)
+    )
     assert (
         len(msgspec.msgpack.encode(message)) + longest + 60 <= MAX_DATAGRAM_BYTES
     )  # 60: version, digest, group's and tags
 
 
 def test_the_agenda_asks_for_one_timer() -> None:
-    agenda = Agenda()
-    agenda.at(10.0, ("x", ""))
-    assert agenda.arm() == 10.0 and agenda.arm() is None
-    agenda.at(5.0, ("y", ""))
-    assert agenda.arm() == 5.0
-    agenda.at(20.0, ("x", ""))
-    agenda.fired(5.0)
-    assert agenda.pop(5.0) == ("y", "") and agenda.pop(10.0) is None and agenda.arm() == 20.0
+    agenda = TimerQueue()
+    agenda.schedule(10.0, ("x", ""))
+    assert agenda.timer_to_set() == 10.0 and agenda.timer_to_set() is None
+    agenda.schedule(5.0, ("y", ""))
+    assert agenda.timer_to_set() == 5.0
+    agenda.schedule(20.0, ("x", ""))
+    agenda.timer_fired(5.0)
+    assert agenda.pop_due(5.0) == ("y", "") and agenda.pop_due(10.0) is None and agenda.timer_to_set() == 20.0
 
 
 @pytest.mark.parametrize("wrong", [{"probes": 0}, {"period_ms": 1.0}, {"timeout_ms": 400.0}, {"most_members": 10**6}])
@@ -175,7 +179,7 @@
     return member
 
 
-ME = Me(("b", 1), 1, 0)
+ME = SenderInfo(("b", 1), 1, 0)
 
 
 def test_what_is_no_event_or_runs_backwards_is_refused() -> None:
@@ -190,20 +194,20 @@
 @pytest.mark.parametrize(
     ("message", "why"),
     [
-        (News(ME, (claim("c", state=9),)), "unsound claim"),
-        (News(ME, (claim("c", process_epoch=-1),)), "unsound claim"),
-        (News(ME, (claim("c", incarnation=1 << 60),)), "unsound claim"),
-        (News(ME, (claim(""),)), "unsound claim"),
-        (News(ME, (Claim("c", 0, ("x" * (LONGEST_HOST + 1), 1), 1, 0),)), "unsound claim"),
-        (News(ME, (claim("c"),) * 500), "unsound message"),
-        (Ask(ME, tuple(claim(f"m{n}") for n in range(1001))), "unsound message"),
+        (Gossip(ME, (claim("c", state=9),)), "unsound claim"),
+        (Gossip(ME, (claim("c", process_epoch=-1),)), "unsound claim"),
+        (Gossip(ME, (claim("c", incarnation=1 << 60),)), "unsound claim"),
+        (Gossip(ME, (claim(""),)), "unsound claim"),
+        (Gossip(ME, (Claim("c", 0, ("x" * (MAX_HOST_LENGTH + 1), 1), 1, 0),)), "unsound claim"),
+        (Gossip(ME, (claim("c"),) * 500), "unsound message"),
+        (TableRequest(ME, tuple(claim(f"m{n}") for n in range(1001))), "unsound message"),
         (Ping(1, "z", ME), "ping for another"),
         (Ack(77, "b", ME), "ack of nothing"),
         (PingReq(1, "c", ("", 0), ME), "unsound message"),
-        (News(Me(("b", 0), 1, 0)), "unsound message"),
+        (Gossip(SenderInfo(("b", 0), 1, 0)), "unsound message"),
     ],
 )
-def test_sound_frames_with_nonsense_are_counted_and_do_nothing(message: News, why: str) -> None:
+def test_sound_frames_with_nonsense_are_counted_and_do_nothing(message: Gossip, why: str) -> None:
     member = alone()
     member.handle(1.0, MessageReceived(("b", 1), "b", message))
     assert member.status()["counts"] == {why: 1}
@@ -213,7 +217,7 @@
 def test_a_flood_of_names_ends_at_the_tables_bound() -> None:
     member = alone(most_members=20)
     for number in range(100):
-        member.handle(1.0, MessageReceived(("b", 1), "b", News(ME, (claim(f"m{number}"),))))
+        member.handle(1.0, MessageReceived(("b", 1), "b", Gossip(ME, (claim(f"m{number}"),))))
     assert len(member.members()) == 20 and member.status()["counts"] == {"no room for another member": 82}
 
 
@@ -226,35 +230,40 @@
 
 def test_who_is_held_dead_is_told_first() -> None:
     member = alone()
-    member.handle(1.0, MessageReceived(("c", 1), "c", News(Me(("c", 1), 1, 0), (claim("b", state=2),))))
+    member.handle(1.0, MessageReceived(("c", 1), "c", Gossip(SenderInfo(("c", 1), 1, 0), (claim("b", state=2),))))
     acts = member.handle(2.0, MessageReceived(("b", 1), "b", Ping(3, "a", ME)))
     said = [act.message for act in acts if isinstance(act, SendToAddress)]
-    assert isinstance(said[0], Ack) and said[0].news[0].says is State.DEAD
-    later = member.handle(3.0, MessageReceived(("b", 1), "b", News(Me(("b", 1), 2, 0))))
+    assert isinstance(said[0], Ack) and said[0].claims[0].claimed_state is State.DEAD
+    later = member.handle(3.0, MessageReceived(("b", 1), "b", Gossip(SenderInfo(("b", 1), 2, 0))))
     assert [act.state for act in later if isinstance(act, MemberChanged)] == ["alive"]
 
 
 def test_who_goes_on_in_a_dead_life_is_told_so_a_few_times_a_period_only() -> None:
     member = alone()
-    member.handle(1.0, MessageReceived(("c", 1), "c", News(Me(("c", 1), 1, 0), (claim("b", state=2),))))
+    member.handle(1.0, MessageReceived(("c", 1), "c", Gossip(SenderInfo(("c", 1), 1, 0), (claim("b", state=2),))))
 
     def answers(since: int, name: str = "b") -> int:
         acts = [
             act
             for number in range(500)
-            for act in member.handle(since + number * 1.9, MessageReceived((name, 1), name, News(Me((name, 1), 1, 0))))
+            for act in member.handle(
+                since + number * 1.9, MessageReceived((name, 1), name, Gossip(SenderInfo((name, 1), 1, 0)))
+            )
         ]
         return sum(
             isinstance(act, SendToAddress)
             and act.address == (name, 1)
-            and isinstance(act.message, News)
-            and [one.name for one in act.message.news] == [name]
+            and isinstance(act.message, Gossip)
+            and [one.name for one in act.message.claims] == [name]
             for act in acts
         )
 
-    assert answers(2) == MOST_TOLD_OFF and member.status()["counts"]["told often enough"] == 500 - MOST_TOLD_OFF
-    assert answers(1010) == MOST_TOLD_OFF
-    acts = member.handle(2000.0, MessageReceived(("b", 1), "b", News(Me(("b", 1), 2, 0))))
+    assert (
+        answers(2) == MAX_CORRECTIONS_PER_PERIOD
+        and member.status()["counts"]["told often enough"] == 500 - MAX_CORRECTIONS_PER_PERIOD
+    )
+    assert answers(1010) == MAX_CORRECTIONS_PER_PERIOD
+    acts = member.handle(2000.0, MessageReceived(("b", 1), "b", Gossip(SenderInfo(("b", 1), 2, 0))))
     assert [act.state for act in acts if isinstance(act, MemberChanged)] == ["alive"]  # it is heard all the same
 
 
@@ -279,20 +288,22 @@
 def test_after_a_pause_what_was_under_way_is_dropped_and_tables_are_asked_for() -> None:
     member = alone()
     now = 0.0
-    member.handle(now, MessageReceived(("b", 1), "b", News(ME)))
+    member.handle(now, MessageReceived(("b", 1), "b", Gossip(ME)))
     while not member.status()["probing"]:
         now += 5.0
         member.handle(now, TimerFired(1))
     acts = member.handle(now + 6000.0, TimerFired(1))
     assert member.status()["probing"] == 0 and member.status()["health"] == 6  # 1, and 5 whole periods late
-    assert any(isinstance(act, SendToAddress) and isinstance(act.message, Ask) for act in acts)
+    assert any(isinstance(act, SendToAddress) and isinstance(act.message, TableRequest) for act in acts)
     assert not any(isinstance(act, MemberChanged) for act in acts)
 
 
 def test_the_dead_are_forgotten_together_however_late_they_are_heard_of() -> None:
     member = alone(keep_dead_ms=5000.0)
     old = Claim("c", 2, AT, 1, 0, "b", age_ms=4000)
-    member.handle(1.0, MessageReceived(("b", 1), "b", Answer(ME, (old, Claim("d", 2, AT, 1, 0, "b", age_ms=6000)))))
+    member.handle(
+        1.0, MessageReceived(("b", 1), "b", TableResponse(ME, (old, Claim("d", 2, AT, 1, 0, "b", age_ms=6000))))
+    )
     assert [seen.name for seen in member.members()] == ["a", "b", "c"]
     for now in range(2, 1200, 50):
         member.handle(float(now), TimerFired(1))
@@ -301,10 +312,12 @@
 
 def test_who_left_does_nothing_more() -> None:
     member = alone()
-    member.handle(0.0, MessageReceived(("b", 1), "b", News(ME)))
+    member.handle(0.0, MessageReceived(("b", 1), "b", Gossip(ME)))
     acts = member.handle(1.0, ShutdownStarted())
     assert [
-        act.message.news[0].says for act in acts if isinstance(act, SendToAddress) and isinstance(act.message, News)
+        act.message.claims[0].claimed_state
+        for act in acts
+        if isinstance(act, SendToAddress) and isinstance(act.message, Gossip)
     ] == [State.LEFT] * 2
     assert not any(isinstance(act, SetTimer) for act in acts)
     assert member.handle(2.0, MessageReceived(("b", 1), "b", Ping(1, "a", ME))) == [] and member.size() == 1
@@ -318,13 +331,13 @@
 
     def news(now: float) -> list[Any]:
         acts = member.handle(now, TimerFired(1))
-        return [act for act in acts if isinstance(act, SendToAddress) and isinstance(act.message, News)]
+        return [act for act in acts if isinstance(act, SendToAddress) and isinstance(act.message, Gossip)]
 
     at = 1.0
     while news(at) or at < 100 * tuning.gossip_ms:  # what is said of a and b themselves goes out first, to its end
         at += 10.0
     assert at < tuning.period_ms / 2
-    acts = member.handle(at, MessageReceived(("b", 1), "b", News(ME, (Claim("c", 0, ("c", 1), 1, 0),))))
+    acts = member.handle(at, MessageReceived(("b", 1), "b", Gossip(ME, (Claim("c", 0, ("c", 1), 1, 0),))))
     assert SetTimer(at, 1) in acts
     assert news(at), "at once"
     assert not news(at + 0.5 * tuning.gossip_ms)
--- a/tests/fleet/test_membership_runs.py
+++ b/tests/fleet/test_membership_runs.py
@@ -14,11 +14,11 @@
 from limenotch.fleet.membership import Tuning
 from limenotch.fleet.membership import states as table_of_states
 from limenotch.fleet.membership.core import Membership
-from limenotch.fleet.membership.member_states import Holder
+from limenotch.fleet.membership.member_states import MemberStates
 from limenotch.fleet.membership.messages import MAX_PROCESS_EPOCH
 from limenotch.fleet.membership.probing import Prober
-from limenotch.fleet.membership.self_member import Own
-from limenotch.fleet.membership.states import Needs, State
+from limenotch.fleet.membership.self_member import OwnMember
+from limenotch.fleet.membership.states import IncarnationRule, State
 from limenotch.fleet.membership.suspicion import Suspicion
 from limenotch.lab.fleet.faults import parse
 from limenotch.lab.fleet.world import World
@@ -234,12 +234,12 @@
     world.fault(parse("cut a c | b c2"))
     world.start("c2")
     world.run(12_000.0)
-    assert part(world, "c").inside and part(world, "c2").inside
+    assert part(world, "c").is_active and part(world, "c2").is_active
     world.fault(parse("heal"))
     world.run(25_000.0)
-    assert part(world, "c").inside != part(world, "c2").inside
+    assert part(world, "c").is_active != part(world, "c2").is_active
     assert any(isinstance(change.what, Fenced) and change.node in ("c", "c2") for change in world.changes)
-    out = "c" if part(world, "c2").inside else "c2"
+    out = "c" if part(world, "c2").is_active else "c2"
     assert [seen.text for seen in world.seen if seen.node == out][-1] != "joined"
     assert held(world, "a")["c"] is held(world, "b")["c"] is State.ALIVE
 
@@ -261,29 +261,38 @@
     return None
 
 
-def same_incarnation(self: Own, claim: Any) -> None:
-    self.ground.tell(self.ground.own_claim())
+def same_incarnation(self: OwnMember, claim: Any) -> None:
+    self.context.disseminate(self.context.own_claim())
 
 
-def fence_untold(self: Own, claim: Any) -> None:
-    ground = self.ground
-    ground.process_epoch, ground.incarnation = min(claim.process_epoch + 1, MAX_PROCESS_EPOCH), 0
-    ground.changed(State.ALIVE)
-    ground.tell(ground.own_claim())
+def fence_untold(self: OwnMember, claim: Any) -> None:
+    context = self.context
+    context.process_epoch, context.incarnation = min(claim.process_epoch + 1, MAX_PROCESS_EPOCH), 0
+    context.report_own_state(State.ALIVE)
+    context.disseminate(context.own_claim())
 
 
 MOST_SEEDS = 8
 BUGS: dict[str, tuple[Check, Callable[[pytest.MonkeyPatch], None]]] = {
-    "refutes without a higher incarnation": (lossy, lambda patch: patch.setattr(Own, "_refute", same_incarnation)),
+    "refutes without a higher incarnation": (
+        lossy,
+        lambda patch: patch.setattr(OwnMember, "_refute", same_incarnation),
+    ),
     "confirmations are not counted": (killed, lambda patch: patch.setattr(Suspicion, "confirm", lambda *_: False)),
-    "suspicions are not restarted after a pause": (stopped, lambda patch: patch.setattr(Holder, "restart", nothing)),
-    "a fence is not told to the parts above": (halves, lambda patch: patch.setattr(Own, "_reborn", fence_untold)),
-    "nobody knocks at the dead": (halves, lambda patch: patch.setattr(Membership, "_reconnect", nothing)),
+    "suspicions are not restarted after a pause": (
+        stopped,
+        lambda patch: patch.setattr(MemberStates, "restart_suspicions", nothing),
+    ),
+    "a fence is not told to the parts above": (
+        halves,
+        lambda patch: patch.setattr(OwnMember, "_rejoin_fenced", fence_untold),
+    ),
+    "nobody knocks at the dead": (halves, lambda patch: patch.setattr(Membership, "_reconnect_due", nothing)),
     "old news revive the dead": (
         storm,
-        lambda patch: patch.setitem(table_of_states.TABLE, (State.DEAD, State.ALIVE), Needs.AS_HIGH),
+        lambda patch: patch.setitem(table_of_states.PRECEDENCE, (State.DEAD, State.ALIVE), IncarnationRule.NOT_LOWER),
     ),
-    "no relays are asked and no stream": (one_link, lambda patch: patch.setattr(Prober, "indirect", nothing)),
+    "no relays are asked and no stream": (one_link, lambda patch: patch.setattr(Prober, "probe_indirectly", nothing)),
 }
 
 
--- a/tests/fleet/test_peer_streams.py
+++ b/tests/fleet/test_peer_streams.py
@@ -17,8 +17,8 @@
 
 
 def test_a_peer_gone_and_back_is_spoken_with_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_streams, "FIRST_WAIT_S", 0.01)
-    monkeypatch.setattr(peer_streams, "MOST_WAIT_S", 0.04)
+    monkeypatch.setattr(peer_streams, "MIN_RETRY_WAIT_S", 0.01)
+    monkeypatch.setattr(peer_streams, "MAX_RETRY_WAIT_S", 0.04)
 
     async def case() -> None:
         a, b = One("a"), One("b")
@@ -42,8 +42,8 @@
 
 
 def test_a_peer_that_ends_each_stream_is_asked_ever_more_seldom(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_streams, "FIRST_WAIT_S", 0.01)
-    monkeypatch.setattr(peer_streams, "MOST_WAIT_S", 0.08)
+    monkeypatch.setattr(peer_streams, "MIN_RETRY_WAIT_S", 0.01)
+    monkeypatch.setattr(peer_streams, "MAX_RETRY_WAIT_S", 0.08)
 
     async def case() -> None:
         a, times = One("a"), []
@@ -67,9 +67,9 @@
 
 
 def test_old_messages_are_not_sent_and_unused_streams_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_streams, "FIRST_WAIT_S", 0.02)
-    monkeypatch.setattr(peer_streams, "IDLE_S", 1.0)
-    monkeypatch.setattr(peer_streams, "STALE_S", 0.01)
+    monkeypatch.setattr(peer_streams, "MIN_RETRY_WAIT_S", 0.02)
+    monkeypatch.setattr(peer_streams, "IDLE_TIMEOUT_S", 1.0)
+    monkeypatch.setattr(peer_streams, "MAX_QUEUE_AGE_S", 0.01)
 
     async def case() -> None:
         a, b = One("a"), One("b")
@@ -91,8 +91,8 @@
 
 
 def test_a_silent_peer_s_queue_is_bounded_and_its_stream_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_streams, "STALL_S", 0.2)
-    monkeypatch.setattr(peer_streams, "MOST_BYTES", 3_000_000)
+    monkeypatch.setattr(peer_streams, "WRITE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(peer_streams, "MAX_QUEUED_BYTES", 3_000_000)
 
     async def case() -> None:
         a, silent = One("a"), socket.create_server((HOST, 0))
@@ -101,8 +101,8 @@
             name = "%s:%d" % silent.getsockname()  # noqa: UP031
             for _ in range(3000):
                 a.act(SendToMember("s", Line("x")))
-            assert a.streams["out"][name]["messages"] == peer_streams.MOST_QUEUED
-            assert a.streams["dropped_full"] == 3000 - peer_streams.MOST_QUEUED
+            assert a.streams["out"][name]["messages"] == peer_streams.MAX_QUEUED_MESSAGES
+            assert a.streams["dropped_full"] == 3000 - peer_streams.MAX_QUEUED_MESSAGES
             for _ in range(40):
                 a.act(SendToMember("s", Block(bytes(500_000))))
                 assert a.streams["out"][name]["bytes"] <= 3_000_000
@@ -204,7 +204,7 @@
 def test_a_stream_with_garbage_is_ended_and_counted(
     sent: bytes, fault: FrameFault | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(peer_streams, "HELLO_S", 60.0)  # it's not for its silence
+    monkeypatch.setattr(peer_streams, "HELLO_TIMEOUT_S", 60.0)  # it's not for its silence
 
     async def case() -> None:
         b = One("b")
@@ -221,7 +221,7 @@
 
 
 def test_who_says_nothing_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_streams, "HELLO_S", 0.02)
+    monkeypatch.setattr(peer_streams, "HELLO_TIMEOUT_S", 0.02)
 
     async def case() -> None:
         b = One("b")
--- a/tests/fleet/test_peer_transport.py
+++ b/tests/fleet/test_peer_transport.py
@@ -123,7 +123,7 @@
                 return [SetTimer(now + n, n) for n in (30, 10, -5, 20)] if isinstance(event, Stored) else []
 
             a.log.answer = answer
-            a.others.tell(Stored(1))  # ticket 1 of two parts is the second's
+            a.others.dispatch(Stored(1))  # ticket 1 of two parts is the second's
             assert a.others.state()["timers"] == 4
             await until(lambda: len(fired) == 4)
             assert [token for _, token in fired] == [-5, 10, 20, 30] and all(at >= now + n for at, n in fired)
@@ -144,7 +144,7 @@
 
 
 def test_the_store_answers_from_its_thread_and_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_STORES", 2)
+    monkeypatch.setattr(module, "MAX_PENDING_STORES", 2)
 
     async def case() -> None:
         disk = Disk()
@@ -202,7 +202,7 @@
             return []
 
         # As rules that come into force make another part be told of it, while that is to hear what came with them.
-        a.hub.register_action_handler(Said, lambda said: a.others.tell(Stored(3)))
+        a.hub.register_action_handler(Said, lambda said: a.others.dispatch(Stored(3)))
         async with several(a):
             a.log.answer = answer
             a.act(Said("in force"), Fenced())
@@ -213,7 +213,7 @@
 
 
 def test_too_many_timers_put_the_fleet_off_and_close_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_TIMERS", 3)
+    monkeypatch.setattr(module, "MAX_TIMERS", 3)
 
     async def case() -> None:
         a = One("a")
@@ -246,7 +246,7 @@
 
 def test_the_address_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """The next process of a sidecar starts while the one before still has it."""
-    monkeypatch.setattr(module, "FIRST_WAIT_S", 0.01)
+    monkeypatch.setattr(module, "MIN_BIND_WAIT_S", 0.01)
 
     async def case() -> None:
         a = One("a")
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -373,7 +373,7 @@
 
 def till_of(cost: dict[str, int] | None = None, looks: list[int] | None = None) -> tuple[Till, Fake]:
     heard = looks if looks is not None else []
-    till = Till(Tuning(tenants=("acme",), cost=cost or {}), lambda: heard.append(1), SimpleNamespace(off=()))
+    till = Till(Tuning(tenants=("acme",), cost=cost or {}), lambda: heard.append(1), SimpleNamespace(stopped=()))
     return till, Fake()
 
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -8,7 +8,16 @@
 from hypothesis import strategies as st
 
 from limenotch.fleet.interfaces import Message
-from limenotch.fleet.wire import DIGEST, MOST_FRAME, MOST_NAME, FrameCodec, FrameFault, FrameReader, Hello, with_length
+from limenotch.fleet.wire import (
+    DIGEST_BYTES,
+    MAX_FRAME_BYTES,
+    MAX_NAME_LENGTH,
+    FrameCodec,
+    FrameFault,
+    FrameReader,
+    Hello,
+    with_length,
+)
 
 from .fake_messages import ALL, Block, Line, Probe
 
@@ -27,7 +36,7 @@
 )
 
 
-@given(st.text(min_size=1, max_size=MOST_NAME), MESSAGES)
+@given(st.text(min_size=1, max_size=MAX_NAME_LENGTH), MESSAGES)
 def test_what_comes_out_is_what_went_in(sender: str, message: Message) -> None:
     one = wire()
     assert one.decode(one.encode(sender, message)) == (sender, message)
@@ -40,7 +49,7 @@
     frame = bytearray(one.encode("a", message))
     place = data.draw(st.integers(0, len(frame) - 1))
     cut = one.decode(bytes(frame[:place]))
-    assert cut is (FrameFault.SHORT if place <= DIGEST else FrameFault.DIGEST)
+    assert cut is (FrameFault.SHORT if place <= DIGEST_BYTES else FrameFault.DIGEST)
     frame[place] ^= data.draw(st.integers(1, 255))
     assert one.decode(bytes(frame)) is FrameFault.DIGEST
     assert sum(one.faults.values()) == 2
@@ -67,7 +76,7 @@
     assert FrameCodec(KEY, "g", (Probe,)).decode(one.encode("a", Line("x"))) is FrameFault.KIND
     assert FrameCodec(KEY, "g", ()).decode(one.encode("a", Line("x"))) is FrameFault.KIND
     assert one.decode(one.encode("a", Probe("no number"))) is FrameFault.MALFORMED  # type: ignore[arg-type]
-    assert one.decode(one.encode("a", Block(bytes(MOST_FRAME)))) is FrameFault.TOO_LONG
+    assert one.decode(one.encode("a", Block(bytes(MAX_FRAME_BYTES)))) is FrameFault.TOO_LONG
     assert one.decode(one.encode("a", Block(bytes(2000))), 1200) is FrameFault.TOO_LONG
     assert one.faults == {
         **dict.fromkeys(FrameFault, 0),
@@ -110,7 +119,7 @@
         lambda: FrameCodec(KEY, "g", (Probe, Probe)),
         lambda: wire(spoken=(2, 1)),
         lambda: wire().encode("", Probe(1)),
-        lambda: wire().encode("x" * (MOST_NAME + 1), Probe(1)),
+        lambda: wire().encode("x" * (MAX_NAME_LENGTH + 1), Probe(1)),
     ],
 )
 def test_what_can_not_be_made(made: object) -> None:
@@ -118,26 +127,26 @@
         made()  # type: ignore[operator]
 
 
-@given(st.lists(st.binary(min_size=DIGEST + 1, max_size=60), max_size=6), st.integers(1, 50))
+@given(st.lists(st.binary(min_size=DIGEST_BYTES + 1, max_size=60), max_size=6), st.integers(1, 50))
 def test_a_stream_is_cut_into_frames_however_it_comes(sent: list[bytes], step: int) -> None:
     whole, frames, got = b"".join(with_length(each) for each in sent), FrameReader(), []
     for at in range(0, len(whole), step):
         frames.feed(whole[at : at + step])
-        while (frame := frames.take()) is not None:
+        while (frame := frames.next_frame()) is not None:
             got.append(frame)
     assert got == sent
 
 
 def test_a_stream_s_lengths_are_bounded() -> None:
     for length, fault in [
-        (MOST_FRAME + 1, FrameFault.TOO_LONG),
+        (MAX_FRAME_BYTES + 1, FrameFault.TOO_LONG),
         (2**32 - 1, FrameFault.TOO_LONG),
-        (DIGEST, FrameFault.SHORT),
+        (DIGEST_BYTES, FrameFault.SHORT),
         (0, FrameFault.SHORT),
     ]:
         frames = FrameReader()
         frames.feed(length.to_bytes(4, "big"))
-        assert frames.take() is fault
+        assert frames.next_frame() is fault
     frames = FrameReader()
-    frames.feed(with_length(bytes(MOST_FRAME)))
-    assert frames.take() == bytes(MOST_FRAME) and frames.take() is None
+    frames.feed(with_length(bytes(MAX_FRAME_BYTES)))
+    assert frames.next_frame() == bytes(MAX_FRAME_BYTES) and frames.next_frame() is None
--- a/tests/fleet/wallet_bugs.py
+++ b/tests/fleet/wallet_bugs.py
@@ -21,8 +21,8 @@
     real = leases.HeldLease.accept
 
     def take(self: leases.HeldLease, now: float, serial: int, lease_ms: float) -> bool:
-        if serial in self._asked:
-            self._asked[serial] = now
+        if serial in self._requests:
+            self._requests[serial] = now
         return real(self, now, serial, lease_ms)
 
     patch.setattr(leases.HeldLease, "accept", take)
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -65,7 +65,7 @@
 ]
 
 MESSAGES: tuple[type[Message], ...] = (
-    *get_args(membership_messages.Spoken),
+    *get_args(membership_messages.MembershipMessage),
     *message_types(agreement_messages),
     *message_types(wallet_messages),
     *message_types(rules_messages),
