--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -58,7 +58,7 @@
 
     @property
     def off(self) -> bool:
-        off = self._parts.off
+        off = self._parts.stopped
         return self.fault or PREFIX in off or LOG_PREFIX in off
 
     def pays(self, tenant: str) -> bool:
@@ -66,7 +66,7 @@
 
     def request_received(self, call: Request) -> FinalResponse | RetryLater | None:
         purse = self.purse
-        if purse is None or self.fault or (self._parts.off and self.off):
+        if purse is None or self.fault or (self._parts.stopped and self.off):
             return self._without(call)
         try:
             said = purse.reserve(monotonic() * 1000.0, call.tenant, call.class_name, call.already_charged)
