--- a/limenotch/fleet/__init__.py
+++ b/limenotch/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Many sidecars as one: what they know of each other and agree on. Decisions only, nothing here does I/O.
+"""The fleet: what many sidecars know of each other and agree on. Decisions only, without I/O.
 
-Off without a `[fleet]` table in the program's settings; nothing imports this package then.
+Without a `[fleet]` table in the program's settings nothing imports this package.
 """
--- a/limenotch/fleet/hub.py
+++ b/limenotch/fleet/hub.py
@@ -1,22 +1,23 @@
-"""Several parts behind one `handle`, so that a host needs to know of one only. No I/O, no clock, no randomness.
-
-- A message goes to the part whose prefix its tag begins with (`mb.`, `ag.`).
-- A timer's token and a store's ticket carry the number of the part that asked, and go back to it alone.
-- Tell(name) becomes Send(address) by what membership knows; dropped and counted where it knows none.
-- MemberChanged and Fenced, said by the first part (membership), go to the others in order, at their place among the
-  actions: what a part does on them comes before what membership does next.
-- Started and Leave go to all, in order.
-- One part may be the log (`ag.`): what those after it propose, read and change goes there with their prefix, what is
-  agreed goes to whom it is of, what they asked for is answered to who asked, a new leader is told to all of them
-  (`above.py`). What they ask is told to the log when all that the event brought about is told: never in between.
-- A snapshot is made of the state of all of them. Where some entry is of a part that is not here, or is off, none is
-  made: its state would be lost. The log then grows until it refuses what is proposed.
-- ComponentEvent(component, event) is the host's own way to a part; actions of further types go to the host's own
+"""Several components behind one `handle`, so that a host deals with one only. No I/O, no clock, no randomness.
+
+- A message goes to the component whose prefix its tag begins with (`mb.`, `ag.`).
+- A timer's token and a store's ticket carry the index of the component that set them, and go back to it alone.
+- SendToMember becomes SendToAddress by membership's addresses; dropped and counted if the name has none.
+- MemberChanged and Fenced of the first component (membership) go to the others in order, at their position among the
+  actions: the others handle them before the hub goes on with membership's next action.
+- Started and ShutdownStarted go to all, in order.
+- One component may be the log (`ag.`). What the components after it propose, read and change goes to the log with their
+  prefix. A committed entry goes to the component of its prefix, a response to the component that made the request, a
+  new leader to all of them (`log_multiplexer.py`). The log handles a request only after all that the event caused has
+  been dispatched, never in between.
+- A snapshot contains the state of all components after the log. If an entry belongs to a component that is missing or
+  stopped, no snapshot is made, as that state would be lost. The log then grows until it rejects proposals.
+- ComponentEvent(component, event) is the host's way to one component; actions of other types go to the host's own
   handlers (`register_action_handler`).
 
-A part that raises: where the host gave `on_fault` it is told so and the part hears nothing more; if it was the first
-part, none does, as nobody would tell the others of a fence. Without `on_fault` the exception goes through: in
-simulated time it is a find.
+When a component raises and the host has set `on_fault`, the hub reports the fault there and stops the component. If it
+was the first component, all are stopped, as nothing would notify the others of a fence. Without `on_fault` the
+exception propagates: in simulated time it is a finding.
 """
 
 from __future__ import annotations
@@ -48,31 +49,31 @@
 )
 from .wire import tag_of
 
-COMPONENT_STOPPED = "fleet off: fault"  # the note's text
+COMPONENT_STOPPED = "fleet off: fault"  # text of the log line
 LOG_PREFIX = "ag."
 LOG_REQUESTS = (api.Propose, api.ReadIndex, api.ChangeVoters)
 LOG_RESPONSES = (api.ProposalCommitted, api.ProposalRejected, api.OutcomeUnknown, api.ReadReady)
 
-FaultHandler = Callable[[str, Any, Exception], None]  # the part's prefix, the event, what it raised
+FaultHandler = Callable[[str, Any, Exception], None]  # the component's prefix, the event, the exception
 
 
 class AddressBook(Protocol):
-    """What membership answers beside its events."""
+    """Membership's addresses."""
 
     def address_of(self, name: str) -> Address | None:
-        """Where a member is reached; None if none is known."""
+        """Where a member is reached; None if unknown."""
         ...
 
 
 class ComponentEvent(NamedTuple):
-    """An event for one part, from its host."""
+    """An event for one component, from the host."""
 
     component: str  # its prefix
     event: Any
 
 
 class ComponentHub:
-    """A part made of parts."""
+    """A component made of components."""
 
     def __init__(
         self,
@@ -80,40 +81,40 @@
         address_book: AddressBook | None = None,
         on_fault: FaultHandler | None = None,
     ) -> None:
-        """`components` with the prefix of their messages' tags, membership first. ValueError: a prefix twice."""
+        """`components`: with the prefix of their messages' tags, membership first. ValueError: a prefix twice."""
         self._components: list[Component] = []
         self._prefixes: list[str] = []
         self._indexes: dict[str, int] = {}
         self._address_book, self.on_fault = address_book, on_fault
         self._stopped_indexes: set[int] = set()
         self._started = False
-        self._log_events: deque[tuple[int, Any]] = deque()  # what is still to be told: part, event
+        self._log_events: deque[tuple[int, Any]] = deque()  # still to be dispatched: index, event
         self._action_handlers: dict[type, Callable[[Any], None]] = {}
-        self._all_states_known = True  # every entry and every state so far was of a part that is here
+        self._all_states_known = True  # whether each entry and state so far is of a component here
         for prefix, component in components:
             self.add(prefix, component)
-        self.stopped: tuple[str, ...] = ()  # prefixes of the parts stopped
-        self.undeliverable_messages = 0  # messages to names without an address
-        self.unhandled_messages = 0  # messages of no part, or of one that is off
+        self.stopped: tuple[str, ...] = ()  # prefixes of the stopped components
+        self.undeliverable_messages = 0  # to names without an address
+        self.unhandled_messages = 0  # for no component, or for a stopped one
 
     def add(self, prefix: str, component: Component) -> None:
-        """Before Started alone: numbers of timers hang on how many parts there are."""
+        """Only before Started: tokens of timers depend on the number of components. Raises ValueError."""
         if self._started or prefix in self._indexes:
-            raise ValueError(f"{prefix}: begun already, or two parts with one prefix")
+            raise ValueError(f"{prefix}: already started, or two components with one prefix")
         self._indexes[prefix] = len(self._components)
         self._components.append(component)
         self._prefixes.append(prefix)
 
     def register_action_handler(self, action_type: type, handler: Callable[[Any], None]) -> None:
-        """Actions of this type, of any part, are told to the host so, in order. `told` must not call `handle`."""
+        """Pass all actions of this type to the host, in order. `handler` must not call `handle`."""
         self._action_handlers[action_type] = handler
 
     def record_snapshot_prefixes(self, states: Iterable[str]) -> None:
-        """Prefixes of the states that the snapshot found at the start had."""
+        """Take the prefixes of the states in the snapshot that was found at the start."""
         self._all_states_known = self._all_states_known and all(prefix in self._indexes for prefix in states)
 
     def handle(self, now: float, event: Event | ComponentEvent) -> list[Action]:
-        """Send, SetTimer, Store and LogLine only: the rest stays in here. Raises TypeError on what is no event."""
+        """Gives SendToAddress, SetTimer, Store and LogLine only. Raises TypeError on an unknown event or action."""
         actions: list[Action] = []
         self._started = self._started or isinstance(event, Started)
         for index, inner in self._route(event):
@@ -143,10 +144,10 @@
             return [(index, event) for index in range(len(self._components))]
         if isinstance(event, ComponentEvent) and event.component in self._indexes:
             return ((self._indexes[event.component], event.event),)
-        raise TypeError(f"no event of the hub: {event!r}")
+        raise TypeError(f"not an event of the hub: {event!r}")
 
     def _dispatch(self, now: float, index: int, event: Any, actions: list[Action]) -> None:
-        """What the part answers, carried as far as it goes within the hub."""
+        """Have one component handle an event, and apply its actions."""
         if index in self._stopped_indexes:
             return
         try:
@@ -180,7 +181,7 @@
         elif isinstance(action, LOG_REQUESTS) and index:
             self._forward_to_log(index, action)
         else:
-            raise TypeError(f"no action of {self._prefixes[index]}: {action!r}")
+            raise TypeError(f"unexpected action of component {self._prefixes[index]}: {action!r}")
 
     # The log
 
@@ -221,7 +222,7 @@
                 self._dispatch(now, index, action, actions)
         elif isinstance(action, api.SnapshotRequested):
             if not self._all_states_known or self._stopped_indexes:
-                actions.append(LogLine("no snapshot: entries of a part that is not here"))
+                actions.append(LogLine("no snapshot: the log has state of a component that does not run"))
                 return
             states = {
                 self._prefixes[index]: cast(log_multiplexer.ReplicatedComponent, self._components[index]).state()
@@ -229,7 +230,7 @@
             }
             self._log_events.append((log, api.SnapshotState(action.index, log_multiplexer.join_states(states))))
         else:
-            raise TypeError(f"no action of {LOG_PREFIX}: {action!r}")
+            raise TypeError(f"unexpected action of component {LOG_PREFIX}: {action!r}")
 
     def _stop_faulty(self, index: int, event: Any, error: Exception, actions: list[Action]) -> None:
         assert self.on_fault is not None
@@ -238,17 +239,17 @@
         actions.append(LogLine(COMPONENT_STOPPED, {"part": self._prefixes[index], "off": ", ".join(self.stopped)}))
         if index == self._indexes.get(LOG_PREFIX):
             replicated = range(index + 1, len(self._components))
-            self._log_events.extend((layer, api.LeaderChanged(None, 0)) for layer in replicated)
+            self._log_events.extend((listener, api.LeaderChanged(None, 0)) for listener in replicated)
 
     def stop_all(self) -> None:
-        """The host tells no part anything more."""
+        """Dispatch no further event to any component."""
         self._mark_stopped(set(range(len(self._components))))
 
-    def _mark_stopped(self, numbers: set[int]) -> None:
-        self._stopped_indexes |= numbers
+    def _mark_stopped(self, indexes: set[int]) -> None:
+        self._stopped_indexes |= indexes
         self.stopped = tuple(self._prefixes[index] for index in sorted(self._stopped_indexes))
 
-    # A number of a part's own, and the part, in one number: nothing has to be kept, whatever parts ask for
+    # A component's own number and its index in one number, so that the hub stores nothing for timers and tickets
 
     def _encode_number(self, number: int, index: int) -> int:
         return number * len(self._components) + index
--- a/limenotch/fleet/interfaces.py
+++ b/limenotch/fleet/interfaces.py
@@ -1,8 +1,8 @@
-"""What passes between the fleet's decisions and whoever hosts them: real sockets, or the laboratory's simulated time.
+"""Events and actions between the fleet's components and their host: real sockets, or the laboratory's simulated time.
 
-A *part* (membership, agreement, ...) is told events in order and answers each with actions, to be carried out in order.
-Times are milliseconds of the host's monotonic clock: comparable within one process only, and never running backwards.
-Parts know no wall clock. Randomness is a seed given when a part is made.
+A *component* (membership, consensus, ...) is a state machine. It handles events in order and answers each with actions,
+which the host performs in order. Times are milliseconds of the host's monotonic clock: comparable within one process
+only, and never running backwards. Components read no wall clock. Their randomness comes from a seed given at creation.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 
 
 class Message(Struct, frozen=True, array_like=True, tag=True):
-    """Base of all that members say to each other; each part's `messages.py` has its own, with a short `tag`.
+    """Base of all messages between members; each component's `messages.py` defines its own, with a short `tag`.
 
-    Fields are only ever added at the end, with defaults: an older program skips them, a newer one fills them in.
+    Fields are only ever added at the end, with defaults: an older program skips them, a newer one uses the defaults.
     """
 
 
 class Carrier(Enum):
     """How a message travels."""
 
-    DATAGRAM = "datagram"  # one message, MAX_DATAGRAM_BYTES bytes at most; may be lost, late, doubled, out of order
-    STREAM = "stream"  # a kept connection: in order while it lasts; lost with it, and its sender is not told
+    DATAGRAM = "datagram"  # one message of at most MAX_DATAGRAM_BYTES; may be lost, delayed, duplicated, reordered
+    STREAM = "stream"  # a persistent connection: in order; messages are lost with it, without notice
 
 
-MAX_DATAGRAM_BYTES = 1200  # bytes of a frame: under every path's limit, and loopback is held to the same
+MAX_DATAGRAM_BYTES = 1200  # of a frame: below the limit of every path; applied to loopback too
 
 
 # Events
 
 
 class Started(NamedTuple):
-    """The process begins. Told once, first."""
+    """The process starts. Sent once, before all other events."""
 
 
 class MessageReceived(NamedTuple):
-    """A message came whose digest and version were sound. `sender` is the name its frame bears."""
+    """A message arrived whose digest and version are valid. `sender` is the name in its frame."""
 
     address: Address
     sender: str
@@ -50,50 +50,50 @@
 
 
 class TimerFired(NamedTuple):
-    """Not before the time asked for; how much later is for the part to see. Timers are never called back."""
+    """A timer is due. It may fire later than requested, never earlier. A timer can't be cancelled."""
 
     token: int
 
 
 class ShutdownStarted(NamedTuple):
-    """The process is about to end in order (SIGTERM)."""
+    """The graceful shutdown of the process begins (SIGTERM)."""
 
 
 class Stored(NamedTuple):
-    """What `Store(ticket)` asked for, and all before it, is on the disk and survives the machine's fall."""
+    """The records of `Store(ticket)`, and all before them, are on disk and survive a crash of the machine."""
 
     ticket: int
 
 
 class StoreFailed(NamedTuple):
-    """It is not, and nothing after it will be until the host says otherwise by a later Stored.
+    """The records of `Store(ticket)` are not on disk, nor is anything after them until the host sends a later Stored.
 
-    The host keeps nothing of what failed; the part writes again what is missing.
+    The host retains nothing of what failed; the component writes what is missing again.
     """
 
     ticket: int
-    reason: str  # `full`, `read-only`, `torn`, `slow`: the operators read it
+    reason: str  # `full`, `read-only`, `torn`, `slow`: shown to operators
 
 
 class MemberChanged(NamedTuple):
-    """From membership to the other parts: what is now held of a member, oneself included."""
+    """From membership to the other components: the current state of a member, this process included."""
 
     name: str
     state: str  # one of membership.states.State's values
     address: Address
     incarnation: int
-    process_epoch: int  # differs between two processes of one name; a duty is held by (name, life)
+    process_epoch: int  # differs between two processes of one name; leases belong to (name, process_epoch)
 
 
 class Fenced(NamedTuple):
-    """From membership to the other parts: the others had declared this process dead. What it held is void."""
+    """From membership to the other components: the peers had declared this process dead, so its leases are void."""
 
 
 # Actions
 
 
 class SendToAddress(NamedTuple):
-    """To an address; membership's, which knows addresses before names."""
+    """Send to an address. For membership, which knows addresses before names."""
 
     address: Address
     message: Message
@@ -101,7 +101,7 @@
 
 
 class SendToMember(NamedTuple):
-    """To a member by name; dropped where membership knows no address."""
+    """Send to a member by name; dropped if membership knows no address of it."""
 
     member: str
     message: Message
@@ -109,23 +109,23 @@
 
 
 class SetTimer(NamedTuple):
-    """A timer: TimerFired(token) is due at `at_ms` of the host's clock."""
+    """Request TimerFired(token) at `at_ms` of the host's clock."""
 
     at_ms: float
-    token: int  # the part's own; the hub keeps parts apart
+    token: int  # chosen by the component; the hub tells components apart
 
 
 class Store(NamedTuple):
-    """Written in order, answered by Stored or StoreFailed. `records` are the part's own, see store's page."""
+    """Write records in order; answered by Stored or StoreFailed. The component defines `records` (store/records.py)."""
 
     ticket: int
     records: tuple[Any, ...]
 
 
 class LogLine(NamedTuple):
-    """Something an operator would want to see: a structured log line, and a cell of a drawing.
+    """A structured log line for operators; also a cell of an expected timeline in tests.
 
-    `text` is short and fixed in form ("suspects b", "b dead", "leads 4"); figures go into `fields`.
+    `text` is short and of a fixed form ("suspects b", "b dead", "leads 4"); values go into `fields`.
     """
 
     text: str
@@ -140,5 +140,5 @@
     """A state machine of the fleet, as its host sees it."""
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """Raises TypeError on what is no event of the part, ValueError where `now` runs backwards."""
+        """Raises TypeError on an event that is not the component's, ValueError if `now` runs backwards."""
         ...
--- a/limenotch/fleet/leases.py
+++ b/limenotch/fleet/leases.py
@@ -1,8 +1,8 @@
-"""What every lease in the fleet keeps to, whatever it is on.
+"""The two sides of every lease in the fleet, whatever it is on.
 
-A holder counts `lease_ms` from when it *asked*, a granter `lease_ms` x (1 + drift) from when it *answered*, which is
-later: so a lease is over at its holder before it is over at its granter, whatever is late, lost, doubled or paused.
-Whoever has just become leader knows no leases of those before it and waits one out.
+A holder counts `lease_ms` from its request, a granter `lease_ms` x (1 + drift) from its response, which is later. So a
+lease expires at its holder before it expires at its granter, whatever is delayed, lost, duplicated or paused. A new
+leader knows nothing of the leases of earlier leaders and waits until the longest of them has expired.
 
 Source: Gray, Cheriton, "Leases" (1989), on monotonic clocks with bounded drift.
 """
@@ -13,28 +13,28 @@
 
 
 class HeldLease:
-    """The holder's side. `expires_at_ms` is the one number that each act is held against."""
+    """The holder's side. The holder acts only before `expires_at_ms`."""
 
     def __init__(self, lease_ms: float) -> None:
         self.lease_ms = lease_ms
         self.expires_at_ms = -NEVER
-        self.granted_serial = 0  # serial of the grant acted under
+        self.granted_serial = 0  # serial of the current grant
         self.serial = 0
         self._requests: dict[int, float] = {}
 
     def is_valid(self, now: float) -> bool:
-        """Whether the lease has not run out."""
+        """Whether the lease has not expired."""
         return now < self.expires_at_ms
 
     def request(self, now: float) -> int:
-        """The serial of a new ask; those whose lease would be over are forgotten."""
+        """The serial of a new request; requests whose lease would have expired are forgotten."""
         self.serial += 1
         self._requests = {serial: at_ms for serial, at_ms in self._requests.items() if now - at_ms < self.lease_ms}
         self._requests[self.serial] = now
         return self.serial
 
     def accept(self, now: float, serial: int, lease_ms: float) -> bool:
-        """Whether it counts: it answers an ask that is newer than the one acted on, and is not over yet."""
+        """Whether a grant takes effect: it answers a newer request than the current grant, and has not expired."""
         requested_at_ms = self._requests.get(serial)
         if requested_at_ms is None or serial <= self.granted_serial:
             return False
@@ -46,18 +46,18 @@
         return True
 
     def release(self) -> None:
-        """All that is held, and all that was asked for, is void."""
+        """End the lease, and ignore grants for all earlier requests."""
         self.expires_at_ms = -NEVER
         self._requests.clear()
 
 
 class LeaseGranter:
-    """The granter's side: since when it leads, and whether leases of others before it may still be held."""
+    """The granter's side: since when it leads, and whether leases of earlier leaders may still be valid."""
 
     def __init__(self, max_lease_ms: float) -> None:
         self.max_lease_ms = max_lease_ms
-        self.leader_since_ms = NEVER  # never: it is no leader
+        self.leader_since_ms = NEVER  # NEVER: it does not lead
 
     def earlier_leases_expired(self, now: float) -> bool:
-        """Whether every lease that an earlier leader may have granted has run out by now."""
+        """Whether every lease that an earlier leader may have granted has expired."""
         return now >= self.leader_since_ms + self.max_lease_ms
--- a/limenotch/fleet/settings.py
+++ b/limenotch/fleet/settings.py
@@ -1,6 +1,6 @@
-"""The `[fleet]` table of the program's settings: who this sidecar is among the others, and where they meet.
+"""The `[fleet]` table of the program's settings: this sidecar's identity in the fleet, and how it reaches its peers.
 
-Imported only where a file has that table. A part's own table belongs to the part, which says what it takes.
+Imported only where the file has that table. Each component defines its own table.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 from .wire import MAX_FRAME_BYTES, MAX_KEY_BYTES, MAX_NAME_LENGTH, MIN_KEY_BYTES
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
-WILDCARD_HOSTS = ("0.0.0.0", "::")  # what can be listened at, but not reached
-STORE_DESCRIPTORS = 8  # descriptors that the store and its thread may hold
+WILDCARD_HOSTS = ("0.0.0.0", "::")  # can be listened on, but not connected to
+STORE_DESCRIPTORS = 8  # descriptors that the store and its thread may use
 SOCKET_DESCRIPTORS = 2
-HEADER_FIELD = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{0,64}")  # a header field's name, or none
+HEADER_FIELD = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{0,64}")  # the name of a header field, or empty
 
 
 class Membership(Tuning, frozen=True, forbid_unknown_fields=True):
-    """As the part has it."""
+    """The settings of membership."""
 
 
 class Agreement(agreement.Tuning, frozen=True, forbid_unknown_fields=True):
-    """As the part has it."""
+    """The settings of consensus."""
 
 
 class Rules(rules.Tuning, frozen=True, forbid_unknown_fields=True):
-    """As the part has it."""
+    """The settings of versioned rules."""
 
 
 class Wallet(wallet.Tuning, frozen=True, forbid_unknown_fields=True):
-    """As the part has it."""
+    """The settings of wallets."""
 
 
 class Bindings(bindings.Tuning, frozen=True, forbid_unknown_fields=True):
-    """As the part has it."""
+    """The settings of affinity."""
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
@@ -55,21 +55,21 @@
     group: Name
     listen: str
     key_file: str
-    name: Name | None = None  # None: the sidecar's
+    name: Name | None = None  # None: the name of the sidecar
     seeds: Annotated[tuple[str, ...], Meta(max_length=64)] = ()
     voters: Annotated[tuple[Name, ...], Meta(max_length=9)] = ()
-    folder: Annotated[str, Meta(min_length=1)] | None = None  # None: nothing is stored
-    streams: Annotated[int, Meta(ge=1, le=1024)] = 32  # of one's own, and as many of others
+    folder: Annotated[str, Meta(min_length=1)] | None = None  # None: the log is in memory only
+    streams: Annotated[int, Meta(ge=1, le=1024)] = 32  # outbound streams, and as many inbound ones
     addresses: dict[Name, str] = {}
     membership: Membership = Membership()
     agreement: Agreement = Agreement()
-    rules: Rules | None = None  # None: each sidecar has the rules of its own file
-    wallet: Wallet | None = None  # None: nobody pays
-    bindings: Bindings | None = None  # None: none are known beyond one's own calls
+    rules: Rules | None = None  # None: each sidecar uses the rules of its own file
+    wallet: Wallet | None = None  # None: no prepaid credit
+    bindings: Bindings | None = None  # None: no affinity beyond this sidecar's own requests
 
     @property
     def descriptors(self) -> int:
-        """What the fleet may hold of the process's limit."""
+        """File descriptors that the fleet may use."""
         return SOCKET_DESCRIPTORS + 2 * self.streams + (STORE_DESCRIPTORS if self.folder is not None else 0)
 
 
@@ -78,20 +78,20 @@
 
 
 class ResolvedFleet(NamedTuple):
-    """A table that was found sound, as a sidecar of some name has it."""
+    """A valid `[fleet]` table, resolved for one sidecar."""
 
     name: str
     group: str
     key: bytes
     listen: Address
-    address: Address  # where others reach it
+    address: Address  # where peers reach it
     seeds: tuple[Address, ...]
     addresses: dict[str, Address]
     table: Fleet
 
 
 def parse_with(text: str, name: str) -> base.Settings:
-    """Settings whose `fleet` is there. Raises toml.FaultError."""
+    """The settings of a file that has a `fleet` table. Raises toml.FaultError."""
     settings = toml.decode(text, name, _WithFleet)
     for path, what in _find_faults(settings.fleet):
         raise toml.fault(text, name, path, what)
@@ -99,37 +99,39 @@
 
 
 def resolve(table: Fleet, sidecar: str) -> ResolvedFleet:
-    """Raises FaultError where the sidecar's name has a say, or the key's file has changed since."""
+    """Resolve the table for this sidecar. Raises FaultError on what depends on its name, or on the key's file."""
     name = table.name or sidecar
     addresses = {other: address(peer_address, "") for other, peer_address in table.addresses.items()}
     listen = address(table.listen, "")
     peer_address = addresses.get(name, listen)
     if peer_address[0] in WILDCARD_HOSTS:
-        raise toml.FaultError(f"fleet.listen: {table.listen} can't be reached; fleet.addresses has none for {name!r}")
+        raise toml.FaultError(
+            f"fleet.listen: {table.listen} can't be reached by peers; fleet.addresses has none for {name!r}"
+        )
     if len(name) > MAX_NAME_LENGTH:  # the sidecar's
-        raise toml.FaultError(f"fleet.name: missing, {name!r} has more than {MAX_NAME_LENGTH} letters")
+        raise toml.FaultError(f"fleet.name: missing, {name!r} has more than {MAX_NAME_LENGTH} characters")
     if name in table.voters and table.folder is None:
-        raise toml.FaultError(f"fleet.folder: missing, {name!r} is a voter and what it says is stored")
+        raise toml.FaultError(f"fleet.folder: missing, {name!r} is a voter, which needs a store")
     seeds = tuple(address(seed, "") for seed in table.seeds)
     return ResolvedFleet(name, table.group, read_key(table.key_file), listen, peer_address, seeds, addresses, table)
 
 
 def read_key(path: str) -> bytes:
-    """The file's content without white space at its ends. Raises FaultError, which never shows any of it."""
+    """The content of the key file, stripped. Raises FaultError, whose text never contains any of it."""
     try:
         with open(path, "rb") as file:
             key = file.read(4 * MAX_KEY_BYTES).strip()
     except OSError as error:
         raise toml.FaultError(f"fleet.key_file: {path}: {error.strerror}") from None
     except ValueError:
-        raise toml.FaultError("fleet.key_file: no path") from None
+        raise toml.FaultError("fleet.key_file: invalid path") from None
     if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
         raise toml.FaultError(f"fleet.key_file: {path}: expected {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
     return key
 
 
 def _find_faults(table: Fleet) -> Iterator[tuple[str, str]]:
-    """Path and fault of what types alone don't say."""
+    """Path and text of each fault that the types don't exclude."""
     addresses = [("listen", table.listen)]
     addresses += [(f"seeds[{number}]", seed) for number, seed in enumerate(table.seeds)]
     addresses += [(f"addresses.{name}", peer_address) for name, peer_address in table.addresses.items()]
@@ -142,20 +144,20 @@
         except ConfigError as error:
             yield f"fleet.{key}", str(error).removeprefix("fleet: ")
         except ValueError:
-            yield f"fleet.{key}", f"expected a numeric host, not {host!r}: no name service is asked"
+            yield f"fleet.{key}", f"expected a numeric host, not {host!r}: host names are not resolved"
     if table.rules is not None and not table.voters:
-        yield "fleet.rules", "rules are agreed on by voters, and fleet.voters has none"
+        yield "fleet.rules", "needs voters to agree on rules, and fleet.voters is empty"
     if table.wallet is not None and not table.voters:
-        yield "fleet.wallet", "credit is agreed on by voters, and fleet.voters has none"
+        yield "fleet.wallet", "needs voters to agree on credit, and fleet.voters is empty"
     if table.wallet is not None:
         yield from _find_wallet_faults(table.wallet)
     if table.bindings is not None and not HEADER_FIELD.fullmatch(table.bindings.session):
         yield "fleet.bindings.session", f"expected the name of a header field, not {table.bindings.session!r}"
     if len(set(table.voters)) != len(table.voters):
-        yield "fleet.voters", "a name stands twice"
+        yield "fleet.voters", "contains a name twice"
     for key in ("most_entry_bytes", "most_batch_bytes", "chunk_bytes"):
         if getattr(table.agreement, key) > MAX_FRAME_BYTES // 2:
-            yield f"fleet.agreement.{key}", f"more than {MAX_FRAME_BYTES // 2}, what one message may have"
+            yield f"fleet.agreement.{key}", f"more than {MAX_FRAME_BYTES // 2}, the limit of one message"
     try:
         read_key(table.key_file)
     except toml.FaultError as error:
@@ -164,10 +166,10 @@
 
 def _find_wallet_faults(table: Wallet) -> Iterator[tuple[str, str]]:
     if not table.tenants:
-        yield "fleet.wallet.tenants", "nobody pays: leave the table out"
+        yield "fleet.wallet.tenants", "is empty: remove the table if no tenant pays"
     elif len(set(table.tenants)) != len(table.tenants):
-        yield "fleet.wallet.tenants", "a name stands twice"
+        yield "fleet.wallet.tenants", "contains a name twice"
     elif "*" in table.tenants and len(table.tenants) > 1:
-        yield "fleet.wallet.tenants", 'names beside "*", which is all of them'
+        yield "fleet.wallet.tenants", 'contains names beside "*", which means all tenants'
     if table.without_lease == "advance" and not table.advance:
-        yield "fleet.wallet.without_lease", "advance, and fleet.wallet.advance allows none"
+        yield "fleet.wallet.without_lease", "is advance, but fleet.wallet.advance is 0"
--- a/limenotch/fleet/wire.py
+++ b/limenotch/fleet/wire.py
@@ -1,14 +1,14 @@
-"""Frames between sidecars, as bytes: who says what, in which version, under a digest that takes the key to make.
+"""Frames between sidecars: encoding and decoding, with a version and a keyed digest.
 
 A frame is 16 bytes of keyed BLAKE2b (RFC 7693) over all that follows, one byte of version, and a msgpack array
-`[group, sender, message]`; a message is an array whose first element is its kind. What fails is named and counted,
-nothing raises. On a stream each frame has its length before it, 4 bytes, the highest first.
+`[group, sender, message]`. A message is an array whose first element is its tag. Faulty frames are counted by fault;
+decoding never raises. On a stream each frame is preceded by its length, 4 bytes, big-endian.
 
-The digest keeps out whoever lacks the key. It hides nothing, and a frame heard may be sent again by anyone: parts
-must bear that as they bear a network that doubles.
+The digest excludes senders without the key. It does not encrypt, and anybody can replay a frame: components must
+tolerate that, as they tolerate a network that duplicates.
 
-Through a roll, old and new programs talk: each speaks a range of versions and writes the oldest it speaks, fields
-added at the end are skipped by those who don't know them, and a kind not known is dropped.
+During a rolling upgrade old and new programs communicate: each accepts a range of versions and writes the oldest of
+them, fields added at the end are skipped by programs that don't know them, and messages of an unknown tag are dropped.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 from .interfaces import Address, Message
 
-DIGEST_BYTES = 16  # bytes
-LENGTH_PREFIX_BYTES = 4  # bytes before a frame on a stream
-MIN_VERSION, MAX_VERSION = 1, 1  # versions this program speaks
-MAX_FRAME_BYTES = 1024 * 1024  # bytes
-MAX_NAME_LENGTH = 64  # letters of a sender's or a group's name
-MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # bytes; more BLAKE2b does not take
+DIGEST_BYTES = 16
+LENGTH_PREFIX_BYTES = 4  # before a frame on a stream
+MIN_VERSION, MAX_VERSION = 1, 1  # versions that this program accepts
+MAX_FRAME_BYTES = 1024 * 1024
+MAX_NAME_LENGTH = 64  # characters of a sender's or a group's name
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # BLAKE2b takes no longer key
 
 
 class FrameFault(Enum):
-    """Why a frame was dropped; in the order in which it is looked at."""
+    """Why a frame was dropped; in the order of the checks."""
 
     TOO_LONG = "too long"
     SHORT = "short"
@@ -45,14 +45,14 @@
 
 
 class Hello(Message, frozen=True, tag="wire.hello"):
-    """The first frame of a stream: which process speaks on it, and where that process itself listens."""
+    """The first message of a stream: which process sends on it, and where that process listens."""
 
     process_epoch: int
     address: Address
 
 
 def tag_of(message: Message | type[Message]) -> str:
-    """Its kind, as the frame bears it."""
+    """The tag of a message, as in the frame."""
     return str(message.__struct_config__.tag)
 
 
@@ -63,7 +63,7 @@
 
 
 class FrameCodec:
-    """Of one key, one group and the kinds of messages known. Counts what it drops, by fault."""
+    """Encodes and decodes frames of one key, one group and the given types of messages. Counts faulty frames."""
 
     def __init__(
         self,
@@ -72,17 +72,17 @@
         messages: Sequence[type[Message]],
         versions: tuple[int, int] = (MIN_VERSION, MAX_VERSION),
     ) -> None:
-        """Raises ValueError on a key or a name out of bounds, and on two kinds with one tag."""
+        """Raises ValueError on a key, a name or versions out of bounds, and on two types with one tag."""
         if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
             raise ValueError(f"key: expected {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, not {len(key)}")
         self.group = _checked_name(group)
         self._min_version, self._max_version = versions
         if not 0 <= self._min_version <= self._max_version <= 255:
-            raise ValueError(f"versions: {versions}")
+            raise ValueError(f"versions: expected a range within 0 and 255, not {versions}")
         types: list[type[Message]] = [Hello, *messages]
         self._tags = {tag_of(kind) for kind in types}
         if len(self._tags) != len(types):
-            raise ValueError("two kinds of messages with one tag")
+            raise ValueError("two types of messages with one tag")
         self._keyed = blake2b(key=key, digest_size=DIGEST_BYTES)
         self._version = bytes([self._min_version])
         self._encode = msgspec.msgpack.Encoder().encode
@@ -91,19 +91,19 @@
         self.faults = dict.fromkeys(FrameFault, 0)
 
     def encode(self, sender: str, message: Message) -> bytes:
-        """Of any length: what a carrier takes is for it to see. Raises ValueError on a name out of bounds."""
+        """A frame of any length: the carrier checks its own limit. Raises ValueError on a name out of bounds."""
         body = self._version + self._encode((self.group, _checked_name(sender), message))
         return self._digest(body) + body
 
     def decode(self, frame: bytes, max_bytes: int = MAX_FRAME_BYTES) -> tuple[str, Message] | FrameFault:
-        """The sender and what it says, or why that is dropped, which is counted here."""
+        """The sender and the message, or the fault for which the frame is dropped; faults are counted."""
         decoded = self._decode(frame, max_bytes)
         if isinstance(decoded, FrameFault):
             self.count(decoded)
         return decoded
 
     def count(self, fault: FrameFault) -> None:
-        """Also what carriers drop before there is a whole frame."""
+        """Count a fault; carriers call this for what they drop before a frame is complete."""
         self.faults[fault] += 1
 
     def _decode(self, frame: bytes, max_bytes: int) -> tuple[str, Message] | FrameFault:
@@ -120,7 +120,7 @@
             envelope = self._decode_envelope(body[1:])
             if envelope.group != self.group:
                 return FrameFault.GROUP
-        except (msgspec.DecodeError, RecursionError):  # what is no UTF-8 is a DecodeError too
+        except (msgspec.DecodeError, RecursionError):  # invalid UTF-8 is a DecodeError too
             return FrameFault.MALFORMED
         try:
             message: Message = self._decode_message(envelope.message)
@@ -129,7 +129,7 @@
         return envelope.sender, message
 
     def _fault_of(self, message: msgspec.Raw) -> FrameFault:
-        """Whether what does not decode is a kind of a newer program."""
+        """The fault of a message that does not decode: a type of a newer program, or malformed."""
         try:
             decoded = msgspec.msgpack.decode(message)
         except (msgspec.DecodeError, RecursionError, TypeError, ValueError):
@@ -147,29 +147,29 @@
 
 def _checked_name(name: str) -> str:
     if not 0 < len(name) <= MAX_NAME_LENGTH:
-        raise ValueError(f"name: expected 1 to {MAX_NAME_LENGTH} letters, not {name!r}")
+        raise ValueError(f"name: expected 1 to {MAX_NAME_LENGTH} characters, not {name!r}")
     return name
 
 
 def with_length(frame: bytes) -> bytes:
-    """As it goes on a stream."""
+    """The frame with its length before it, as sent on a stream."""
     return len(frame).to_bytes(LENGTH_PREFIX_BYTES, "big") + frame
 
 
 class FrameReader:
-    """Cuts what a stream brings into frames. Holds one unfinished frame at most."""
+    """Splits the bytes of a stream into frames. Buffers one incomplete frame at most."""
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
-        """`most` may be changed under way: little is taken from whoever has not shown that it has the key."""
+        """`max_frame_bytes` may be changed later: it is low until the peer has shown that it has the key."""
         self.max_frame_bytes = max_bytes
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Take bytes that the stream has brought."""
+        """Append bytes received on the stream."""
         self._buffer += data
 
     def next_frame(self) -> bytes | FrameFault | None:
-        """The next whole frame, None if there is none yet. After a fault no further frame can be found."""
+        """The next complete frame, None if there is none yet. After a fault the stream can't be read further."""
         if len(self._buffer) < LENGTH_PREFIX_BYTES:
             return None
         length = int.from_bytes(self._buffer[:LENGTH_PREFIX_BYTES], "big")
--- a/limenotch/fleet_adapters/__init__.py
+++ b/limenotch/fleet_adapters/__init__.py
@@ -1,5 +1,5 @@
-"""The fleet's layers as the program has them: each joins its decisions with operators, calls and providers.
+"""Adapters connect the fleet's components with operators, requests and endpoints.
 
-Imported only where `[fleet]` is set. `fleet_node.py` asks each for its part, its messages and its paths; what a
-layer does beyond that is its own.
+Imported only where `[fleet]` is set. `fleet_node.py` takes the component, the messages and the routes of each adapter;
+all else is the adapter's own.
 """
--- a/limenotch/fleet_adapters/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -1,4 +1,4 @@
-"""What a layer is to the program, and what it is given."""
+"""The base class of adapters, and the context that an adapter gets."""
 
 from __future__ import annotations
 
@@ -14,73 +14,76 @@
 from ..net.admin.server import RequestHandler
 from ..net.request import RequestInterceptor
 
-RESPONSE_MARGIN_S = 1.0  # for an answer that comes by the log's own bounds
+RESPONSE_MARGIN_S = 1.0  # beyond the log's own time limit, until an operator's request is given up
 
 
 class NodeContext(NamedTuple):
-    """Who this process is among the others, and the way to its parts."""
+    """The identity of this process in the fleet, and access to its components."""
 
     name: str
     process_epoch: int
-    voters: tuple[str, ...]  # as the settings have them
+    voters: tuple[str, ...]  # as in the settings
     key: bytes
     dispatch: Callable[[ComponentEvent], None]  # raises nothing
-    now: Callable[[], float]  # the clock that parts are told, ms
+    now: Callable[[], float]  # the clock of the components, ms
 
 
 class FleetAdapter:
-    """One that does nothing; layers say what they do more. Made before the fleet begins, on the loop's thread."""
+    """An adapter that does nothing; subclasses override. Created before the fleet starts, on the loop's thread."""
 
-    name = ""  # among the parts that `GET /fleet` tells of
-    prefix = ""  # of its messages' tags, entries and state
-    is_replicated = True  # it stands on the log, and is there once that has been read
+    name = ""  # key of its status in the answer to `GET /fleet`
+    prefix = ""  # of its messages' tags, its log entries and its state
+    is_replicated = True  # it needs the log, and starts once the log has been read
     messages: tuple[type[Message], ...] = ()
 
     def __init__(self) -> None:
-        self.action_handlers: dict[type, Callable[[Any], None]] = {}  # actions of its part that are for the host
-        self.routes: dict[str, RequestHandler] = {}  # at the operators' address
-        self.interceptor: RequestInterceptor | None = None  # who has a say in calls
+        self.action_handlers: dict[
+            type, Callable[[Any], None]
+        ] = {}  # handlers of its component's actions that are for the host
+        self.routes: dict[str, RequestHandler] = {}  # handlers of paths at the operators' address
+        self.interceptor: RequestInterceptor | None = None  # intercepts requests
 
     def component(self, state: bytes | None, index: int) -> Component | None:
-        """Its decisions, from the state that the log was found with; None: it has nothing to do here.
+        """The adapter's component, from its state in the log's snapshot; None: it has nothing to do here.
 
-        Raises msgspec.DecodeError or ValueError on a state that can't be read.
+        Raises msgspec.DecodeError or ValueError on an unreadable state.
         """
         return None
 
     def started(self) -> None:
-        """Its part stands in the hub."""
+        """The component has been added to the hub."""
 
     def close(self) -> None:
         """The program ends."""
 
     def status(self) -> dict[str, Any]:
-        """For `GET /fleet`."""
+        """The status for `GET /fleet`."""
         return {}
 
     def voters_changed(self, voters: tuple[str, ...]) -> None:
-        """Who votes on the log, when that has changed."""
+        """The voters of the log have changed."""
 
-    def endpoints_listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
-        """This sidecar's own directory told its whole list, or what changed."""
+    def endpoints_listed(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
+        """This sidecar's own discovery sent its complete list (`complete`), or what changed."""
 
-    def ejection_changed(self, name: str, out: bool, at_ms: float) -> None:
-        """A provider is out by hand or by the rules, or back since `at_ms` of Unix time."""
+    def ejection_changed(self, name: str, ejected: bool, at_ms: float) -> None:
+        """An endpoint is ejected by an operator or the rules, or readmitted since `at_ms` of Unix time."""
 
     def configuration_applied(self, config: Config) -> None:
-        """What is in force for the calls to come: at the start, of a file read again, by rules under a lease."""
+        """The configuration for coming requests: at the start, after a reload, by rules under a lease."""
 
     def connection_closed(self, origin: str) -> None:
-        """A consumer's connection of which calls came has ended."""
+        """A client's connection that had brought requests has ended."""
 
-    def unavailable_response(self, why: str) -> bytes:
-        """What its paths are answered where its part is not there."""
-        return json_response(503, {"ok": False, "text": why})
+    def unavailable_response(self, reason: str) -> bytes:
+        """The response at its routes while its component does not run."""
+        return json_response(503, {"ok": False, "text": reason})
 
 
 def message_types(module: ModuleType) -> tuple[type[Message], ...]:
+    """All types of messages in a module's namespace."""
     return tuple(
-        kind
-        for kind in vars(module).values()
-        if isinstance(kind, type) and issubclass(kind, Message) and kind is not Message
+        item
+        for item in vars(module).values()
+        if isinstance(item, type) and issubclass(item, Message) and item is not Message
     )
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -1,8 +1,8 @@
-"""The fleet's side of the program: components, hub, frames and sockets put together. Imported only for `[fleet]`.
+"""The fleet's side of the program: components, hub, codec and sockets put together. Imported only for `[fleet]`.
 
 The replicated log and the adapters that need it exist only where `voters` are set, and start when the store has been
-read: until then, and for good where it can't be read, this process is a member without a log. An adapter
-(`fleet_adapters/`) exists where its table does; those that need no log start with the process.
+read. Until then, and permanently if the store is unreadable, this process is a member without a log. An adapter
+(`fleet_adapters/`) exists where its table does; adapters that need no log start with the process.
 """
 
 from __future__ import annotations
@@ -69,15 +69,15 @@
 
 
 class FleetNode:
-    """One process of a fleet. To be made on the loop's thread."""
+    """One process of a fleet. To be created on the loop's thread."""
 
     def __init__(self, table: Fleet, sidecar: str) -> None:
-        """Raises toml.FaultError on settings that can't be used."""
+        """Raises toml.FaultError on unusable settings."""
         self._settings = resolve(table, sidecar)
         self.name = self._settings.name
         self.group = self._settings.group
-        # Of two processes of one name the later has the higher one, unless the wall clock was set back in between:
-        # the only use of that clock here, and to membership it is just a number.
+        # Of two processes of one name the later has the higher epoch, unless the wall clock was set back in between.
+        # This is the only use of the wall clock here, and membership treats it as a plain number.
         self.process_epoch = time.time_ns() // 1000
         self._membership = self._create_membership(table)
         self._hub = ComponentHub([("mb.", self._membership)], self._membership)
@@ -113,7 +113,7 @@
         )
 
     def _create_adapters(self, table: Fleet) -> list[FleetAdapter]:
-        """Those that the table has, in the order in which they are notified."""
+        """The adapters that the table asks for, in the order in which they are notified."""
         adapters: list[FleetAdapter] = []
         if table.bindings is not None:
             from .fleet_adapters.affinity import AffinityAdapter
@@ -150,7 +150,7 @@
         )
 
     def _register(self, adapter: FleetAdapter) -> None:
-        """Connect an adapter's actions and paths, and start its component if that needs no log."""
+        """Register an adapter's handlers and routes, and start its component if that needs no log."""
         for kind, listener in adapter.action_handlers.items():
             self._hub.register_action_handler(kind, listener)
         self.paths |= {path: self._guard(adapter, handler) for path, handler in adapter.routes.items()}
@@ -177,7 +177,7 @@
         return self._rules is not None
 
     def follow_rules(self, applier: ConfigurationApplier, counted: Callable[[], tuple[int, int]]) -> None:
-        """Put what is agreed on in force there. To be called before `start`; no effect without `[fleet.rules]`.
+        """Apply the agreed rules through `applier`. To be called before `start`; no effect without `[fleet.rules]`.
 
         `counted` gives the requests accepted so far, and those rejected or failed.
         """
@@ -185,12 +185,12 @@
             self._rules.follow(applier, counted)
 
     def follow_endpoint_lists(self, use: Use, where: Where) -> None:
-        """Notify `use` of what peers change of the endpoint list; no effect without `[fleet.rules]`."""
+        """Notify `use` of changes that peers report to the endpoint list; no effect without `[fleet.rules]`."""
         if self._lists is not None:
             self._lists.follow(use, where)
 
     def override_entries(self, entries: list[DiscoveredEndpoint], complete: bool) -> list[DiscoveredEndpoint]:
-        """What the program is to use instead of discovery's entries, where peers reported more."""
+        """The entries that the program is to use: discovery's, changed by what peers reported."""
         return self._lists.over(entries, complete) if self._lists is not None else entries
 
     def discovery_failed(self) -> None:
@@ -214,7 +214,7 @@
             adapter.ejection_changed(name, ejected, at_ms)
 
     def config_applied(self, config: Config) -> None:
-        """What is in force for the requests to come. To be called before `start`, too."""
+        """The configuration for coming requests has changed. To be called before `start`, too."""
         for adapter in self._adapters:
             adapter.configuration_applied(config)
 
@@ -230,7 +230,7 @@
         self._transport.start(self._open_log if self._disk is not None else None)
 
     async def _open_log(self) -> Disk | None:
-        """The log and the adapters above it, from what the disk has. An unreadable disk costs the log alone."""
+        """Start the log and the adapters that need it, from the disk. An unreadable disk disables the log alone."""
         disk = self._disk
         resolved = self._settings
         assert disk is not None
@@ -247,7 +247,7 @@
             ]
         except (UnreadableError, msgspec.DecodeError, ValueError) as error:
             self._no_log_reason = f"no log: {error}"
-            log.error("fleet: goes on without the log", folder=resolved.table.folder, error=str(error))
+            log.error("fleet: continuing without the log", folder=resolved.table.folder, error=str(error))
             disk.close()
             return None
         self._hub.add(LOG_PREFIX, agreement)
@@ -260,7 +260,7 @@
         return disk
 
     def _check_voters(self) -> None:
-        """Notify the adapters if a voter was replaced."""
+        """Notify the adapters if the voters have changed."""
         assert self._agreement is not None
         voters = tuple(self._agreement.voters)
         if voters != self._voters:
@@ -316,7 +316,7 @@
         return {**self._agreement.status(), "store": self._disk.state() if self._disk is not None else ""}
 
     def _guard(self, adapter: FleetAdapter, handler: RequestHandler) -> RequestHandler:
-        """The handler, or the adapter's own refusal while it lacks the log that it needs."""
+        """The handler, or the adapter's own rejection while the log that it needs is missing."""
 
         async def handle(request: http1.Message) -> bytes:
             if adapter.is_replicated and self._no_log_reason:
@@ -336,12 +336,12 @@
 
 
 def _open_disk(resolved: ResolvedFleet) -> FolderStorage | MemoryStorage | None:
-    """None: no voters, so no log. Raises toml.FaultError where a library is missing."""
+    """The log's storage; None: no voters, so no log. Raises toml.FaultError if a library is missing."""
     table = resolved.table
     if not table.voters:
         return None
     if table.folder is None:
-        log.info("fleet: no folder, what is agreed on is kept in memory only")
+        log.info("fleet: no folder set, the log is kept in memory only")
         return MemoryStorage(resolved.name)
     try:
         return FolderStorage(Path(table.folder))
--- a/tests/fleet/test_fleet_settings.py
+++ b/tests/fleet/test_fleet_settings.py
@@ -1,4 +1,4 @@
-"""The `[fleet]` table: the example file, faults by file, line and key, the key's file, and what is in force."""
+"""The `[fleet]` table: the example file, faults with file, line and key, the key file, and the effective settings."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "fleet.toml"
 KEY = b"sixteen bytes ok"
-WALLET = 'voters = ["a"]\n\n[fleet.wallet]\n'  # of another sidecar's name: it needs no folder
+WALLET = 'voters = ["a"]\n\n[fleet.wallet]\n'  # another sidecar is the voter: this one needs no folder
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
     return EXAMPLE.read_text().replace("/etc/limenotch/fleet.key", str(key))
 
 
-def test_the_example_is_read_and_names_every_key(key: Path) -> None:
+def test_the_example_is_valid_and_names_every_key(key: Path) -> None:
     settings = parse(example(key), "fleet.toml")
     keys = set(re.findall(r"^(\w+) =", EXAMPLE.read_text(), re.MULTILINE)) | set(
         re.findall(r"^\[fleet\.(?:\w+\.)?(\w+)\]", EXAMPLE.read_text(), re.MULTILINE)
@@ -49,18 +49,18 @@
     }
     assert settings.fleet.membership == Membership() and settings.fleet.agreement == Agreement()
     assert settings.fleet.rules == Rules() and settings.fleet.wallet == Wallet()
-    assert settings.fleet.streams == Fleet("g", "h", "k").streams  # a value that stands there is the default
-    placed = resolve(settings.fleet, "sidecar")
-    assert (placed.name, placed.key, placed.listen, placed.address) == (
+    assert settings.fleet.streams == Fleet("g", "h", "k").streams  # a value in the example is the default
+    resolved = resolve(settings.fleet, "sidecar")
+    assert (resolved.name, resolved.key, resolved.listen, resolved.address) == (
         "a",
         KEY,
         ("10.0.0.1", 7400),
         ("10.0.0.1", 7400),
     )
-    assert placed.seeds == (("10.0.0.2", 7400), ("10.0.0.3", 7400)) and placed.addresses["c"] == ("10.0.0.3", 7400)
+    assert resolved.seeds == (("10.0.0.2", 7400), ("10.0.0.3", 7400)) and resolved.addresses["c"] == ("10.0.0.3", 7400)
 
 
-def test_what_is_in_force_can_be_read_again(key: Path) -> None:
+def test_the_effective_settings_can_be_parsed_again(key: Path) -> None:
     for text in (example(key), table(key), table(key, '[fleet.addresses]\n"a.b \\"c" = "[::1]:7"\n')):
         settings = parse(text, "x")
         shown = effective(settings)
@@ -69,14 +69,14 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "says"),
+    ("more", "message"),
     [
         ("streems = 3", "f.toml:8: fleet.streems: unknown key"),
         ("streams = 0", "f.toml:8: fleet.streams: expected"),
         ('seeds = ["127.0.0.1:1", "b"]', "f.toml:8: fleet.seeds[1]: expected HOST:PORT"),
         ('seeds = ["localhost:1"]', "f.toml:8: fleet.seeds[0]: expected a numeric host"),
         ('seeds = ["127.0.0.1:0"]', "f.toml:8: fleet.seeds[0]: expected a port other than 0"),
-        ('voters = ["a", "a"]', "f.toml:8: fleet.voters: a name stands twice"),
+        ('voters = ["a", "a"]', "f.toml:8: fleet.voters: contains a name twice"),
         ('name = ""', "f.toml:8: fleet.name: expected"),
         ('[fleet.addresses]\nb = "x"', "f.toml:9: fleet.addresses.b: expected HOST:PORT"),
         ("[fleet.membership]\n\nperiod = 1", "f.toml:10: fleet.membership.period: unknown key"),
@@ -84,22 +84,22 @@
         ("[fleet.membership]\nperiod_ms = 5", "f.toml:8: fleet.membership: period_ms: 5"),
         ("[fleet.agreement]\nb = 1", "f.toml:9: fleet.agreement.b: unknown key"),
         ("[fleet.member]\nb = 1", "f.toml:8: fleet.member: unknown key"),
-        ("[fleet.wallet]", "f.toml:8: fleet.wallet: credit is agreed on by voters"),
-        (WALLET + 'tenants = ["a", "b", "a"]', "f.toml:11: fleet.wallet.tenants: a name stands twice"),
-        (WALLET + 'tenants = ["a", "*"]', "f.toml:11: fleet.wallet.tenants: names beside"),
-        (WALLET + "tenants = []", "f.toml:11: fleet.wallet.tenants: nobody pays"),
-        (WALLET + 'without_lease = "advance"', "f.toml:11: fleet.wallet.without_lease: advance, and"),
+        ("[fleet.wallet]", "f.toml:8: fleet.wallet: needs voters to agree on credit"),
+        (WALLET + 'tenants = ["a", "b", "a"]', "f.toml:11: fleet.wallet.tenants: contains a name twice"),
+        (WALLET + 'tenants = ["a", "*"]', "f.toml:11: fleet.wallet.tenants: contains names beside"),
+        (WALLET + "tenants = []", "f.toml:11: fleet.wallet.tenants: is empty"),
+        (WALLET + 'without_lease = "advance"', "f.toml:11: fleet.wallet.without_lease: is advance, but"),
         (WALLET + 'without_lease = "go on"', "f.toml:11: fleet.wallet.without_lease: "),
         (WALLET + "[fleet.wallet.cost]\nread = -1", "f.toml:11: fleet.wallet.cost"),
         (WALLET + "costs = 1", "f.toml:11: fleet.wallet.costs: unknown key"),
     ],
 )
-def test_a_fault_names_file_line_and_key(key: Path, more: str, says: str) -> None:
-    with pytest.raises(toml.FaultError, match="^" + re.escape(says)):
+def test_a_fault_names_file_line_and_key(key: Path, more: str, message: str) -> None:
+    with pytest.raises(toml.FaultError, match="^" + re.escape(message)):
         parse(table(key, more), "f.toml")
 
 
-def test_what_is_needed_is_told(key: Path) -> None:
+def test_a_missing_key_is_named(key: Path) -> None:
     for needed in ("group", "listen", "key_file"):
         text = re.sub(rf"^{needed} = .*$", "", table(key), flags=re.MULTILINE)
         with pytest.raises(toml.FaultError, match=f"^f.toml:4: fleet.{needed}: missing"):
@@ -108,17 +108,17 @@
         parse("fleet = 3", "f.toml")
 
 
-def test_the_sidecar_s_name_has_a_say(key: Path) -> None:
-    anywhere = parse(table(key).replace("127.0.0.1", "0.0.0.0") + '[fleet.addresses]\nn = "127.0.0.1:7"\n', "x").fleet
-    assert resolve(anywhere, "n").address == ("127.0.0.1", 7)
+def test_the_sidecar_s_name_decides_address_and_faults(key: Path) -> None:
+    wildcard = parse(table(key).replace("127.0.0.1", "0.0.0.0") + '[fleet.addresses]\nn = "127.0.0.1:7"\n', "x").fleet
+    assert resolve(wildcard, "n").address == ("127.0.0.1", 7)
     voter = parse(table(key, 'voters = ["v"]'), "x").fleet
     assert resolve(voter, "n").name == "n"
-    for fleet, name, says in [
-        (anywhere, "m", "fleet.listen: 0.0.0.0:7400 can't be reached"),
+    for fleet, name, message in [
+        (wildcard, "m", "fleet.listen: 0.0.0.0:7400 can't be reached"),
         (voter, "v", "fleet.folder"),
         (voter, "x" * 65, "fleet.name"),
     ]:
-        with pytest.raises(toml.FaultError, match="^" + says):
+        with pytest.raises(toml.FaultError, match="^" + message):
             resolve(fleet, name)
 
 
@@ -126,12 +126,12 @@
 def test_a_key_s_length_is_bounded_and_its_content_never_shown(tmp_path: Path, content: bytes) -> None:
     path = tmp_path / "k"
     path.write_bytes(content)
-    with pytest.raises(toml.FaultError, match=r"^f\.toml:7: fleet\.key_file: .*: expected 16 to 64 bytes$") as told:
+    with pytest.raises(toml.FaultError, match=r"^f\.toml:7: fleet\.key_file: .*: expected 16 to 64 bytes$") as fault:
         parse(table(path), "f.toml")
-    assert "fifteen" not in str(told.value) and "xx" not in str(told.value)
+    assert "fifteen" not in str(fault.value) and "xx" not in str(fault.value)
 
 
-def test_keys_at_the_bounds_and_none(tmp_path: Path) -> None:
+def test_keys_of_minimal_and_maximal_length_and_a_missing_file(tmp_path: Path) -> None:
     path = tmp_path / "k"
     for size in (16, 64):
         path.write_bytes(b"\n" + bytes(range(100, 100 + size)) + b"\n")
@@ -141,7 +141,7 @@
         parse(table(path), "f.toml")
 
 
-def test_check_config_shows_the_table_and_finds_its_faults(tmp_path: Path, key: Path) -> None:
+def test_check_config_shows_the_table_and_its_faults(tmp_path: Path, key: Path) -> None:
     from tests.helpers.http_peers import SETTINGS
 
     (tmp_path / "c.json").write_text(
--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -134,9 +134,9 @@
 
 def test_only_membership_says_who_is_there() -> None:
     both, _ = hub(lambda *_: [], lambda *_: [DEAD])
-    with pytest.raises(TypeError, match="no action of ag"):
+    with pytest.raises(TypeError, match="unexpected action of component ag"):
         both.handle(0.0, MessageReceived(B, "b", Line("x")))
-    with pytest.raises(TypeError, match="no event"):
+    with pytest.raises(TypeError, match="not an event of the hub"):
         both.handle(0.0, DEAD)
     with pytest.raises(ValueError):
         ComponentHub([("a.", Toy()), ("a.", Toy())])
@@ -288,8 +288,8 @@
     heard: list[Any] = []
     hub.register_action_handler(MemberChanged, heard.append)
     assert hub.handle(0.0, ComponentEvent("ru.", "who")) == [] and heard == [DEAD]
-    with pytest.raises(TypeError, match="no event"):
+    with pytest.raises(TypeError, match="not an event of the hub"):
         hub.handle(0.0, ComponentEvent("zz.", "who"))
     hub.handle(0.0, Started())
-    with pytest.raises(ValueError, match="begun"):
+    with pytest.raises(ValueError, match="already started"):
         hub.add("zz.", Toy())
