--- a/limenotch/fleet/membership/__init__.py
+++ b/limenotch/fleet/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: which sidecars of the fleet are alive. Decisions only; see `core` for the rules."""
+"""Membership: which sidecars of the fleet are alive. Decisions only; see `core` for the rules."""
 
 from .context import Phase
 from .core import Membership, MemberView
--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -1,4 +1,4 @@
-"""What all sides of membership stand on: who one is, what one knows, and how one speaks."""
+"""State that all parts of membership share: this process, the table of members, timers, and the actions to send."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from .timer_queue import TimerQueue
 from .tuning import Tuning
 
-MAX_CORRECTIONS_PER_PERIOD = 8  # as many as there are probes in a period, unless set otherwise
+MAX_CORRECTIONS_PER_PERIOD = 8  # the default number of probes in a period
 
 
 class Phase(Enum):
-    JOINING = "joining"  # asks seeds; nobody has been told of it
-    DISPLACED = "out"  # another process has its name; it holds no duty
+    JOINING = "joining"  # queries the seeds; not announced to any member yet
+    DISPLACED = "out"  # another process has its name; this one may hold no lease
     ACTIVE = "inside"
-    LEFT = "gone"  # it left
+    LEFT = "gone"  # it has left
 
 
 class Context:
@@ -46,14 +46,16 @@
         self.timers = TimerQueue()
         self.health = Health(tuning.health)
         self.gossip_queue = GossipQueue()
-        self.counts: dict[str, int] = {}  # what was heard and not believed, by why
+        self.counts: dict[str, int] = {}  # received and rejected claims and messages, by reason
         self.actions: list[Action] = []
         self._seq = 0
-        self._corrections: dict[str, tuple[float, int]] = {}  # whom one told what is held of it: since when, how often
+        self._corrections: dict[
+            str, tuple[float, int]
+        ] = {}  # by member: start of its period in ms, corrections sent in it
 
     @property
     def size(self) -> int:
-        """Members held alive or suspect, and oneself."""
+        """Number of members that are alive or suspect, this process included."""
         return len(self.table.live) + 1
 
     @property
@@ -83,7 +85,7 @@
         return Claim(self.name, STATES_BY_CODE.index(state), self.address, self.process_epoch, self.incarnation)
 
     def contradicting_claim(self, name: str, sender: SenderInfo | None, now: float) -> Claim | None:
-        """What is held of somebody that beats what it says of itself: it must hear of that first."""
+        """The claim here that supersedes what a member claims of itself, if any: the member must receive it first."""
         known = self.table.get(name)
         if known is None:
             return None
@@ -96,9 +98,10 @@
         )
 
     def may_correct(self, name: str, now: float) -> bool:
-        """Whether to tell it now what is held against it: MOST_TOLD_OFF times a period and member, then counted.
+        """Whether to send a member the claim that contradicts it: MAX_CORRECTIONS_PER_PERIOD times, then only counted.
 
-        Who is dead and goes on in that life does not listen, or is faulty; each of its messages must not bring one.
+        A process that was declared dead and continues under its old epoch does not receive, or is faulty; not every
+        message of it may cause a response.
         """
         period_start_ms, sent = self._corrections.get(name, (now, 0))
         if now - period_start_ms >= self.tuning.period_ms:
@@ -115,7 +118,7 @@
         return self.gossip_queue.next_claims(self.tuning.sends(self.size), first)
 
     def disseminate(self, claim: Claim) -> None:
-        """To be spread; and soon, even if nothing else is to be said."""
+        """Queue a claim for gossip; it is sent soon, even if no other message is due."""
         self.gossip_queue.add(claim)
 
     def all_claims(self, now: float) -> tuple[Claim, ...]:
@@ -125,7 +128,7 @@
         return tuple(known)
 
     def report_own_state(self, state: State) -> None:
-        """Oneself, for the parts above."""
+        """Report this process's own state to the other components."""
         self.actions.append(MemberChanged(self.name, state.value, self.address, self.incarnation, self.process_epoch))
 
     def report_fenced(self, **fields: Any) -> None:
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -1,19 +1,20 @@
-"""Who is there: SWIM with Lifeguard's refinements, as decisions without I/O, clock or randomness of their own.
+"""Membership: SWIM with Lifeguard's refinements, without I/O, a clock or randomness of its own.
 
 Sources: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
 (2002); Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (2018).
-Written from the papers. Ours: lives and fencing, who has the name (`own`), knocking at the dead so that cuts heal.
+Written from the papers. Added: process epochs and fencing, processes of one name (`self_member`), and pings to dead
+members, so that the group reunites after a network partition.
 
 Rules
-- States and which claim wins: `states`. Probes: `probing`. Oneself: `own`. How long a suspect has: `suspicion`.
-- Whoever speaks and is held to be less than it says (suspect, dead, of an older life) is told so in the answer.
-- A timer that fires late by more than `timeout_ms` means a pause: health goes down, what was under way is dropped,
-  every suspicion starts again, and nobody is probed until somebody was heard or a period is over (`_woke`).
-- Before a suspicion can be over its holder asks the suspect itself once more: news are sent on a limited number of
-  times, so now and then one member of many misses that a suspicion was refuted.
-- Every now and then one of the dead is knocked at, and one seed that isn't alive is asked for its table.
-- Once a process left it does and answers nothing.
-- What is sound to the codec and still nonsense is counted (`counts`) and changes nothing.
+- States and precedence of claims: `states`. Probes: `probing`. This process: `self_member`. Suspicions: `suspicion`.
+- A sender that is considered less than it claims (suspect, dead, of an older process epoch) receives that in the reply.
+- A timer that fires late by more than `timeout_ms` means a pause: the health score rises, probes under way are dropped,
+  every suspicion starts again, and nobody is probed until a message arrives or a period is over.
+- Shortly before a suspicion can expire this process pings the suspect itself once more: claims are forwarded a limited
+  number of times, so now and then one member of many does not receive a refutation.
+- Periodically one dead member is pinged, and one seed that is not alive is requested for its table.
+- After it left, a process does and answers nothing.
+- What decodes but is not valid is counted (`counts`) and changes nothing.
 """
 
 from __future__ import annotations
@@ -45,12 +46,12 @@
 from .states import State
 from .tuning import Tuning
 
-TIMER_TOKEN = 1  # one timer at a time is looked at
+TIMER_TOKEN = 1  # one timer at a time is in use
 MAX_RECONNECT_PINGS = 16
 
 
 class MemberView(NamedTuple):
-    """What is held of a member; `since` in ms of the host's clock."""
+    """A member as this process sees it; `since_ms` of the host's clock."""
 
     name: str
     state: State
@@ -61,9 +62,11 @@
 
 
 class Membership:
-    """`process_epoch` should be higher than that of any process of this name before (say, ms of the wall clock); where
-    it is not, it is raised. `addresses` says where to send to instead of what a member advertises (a laboratory's
-    relays)."""
+    """The membership component of one process.
+
+    `process_epoch` should be higher than that of any earlier process of this name (e.g. ms of the wall clock); if it is
+    not, it is raised. `addresses`: by name, where to send instead of a member's advertised address (laboratory relays).
+    """
 
     def __init__(
         self,
@@ -76,7 +79,9 @@
         addresses: Mapping[str, Address] | None = None,
     ) -> None:
         if not is_valid_claim(Claim(name, 0, address, process_epoch, 0)):
-            raise ValueError(f"name {name!r}, address {address} or life {process_epoch} can't be a member's")
+            raise ValueError(
+                f"name {name!r}, address {address} or process epoch {process_epoch} is not valid for a member"
+            )
         self.context = Context(name, address, process_epoch, seeds, tuning, seed, addresses or {})
         self.own_member = OwnMember(self.context, self._on_joined)
         self.prober = Prober(self.context, lambda now, name: self.member_states.probe_failed(now, name))
@@ -85,9 +90,9 @@
         self._joined_ms = 0.0
         self._reconnect_pings: dict[int, str] = {}
         self._last_gossip_ms = float("-inf")
-        self._no_probes_until_ms = float("-inf")  # after a pause; nobody is accused before
+        self._no_probes_until_ms = float("-inf")  # after a pause: no member is probed before
 
-    # What others may look at
+    # State for the other components and operators
 
     @property
     def name(self) -> str:
@@ -103,15 +108,15 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether this process may hold a duty under its name."""
+        """Whether this process may hold leases under its name."""
         return self.context.phase is Phase.ACTIVE
 
     def size(self) -> int:
-        """Members held alive (or suspect), oneself if inside."""
+        """Number of members alive or suspect, this process included if active."""
         return len(self.context.table.live) + self.is_active
 
     def members(self) -> list[MemberView]:
-        """All that is held, oneself first if inside."""
+        """All known members, this process first if active."""
         context = self.context
         own = MemberView(
             context.name, State.ALIVE, context.incarnation, context.process_epoch, context.address, self._joined_ms
@@ -121,11 +126,11 @@
         ]
 
     def address_of(self, name: str) -> Address | None:
-        """Where to send to: the settings' own address before what it advertises."""
+        """Where to send: the address in the settings, else the advertised one; None if the name is unknown."""
         return self.context.address_of(name) if self.context.table.get(name) is not None else None
 
     def status(self) -> dict[str, Any]:
-        """For operators: numbers of what is held, of what was not believed, and the own health (0 is well)."""
+        """For operators: numbers of members by state, of rejected messages, and the health score (0 is healthy)."""
         context = self.context
         states = {state.value: 0 for state in State}
         for member in context.table:
@@ -144,15 +149,15 @@
     # Events
 
     def handle(self, now: float, event: Any) -> list[Action]:
-        """Raises TypeError on what is no event of membership, ValueError where `now` runs backwards."""
+        """Raises TypeError on an event that is not membership's, ValueError if `now` runs backwards."""
         if now < self._now:
-            raise ValueError(f"time went back from {self._now} to {now}")
+            raise ValueError(f"time runs backwards from {self._now} to {now}")
         context, started = self.context, self._now > float("-inf")
         self._now = now
         if isinstance(event, Started):
             self.own_member.start(now)
         elif not isinstance(event, (MessageReceived, TimerFired, ShutdownStarted)):
-            raise TypeError(f"no event of membership: {event!r}")
+            raise TypeError(f"not an event of membership: {event!r}")
         elif context.phase is Phase.LEFT or not started:
             return []
         else:
@@ -168,7 +173,7 @@
         if context.phase is not Phase.LEFT:
             self._run_due(now)
             if len(context.gossip_queue) and context.phase is Phase.ACTIVE and ("gossip", "") not in context.timers:
-                # The first word of a calm time goes at once: waiting at each member on its way is what made news late.
+                # The first claim of a quiet time goes at once: waiting at each hop is what delayed gossip.
                 context.timers.schedule(max(now, self._last_gossip_ms + context.tuning.gossip_ms), ("gossip", ""))
             timer_ms = context.timers.timer_to_set()
             if timer_ms is not None:
@@ -200,7 +205,7 @@
                 }[action](now, target)
 
     def _on_joined(self, now: float) -> None:
-        """Inside: begins to probe, and gives its table to the seeds."""
+        """This process became active: start probing, and send the table to the seeds."""
         context, tuning = self.context, self.context.tuning
         self._joined_ms = now
         for address in context.seeds:
@@ -214,7 +219,7 @@
     def _probe_interval_ms(self) -> float:
         return self.context.tuning.period_ms / self.context.tuning.probes
 
-    # What is due
+    # Due work
 
     def _probe_due(self, now: float, _: str) -> None:
         context = self.context
@@ -246,7 +251,7 @@
         context.timers.schedule(now + context.tuning.push_pull_ms(context.size), ("tables", ""))
 
     def _reconnect_due(self, now: float, _: str) -> None:
-        """Who is dead may be behind a cut that has healed; so may be seeds that were never heard."""
+        """Dead members may be behind a network partition that has healed; so may seeds that never answered."""
         context, tuning = self.context, self.context.tuning
         if context.phase is not Phase.ACTIVE:
             return
@@ -264,7 +269,7 @@
                 TableRequest(context.own_sender, context.all_claims(now)),
                 Carrier.STREAM,
             )
-        periods = tuning.reconnect if context.table.live else 1.0  # alone: sooner
+        periods = tuning.reconnect if context.table.live else 1.0  # sooner if alone
         context.timers.schedule(now + periods * tuning.period_ms, ("reconnect", ""))
 
     def _nack_due(self, now: float, seq: int) -> None:
@@ -300,7 +305,7 @@
             context.report_own_state(State.LEFT)
         context.phase = Phase.LEFT
 
-    # What is heard
+    # Messages
 
     def _receive(self, now: float, event: MessageReceived) -> None:
         context, message = self.context, event.message
@@ -331,7 +336,7 @@
     def _receive_while_joining(
         self, now: float, event: MessageReceived, message: MembershipMessage, claims: tuple[Claim, ...]
     ) -> None:
-        """Joining: only what a table says of the own name matters, until it is settled."""
+        """While joining, only claims about the own name in a table matter."""
         if isinstance(message, TableRequest):
             self._respond(now, event, message)
         elif isinstance(message, TableResponse):
@@ -343,7 +348,7 @@
                 self._receive(now, event)
 
     def _receive_from_namesake(self, now: float, message: MembershipMessage) -> None:
-        """Another process has this name, or a message came back to its sender."""
+        """A message of another process of this name, or one that came back to its sender."""
         context, sender = self.context, message.sender
         if sender.address == context.address and sender.process_epoch == context.process_epoch:
             return
--- a/limenotch/fleet/membership/dissemination.py
+++ b/limenotch/fleet/membership/dissemination.py
@@ -1,8 +1,8 @@
-"""News on their way: each is sent a limited number of times, put into whatever message goes out next.
+"""The gossip queue: each claim is sent a limited number of times, piggybacked on the messages that go out next.
 
-Source: SWIM (2002), 4.1 (piggybacked dissemination, lambda * log n times each). One entry a name: a newer claim takes
-the older one's place. Those sent least go first, of those the newest. Bounded by the table's names, and by `room` bytes
-a message.
+Source: SWIM (2002), 4.1 (piggybacked dissemination, lambda * log n times each). One entry a name: a newer claim
+replaces the older one. The claims sent least often go first, of those the newest. Bounded by the number of names in the
+table, and by `max_bytes` in each message.
 """
 
 from __future__ import annotations
@@ -12,9 +12,7 @@
 from ..interfaces import MAX_DATAGRAM_BYTES
 from .messages import MAX_CLAIMS_PER_DATAGRAM, Claim
 
-FRAME_OVERHEAD_BYTES = (
-    400  # bytes of a frame for its head, its digest, and the message's other fields with names at their longest
-)
+FRAME_OVERHEAD_BYTES = 400  # of a frame: envelope, digest, and the message's other fields with names of maximal length
 MAX_CLAIMS_BYTES = MAX_DATAGRAM_BYTES - FRAME_OVERHEAD_BYTES
 
 _encoder = msgspec.msgpack.Encoder()
@@ -49,7 +47,7 @@
     def next_claims(
         self, max_sends: int, first: Claim | None = None, max_bytes: int = MAX_CLAIMS_BYTES
     ) -> tuple[Claim, ...]:
-        """What goes into one message; `first` goes in whether queued or not. `sends`: how often each may go out."""
+        """The claims for one message; `first` is always included. `max_sends`: how often each claim may be sent."""
         taken, free_bytes = [], max_bytes
         if first is not None:
             taken.append(first)
--- a/limenotch/fleet/membership/health.py
+++ b/limenotch/fleet/membership/health.py
@@ -1,16 +1,17 @@
-"""How far a member may trust its own clock and ears: Lifeguard's local health multiplier.
+"""How far a member may trust its own timeouts: Lifeguard's local health multiplier.
 
-Source: Dadgar, Phillips, Currey, "Lifeguard" (2018), "Local Health Aware Probe". A score from 0 to the highest; one's
-own timeouts are lengthened by 1 + score.
+Source: Dadgar, Phillips, Currey, "Lifeguard" (2018), "Local Health Aware Probe". The score is from 0 to `max_score`;
+the member's own timeouts are multiplied by 1 + score.
 
     event                                              score
-    a probe was answered, in whatever way              - 1
-    a probe failed, and most relays asked sent
-    not even a nack (or there was none to ask)         + 1
-    somebody suspects us (we refute)                   + 1
+    a probe was answered, directly or indirectly       - 1
+    a probe failed, and at most half of the relays
+    sent a nack (or there was no relay)                + 1
+    this process refutes a suspicion                   + 1
     own timers fired late (a pause)                    + 1, and 1 for each period
 
-That a probe failed of which most relays sent a nack says nothing against us: they heard us, and didn't reach it either.
+A failed probe for which most relays sent a nack does not raise the score: the relays received the requests, and could
+not reach the target either.
 """
 
 from __future__ import annotations
--- a/limenotch/fleet/membership/member_states.py
+++ b/limenotch/fleet/membership/member_states.py
@@ -1,12 +1,12 @@
-"""What is held of the others, and the one way in which it changes: a claim is heard, from others or from oneself.
+"""The states of the other members. They change in one way only: by a claim, from a peer or from this process itself.
 
-a claim is         | then
-unsound            | counted
-of oneself         | `own` sees to it
-beaten by what is held (states.TABLE) | nothing
-the suspicion held, by another finder | confirms it: its time gets shorter (`suspicion`)
-a new suspicion    | told on; its time begins; shortly before it can end the suspect itself is asked once more
-else new           | told on, noted, given to the parts above
+a claim                                | result
+is invalid                             | counted
+is about this process                  | `self_member` handles it
+is superseded (states.PRECEDENCE)      | nothing
+equals a current suspicion, new reporter | confirms it: the suspicion gets shorter (`suspicion`)
+starts a suspicion                     | forwarded; its time begins; shortly before its end the suspect is pinged once more
+is new otherwise                       | forwarded, logged, reported to the other components
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .suspicion import Suspicion
 from .table import ClaimOutcome, Member
 
-LAST_PING_TIMEOUTS = 3.5  # timeouts before a suspicion can be over: a stream that loses a segment still gets there
+LAST_PING_TIMEOUTS = 3.5  # timeouts before the earliest end of a suspicion: enough for a stream that loses a segment
 
 
 class MemberStates:
@@ -28,7 +28,7 @@
         self.context, self.own_member, self.prober = context, own_member, prober
 
     def receive_claim(self, now: float, claim: Claim) -> None:
-        """A claim about anybody; the one way in which what is held changes."""
+        """Apply a claim about any member; the only way in which a state changes."""
         context = self.context
         if not is_valid_claim(claim):
             context.count("unsound claim")
@@ -87,7 +87,7 @@
             self.context.timers.schedule(max(now, member.suspicion.expires_at_ms), ("suspect", claim.name))
 
     def probe_failed(self, now: float, name: str) -> None:
-        """A probe failed."""
+        """A probe of this process failed."""
         known = self.context.table.get(name)
         if known is not None and known.state not in FINAL and self.context.phase is Phase.ACTIVE:
             self.receive_claim(
@@ -125,7 +125,7 @@
             self.context.timers.schedule(forget_at_ms, ("forget", name))
 
     def restart_suspicions(self, now: float) -> None:
-        """After a pause of one's own."""
+        """Restart all suspicions after a pause of this process."""
         for name in self.context.table.live:
             suspicion = self.context.table[name].suspicion
             if suspicion is not None:
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -1,6 +1,7 @@
-"""What members say to each other about being there. All but tables (Ask, Answer) fit a datagram.
+"""Messages between members about membership. All but the tables (TableRequest, TableResponse) fit a datagram.
 
-Every message bears who speaks (`Me`), so that a member held suspect or dead by the hearer can be told so at once.
+Every message contains its sender (`SenderInfo`), so that the receiver can tell a member at once that it is considered
+suspect or dead.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from ..interfaces import Address, Message
 from .states import STATES_BY_CODE, State
 
-MAX_CLAIMS_PER_DATAGRAM = 40  # claims in one datagram; more is nonsense
+MAX_CLAIMS_PER_DATAGRAM = 40  # more are rejected
 MAX_NAME_LENGTH = 64
 MAX_HOST_LENGTH = 255
 MAX_PROCESS_EPOCH = 1 << 52
@@ -20,24 +21,24 @@
 
 
 class SenderInfo(Struct, frozen=True, array_like=True):
-    """The speaker of a message; its name is its frame's."""
+    """The sender of a message; its name is in the frame."""
 
-    address: Address  # as it wants to be spoken to
+    address: Address  # where it wants to be reached
     process_epoch: int
     incarnation: int
-    active: bool = True  # False: it asks before it joins, or stays out; not to be taken for a member
+    active: bool = True  # False: joining or displaced; not to be treated as a member
 
 
 class Claim(Struct, frozen=True, array_like=True):
-    """What is said of a member: an entry of news or of a table."""
+    """A claim about a member's state, in gossip or a table."""
 
     name: str
-    state: int  # index in states.CODES
+    state: int  # index in states.STATES_BY_CODE
     address: Address
     process_epoch: int
     incarnation: int
-    reported_by: str = ""  # who found it: independent finders of one suspicion shorten it
-    age_ms: int = 0  # in tables, of the dead and left: how long ago, so that all forget them together
+    reported_by: str = ""  # independent reporters of one suspicion shorten it
+    age_ms: int = 0  # in tables, of dead and left members: age of the state, so that all forget them together
 
     @property
     def claimed_state(self) -> State:
@@ -46,7 +47,7 @@
 
 class Ping(Message, frozen=True, tag="mb.ping"):
     seq: int
-    target: str  # who is meant: another process at the same address must not answer for it
+    target: str  # name: another process at the same address must not answer
     sender: SenderInfo
     claims: tuple[Claim, ...] = ()
 
@@ -61,13 +62,13 @@
 
 class Ack(Message, frozen=True, tag="mb.ack"):
     seq: int
-    about: str  # who answered: the speaker, or whom it was asked to probe
+    about: str  # name of who answered: the sender, or the target that it probed as a relay
     sender: SenderInfo
     claims: tuple[Claim, ...] = ()
 
 
 class Nack(Message, frozen=True, tag="mb.nack"):
-    """From whom was asked to probe: no answer yet. Tells that the way to the relay is sound."""
+    """From a relay: the target has not answered yet. Shows that the path to the relay works."""
 
     seq: int
     about: str
@@ -81,7 +82,7 @@
 
 
 class TableRequest(Message, frozen=True, tag="mb.ask"):
-    """Push-pull: the speaker's whole table (empty before it joined), to be answered by the hearer's."""
+    """Push-pull: the sender's complete table (empty before it joined); the receiver responds with its own."""
 
     sender: SenderInfo
     claims: tuple[Claim, ...] = ()
@@ -100,7 +101,7 @@
 
 
 def is_valid_claim(claim: Claim) -> bool:
-    """Whether a claim's values can be meant; types were checked by the codec."""
+    """Whether a claim's values are in range; the codec has checked their types."""
     return (
         0 < len(claim.name) <= MAX_NAME_LENGTH
         and 0 <= claim.state < len(STATES_BY_CODE)
--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -1,13 +1,13 @@
-"""Whether somebody answers: straight, else through others and over a stream, else it is suspected.
+"""Probes: direct, then through relays and over a stream; a member that does not answer is suspected.
 
 Source: SWIM (2002), 3.1 and 4.3 (round robin over a shuffled list); Lifeguard (2018) for nacks and scaled timeouts.
 
     probe        | becomes    | when                                     | then
-    sent         | answered   | its ack came                             | health - 1
-    sent         | indirect   | `timeout_ms`, scaled by health           | ping-req to k others, ping over a stream
-    indirect     | answered   | an ack came, from it or a relay          | health - 1
+    sent         | answered   | its ack arrived                          | health - 1
+    sent         | indirect   | `timeout_ms`, scaled by health           | ping-req to k relays, ping over a stream
+    indirect     | answered   | an ack arrived, from it or a relay       | health - 1
     indirect     | failed     | three times `timeout_ms`, scaled         | suspect it; health by the relays' nacks
-    sent, indirect | dropped  | we were paused, it left, or has another life | nothing
+    sent, indirect | dropped  | this process paused, the member left or has another process epoch | nothing
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from .messages import Ack, Nack, Ping, PingReq
 from .states import FINAL
 
-MAX_RELAYED_PROBES = 256  # probes under way for others
-NACK_DELAY_TIMEOUTS = 0.8  # of the timeout
+MAX_RELAYED_PROBES = 256  # probes under way as a relay
+NACK_DELAY_TIMEOUTS = 0.8  # of `timeout_ms`
 
 
 class Probe:
@@ -46,9 +46,9 @@
         self.context = context
         self.on_failure = on_failure
         self.probes: dict[int, Probe] = {}
-        self.seq_by_name: dict[str, int] = {}  # name: the seq under way
+        self.seq_by_name: dict[str, int] = {}  # by name: the seq of the probe under way
         self.relayed_probes: dict[int, RelayedProbe] = {}
-        self.round: list[str] = []  # who is still to be probed in this round
+        self.round: list[str] = []  # names still to be probed in this round
 
     def start_probe(self, now: float) -> None:
         name = self._next_target()
@@ -94,7 +94,7 @@
             return
         relayed = self.relayed_probes.get(message.seq)
         if relayed is None or relayed.target != message.about or sender != relayed.target:
-            context.count("ack of nothing")  # late, mostly
+            context.count("ack of nothing")  # mostly a delayed one
             return
         self.end_relay(message.seq)
         context.send(relayed.address, Ack(relayed.seq, relayed.target, context.own_sender, context.next_claims()))
@@ -128,14 +128,14 @@
         self.context.timers.cancel(("relayed", seq))
 
     def cancel_all(self) -> None:
-        """What was under way before a pause proves nothing after it."""
+        """Drop all probes: what was under way before a pause proves nothing after it."""
         for seq in list(self.probes):
             self._end_probe(seq)
         for seq in list(self.relayed_probes):
             self.end_relay(seq)
 
     def send_ping(self, now: float, name: str, carrier: Carrier = Carrier.DATAGRAM) -> int:
-        """So that it hears what is held of it; no answer proves anything. Gives the seq an answer would bear."""
+        """Ping a member outside of probing, so that it receives the claims about it; gives the ping's seq."""
         seq = self.context.next_seq()
         self.context.send(self.context.address_of(name), self._make_ping(seq, name, now), carrier)
         return seq
@@ -156,7 +156,7 @@
         self.context.timers.cancel(("failed", seq))
 
     def _next_target(self) -> str | None:
-        """Round robin over a shuffled list; who is being probed already is passed over."""
+        """The next name, round robin over a shuffled list; members with a probe under way are skipped."""
         table = self.context.table
         for _ in range(2):
             skipped: list[str] = []
@@ -179,5 +179,5 @@
         return None
 
     def add_target(self, name: str) -> None:
-        """A new one takes a place in this round by chance (SWIM 4.3)."""
+        """Insert a new member at a random position of this round (SWIM 4.3)."""
         self.round.insert(self.context.random.randrange(len(self.round) + 1), name)
--- a/limenotch/fleet/membership/self_member.py
+++ b/limenotch/fleet/membership/self_member.py
@@ -1,18 +1,19 @@
-"""Oneself: joining, being told one is dead, and another process with one's own name.
-
-    phase    | what happens                                         | becomes  | and
-    joining  | a seed answered, nobody else has the name            | inside   | `joined`
-    joining  | no seed answered for JOIN_PERIODS, or there is none  | inside   | `joined`, alone; seeds are asked on
-    joining  | the name was at this address, or is dead or left     | inside   | with a higher life than its
-    joining  | the name is elsewhere: asked there, and it answers   | out      | `twin`
-    joining  | the same, and it doesn't answer for JOIN_TRIES       | inside   | with a higher life
-    inside   | it is suspected                                      | inside   | with a higher incarnation
-    inside   | it was declared dead (or left) in this life          | inside   | Fenced, then with a higher life
-    inside   | a higher life of the name is elsewhere               | out      | Fenced; asked as above
-    out      | the other was declared dead, or left                 | inside   | with a higher life
-    out      | the other doesn't answer for OUT_TRIES               | inside   | with a higher life
-
-Lives of equal number at two addresses: the one at the higher address yields. Our own rules; SWIM has none for these.
+"""This process as a member: joining, learning that it was declared dead, and another process with the same name.
+
+    phase     | event                                                | becomes   | and
+    joining   | a seed answered, no other process has the name       | active    | logs `joined`
+    joining   | no seed answered for JOIN_PERIODS, or there is none  | active    | `joined`, alone; seeds are still queried
+    joining   | the name was at this address, or is dead or left     | active    | with a higher process epoch than it had
+    joining   | the name is elsewhere; its process answers a ping    | displaced | logs `twin`
+    joining   | the same, but no answer to JOIN_PINGS pings          | active    | with a higher process epoch
+    active    | it is suspected                                      | active    | with a higher incarnation
+    active    | it was declared dead (or left) in this process epoch | active    | Fenced, then with a higher process epoch
+    active    | a higher process epoch of the name is elsewhere      | displaced | Fenced; that process is pinged as above
+    displaced | the other process was declared dead, or left         | active    | with a higher process epoch
+    displaced | no answer to DISPLACED_PINGS pings                   | active    | with a higher process epoch
+
+If two processes of one name have equal process epochs, the one at the higher address yields. These rules are not SWIM's,
+which has none for processes of one name.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from .messages import MAX_INCARNATION, MAX_PROCESS_EPOCH, Ack, Claim, Ping, TableRequest
 from .states import FINAL, State
 
-JOIN_PERIODS = 2  # that seeds have to answer
+JOIN_PERIODS = 2  # in which a seed may answer
 JOIN_PINGS = 3  # one a period
 DISPLACED_PINGS = 5
 
@@ -34,8 +35,8 @@
     def __init__(self, context: Context, on_joined: Callable[[float], None]) -> None:
         self.context = context
         self.on_joined = on_joined
-        self.namesake: Claim | None = None  # the greatest heard of another process of this name
-        self.namesake_ping_seq = 0  # seq of the question to it
+        self.namesake: Claim | None = None  # the greatest claim about another process of this name
+        self.namesake_ping_seq = 0  # 0: not pinged yet
         self.unanswered_pings = 0
         self.started_ms = 0.0
 
@@ -48,7 +49,7 @@
         self.context.timers.schedule(now + self.context.tuning.period_ms, ("own", ""))
 
     def period_due(self, now: float) -> None:
-        """Each period while joining or out."""
+        """Each period while joining or displaced."""
         context = self.context
         if context.phase not in (Phase.JOINING, Phase.DISPLACED):
             return
@@ -65,7 +66,7 @@
         context.timers.schedule(now + context.tuning.period_ms, ("own", ""))
 
     def table_received(self, now: float) -> None:
-        """A member answered, and what it knows of this name was heard."""
+        """A member sent its table, and its claims about this name were received."""
         if self.context.phase is not Phase.JOINING or self.namesake_ping_seq:
             return
         if (
@@ -90,7 +91,7 @@
         self.on_joined(now)
 
     def receive_claim(self, now: float, claim: Claim) -> None:
-        """A claim about this name."""
+        """Handle a claim about this name."""
         context = self.context
         if context.phase in (Phase.JOINING, Phase.DISPLACED):
             self._receive_namesake_claim(now, claim)
@@ -115,7 +116,7 @@
                 self._refute(claim)
 
     def namesake_answered(self, message: Ack) -> None:
-        """By a process of the same name."""
+        """Another process of the same name answered a ping."""
         context = self.context
         if context.phase not in (Phase.JOINING, Phase.DISPLACED) or message.sender.address == context.address:
             return
--- a/limenotch/fleet/membership/states.py
+++ b/limenotch/fleet/membership/states.py
@@ -1,18 +1,18 @@
-"""What a member can be held to be, and which of two claims about it wins.
+"""States of a member, and which of two claims about it wins.
 
-Source: Das, Gupta, Motivala, "SWIM" (2002), 4.2 (suspicion and incarnations). Two things are ours: a `process_epoch`,
-so that a process which was declared dead comes back as somebody new, and `left`, which is told apart from dead.
+Source: Das, Gupta, Motivala, "SWIM" (2002), 4.2 (suspicion and incarnations). Two things are added: `process_epoch`,
+so that a process that was declared dead comes back under a new identity, and `left`, which is told apart from dead.
 
-Of two claims about one name the one of the higher life wins, whatever it says. Within one life:
+Of two claims about one name that of the higher process epoch wins. Within one process epoch:
 
-    held \\ claimed   alive i      suspect i    dead     left
-    alive j           i > j        i >= j       always   always
-    suspect j         i > j        i > j        always   always
-    dead              never        never        never    always
-    left              never        never        never    never
+    current \\ claimed  alive i      suspect i    dead     left
+    alive j            i > j        i >= j       always   always
+    suspect j          i > j        i > j        always   always
+    dead               never        never        never    always
+    left               never        never        never    never
 
-So claims are in one total order and the state held is the greatest heard: the order in which news come, and how often
-they come, doesn't matter, and nothing of a life that is dead or left revives it.
+So claims are totally ordered and the current state is the greatest received: order and repetition of claims don't
+matter, and no claim revives a process epoch that is dead or left.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
     State.SUSPECT,
     State.DEAD,
     State.LEFT,
-)  # a state's number in messages; only ever added to
+)  # index: a state's number in messages; only appended to
 FINAL = frozenset((State.DEAD, State.LEFT))
 
 
 class IncarnationRule(Enum):
-    """Of the claim's incarnation, against the one held."""
+    """What a claim's incarnation must be, compared with the current one."""
 
     HIGHER = ">"
     NOT_LOWER = ">="
@@ -45,7 +45,7 @@
     NEVER = "never"
 
 
-PRECEDENCE: dict[tuple[State, State], IncarnationRule] = {  # (held, claimed), in one life
+PRECEDENCE: dict[tuple[State, State], IncarnationRule] = {  # (current, claimed), in one process epoch
     (State.ALIVE, State.ALIVE): IncarnationRule.HIGHER,
     (State.ALIVE, State.SUSPECT): IncarnationRule.NOT_LOWER,
     (State.ALIVE, State.DEAD): IncarnationRule.ANY,
@@ -64,16 +64,16 @@
     (State.LEFT, State.LEFT): IncarnationRule.NEVER,
 }
 
-Standing = tuple[int, State, int]  # life, state, incarnation
+Standing = tuple[int, State, int]  # process epoch, state, incarnation
 
 
-def supersedes(claimed: Standing, held: Standing) -> bool:
-    """Whether what is claimed takes the place of what is held."""
-    if claimed[0] != held[0]:
-        return claimed[0] > held[0]
-    rule = PRECEDENCE[held[1], claimed[1]]
+def supersedes(claimed: Standing, current: Standing) -> bool:
+    """Whether the claim replaces the current standing."""
+    if claimed[0] != current[0]:
+        return claimed[0] > current[0]
+    rule = PRECEDENCE[current[1], claimed[1]]
     if rule is IncarnationRule.HIGHER:
-        return claimed[2] > held[2]
+        return claimed[2] > current[2]
     if rule is IncarnationRule.NOT_LOWER:
-        return claimed[2] >= held[2]
+        return claimed[2] >= current[2]
     return rule is IncarnationRule.ANY
--- a/limenotch/fleet/membership/suspicion.py
+++ b/limenotch/fleet/membership/suspicion.py
@@ -1,8 +1,8 @@
-"""How long a suspect has to say otherwise: long while one member says so, shorter as others find the same.
+"""How long a suspect has to refute a suspicion: long while one member reports it, shorter as others confirm it.
 
-Source: Lifeguard (2018), "Local Health Aware Suspicion": with C independent confirmations of the K looked for,
+Source: Lifeguard (2018), "Local Health Aware Suspicion": with C independent confirmations of the K expected,
 timeout = max(shortest, longest - (longest - shortest) * log(C + 1) / log(K + 1)). A suspicion of a higher incarnation,
-or of another life, is a new one and starts afresh.
+or of another process epoch, is a new one and starts afresh.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Suspicion:
-    """Of one life and incarnation of a member, as held by one other. Spans in milliseconds."""
+    """A suspicion here of one process epoch and incarnation of a member. Times in ms."""
 
     def __init__(self, now: float, reported_by: str, min_ms: float, max_ms: float, expected_confirmations: int) -> None:
         self.started_ms = now
@@ -31,12 +31,12 @@
         return self.started_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
 
     def confirm(self, reported_by: str) -> bool:
-        """Whether this was news: another finder, and not more than are looked for."""
+        """Whether the confirmation counts: from another reporter, and not more than expected."""
         if reported_by in self.reporters or self.confirmations >= self.expected_confirmations:
             return False
         self.reporters.add(reported_by)
         return True
 
     def restart(self, now: float) -> None:
-        """After a pause of one's own: what was found before it counts, but the suspect gets its time again."""
+        """After a pause of this process: earlier confirmations count, but the suspect gets its time again."""
         self.started_ms = now
--- a/limenotch/fleet/membership/table.py
+++ b/limenotch/fleet/membership/table.py
@@ -1,4 +1,4 @@
-"""The members one knows, oneself not among them: what is held of each, and when it was last changed."""
+"""The known members, this process not among them: the state of each, and when it changed last."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class MemberTable:
-    """Bounded by `most` names; where it is full, who is dead or left longest makes room."""
+    """Bounded by `max_members` names; when full, the member that is dead or left for longest is evicted."""
 
     def __init__(self, max_members: int) -> None:
         self.max_members = max_members
@@ -89,7 +89,7 @@
         known.apply(claim, known.since_ms if same else since_ms)
         known.incarnation = max(
             known.incarnation, min_incarnation
-        )  # a death may come of an older one than was heard of
+        )  # a death may be claimed of an older incarnation than is known
         known.suspicion = None
         self._update_live()
         return ClaimOutcome.REFRESHED if same else ClaimOutcome.CHANGED
@@ -99,7 +99,7 @@
         self._update_live()
 
     def sample(self, random: Random, max_members: int, excluded: str = "") -> list[str]:
-        """Of the live, different ones, by chance."""
+        """Distinct live members, at random."""
         chosen: list[str] = []
         live = self.live
         if len(live) <= max_members + 1:
--- a/limenotch/fleet/membership/timer_queue.py
+++ b/limenotch/fleet/membership/timer_queue.py
@@ -1,4 +1,4 @@
-"""What is to be done when: many due times over the host's one timer, since timers are never called back."""
+"""A queue of due times over one timer of the host, as the host's timers can't be cancelled."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TimerQueue:
-    """Each key is due once at most; a later `at` moves it. Bounded by its keys."""
+    """Each key is due at most once; scheduling it again moves it. Bounded by the number of keys."""
 
     def __init__(self) -> None:
         self._due: dict[Key, float] = {}
@@ -34,7 +34,7 @@
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now: float) -> Key | None:
-        """A key that is due, the longest due first."""
+        """A key that is due, the longest overdue first; None if none is due."""
         next_due = self.next_due_ms()
         if next_due is None or next_due > now:
             return None
@@ -47,7 +47,7 @@
             self._timer_at_ms = None
 
     def timer_to_set(self) -> float | None:
-        """When the host should call, if it was not asked already for then or sooner."""
+        """The time in ms for a timer of the host; None if one is already set for then or earlier."""
         next_due = self.next_due_ms()
         if next_due is None or (self._timer_at_ms is not None and self._timer_at_ms <= next_due):
             return None
