--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -59,7 +59,7 @@
         return len(self.table.live) + 1
 
     @property
-    def own_sender(self) -> SenderInfo:
+    def sender(self) -> SenderInfo:
         return SenderInfo(self.address, self.process_epoch, self.incarnation, self.phase is Phase.ACTIVE)
 
     def next_seq(self) -> int:
@@ -84,7 +84,7 @@
     def own_claim(self, state: State = State.ALIVE) -> Claim:
         return Claim(self.name, STATES_BY_CODE.index(state), self.address, self.process_epoch, self.incarnation)
 
-    def contradicting_claim(self, name: str, sender: SenderInfo | None, now: float) -> Claim | None:
+    def contradiction(self, name: str, sender: SenderInfo | None, now: float) -> Claim | None:
         """The claim here that supersedes what a member claims of itself, if any: the member must receive it first."""
         known = self.table.get(name)
         if known is None:
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -12,9 +12,8 @@
   every suspicion starts again, and nobody is probed until a message arrives or a period is over.
 - Shortly before a suspicion can expire this process pings the suspect itself once more: claims are forwarded a limited
   number of times, so now and then one member of many does not receive a refutation.
-- Periodically one dead member is pinged, and one seed that is not alive is requested for its table.
-- After it left, a process does and answers nothing.
-- What decodes but is not valid is counted (`counts`) and changes nothing.
+- Periodically one dead member is pinged, and one seed that is not alive is sent a request for its table.
+- A process that left does and answers nothing. Invalid content is counted (`counts`) and changes nothing.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 from .member_states import MemberStates
 from .messages import (
     ALIVE,
-    MAX_CLAIMS_PER_DATAGRAM,
+    MAX_CLAIMS,
     Ack,
     Claim,
     Gossip,
@@ -62,11 +61,9 @@
 
 
 class Membership:
-    """The membership component of one process.
-
-    `process_epoch` should be higher than that of any earlier process of this name (e.g. ms of the wall clock); if it is
-    not, it is raised. `addresses`: by name, where to send instead of a member's advertised address (laboratory relays).
-    """
+    """`process_epoch` should be higher than that of any earlier process of this name (e.g. ms of the wall clock); if it
+    is not, it is raised. `addresses`: by name, where to send instead of a member's advertised address (a laboratory's
+    relays)."""
 
     def __init__(
         self,
@@ -79,13 +76,11 @@
         addresses: Mapping[str, Address] | None = None,
     ) -> None:
         if not is_valid_claim(Claim(name, 0, address, process_epoch, 0)):
-            raise ValueError(
-                f"name {name!r}, address {address} or process epoch {process_epoch} is not valid for a member"
-            )
+            raise ValueError(f"invalid name {name!r}, address {address} or process epoch {process_epoch}")
         self.context = Context(name, address, process_epoch, seeds, tuning, seed, addresses or {})
         self.own_member = OwnMember(self.context, self._on_joined)
-        self.prober = Prober(self.context, lambda now, name: self.member_states.probe_failed(now, name))
-        self.member_states = MemberStates(self.context, self.own_member, self.prober)
+        self.prober = Prober(self.context, lambda now, name: self.peers.probe_failed(now, name))
+        self.peers = MemberStates(self.context, self.own_member, self.prober)
         self._now = float("-inf")
         self._joined_ms = 0.0
         self._reconnect_pings: dict[int, str] = {}
@@ -182,8 +177,8 @@
         return actions
 
     def _run_due(self, now: float) -> None:
-        agenda = self.context.timers
-        while (key := agenda.pop_due(now)) is not None:
+        timers = self.context.timers
+        while (key := timers.pop_due(now)) is not None:
             action, target = key
             if isinstance(target, int):
                 {
@@ -196,12 +191,12 @@
                 {
                     "probe": self._probe_due,
                     "gossip": self._gossip_due,
-                    "suspect": self.member_states.suspicion_due,
-                    "ask": self.member_states.ping_suspect,
+                    "suspect": self.peers.suspicion_due,
+                    "ask": self.peers.ping_suspect,
                     "own": self._own_due,
                     "tables": self._tables_due,
                     "reconnect": self._reconnect_due,
-                    "forget": self.member_states.forget_due,
+                    "forget": self.peers.forget_due,
                 }[action](now, target)
 
     def _on_joined(self, now: float) -> None:
@@ -209,7 +204,7 @@
         context, tuning = self.context, self.context.tuning
         self._joined_ms = now
         for address in context.seeds:
-            context.send(address, TableRequest(context.own_sender, context.all_claims(now)), Carrier.STREAM)
+            context.send(address, TableRequest(context.sender, context.all_claims(now)), Carrier.STREAM)
         fraction = context.random.random
         context.timers.schedule(now + fraction() * self._probe_interval_ms, ("probe", ""))
         context.timers.schedule(now + fraction() * tuning.reconnect * tuning.period_ms, ("reconnect", ""))
@@ -235,10 +230,10 @@
             return
         self._last_gossip_ms = now
         for name in context.table.sample(context.random, context.tuning.fanout):
-            claims = context.next_claims(context.contradicting_claim(name, None, now))
+            claims = context.next_claims(context.contradiction(name, None, now))
             if not claims:
                 break
-            context.send(context.address_of(name), Gossip(context.own_sender, claims))
+            context.send(context.address_of(name), Gossip(context.sender, claims))
 
     def _tables_due(self, now: float, _: str) -> None:
         context = self.context
@@ -246,7 +241,7 @@
             return
         for name in context.table.sample(context.random, 1):
             context.send(
-                context.address_of(name), TableRequest(context.own_sender, context.all_claims(now)), Carrier.STREAM
+                context.address_of(name), TableRequest(context.sender, context.all_claims(now)), Carrier.STREAM
             )
         context.timers.schedule(now + context.tuning.push_pull_ms(context.size), ("tables", ""))
 
@@ -265,9 +260,7 @@
         unreached = [address for address in context.seeds if address not in alive]
         if unreached:
             context.send(
-                context.random.choice(unreached),
-                TableRequest(context.own_sender, context.all_claims(now)),
-                Carrier.STREAM,
+                context.random.choice(unreached), TableRequest(context.sender, context.all_claims(now)), Carrier.STREAM
             )
         periods = tuning.reconnect if context.table.live else 1.0  # sooner if alone
         context.timers.schedule(now + periods * tuning.period_ms, ("reconnect", ""))
@@ -285,12 +278,12 @@
         context = self.context
         context.health.on_pause(late_ms, context.tuning.period_ms)
         self.prober.cancel_all()
-        self.member_states.restart_suspicions(now)
+        self.peers.restart_suspicions(now)
         if context.phase is Phase.ACTIVE and late_ms > context.tuning.period_ms:
             self._no_probes_until_ms = now + context.tuning.period_ms
             for name in context.table.sample(context.random, context.tuning.fanout):
                 context.send(
-                    context.address_of(name), TableRequest(context.own_sender, context.all_claims(now)), Carrier.STREAM
+                    context.address_of(name), TableRequest(context.sender, context.all_claims(now)), Carrier.STREAM
                 )
 
     def _leave(self, now: float) -> None:
@@ -299,9 +292,9 @@
             claims = (context.own_claim(State.LEFT),)
             targets = context.table.sample(context.random, 2 * context.tuning.sends(context.size))
             for index, name in enumerate(targets):
-                context.send(context.address_of(name), Gossip(context.own_sender, claims))
+                context.send(context.address_of(name), Gossip(context.sender, claims))
                 if index < context.tuning.fanout:
-                    context.send(context.address_of(name), Gossip(context.own_sender, claims), Carrier.STREAM)
+                    context.send(context.address_of(name), Gossip(context.sender, claims), Carrier.STREAM)
             context.report_own_state(State.LEFT)
         context.phase = Phase.LEFT
 
@@ -312,12 +305,8 @@
         if not isinstance(message, MembershipMessage):
             context.count("not of membership")
             return
-        claims = message.claims if isinstance(message, (TableRequest, TableResponse)) else message.claims
-        max_claims = (
-            context.tuning.most_members
-            if isinstance(message, (TableRequest, TableResponse))
-            else MAX_CLAIMS_PER_DATAGRAM
-        )
+        claims = message.members if isinstance(message, (TableRequest, TableResponse)) else message.claims
+        max_claims = context.tuning.most_members if isinstance(message, (TableRequest, TableResponse)) else MAX_CLAIMS
         if not is_valid_sender(message.sender) or len(claims) > max_claims:
             context.count("unsound message")
             return
@@ -330,7 +319,7 @@
         self._no_probes_until_ms = float("-inf")
         self._update_sender(now, event.sender, message.sender)
         for claim in claims:
-            self.member_states.receive_claim(now, claim)
+            self.peers.receive_claim(now, claim)
         self._respond(now, event, message)
 
     def _receive_while_joining(
@@ -361,9 +350,9 @@
                 now, Claim(context.name, ALIVE, sender.address, sender.process_epoch, sender.incarnation)
             )
         if isinstance(message, Ping) and context.phase is Phase.ACTIVE:
-            context.send(sender.address, Ack(message.seq, context.name, context.own_sender))
+            context.send(sender.address, Ack(message.seq, context.name, context.sender))
         elif isinstance(message, TableRequest):
-            context.send(sender.address, TableResponse(context.own_sender, context.all_claims(now)), Carrier.STREAM)
+            context.send(sender.address, TableResponse(context.sender, context.all_claims(now)), Carrier.STREAM)
 
     def _update_sender(self, now: float, name: str, sender: SenderInfo) -> None:
         known = self.context.table.get(name)
@@ -372,9 +361,7 @@
             or (known.process_epoch, known.incarnation, known.address)
             != (sender.process_epoch, sender.incarnation, sender.address)
         ):
-            self.member_states.receive_claim(
-                now, Claim(name, ALIVE, sender.address, sender.process_epoch, sender.incarnation)
-            )
+            self.peers.receive_claim(now, Claim(name, ALIVE, sender.address, sender.process_epoch, sender.incarnation))
 
     def _respond(self, now: float, event: MessageReceived, message: MembershipMessage) -> None:
         context = self.context
@@ -383,21 +370,19 @@
             if message.sender.active
             else message.sender.address
         )
-        contradiction = (
-            context.contradicting_claim(event.sender, message.sender, now) if message.sender.active else None
-        )
+        contradiction = context.contradiction(event.sender, message.sender, now) if message.sender.active else None
         if isinstance(message, Ping):
             if message.target != context.name:
                 context.count("ping for another")
             elif context.phase is Phase.ACTIVE:
                 context.send(
                     address,
-                    Ack(message.seq, context.name, context.own_sender, context.next_claims(contradiction)),
+                    Ack(message.seq, context.name, context.sender, context.next_claims(contradiction)),
                     event.carrier,
                 )
             return
         if isinstance(message, TableRequest):
-            context.send(address, TableResponse(context.own_sender, context.all_claims(now)), Carrier.STREAM)
+            context.send(address, TableResponse(context.sender, context.all_claims(now)), Carrier.STREAM)
             return
         if isinstance(message, PingReq) and context.phase is Phase.ACTIVE:
             if is_valid_claim(Claim(message.target, ALIVE, message.address, 0, 0)):
@@ -406,10 +391,10 @@
                 context.count("unsound message")
         elif isinstance(message, Ack):
             if self._reconnect_pings.pop(message.seq, None) == event.sender:
-                context.send(address, TableRequest(context.own_sender, context.all_claims(now)), Carrier.STREAM)
+                context.send(address, TableRequest(context.sender, context.all_claims(now)), Carrier.STREAM)
             else:
                 self.prober.handle_ack(event.sender, message)
         elif isinstance(message, Nack):
             self.prober.handle_nack(event.sender, message)
         if contradiction is not None and context.phase is Phase.ACTIVE and context.may_correct(event.sender, now):
-            context.send(address, Gossip(context.own_sender, (contradiction,)))
+            context.send(address, Gossip(context.sender, (contradiction,)))
--- a/limenotch/fleet/membership/dissemination.py
+++ b/limenotch/fleet/membership/dissemination.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..interfaces import MAX_DATAGRAM_BYTES
-from .messages import MAX_CLAIMS_PER_DATAGRAM, Claim
+from .messages import MAX_CLAIMS, Claim
 
 FRAME_OVERHEAD_BYTES = 400  # of a frame: envelope, digest, and the message's other fields with names of maximal length
 MAX_CLAIMS_BYTES = MAX_DATAGRAM_BYTES - FRAME_OVERHEAD_BYTES
@@ -55,7 +55,7 @@
         if not self._queued:
             return tuple(taken)
         for entry in sorted(self._queued.values(), key=lambda entry: (entry.sent, entry.order)):
-            if len(taken) >= MAX_CLAIMS_PER_DATAGRAM:
+            if len(taken) >= MAX_CLAIMS:
                 break
             if entry.size > free_bytes or (first is not None and first.name == entry.claim.name):
                 continue
--- a/limenotch/fleet/membership/member_states.py
+++ b/limenotch/fleet/membership/member_states.py
@@ -4,8 +4,8 @@
 is invalid                             | counted
 is about this process                  | `self_member` handles it
 is superseded (states.PRECEDENCE)      | nothing
-equals a current suspicion, new reporter | confirms it: the suspicion gets shorter (`suspicion`)
-starts a suspicion                     | forwarded; its time begins; shortly before its end the suspect is pinged once more
+equals a suspicion, by another reporter | confirms it: the suspicion gets shorter (`suspicion`)
+starts a suspicion                     | forwarded; shortly before its end the suspect is pinged once more
 is new otherwise                       | forwarded, logged, reported to the other components
 """
 
@@ -133,6 +133,6 @@
                 self._schedule_suspicion(suspicion, name)
 
     def _schedule_suspicion(self, suspicion: Suspicion, name: str) -> None:
-        agenda, timeout = self.context.timers, self.context.tuning.timeout_ms
-        agenda.schedule(suspicion.expires_at_ms, ("suspect", name))
-        agenda.schedule(suspicion.started_ms + suspicion.min_ms - LAST_PING_TIMEOUTS * timeout, ("ask", name))
+        timers, timeout = self.context.timers, self.context.tuning.timeout_ms
+        timers.schedule(suspicion.expires_at_ms, ("suspect", name))
+        timers.schedule(suspicion.started_ms + suspicion.min_ms - LAST_PING_TIMEOUTS * timeout, ("ask", name))
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -11,7 +11,7 @@
 from ..interfaces import Address, Message
 from .states import STATES_BY_CODE, State
 
-MAX_CLAIMS_PER_DATAGRAM = 40  # more are rejected
+MAX_CLAIMS = 40  # more are rejected
 MAX_NAME_LENGTH = 64
 MAX_HOST_LENGTH = 255
 MAX_PROCESS_EPOCH = 1 << 52
@@ -85,12 +85,12 @@
     """Push-pull: the sender's complete table (empty before it joined); the receiver responds with its own."""
 
     sender: SenderInfo
-    claims: tuple[Claim, ...] = ()
+    members: tuple[Claim, ...] = ()
 
 
 class TableResponse(Message, frozen=True, tag="mb.answer"):
     sender: SenderInfo
-    claims: tuple[Claim, ...] = ()
+    members: tuple[Claim, ...] = ()
 
 
 MembershipMessage = Ping | PingReq | Ack | Nack | Gossip | TableRequest | TableResponse
--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -71,7 +71,7 @@
         probe.relays = tuple(context.table.sample(context.random, context.tuning.indirect, probe.name))
         for relay in probe.relays:
             context.send(
-                context.address_of(relay), PingReq(seq, probe.name, address, context.own_sender, context.next_claims())
+                context.address_of(relay), PingReq(seq, probe.name, address, context.sender, context.next_claims())
             )
         context.send(context.address_of(probe.name), self._make_ping(seq, probe.name, now), Carrier.STREAM)
 
@@ -97,7 +97,7 @@
             context.count("ack of nothing")  # mostly a delayed one
             return
         self.end_relay(message.seq)
-        context.send(relayed.address, Ack(relayed.seq, relayed.target, context.own_sender, context.next_claims()))
+        context.send(relayed.address, Ack(relayed.seq, relayed.target, context.sender, context.next_claims()))
 
     def handle_nack(self, sender: str, message: Nack) -> None:
         probe = self.probes.get(message.seq)
@@ -120,7 +120,7 @@
     def send_nack(self, seq: int) -> None:
         relayed, context = self.relayed_probes.get(seq), self.context
         if relayed is not None:
-            context.send(relayed.address, Nack(relayed.seq, relayed.target, context.own_sender, context.next_claims()))
+            context.send(relayed.address, Nack(relayed.seq, relayed.target, context.sender, context.next_claims()))
 
     def end_relay(self, seq: int) -> None:
         self.relayed_probes.pop(seq, None)
@@ -142,7 +142,7 @@
 
     def _make_ping(self, seq: int, name: str, now: float) -> Ping:
         context = self.context
-        return Ping(seq, name, context.own_sender, context.next_claims(context.contradicting_claim(name, None, now)))
+        return Ping(seq, name, context.sender, context.next_claims(context.contradiction(name, None, now)))
 
     def _is_current(self, probe: Probe) -> bool:
         known = self.context.table.get(probe.name)
--- a/limenotch/fleet/membership/self_member.py
+++ b/limenotch/fleet/membership/self_member.py
@@ -1,19 +1,19 @@
 """This process as a member: joining, learning that it was declared dead, and another process with the same name.
 
-    phase     | event                                                | becomes   | and
-    joining   | a seed answered, no other process has the name       | active    | logs `joined`
-    joining   | no seed answered for JOIN_PERIODS, or there is none  | active    | `joined`, alone; seeds are still queried
-    joining   | the name was at this address, or is dead or left     | active    | with a higher process epoch than it had
-    joining   | the name is elsewhere; its process answers a ping    | displaced | logs `twin`
-    joining   | the same, but no answer to JOIN_PINGS pings          | active    | with a higher process epoch
-    active    | it is suspected                                      | active    | with a higher incarnation
-    active    | it was declared dead (or left) in this process epoch | active    | Fenced, then with a higher process epoch
-    active    | a higher process epoch of the name is elsewhere      | displaced | Fenced; that process is pinged as above
-    displaced | the other process was declared dead, or left         | active    | with a higher process epoch
-    displaced | no answer to DISPLACED_PINGS pings                   | active    | with a higher process epoch
-
-If two processes of one name have equal process epochs, the one at the higher address yields. These rules are not SWIM's,
-which has none for processes of one name.
+    phase     | event                                               | becomes   | and
+    joining   | a seed answered, no other process has the name      | active    | logs `joined`
+    joining   | no seed answered for JOIN_PERIODS, or there is none | active    | `joined`; seeds are still queried
+    joining   | the name was at this address, or is dead or left    | active    | with a higher process epoch
+    joining   | the name is elsewhere; its process answers a ping   | displaced | logs `twin`
+    joining   | the same, but no answer to JOIN_PINGS pings         | active    | with a higher process epoch
+    active    | it is suspected                                     | active    | with a higher incarnation
+    active    | it was declared dead (or left) in its process epoch | active    | Fenced, then a higher process epoch
+    active    | a higher process epoch of the name is elsewhere     | displaced | Fenced; pings that process as above
+    displaced | the other process was declared dead, or left        | active    | with a higher process epoch
+    displaced | no answer to DISPLACED_PINGS pings                  | active    | with a higher process epoch
+
+If two processes of one name have equal process epochs, the one at the higher address yields. SWIM has no rules for
+processes of one name; these are this project's.
 """
 
 from __future__ import annotations
@@ -148,12 +148,12 @@
         self.namesake_ping_seq = context.next_seq()
         self.unanswered_pings += 1
         for carrier in Carrier:
-            context.send(self.namesake.address, Ping(self.namesake_ping_seq, context.name, context.own_sender), carrier)
+            context.send(self.namesake.address, Ping(self.namesake_ping_seq, context.name, context.sender), carrier)
 
     def _request_tables(self) -> None:
         context = self.context
         for address in context.seeds:
-            context.send(address, TableRequest(context.own_sender), Carrier.STREAM)
+            context.send(address, TableRequest(context.sender), Carrier.STREAM)
 
     def _refute(self, claim: Claim) -> None:
         context = self.context
