--- a/limenotch/net/peer_streams.py
+++ b/limenotch/net/peer_streams.py
@@ -1,8 +1,8 @@
-"""Kept streams between sidecars: each speaks on its own ones and listens on the others'.
+"""Persistent streams between sidecars: each process sends on streams that it opens, and receives on its peers'.
 
-A stream has one direction. Its first frame is a Hello, so that a stranger holds a place for moments only and may send
-little; a later stream of the same process takes the place of the one before. Queues, places, frames and waits are
-bounded, and whatever does not fit is dropped and counted: the parts bear a network that loses.
+A stream has one direction. Its first frame is a Hello: until it arrives, a stranger may send little and occupies one of
+the inbound streams for moments only. A later stream of the same process replaces the earlier one. Queues, numbers of
+streams, frames and waits are bounded; what does not fit is dropped and counted, as components tolerate message loss.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 log = logs.get(__name__)
 
-MAX_QUEUED_MESSAGES = 1024  # messages that wait for one peer ...
+MAX_QUEUED_MESSAGES = 1024  # messages queued for one peer ...
 MAX_QUEUED_BYTES = 4 * 1024 * 1024  # ... and their bytes
-MAX_BATCH_BYTES = 256 * 1024  # bytes written at once, one frame at least
-MAX_QUEUE_AGE_S = 5.0  # a message that has waited for longer is not sent any more
+MAX_BATCH_BYTES = 256 * 1024  # of one write, at least one frame
+MAX_QUEUE_AGE_S = 5.0  # a message that has been queued for longer is dropped
 CONNECT_TIMEOUT_S = 2.0
-WRITE_TIMEOUT_S = 5.0  # a peer that takes nothing for so long is silent: its stream is dropped
-IDLE_TIMEOUT_S = 60.0  # without a message: an own stream is closed, and another's after twice that
-MIN_RETRY_WAIT_S, MAX_RETRY_WAIT_S = 0.1, 3.2  # between two attempts, doubled from one to the next
-HELLO_TIMEOUT_S = 2.0  # from a connection to its first frame
-MAX_HELLO_BYTES = 1024  # bytes of that frame
-READ_CHUNK_BYTES = 64 * 1024  # bytes at once
+WRITE_TIMEOUT_S = 5.0  # a stream whose peer accepts no bytes for so long is closed
+IDLE_TIMEOUT_S = 60.0  # without a message an outbound stream is closed; an inbound one after twice that
+MIN_RETRY_WAIT_S, MAX_RETRY_WAIT_S = 0.1, 3.2  # between two attempts to connect, doubled each time
+HELLO_TIMEOUT_S = 2.0  # from accepting a connection to its first frame
+MAX_HELLO_BYTES = 1024  # of that frame
+READ_CHUNK_BYTES = 64 * 1024
 
 TCP_USER_TIMEOUT: int | None = getattr(socket, "TCP_USER_TIMEOUT", None)  # Linux; RFC 5482
 
@@ -62,7 +62,7 @@
 
 
 class _OutboundStream:
-    """What goes to one address: a queue, and a task that connects, writes and waits."""
+    """The stream to one address: a queue, and a task that connects, writes and waits."""
 
     def __init__(
         self, address: Address, hello: bytes, counts: dict[str, int], on_end: Callable[[_OutboundStream], None]
@@ -73,12 +73,12 @@
         self._wake = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._stream: IOStream | None = None
-        self.last_used_s = self._loop.time()  # when a message was given last
+        self.last_used_s = self._loop.time()  # when a message was queued last
         self._task = self._loop.create_task(self._run_logged())
 
     @property
     def queued(self) -> tuple[int, int]:
-        """Messages, bytes."""
+        """Numbers of queued messages and bytes."""
         return len(self._queue), self._bytes
 
     @property
@@ -103,7 +103,7 @@
         return data
 
     def _next_batch(self) -> bytes:
-        """What is written next; empty if nothing waits."""
+        """The bytes to write next; empty if no message is queued."""
         batch: list[bytes] = []
         size, oldest_s = 0, self._loop.time() - MAX_QUEUE_AGE_S
         while self._queue and (not batch or size + len(self._queue[0][1]) <= MAX_BATCH_BYTES):
@@ -118,7 +118,7 @@
         return b"".join(batch)
 
     async def _wait_for_message(self) -> bool:
-        """Wait for a message; False if none comes for long."""
+        """Wait for a queued message or the stream's end; False if idle for too long."""
         while not self._queue:
             self._wake.clear()
             try:
@@ -133,9 +133,9 @@
         try:
             await self._run()
         except Exception:
-            log.exception("fault in a stream to a sidecar", at=host_port(self.address))
+            log.exception("internal error in an outbound fleet stream", at=host_port(self.address))
         finally:
-            self._on_end(self)  # before anything more can be put
+            self._on_end(self)  # before another message can be queued
 
     async def _run(self) -> None:
         wait_s = MIN_RETRY_WAIT_S
@@ -149,10 +149,12 @@
                     self._stream = None
                     stream.close()
                 if self._loop.time() - connect_started_s > MAX_RETRY_WAIT_S:
-                    wait_s = MIN_RETRY_WAIT_S  # it was kept for a while: what ended it is new
+                    wait_s = MIN_RETRY_WAIT_S  # it lasted for a while: its end is a new fault
             if self._loop.time() - self.last_used_s > IDLE_TIMEOUT_S:
                 break
-            await asyncio.sleep(wait_s)  # also after a stream that ended at once: its peer may have no place for it
+            await asyncio.sleep(
+                wait_s
+            )  # also after a stream that ended at once: the peer may be at its limit of streams
             wait_s = min(2 * wait_s, MAX_RETRY_WAIT_S)
 
     async def _connect(self) -> IOStream | None:
@@ -164,14 +166,16 @@
             stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if (
                 TCP_USER_TIMEOUT is not None
-            ):  # what is sent into a cut would else wait for TCP's own, ever rarer attempts
+            ):  # else data sent into a network partition would wait for TCP's own, ever rarer retransmissions
                 stream.socket.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(WRITE_TIMEOUT_S * 1000))
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await stream.connect(self.address)
                 await stream.write(with_length(self._hello))
         except (OSError, StreamClosedError, TimeoutError) as error:
             self._counts["connect_failed"] += 1
-            log.debug("no stream to a sidecar", at=host_port(self.address), error=str(error) or type(error).__name__)
+            log.debug(
+                "cannot connect a fleet stream", at=host_port(self.address), error=str(error) or type(error).__name__
+            )
             if stream is not None:
                 stream.close()
             return None
@@ -184,7 +188,7 @@
         return stream
 
     async def _write(self, stream: IOStream) -> None:
-        """Until the stream ends, or nothing is said on it for long."""
+        """Write queued messages until the stream ends or is idle for too long."""
         watch = self._loop.create_task(self._watch_for_end(stream))
         try:
             while await self._wait_for_message() and not stream.closed():
@@ -200,7 +204,7 @@
             watch.cancel()
 
     async def _watch_for_end(self, stream: IOStream) -> None:
-        """The peer says nothing on a stream of ours: whatever comes is its end."""
+        """The peer never sends on an outbound stream: anything that can be read is its end."""
         with contextlib.suppress(StreamClosedError):
             await stream.read_bytes(1)
         self._counts["lost"] += 1
@@ -209,22 +213,22 @@
 
 
 class _InboundStream:
-    """A stream that another process has opened."""
+    """A stream that a peer has opened."""
 
     def __init__(self, stream: IOStream, now: float) -> None:
         self.stream, self.last_received_s = stream, now
         self.hello: Hello | None = None
-        self.process: tuple[str, int] | None = None  # name and life
+        self.process: tuple[str, int] | None = None  # name and process epoch
 
 
 MessageHandler = Callable[[str, Address, Message], None]
 
 
 class PeerStreams:
-    """Owns all kept streams of this process, `most` of its own and as many of others."""
+    """Owns all persistent streams of this process: `max_streams` outbound and as many inbound ones."""
 
     def __init__(self, codec: FrameCodec, hello: bytes, max_streams: int, on_message: MessageHandler) -> None:
-        """`hello`: the frame that opens each own stream. `heed` is given what was heard: sender, address, message."""
+        """`hello`: the first frame of each outbound stream. `on_message` gets sender, address and message."""
         self._codec, self._hello, self._max_streams, self._on_message = codec, hello, max_streams, on_message
         self._outbound: dict[Address, _OutboundStream] = {}
         self._inbound: dict[_InboundStream, asyncio.Task[None]] = {}
@@ -232,7 +236,7 @@
         self.counts = new_counts()
 
     def send(self, address: Address, frame: bytes) -> None:
-        """Send a frame to the peer at this address, on its stream or a new one; dropped where it can't be."""
+        """Queue a frame for the peer at this address, on its stream or a new one; dropped if it can't be sent."""
         outbound = self._outbound.get(address)
         if outbound is None:
             if len(self._outbound) >= self._max_streams:
@@ -252,7 +256,7 @@
             del self._outbound[outbound.address]
 
     def accept(self, sock: socket.socket) -> None:
-        """A connection that came; when places are out the one that was silent for longest gives way."""
+        """Take an accepted connection; at the limit, the stream that was silent for longest is closed."""
         while len(self._inbound) >= self._max_streams:
             longest_silent = min(self._inbound, key=lambda each: (each.process is not None, each.last_received_s))
             self.counts["refused"] += 1
@@ -280,12 +284,12 @@
         except (StreamClosedError, TimeoutError):
             pass
         except Exception:
-            log.exception("fault in a sidecar's stream")
+            log.exception("internal error in an inbound fleet stream")
         finally:
             self._close_inbound(inbound)
 
     def _process_frames(self, inbound: _InboundStream, frames: FrameReader) -> bool:
-        """All whole frames that came; False ends the stream."""
+        """Handle all complete frames; False: the stream must be closed."""
         while (frame := frames.next_frame()) is not None:
             if isinstance(frame, FrameFault):
                 self._codec.count(frame)
@@ -294,7 +298,7 @@
             if isinstance(decoded, FrameFault):
                 if decoded in (FrameFault.DIGEST, FrameFault.GROUP, FrameFault.SHORT) or inbound.process is None:
                     return False
-                continue  # a kind or a version that is not spoken here: what follows may be
+                continue  # an unknown kind or version: later frames may be known
             sender, message = decoded
             if isinstance(message, Hello):
                 self._hello_received(inbound, sender, message)
@@ -312,7 +316,7 @@
             self._close_inbound(earlier)
 
     def state(self) -> dict[str, object]:
-        """For operators: counts, and each own stream."""
+        """For operators: counts, and each outbound stream."""
         streams = {
             host_port(address): {
                 "connected": outbound.connected,
@@ -324,7 +328,7 @@
         return {**self.counts, "in": len(self._inbound), "out": streams}
 
     def close(self) -> None:
-        """Close all streams, and listen no more."""
+        """Close all streams."""
         for outbound in list(self._outbound.values()):
             outbound.close()
         self._outbound.clear()
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -1,8 +1,8 @@
-"""The other sidecars: the host of the fleet's decisions on real sockets.
+"""The host of the fleet's components on real sockets.
 
-Owns one datagram socket and one listener at the same address, the kept streams (`streams.py`), the timers, and the way
-to the store's thread. Nothing that a consumer's call does waits for any of it, and no fault in here ends the program:
-what raises is logged with its event and is off from then on.
+Owns one datagram socket and one listener at the same address, the persistent streams (`peer_streams.py`), the timers,
+and the access to the store's thread. No client's request waits for any of it, and no fault in here ends the program: an
+exception is logged with its event, and what raised it is stopped from then on.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 log = logs.get(__name__)
 
 BACKLOG = 64
-MAX_PER_TURN = 64  # datagrams or connections taken in one turn of the loop: consumers come between
-MIN_BIND_WAIT_S, MAX_BIND_WAIT_S = 0.2, 5.0  # between two attempts to have the address
+MAX_PER_TURN = 64  # datagrams or connections handled in one turn of the loop, so that requests get their turns
+MIN_BIND_WAIT_S, MAX_BIND_WAIT_S = 0.2, 5.0  # between two attempts to bind the address
 MAX_TIMERS = 20_000
-MAX_PENDING_STORES = 1024  # requests of which the store has not said how they ended
-SOCKET_DESCRIPTORS = 2  # descriptors beside the streams'
+MAX_PENDING_STORES = 1024  # requests that the store has not answered yet
+SOCKET_DESCRIPTORS = 2  # descriptors besides those of the streams
 
 COUNTS = ("sent", "received", "send_failed", "too_long", "stores_refused")
 
@@ -55,7 +55,7 @@
     """The store's thread."""
 
     def submit(self, ticket: int, records: tuple[Any, ...], done: Callable[[str | None], None]) -> None:
-        """Never waits. `done` is called once, on any thread: None for stored, else why not."""
+        """Never blocks. `done` is called once, on any thread: with None if stored, else with the reason."""
         ...
 
     def close(self) -> None:
@@ -65,7 +65,7 @@
 
 @lru_cache(1024)
 def _is_numeric(host: str) -> bool:
-    """A name would be looked up, and the loop would wait for that."""
+    """Whether the host is a numeric address; a name would be resolved, and block the loop."""
     for kind in (socket.AF_INET, socket.AF_INET6):
         with contextlib.suppress(OSError, ValueError):
             socket.inet_pton(kind, host)
@@ -87,7 +87,7 @@
         disk: Disk | None = None,
         address: Address | None = None,
     ) -> None:
-        """`address`: where others reach this process, if not at `listen`. `disk` is closed with this."""
+        """`address`: where peers reach this process, if not at `listen`. `disk` is closed with this transport."""
         self._listen, self._name, self._process_epoch = listen, name, process_epoch
         self._address, self._max_streams = address, streams
         self._hub, self._codec, self._disk = hub, codec, disk
@@ -101,26 +101,26 @@
         self._pending_stores = 0
         self._now = 0.0
         self._stopped = self._closed = self._started = False
-        self._events: deque[Event | ComponentEvent] = deque()  # the first is being handled
+        self._events: deque[Event | ComponentEvent] = deque()  # the first one is being handled
         self.counts = dict.fromkeys(COUNTS, 0)
         hub.on_fault = self._log_fault
 
     @property
     def address(self) -> Address | None:
-        """Where it listens; None as long as it does not."""
+        """The address of the listener; None while it does not listen."""
         return self._listener.socket.getsockname()[:2] if self._listener is not None else None
 
     def now(self) -> float:
-        """In ms, as the parts are told."""
+        """The clock of the components, in ms."""
         return max(self._now, self._loop.time() * 1000.0)
 
-    # Life
+    # Start and shutdown
 
     def start(self, ready: Callable[[], Awaitable[Disk | None]] | None = None) -> None:
-        """Listen as soon as the address can be had, and begin then, after `ready`: the disk it gives is closed here.
+        """Listen as soon as the address is free, then await `ready` and start; the disk that it gives is closed here.
 
-        The process before this one has it until it leaves; a wrong one is told in the log. Serving waits for neither.
-        What others say before the beginning is dropped, as if this process were not there yet.
+        The predecessor occupies the address until it leaves; failed attempts are logged. Serving requests does not wait
+        for any of this. Messages that arrive before the start are dropped, as if this process did not run yet.
         """
         self._opening = self._loop.create_task(self._open(ready))
 
@@ -146,7 +146,7 @@
         self.dispatch(Started())
 
     def _bind(self) -> None:
-        """Both sockets or none; raises OSError."""
+        """Bind both sockets or neither. Raises OSError."""
         bound: list[socket.socket] = []
         try:
             for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
@@ -169,11 +169,11 @@
         self._loop.add_reader(bound[1], self._receive)
 
     def leave(self) -> None:
-        """The parts say that this process goes; what they answer is sent at once."""
+        """Notify the components of the graceful shutdown; their messages are sent at once."""
         self.dispatch(ShutdownStarted())
 
     def close(self) -> None:
-        """At once, without a word to others. May be called twice."""
+        """Close at once, without notifying peers. May be called twice."""
         self._closed = True
         if self._opening is not None:
             self._opening.cancel()
@@ -199,7 +199,7 @@
     # Events
 
     def dispatch(self, event: Event | ComponentEvent) -> None:
-        """Raises nothing. Told while another is handled, by who hears what parts do, it is handled right after that."""
+        """Handle an event; never raises. An event dispatched while another is handled follows right after it."""
         if not self._started:
             return
         self._events.append(event)
@@ -220,17 +220,17 @@
         try:
             for action in self._hub.handle(self._now, event):
                 self._perform(action)
-        except Exception as error:  # not a part's own, which the hub holds back: what came of it can't be carried out
+        except Exception as error:  # not in a component, which the hub catches: an action can't be performed
             self._stopped = True
             self._hub.stop_all()
             self._cancel_timers()
             self._log_fault("", event, error)
             log.error(COMPONENT_STOPPED, fleet=True, mono_ms=round(self._now, 1), off="all")
 
-    _timer_due_ms = 0.0  # the deadline of the timer that fires: the loop may call it up to its clock's grain early
+    _timer_due_ms = 0.0  # due time of the timer that fires: the loop may call up to its clock's resolution early
 
     def _log_fault(self, part: str, event: Any, error: Exception) -> None:
-        log.error("fault in the fleet's decisions", part=part, fleet_event=repr(event)[:2000], exc_info=error)
+        log.error("internal error in a fleet component", part=part, fleet_event=repr(event)[:2000], exc_info=error)
 
     def _message_received(self, sender: str, address: Address, message: Message) -> None:
         self.dispatch(MessageReceived(address, sender, message, Carrier.STREAM))
@@ -240,7 +240,7 @@
             self._listener.take(MAX_PER_TURN, self._streams.accept, self._accept_failed)
 
     def _accept_failed(self, error: OSError) -> None:
-        log.warning("fleet's listener", error=str(error))
+        log.warning("fleet: accepting a connection failed", error=str(error))
 
     def _receive(self) -> None:
         for _ in range(MAX_PER_TURN):
@@ -250,14 +250,14 @@
                 frame, address = self._datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # an earlier datagram's peer was not there: nothing to do with what comes
+            except OSError:  # an earlier datagram was not delivered: unrelated to what arrives
                 continue
             self.counts["received"] += 1
             decoded = self._codec.decode(frame, MAX_DATAGRAM_BYTES)
             if isinstance(decoded, FrameFault):
                 continue
             if isinstance(decoded[1], Hello):
-                self._codec.count(FrameFault.KIND)  # of streams only
+                self._codec.count(FrameFault.KIND)  # valid on streams only
                 continue
             self.dispatch(MessageReceived(address[:2], decoded[0], decoded[1], Carrier.DATAGRAM))
 
@@ -284,7 +284,7 @@
             fields = {f"{key}_" if key == "event" else key: value for key, value in action.fields.items()}
             log.info(action.text, **{**fields, "fleet": True, "mono_ms": round(self._now, 1)})
         else:
-            raise TypeError(f"no action of a host: {action!r}")
+            raise TypeError(f"not an action of a host: {action!r}")
 
     def _send(self, action: SendToAddress) -> None:
         if self._datagrams is None or self._streams is None:
@@ -302,7 +302,7 @@
         try:
             self._datagrams.sendto(frame, action.address)
             self.counts["sent"] += 1
-        except OSError:  # a full buffer, no way there
+        except OSError:  # a full buffer, or no route
             self.counts["send_failed"] += 1
 
     def _store(self, action: Store) -> None:
@@ -326,7 +326,7 @@
     # For operators
 
     def state(self) -> dict[str, Any]:
-        """What `GET /fleet` tells of the sockets."""
+        """The status of the sockets for `GET /fleet`."""
         return {
             "listening": self._listener is not None,
             "off": "all" if self._stopped else ", ".join(self._hub.stopped),
--- a/tests/fleet/test_peer_transport.py
+++ b/tests/fleet/test_peer_transport.py
@@ -184,7 +184,7 @@
 
     with caplog.at_level(logging.INFO):
         run(case)
-    faults = [record for record in caplog.records if "fault in the fleet's decisions" in record.getMessage()]
+    faults = [record for record in caplog.records if "internal error in a fleet component" in record.getMessage()]
     assert len(faults) == 2 and "Line(text='x')" in faults[0].getMessage() and "broken here" in faults[0].getMessage()
     assert sum("fleet off: fault" in record.getMessage() for record in caplog.records) == 2
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -89,7 +89,7 @@
 
 def test_versions_of_a_roll() -> None:
     """The old program speaks 1, the one in between 1 and 2, the new one 2 alone: neighbours understand each other."""
-    old, both, new = wire(), wire(spoken=(1, 2)), wire(spoken=(2, 3))
+    old, both, new = wire(), wire(versions=(1, 2)), wire(versions=(2, 3))
     said = ("a", Probe(1))
     assert old.decode(both.encode(*said)) == both.decode(old.encode(*said)) == both.decode(new.encode(*said)) == said
     assert old.decode(new.encode(*said)) is new.decode(both.encode(*said)) is FrameFault.VERSION
@@ -117,7 +117,7 @@
         lambda: FrameCodec(b"l" * 65, "g", ALL),
         lambda: FrameCodec(KEY, "", ALL),
         lambda: FrameCodec(KEY, "g", (Probe, Probe)),
-        lambda: wire(spoken=(2, 1)),
+        lambda: wire(versions=(2, 1)),
         lambda: wire().encode("", Probe(1)),
         lambda: wire().encode("x" * (MAX_NAME_LENGTH + 1), Probe(1)),
     ],
