--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -1,10 +1,10 @@
-"""What each layer of the fleet says while nothing happens: bytes and messages a member and second, simulated time.
+"""Bytes and messages of each fleet component a member and second while nothing happens, in simulated time.
 
     python -m benchmarks.fleet_bytes [--members 9,50,200] [--seconds 20]
 
-Membership, the log (three voters), rules and lists of each member behind one hub, with their usual settings; one
-directory that all follow, 20 providers. Counted over the last seconds, after 20 in which all have joined; bytes are of
-messages alone, without frames. The leader is told apart: of the log and the rules it bears most.
+Membership, the log (three voters), rules and endpoint lists of each member behind one hub, with default settings; one
+discovery that all follow, 20 endpoints. Measured over the last seconds, after 20 in which all have joined; bytes are of
+messages alone, without frames. The leader is shown separately: the log and the rules cost it most.
 """
 
 from __future__ import annotations
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -1,13 +1,13 @@
-"""How well simulated time and processes agree: from kill -9 until all the others hold the killed one dead.
+"""Agreement of simulated time and real processes: from kill -9 until all others consider the killed member dead.
 
     python -m benchmarks.fleet_processes [KILLS [MEMBERS]]
 
-The same tuning for both, `drills.membership(drills.PACE)`; one run a kill, with consumers calling. In simulated time
-the instant of the kill is moved through a period, as it falls anywhere on processes. Both are given in periods.
+The same tuning for both, `drills.membership(drills.PACE)`; one run a kill, with clients sending requests. In simulated
+time the time of the kill is moved through a period, as it is random on processes. Both are given in periods.
 
-Interval: the medians differ by no more than MEDIAN periods, and no kill on processes is known to all sooner than the
-soonest in simulated time less EDGE, nor later than the latest plus LATE: probes of processes wait for timers that
-are late, a network and interpreters, which simulated time does not have. Exit code 3: not within it.
+Interval: the medians differ by no more than MAX_MEDIAN_DIFFERENCE periods, and no kill on processes is known to all
+earlier than the earliest in simulated time less MAX_EARLIER, nor later than the latest plus MAX_LATER: probes of
+processes wait for delayed timers, a network and interpreters, which simulated time does not have. Exit code 3: outside.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 MAX_MEDIAN_DIFFERENCE, MAX_EARLIER, MAX_LATER = 0.35, 0.25, 0.75  # periods
 SIMULATED_KILLS = 200  # kills
 START_MS = 2000.0
-MAX_TIMER_DELAY_MS = 20.0  # runs on a host whose timers were later are left out, and counted
+MAX_TIMER_DELAY_MS = 20.0  # runs on a host whose timers were later are excluded, and counted
 
 
 def simulated(kills: int, members: int) -> list[float]:
-    """Periods from each kill to the last that holds it dead."""
+    """Periods from each kill until the last member considers it dead."""
     tuning = msgspec.convert(drills.membership(drills.PACE), Tuning)
     names = [f"n{number}" for number in range(members)]
     periods = []
@@ -55,7 +55,7 @@
 
 
 def on_processes(kills: int, members: int) -> tuple[list[float], int]:
-    """The same, of `kills` runs; and how many were left out."""
+    """The same for `kills` runs of processes; and how many runs were excluded."""
     timeline = read(drills.death_and_return(members, 1).split("8000")[0] + "8000\n")
     killed = str(timeline.faults[0][1]).split()[1]
     period = 1000.0 * drills.PACE
--- a/benchmarks/fleet_wire.py
+++ b/benchmarks/fleet_wire.py
@@ -1,8 +1,8 @@
-"""What a probe between sidecars costs: its frame made, its frame read, and what is dropped at the door.
+"""CPU time of a probe between sidecars: encoding its frame, decoding it, and dropping a forged one.
 
     python -m benchmarks.fleet_wire [ROUNDS]
 
-Microseconds each, the best of five turns; beside it a plain BLAKE2b of the same bytes, to tell machines apart.
+Microseconds each, the best of five turns; for comparison of machines, a plain BLAKE2b of the same bytes.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def microseconds(operation: Callable[[], object], rounds: int) -> float:
-    """Microseconds."""
+    """The best mean of five turns, in microseconds."""
     best = float("inf")
     for _ in range(5):
         started_s = perf_counter()
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,12 +1,12 @@
-"""Detection and false deaths by loss rate and number of members, and what membership costs; in simulated time.
+"""Failure detection and false deaths by loss rate and number of members, and the cost of membership; simulated time.
 
     python -m benchmarks.membership [--seeds 20] [--members 3,9,50,200] [--loss 0,10,20,30]
 
-One run a seed: all join at 0; from 4 s on the loss holds for datagrams both ways and for streams' segments; at 8 s plus
-a part of a period one is killed, 8 s later another is paused for two periods, and the run ends 8 s after that.
-`first` and `all`: from the kill to the first and the last member that holds it dead, in periods. `suspected`, `false`:
-members that ran all the time and were suspected (each incarnation counts once), or declared dead, by anybody. `paused`:
-runs in which the paused one was declared dead.
+One run a seed: all join at 0; from 4 s on the loss applies to datagrams both ways and to segments of streams; at 8 s
+plus a fraction of a period one member is killed, 8 s later another is paused for two periods, and the run ends 8 s after
+that. `first` and `all`: from the kill until the first and the last member considers it dead, in periods. `suspected`,
+`false`: members that ran all the time and were suspected (each incarnation counts once), or declared dead, by any
+member. `paused`: runs in which the paused member was declared dead.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 class Results:
     first: list[float] = field(default_factory=list)
     last: list[float] = field(default_factory=list)
-    unknown: int = 0  # members that never learned
+    unknown: int = 0  # members that never learned of the death
     suspected: int = 0
     false: int = 0
     paused: int = 0
-    bytes: float = 0.0  # a member and second, in the calm seconds before the loss
+    bytes: float = 0.0  # a member and second, in the seconds before the loss
     messages: float = 0.0
     cpu: float = 0.0
 
--- a/tests/fleet/fake_messages.py
+++ b/tests/fleet/fake_messages.py
@@ -1,4 +1,4 @@
-"""Toy messages and parts: what they were told is kept, what they answer is set."""
+"""Fake messages and components: a component records its events, and its handler is set by the test."""
 
 from __future__ import annotations
 
--- a/tests/fleet/fake_nodes.py
+++ b/tests/fleet/fake_nodes.py
@@ -1,4 +1,4 @@
-"""A process's worth of sockets around toy parts, for several in one loop."""
+"""A node with real sockets around fake components; a test runs several in one event loop."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FakeNode:
-    """A process: its parts, and a book of who is where."""
+    """The node of one process: its components, and an address book."""
 
     def __init__(self, name: str, process_epoch: int = 1, address: tuple[str, int] = (HOST, 0), **more: Any) -> None:
         self.membership, self.log, self.address_book = FakeComponent(), FakeComponent(), FakeAddressBook({})
@@ -33,19 +33,19 @@
         return self.transport.address
 
     def perform(self, *actions: Any) -> None:
-        """As if a part answered these."""
+        """Have the first component answer an event with these actions."""
         self.membership.handler = lambda now, event: list(actions) if isinstance(event, ShutdownStarted) else []
         self.transport.dispatch(ShutdownStarted())
         self.membership.handler = lambda now, event: []
 
     @property
     def streams(self) -> dict[str, Any]:
-        streams: dict[str, Any] = self.transport.state()["streams"]
-        return streams
+        counts: dict[str, Any] = self.transport.state()["streams"]
+        return counts
 
 
 async def wait_until(condition: Callable[[], Any]) -> None:
-    """The time is a bound for a broken program; it is left as soon as what was waited for is seen."""
+    """Poll until the condition holds; the time limit only ends a broken program."""
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.002)
--- a/tests/fleet/fake_parts.py
+++ b/tests/fleet/fake_parts.py
@@ -1,4 +1,4 @@
-"""Parts small enough to see through: one that beats and listens, one that keeps, and a vote in two phases."""
+"""Small components whose behaviour is obvious: one sends heartbeats, one stores entries, one votes in two phases."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 class Listener:
-    """Beats every 100 ms to all; suspects who was silent for 350 ms, looking every 50; says when they are back."""
+    """Sends heartbeats every 100 ms; every 50 ms suspects peers that were silent for 350 ms; logs their return."""
 
     def __init__(self, name: str, others: tuple[str, ...], carrier: Carrier = Carrier.DATAGRAM) -> None:
         self.name, self.others, self.carrier = name, others, carrier
         self.heard: dict[str, float] = {}
         self.suspected: set[str] = set()
-        self.numbers: list[tuple[str, int]] = []  # as heard
-        self.late: list[float] = []  # how late its own beats were
+        self.numbers: list[tuple[str, int]] = []  # as received
+        self.late: list[float] = []  # delays of its own heartbeats, ms
         self.beats = 0
         self.due = 0.0
 
@@ -83,20 +83,20 @@
 
 
 class Put(NamedTuple):
-    """`many` entries, a record each, in one batch."""
+    """Store `many` entries, one record each, in one batch."""
 
     many: int = 1
 
 
 class Keeper:
-    """Appends entries to its disk; says at its start what it found, and what became of each batch."""
+    """Appends entries to its disk; logs at its start what it found, and the outcome of each batch."""
 
     def __init__(self, held: StoredLog) -> None:
         self.held = held
         self.last = held.last
         self.answers: list[Any] = []
         self.tickets = 0
-        self.batches: dict[int, int] = {}  # ticket: its first index
+        self.batches: dict[int, int] = {}  # by ticket: the first index
 
     def handle(self, now: float, event: Any) -> list[Any]:
         if isinstance(event, Started):
@@ -129,7 +129,7 @@
 
 
 class Voter:
-    """Two phases: `a` asks, all vote, `a` decides. `bug` plants one: see the test for what each does."""
+    """Two phases: `a` requests votes, all vote, `a` decides. `bug` injects a bug: see the test for each."""
 
     def __init__(self, name: str, held: StoredLog, bug: str = "", no: str = "c") -> None:
         self.name, self.bug, self.no = name, bug, no
--- a/tests/fleet/members.py
+++ b/tests/fleet/members.py
@@ -1,4 +1,4 @@
-"""Memberships in simulated time, for tests: who runs, under which name, and what is held of whom."""
+"""Membership in simulated time, for tests: the running members, their names, and the states that each knows."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def all_alive(world: World, names: Iterable[str]) -> bool:
-    """Whether each of the names holds all of them alive, and itself to be inside."""
+    """Whether each of the names is active and considers all of them alive."""
     expected_events = dict.fromkeys(names, State.ALIVE)
     return all(
         membership_of(world, name).is_active
--- a/tests/fleet/test_fleet_node.py
+++ b/tests/fleet/test_fleet_node.py
@@ -1,4 +1,4 @@
-"""Processes of the program among each other: who is there, who left, who died, and one that follows another."""
+"""Processes of the program in one fleet: members that join, leave and die, and a process that succeeds another."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def wait_for_states(sidecars: list[Sidecar], **expected: str) -> None:
-    """The time is a bound for a broken program only."""
+    """Poll until all see these states; the time limit only ends a broken program."""
     async with asyncio.timeout(20):
         for sidecar in sidecars:
             while await states(sidecar) != expected:
@@ -36,7 +36,7 @@
     asyncio.run(run_case())
 
 
-def test_three_find_each_other_and_see_one_leave_and_one_die(tmp_path: Path) -> None:
+def test_three_members_find_each_other_and_see_one_leave_and_one_die(tmp_path: Path) -> None:
     async def case(stack: AsyncExitStack) -> None:
         seed = free_port()
         seeds = f'seeds = ["127.0.0.1:{seed}"]\n' + FAST
@@ -44,8 +44,8 @@
         a, b, c = [await stack.enter_async_context(serving(tmp_path, name, seeds, ports[name])) for name in ports]
         await wait_for_states([a, b, c], a="alive", b="alive", c="alive")
         status = await a.status()
-        (of_b,) = [member for member in status["members"] if member["name"] == "b"]
-        assert of_b["address"] == f"127.0.0.1:{ports['b']}" and of_b["since_ms"] >= 0
+        (member_b,) = [member for member in status["members"] if member["name"] == "b"]
+        assert member_b["address"] == f"127.0.0.1:{ports['b']}" and member_b["since_ms"] >= 0
         assert status["parts"]["membership"]["alive"] == 2 and status["untold"] == 0 == status["datagrams"]["too_long"]
         assert not any(status["dropped"].values()) and status["off"] == ""
         assert fleet_modules(await b.end())
@@ -57,7 +57,7 @@
     run(case)
 
 
-def test_the_next_process_of_a_sidecar_joins_when_the_one_before_left(tmp_path: Path) -> None:
+def test_a_successor_joins_when_its_predecessor_has_left(tmp_path: Path) -> None:
     async def case(stack: AsyncExitStack) -> None:
         seed, own = free_port(), free_port()
         seeds = f'seeds = ["127.0.0.1:{seed}"]\n' + FAST
@@ -75,7 +75,7 @@
     run(case)
 
 
-def test_one_with_another_key_is_not_heard(tmp_path: Path) -> None:
+def test_a_process_with_another_key_is_not_accepted(tmp_path: Path) -> None:
     async def case(stack: AsyncExitStack) -> None:
         seed = free_port()
         seeds = f'seeds = ["127.0.0.1:{seed}"]\n' + FAST
--- a/tests/fleet/test_fleet_off.py
+++ b/tests/fleet/test_fleet_off.py
@@ -1,4 +1,4 @@
-"""Without a `[fleet]` table nothing of the fleet is imported or opened; with one, exactly two sockets more are."""
+"""Without a `[fleet]` table nothing of the fleet is imported or opened; with one, exactly two more sockets are open."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 KEY = "sixteen bytes ok"
-# As `python -m limenotch serve`, and at the end the names of all modules there are.
+# As `python -m limenotch serve`; prints the names of all imported modules at the end.
 RUN = """
 import json, sys
 from limenotch.cli import main
@@ -53,13 +53,13 @@
 
 
 class Sidecar:
-    """A process that serves calls, as the program does."""
+    """A process of the program that serves requests."""
 
     def __init__(self, process: asyncio.subprocess.Process, port: int, admin: int, fleet: int) -> None:
         self.process, self.port, self.admin, self.fleet = process, port, admin, fleet
 
     def sockets(self) -> Counter[str]:
-        """What it has open, by kind."""
+        """Its open sockets, by kind."""
         folder = Path(f"/proc/{self.process.pid}")
         inodes = set()
         for link in (folder / "fd").iterdir():
@@ -80,7 +80,7 @@
         return status
 
     async def end(self) -> list[str]:
-        """In order; the modules that were there."""
+        """Shut the process down gracefully; the modules that it had imported."""
         self.process.send_signal(signal.SIGTERM)
         out, _ = await asyncio.wait_for(self.process.communicate(), 20)
         assert self.process.returncode == 0
@@ -92,7 +92,7 @@
 async def serving(
     folder: Path, name: str = "n", fleet: str | None = None, port: int = 0, key: str = KEY
 ) -> AsyncIterator[Sidecar]:
-    """`fleet`: the table's further lines; None: no table."""
+    """`fleet`: more lines of the table; None: no table."""
     handler, _ = answering(whole(200))
     endpoint = await asyncio.start_server(handler, "127.0.0.1", 0)
     endpoints = [
@@ -149,7 +149,7 @@
         endpoint.close()
 
 
-def test_off_nothing_of_it_is_imported_or_opened_and_on_two_sockets_are(tmp_path: Path) -> None:
+def test_without_the_table_nothing_is_imported_or_opened_and_with_it_two_sockets_are(tmp_path: Path) -> None:
     async def case() -> None:
         async with serving(tmp_path) as off, serving(tmp_path, "on", "") as on:
             async with asyncio.timeout(20):
@@ -162,17 +162,17 @@
             assert (status["name"], status["group"], status["at"]) == ("on", "g", f"127.0.0.1:{on.fleet}")
             assert status["dropped"]["digest"] == 0 and status["streams"]["accepted"] == 0 and status["life"] > 0
             assert fleet_modules(await off.end()) == []
-            assert fleet_modules(await on.end())  # so that the names looked for are those that would be there
+            assert fleet_modules(await on.end())  # so that the prefixes are those of modules that exist
 
     asyncio.run(case())
 
 
-def test_the_benches_run_without_settings() -> None:
+def test_the_deployed_command_has_no_settings() -> None:
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert run.split()[-3:] == ["-m", "limenotch", "serve"] and "SETTINGS" not in run and "--settings" not in run
 
 
-def test_the_fleet_s_descriptors_are_taken_from_the_limit_only_where_it_is_on() -> None:
+def test_descriptors_are_reserved_for_the_fleet_only_if_it_is_on() -> None:
     for limit in (64, 1024):
         off, on = DescriptorLimits(limit), DescriptorLimits(limit, DescriptorSettings(), 74)
         left = max(limit - DescriptorSettings().reserve - MAX_OPERATOR_CONNECTIONS - 74, 8)
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("name", ["limenotch.settings", "limenotch.app", "limenotch.cli.serve"])
-def test_what_is_imported_by_the_name_alone(name: str) -> None:
+def test_importing_the_program_imports_nothing_of_the_fleet(name: str) -> None:
     async def case() -> bytes:
         code = f"import sys, json, {name}; print(json.dumps(sorted(sys.modules)))"
         process = await asyncio.create_subprocess_exec(
--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -1,4 +1,4 @@
-"""The hub with toy parts: who is told what, in which order, and what a part's fault costs."""
+"""The hub with fake components: which component gets which event, in which order, and the effects of a fault."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     ), components
 
 
-def test_messages_go_by_their_prefix_and_start_and_leave_to_all() -> None:
+def test_messages_go_by_prefix_and_start_and_shutdown_go_to_all() -> None:
     two, (members, log) = make_hub(lambda *_: [], lambda *_: [])
     two.handle(0.0, Started())
     two.handle(1.0, MessageReceived(B, "b", Probe(1)))
@@ -68,7 +68,7 @@
     assert alone.handle(0.0, MessageReceived(B, "b", Line("x"))) == [] == only.events and alone.unhandled_messages == 1
 
 
-def test_names_become_addresses_by_what_membership_knows() -> None:
+def test_member_names_are_resolved_by_membership() -> None:
     sent = [
         SendToMember("b", Line("x")),
         SendToMember("z", Line("y")),
@@ -87,22 +87,20 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(-(2**40), 2**40), st.sampled_from("tsf")), max_size=20))
-def test_timers_and_tickets_come_back_to_who_asked(requests: list[tuple[int, int, str]]) -> None:
+def test_timers_and_tickets_come_back_to_their_component(requests: list[tuple[int, int, str]]) -> None:
     expected_events: list[list[Any]] = [[], [], []]
     three, components = make_hub(*[lambda *_: []] * 3)
-    for part, number, kind in requests:
-        requested = SetTimer(5.0, number) if kind == "t" else Store(number, ("r",))
-        components[part].handler = (
-            lambda _, event, requested=requested: [requested] if isinstance(event, MessageReceived) else []
-        )  # type: ignore[misc]
-        (action,) = three.handle(0.0, MessageReceived(B, "b", PROBES[part]))
+    for index, number, kind in requests:
+        sent = SetTimer(5.0, number) if kind == "t" else Store(number, ("r",))
+        components[index].handler = lambda _, event, sent=sent: [sent] if isinstance(event, MessageReceived) else []  # type: ignore[misc]
+        (action,) = three.handle(0.0, MessageReceived(B, "b", PROBES[index]))
         if isinstance(action, SetTimer):
             three.handle(5.0, TimerFired(action.token))
-            expected_events[part].append(TimerFired(number))
+            expected_events[index].append(TimerFired(number))
         else:
             assert isinstance(action, Store) and action.records == ("r",)
             three.handle(5.0, Stored(action.ticket) if kind == "s" else StoreFailed(action.ticket, "full"))
-            expected_events[part].append(Stored(number) if kind == "s" else StoreFailed(number, "full"))
+            expected_events[index].append(Stored(number) if kind == "s" else StoreFailed(number, "full"))
     for component, expected in zip(components, expected_events, strict=True):
         assert [event for event in component.events if not isinstance(event, MessageReceived)] == expected
 
@@ -114,7 +112,7 @@
 PROBES = (Probe(0), Block(b""), Rule(""))
 
 
-def test_what_membership_finds_is_told_to_the_others_at_its_place() -> None:
+def test_membership_changes_reach_the_others_in_the_order_of_the_actions() -> None:
     def members(_: float, event: Any) -> list[Any]:
         return [LogLine("before"), DEAD, LogLine("between"), Fenced(), LogLine("after")]
 
@@ -138,7 +136,7 @@
     assert components[1].events == [DEAD, Fenced()] and len(components[0].events) == 1
 
 
-def test_only_membership_says_who_is_there() -> None:
+def test_only_membership_may_report_members() -> None:
     two, _ = make_hub(lambda *_: [], lambda *_: [DEAD])
     with pytest.raises(TypeError, match="unexpected action of component ag"):
         two.handle(0.0, MessageReceived(B, "b", Line("x")))
@@ -151,44 +149,44 @@
 def raising(_: float, event: Any) -> list[Any]:
     if isinstance(event, (MessageReceived, MemberChanged)):
         raise KeyError("broken")
-    return [LogLine("lives")]
+    return [LogLine("runs")]
 
 
-def test_a_part_that_raises_is_off_alone_and_membership_takes_all_with_it() -> None:
-    seen: list[tuple[str, Any, Exception]] = []
+def test_a_component_that_raises_is_stopped_alone_but_membership_stops_all() -> None:
+    faults: list[tuple[str, Any, Exception]] = []
     two, (members, log) = make_hub(
-        lambda *_: [DEAD, LogLine("goes on")], raising, on_fault=lambda *told: seen.append(told)
+        lambda *_: [DEAD, LogLine("goes on")], raising, on_fault=lambda *fault: faults.append(fault)
     )
     out = two.handle(0.0, MessageReceived(B, "b", Probe(1)))
     assert out == [
         LogLine(hubs.COMPONENT_STOPPED, {"part": "ag.", "off": "ag."}),
         LogLine("goes on"),
     ] and two.stopped == ("ag.",)
-    assert [(part, event, str(error)) for part, event, error in seen] == [("ag.", DEAD, "'broken'")]
+    assert [(part, event, str(error)) for part, event, error in faults] == [("ag.", DEAD, "'broken'")]
     assert two.handle(1.0, MessageReceived(B, "b", Probe(1))) == [LogLine("goes on")] and len(log.events) == 1
     assert two.handle(1.0, MessageReceived(B, "b", Line(""))) == [] and two.unhandled_messages == 1
-    two, (members, log) = make_hub(raising, raising, on_fault=lambda *told: seen.append(told))
+    two, (members, log) = make_hub(raising, raising, on_fault=lambda *fault: faults.append(fault))
     assert two.handle(0.0, MessageReceived(B, "b", Probe(1)))[0] == LogLine(
         hubs.COMPONENT_STOPPED, {"part": "mb.", "off": "mb., ag."}
     )
     assert two.handle(0.0, ShutdownStarted()) == [] and log.events == []
 
 
-def test_in_simulated_time_a_fault_goes_through() -> None:
+def test_without_a_fault_handler_an_exception_propagates() -> None:
     two, _ = make_hub(lambda *_: [DEAD], raising)
     with pytest.raises(KeyError):
         two.handle(0.0, MessageReceived(B, "b", Probe(1)))
 
 
-class Layer(FakeComponent):
+class FakeReplicated(FakeComponent):
     snapshot = b"kept"
 
     def state(self) -> bytes:
         return self.snapshot
 
 
-def with_log(log: EventHandler, *handlers: EventHandler) -> tuple[ComponentHub, FakeComponent, list[Layer]]:
-    log_component, replicated = FakeComponent(log), [Layer(answer) for answer in handlers]
+def with_log(log: EventHandler, *handlers: EventHandler) -> tuple[ComponentHub, FakeComponent, list[FakeReplicated]]:
+    log_component, replicated = FakeComponent(log), [FakeReplicated(answer) for answer in handlers]
     return (
         ComponentHub(
             [("mb.", FakeComponent()), ("ag.", log_component), *zip(("ru.", "pr."), replicated, strict=False)]
@@ -202,7 +200,7 @@
     return lambda _, event: list(actions) if isinstance(event, kind) else []
 
 
-def test_what_layers_ask_goes_to_the_log_and_its_answers_to_who_asked() -> None:
+def test_requests_go_to_the_log_and_responses_to_their_component() -> None:
     def log(_: float, event: Any) -> list[Any]:
         return (
             [ProposalCommitted(event.ticket, 7)]
@@ -226,7 +224,7 @@
     assert notes.events == [Started(), ProposalCommitted(3, 7), ProposalRejected(5, "busy", "b")]
 
 
-def test_what_is_agreed_goes_to_whom_it_is_of_and_a_leader_to_all() -> None:
+def test_committed_entries_go_by_prefix_and_a_new_leader_to_all() -> None:
     hub, _, (rules, notes) = with_log(
         on(
             ShutdownStarted,
@@ -242,8 +240,8 @@
     assert notes.events[:2] == [EntryCommitted(2, 1, b"", ""), LeaderChanged("b", 2)]
 
 
-def test_the_log_hears_what_is_asked_when_all_it_said_is_told() -> None:
-    """A layer that proposes on the first of two entries must hear of the second before the answer."""
+def test_the_log_gets_requests_after_all_its_actions_are_dispatched() -> None:
+    """A component that proposes on the first of two entries must receive the second entry before the response."""
 
     def log(_: float, event: Any) -> list[Any]:
         if isinstance(event, ShutdownStarted):
@@ -252,16 +250,16 @@
 
     hub, _, (rules,) = with_log(log, lambda _, event: [ReadIndex(9)] if event == EntryCommitted(1, 1, b"1", "") else [])
     hub.handle(0.0, ShutdownStarted())
-    assert [type(told) for told in rules.events] == [EntryCommitted, EntryCommitted, ReadReady, ShutdownStarted]
+    assert [type(event) for event in rules.events] == [EntryCommitted, EntryCommitted, ReadReady, ShutdownStarted]
 
 
-def test_a_snapshot_is_of_all_layers_and_each_gets_its_own_back() -> None:
+def test_a_snapshot_has_the_state_of_all_components_and_is_split_again() -> None:
     hub, log_component, (rules, notes) = with_log(
         on(Started, EntryCommitted(5, 1, b"ru.", ""), SnapshotRequested(5)), on(int), on(int)
     )
     rules.snapshot, notes.snapshot = b"R", b"P"
     hub.handle(0.0, Started())
-    (compact,) = [told for told in log_component.events if isinstance(told, SnapshotState)]
+    (compact,) = [event for event in log_component.events if isinstance(event, SnapshotState)]
     assert compact.index == 5 and log_multiplexer.split_states(compact.state) == {"ru.": b"R", "pr.": b"P"}
     log_component.handler = on(ShutdownStarted, SnapshotInstalled(9, compact.state))
     hub.handle(1.0, ShutdownStarted())
@@ -272,20 +270,20 @@
 @pytest.mark.parametrize(
     "before", [EntryCommitted(1, 1, b"zz.x", ""), SnapshotInstalled(1, log_multiplexer.join_states({"zz.": b"Z"}))]
 )
-def test_no_snapshot_is_made_where_a_layer_is_missing_or_off(before: Any) -> None:
+def test_no_snapshot_is_made_while_a_component_is_missing_or_stopped(before: Any) -> None:
     hub, log_component, _ = with_log(on(Started, before, SnapshotRequested(1)), on(int), on(int))
     (note,) = hub.handle(0.0, Started())
     assert isinstance(note, LogLine) and note.text.startswith("no snapshot")
-    assert not any(isinstance(told, SnapshotState) for told in log_component.events)
+    assert not any(isinstance(event, SnapshotState) for event in log_component.events)
     hub, log_component, _ = with_log(on(ShutdownStarted, SnapshotRequested(1)), raising)
     hub.on_fault = lambda *about: None
     hub.handle(0.0, MessageReceived(B, "b", Rule("")))
     assert hub.stopped == ("ru.",) and isinstance(hub.handle(1.0, ShutdownStarted())[0], LogLine)
-    assert not any(isinstance(told, SnapshotState) for told in log_component.events)
+    assert not any(isinstance(event, SnapshotState) for event in log_component.events)
 
 
-def test_without_a_log_or_with_one_that_is_off_what_is_asked_is_refused() -> None:
-    layer = Layer(on(Started, Propose(1, b"")))
+def test_requests_are_rejected_without_a_running_log() -> None:
+    layer = FakeReplicated(on(Started, Propose(1, b"")))
     ComponentHub([("mb.", FakeComponent()), ("ru.", layer)]).handle(0.0, Started())
     assert layer.events == [Started(), ProposalRejected(1, "no log", None)]
     hub, _, (rules,) = with_log(raising, on(ShutdownStarted, ReadIndex(2)))
@@ -296,7 +294,7 @@
     assert rules.events[1:] == [ShutdownStarted(), ProposalRejected(2, "the log is off", None)]
 
 
-def test_the_host_asks_a_part_and_hears_its_own_actions() -> None:
+def test_the_host_reaches_one_component_and_gets_its_registered_actions() -> None:
     hub, _, (rules,) = with_log(on(int), lambda _, event: [DEAD] if event == "who" else [])
     heard: list[Any] = []
     hub.register_action_handler(MemberChanged, heard.append)
--- a/tests/fleet/test_membership_drawings.py
+++ b/tests/fleet/test_membership_drawings.py
@@ -1,4 +1,4 @@
-"""Each drawing of membership comes out exactly, in simulated time."""
+"""The expected timelines of membership are reproduced exactly, in simulated time."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from limenotch.lab.fleet.members import make_for
 from limenotch.lab.fleet.scenario import check, load
 
-DRAWINGS = sorted((Path(__file__).parent / "drawings" / "membership").glob("*.txt"))
+TIMELINES = sorted((Path(__file__).parent / "drawings" / "membership").glob("*.txt"))
 
 
-@pytest.mark.parametrize("path", DRAWINGS, ids=lambda path: path.stem)
-def test_drawing(path: Path) -> None:
+@pytest.mark.parametrize("path", TIMELINES, ids=lambda path: path.stem)
+def test_timeline(path: Path) -> None:
     scenario = load(path)
     check(scenario, make_for(scenario))
 
 
-def test_there_are_drawings() -> None:
-    assert len(DRAWINGS) >= 12
+def test_timelines_exist() -> None:
+    assert len(TIMELINES) >= 12
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -1,4 +1,4 @@
-"""Tables, suspicion, news, health, settings of membership: each by itself."""
+"""Table, suspicion, gossip queue, health and settings of membership, each by itself."""
 
 from __future__ import annotations
 
@@ -52,25 +52,25 @@
     return Claim(name, state, ADDRESS, process_epoch, incarnation, by)
 
 
-def test_states_are_in_one_order() -> None:
+def test_states_are_totally_ordered() -> None:
     assert set(PRECEDENCE) == set(product(State, State))
     for claimed, other in product(STANDINGS, STANDINGS):
         final = (
             claimed[0] == other[0] and claimed[1] is other[1] and claimed[1] in FINAL
-        )  # their incarnations mean nothing
+        )  # their incarnations are ignored
         assert supersedes(claimed, other) + supersedes(other, claimed) == (claimed != other and not final)
     for claimed, other, three in product(STANDINGS, repeat=3):
         assert not (supersedes(claimed, other) and supersedes(other, three)) or supersedes(claimed, three)
 
 
-def test_nothing_of_an_ended_life_revives_it() -> None:
+def test_no_claim_revives_an_ended_process_epoch() -> None:
     for ended, state in product(FINAL, (State.ALIVE, State.SUSPECT)):
         assert PRECEDENCE[ended, state] is IncarnationRule.NEVER
         assert supersedes((2, state, 0), (1, ended, 9))
 
 
 @given(st.permutations(STANDINGS), st.integers(1, len(STANDINGS)))
-def test_the_order_of_news_does_not_matter(standings: list[Standing], count: int) -> None:
+def test_the_order_of_claims_does_not_matter(standings: list[Standing], count: int) -> None:
     some = standings[:count]
 
     def end(order: list[Standing]) -> Standing:
@@ -85,14 +85,14 @@
     assert end(some) == end(list(reversed(some))) == end(some + some)
 
 
-def test_a_death_of_an_older_incarnation_takes_none_back() -> None:
+def test_a_death_of_an_older_incarnation_keeps_the_known_incarnation() -> None:
     table = MemberTable(5)
     table.apply(claim(incarnation=3), 0.0)
     table.apply(claim(state=2, incarnation=1), 1.0)
     assert table["b"].standing == (1, State.DEAD, 3)
 
 
-def test_a_full_table_drops_who_is_dead_longest() -> None:
+def test_a_full_table_evicts_the_member_dead_for_longest() -> None:
     table = MemberTable(3)
     for number, name in enumerate("abc"):
         table.apply(claim(name, state=2 if name != "b" else 0), float(number))
@@ -102,7 +102,7 @@
     assert table.apply(claim("f"), 9.0) is ClaimOutcome.TABLE_FULL
 
 
-def test_suspicion_gets_shorter_with_others_who_find_the_same() -> None:
+def test_independent_confirmations_shorten_a_suspicion() -> None:
     suspicion = Suspicion(100.0, "a", 1000.0, 3000.0, 3)
     times = [suspicion.expires_at_ms]
     for by in ("a", "c", "c", "d", "e", "f"):
@@ -112,7 +112,7 @@
     assert times == sorted(times, reverse=True)
     suspicion.restart(5000.0)
     assert suspicion.expires_at_ms == pytest.approx(6000.0)
-    assert Suspicion(0.0, "a", 1000.0, 3000.0, 0).expires_at_ms == 1000.0  # nobody there to confirm
+    assert Suspicion(0.0, "a", 1000.0, 3000.0, 0).expires_at_ms == 1000.0  # no member can confirm
 
 
 def test_health_stays_within_its_bounds() -> None:
@@ -127,7 +127,7 @@
     assert health.score == 3
 
 
-def test_news_go_out_a_limited_number_of_times_newest_first() -> None:
+def test_claims_are_sent_a_limited_number_of_times_newest_first() -> None:
     queue = GossipQueue()
     for name in "abc":
         queue.add(claim(name))
@@ -139,7 +139,7 @@
 
 
 @given(st.lists(st.integers(1, 64), min_size=1, max_size=100), st.integers(1, 64))
-def test_a_message_with_news_fits_a_datagram(sizes: list[int], longest: int) -> None:
+def test_a_message_with_claims_fits_a_datagram(sizes: list[int], longest: int) -> None:
     queue, name, host = GossipQueue(), "n" * longest, "h" * longest
     for number, size in enumerate(sizes):
         queue.add(
@@ -154,7 +154,7 @@
     )  # 60: version, digest, group's and tags
 
 
-def test_the_agenda_asks_for_one_timer() -> None:
+def test_the_timer_queue_sets_one_timer() -> None:
     agenda = TimerQueue()
     agenda.schedule(10.0, ("x", ""))
     assert agenda.timer_to_set() == 10.0 and agenda.timer_to_set() is None
@@ -171,7 +171,7 @@
         msgspec.convert(wrong, Tuning)
 
 
-# The part, by hand
+# The component, event by event
 
 
 def single_member(**tuning: float) -> Membership:
@@ -184,7 +184,7 @@
 SENDER = SenderInfo(("b", 1), 1, 0)
 
 
-def test_what_is_no_event_or_runs_backwards_is_refused() -> None:
+def test_unknown_events_and_time_running_backwards_raise() -> None:
     member = single_member()
     with pytest.raises(TypeError):
         member.handle(1.0, "x")
@@ -209,14 +209,14 @@
         (Gossip(SenderInfo(("b", 0), 1, 0)), "unsound message"),
     ],
 )
-def test_sound_frames_with_nonsense_are_counted_and_do_nothing(message: Gossip, why: str) -> None:
+def test_invalid_messages_in_valid_frames_are_counted_and_do_nothing(message: Gossip, why: str) -> None:
     member = single_member()
     member.handle(1.0, MessageReceived(("b", 1), "b", message))
     assert member.status()["counts"] == {why: 1}
     assert {seen.name for seen in member.members()} <= {"a", "b"}
 
 
-def test_a_flood_of_names_ends_at_the_tables_bound() -> None:
+def test_a_flood_of_names_is_bounded_by_the_table() -> None:
     member = single_member(most_members=20)
     for number in range(100):
         member.handle(1.0, MessageReceived(("b", 1), "b", Gossip(SENDER, (claim(f"m{number}"),))))
@@ -230,7 +230,7 @@
     assert member.status()["counts"] == {"too many ping-reqs": 1000 - 256}
 
 
-def test_who_is_held_dead_is_told_first() -> None:
+def test_a_sender_considered_dead_gets_that_claim_first() -> None:
     member = single_member()
     member.handle(1.0, MessageReceived(("c", 1), "c", Gossip(SenderInfo(("c", 1), 1, 0), (claim("b", state=2),))))
     actions = member.handle(2.0, MessageReceived(("b", 1), "b", Ping(3, "a", SENDER)))
@@ -240,7 +240,7 @@
     assert [action.state for action in later if isinstance(action, MemberChanged)] == ["alive"]
 
 
-def test_who_goes_on_in_a_dead_life_is_told_so_a_few_times_a_period_only() -> None:
+def test_a_sender_of_a_dead_process_epoch_is_corrected_a_few_times_a_period_only() -> None:
     member = single_member()
     member.handle(1.0, MessageReceived(("c", 1), "c", Gossip(SenderInfo(("c", 1), 1, 0), (claim("b", state=2),))))
 
@@ -268,10 +268,10 @@
     actions = member.handle(2000.0, MessageReceived(("b", 1), "b", Gossip(SenderInfo(("b", 1), 2, 0))))
     assert [action.state for action in actions if isinstance(action, MemberChanged)] == [
         "alive"
-    ]  # it is heard all the same
+    ]  # its messages are still handled
 
 
-def test_the_operators_page_has_the_settings_as_they_are() -> None:
+def test_the_operators_page_lists_the_default_settings() -> None:
     page = (Path(__file__).parents[2] / "docs" / "fleet" / "membership.md").read_text()
     table = page.split("## Settings")[1].split("\n## ")[0]
     sent: dict[str, float] = {}
@@ -281,7 +281,7 @@
     assert sent == msgspec.to_builtins(Tuning())
 
 
-def test_answers_go_where_the_laboratory_says() -> None:
+def test_responses_go_to_the_configured_address() -> None:
     member = Membership("a", ("a", 1), 5, [], Tuning(), 1, {"b": ("relay", 9)})
     member.handle(0.0, Started())
     actions = member.handle(1.0, MessageReceived(("seen", 4), "b", Ping(3, "a", SENDER)))
@@ -289,7 +289,7 @@
     assert member.members()[1].address == ("b", 1)
 
 
-def test_after_a_pause_what_was_under_way_is_dropped_and_tables_are_asked_for() -> None:
+def test_after_a_pause_probes_are_dropped_and_tables_requested() -> None:
     member = single_member()
     now = 0.0
     member.handle(now, MessageReceived(("b", 1), "b", Gossip(SENDER)))
@@ -297,12 +297,12 @@
         now += 5.0
         member.handle(now, TimerFired(1))
     actions = member.handle(now + 6000.0, TimerFired(1))
-    assert member.status()["probing"] == 0 and member.status()["health"] == 6  # 1, and 5 whole periods late
+    assert member.status()["probing"] == 0 and member.status()["health"] == 6  # 1, and 5 full periods late
     assert any(isinstance(action, SendToAddress) and isinstance(action.message, TableRequest) for action in actions)
     assert not any(isinstance(action, MemberChanged) for action in actions)
 
 
-def test_the_dead_are_forgotten_together_however_late_they_are_heard_of() -> None:
+def test_dead_members_are_forgotten_by_the_age_of_their_death() -> None:
     member = single_member(keep_dead_ms=5000.0)
     old = Claim("c", 2, ADDRESS, 1, 0, "b", age_ms=4000)
     member.handle(
@@ -315,7 +315,7 @@
     assert [seen.name for seen in member.members()] == ["a", "b"]
 
 
-def test_who_left_does_nothing_more() -> None:
+def test_a_process_that_left_does_nothing() -> None:
     member = single_member()
     member.handle(0.0, MessageReceived(("b", 1), "b", Gossip(SENDER)))
     actions = member.handle(1.0, ShutdownStarted())
@@ -328,24 +328,26 @@
     assert member.handle(2.0, MessageReceived(("b", 1), "b", Ping(1, "a", SENDER))) == [] and member.size() == 1
 
 
-def test_the_first_word_of_a_calm_time_goes_at_once_and_the_next_when_it_is_due() -> None:
+def test_the_first_claim_of_a_quiet_time_goes_at_once_and_the_next_after_gossip_ms() -> None:
     tuning = Tuning(probes=1, period_ms=60_000.0)
     member = Membership("a", ("a", 1), 5, [], tuning, 1, {})
     member.handle(0.0, Started())
     member.handle(1.0, MessageReceived(("b", 1), "b", Ping(3, "a", SENDER)))
 
-    def news(now: float) -> list[Any]:
+    def gossip(now: float) -> list[Any]:
         actions = member.handle(now, TimerFired(1))
         return [
             action for action in actions if isinstance(action, SendToAddress) and isinstance(action.message, Gossip)
         ]
 
-    now = 1.0
-    while news(now) or now < 100 * tuning.gossip_ms:  # what is said of a and b themselves goes out first, to its end
-        now += 10.0
-    assert now < tuning.period_ms / 2
-    actions = member.handle(now, MessageReceived(("b", 1), "b", Gossip(SENDER, (Claim("c", 0, ("c", 1), 1, 0),))))
-    assert SetTimer(now, 1) in actions
-    assert news(now), "at once"
-    assert not news(now + 0.5 * tuning.gossip_ms)
-    assert news(now + tuning.gossip_ms)
+    now_ms = 1.0
+    while (
+        gossip(now_ms) or now_ms < 100 * tuning.gossip_ms
+    ):  # claims about a and b are sent first, until they are used up
+        now_ms += 10.0
+    assert now_ms < tuning.period_ms / 2
+    actions = member.handle(now_ms, MessageReceived(("b", 1), "b", Gossip(SENDER, (Claim("c", 0, ("c", 1), 1, 0),))))
+    assert SetTimer(now_ms, 1) in actions
+    assert gossip(now_ms), "at once"
+    assert not gossip(now_ms + 0.5 * tuning.gossip_ms)
+    assert gossip(now_ms + tuning.gossip_ms)
--- a/tests/fleet/test_membership_processes.py
+++ b/tests/fleet/test_membership_processes.py
@@ -1,6 +1,6 @@
-"""The drawings of membership on real processes, under consumers' calls: both verdicts are of the same run.
+"""The expected timelines of membership on real processes that serve requests: one run yields both verdicts.
 
-Two at a time: each is an interpreter of its own with the consumers, the providers and the relays of one drawing.
+Two at a time: each is an interpreter of its own with the clients, the endpoints and the relays of one timeline.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from limenotch.lab.fleet.stage import Outcome
 
 FOLDER = Path(__file__).parent / "drawings" / "membership"
-PLAYED = [path for path in sorted(FOLDER.glob("*.txt")) if "window" in load(path).head]
-AT_A_TIME = 2
+TIMELINES = [path for path in sorted(FOLDER.glob("*.txt")) if "window" in load(path).head]
+PARALLEL_RUNS = 2
 LIMIT_S = 90.0
 
 
 def perform(path: Path, folder: Path) -> Outcome:
     outcome = asyncio.run(asyncio.wait_for(drills.tried(load(path), folder), LIMIT_S))
-    if load(path).head.get("lives") == "same":  # the process that came back had its clock set back, and so a lower life
-        told = [json.loads(line) for line in next(folder.glob("*/c/c.log")).read_text().splitlines()]
-        first, second = [line["life"] for line in told if line["event"] == "joined"]
+    if load(path).head.get("lives") == "same":  # the process came back with its clock set back, so with a lower epoch
+        lines = [json.loads(line) for line in next(folder.glob("*/c/c.log")).read_text().splitlines()]
+        first, second = [line["life"] for line in lines if line["event"] == "joined"]
         assert second == first + 1, (first, second)
     return outcome
 
@@ -43,25 +43,25 @@
         for item in request.session.items
         if isinstance(item, pytest.Function) and hasattr(item, "callspec") and "path" in item.callspec.params
     }
-    with ProcessPoolExecutor(AT_A_TIME, multiprocessing.get_context("spawn")) as pool:
+    with ProcessPoolExecutor(PARALLEL_RUNS, multiprocessing.get_context("spawn")) as pool:
         yield {
             path.stem: pool.submit(perform, path, tmp_path_factory.mktemp(path.stem))
-            for path in PLAYED
+            for path in TIMELINES
             if path in wanted
         }
 
 
-@pytest.mark.parametrize("path", PLAYED, ids=lambda path: path.stem)
-def test_drawing_on_processes(path: Path, outcomes: dict[str, Future[Outcome]]) -> None:
-    outcome = outcomes[path.stem].result(LIMIT_S * len(PLAYED)).check()
-    assert outcome.calls["served"] > 20 * outcome.ran_s  # of 60 a second, some at nodes that are stopped
+@pytest.mark.parametrize("path", TIMELINES, ids=lambda path: path.stem)
+def test_timeline_on_processes(path: Path, outcomes: dict[str, Future[Outcome]]) -> None:
+    outcome = outcomes[path.stem].result(LIMIT_S * len(TIMELINES)).check()
+    assert outcome.calls["served"] > 20 * outcome.ran_s  # of 60 a second; some go to stopped nodes
 
 
-def test_what_is_played() -> None:
-    assert {len(load(path).nodes) for path in PLAYED} >= {3, 4, 5, 9} and len(PLAYED) >= 12
+def test_timelines_cover_several_sizes() -> None:
+    assert {len(load(path).nodes) for path in TIMELINES} >= {3, 4, 5, 9} and len(TIMELINES) >= 12
 
 
-DOUBTED = read(
+SUSPECTED = read(
     """
 window: 300
 nodes: a b c
@@ -88,25 +88,25 @@
         ("suspects c, suspects b, c alive", "suspects c, suspects b, c alive"),
     ],
 )
-def test_doubts_that_were_refuted_count_for_nothing_and_deaths_do(seen: str, left: str) -> None:
-    told = [(float(at), "a", text) for at, text in enumerate(seen.split(", "))]
-    assert [text for _, _, text in drills.firm(DOUBTED, told)] == left.split(", ")
+def test_refuted_suspicions_are_removed_and_deaths_kept(seen: str, left: str) -> None:
+    lines = [(float(at), "a", text) for at, text in enumerate(seen.split(", "))]
+    assert [text for _, _, text in drills.firm(SUSPECTED, lines)] == left.split(", ")
 
 
-def test_a_drawing_is_played_quicker_and_begins_before_its_first_fault() -> None:
-    played = DOUBTED.quicker(0.5, 200.0)
+def test_a_timeline_is_scaled_and_starts_before_its_first_fault() -> None:
+    played = SUSPECTED.quicker(0.5, 200.0)
     assert [(note.at_ms, note.text) for note in played.notes] == [(300, "suspects c"), (600, "c alive")]
     assert [(at, str(fault)) for at, fault in played.faults] == [(200, "pause c")] and played.ends == 1150
 
 
-def test_a_failing_row_shows_both_drawings() -> None:
-    played = DOUBTED.quicker(0.5, 200.0)
-    compare = drills.compared(DOUBTED, played)
-    told = compare([(300.0, "a", "suspects c"), (650.0, "b", "c dead")], [200.0])
-    assert told is not None and "c alive' did not come" in told and "| pause c" in told and "c dead" in told
+def test_a_failing_row_shows_both_timelines() -> None:
+    played = SUSPECTED.quicker(0.5, 200.0)
+    compare = drills.compared(SUSPECTED, played)
+    report = compare([(300.0, "a", "suspects c"), (650.0, "b", "c dead")], [200.0])
+    assert report is not None and "c alive' did not come" in report and "| pause c" in report and "c dead" in report
     calm = [(300.0, "a", "suspects c"), (600.0, "a", "c alive")]
     assert compare(calm, [200.0]) is None
-    told = compare([*calm, (played.ends - 1.0, "b", "c dead")], [200.0])
-    assert told is not None and "b: 'c dead' at 1149 is not drawn" in told
+    report = compare([*calm, (played.ends - 1.0, "b", "c dead")], [200.0])
+    assert report is not None and "b: 'c dead' at 1149 is not drawn" in report
     late = read("nodes: a\n\nms   a      faults\n3    joined\n9           heal\n", "late")
     assert "'joined'" in (drills.compared(late, late.quicker(1.0, 0.0))([], []) or "")
--- a/tests/fleet/test_membership_runs.py
+++ b/tests/fleet/test_membership_runs.py
@@ -1,4 +1,4 @@
-"""Membership in simulated time: seeded schedules of faults, what must hold in each, and planted bugs that it finds."""
+"""Membership in simulated time: seeded schedules of faults, the properties that must hold, and injected bugs."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def decreases(history: History) -> str | None:
-    """What a process holds of a name only grows in (life, incarnation), and reports no ended life as running."""
+    """The known (process epoch, incarnation) of a name never decreases; no ended epoch is reported as running."""
     last: dict[str, dict[str, tuple[int, int]]] = {}
     ended: dict[str, dict[str, int]] = {}
     for node, event in history:
@@ -57,7 +57,7 @@
             if now < last[node].get(event.name, (0, 0)):
                 return f"{node} held {event.name} at {last[node][event.name]}, then at {now}"
             if event.state in ("alive", "suspect") and event.process_epoch <= ended[node].get(event.name, 0):
-                return f"{node} reports {event.name} {event.state} with life {event.process_epoch}, which had ended"
+                return f"{node} reports {event.name} {event.state} with process epoch {event.process_epoch}, which had ended"
             if event.state in ("dead", "left"):
                 ended[node][event.name] = event.process_epoch
             last[node][event.name] = now
@@ -65,7 +65,7 @@
 
 
 def unfenced_returns(history: History) -> str | None:
-    """A process says a higher life of its own only after it was fenced."""
+    """A process announces a higher process epoch of its own only after it was fenced."""
     process_epochs: dict[str, int] = {}
     fenced: set[str] = set()
     for node, event in history:
@@ -75,14 +75,14 @@
             fenced.add(node)
         elif event.name == node:
             if event.process_epoch > process_epochs.get(node, event.process_epoch) and node not in fenced:
-                return f"{node} came back as life {event.process_epoch} and was not fenced"
+                return f"{node} came back as process epoch {event.process_epoch} and was not fenced"
             process_epochs[node] = event.process_epoch
             fenced.discard(node)
     return None
 
 
 def randomized_faults(seed: int) -> str | None:
-    """Faults by chance for 20 s, then none. All who run must be held alive by all, and nothing may go backwards."""
+    """Random faults for 20 s, then none. All must consider all running members alive, and no epoch may decrease."""
     random = Random(seed)
     nodes = names(random.randint(3, 6))
     history: History = []
@@ -121,7 +121,7 @@
 
 
 def lossy(seed: int, count: int = 5, loss: int = 20) -> str | None:
-    """Loss, and one member paused for two periods: nobody who ran is declared dead."""
+    """Packet loss, and one member paused for two periods: no member that ran is declared dead."""
     nodes = names(count)
     world = World(nodes, maker(nodes[:2]), seed)
     world.run(3000.0)
@@ -151,23 +151,23 @@
 
 
 def partitioned(seed: int) -> str | None:
-    """Cut in two for longer than a suspicion, and healed by nobody's hand; all who were declared dead were fenced."""
+    """A partition longer than a suspicion heals without intervention; all who were declared dead were fenced."""
     nodes, history = names(6), History()
     world = World(nodes, maker(), seed, watch=recorder(history))
     world.run(3000.0)
     world.fault(parse("cut a b c | d e f"))
-    world.run(25_000.0)  # longer than a stream is kept: what is in one would tell after the heal
+    world.run(25_000.0)  # longer than a stream lives: its queued messages would be delivered after the heal
     world.fault(parse("heal"))
     world.run(40_000.0)
     if not all_alive(world, nodes):
         return "not all hold all alive"
     if any(membership_of(world, node).process_epoch < 2 for node in nodes):
-        return "somebody goes on with a life that was declared dead"
+        return "a member continues with a process epoch that was declared dead"
     return unfenced_returns(history) or decreases(history)
 
 
 def all_paused(seed: int) -> str | None:
-    """All are stopped while they suspect one who is well: what they saw before counts for nothing when they wake."""
+    """All are paused while they suspect a running member: earlier observations must not count after the pause."""
     world = World("abcd", maker(), seed)
     world.run(3000.0 + seed * 37 % 1000)
     world.fault(parse("cut a b c | d"))
@@ -182,7 +182,7 @@
 
 
 def one_link(seed: int) -> str | None:
-    """Two who don't hear each other at all are probed through the others: nobody is suspected."""
+    """Two members that can't reach each other are probed through relays: no member is suspected."""
     world = World("abcd", maker(), seed)
     world.run(3000.0)
     world.fault(parse("cut a | b"))
@@ -196,13 +196,13 @@
 
 @pytest.mark.parametrize("check", [lossy, killed, partitioned, all_paused, one_link], ids=lambda check: check.__name__)
 @pytest.mark.parametrize("seed", range(3))
-def test_holds(check: Check, seed: int) -> None:
+def test_property_holds(check: Check, seed: int) -> None:
     assert check(seed) is None
 
 
 @settings(max_examples=6, deadline=None, derandomize=True, phases=[Phase.generate])
 @given(st.integers(0, 10**6))
-def test_after_any_storm_all_are_alive_and_nothing_went_backwards(seed: int) -> None:
+def test_after_random_faults_all_are_alive_and_no_epoch_decreased(seed: int) -> None:
     assert randomized_faults(seed) is None
 
 
@@ -226,8 +226,8 @@
     assert [membership_of(world, node).process_epoch for node in nodes] == [1, 2, 2, 2, 2]
 
 
-def test_two_of_one_name_that_meet_after_a_cut() -> None:
-    """Started on both sides; one keeps the name, the other is fenced and stays out."""
+def test_two_processes_of_one_name_meet_after_a_partition() -> None:
+    """Started on both sides of a partition; one keeps the name, the other is fenced and stays displaced."""
     nodes = ["a", "b", "c", "c2"]
     world = World(nodes, maker(names={"c2": "c"}), 1, later=["c2"])
     world.run(3000.0)
@@ -254,7 +254,7 @@
     assert run() == run()
 
 
-# Planted bugs: how many seeds each check needs to find it
+# Injected bugs: how many seeds each check needs to find one
 
 
 def do_nothing(*_: Any) -> None:
@@ -283,16 +283,16 @@
         all_paused,
         lambda patch: patch.setattr(MemberStates, "restart_suspicions", do_nothing),
     ),
-    "a fence is not told to the parts above": (
+    "a fence is not reported to the other components": (
         partitioned,
         lambda patch: patch.setattr(OwnMember, "_rejoin_fenced", rejoin_unreported),
     ),
-    "nobody knocks at the dead": (partitioned, lambda patch: patch.setattr(Membership, "_reconnect_due", do_nothing)),
-    "old news revive the dead": (
+    "dead members are not pinged": (partitioned, lambda patch: patch.setattr(Membership, "_reconnect_due", do_nothing)),
+    "outdated claims revive dead members": (
         randomized_faults,
         lambda patch: patch.setitem(table_of_states.PRECEDENCE, (State.DEAD, State.ALIVE), IncarnationRule.NOT_LOWER),
     ),
-    "no relays are asked and no stream": (
+    "no probes through relays or streams": (
         one_link,
         lambda patch: patch.setattr(Prober, "probe_indirectly", do_nothing),
     ),
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize("bug", BUGS)
-def test_planted(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_injected_bug_is_found(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     check, inject = BUGS[bug]
     inject(monkeypatch)
     for seed in range(MAX_SEEDS):
--- a/tests/fleet/test_peer_streams.py
+++ b/tests/fleet/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Kept streams: peers gone, silent, unwilling or strange, and bounds of queues and places."""
+"""Persistent streams: peers that are gone, silent, closing or unknown, and bounds of queues and of the number of streams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .fake_nodes import HELLO, HOST, KEY, FakeNode, run, running, wait_until
 
 
-def test_a_peer_gone_and_back_is_spoken_with_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_peer_that_restarts_is_connected_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_streams, "MIN_RETRY_WAIT_S", 0.01)
     monkeypatch.setattr(peer_streams, "MAX_RETRY_WAIT_S", 0.04)
 
@@ -44,7 +44,7 @@
     run(case)
 
 
-def test_a_peer_that_ends_each_stream_is_asked_ever_more_seldom(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempts_to_a_peer_that_closes_each_stream_become_rarer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_streams, "MIN_RETRY_WAIT_S", 0.01)
     monkeypatch.setattr(peer_streams, "MAX_RETRY_WAIT_S", 0.08)
 
@@ -69,7 +69,7 @@
     run(case)
 
 
-def test_old_messages_are_not_sent_and_unused_streams_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_old_messages_are_dropped_and_idle_streams_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_streams, "MIN_RETRY_WAIT_S", 0.02)
     monkeypatch.setattr(peer_streams, "IDLE_TIMEOUT_S", 1.0)
     monkeypatch.setattr(peer_streams, "MAX_QUEUE_AGE_S", 0.01)
@@ -93,7 +93,9 @@
     run(case)
 
 
-def test_a_silent_peer_s_queue_is_bounded_and_its_stream_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_queue_for_a_peer_that_does_not_read_is_bounded_and_its_stream_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(peer_streams, "WRITE_TIMEOUT_S", 0.2)
     monkeypatch.setattr(peer_streams, "MAX_QUEUED_BYTES", 3_000_000)
 
@@ -116,7 +118,7 @@
     run(case)
 
 
-def test_places_are_few_and_the_least_used_gives_way() -> None:
+def test_at_the_limit_of_streams_the_least_used_is_closed() -> None:
     async def case() -> None:
         a, b, c = FakeNode("a", streams=1), FakeNode("b", streams=1), FakeNode("c")
         async with running(a, b, c):
@@ -136,7 +138,7 @@
     run(case)
 
 
-def test_strangers_give_way_before_peers_and_of_these_the_longest_silent() -> None:
+def test_at_the_limit_strangers_are_closed_first_then_the_longest_silent_peer() -> None:
     async def case() -> None:
         b, codec = FakeNode("b", streams=2), FrameCodec(KEY, "g", ALL_MESSAGES)
         opened: dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]] = {}
@@ -158,10 +160,10 @@
 
         async with running(b):
             await connect("old")
-            await connect("stranger", sends_hello=False)  # heard of later than the peer, but nobody knows who it is
+            await connect("stranger", sends_hello=False)  # active later than the peer, but it sent no Hello
             await connect("new")
             assert await ended("stranger")
-            await speak("old", len(b.log.messages))  # so that the later one is the one that was silent for longer
+            await speak("old", len(b.log.messages))  # so that the later one was silent for longer
             await connect("third")
             assert await ended("new")
             await speak("old", len(b.log.messages))
@@ -172,7 +174,7 @@
     run(case)
 
 
-def test_a_later_stream_of_one_process_takes_the_place_of_the_one_before() -> None:
+def test_a_later_stream_of_one_process_replaces_the_earlier_one() -> None:
     async def case() -> None:
         b, codec = FakeNode("b"), FrameCodec(KEY, "g", ALL_MESSAGES)
         async with running(b):
@@ -182,7 +184,7 @@
                 writer.write(with_length(codec.encode("a", Hello(process_epoch, (HOST, 9)))))
                 opened.append((reader, writer))
                 await wait_until(lambda: b.streams["accepted"] == len(opened))
-            assert await opened[0][0].read() == b""  # the first of life 1
+            assert await opened[0][0].read() == b""  # the first of process epoch 1
             await wait_until(lambda: b.streams["in"] == 2)
             for _, writer in opened:
                 writer.close()
@@ -196,7 +198,7 @@
         (b"GET / HTTP/1.1\r\n\r\n", FrameFault.TOO_LONG),
         (b"\0\0\0\x03abc", FrameFault.SHORT),
         (with_length(bytes(40)), FrameFault.DIGEST),
-        (with_length(bytes(2000)), FrameFault.TOO_LONG),  # who has not shown that it has the key gets little room
+        (with_length(bytes(2000)), FrameFault.TOO_LONG),  # a peer without a valid Hello may send little
         (HELLO + with_length(bytes(2000)), FrameFault.DIGEST),
         (HELLO + (2**21).to_bytes(4, "big"), FrameFault.TOO_LONG),
         (with_length(FrameCodec(KEY, "other", ALL_MESSAGES).encode("a", Hello(1, (HOST, 9)))), FrameFault.GROUP),
@@ -204,10 +206,10 @@
         (HELLO + with_length(FrameCodec(KEY, "g", ALL_MESSAGES).encode("z", Line("another's name"))), None),
     ],
 )
-def test_a_stream_with_garbage_is_ended_and_counted(
+def test_a_stream_with_invalid_frames_is_closed_and_counted(
     sent: bytes, fault: FrameFault | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(peer_streams, "HELLO_TIMEOUT_S", 60.0)  # it's not for its silence
+    monkeypatch.setattr(peer_streams, "HELLO_TIMEOUT_S", 60.0)  # so that the stream is not closed for silence
 
     async def case() -> None:
         b = FakeNode("b")
@@ -223,7 +225,7 @@
     run(case)
 
 
-def test_who_says_nothing_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stream_without_hello_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(peer_streams, "HELLO_TIMEOUT_S", 0.02)
 
     async def case() -> None:
--- a/tests/fleet/test_peer_transport.py
+++ b/tests/fleet/test_peer_transport.py
@@ -1,4 +1,4 @@
-"""Two processes' worth of sockets in one loop, with toy parts: what is carried and dropped, what a fault costs."""
+"""Two nodes in one event loop, with fake components: what is delivered and dropped, and the effects of a fault."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from .fake_nodes import HELLO, HOST, KEY, FakeNode, run, running, wait_until
 
 
-def test_datagrams_and_streams_are_carried_in_order_and_whole() -> None:
+def test_datagrams_and_streams_are_delivered_complete_and_in_order() -> None:
     async def case() -> None:
         a, b = FakeNode("a"), FakeNode("b", process_epoch=7)
         async with running(a, b):
@@ -49,7 +49,7 @@
             )
             await wait_until(lambda: len(a.log.messages) == 600)
             assert a.log.messages == [Line("1"), big, *[Line(str(n)) for n in range(2, 600)]]
-            received = a.log.events[-1]  # the address is where b listens, not that of its connection
+            received = a.log.events[-1]  # the address where b listens, not that of its connection
             assert (received.address, received.sender, received.carrier) == (b.address, "b", Carrier.STREAM)
             assert b.streams["connected"] == a.streams["accepted"] == 1 and b.streams["sent"] == 600
             assert not any({**a.transport.state()["dropped"], **b.transport.state()["dropped"]}.values())
@@ -57,7 +57,7 @@
     run(case)
 
 
-def test_what_is_too_long_or_has_no_way_is_counted() -> None:
+def test_messages_too_long_or_without_address_are_counted() -> None:
     async def case() -> None:
         a, b = FakeNode("a"), FakeNode("b")
         async with running(a, b):
@@ -82,7 +82,7 @@
     run(case)
 
 
-def test_a_kind_of_a_newer_program_does_not_end_the_stream_and_garbage_datagrams_are_counted() -> None:
+def test_unknown_kinds_keep_the_stream_open_and_invalid_datagrams_are_counted() -> None:
     class Newer(Message, frozen=True, tag="ag.newer"):
         number: int
 
@@ -119,7 +119,7 @@
     run(case)
 
 
-def test_timers_fire_in_order_and_not_before_their_time() -> None:
+def test_timers_fire_in_order_and_not_early() -> None:
     async def case() -> None:
         a = FakeNode("a")
         async with running(a):
@@ -132,7 +132,7 @@
                 return [SetTimer(now + n, n) for n in (30, 10, -5, 20)] if isinstance(event, Stored) else []
 
             a.log.handler = answer
-            a.transport.dispatch(Stored(1))  # ticket 1 of two parts is the second's
+            a.transport.dispatch(Stored(1))  # with two components, ticket 1 is the second one's
             assert a.transport.state()["timers"] == 4
             await wait_until(lambda: len(fired) == 4)
             assert [token for _, token in fired] == [-5, 10, 20, 30] and all(at >= now + n for at, n in fired)
@@ -152,7 +152,7 @@
         self.closed += 1
 
 
-def test_the_store_answers_from_its_thread_and_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_store_requests_are_answered_from_a_thread_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_PENDING_STORES", 2)
 
     async def case() -> None:
@@ -169,12 +169,12 @@
             await wait_until(lambda: StoreFailed(1, "no folder") in without_disk.membership.events)
         a.transport.close()
         assert disk.closed == 1
-        disk.requests[0][2](None)  # an answer after the end
+        disk.requests[0][2](None)  # a response after close
 
     run(case)
 
 
-def test_a_part_that_raises_is_off_and_told_with_its_event(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_component_that_raises_is_stopped_and_logged_with_its_event(caplog: pytest.LogCaptureFixture) -> None:
     async def case() -> None:
         a, b = FakeNode("a"), FakeNode("b")
         async with running(a, b):
@@ -187,8 +187,8 @@
             await wait_until(lambda: b.hub.unhandled_messages == 1)
             assert len(b.log.messages) == 1 and b.transport.state()["off"] == "ag."
             a.perform(SendToAddress(b.address, Probe(1)))
-            await wait_until(lambda: b.membership.messages)  # the other part goes on
-            b.perform(object())  # what no host can do, of membership: the end of all
+            await wait_until(lambda: b.membership.messages)  # the other component continues
+            b.perform(object())  # an unknown action, of membership: stops all
             assert b.transport.state()["off"] == "mb., ag."
 
     with caplog.at_level(logging.INFO):
@@ -198,8 +198,8 @@
     assert sum("fleet off: fault" in record.getMessage() for record in caplog.records) == 2
 
 
-def test_what_is_told_while_an_event_is_handled_is_handled_after_it_and_time_does_not_run_back() -> None:
-    class Said(NamedTuple):
+def test_an_event_dispatched_within_another_follows_it_and_time_does_not_run_backwards() -> None:
+    class Announcement(NamedTuple):
         text: str
 
     async def case() -> None:
@@ -210,18 +210,18 @@
             times.append((now, event))
             return []
 
-        # As rules that come into force make another part be told of it, while that is to hear what came with them.
-        a.hub.register_action_handler(Said, lambda event: a.transport.dispatch(Stored(3)))
+        # As when new rules are applied: the handler dispatches an event while the current event is still being handled.
+        a.hub.register_action_handler(Announcement, lambda action: a.transport.dispatch(Stored(3)))
         async with running(a):
             a.log.handler = answer
-            a.perform(Said("in force"), Fenced())
+            a.perform(Announcement("in force"), Fenced())
             assert [event for _, event in times] == [Fenced(), ShutdownStarted(), Stored(1)]
             assert [now for now, _ in times] == sorted(now for now, _ in times)
 
     run(case)
 
 
-def test_too_many_timers_put_the_fleet_off_and_close_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_many_timers_stop_the_fleet_and_close_leaves_no_task(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_TIMERS", 3)
 
     async def case() -> None:
@@ -229,9 +229,9 @@
         async with running(a):
             a.perform(*[SetTimer(1e12, n) for n in range(4)])
             assert a.transport.state()["off"] == "all" and a.transport.state()["timers"] == 0
-            told = len(a.membership.events)
-            a.perform(LogLine("nobody hears"))
-            assert len(a.membership.events) == told
+            before = len(a.membership.events)
+            a.perform(LogLine("not handled"))
+            assert len(a.membership.events) == before
         remaining = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
         async with asyncio.timeout(5):
             await asyncio.gather(*remaining, return_exceptions=True)
@@ -240,11 +240,11 @@
     run(case)
 
 
-def test_notes_are_log_lines(caplog: pytest.LogCaptureFixture) -> None:
+def test_log_lines_are_logged_with_their_fields(caplog: pytest.LogCaptureFixture) -> None:
     async def case() -> None:
         a = FakeNode("a")
         async with running(a):
-            a.perform(LogLine("suspects b", {"by": "c", "event": 3, "mono_ms": "not the part's to say"}))
+            a.perform(LogLine("suspects b", {"by": "c", "event": 3, "mono_ms": "set by the host"}))
 
     with caplog.at_level(logging.INFO):
         run(case)
@@ -255,8 +255,8 @@
     )
 
 
-def test_the_address_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The next process of a sidecar starts while the one before still has it."""
+def test_binding_waits_until_the_address_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The successor starts while its predecessor still occupies the address."""
     monkeypatch.setattr(module, "MIN_BIND_WAIT_S", 0.01)
 
     async def case() -> None:
@@ -270,7 +270,7 @@
                 and not successor.membership.events
                 and not successor.transport.state()["listening"]
             )
-            successor.transport.leave()  # nothing to say yet
+            successor.transport.leave()  # nothing to send yet
             a.transport.close()
             await wait_until(lambda: successor.membership.events)
             assert successor.membership.events == [Started()]
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames: what comes out is what went in, whatever else comes is named and counted, old and new programs talk."""
+"""Frames: round trips, invalid frames dropped by fault, and compatibility of old and new programs."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 @given(st.text(min_size=1, max_size=MAX_NAME_LENGTH), MESSAGES)
-def test_what_comes_out_is_what_went_in(sender: str, message: Message) -> None:
+def test_a_message_is_decoded_as_it_was_encoded(sender: str, message: Message) -> None:
     codec = make_codec()
     assert codec.decode(codec.encode(sender, message)) == (sender, message)
     assert not any(codec.faults.values())
 
 
 @given(MESSAGES, st.data())
-def test_any_byte_flipped_and_any_cut_is_dropped(message: Message, data: st.DataObject) -> None:
+def test_any_changed_byte_and_any_truncation_is_dropped(message: Message, data: st.DataObject) -> None:
     codec = make_codec()
     frame = bytearray(codec.encode("a", message))
     position = data.draw(st.integers(0, len(frame) - 1))
@@ -56,22 +56,20 @@
 
 
 @given(st.binary(max_size=300))
-def test_garbage_is_dropped_with_and_without_the_key(data: bytes) -> None:
+def test_random_bytes_are_dropped_with_and_without_a_valid_digest(data: bytes) -> None:
     codec = make_codec()
     assert codec.decode(data) in (FrameFault.SHORT, FrameFault.DIGEST)
-    fault = codec.decode(
-        codec._digest(b"\x01" + data) + b"\x01" + data
-    )  # from a program that has the key and is broken
+    fault = codec.decode(codec._digest(b"\x01" + data) + b"\x01" + data)  # from a faulty program that has the key
     assert fault in (FrameFault.MALFORMED, FrameFault.GROUP, FrameFault.KIND)
 
 
-def test_nesting_without_end_is_dropped() -> None:
+def test_deeply_nested_messages_are_dropped() -> None:
     codec = make_codec()
-    for nested in (b"\x91" * 100_000, b"\x93\xa1g\xa1a" + b"\x91" * 100_000):
-        assert codec.decode(codec._digest(b"\x01" + nested) + b"\x01" + nested) is FrameFault.MALFORMED
+    for deep in (b"\x91" * 100_000, b"\x93\xa1g\xa1a" + b"\x91" * 100_000):
+        assert codec.decode(codec._digest(b"\x01" + deep) + b"\x01" + deep) is FrameFault.MALFORMED
 
 
-def test_another_key_or_group_or_kind() -> None:
+def test_another_key_group_or_kind_is_dropped() -> None:
     codec = make_codec()
     assert codec.decode(make_codec(KEY[::-1]).encode("a", Probe(1))) is FrameFault.DIGEST
     assert codec.decode(make_codec(group="h").encode("a", Probe(1))) is FrameFault.GROUP
@@ -89,8 +87,8 @@
     }
 
 
-def test_versions_of_a_roll() -> None:
-    """The old program speaks 1, the one in between 1 and 2, the new one 2 alone: neighbours understand each other."""
+def test_versions_during_a_rolling_upgrade() -> None:
+    """The old program accepts 1, the one in between 1 and 2, the new one from 2: neighbours understand each other."""
     old, both, new = make_codec(), make_codec(versions=(1, 2)), make_codec(versions=(2, 3))
     sent = ("a", Probe(1))
     assert old.decode(both.encode(*sent)) == both.decode(old.encode(*sent)) == both.decode(new.encode(*sent)) == sent
@@ -98,7 +96,7 @@
     assert old.faults[FrameFault.VERSION] == 1
 
 
-def test_fields_added_at_the_end_are_skipped_by_the_old_and_filled_in_by_the_new() -> None:
+def test_added_fields_are_skipped_by_old_programs_and_defaulted_by_new_ones() -> None:
     class Newer(Message, frozen=True, tag="mb.probe"):
         number: int
         about: str = ""
@@ -124,13 +122,13 @@
         lambda: make_codec().encode("x" * (MAX_NAME_LENGTH + 1), Probe(1)),
     ],
 )
-def test_what_can_not_be_made(create: object) -> None:
+def test_invalid_keys_names_and_versions_raise(create: object) -> None:
     with pytest.raises(ValueError):
         create()  # type: ignore[operator]
 
 
 @given(st.lists(st.binary(min_size=DIGEST_BYTES + 1, max_size=60), max_size=6), st.integers(1, 50))
-def test_a_stream_is_cut_into_frames_however_it_comes(sent: list[bytes], step: int) -> None:
+def test_a_stream_is_split_into_frames_in_pieces_of_any_size(sent: list[bytes], step: int) -> None:
     data, frames, received = b"".join(with_length(each) for each in sent), FrameReader(), []
     for offset in range(0, len(data), step):
         frames.feed(data[offset : offset + step])
@@ -139,7 +137,7 @@
     assert received == sent
 
 
-def test_a_stream_s_lengths_are_bounded() -> None:
+def test_frame_lengths_on_a_stream_are_bounded() -> None:
     for length, fault in [
         (MAX_FRAME_BYTES + 1, FrameFault.TOO_LONG),
         (2**32 - 1, FrameFault.TOO_LONG),
