--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -250,7 +250,7 @@
 
     hub, _, (rules,) = with_log(log, lambda _, event: [ReadIndex(9)] if event == EntryCommitted(1, 1, b"1", "") else [])
     hub.handle(0.0, ShutdownStarted())
-    assert [type(event) for event in rules.events] == [EntryCommitted, EntryCommitted, ReadReady, ShutdownStarted]
+    assert [type(received) for received in rules.events] == [EntryCommitted, EntryCommitted, ReadReady, ShutdownStarted]
 
 
 def test_a_snapshot_has_the_state_of_all_components_and_is_split_again() -> None:
--- a/tests/fleet/test_membership_runs.py
+++ b/tests/fleet/test_membership_runs.py
@@ -57,7 +57,7 @@
             if now < last[node].get(event.name, (0, 0)):
                 return f"{node} held {event.name} at {last[node][event.name]}, then at {now}"
             if event.state in ("alive", "suspect") and event.process_epoch <= ended[node].get(event.name, 0):
-                return f"{node} reports {event.name} {event.state} with process epoch {event.process_epoch}, which had ended"
+                return f"{node} reports {event.name} {event.state} in process epoch {event.process_epoch}, which ended"
             if event.state in ("dead", "left"):
                 ended[node][event.name] = event.process_epoch
             last[node][event.name] = now
--- a/tests/fleet/test_peer_streams.py
+++ b/tests/fleet/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Persistent streams: peers that are gone, silent, closing or unknown, and bounds of queues and of the number of streams."""
+"""Persistent streams: peers that are gone, silent, closing or unknown, and bounds of queues and streams."""
 
 from __future__ import annotations
 
