--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -3,10 +3,10 @@
     python -m benchmarks.membership [--seeds 20] [--members 3,9,50,200] [--loss 0,10,20,30]
 
 One run a seed: all join at 0; from 4 s on the loss applies to datagrams both ways and to segments of streams; at 8 s
-plus a fraction of a period one member is killed, 8 s later another is paused for two periods, and the run ends 8 s
-after that. `first` and `all`: from the kill until the first and the last member considers it dead, in periods. `suspected`,
-`false`: members that ran all the time and were suspected (each incarnation counts once), or declared dead, by any
-member. `paused`: runs in which the paused member was declared dead.
+plus a fraction of a period one member is killed, 8 s later another is paused for two periods, and the run
+ends 8 s after that. `first` and `all`: from the kill until the first and the last member considers it dead, in periods.
+`suspected`, `false`: members that ran all the time and were suspected (each incarnation counts once), or declared dead,
+by any member. `paused`: runs in which the paused member was declared dead.
 """
 
 from __future__ import annotations
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes under faults: their notes, ends and disks; and one run of plain sidecars, by the rules for calls."""
+"""Node processes under faults: log lines, exits and disks; and one run of plain sidecars, by the rules for requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from limenotch.lab.model.rules import DRAINS, ONE_ANSWER, REPEATS
 from limenotch.toml import decode_table
 
-TOY = """
+CHILD_PROGRAM = """
 import http.server, json, os, pathlib, sys, threading, time
 config = json.load(open(os.environ["LB_CONFIG"]))
 data = pathlib.Path(os.environ["TMPDIR"]).parent / "data"
@@ -57,20 +57,20 @@
     asyncio.run(asyncio.wait_for(case, 60))
 
 
-class Toy(NodeProcess):
-    """A child that answers at both addresses, logs one note, and leaves a file in its data for each of its lives."""
+class FakeNodeProcess(NodeProcess):
+    """A child that answers at both addresses, logs one line, and leaves a file in its folder for each of its starts."""
 
     def __init__(self, name: str, folder: Path) -> None:
         super().__init__(name, folder, {}, 1, 1, {})
 
     def command(self) -> list[str]:
-        return ["-c", TOY]
+        return ["-c", CHILD_PROGRAM]
 
 
-def test_a_node_is_paused_killed_wiped_and_started_again_at_its_addresses(tmp_path: Path) -> None:
+def test_a_node_is_paused_killed_wiped_and_restarted_at_its_addresses(tmp_path: Path) -> None:
     async def case() -> None:
         async with Processes() as processes:
-            a, b = (processes.add(Toy(name, tmp_path)) for name in "ab")
+            a, b = (processes.add(FakeNodeProcess(name, tmp_path)) for name in "ab")
             before = time.monotonic() * 1000
             await processes.start()
             await processes.until_all(lambda name, state: state == {"lives": 0, "name": name}, 10, "first lives")
@@ -112,12 +112,12 @@
 
 
 def children() -> list[str]:
-    """Of this process, but for the one that multiprocessing keeps to the end once another test had a pool."""
+    """Child processes, but for the one that multiprocessing keeps to the end once another test had a pool."""
     found = Path(f"/proc/{os.getpid()}/task/{os.getpid()}/children").read_text().split()
     return [child for child in found if b"resource_tracker" not in Path(f"/proc/{child}/cmdline").read_bytes()]
 
 
-def test_a_note_in_two_pieces_and_lines_that_are_none(tmp_path: Path) -> None:
+def test_a_log_line_in_two_pieces_and_foreign_lines(tmp_path: Path) -> None:
     path = tmp_path / "log"
     tail = Tail("n", path)
     assert tail.read() == []
@@ -136,7 +136,7 @@
     assert tail.foreign == 3
 
 
-def test_the_table_is_toml() -> None:
+def test_the_fleet_table_is_valid_toml() -> None:
     more = {"group": "g", "membership": {"period_ms": 300.0}, "seeds": ["h:1"]}
     table = decode_table(fleet_table("127.0.0.1:1", {"b": "127.64.1.2:3"}, more), "t")
     assert table == {
@@ -151,7 +151,7 @@
 
 
 class Folder:
-    """Files of a folder, as short as can be."""
+    """A minimal implementation of the store's files."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -185,7 +185,7 @@
         os.truncate(self.folder / name, size)
 
 
-def test_a_disk_is_full_torn_read_only_and_slow_as_wished(tmp_path: Path) -> None:
+def test_a_disk_fails_as_requested(tmp_path: Path) -> None:
     module = SimpleNamespace(RealFiles=Folder)
     node_module.spoil_disks(module)
     files = module.RealFiles(tmp_path / "data")
@@ -236,7 +236,7 @@
             read_wish(text)
 
 
-def test_a_wall_clock_is_set_apart(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_wall_clock_is_shifted(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("time", "time_ns"):
         monkeypatch.setattr(time, name, getattr(time, name))
     real = time.time
@@ -246,10 +246,10 @@
     assert -3660 < time.time() - real() < -3540 and -3660 < time.time_ns() / 1e9 - real() < -3540
 
 
-# The rules for calls, where a sidecar was stopped
+# The rules for requests while a sidecar is paused
 
 
-def test_who_was_stopped_owes_no_answer_and_everybody_else_does() -> None:
+def test_a_paused_sidecar_is_excused_from_responses_and_the_others_are_not() -> None:
     trial = Trial()
     trial.next_goes_to("b")
     trial.taken(0.0, "with b", "at_most_once", "all", 0.0, 100.0)
@@ -262,12 +262,12 @@
         trial.departed(100.0, call)
     assert trial.counts[ONE_ANSWER] == trial.excused == 1
     trial.woke(1000.0, "b")
-    first = trial.sent(1001.0, "with b", "b", "q", 0)  # it was told of the drain just now
+    first = trial.sent(1001.0, "with b", "b", "q", 0)  # it has only just received the drain
     assert trial.kept is False and trial.counts[ONE_ANSWER] == 1 and trial.counts[DRAINS] == 0
     trial.ended(1002.0, "with b", first, "refused", False)
     trial.sent(1003.0, "with b", "b", "r", 0)
     assert trial.counts[REPEATS] == 0
-    trial.sent(1004.0, "with b", "b", "r", 0)  # the attempt before may have run
+    trial.sent(1004.0, "with b", "b", "r", 0)  # the earlier attempt may have run
     assert trial.counts[REPEATS] == 1
     trial.next_goes_to("b")
     trial.taken(1500.0, "later", "idempotent", "all", 0.0, 1600.0)
@@ -277,7 +277,7 @@
     assert trial.counts[ONE_ANSWER] == 2 and trial.excused == 1
 
 
-def test_an_attempt_that_the_loop_read_late_is_no_breach() -> None:
+def test_an_attempt_read_late_by_the_loop_is_no_violation() -> None:
     trial = Trial()
     for call, late in (("a", 0.0), ("b", 30.0)):
         trial.taken(0.0, call, "idempotent", "all", 0.0, 100.0)
@@ -291,15 +291,15 @@
 TRAFFIC = drills.TRAFFIC.format(length_s=3, count=3, rate=60)
 
 
-class Drawn(NamedTuple):
+class FakeTimeline(NamedTuple):
     nodes: tuple[str, ...]
     faults: tuple[tuple[int, str], ...]
     ends: int = 3000
     later: tuple[str, ...] = ()
 
 
-class Fair:
-    """Weather that only takes note."""
+class RecordingConditions:
+    """Network conditions that only record the faults."""
 
     def __init__(self) -> None:
         self.told: list[str] = []
@@ -314,13 +314,13 @@
         return False
 
 
-def test_sidecars_killed_and_stopped_while_consumers_call(tmp_path: Path) -> None:
+def test_sidecars_are_killed_and_paused_under_requests(tmp_path: Path) -> None:
     plan = planning.plan(scenario.parse(TRAFFIC, "stage"), 3)
     faults = ((500, "kill b"), (700, "pause c"), (1200, "start b"), (1700, "wake c"))
-    weather = Fair()
+    weather = RecordingConditions()
 
     async def case() -> Outcome:
-        stage = Stage(plan, tmp_path, Drawn(("a", "b", "c"), faults), weather)
+        stage = Stage(plan, tmp_path, FakeTimeline(("a", "b", "c"), faults), weather)
         try:
             return await stage.perform()
         finally:
@@ -329,18 +329,18 @@
     outcome = asyncio.run(asyncio.wait_for(case(), 60)).check()
     assert weather.told == [fault for _, fault in faults] and not children()
     assert all(came >= at for came, (at, _) in zip(outcome.happened, faults, strict=True))
-    # Those that were with b when it was killed broke off; none was left waiting.
-    # c was stopped for a second, with a third of the calls, each waited for 600 ms.
+    # Requests that b had when it was killed were cut off; none was left waiting.
+    # c was paused for a second, with a third of the requests; each client waits for 600 ms.
     assert 5 < outcome.excused < 40 and outcome.calls["timed out"] == outcome.excused
     assert outcome.calls["served"] > 110 and not outcome.crashed
     logs = [json.loads(line) for line in (tmp_path / "b" / "b.log").read_text().splitlines()]
     assert sum(line["event"] == "listening" for line in logs) == 2
 
 
-def test_what_the_stage_does_not_take(tmp_path: Path) -> None:
+def test_the_stage_rejects_faults_it_cannot_cause(tmp_path: Path) -> None:
     plan = planning.plan(scenario.parse(TRAFFIC, "stage"), 3)
     with pytest.raises(ValueError, match="3 entry sidecars for 1"):
-        Stage(plan, tmp_path, Drawn(("a",), ()), Fair())
+        Stage(plan, tmp_path, FakeTimeline(("a",), ()), RecordingConditions())
     for fault, says in (("ask a x", "nobody answers"), ("disk a full", "no disk that fails")):
         with pytest.raises(ValueError, match=says):
-            Stage(plan, tmp_path, Drawn(("a", "b", "c"), ((1, fault),)), Fair())
+            Stage(plan, tmp_path, FakeTimeline(("a", "b", "c"), ((1, fault),)), RecordingConditions())
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    "made",
+    "create",
     [
         lambda: FrameCodec(b"short", "g", ALL_MESSAGES),
         lambda: FrameCodec(b"l" * 65, "g", ALL_MESSAGES),
