--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -20,6 +20,8 @@
 
 
 class Phase(Enum):
+    """The phases of this process as a member."""
+
     JOINING = "joining"  # queries the seeds; not announced to any member yet
     DISPLACED = "out"  # another process has its name; this one may hold no lease
     ACTIVE = "inside"
@@ -27,6 +29,8 @@
 
 
 class Context:
+    """The shared state of membership, and the actions of the event that is being handled."""
+
     def __init__(
         self,
         name: str,
@@ -60,28 +64,36 @@
 
     @property
     def sender(self) -> SenderInfo:
+        """This process as the sender of a message."""
         return SenderInfo(self.address, self.process_epoch, self.incarnation, self.phase is Phase.ACTIVE)
 
     def next_seq(self) -> int:
+        """A new sequence number for a ping."""
         self._seq += 1
         return self._seq
 
     def count(self, reason: str) -> None:
+        """Count a rejected claim or message by its reason."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
     def log(self, text: str, **fields: Any) -> None:
+        """Add a structured log line."""
         self.actions.append(LogLine(text, fields))
 
     def send_address(self, name: str, otherwise: Address) -> Address:
+        """The configured address of a member; `otherwise` if there is none."""
         return self.addresses.get(name, otherwise)
 
     def address_of(self, name: str) -> Address:
+        """Where to send to a known member."""
         return self.send_address(name, self.table[name].address)
 
     def send(self, address: Address, message: Message, carrier: Carrier = Carrier.DATAGRAM) -> None:
+        """Send a message to an address."""
         self.actions.append(SendToAddress(address, message, carrier))
 
     def own_claim(self, state: State = State.ALIVE) -> Claim:
+        """A claim about this process."""
         return Claim(self.name, STATES_BY_CODE.index(state), self.address, self.process_epoch, self.incarnation)
 
     def contradiction(self, name: str, sender: SenderInfo | None, now: float) -> Claim | None:
@@ -115,6 +127,7 @@
         return True
 
     def next_claims(self, first: Claim | None = None) -> tuple[Claim, ...]:
+        """The claims to piggyback on the next message; `first` is always included."""
         return self.gossip_queue.next_claims(self.tuning.sends(self.size), first)
 
     def disseminate(self, claim: Claim) -> None:
@@ -122,6 +135,7 @@
         self.gossip_queue.add(claim)
 
     def all_claims(self, now: float) -> tuple[Claim, ...]:
+        """The complete table as claims, with this process if it is active."""
         known = [member.to_claim(now) for member in self.table]
         if self.phase is Phase.ACTIVE:
             known.append(self.own_claim())
@@ -132,5 +146,6 @@
         self.actions.append(MemberChanged(self.name, state.value, self.address, self.incarnation, self.process_epoch))
 
     def report_fenced(self, **fields: Any) -> None:
+        """Report to the other components that this process was fenced, and log it."""
         self.actions.append(Fenced())
         self.log("fenced", **fields)
--- a/limenotch/fleet/membership/core.py
+++ b/limenotch/fleet/membership/core.py
@@ -5,7 +5,6 @@
 Written from the papers. Added: process epochs and fencing, processes of one name (`self_member`), and pings to dead
 members, so that the group reunites after a network partition.
 
-Rules
 - States and precedence of claims: `states`. Probes: `probing`. This process: `self_member`. Suspicions: `suspicion`.
 - A sender that is considered less than it claims (suspect, dead, of an older process epoch) receives that in the reply.
 - A timer that fires late by more than `timeout_ms` means a pause: the health score rises, probes under way are dropped,
@@ -91,14 +90,17 @@
 
     @property
     def name(self) -> str:
+        """The name of this process in the fleet."""
         return self.context.name
 
     @property
     def process_epoch(self) -> int:
+        """Its process epoch; a fence raises it."""
         return self.context.process_epoch
 
     @property
     def phase(self) -> Phase:
+        """Its phase as a member."""
         return self.context.phase
 
     @property
@@ -214,8 +216,6 @@
     def _probe_interval_ms(self) -> float:
         return self.context.tuning.period_ms / self.context.tuning.probes
 
-    # Due work
-
     def _probe_due(self, now: float, _: str) -> None:
         context = self.context
         if context.phase is not Phase.ACTIVE:
--- a/limenotch/fleet/membership/dissemination.py
+++ b/limenotch/fleet/membership/dissemination.py
@@ -19,6 +19,7 @@
 
 
 def encoded_size(claim: Claim) -> int:
+    """Encoded bytes of a claim."""
     return len(_encoder.encode(claim))
 
 
@@ -30,6 +31,8 @@
 
 
 class GossipQueue:
+    """The claims to be sent."""
+
     def __init__(self) -> None:
         self._queued: dict[str, _Entry] = {}
         self._count = 0
@@ -38,10 +41,12 @@
         return len(self._queued)
 
     def add(self, claim: Claim) -> None:
+        """Queue a claim; it replaces an earlier one about the same name."""
         self._count += 1
         self._queued[claim.name] = _Entry(claim, -self._count)
 
     def remove(self, name: str) -> None:
+        """Drop the claim about a name."""
         self._queued.pop(name, None)
 
     def next_claims(
--- a/limenotch/fleet/membership/health.py
+++ b/limenotch/fleet/membership/health.py
@@ -20,15 +20,20 @@
 
 
 class Health:
+    """The health score; 0 is healthy."""
+
     def __init__(self, max_score: int) -> None:
         self.max_score = max_score
         self.score = 0
 
     def adjust(self, change: int) -> None:
+        """Change the score within its bounds."""
         self.score = max(0, min(self.max_score, self.score + change))
 
     def on_pause(self, late_ms: float, period_ms: float) -> None:
+        """Raise the score for timers that fired late."""
         self.adjust(1 + int(min(late_ms / period_ms, self.max_score)))
 
     def scale_ms(self, span_ms: float) -> float:
+        """A timeout multiplied by 1 + score."""
         return span_ms * (1 + self.score)
--- a/limenotch/fleet/membership/member_states.py
+++ b/limenotch/fleet/membership/member_states.py
@@ -24,6 +24,8 @@
 
 
 class MemberStates:
+    """Applies claims to the table, and schedules what follows from them."""
+
     def __init__(self, context: Context, own_member: OwnMember, prober: Prober) -> None:
         self.context, self.own_member, self.prober = context, own_member, prober
 
@@ -95,6 +97,7 @@
             )
 
     def suspicion_due(self, now: float, name: str) -> None:
+        """Declare a suspect dead if its suspicion has expired."""
         known = self.context.table.get(name)
         if known is None or known.state is not State.SUSPECT or known.suspicion is None:
             return
@@ -109,12 +112,14 @@
         )
 
     def ping_suspect(self, now: float, name: str) -> None:
+        """Ping a suspect once more before its suspicion can expire."""
         known = self.context.table.get(name)
         if known is not None and known.state is State.SUSPECT and self.context.phase is Phase.ACTIVE:
             for carrier in Carrier:
                 self.prober.send_ping(now, name, carrier)
 
     def forget_due(self, now: float, name: str) -> None:
+        """Forget a member that has been dead or left for `keep_dead_ms`."""
         known = self.context.table.get(name)
         if known is None or known.state not in FINAL:
             return
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -42,10 +42,13 @@
 
     @property
     def claimed_state(self) -> State:
+        """The state that is claimed."""
         return STATES_BY_CODE[self.state]
 
 
 class Ping(Message, frozen=True, tag="mb.ping"):
+    """A probe; the target responds with an Ack."""
+
     seq: int
     target: str  # name: another process at the same address must not answer
     sender: SenderInfo
@@ -53,6 +56,8 @@
 
 
 class PingReq(Message, frozen=True, tag="mb.ping-req"):
+    """A request to a relay to probe the target."""
+
     seq: int
     target: str
     address: Address
@@ -61,6 +66,8 @@
 
 
 class Ack(Message, frozen=True, tag="mb.ack"):
+    """The response to a Ping, or of a relay for its target."""
+
     seq: int
     about: str  # name of who answered: the sender, or the target that it probed as a relay
     sender: SenderInfo
@@ -77,6 +84,8 @@
 
 
 class Gossip(Message, frozen=True, tag="mb.news"):
+    """Claims alone, without a probe."""
+
     sender: SenderInfo
     claims: tuple[Claim, ...] = ()
 
@@ -89,6 +98,8 @@
 
 
 class TableResponse(Message, frozen=True, tag="mb.answer"):
+    """The response to a TableRequest: the sender's complete table."""
+
     sender: SenderInfo
     members: tuple[Claim, ...] = ()
 
@@ -114,6 +125,7 @@
 
 
 def is_valid_sender(sender: SenderInfo) -> bool:
+    """Whether a sender's values are in range."""
     return (
         _is_valid_address(sender.address)
         and 0 <= sender.process_epoch <= MAX_PROCESS_EPOCH
--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -26,6 +26,8 @@
 
 
 class Probe:
+    """A probe under way."""
+
     __slots__ = ("nacks", "name", "process_epoch", "relays")
 
     def __init__(self, name: str, process_epoch: int) -> None:
@@ -35,6 +37,8 @@
 
 
 class RelayedProbe(NamedTuple):
+    """A probe under way as a relay; `seq` is the origin's."""
+
     origin: str
     address: Address
     seq: int
@@ -42,6 +46,8 @@
 
 
 class Prober:
+    """Sends probes, and relays those of peers. `on_failure` gets time and name of a member that did not answer."""
+
     def __init__(self, context: Context, on_failure: Callable[[float, str], None]) -> None:
         self.context = context
         self.on_failure = on_failure
@@ -51,6 +57,7 @@
         self.round: list[str] = []  # names still to be probed in this round
 
     def start_probe(self, now: float) -> None:
+        """Probe the next member."""
         name = self._next_target()
         if name is None:
             return
@@ -63,6 +70,7 @@
         context.timers.schedule(now + context.health.scale_ms(3 * context.tuning.timeout_ms), ("failed", seq))
 
     def probe_indirectly(self, now: float, seq: int) -> None:
+        """No ack within the timeout: probe through relays and over a stream."""
         context, probe = self.context, self.probes.get(seq)
         if probe is None or not self._is_current(probe):
             self._end_probe(seq)
@@ -76,6 +84,7 @@
         context.send(context.address_of(probe.name), self._make_ping(seq, probe.name, now), Carrier.STREAM)
 
     def end_unanswered(self, now: float, seq: int) -> None:
+        """No ack at all: report the failure, and raise the health score if too few relays sent a nack."""
         probe = self.probes.get(seq)
         if probe is None:
             return
@@ -87,6 +96,7 @@
         self.on_failure(now, probe.name)
 
     def handle_ack(self, sender: str, message: Ack) -> None:
+        """An ack ends a probe; for a relayed probe it is forwarded to the origin."""
         context, probe = self.context, self.probes.get(message.seq)
         if probe is not None and probe.name == message.about and (sender == probe.name or sender in probe.relays):
             self._end_probe(message.seq)
@@ -100,11 +110,13 @@
         context.send(relayed.address, Ack(relayed.seq, relayed.target, context.sender, context.next_claims()))
 
     def handle_nack(self, sender: str, message: Nack) -> None:
+        """A relay did not reach the target, but reached this process."""
         probe = self.probes.get(message.seq)
         if probe is not None and probe.name == message.about and sender in probe.relays:
             probe.nacks.add(sender)
 
     def handle_ping_request(self, now: float, sender: str, message: PingReq) -> None:
+        """Probe a target for another member; at most MAX_RELAYED_PROBES at a time."""
         context = self.context
         if len(self.relayed_probes) >= MAX_RELAYED_PROBES:
             context.count("too many ping-reqs")
@@ -118,11 +130,13 @@
         context.timers.schedule(now + 3 * context.tuning.timeout_ms, ("relayed", seq))
 
     def send_nack(self, seq: int) -> None:
+        """The target of a relayed probe has not answered yet: tell its origin."""
         relayed, context = self.relayed_probes.get(seq), self.context
         if relayed is not None:
             context.send(relayed.address, Nack(relayed.seq, relayed.target, context.sender, context.next_claims()))
 
     def end_relay(self, seq: int) -> None:
+        """Drop a relayed probe."""
         self.relayed_probes.pop(seq, None)
         self.context.timers.cancel(("nack", seq))
         self.context.timers.cancel(("relayed", seq))
--- a/limenotch/fleet/membership/self_member.py
+++ b/limenotch/fleet/membership/self_member.py
@@ -32,6 +32,8 @@
 
 
 class OwnMember:
+    """This process's own name: joining, refuting, and namesakes. `on_joined` gets the time."""
+
     def __init__(self, context: Context, on_joined: Callable[[float], None]) -> None:
         self.context = context
         self.on_joined = on_joined
@@ -41,6 +43,7 @@
         self.started_ms = 0.0
 
     def start(self, now: float) -> None:
+        """Query the seeds; join at once without seeds."""
         self.started_ms = now
         if not self.context.seeds:
             self.join(now)
@@ -79,6 +82,7 @@
             self._ping_namesake()
 
     def join(self, now: float) -> None:
+        """Become active, with a higher process epoch than any known namesake's."""
         context = self.context
         if self.namesake is not None:
             context.process_epoch = max(context.process_epoch, min(self.namesake.process_epoch + 1, MAX_PROCESS_EPOCH))
--- a/limenotch/fleet/membership/states.py
+++ b/limenotch/fleet/membership/states.py
@@ -21,6 +21,8 @@
 
 
 class State(Enum):
+    """The states of a member."""
+
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "dead"
--- a/limenotch/fleet/membership/suspicion.py
+++ b/limenotch/fleet/membership/suspicion.py
@@ -21,10 +21,12 @@
 
     @property
     def confirmations(self) -> int:
+        """Independent confirmations so far."""
         return len(self.reporters) - 1
 
     @property
     def expires_at_ms(self) -> float:
+        """When the suspect is declared dead."""
         if self.expected_confirmations <= 0:
             return self.started_ms + self.min_ms
         share = log(self.confirmations + 1) / log(self.expected_confirmations + 1)
--- a/limenotch/fleet/membership/table.py
+++ b/limenotch/fleet/membership/table.py
@@ -12,6 +12,8 @@
 
 
 class Member:
+    """A known member. `since_ms`: when its state changed last."""
+
     __slots__ = ("address", "incarnation", "name", "process_epoch", "reported_by", "since_ms", "state", "suspicion")
 
     def __init__(self, claim: Claim, since_ms: float) -> None:
@@ -20,14 +22,17 @@
         self.apply(claim, since_ms)
 
     def apply(self, claim: Claim, since_ms: float) -> None:
+        """Take over a claim's values."""
         self.address, self.process_epoch, self.state = claim.address, claim.process_epoch, claim.claimed_state
         self.incarnation, self.reported_by, self.since_ms = claim.incarnation, claim.reported_by, since_ms
 
     @property
     def standing(self) -> Standing:
+        """What claims are compared with."""
         return (self.process_epoch, self.state, self.incarnation)
 
     def to_claim(self, now: float) -> Claim:
+        """The member as a claim, with its age if it is dead or left."""
         age = int(max(0.0, now - self.since_ms)) if self.state in FINAL else 0
         return Claim(
             self.name,
@@ -41,6 +46,8 @@
 
 
 class ClaimOutcome(Enum):
+    """What applying a claim changed."""
+
     SUPERSEDED = "nothing new"
     NEW = "a name not held before"
     CHANGED = "another state, life or address"
@@ -61,12 +68,14 @@
         return self.members[name]
 
     def get(self, name: str) -> Member | None:
+        """The member of this name, if known."""
         return self.members.get(name)
 
     def __iter__(self) -> Iterator[Member]:
         return iter(self.members.values())
 
     def apply(self, claim: Claim, now: float) -> ClaimOutcome:
+        """Apply a claim if it supersedes what is known."""
         known = self.members.get(claim.name)
         since_ms = now - claim.age_ms if claim.claimed_state in FINAL else now
         if known is None:
@@ -95,6 +104,7 @@
         return ClaimOutcome.REFRESHED if same else ClaimOutcome.CHANGED
 
     def forget(self, name: str) -> None:
+        """Remove a member."""
         self.members.pop(name, None)
         self._update_live()
 
@@ -113,6 +123,7 @@
         return chosen
 
     def names_in(self, state: State) -> list[str]:
+        """Names of the members in a state."""
         return [member.name for member in self.members.values() if member.state is state]
 
     def _evict_ended(self) -> bool:
--- a/limenotch/fleet/membership/timer_queue.py
+++ b/limenotch/fleet/membership/timer_queue.py
@@ -16,6 +16,7 @@
         self._timer_at_ms: float | None = None
 
     def schedule(self, due_ms: float, key: Key) -> None:
+        """Make a key due at `due_ms`."""
         self._due[key] = due_ms
         heapq.heappush(self._heap, (due_ms, key))
         if len(self._heap) > 64 + 4 * len(self._due):
@@ -23,12 +24,14 @@
             heapq.heapify(self._heap)
 
     def cancel(self, key: Key) -> None:
+        """Remove a key."""
         self._due.pop(key, None)
 
     def __contains__(self, key: Key) -> bool:
         return key in self._due
 
     def next_due_ms(self) -> float | None:
+        """The earliest due time; None if there is none."""
         while self._heap and self._due.get(self._heap[0][1]) != self._heap[0][0]:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
@@ -43,6 +46,7 @@
         return key
 
     def timer_fired(self, now: float) -> None:
+        """The host's timer has fired."""
         if self._timer_at_ms is not None and now >= self._timer_at_ms:
             self._timer_at_ms = None
 
