--- a/limenotch/fleet/membership/context.py
+++ b/limenotch/fleet/membership/context.py
@@ -1,4 +1,4 @@
-"""State that all parts of membership share: this process, the table of members, timers, and the actions to send."""
+"""State that all modules of membership share: this process, the table of members, timers, and the actions to send."""
 
 from __future__ import annotations
 
@@ -53,9 +53,7 @@
         self.counts: dict[str, int] = {}  # received and rejected claims and messages, by reason
         self.actions: list[Action] = []
         self._seq = 0
-        self._corrections: dict[
-            str, tuple[float, int]
-        ] = {}  # by member: start of its period in ms, corrections sent in it
+        self._corrections: dict[str, tuple[float, int]] = {}  # by member: start of its period in ms, number sent
 
     @property
     def size(self) -> int:
--- a/limenotch/fleet/membership/states.py
+++ b/limenotch/fleet/membership/states.py
@@ -29,12 +29,8 @@
     LEFT = "left"
 
 
-STATES_BY_CODE = (
-    State.ALIVE,
-    State.SUSPECT,
-    State.DEAD,
-    State.LEFT,
-)  # index: a state's number in messages; only appended to
+# The index is a state's number in messages; states are only ever appended.
+STATES_BY_CODE = (State.ALIVE, State.SUSPECT, State.DEAD, State.LEFT)
 FINAL = frozenset((State.DEAD, State.LEFT))
 
 
--- a/limenotch/fleet/membership/table.py
+++ b/limenotch/fleet/membership/table.py
@@ -96,9 +96,8 @@
         )
         min_incarnation = known.incarnation if known.process_epoch == claim.process_epoch else 0
         known.apply(claim, known.since_ms if same else since_ms)
-        known.incarnation = max(
-            known.incarnation, min_incarnation
-        )  # a death may be claimed of an older incarnation than is known
+        # A death may be claimed of an older incarnation than is known.
+        known.incarnation = max(known.incarnation, min_incarnation)
         known.suspicion = None
         self._update_live()
         return ClaimOutcome.REFRESHED if same else ClaimOutcome.CHANGED
--- a/limenotch/fleet_adapters/base.py
+++ b/limenotch/fleet_adapters/base.py
@@ -37,9 +37,7 @@
     messages: tuple[type[Message], ...] = ()
 
     def __init__(self) -> None:
-        self.action_handlers: dict[
-            type, Callable[[Any], None]
-        ] = {}  # handlers of its component's actions that are for the host
+        self.action_handlers: dict[type, Callable[[Any], None]] = {}  # of its component's actions for the host
         self.routes: dict[str, RequestHandler] = {}  # handlers of paths at the operators' address
         self.interceptor: RequestInterceptor | None = None  # intercepts requests
 
--- a/limenotch/net/peer_streams.py
+++ b/limenotch/net/peer_streams.py
@@ -152,9 +152,8 @@
                     wait_s = MIN_RETRY_WAIT_S  # it lasted for a while: its end is a new fault
             if self._loop.time() - self.last_used_s > IDLE_TIMEOUT_S:
                 break
-            await asyncio.sleep(
-                wait_s
-            )  # also after a stream that ended at once: the peer may be at its limit of streams
+            # Also after a stream that ended at once: the peer may be at its limit of streams.
+            await asyncio.sleep(wait_s)
             wait_s = min(2 * wait_s, MAX_RETRY_WAIT_S)
 
     async def _connect(self) -> IOStream | None:
@@ -164,9 +163,8 @@
                 socket.socket(address_family(self.address), socket.SOCK_STREAM), max_buffer_size=READ_CHUNK_BYTES
             )
             stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            if (
-                TCP_USER_TIMEOUT is not None
-            ):  # else data sent into a network partition would wait for TCP's own, ever rarer retransmissions
+            # Without it, data sent into a network partition would wait for TCP's own, ever rarer retransmissions.
+            if TCP_USER_TIMEOUT is not None:
                 stream.socket.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, int(WRITE_TIMEOUT_S * 1000))
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await stream.connect(self.address)
--- a/tests/fleet/test_membership_parts.py
+++ b/tests/fleet/test_membership_parts.py
@@ -55,9 +55,8 @@
 def test_states_are_totally_ordered() -> None:
     assert set(PRECEDENCE) == set(product(State, State))
     for claimed, other in product(STANDINGS, STANDINGS):
-        final = (
-            claimed[0] == other[0] and claimed[1] is other[1] and claimed[1] in FINAL
-        )  # their incarnations are ignored
+        # Incarnations of dead and left members are ignored.
+        final = claimed[0] == other[0] and claimed[1] is other[1] and claimed[1] in FINAL
         assert supersedes(claimed, other) + supersedes(other, claimed) == (claimed != other and not final)
     for claimed, other, three in product(STANDINGS, repeat=3):
         assert not (supersedes(claimed, other) and supersedes(other, three)) or supersedes(claimed, three)
@@ -149,9 +148,8 @@
     message = PingReq(
         1 << 40, name, (host, 65535), SenderInfo((host, 65535), MAX_PROCESS_EPOCH, 1 << 31), queue.next_claims(3, first)
     )
-    assert (
-        len(msgspec.msgpack.encode(message)) + longest + 60 <= MAX_DATAGRAM_BYTES
-    )  # 60: version, digest, group's and tags
+    # 60: version, digest, group's and tags
+    assert len(msgspec.msgpack.encode(message)) + longest + 60 <= MAX_DATAGRAM_BYTES
 
 
 def test_the_timer_queue_sets_one_timer() -> None:
@@ -266,9 +264,8 @@
     )
     assert answers(1010) == MAX_CORRECTIONS_PER_PERIOD
     actions = member.handle(2000.0, MessageReceived(("b", 1), "b", Gossip(SenderInfo(("b", 1), 2, 0))))
-    assert [action.state for action in actions if isinstance(action, MemberChanged)] == [
-        "alive"
-    ]  # its messages are still handled
+    # Its messages are still handled.
+    assert [action.state for action in actions if isinstance(action, MemberChanged)] == ["alive"]
 
 
 def test_the_operators_page_lists_the_default_settings() -> None:
@@ -341,9 +338,8 @@
         ]
 
     now_ms = 1.0
-    while (
-        gossip(now_ms) or now_ms < 100 * tuning.gossip_ms
-    ):  # claims about a and b are sent first, until they are used up
+    # Claims about a and b are sent first, until they are used up.
+    while gossip(now_ms) or now_ms < 100 * tuning.gossip_ms:
         now_ms += 10.0
     assert now_ms < tuning.period_ms / 2
     actions = member.handle(now_ms, MessageReceived(("b", 1), "b", Gossip(SENDER, (Claim("c", 0, ("c", 1), 1, 0),))))
