--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -54,7 +54,7 @@
         self.probes: dict[int, Probe] = {}
         self.seq_by_name: dict[str, int] = {}  # by name: the seq of the probe under way
         self.relayed_probes: dict[int, RelayedProbe] = {}
-        self.round: list[str] = []  # names still to be probed in this round
+        self.remaining: list[str] = []  # names still to be probed in this round
 
     def start_probe(self, now: float) -> None:
         """Probe the next member."""
@@ -175,8 +175,8 @@
         for _ in range(2):
             skipped: list[str] = []
             target = None
-            while self.round:
-                name = self.round.pop()
+            while self.remaining:
+                name = self.remaining.pop()
                 known = table.get(name)
                 if known is None or known.state in FINAL:
                     continue
@@ -185,13 +185,13 @@
                     break
                 skipped.append(name)
             if target is not None:
-                self.round += reversed(skipped)
+                self.remaining += reversed(skipped)
                 return target
-            self.round = list(table.live)
-            self.context.random.shuffle(self.round)
-        self.round = []
+            self.remaining = list(table.live)
+            self.context.random.shuffle(self.remaining)
+        self.remaining = []
         return None
 
     def add_target(self, name: str) -> None:
         """Insert a new member at a random position of this round (SWIM 4.3)."""
-        self.round.insert(self.context.random.randrange(len(self.round) + 1), name)
+        self.remaining.insert(self.context.random.randrange(len(self.remaining) + 1), name)
