--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -229,8 +229,8 @@
 
     _timer_due_ms = 0.0  # due time of the timer that fires: the loop may call up to its clock's resolution early
 
-    def _log_fault(self, part: str, event: Any, error: Exception) -> None:
-        log.error("internal error in a fleet component", part=part, fleet_event=repr(event)[:2000], exc_info=error)
+    def _log_fault(self, prefix: str, event: Any, error: Exception) -> None:
+        log.error("internal error in a fleet component", part=prefix, fleet_event=repr(event)[:2000], exc_info=error)
 
     def _message_received(self, sender: str, address: Address, message: Message) -> None:
         self.dispatch(MessageReceived(address, sender, message, Carrier.STREAM))
--- a/tests/fleet/test_hub.py
+++ b/tests/fleet/test_hub.py
@@ -162,7 +162,7 @@
         LogLine(hubs.COMPONENT_STOPPED, {"part": "ag.", "off": "ag."}),
         LogLine("goes on"),
     ] and two.stopped == ("ag.",)
-    assert [(part, event, str(error)) for part, event, error in faults] == [("ag.", DEAD, "'broken'")]
+    assert [(prefix, event, str(error)) for prefix, event, error in faults] == [("ag.", DEAD, "'broken'")]
     assert two.handle(1.0, MessageReceived(B, "b", Probe(1))) == [LogLine("goes on")] and len(log.events) == 1
     assert two.handle(1.0, MessageReceived(B, "b", Line(""))) == [] and two.unhandled_messages == 1
     two, (members, log) = make_hub(raising, raising, on_fault=lambda *fault: faults.append(fault))
@@ -296,9 +296,9 @@
 
 def test_the_host_reaches_one_component_and_gets_its_registered_actions() -> None:
     hub, _, (rules,) = with_log(on(int), lambda _, event: [DEAD] if event == "who" else [])
-    heard: list[Any] = []
-    hub.register_action_handler(MemberChanged, heard.append)
-    assert hub.handle(0.0, ComponentEvent("ru.", "who")) == [] and heard == [DEAD]
+    received: list[Any] = []
+    hub.register_action_handler(MemberChanged, received.append)
+    assert hub.handle(0.0, ComponentEvent("ru.", "who")) == [] and received == [DEAD]
     with pytest.raises(TypeError, match="not an event of the hub"):
         hub.handle(0.0, ComponentEvent("zz.", "who"))
     hub.handle(0.0, Started())
