--- a/limenotch/fleet/consensus/core.py
+++ b/limenotch/fleet/consensus/core.py
@@ -66,7 +66,7 @@
             interfaces.TimerFired: lambda event: node.on_timer_fired(),
             interfaces.ShutdownStarted: self._on_shutdown,
             interfaces.Stored: lambda event: node.on_stored(event.ticket),
-            interfaces.StoreFailed: lambda event: node.on_store_failed(event.ticket, event.why),
+            interfaces.StoreFailed: lambda event: node.on_store_failed(event.ticket, event.reason),
             interfaces.MemberChanged: self._on_member_changed,
             interfaces.Fenced: self._on_fenced,
             api.Propose: lambda event: self._requests.propose(Requester(event.ticket), event.data, event.id),
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -1,6 +1,7 @@
-"""What members say to each other about being there. All but tables (Ask, Answer) fit a datagram.
+"""Messages between members about membership. All but the tables (TableRequest, TableResponse) fit a datagram.
 
-Every message bears who speaks (`Me`), so that a member held suspect or dead by the hearer can be told so at once.
+Every message contains its sender (`SenderInfo`), so that the receiver can tell a member at once that it is considered
+suspect or dead.
 """
 
 from __future__ import annotations
@@ -8,111 +9,125 @@
 from msgspec import Struct
 
 from ..interfaces import Address, Message
-from .states import CODES, State
+from .states import STATES_BY_CODE, State
 
-MOST_NEWS = 40  # claims in one datagram; more is nonsense
-LONGEST_NAME = 64
-LONGEST_HOST = 255
+MAX_CLAIMS = 40  # more are rejected
+MAX_NAME_LENGTH = 64
+MAX_HOST_LENGTH = 255
 MAX_PROCESS_EPOCH = 1 << 52
-MOST_INCARNATION = 1 << 31
-MOST_AGE_MS = 1 << 40
-ALIVE, SUSPECT, DEAD, LEFT = range(len(CODES))
+MAX_INCARNATION = 1 << 31
+MAX_AGE_MS = 1 << 40
+ALIVE, SUSPECT, DEAD, LEFT = range(len(STATES_BY_CODE))
 
 
-class Me(Struct, frozen=True, array_like=True):
-    """The speaker of a message; its name is its frame's."""
+class SenderInfo(Struct, frozen=True, array_like=True):
+    """The sender of a message; its name is in the frame."""
 
-    address: Address  # as it wants to be spoken to
+    address: Address  # where it wants to be reached
     process_epoch: int
     incarnation: int
-    inside: bool = True  # False: it asks before it joins, or stays out; not to be taken for a member
+    active: bool = True  # False: joining or displaced; not to be treated as a member
 
 
 class Claim(Struct, frozen=True, array_like=True):
-    """What is said of a member: an entry of news or of a table."""
+    """A claim about a member's state, in gossip or a table."""
 
     name: str
-    state: int  # index in states.CODES
+    state: int  # index in states.STATES_BY_CODE
     address: Address
     process_epoch: int
     incarnation: int
-    by: str = ""  # who found it: independent finders of one suspicion shorten it
-    age_ms: int = 0  # in tables, of the dead and left: how long ago, so that all forget them together
+    reported_by: str = ""  # independent reporters of one suspicion shorten it
+    age_ms: int = 0  # in tables, of dead and left members: age of the state, so that all forget them together
 
     @property
-    def says(self) -> State:
-        return CODES[self.state]
+    def claimed_state(self) -> State:
+        """The state that is claimed."""
+        return STATES_BY_CODE[self.state]
 
 
 class Ping(Message, frozen=True, tag="mb.ping"):
+    """A probe; the target responds with an Ack."""
+
     seq: int
-    target: str  # who is meant: another process at the same address must not answer for it
-    me: Me
-    news: tuple[Claim, ...] = ()
+    target: str  # name: another process at the same address must not answer
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
 class PingReq(Message, frozen=True, tag="mb.ping-req"):
+    """A request to a relay to probe the target."""
+
     seq: int
     target: str
     address: Address
-    me: Me
-    news: tuple[Claim, ...] = ()
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
 class Ack(Message, frozen=True, tag="mb.ack"):
+    """The response to a Ping, or of a relay for its target."""
+
     seq: int
-    about: str  # who answered: the speaker, or whom it was asked to probe
-    me: Me
-    news: tuple[Claim, ...] = ()
+    about: str  # name of who answered: the sender, or the target that it probed as a relay
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
 class Nack(Message, frozen=True, tag="mb.nack"):
-    """From whom was asked to probe: no answer yet. Tells that the way to the relay is sound."""
+    """From a relay: the target has not answered yet. Shows that the path to the relay works."""
 
     seq: int
     about: str
-    me: Me
-    news: tuple[Claim, ...] = ()
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
 
-class News(Message, frozen=True, tag="mb.news"):
-    me: Me
-    news: tuple[Claim, ...] = ()
+class Gossip(Message, frozen=True, tag="mb.news"):
+    """Claims alone, without a probe."""
 
+    sender: SenderInfo
+    claims: tuple[Claim, ...] = ()
 
-class Ask(Message, frozen=True, tag="mb.ask"):
-    """Push-pull: the speaker's whole table (empty before it joined), to be answered by the hearer's."""
 
-    me: Me
+class TableRequest(Message, frozen=True, tag="mb.ask"):
+    """Push-pull: the sender's complete table (empty before it joined); the receiver responds with its own."""
+
+    sender: SenderInfo
     members: tuple[Claim, ...] = ()
 
 
-class Answer(Message, frozen=True, tag="mb.answer"):
-    me: Me
+class TableResponse(Message, frozen=True, tag="mb.answer"):
+    """The response to a TableRequest: the sender's complete table."""
+
+    sender: SenderInfo
     members: tuple[Claim, ...] = ()
 
 
-Spoken = Ping | PingReq | Ack | Nack | News | Ask | Answer
+MembershipMessage = Ping | PingReq | Ack | Nack | Gossip | TableRequest | TableResponse
 
 
-def _address(address: Address) -> bool:
-    return 0 < len(address[0]) <= LONGEST_HOST and 0 < address[1] < 65536
+def _is_valid_address(address: Address) -> bool:
+    return 0 < len(address[0]) <= MAX_HOST_LENGTH and 0 < address[1] < 65536
 
 
-def sound(claim: Claim) -> bool:
-    """Whether a claim's values can be meant; types were checked by the codec."""
+def is_valid_claim(claim: Claim) -> bool:
+    """Whether a claim's values are in range; the codec has checked their types."""
     return (
-        0 < len(claim.name) <= LONGEST_NAME
-        and 0 <= claim.state < len(CODES)
-        and _address(claim.address)
+        0 < len(claim.name) <= MAX_NAME_LENGTH
+        and 0 <= claim.state < len(STATES_BY_CODE)
+        and _is_valid_address(claim.address)
         and 0 <= claim.process_epoch <= MAX_PROCESS_EPOCH
-        and 0 <= claim.incarnation <= MOST_INCARNATION
-        and len(claim.by) <= LONGEST_NAME
-        and 0 <= claim.age_ms <= MOST_AGE_MS
+        and 0 <= claim.incarnation <= MAX_INCARNATION
+        and len(claim.reported_by) <= MAX_NAME_LENGTH
+        and 0 <= claim.age_ms <= MAX_AGE_MS
     )
 
 
-def sound_me(me: Me) -> bool:
+def is_valid_sender(sender: SenderInfo) -> bool:
+    """Whether a sender's values are in range."""
     return (
-        _address(me.address) and 0 <= me.process_epoch <= MAX_PROCESS_EPOCH and 0 <= me.incarnation <= MOST_INCARNATION
+        _is_valid_address(sender.address)
+        and 0 <= sender.process_epoch <= MAX_PROCESS_EPOCH
+        and 0 <= sender.incarnation <= MAX_INCARNATION
     )
--- a/limenotch/fleet/membership/suspicion.py
+++ b/limenotch/fleet/membership/suspicion.py
@@ -1,8 +1,8 @@
-"""How long a suspect has to say otherwise: long while one member says so, shorter as others find the same.
+"""How long a suspect has to refute a suspicion: long while one member reports it, shorter as others confirm it.
 
-Source: Lifeguard (2018), "Local Health Aware Suspicion": with C independent confirmations of the K looked for,
+Source: Lifeguard (2018), "Local Health Aware Suspicion": with C independent confirmations of the K expected,
 timeout = max(shortest, longest - (longest - shortest) * log(C + 1) / log(K + 1)). A suspicion of a higher incarnation,
-or of another life, is a new one and starts afresh.
+or of another process epoch, is a new one and starts afresh.
 """
 
 from __future__ import annotations
@@ -11,32 +11,34 @@
 
 
 class Suspicion:
-    """Of one life and incarnation of a member, as held by one other. Spans in milliseconds."""
+    """A suspicion here of one process epoch and incarnation of a member. Times in ms."""
 
-    def __init__(self, now: float, by: str, shortest: float, longest: float, looked_for: int) -> None:
-        self.began = now
-        self.by = {by}
-        self.shortest, self.longest = shortest, longest
-        self.looked_for = looked_for
+    def __init__(self, now: float, reported_by: str, min_ms: float, max_ms: float, expected_confirmations: int) -> None:
+        self.started_ms = now
+        self.reporters = {reported_by}
+        self.min_ms, self.max_ms = min_ms, max_ms
+        self.expected_confirmations = expected_confirmations
 
     @property
-    def confirmed(self) -> int:
-        return len(self.by) - 1
+    def confirmations(self) -> int:
+        """Independent confirmations so far."""
+        return len(self.reporters) - 1
 
     @property
-    def until(self) -> float:
-        if self.looked_for <= 0:
-            return self.began + self.shortest
-        share = log(self.confirmed + 1) / log(self.looked_for + 1)
-        return self.began + max(self.shortest, self.longest - (self.longest - self.shortest) * share)
-
-    def confirm(self, by: str) -> bool:
-        """Whether this was news: another finder, and not more than are looked for."""
-        if by in self.by or self.confirmed >= self.looked_for:
+    def expires_at_ms(self) -> float:
+        """When the suspect is declared dead."""
+        if self.expected_confirmations <= 0:
+            return self.started_ms + self.min_ms
+        share = log(self.confirmations + 1) / log(self.expected_confirmations + 1)
+        return self.started_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
+
+    def confirm(self, reported_by: str) -> bool:
+        """Whether the confirmation counts: from another reporter, and not more than expected."""
+        if reported_by in self.reporters or self.confirmations >= self.expected_confirmations:
             return False
-        self.by.add(by)
+        self.reporters.add(reported_by)
         return True
 
     def restart(self, now: float) -> None:
-        """After a pause of one's own: what was found before it counts, but the suspect gets its time again."""
-        self.began = now
+        """After a pause of this process: earlier confirmations count, but the suspect gets its time again."""
+        self.started_ms = now
--- a/limenotch/fleet_adapters/replicated_notes.py
+++ b/limenotch/fleet_adapters/replicated_notes.py
@@ -7,7 +7,7 @@
 from ..fleet.consensus.tuning import Tuning
 from ..fleet.replicated_notes import APPLY_TIMEOUT_MS, OperatorResponse, ReplicatedNotes
 from ..net.admin.log import PREFIX, LogQueries, unavailable
-from .base import SPARE_S, FleetAdapter, NodeContext
+from .base import RESPONSE_MARGIN_S, FleetAdapter, NodeContext
 
 
 class ReplicatedNotesAdapter(FleetAdapter):
@@ -18,7 +18,7 @@
     def __init__(self, context: NodeContext, tuning: Tuning) -> None:
         super().__init__()
         self._notes = ReplicatedNotes()
-        self._queries = LogQueries(context.dispatch, (tuning.ask_ms + APPLY_TIMEOUT_MS) / 1000.0 + SPARE_S)
+        self._queries = LogQueries(context.dispatch, (tuning.ask_ms + APPLY_TIMEOUT_MS) / 1000.0 + RESPONSE_MARGIN_S)
         self.action_handlers = {OperatorResponse: self._queries.handle_answer}
         self.routes = self._queries.paths
 
--- a/limenotch/fleet_adapters/rules.py
+++ b/limenotch/fleet_adapters/rules.py
@@ -17,7 +17,7 @@
 from ..load_balancer_types import AttemptEnding
 from ..net.admin.rules import PREFIX, RULES_PATH, RulesQueries
 from ..net.request import Attempt, FinalResponse, Request, Verdict
-from .base import SPARE_S, FleetAdapter, NodeContext, message_types
+from .base import RESPONSE_MARGIN_S, FleetAdapter, NodeContext, message_types
 
 COUNT_INTERVAL_S = 1.0  # between two reports of request counts
 
@@ -64,7 +64,7 @@
         self._overdue = OverdueResponses()
         self.interceptor = self._overdue
         self._count_timer = PeriodicCallback(self._count, COUNT_INTERVAL_S * 1000.0)
-        queries = RulesQueries(context.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self.status)
+        queries = RulesQueries(context.dispatch, tuning.ask_ms / 1000.0 + RESPONSE_MARGIN_S, self.status)
         self.action_handlers = {
             OperatorResponse: queries.handle_answer,
             RulesInForce: self._put_in_force,
--- a/limenotch/fleet_adapters/wallet.py
+++ b/limenotch/fleet_adapters/wallet.py
@@ -15,14 +15,14 @@
 from typing import Any, Protocol
 
 from .. import logs
-from ..fleet.hub import LOG, ComponentEvent
+from ..fleet.hub import LOG_PREFIX, ComponentEvent
 from ..fleet.wallet import Wallet, messages
 from ..fleet.wallet.api import DemandChanged, OperatorResponse, Rejected, Reservation, Spender, VotersChanged
 from ..fleet.wallet.tuning import Tuning
 from ..load_balancer_types import AttemptEnding
 from ..net.admin.wallet import PREFIX, WalletQueries
 from ..net.request import Attempt, FinalResponse, Request, RetryLater, Verdict
-from .base import SPARE_S, FleetAdapter, NodeContext, message_types
+from .base import RESPONSE_MARGIN_S, FleetAdapter, NodeContext, message_types
 
 log = logs.get(__name__)
 
@@ -38,7 +38,7 @@
 class ComponentStops(Protocol):
     """The component hub."""
 
-    off: tuple[str, ...]  # prefixes of the components stopped by a fault
+    stopped: tuple[str, ...]  # prefixes of the components stopped by a fault
 
 
 class RequestCharger:
@@ -64,8 +64,8 @@
     @property
     def is_unavailable(self) -> bool:
         """Whether the spender, the component or the log was stopped by a fault."""
-        stopped = self._component_stops.off
-        return self.faulted or PREFIX in stopped or LOG in stopped
+        stopped = self._component_stops.stopped
+        return self.faulted or PREFIX in stopped or LOG_PREFIX in stopped
 
     def has_wallet(self, tenant: str) -> bool:
         """Whether the settings have a wallet for the tenant."""
@@ -74,7 +74,7 @@
     def request_received(self, request: Request) -> FinalResponse | RetryLater | None:
         """Admits the request (None) and keeps its reservation, rejects it, or lets it wait for a pending allocation."""
         spender = self.spender
-        if spender is None or self.faulted or (self._component_stops.off and self.is_unavailable):
+        if spender is None or self.faulted or (self._component_stops.stopped and self.is_unavailable):
             return self._decide_without_spender(request)
         try:
             decision = spender.reserve(
@@ -163,7 +163,7 @@
         self._context, self._tuning = context, tuning
         self._wallet: Wallet | None = None
         self._charger = RequestCharger(tuning, self._demand_changed, component_stops)
-        queries = WalletQueries(context.dispatch, tuning.ask_ms / 1000.0 + SPARE_S, self._charger.has_wallet)
+        queries = WalletQueries(context.dispatch, tuning.ask_ms / 1000.0 + RESPONSE_MARGIN_S, self._charger.has_wallet)
         self.action_handlers = {OperatorResponse: queries.handle_answer}
         self.routes = queries.paths
         self.interceptor = self._charger
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from limenotch.fleet import consensus
-from limenotch.fleet.hub import LOG, ComponentEvent, ComponentHub
+from limenotch.fleet.hub import LOG_PREFIX, ComponentEvent, ComponentHub
 from limenotch.fleet.log_multiplexer import split_states
 from limenotch.fleet.membership import Membership, Tuning
 from limenotch.fleet.rules.endpoint_list_messages import (
@@ -75,7 +75,7 @@
         log = consensus.Consensus(name, self.voters, stored, LOG_TUNING, seed)
         states = split_states(log.state)
         lists = self.components[name] = EndpointLists(name, process_epoch, "d1", self.voters, state=states.get(PREFIX))
-        hub = ComponentHub([("mb.", membership), (LOG, log), (PREFIX, lists)], membership)
+        hub = ComponentHub([("mb.", membership), (LOG_PREFIX, log), (PREFIX, lists)], membership)
         hub.record_snapshot_prefixes(states)
         self.reported[name] = ({}, set())
 
--- a/tests/fleet/rules_bugs.py
+++ b/tests/fleet/rules_bugs.py
@@ -17,8 +17,8 @@
     real = leases.RulesLease.accept_grant
 
     def accept_grant(self: leases.RulesLease, now: float, grant: messages.LeaseGrant) -> bool:
-        if grant.serial in self._asked:
-            self._asked[grant.serial] = now
+        if grant.serial in self._requests:
+            self._requests[grant.serial] = now
         return real(self, now, grant)
 
     patch.setattr(leases.RulesLease, "accept_grant", accept_grant)
--- a/tests/fleet/test_fleet_off.py
+++ b/tests/fleet/test_fleet_off.py
@@ -1,4 +1,4 @@
-"""Without a `[fleet]` table nothing of the fleet is imported or opened; with one, exactly two sockets more are."""
+"""Without a `[fleet]` table nothing of the fleet is imported or opened; with one, exactly two more sockets are open."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 KEY = "sixteen bytes ok"
-# As `python -m limenotch serve`, and at the end the names of all modules there are.
+# As `python -m limenotch serve`; prints the names of all imported modules at the end.
 RUN = """
 import json, sys
 from limenotch.cli import main
@@ -33,7 +33,7 @@
 finally:
     print(json.dumps(sorted(sys.modules)))
 """
-FLEET = (
+FLEET_MODULES = (
     "limenotch.fleet",
     "limenotch.store",
     "limenotch.net.peer_transport",
@@ -48,18 +48,18 @@
 )
 
 
-def of_the_fleet(modules: list[str]) -> list[str]:
-    return [name for name in modules if name.startswith(FLEET)]
+def fleet_modules(modules: list[str]) -> list[str]:
+    return [name for name in modules if name.startswith(FLEET_MODULES)]
 
 
 class Sidecar:
-    """A process that serves calls, as the program does."""
+    """A process of the program that serves requests."""
 
     def __init__(self, process: asyncio.subprocess.Process, port: int, admin: int, fleet: int) -> None:
         self.process, self.port, self.admin, self.fleet = process, port, admin, fleet
 
     def sockets(self) -> Counter[str]:
-        """What it has open, by kind."""
+        """Its open sockets, by kind."""
         folder = Path(f"/proc/{self.process.pid}")
         inodes = set()
         for link in (folder / "fd").iterdir():
@@ -73,14 +73,14 @@
                     found[kind] += 1  # datagrams, and listeners
         return found
 
-    async def told(self) -> dict[str, Any]:
+    async def status(self) -> dict[str, Any]:
         answer = await ask(self.admin, b"GET /fleet HTTP/1.1\r\n\r\n")
         assert answer.status == 200
-        told: dict[str, Any] = json.loads(answer.body)
-        return told
+        status: dict[str, Any] = json.loads(answer.body)
+        return status
 
     async def end(self) -> list[str]:
-        """In order; the modules that were there."""
+        """Shut the process down gracefully; the modules that it had imported."""
         self.process.send_signal(signal.SIGTERM)
         out, _ = await asyncio.wait_for(self.process.communicate(), 20)
         assert self.process.returncode == 0
@@ -92,13 +92,13 @@
 async def serving(
     folder: Path, name: str = "n", fleet: str | None = None, port: int = 0, key: str = KEY
 ) -> AsyncIterator[Sidecar]:
-    """`fleet`: the table's further lines; None: no table."""
+    """`fleet`: more lines of the table; None: no table."""
     handler, _ = answering(whole(200))
-    provider = await asyncio.start_server(handler, "127.0.0.1", 0)
-    listed = [
+    endpoint = await asyncio.start_server(handler, "127.0.0.1", 0)
+    endpoints = [
         {
             "name": "a",
-            "address": "127.0.0.1:%d" % provider.sockets[0].getsockname()[1],  # noqa: UP031
+            "address": "127.0.0.1:%d" % endpoint.sockets[0].getsockname()[1],  # noqa: UP031
             "zone": "a",
             "status": "in_service",
         }
@@ -114,7 +114,7 @@
                 "seed": "1f",
                 "admin_addr": f"127.0.0.1:{ports[1]}",
                 "settings": SETTINGS,
-                "known": {"index": 3, "snapshot": True, "endpoints": listed},
+                "known": {"index": 3, "snapshot": True, "endpoints": endpoints},
             }
         )
     )
@@ -146,33 +146,33 @@
         if process.returncode is None:
             process.kill()
             await process.wait()
-        provider.close()
+        endpoint.close()
 
 
-def test_off_nothing_of_it_is_imported_or_opened_and_on_two_sockets_are(tmp_path: Path) -> None:
+def test_without_the_table_nothing_is_imported_or_opened_and_with_it_two_sockets_are(tmp_path: Path) -> None:
     async def case() -> None:
         async with serving(tmp_path) as off, serving(tmp_path, "on", "") as on:
             async with asyncio.timeout(20):
-                while not (await on.told())["listening"]:
+                while not (await on.status())["listening"]:
                     await asyncio.sleep(0.02)
             assert off.sockets() == {"tcp": 2} and on.sockets() == {"tcp": 3, "udp": 1}
             assert (await ask(off.admin, b"GET /fleet HTTP/1.1\r\n\r\n")).status == 404
             assert (await ask(on.admin, b"POST /fleet HTTP/1.1\r\nContent-Length: 0\r\n\r\n")).status == 405
-            told = await on.told()
-            assert (told["name"], told["group"], told["at"]) == ("on", "g", f"127.0.0.1:{on.fleet}")
-            assert told["dropped"]["digest"] == 0 and told["streams"]["accepted"] == 0 and told["life"] > 0
-            assert of_the_fleet(await off.end()) == []
-            assert of_the_fleet(await on.end())  # so that the names looked for are those that would be there
+            status = await on.status()
+            assert (status["name"], status["group"], status["at"]) == ("on", "g", f"127.0.0.1:{on.fleet}")
+            assert status["dropped"]["digest"] == 0 and status["streams"]["accepted"] == 0 and status["life"] > 0
+            assert fleet_modules(await off.end()) == []
+            assert fleet_modules(await on.end())  # so that the prefixes are those of modules that exist
 
     asyncio.run(case())
 
 
-def test_the_benches_run_without_settings() -> None:
+def test_the_deployed_command_has_no_settings() -> None:
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert run.split()[-3:] == ["-m", "limenotch", "serve"] and "SETTINGS" not in run and "--settings" not in run
 
 
-def test_the_fleet_s_descriptors_are_taken_from_the_limit_only_where_it_is_on() -> None:
+def test_descriptors_are_reserved_for_the_fleet_only_if_it_is_on() -> None:
     for limit in (64, 1024):
         off, on = DescriptorLimits(limit), DescriptorLimits(limit, DescriptorSettings(), 74)
         left = max(limit - DescriptorSettings().reserve - MAX_OPERATOR_CONNECTIONS - 74, 8)
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("name", ["limenotch.settings", "limenotch.app", "limenotch.cli.serve"])
-def test_what_is_imported_by_the_name_alone(name: str) -> None:
+def test_importing_the_program_imports_nothing_of_the_fleet(name: str) -> None:
     async def case() -> bytes:
         code = f"import sys, json, {name}; print(json.dumps(sorted(sys.modules)))"
         process = await asyncio.create_subprocess_exec(
@@ -191,4 +191,4 @@
         )
         return (await process.communicate())[0]
 
-    assert of_the_fleet(json.loads(asyncio.run(case()))) == []
+    assert fleet_modules(json.loads(asyncio.run(case()))) == []
--- a/tests/fleet/test_log_storage.py
+++ b/tests/fleet/test_log_storage.py
@@ -33,7 +33,7 @@
     """Polls GET /fleet until it shows the expected values; the time limit only stops a broken program."""
     async with asyncio.timeout(20):
         while True:
-            status: dict[str, Any] = (await sidecar.told())["parts"]["agreement"]
+            status: dict[str, Any] = (await sidecar.status())["parts"]["agreement"]
             if expected.items() <= status.items():
                 return status
             await asyncio.sleep(0.02)
@@ -76,7 +76,7 @@
         segment.write_bytes(data)
         async with serving(tmp_path, "n", table(tmp_path)) as third:
             async with asyncio.timeout(20):
-                while not (await third.told())["members"]:
+                while not (await third.status())["members"]:
                     await asyncio.sleep(0.02)
             state = await wait_for_status(third, role="none")
             assert "damaged" in state["why"] and segment.name in state["why"]
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -377,7 +377,7 @@
 ) -> tuple[RequestCharger, FakeSpender]:
     sent = events if events is not None else []
     charger = RequestCharger(
-        Tuning(tenants=("acme",), cost=cost or {}), lambda: sent.append(1), SimpleNamespace(off=())
+        Tuning(tenants=("acme",), cost=cost or {}), lambda: sent.append(1), SimpleNamespace(stopped=())
     )
     return charger, FakeSpender()
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames: what comes out is what went in, whatever else comes is named and counted, old and new programs talk."""
+"""Frames: round trips, invalid frames dropped by fault, and compatibility of old and new programs."""
 
 from __future__ import annotations
 
@@ -8,15 +8,24 @@
 from hypothesis import strategies as st
 
 from limenotch.fleet.interfaces import Message
-from limenotch.fleet.wire import DIGEST, MOST_FRAME, MOST_NAME, FrameCodec, FrameFault, FrameReader, Hello, with_length
+from limenotch.fleet.wire import (
+    DIGEST_BYTES,
+    MAX_FRAME_BYTES,
+    MAX_NAME_LENGTH,
+    FrameCodec,
+    FrameFault,
+    FrameReader,
+    Hello,
+    with_length,
+)
 
-from .fake_messages import ALL, Block, Line, Probe
+from .fake_messages import ALL_MESSAGES, Block, Line, Probe
 
 KEY = b"sixteen bytes ok"
 
 
-def wire(key: bytes = KEY, group: str = "g", **more: tuple[int, int]) -> FrameCodec:
-    return FrameCodec(key, group, ALL, **more)
+def make_codec(key: bytes = KEY, group: str = "g", **more: tuple[int, int]) -> FrameCodec:
+    return FrameCodec(key, group, ALL_MESSAGES, **more)
 
 
 MESSAGES = st.one_of(
@@ -27,49 +36,49 @@
 )
 
 
-@given(st.text(min_size=1, max_size=MOST_NAME), MESSAGES)
-def test_what_comes_out_is_what_went_in(sender: str, message: Message) -> None:
-    one = wire()
-    assert one.decode(one.encode(sender, message)) == (sender, message)
-    assert not any(one.faults.values())
+@given(st.text(min_size=1, max_size=MAX_NAME_LENGTH), MESSAGES)
+def test_a_message_is_decoded_as_it_was_encoded(sender: str, message: Message) -> None:
+    codec = make_codec()
+    assert codec.decode(codec.encode(sender, message)) == (sender, message)
+    assert not any(codec.faults.values())
 
 
 @given(MESSAGES, st.data())
-def test_any_byte_flipped_and_any_cut_is_dropped(message: Message, data: st.DataObject) -> None:
-    one = wire()
-    frame = bytearray(one.encode("a", message))
-    place = data.draw(st.integers(0, len(frame) - 1))
-    cut = one.decode(bytes(frame[:place]))
-    assert cut is (FrameFault.SHORT if place <= DIGEST else FrameFault.DIGEST)
-    frame[place] ^= data.draw(st.integers(1, 255))
-    assert one.decode(bytes(frame)) is FrameFault.DIGEST
-    assert sum(one.faults.values()) == 2
+def test_any_changed_byte_and_any_truncation_is_dropped(message: Message, data: st.DataObject) -> None:
+    codec = make_codec()
+    frame = bytearray(codec.encode("a", message))
+    position = data.draw(st.integers(0, len(frame) - 1))
+    cut = codec.decode(bytes(frame[:position]))
+    assert cut is (FrameFault.SHORT if position <= DIGEST_BYTES else FrameFault.DIGEST)
+    frame[position] ^= data.draw(st.integers(1, 255))
+    assert codec.decode(bytes(frame)) is FrameFault.DIGEST
+    assert sum(codec.faults.values()) == 2
 
 
 @given(st.binary(max_size=300))
-def test_garbage_is_dropped_with_and_without_the_key(data: bytes) -> None:
-    one = wire()
-    assert one.decode(data) in (FrameFault.SHORT, FrameFault.DIGEST)
-    found = one.decode(one._digest(b"\x01" + data) + b"\x01" + data)  # from a program that has the key and is broken
-    assert found in (FrameFault.MALFORMED, FrameFault.GROUP, FrameFault.KIND)
+def test_random_bytes_are_dropped_with_and_without_a_valid_digest(data: bytes) -> None:
+    codec = make_codec()
+    assert codec.decode(data) in (FrameFault.SHORT, FrameFault.DIGEST)
+    fault = codec.decode(codec._digest(b"\x01" + data) + b"\x01" + data)  # from a faulty program that has the key
+    assert fault in (FrameFault.MALFORMED, FrameFault.GROUP, FrameFault.KIND)
 
 
-def test_nesting_without_end_is_dropped() -> None:
-    one = wire()
+def test_deeply_nested_messages_are_dropped() -> None:
+    codec = make_codec()
     for deep in (b"\x91" * 100_000, b"\x93\xa1g\xa1a" + b"\x91" * 100_000):
-        assert one.decode(one._digest(b"\x01" + deep) + b"\x01" + deep) is FrameFault.MALFORMED
-
-
-def test_another_key_or_group_or_kind() -> None:
-    one = wire()
-    assert one.decode(wire(KEY[::-1]).encode("a", Probe(1))) is FrameFault.DIGEST
-    assert one.decode(wire(group="h").encode("a", Probe(1))) is FrameFault.GROUP
-    assert FrameCodec(KEY, "g", (Probe,)).decode(one.encode("a", Line("x"))) is FrameFault.KIND
-    assert FrameCodec(KEY, "g", ()).decode(one.encode("a", Line("x"))) is FrameFault.KIND
-    assert one.decode(one.encode("a", Probe("no number"))) is FrameFault.MALFORMED  # type: ignore[arg-type]
-    assert one.decode(one.encode("a", Block(bytes(MOST_FRAME)))) is FrameFault.TOO_LONG
-    assert one.decode(one.encode("a", Block(bytes(2000))), 1200) is FrameFault.TOO_LONG
-    assert one.faults == {
+        assert codec.decode(codec._digest(b"\x01" + deep) + b"\x01" + deep) is FrameFault.MALFORMED
+
+
+def test_another_key_group_or_kind_is_dropped() -> None:
+    codec = make_codec()
+    assert codec.decode(make_codec(KEY[::-1]).encode("a", Probe(1))) is FrameFault.DIGEST
+    assert codec.decode(make_codec(group="h").encode("a", Probe(1))) is FrameFault.GROUP
+    assert FrameCodec(KEY, "g", (Probe,)).decode(codec.encode("a", Line("x"))) is FrameFault.KIND
+    assert FrameCodec(KEY, "g", ()).decode(codec.encode("a", Line("x"))) is FrameFault.KIND
+    assert codec.decode(codec.encode("a", Probe("no number"))) is FrameFault.MALFORMED  # type: ignore[arg-type]
+    assert codec.decode(codec.encode("a", Block(bytes(MAX_FRAME_BYTES)))) is FrameFault.TOO_LONG
+    assert codec.decode(codec.encode("a", Block(bytes(2000))), 1200) is FrameFault.TOO_LONG
+    assert codec.faults == {
         **dict.fromkeys(FrameFault, 0),
         FrameFault.DIGEST: 1,
         FrameFault.GROUP: 1,
@@ -78,23 +87,23 @@
     }
 
 
-def test_versions_of_a_roll() -> None:
-    """The old program speaks 1, the one in between 1 and 2, the new one 2 alone: neighbours understand each other."""
-    old, both, new = wire(), wire(spoken=(1, 2)), wire(spoken=(2, 3))
-    said = ("a", Probe(1))
-    assert old.decode(both.encode(*said)) == both.decode(old.encode(*said)) == both.decode(new.encode(*said)) == said
-    assert old.decode(new.encode(*said)) is new.decode(both.encode(*said)) is FrameFault.VERSION
+def test_versions_during_a_rolling_upgrade() -> None:
+    """The old program accepts 1, the one in between 1 and 2, the new one from 2: neighbours understand each other."""
+    old, both, new = make_codec(), make_codec(versions=(1, 2)), make_codec(versions=(2, 3))
+    sent = ("a", Probe(1))
+    assert old.decode(both.encode(*sent)) == both.decode(old.encode(*sent)) == both.decode(new.encode(*sent)) == sent
+    assert old.decode(new.encode(*sent)) is new.decode(both.encode(*sent)) is FrameFault.VERSION
     assert old.faults[FrameFault.VERSION] == 1
 
 
-def test_fields_added_at_the_end_are_skipped_by_the_old_and_filled_in_by_the_new() -> None:
+def test_added_fields_are_skipped_by_old_programs_and_defaulted_by_new_ones() -> None:
     class Newer(Message, frozen=True, tag="mb.probe"):
         number: int
         about: str = ""
         more: tuple[int, ...] = ()
         last: float = 0.5
 
-    old, new = wire(), FrameCodec(KEY, "g", (Newer,))
+    old, new = make_codec(), FrameCodec(KEY, "g", (Newer,))
     assert old.decode(new.encode("a", Newer(7, "b", (1, 2), 1.5))) == ("a", Probe(7, "b"))
     assert new.decode(old.encode("a", Probe(7, "b"))) == ("a", Newer(7, "b", (), 0.5))
     body = b"\x01" + msgspec.msgpack.encode(["g", "a", Probe(7), {"a field of the frame": 1}])
@@ -102,42 +111,42 @@
 
 
 @pytest.mark.parametrize(
-    "made",
+    "create",
     [
-        lambda: FrameCodec(b"short", "g", ALL),
-        lambda: FrameCodec(b"l" * 65, "g", ALL),
-        lambda: FrameCodec(KEY, "", ALL),
+        lambda: FrameCodec(b"short", "g", ALL_MESSAGES),
+        lambda: FrameCodec(b"l" * 65, "g", ALL_MESSAGES),
+        lambda: FrameCodec(KEY, "", ALL_MESSAGES),
         lambda: FrameCodec(KEY, "g", (Probe, Probe)),
-        lambda: wire(spoken=(2, 1)),
-        lambda: wire().encode("", Probe(1)),
-        lambda: wire().encode("x" * (MOST_NAME + 1), Probe(1)),
+        lambda: make_codec(versions=(2, 1)),
+        lambda: make_codec().encode("", Probe(1)),
+        lambda: make_codec().encode("x" * (MAX_NAME_LENGTH + 1), Probe(1)),
     ],
 )
-def test_what_can_not_be_made(made: object) -> None:
+def test_invalid_keys_names_and_versions_raise(create: object) -> None:
     with pytest.raises(ValueError):
-        made()  # type: ignore[operator]
+        create()  # type: ignore[operator]
 
 
-@given(st.lists(st.binary(min_size=DIGEST + 1, max_size=60), max_size=6), st.integers(1, 50))
-def test_a_stream_is_cut_into_frames_however_it_comes(sent: list[bytes], step: int) -> None:
-    whole, frames, got = b"".join(with_length(each) for each in sent), FrameReader(), []
-    for at in range(0, len(whole), step):
-        frames.feed(whole[at : at + step])
-        while (frame := frames.take()) is not None:
-            got.append(frame)
-    assert got == sent
+@given(st.lists(st.binary(min_size=DIGEST_BYTES + 1, max_size=60), max_size=6), st.integers(1, 50))
+def test_a_stream_is_split_into_frames_in_pieces_of_any_size(sent: list[bytes], step: int) -> None:
+    data, frames, received = b"".join(with_length(each) for each in sent), FrameReader(), []
+    for offset in range(0, len(data), step):
+        frames.feed(data[offset : offset + step])
+        while (frame := frames.next_frame()) is not None:
+            received.append(frame)
+    assert received == sent
 
 
-def test_a_stream_s_lengths_are_bounded() -> None:
+def test_frame_lengths_on_a_stream_are_bounded() -> None:
     for length, fault in [
-        (MOST_FRAME + 1, FrameFault.TOO_LONG),
+        (MAX_FRAME_BYTES + 1, FrameFault.TOO_LONG),
         (2**32 - 1, FrameFault.TOO_LONG),
-        (DIGEST, FrameFault.SHORT),
+        (DIGEST_BYTES, FrameFault.SHORT),
         (0, FrameFault.SHORT),
     ]:
         frames = FrameReader()
         frames.feed(length.to_bytes(4, "big"))
-        assert frames.take() is fault
+        assert frames.next_frame() is fault
     frames = FrameReader()
-    frames.feed(with_length(bytes(MOST_FRAME)))
-    assert frames.take() == bytes(MOST_FRAME) and frames.take() is None
+    frames.feed(with_length(bytes(MAX_FRAME_BYTES)))
+    assert frames.next_frame() == bytes(MAX_FRAME_BYTES) and frames.next_frame() is None
