--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -243,7 +243,7 @@
         target = {
             "the component": "limenotch.fleet.wallet.core.Wallet.handle",
             "the spender": "limenotch.fleet.wallet.allocations.Spender.reserve",
-            "the log": "limenotch.fleet.consensus.Agreement.handle",
+            "the log": "limenotch.fleet.consensus.Consensus.handle",
         }
         monkeypatch.setattr(target[stopped], fault)
         async with asyncio.timeout(20):
