--- a/limenotch/net/discovery/__init__.py
+++ b/limenotch/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: when the endpoint list is queried, the watch that follows it, and the parsing of what it sends."""
+"""The client of discovery: when it queries the endpoint list, its watches, and the parsing of what they receive."""
--- a/limenotch/net/discovery/client.py
+++ b/limenotch/net/discovery/client.py
@@ -1,6 +1,6 @@
-"""The client of discovery: follows the endpoint list over a watch, as long as its connection lasts.
+"""The client of discovery: it follows the endpoint list over a watch, a response that lasts as long as its connection.
 
-`DiscoveryState` decides when to query and when to give up a query; here that is carried out on sockets.
+`DiscoveryState` decides when to start a query and when to give one up; this module carries that out on sockets.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 log = logs.get(__name__)
 
-MAX_READ = 64 * 1024  # bytes at once
+MAX_READ_BYTES = 64 * 1024  # in one read
 
 ListCallback = Callable[[list[DiscoveredEndpoint], bool], None]  # entries; whether the list is complete
 
@@ -48,8 +48,9 @@
 class DiscoveryClient:
     """Owns the watch. Each watch that fails or ends is reported once by `on_broken`, and replaced after a backoff.
 
-    After a change of address the watch at the old one continues until the new one has sent its list. Ending it first
-    would lose what was received but not processed, and all changes until a congested discovery answers.
+    After discovery has changed its address, the watch at the old address continues until the new address has sent its
+    list. Ending it earlier would lose the bytes that were received but not processed, and all changes until a
+    congested discovery answers.
     """
 
     def __init__(
@@ -61,9 +62,11 @@
         pushed: bool = False,
         random: Random | None = None,
     ) -> None:
-        """Discovery sends an empty line every 2 s while nothing changes; a watch silent for `tuning.silence_s` is
-        broken, though its connection may stay open. `pushed`: discovery is a nearby agent, and a change counts as known
-        as soon as the agent has it.
+        """Each list and each change is passed to `on_list`.
+
+        Discovery sends an empty line every 2 s while nothing changes, so a watch that is silent for `tuning.silence_s`
+        is broken even if its connection stays open. `pushed`: discovery is a nearby agent, and a change counts as known
+        to this process as soon as the agent has it.
         """
         self._address = address
         self._on_list = on_list
@@ -75,8 +78,8 @@
         self._spare_socket = SpareSocket()
         self._spare_socket.reserve(address)
         self._timer: object = None
-        self._fallback_list: EndpointList | None = None  # not used yet; is if discovery stays silent
-        self._version = 0
+        self._fallback_list: EndpointList | None = None  # an earlier list, used only if discovery stays silent
+        self._version = 0  # of the newest list; 0: none, or discovery gave no version
         self._current = False  # whether the watch that received the newest list still runs
         self._queried_at = monotonic()  # s; when that watch sent its query
         self._last_update_at: float | None = None  # s; when a list, a change, or an empty line was last received
@@ -85,14 +88,17 @@
     # The list
 
     def use_known_list(self, raw: dict[str, Any]) -> None:
-        """Uses a list received earlier until discovery answers."""
+        """Uses `raw`, a list that was received earlier, until discovery answers. An invalid list is ignored."""
         known = parse_list(raw)
         if known is not None:
             self._version = known.version or self._version
             self._report_list(known, complete=True)
 
     def use_known_list_after(self, raw: dict[str, Any], wait_s: float) -> None:
-        """Uses it only if discovery sends nothing for `wait_s` seconds; changes from its version are requested."""
+        """Uses `raw`, a list that was received earlier, only if discovery sends nothing for `wait_s` seconds.
+
+        Until then too, discovery is asked for the changes since the version of that list.
+        """
         known = parse_list(raw)
         if known is not None:
             self._version = known.version or self._version
@@ -102,7 +108,7 @@
     def _use_fallback_list(self) -> None:
         known = self._take_fallback_list()
         if known is not None:
-            log.warning("discovery: silent; earlier list used")
+            log.warning("discovery did not answer in time; using an earlier endpoint list")
             self._report_list(known, complete=True)
 
     def _take_fallback_list(self) -> EndpointList | None:
@@ -111,7 +117,7 @@
         return known
 
     def export_list(self, endpoints: Iterable[DiscoveredEndpoint]) -> dict[str, Any]:
-        """The list for `import_list` of the next process, with the address and version that it is from."""
+        """`endpoints` as a list for `import_list` of the next process, with the address and version that it is from."""
         entries = [
             {
                 "name": endpoint.name,
@@ -128,19 +134,22 @@
         return {"from": host_port(self._address), "index": self._version, "snapshot": True, "endpoints": entries}
 
     def import_list(self, raw: dict[str, Any]) -> None:
-        """Uses what `export_list` returned in another process. Its version counts only at the same address."""
+        """Uses a list that `export_list` returned in another process.
+
+        The version of the list is kept only if that process had it from the same address of discovery.
+        """
         self.use_known_list(raw)
         if raw.get("from") != host_port(self._address):
             self._version = 0
 
     def position(self) -> tuple[Address, int, bool, float]:
-        """Discovery's address, the version of the list (0: it has none), whether the watch that received it still runs,
-        and how many ms ago that sent its query.
+        """Discovery's address, the version of the newest list (0: it has none), whether the watch that received this
+        list still runs, and how many milliseconds ago that watch sent its query.
         """
         return self._address, self._version, self._current, (monotonic() - self._queried_at) * 1000.0
 
     def silence_ms(self) -> float:
-        """Milliseconds from the last update to the one being processed; infinite if there was none."""
+        """Milliseconds since the last update before the one being processed; infinite if there was none."""
         return math.inf if self._last_update_at is None else (monotonic() - self._last_update_at) * 1000.0
 
     def _report_list(self, received: EndpointList, complete: bool = False) -> None:
@@ -157,11 +166,11 @@
     # The watch
 
     def watch(self) -> None:
-        """Starts to follow the list; a watch that fails is replaced from now on."""
+        """Starts to follow the list. From now on a watch that fails is replaced."""
         self._handle(WatchRequested())
 
     def move(self, address: Address) -> None:
-        """Discovery is at another address from now on; updates from the old one count until that one answers."""
+        """Sets discovery's address. Updates from the old address are used until the new one has sent its list."""
         if address == self._address:
             return
         self._address = address
@@ -169,11 +178,11 @@
         self._handle(AddressChanged())
 
     def set_pushed(self, pushed: bool) -> None:
-        """Whether discovery is an agent whose changes count before they are received; from the next failure on."""
+        """Sets whether discovery is a nearby agent (see `__init__`); applies from the next failure of a watch on."""
         self._state.pushed = pushed
 
     def close(self) -> None:
-        """Ends all watches for good."""
+        """Ends all watches; no further query is sent."""
         self._cancel_timer()
         self._drop()
         self._retired.close()
@@ -185,7 +194,7 @@
                 self._watch = watch = Watch(self._address)
                 watch.task = asyncio.get_running_loop().create_task(self._run(watch))
             elif action is Action.RETIRE_WATCH:
-                self._log_end("discovery: watch retired", moved=isinstance(event, AddressChanged))
+                self._log_end("discovery watch retired", moved=isinstance(event, AddressChanged))
                 self._retire()
             else:
                 self._report_broken()
@@ -203,7 +212,8 @@
 
     def _handle_timer(self) -> None:
         if self._watch is not None and self._watch.has_unprocessed_result:
-            # After a pause of the process timers and bytes are due together: the bytes come first.
+            # After a pause of the whole process the timer has expired and bytes have arrived: the bytes are processed
+            # first, as they may show that the watch is alive.
             self._loop.add_callback(self._handle_timer)
         else:
             self._handle(TimerExpired())
@@ -220,7 +230,7 @@
         return watch
 
     def _retire(self) -> None:
-        """The watch continues until its successor has received its list."""
+        """Replaces the current watch, which continues until its successor has received its list."""
         watch = self._detach_watch()
         if watch is not None:
             self._retired.add(watch)
@@ -236,7 +246,7 @@
         try:
             self._on_broken()
         except Exception:  # a fault of the callback must not end the queries
-            log.exception("discovery: fault")
+            log.exception("discovery client: internal error in the callback for a failed watch")
 
     async def _run(self, watch: Watch) -> None:
         closed = False
@@ -246,9 +256,9 @@
         except (StreamClosedError, OSError, http1.MalformedError) as error:
             closed = isinstance(error, StreamClosedError) and error.real_error is None
             if watch is self._watch:
-                self._log_end("discovery: watch ended", error=str(getattr(error, "real_error", None) or error))
+                self._log_end("discovery watch ended", error=str(getattr(error, "real_error", None) or error))
         except Exception:
-            log.exception("discovery: fault")
+            log.exception("discovery client: internal error in a watch")
         finally:
             if watch.stream is not None:
                 watch.stream.close()
@@ -259,7 +269,10 @@
             self._handle(WatchEnded(closed))
 
     def _take_socket(self) -> socket.socket:
-        """For the next query; retired watches release their descriptors for it. Raises OSError if none is left."""
+        """A socket for the next query; retired watches are closed to free a descriptor for it.
+
+        Raises OSError if no descriptor is left and there is no retired watch to close.
+        """
         while True:
             try:
                 return self._spare_socket.take(self._address)
@@ -268,23 +281,23 @@
                     raise
 
     async def _follow(self, watch: Watch) -> None:
-        """Sends the query and processes the response to its end.
+        """Sends the query of the watch and processes the response to its end.
 
-        Raises StreamClosedError, OSError, or MalformedError for a response that is no stream of lists.
+        Raises StreamClosedError or OSError, and MalformedError for a response that is not a stream of lists.
         """
         stream = await self._send_query(watch)
         response = json_stream.JsonStreamResponse()
         while not response.complete:
             pending_before = response.pending_bytes
             lines_before = response.lines_received
-            documents = response.feed(await watch.wait(stream.read_bytes(MAX_READ, partial=True)))
+            documents = response.feed(await watch.wait(stream.read_bytes(MAX_READ_BYTES, partial=True)))
             if response.head is not None and response.head.status != 200:
-                raise http1.MalformedError(502, f"no list: status {response.head.status}")
+                raise http1.MalformedError(502, f"discovery answered with status {response.head.status}")
             if documents:
                 self._process_documents(watch, documents)
-            if watch is not self._watch and watch not in self._retired:  # processing its list has ended it
+            if watch is not self._watch and watch not in self._retired:  # closed while its list was processed
                 return
-            # Empty lines keep a watch alive, but not one whose list is incomplete: its changes would never arrive.
+            # Empty lines show that a watch is alive, except within an incomplete list: its rest might never arrive.
             line_received = response.lines_received > lines_before and not response.pending_bytes
             if documents or line_received:
                 self._last_update_at = monotonic()
@@ -293,7 +306,7 @@
                 self._handle_progress(watch, LineReceived())
 
     async def _send_query(self, watch: Watch) -> IOStream:
-        log.info("directory: asked", at=host_port(watch.address), since=self._version)  # lab/timeline.py counts it
+        log.info("directory: asked", at=host_port(watch.address), since=self._version)  # counted by lab/timeline.py
         stream = watch.stream = IOStream(self._take_socket())
         watch.version = self._version
         await watch.wait(stream.connect(watch.address))
@@ -306,16 +319,17 @@
         return stream
 
     def _handle_progress(self, watch: Watch, event: schedule.Event) -> None:
-        """Progress of the current watch is an event; of a retired one it only shows that it is alive."""
+        """Handles the progress of a watch: an event if it is the current one, a sign of life if it is retired."""
         if watch is self._watch:
             self._handle(event)
         else:
             self._retired.restart_silence_timer(watch)
 
     def _process_documents(self, watch: Watch, documents: list[bytes]) -> None:
-        """Reports documents that were received together as one list: it may change a thousand times within a second.
+        """Reports documents that were received together as one list: there may be a thousand changes in a second.
 
-        Raises MalformedError if one is no list, after those before it: its changes would be missing from then on.
+        Raises MalformedError if a document is not a list, after reporting those before it: the watch has to end, as
+        the changes in that document would be missing from then on.
         """
         lists = list[EndpointList]()
         try:
@@ -327,18 +341,18 @@
                 self._accept_list(watch, received)
 
     def _parse_document(self, watch: Watch, document: bytes) -> EndpointList:
-        """Raises MalformedError if it is no list."""
+        """A document as a list. Raises MalformedError if it is not one."""
         received = None
         with contextlib.suppress(ValueError):
             received = parse_list(json.loads(document))
         if received is None:
             if watch is self._watch and not watch.list_received:
-                self._version = 0  # the same changes would be as unreadable again
-            raise http1.MalformedError(502, "no list")
+                self._version = 0  # a complete list next time: the same changes would be unreadable again
+            raise http1.MalformedError(502, "discovery sent a document that is not an endpoint list")
         if not watch.list_received:
             watch.list_received = True
             log.info(
-                "discovery: list received",
+                "endpoint list received from discovery",
                 version=received.version,
                 complete=received.complete,
                 entries=len(received.entries),
@@ -348,12 +362,12 @@
         return received
 
     def _accept_list(self, watch: Watch, received: EndpointList) -> None:
-        """Reports the list; of the watches that have received one, only the newest goes on."""
+        """Reports the list and closes all watches older than this one, as the newest list replaces theirs."""
         self._retired.drop_older(watch)
         known = self._take_fallback_list()
         if known is not None and not received.complete:
             self._report_list(known, complete=True)  # the changes since then follow at once
-        resumed = self._watch is None and watch.address == self._address  # no newer query was started
+        resumed = self._watch is None and watch.address == self._address  # retired, and no newer query was started
         if resumed:
             self._retired.discard(watch)
             self._watch = watch
--- a/limenotch/net/discovery/endpoint_list.py
+++ b/limenotch/net/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's lists: parses and validates their entries, and merges several changes to one."""
+"""Discovery's endpoint lists: this module parses and validates their entries, and merges several changes into one."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 log = logs.get(__name__)
 
-MAX_LOGGED_ENTRY = 200  # characters of an invalid entry
+MAX_LOGGED_ENTRY_LENGTH = 200  # characters of an invalid entry
 
 
 class EndpointList(NamedTuple):
-    """A list of endpoints, or the changes in it."""
+    """The complete list of endpoints, or changes of it."""
 
     version: int  # 0: none was given
-    complete: bool  # endpoints that it omits are gone; else it holds changes only
+    complete: bool  # True: endpoints that it omits no longer exist; False: it contains only what has changed
     entries: list[DiscoveredEndpoint]
 
 
@@ -41,14 +41,16 @@
             started_ms=started_ms,
         )
     except (ConfigError, KeyError, ValueError, TypeError, AttributeError) as error:
-        log.warning("discovery: entry skipped", entry=repr(entry)[:MAX_LOGGED_ENTRY], error=str(error))
+        log.warning(
+            "invalid entry of the endpoint list skipped", entry=repr(entry)[:MAX_LOGGED_ENTRY_LENGTH], error=str(error)
+        )
         return None
 
 
 def parse_list(raw: Any) -> EndpointList | None:
-    """A complete list or changes, without the invalid entries; None if it is not a list, which is logged."""
+    """A complete list, or changes, without its invalid entries; None if `raw` is not a list, which is logged."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
-        log.warning("discovery: list skipped", error="no list")
+        log.warning("endpoint list rejected", error="expected an object with `endpoints`, a list")
         return None
     version = raw.get("index")
     entries = [parse_endpoint(entry) for entry in raw["endpoints"]]
@@ -60,7 +62,7 @@
 
 
 def merge_lists(lists: Iterable[EndpointList]) -> EndpointList | None:
-    """Consecutive lists as one: the last entry of each endpoint counts. None if there are none."""
+    """Merges consecutive lists into one, in which the last entry of each endpoint counts; None if there are none."""
     endpoints = dict[str, DiscoveredEndpoint]()
     version = 0
     complete = False
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -1,4 +1,4 @@
-"""A response that carries JSON documents one after another, each parsed as it arrives: the watch of discovery."""
+"""Parser of a response whose body is a sequence of JSON documents, each returned as it arrives: discovery's watch."""
 
 from __future__ import annotations
 
@@ -26,10 +26,13 @@
 
 
 class JsonDocumentParser:
-    """Splits bytes into documents, however they are cut. A document takes one line or, indented, several."""
+    """Splits a sequence of bytes, received in pieces of any size, into documents.
+
+    A document takes one line or, indented, several.
+    """
 
     def __init__(self) -> None:
-        """No bytes received yet."""
+        """Starts at the beginning of a body."""
         self.lines_received = 0  # empty ones included
         self._incomplete_line = bytearray()
         self._lines: list[bytes] = []  # of the incomplete document
@@ -38,11 +41,14 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes of the incomplete document, empty lines not counted."""
+        """The size of the incomplete document in bytes, empty lines not counted."""
         return self._lines_bytes + len(self._incomplete_line.strip())
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The documents that `data` completes, valid or not. Raises MalformedError if one is too long."""
+        """The documents that `data` completes, whether they are valid JSON or not.
+
+        Raises MalformedError if a document is too long.
+        """
         self._incomplete_line += data
         *lines, incomplete_line = self._incomplete_line.split(b"\n")
         self._incomplete_line = incomplete_line
@@ -50,7 +56,7 @@
         documents = list[bytes]()
         for line in lines:
             self._add(bytes(line), documents)
-        # A document counts before the end of its last line, which may be sent only with the next one.
+        # A document is complete without the end of its last line, which may be sent only with the next document.
         if incomplete_line.endswith(b"}"):
             change = nesting_change(bytes(incomplete_line))
             if change is not None and self._depth + change <= 0:
@@ -61,14 +67,14 @@
         return documents
 
     def _add(self, line: bytes, documents: list[bytes]) -> None:
-        """Appends the line to the incomplete document, and that to `documents` once it is complete."""
+        """Appends the line to the incomplete document, and the document to `documents` once it is complete."""
         if not line.strip():
             return
         change = nesting_change(line)
         self._lines.append(line)
         self._lines_bytes += len(line)
         self._depth += change or 0
-        # A line that ends within a string is not JSON: ending the document there leaves the next ones readable.
+        # A line that ends within a string is not JSON: ending the document there keeps the next documents readable.
         if change is None or self._depth <= 0:
             documents.append(b"\n".join(self._lines))
             self._lines = []
@@ -77,17 +83,17 @@
 
 
 class JsonStreamResponse:
-    """Parses the response: its head first, then the documents of its body."""
+    """Parses a response: its head first, then the documents of its body."""
 
     def __init__(self) -> None:
-        """No bytes received yet."""
+        """Starts at the beginning of a response."""
         self.head: Message | None = None
         self._parser = ResponseParser(MAX_DOCUMENT_BYTES)  # a list may be one chunk, or have a Content-Length
         self._body: Body | None = None
         self._documents = JsonDocumentParser()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The documents that `data` completes. Raises MalformedError where it is not HTTP or a document is too long."""
+        """The documents that `data` completes. Raises MalformedError if it is not HTTP or a document is too long."""
         parser = self._parser
         parser.feed(data)
         while self.head is None:
@@ -98,7 +104,7 @@
                 self.head = head
                 self._body = parser._framing(head)
         assert self._body is not None
-        self._body.size = 0  # the stream as a whole has no limit of length, its documents have
+        self._body.size = 0  # the length of the whole stream is not limited, that of each document is
         self._body.take(parser.buffer)
         documents = self._documents.feed(b"".join(self._body.parts))
         self._body.parts.clear()
@@ -106,12 +112,12 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes of the incomplete document."""
+        """The size of the incomplete document in bytes."""
         return self._documents.pending_bytes
 
     @property
     def lines_received(self) -> int:
-        """Lines received, empty ones included."""
+        """The number of lines received, empty ones included."""
         return self._documents.lines_received
 
     @property
--- a/limenotch/net/discovery/schedule.py
+++ b/limenotch/net/discovery/schedule.py
@@ -1,24 +1,25 @@
-"""When to query discovery: a state machine for the watch and its backoff, on one clock and without sockets.
+"""When to query discovery: a state machine for the watch and its backoff, without I/O or a clock of its own.
 
-The clock is the time at which the watch last received anything: a complete line, or the first byte of a list. A query
-that has received no list yet is timed from its start. From any state, with discovery reachable and answering within
-`a` seconds:
+A watch is timed from the last moment at which it received anything: a complete line, or the first byte of a list. A
+query that has received no list yet is timed from its start. From any state, with discovery reachable and answering
+within `a` seconds:
 
     the current query is retired, fails, or receives a line     LIST_TIMEOUT_S after its start at the latest
     the next query starts                                       MAX_QUERY_INTERVAL_S after that start at the latest
     its list is received                                        a later
 
-A change has to be known CHANGE_DEADLINE_S after discovery had it and was reachable, so `a` may be 1 s. For a watch that
-falls silent the same sum holds from its last line on, with `silence_s` in place of LIST_TIMEOUT_S. Where the next query
-is lost too, `silence_s`, the longest first backoff, LIST_TIMEOUT_S and LAST_BACKOFF_S leave half a second.
+A change has to be known here CHANGE_DEADLINE_S after discovery had it and was reachable, so `a` may be 1 s. For a watch
+that falls silent the same sum applies from its last line on, with `silence_s` in place of LIST_TIMEOUT_S. If the next
+query is lost too, `silence_s`, the longest first backoff, LIST_TIMEOUT_S and LAST_BACKOFF_S leave half a second.
 
-A watch that discovery closes in an orderly way may have been closed in place of sending a change, which then has to be
-known after CLOSED_WATCH_DEADLINE_S. Until then the backoff is at most LAST_BACKOFF_S, also after rejections.
+Discovery may close a watch in an orderly way instead of sending a change on it; that change has to be known here within
+CLOSED_WATCH_DEADLINE_S. Until then the backoff is at most LAST_BACKOFF_S, also after rejections.
 
-A query that is retired continues while the next one runs: it keeps its place in discovery's queue, and its list counts
-if it is received first. At a new address a lost query costs MOVE_LIST_TIMEOUT_S + MOVE_BACKOFF_S of the 4 s available,
-and up to MAX_MOVE_DELAY_S more after consecutive moves; updates from the old address count until the new one has sent
-its list. Where lists are pushed, the next query starts at most the last of PUSHED_MAX_BACKOFFS_S after a failure.
+A retired query continues while the next one runs: it keeps its position in discovery's queue, and its list is used if
+it is received first. At a new address a lost query costs MOVE_LIST_TIMEOUT_S + MOVE_BACKOFF_S of the 4 s available,
+and up to MAX_MOVE_DELAY_S more after consecutive moves; updates from the old address are used until the new one has
+sent its list. Where a nearby agent pushes lists, the next query starts at most the last of PUSHED_MAX_BACKOFFS_S after
+a failure.
 """
 
 from __future__ import annotations
@@ -30,94 +31,95 @@
 # Seconds from the start of a query, connecting included, to its list. A congested discovery delays an answer for
 # seconds; such a query is retired, not closed.
 LIST_TIMEOUT_S = 2.25
-# Seconds after discovery had a change and was reachable, by which it has to be known here.
+# Seconds after discovery had a change and was reachable, by which the change has to be known here.
 CHANGE_DEADLINE_S = 6.0
-# Seconds after discovery closed a watch in an orderly way: it may have done so in place of sending a change, which has
-# to be known by then.
+# Seconds after discovery closed a watch in an orderly way: it may have done so instead of sending a change, which has
+# to be known here by then.
 CLOSED_WATCH_DEADLINE_S = 2.0
 # Upper bound of the backoff, in seconds, when little of CHANGE_DEADLINE_S is left, or CLOSED_WATCH_DEADLINE_S runs.
 LAST_BACKOFF_S = 0.25
-# Seconds from the start of a query to the next one at the latest. Shorter intervals of all sidecars together would
-# prolong any congestion of discovery that lasts longer than this.
+# Seconds from the start of a query to the start of the next one at the latest. With shorter intervals in all sidecars,
+# a congestion of discovery that lasts longer than this would not end.
 MAX_QUERY_INTERVAL_S = 5.0
-# Upper bounds of the backoff in seconds after the first, second and any later consecutive failure. Many sidecars in
-# step keep discovery congested.
+# Upper bounds of the backoff in seconds after the first, second and any later consecutive failure. Many sidecars that
+# query at the same time would keep discovery congested.
 MAX_BACKOFFS_S = (0.5, 1.0, 2.0)
 # From the second consecutive failure on, when a query was rejected and CHANGE_DEADLINE_S has not passed, the upper
-# bound of the backoff is a base (seconds) plus a part of each second left, up to a maximum (seconds). A discovery at
-# capacity serves few, and those without a list for longest are to come first.
+# bound of the backoff is a base (seconds) plus a fraction of the time left until then, up to a maximum (seconds).
+# Discovery at capacity serves few sidecars, and those without a list for longest are to be served first.
 REFUSED_BACKOFF_BASE_S = 0.6
 REFUSED_BACKOFF_PER_SECOND = 0.6
 MAX_REFUSED_BACKOFF_S = 4.0
-# Seconds: a query that fails after this or later was queued by discovery; one that is down rejects at once.
+# Seconds from the start of a query: if it fails later than that, discovery had queued it. A discovery that is down
+# rejects at once.
 MIN_QUEUED_S = 1.0
-# Factor of the backoff after a queued query: each one waits because of the number of queries.
+# Factor of the backoff after a queued query: queries wait because there are too many of them.
 QUEUED_FACTOR = 1.5
-# Part of the upper bound that is always waited; the rest is drawn at random.
-MIN_BACKOFF_PART = 0.2
-# Seconds: a watch that ends sooner after the start of its query is one more consecutive failure.
+# Fraction of the upper bound that is always waited; the rest is drawn at random.
+MIN_BACKOFF_FRACTION = 0.2
+# Seconds from the start of a query: a watch that ends sooner counts as one more consecutive failure.
 MIN_STABLE_WATCH_S = 0.5
-# Seconds after a move within which failures are attributed to the move and not reported. At a new address the list is
-# to be received within 4 s, however many failures there were at the old one.
+# Seconds after a change of discovery's address (a move) within which failures are attributed to the move and not
+# reported. The list of a new address is to be received within 4 s, however many queries to the old one failed.
 MOVE_GRACE_S = 3.0
 # Seconds from the start of a query to its list, within MOVE_GRACE_S.
 MOVE_LIST_TIMEOUT_S = 2.25
-# Upper bound of the backoff in seconds after a queued query within MOVE_GRACE_S. Queries that are rejected at once back
-# off as at any address.
+# Upper bound of the backoff in seconds after a queued query within MOVE_GRACE_S. After a query that was rejected at
+# once the backoff is the same as without a move.
 MOVE_BACKOFF_S = 0.25
 # Consecutive moves: each query makes discovery build a complete list, which is useless if the next move follows soon.
-# The new address is queried MOVE_SETTLE_S seconds after the last move, and at the latest MAX_MOVE_DELAY_S seconds
-# after the first move that was delayed.
+# So the new address is queried MOVE_SETTLE_S seconds after the last move, and at the latest MAX_MOVE_DELAY_S seconds
+# after the first move whose query was delayed.
 MOVE_SETTLE_S = 1.0
 MAX_MOVE_DELAY_S = 2.0
-# Seconds. Where lists are pushed the agent is near, and a change counts as soon as the agent has it; the shortest grace
-# period is a quarter of a second.
+# Seconds. A pushed list comes from a nearby agent, and a change counts as known as soon as the agent has it; the
+# shortest grace period for a change is a quarter of a second.
 PUSHED_CONNECT_TIMEOUT_S = 0.5
 PUSHED_MAX_BACKOFFS_S = (0.05, 0.1, 0.2)
 
 
 class WatchState(Enum):
-    """What the machine is doing."""
+    """The states of the machine."""
 
     IDLE = "idle"  # no list was requested yet
-    CONNECTING = "connecting"
-    QUERIED = "asked"  # connected, no list received yet
-    FOLLOWING = "following"  # a list was received, changes follow
-    BACKING_OFF = "waiting"  # until the next query
+    CONNECTING = "connecting"  # a query is connecting to discovery
+    QUERIED = "asked"  # the query is connected and has received no list yet
+    FOLLOWING = "following"  # the query has received a list, and the watch receives its changes
+    BACKING_OFF = "waiting"  # there is no current query until the backoff has passed
 
 
 class WatchRequested(NamedTuple):
-    """The list, and all changes from now on, are needed."""
+    """The endpoint list is needed, and all changes of it from now on."""
 
 
 class Connected(NamedTuple):
-    """The connection of the query is established."""
+    """The connection of the current query is established."""
 
 
 class ListReceived(NamedTuple):
-    """The query received a list, complete or of changes."""
+    """The current query received a list, either a complete one or changes."""
 
 
 class LineReceived(NamedTuple):
-    """The query received an empty line, or the first byte of a list."""
+    """The current query received an empty line, or the first byte of a list."""
 
 
 class WatchEnded(NamedTuple):
-    """The query failed, or the watch ended: rejected, reset, closed, no list, or not parseable."""
+    """The current query failed, or its watch ended: it was rejected, reset or closed, or its response is not a list."""
 
     closed: bool = False  # by discovery, in an orderly way
 
 
 class AddressChanged(NamedTuple):
-    """Discovery is at another address."""
+    """Discovery has moved to another address."""
 
 
 class TimerExpired(NamedTuple):
-    """`DiscoveryState.timer_at` is reached."""
+    """The time `DiscoveryState.timer_at` has come."""
 
 
 class WatchResumed(NamedTuple):
-    """A retired query received its list before the next one started, and becomes the current watch."""
+    """A retired query received its list before the next query started, and becomes the current one again."""
 
 
 Event = (
@@ -126,7 +128,7 @@
 
 
 class Action(Enum):
-    """What the caller is to do, in the order returned."""
+    """What the owner of the machine has to do, in the order returned."""
 
     OPEN_WATCH = "open"  # start a query
     RETIRE_WATCH = "retire"  # the current query continues until the next one has received its list
@@ -136,22 +138,25 @@
 class DiscoveryState:
     """Decides when to start and when to retire a query; at most one query is current at a time.
 
-    The caller passes events with the time in seconds and carries out the actions returned.
+    Its owner passes events with the time in seconds, and carries out the actions returned.
     """
 
     def __init__(self, silence_s: float, random: Random, pushed: bool = False) -> None:
-        """`silence_s`: seconds without a line after which a watch is broken. `pushed`: discovery is a nearby agent."""
+        """`silence_s`: seconds without a line after which a watch is broken. `pushed`: discovery is a nearby agent.
+
+        `random` draws the backoffs.
+        """
         self.silence_s = silence_s
         self.pushed = pushed
         self.state = WatchState.IDLE
         self.timer_at: float | None = None  # when TimerExpired is due
         self._random = random
         self._query_started_at = 0.0  # of the current query, or the last one
-        self._last_line_at = float("-inf")  # when a watch last received anything; nothing is known since
+        self._last_line_at = float("-inf")  # when a watch last received anything
         self._consecutive_failures = 0
-        self._closed_at: float | None = None  # when discovery closed the watch that has no successor yet
-        self._move_grace_until = float("-inf")  # failures before that are attributed to the move
-        self._last_move_at = float("-inf")  # of the address, or of the start of the query that a move had delayed
+        self._closed_at: float | None = None  # when discovery closed a watch in an orderly way, until the next list
+        self._move_grace_until = float("-inf")  # failures before this time are attributed to a move
+        self._last_move_at = float("-inf")  # of the last move, or of the start of the query that moves had delayed
         self._move_delayed_since: float | None = None  # since when consecutive moves delay the next query
 
     @property
@@ -160,7 +165,7 @@
         return self.state in (WatchState.CONNECTING, WatchState.QUERIED, WatchState.FOLLOWING)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """The actions for an event; an event that does not concern the present state has none."""
+        """The actions for an event; none for an event that has no meaning in the current state."""
         match event:
             case WatchRequested():
                 return self._open(now) if self.state is WatchState.IDLE else []
@@ -214,12 +219,12 @@
 
     def _change_address(self, now: float) -> list[Action]:
         retire = [Action.RETIRE_WATCH] if self.query_in_progress else []
-        consecutive = now < self._last_move_at + MOVE_SETTLE_S
+        is_consecutive = now < self._last_move_at + MOVE_SETTLE_S
         self._consecutive_failures = 0
         self._move_grace_until = now + MOVE_GRACE_S
         self._last_move_at = now
-        if consecutive and (retire or self._move_delayed_since is not None):
-            # The old address still serves. Queries to each of the new ones would fill discovery's queue for nobody.
+        if is_consecutive and (retire or self._move_delayed_since is not None):
+            # The old address still sends changes. A query to each new address would only fill discovery's queue.
             if self._move_delayed_since is None:
                 self._move_delayed_since = now
             self.state = WatchState.BACKING_OFF
@@ -248,10 +253,13 @@
 
     def _draw_backoff_s(self, now: float, lost_s: float, queued: bool, refused: bool) -> float:
         max_backoff_s = self._max_backoff_s(now, lost_s, queued, refused)
-        return max_backoff_s * (MIN_BACKOFF_PART + (1 - MIN_BACKOFF_PART) * self._random.random())
+        return max_backoff_s * (MIN_BACKOFF_FRACTION + (1 - MIN_BACKOFF_FRACTION) * self._random.random())
 
     def _max_backoff_s(self, now: float, lost_s: float, queued: bool, refused: bool) -> float:
-        """The upper bound of the backoff; `lost_s`: for how long nothing is known already."""
+        """The upper bound of the backoff in seconds.
+
+        `lost_s`: seconds since the watch that ended last received anything, or since the query that failed started.
+        """
         step = min(self._consecutive_failures, len(MAX_BACKOFFS_S)) - 1
         deadline = self._last_line_at + CHANGE_DEADLINE_S
         if self.pushed:
@@ -268,7 +276,7 @@
         max_backoff_s = MAX_BACKOFFS_S[step] * (QUEUED_FACTOR if queued else 1.0)
         max_backoff_s = min(max_backoff_s, max(MAX_QUERY_INTERVAL_S - lost_s, MAX_BACKOFFS_S[0]))
         if queued and now < deadline:
-            # A rejected query costs a discovery at capacity the time that others need; none is started too early.
+            # Rejecting a query costs discovery at capacity the time that it needs for others: none is started early.
             silent_s = now - self._last_line_at
             max_backoff_s = min(max_backoff_s, max(MAX_QUERY_INTERVAL_S - silent_s, LAST_BACKOFF_S))
         return max_backoff_s
