--- a/limenotch/__init__.py
+++ b/limenotch/__init__.py
@@ -1,3 +1,3 @@
-"""limenotch: a sidecar that balances calls over the providers of one tier, on real sockets."""
+"""limenotch: a sidecar proxy that balances requests over the endpoints of one tier."""
 
 __version__ = "0.1.0"
--- a/limenotch/__main__.py
+++ b/limenotch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m limenotch`."""
+"""Runs the command line as `python -m limenotch`."""
 
 import sys
 
--- a/limenotch/app.py
+++ b/limenotch/app.py
@@ -1,4 +1,4 @@
-"""The program: starts the parts of one process in order, runs them, and ends them in order."""
+"""The program: starts the components of one process in order, runs them, and ends them in order."""
 
 from __future__ import annotations
 
@@ -21,13 +21,17 @@
 
 log = logs.get(__name__)
 
-# Where lists are pushed, the agent's list binds a new process from its first moment: the agent is awaited for so long
-# before an earlier list is used. Enough for an answer, and short against the 6 s that a start may take.
+# Where a nearby agent pushes lists, a new process has to follow the agent's list from its start: an earlier list is
+# used only if the agent has not answered for so many seconds. Enough for an answer, and short compared with the 6 s
+# that a start may take.
 AGENT_TIMEOUT_S = 3.0
 
 
 async def serve(config: Config, settings: Settings = Settings()) -> None:  # noqa: B008 (frozen)
-    """Serve until SIGTERM or SIGINT, then finish the requests taken. Raises OSError if it can't listen."""
+    """Serves until SIGTERM or SIGINT, then finishes the accepted requests.
+
+    Raises OSError if an address to listen on can't be bound.
+    """
     components = Components(config, settings)
     reloader = ConfigurationReloader(components)
     shutdown = ShutdownRequest()
@@ -41,7 +45,7 @@
     use_known_list(components)
     components.ejections.load()
     ejections_poll = PeriodicCallback(components.ejections.reload_if_changed, CHECK_INTERVAL_S * 1000.0)
-    components.discovery.watch()  # also where the load balancer expects the list unasked
+    components.discovery.watch()  # also if the load balancer has not requested it by a command
     start_listening(components, inherited, ejections_poll)
     await components.successor.confirm_serving()
     components.is_serving = True
@@ -51,7 +55,7 @@
 
 
 def import_inherited_state(inherited: InheritedState, discovery: DiscoveryClient, load_balancer: LoadBalancer) -> None:
-    """Take over what the predecessor handed on, as far as it is sound: a fault costs its state, not the start."""
+    """Takes over the predecessor's state. What is invalid is logged and left out: it must not prevent the start."""
     state = inherited.state
     try:
         load_balancer.import_endpoint_ages(state.get("knowledge"))
@@ -62,11 +66,11 @@
     try:
         load_balancer.import_state(state.get("knowledge"))
     except (ValueError, TypeError) as error:
-        log.warning("predecessor's state rejected; starting without it", error=str(error))
+        log.warning("predecessor's learned state rejected; starting without it", error=str(error))
 
 
 def use_known_list(components: Components) -> None:
-    """Use the list that the configuration brings, unless a predecessor handed one over."""
+    """Uses the endpoint list in the configuration, unless the predecessor has handed one over."""
     known_list = components.config.known_list
     if components.has_endpoint_list.is_set() or not known_list:
         return
@@ -77,9 +81,12 @@
 
 
 def start_listening(components: Components, inherited: InheritedState | None, ejections_poll: PeriodicCallback) -> None:
-    """Open the operators' address, the client listener and the fleet's sockets. Raises OSError."""
+    """Opens the operators' address, the client listener and the fleet's sockets.
+
+    Raises OSError if an address can't be bound.
+    """
     config = components.config
-    if config.admin is not None:  # before clients are accepted, whom a process that can't start would lose
+    if config.admin is not None:  # first: a process that can't start must not have accepted clients
         components.admin.listen(config.admin)
         ejections_poll.start()
     listener = components.clients.listen(config.listen, inherited.listener if inherited is not None else None)
@@ -92,4 +99,4 @@
     )
     if components.fleet_node is not None:
         components.fleet_node.start()
-    gc.freeze()  # what stays for good is not looked through again
+    gc.freeze()  # the garbage collector need not examine the objects that exist until the end of the process
--- a/limenotch/config.py
+++ b/limenotch/config.py
@@ -1,4 +1,4 @@
-"""The one place where the platform's configuration, in JSON, is read, checked and given defaults.
+"""Reads and validates the platform's configuration, a JSON file, and adds the defaults.
 
 An error raises ConfigError, whose text names the key.
 """
@@ -21,7 +21,7 @@
 
 MAX_PORT = 65535
 
-# Where the file gives none; sockets and open requests are counts, memory is in MB of 10^6 bytes.
+# Defaults for the file; sockets and open requests are counts, memory is in MB of 10^6 bytes.
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_MAX_OPEN = 20_000
@@ -30,12 +30,12 @@
 
 
 class ConfigError(LimenotchError):
-    """The configuration can't be used; the text names the key."""
+    """The configuration can't be used; the text names the key or the environment's variable."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of one sidecar, as its file and the environment have it."""
+    """The configuration of one sidecar, from its file and the environment."""
 
     name: str
     listen: Address
@@ -44,29 +44,29 @@
     settings: BalancerSettings
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    known_list: dict[str, Any] = field(default_factory=dict)  # the endpoint list as known last, in discovery's form
+    known_list: dict[str, Any] = field(default_factory=dict)  # the last known endpoint list, in discovery's format
     admin: Address | None = None  # where operators' requests are served; None: nowhere
-    state_path: str | None = None  # prefix of the paths that one process leaves to the next; None: nothing is left
+    state_path: str | None = None  # prefix of the paths for hand-over to the next process; None: no hand-over
     sockets: int = DEFAULT_SOCKETS
     memory_mb: float = DEFAULT_MEMORY_MB
     max_open: int = DEFAULT_MAX_OPEN
-    key_paths: frozenset[str] = frozenset()  # the keys of the file, see key_paths_of
-    raw_settings: dict[str, Any] = field(default_factory=dict)  # `settings` as the file has them
+    key_paths: frozenset[str] = frozenset()  # the keys in the file, see key_paths_of
+    raw_settings: dict[str, Any] = field(default_factory=dict)  # `settings` in the file
     endpoint_idle_ms: float = DEFAULT_IDLE_MS
     connect_timeout_ms: float = DEFAULT_CONNECT_MS
 
 
 def address(text: object, key: str) -> Address:
-    """HOST:PORT with a numeric host, as there is no name service. Raises ConfigError, which names `key`."""
+    """Parses HOST:PORT; the host is numeric, as there is no name service. Raises ConfigError, which names `key`."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not colon or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise ConfigError(f"{key}: expected HOST:PORT, not {text!r}")
     return host.strip("[]"), int(port)
 
 
-def host_port(at: Address) -> str:
-    """HOST:PORT, with an IPv6 host in brackets."""
-    host, port = at
+def host_port(socket_address: Address) -> str:
+    """Formats an address as HOST:PORT, with an IPv6 host in brackets."""
+    host, port = socket_address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
@@ -101,7 +101,10 @@
 
 
 def _state_path(folder: str | None, listen: Address) -> str | None:
-    """By the address, as several sidecars may share a folder. A sidecar without a port of its own has no successor."""
+    """The prefix of hand-over paths: with the address, as several sidecars may share the folder.
+
+    None without a folder, and for a sidecar whose port the kernel chooses, as it has no successor.
+    """
     host, port = listen
     if not folder or not port:
         return None
@@ -116,15 +119,15 @@
 
 
 def _overridable(raw: Mapping[str, Any], key: str, environ: Mapping[str, str], variable: str) -> tuple[Any, str]:
-    """The value, and the name of what has it: the environment's variable where that is set, else the file's key."""
+    """A value and its name for errors: of the environment's `variable` if that is set, else of the file's `key`."""
     override = environ.get(variable)
     return (override, variable) if override else (raw.get(key), key)
 
 
 def parse(raw: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
-    """What the file has; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_ADMIN_ADDR override it where they are set.
+    """The configuration in `raw`, the content of the file.
 
-    Raises ConfigError.
+    LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_ADMIN_ADDR override it if they are set in `environ`. Raises ConfigError.
     """
     raw_settings = _object(raw, "settings", "settings")
     if not raw_settings:
@@ -160,18 +163,18 @@
     )
 
 
-# Settings that depend on where a sidecar stands: no rule that a fleet agrees on has them.
+# Settings of a single sidecar: the rules that a fleet agrees on do not contain them.
 SIDECAR_SETTINGS = ("balancers", "rank", "layer", "locality")
 
 
 def initial_document(config: Config) -> dict[str, Any]:
-    """What a fleet may agree on, as this sidecar's file has it: settings, and discovery's address."""
+    """The rules to start with before the fleet has agreed on any: this file's settings and discovery's address."""
     settings = {key: value for key, value in config.raw_settings.items() if key not in SIDECAR_SETTINGS}
     return {"settings": settings, "bans": {}, "directory": host_port(config.discovery)}
 
 
 def with_document(config: Config, document: Mapping[str, Any]) -> Config:
-    """This sidecar's configuration with what was agreed on in place of its file's. Raises ConfigError."""
+    """This sidecar's configuration, with the agreed rules in place of its file's settings. Raises ConfigError."""
     own_settings = {key: config.raw_settings[key] for key in SIDECAR_SETTINGS if key in config.raw_settings}
     raw = {
         "listen": host_port(config.listen),
@@ -190,12 +193,12 @@
     )
 
 
-# Keys that matter at the start only, or may come and go: a file read again may lack them.
+# Keys that are used only at the start, or are optional: a file that is read again may lack them.
 START_ONLY_KEYS = frozenset({"name", "listen", "admin_addr", "seed", "known"})
 
 
 def key_paths_of(raw: Mapping[str, Any]) -> frozenset[str]:
-    """The keys that a file has, by path: of all objects of `settings`, and of its classes those that all have."""
+    """The paths of the keys in a file, except START_ONLY_KEYS; of `settings.classes` the keys that all classes have."""
     paths = {key for key in raw if key not in START_ONLY_KEYS}
     settings = raw.get("settings")
     if not isinstance(settings, dict):
@@ -226,11 +229,11 @@
 
 
 def load(environ: Mapping[str, str], again: Config | None = None) -> Config:
-    """The configuration that the environment points to. Raises ConfigError.
+    """The configuration in the file that LB_CONFIG names. Raises ConfigError.
 
-    `again`: what is in force in a running program that reads its file again. Discovery's address is then the file's
-    (LB_DISCOVERY applies at the start), and the file may lack no key that the file in force has: one that was cut
-    off can still be JSON.
+    `again`: the current configuration of a process that reads its file again. Discovery's address is then the file's,
+    as LB_DISCOVERY applies only at the start, and the file must have every key that the current one has: a file that
+    was cut off may still be valid JSON.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -239,7 +242,7 @@
     if again is not None:
         missing = sorted(again.key_paths - key_paths_of(raw))
         if missing:
-            raise ConfigError(f"{missing[0]}: missing, the file in force has it")
+            raise ConfigError(f"{missing[0]}: missing, but present in the current configuration")
         if raw.get("discovery"):
             environ = {name: value for name, value in environ.items() if name != "LB_DISCOVERY"}
     return parse(raw, environ)
--- a/limenotch/errors.py
+++ b/limenotch/errors.py
@@ -4,4 +4,4 @@
 
 
 class LimenotchError(Exception):
-    """What went wrong and with which value; the text is for operators."""
+    """The text, for operators, describes what went wrong and with which value."""
--- a/limenotch/logs.py
+++ b/limenotch/logs.py
@@ -1,6 +1,6 @@
-"""Logging: structlog over the standard library's, on standard error, as lines for people or as JSON.
+"""Logging with structlog over the standard library, to standard error, as lines for humans or as JSON.
 
-Fields are `call`, `provider`, `account` and whatever else an event has; the event itself is a fixed text.
+The event of a line is a fixed text; its fields are `call`, `provider`, `account` and others that depend on the event.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 
 def tracing() -> bool:
-    """Whether the level is `debug`: checked once at the start, as each line of each request costs time to build."""
+    """Whether the level is `debug`. Checked once when a component is created: even unlogged lines cost time."""
     return logging.getLogger().isEnabledFor(logging.DEBUG)
 
 
 def configure(form: str, level: str, name: str) -> None:
-    """Set logging up for the whole process: one of FORMS, one of LEVELS, and the sidecar's name for every line."""
+    """Sets up logging for the whole process. `form` is one of FORMS, `level` one of LEVELS; each line has `name`."""
 
     def add_sidecar(_: Any, __: str, event: Any) -> Any:
         event["sidecar"] = name
@@ -51,7 +51,7 @@
 
 
 def _renderers(form: str) -> list[Any]:
-    """The last steps, which turn an event into one line or, with a traceback, several."""
+    """The last processors, which render an event as one line or, with a traceback, as several lines."""
     if form == "json":
         return [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(default=repr)]
     traceback = structlog.dev.plain_traceback
--- a/limenotch/net/sockets.py
+++ b/limenotch/net/sockets.py
@@ -116,7 +116,7 @@
         Idle connections to endpoints beyond it are closed.
         """
         shared = max(limit - self._tuning.reserve - self._reserved, MIN_SHARED_DESCRIPTORS)
-        self.clients.limit = int(shared * self._tuning.client_part)
+        self.clients.limit = int(shared * self._tuning.client_fraction)
         self.endpoints.limit = shared - self.clients.limit
         while self.endpoints.used > self.endpoints.limit and self.endpoints.drop_idle():
             pass  # no client is affected
--- a/limenotch/reload.py
+++ b/limenotch/reload.py
@@ -1,4 +1,4 @@
-"""Configuration changes in a running process: a file that is read again, or rules that the fleet has agreed on."""
+"""Configuration changes in a running process: the file is read again, or the fleet has agreed on new rules."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 class ActiveConfiguration:
-    """Puts a configuration in force in the parts that follow one, be it the file's or the one the fleet agreed on."""
+    """Applies a configuration, the file's or the one the fleet agreed on, to the components that depend on it."""
 
     def __init__(self, components: Components) -> None:
         self._components = components
         self._lease_clock_ms: Callable[[], float] = lambda: 0.0
         self._follows_agreed_rules = False
-        self._unannounced: Config | None = None  # in force, but not reported to the fleet's parts without a lease
+        self._unannounced: Config | None = None  # applied, but not reported to the fleet node for lack of a lease
 
     def follow_agreed_rules(self, lease_clock_ms: Callable[[], float]) -> None:
-        """From now on configurations come with leases, counted on this monotonic clock in ms."""
+        """From now on a lease limits how long a configuration is valid; `lease_clock_ms` is monotonic, in ms."""
         self._lease_clock_ms = lease_clock_ms
         self._follows_agreed_rules = True
 
     def announce(self, config: Config) -> None:
-        """Report to the fleet's parts what is in force for the requests to come."""
+        """Reports to the fleet node the configuration that applies to requests from now on."""
         if self._components.fleet_node is not None:
             self._components.fleet_node.config_applied(config)
 
     def apply_config(self, config: Config) -> None:
-        """Put it in force for the requests to come; open ones keep the rules that they arrived under."""
+        """Applies `config` to requests that arrive from now on; open requests keep the rules of their arrival."""
         if self._follows_agreed_rules:
             self._unannounced = config
         else:
@@ -53,14 +53,15 @@
         components.discovery.move(config.discovery)
 
     def set_ejected(self, name: str, ejected: bool, at_ms: float) -> None:
-        """Eject an endpoint by agreed rules, or readmit it at `at_ms` of Unix time."""
+        """Ejects an endpoint by agreed rules, or ends its ejection; `at_ms` (Unix time) is when it ended."""
         self._components.set_ejected(name, ejected, at_ms)
 
     def set_lease(self, until_ms: float, slow_start_divisor: float, reject_without_lease: bool) -> None:
-        """The agreed rules hold until `until_ms` of the lease clock; see LoadBalancer.set_lease."""
+        """Sets until when the agreed rules are valid, on the lease clock; see LoadBalancer.set_lease."""
         now_ms = self._lease_clock_ms()
         if self._unannounced is not None and until_ms > now_ms:
-            # Without a lease classes are more restricted than what is agreed on, and than what endpoints do.
+            # Not earlier: without a lease, request classes are more restricted than the agreed rules, and than what
+            # endpoints do.
             announced = self._unannounced
             self._unannounced = None
             self.announce(announced)
@@ -71,7 +72,7 @@
         )
 
     def request_counts(self) -> tuple[int, int]:
-        """Requests taken so far, and those of them rejected or failed."""
+        """How many requests were accepted so far, and how many were rejected or failed."""
         count = self._components.metrics.count
         return count("taken"), count("deferred") + count("errored")
 
@@ -79,7 +80,7 @@
 def follow_agreed_rules(
     fleet_node: FleetNode, config: Config, active: ActiveConfiguration
 ) -> ConfigurationApplier | None:
-    """Where `[fleet.rules]` is set, what the fleet agrees on takes the place of the file's rules; else None."""
+    """Makes the rules that the fleet agrees on replace the file's; None if there is no `[fleet.rules]` table."""
     if not fleet_node.has_agreed_rules:
         return None
     from .configuration_applier import ConfigurationApplier
@@ -91,7 +92,7 @@
 
 
 class ConfigurationReloader:
-    """Reads the configuration file again on request, and puts all of a sound file in force or nothing of it."""
+    """Reads the configuration file again on request, and applies it if it is valid; otherwise nothing changes."""
 
     def __init__(self, components: Components) -> None:
         self._components = components
@@ -102,13 +103,13 @@
             self._applier = follow_agreed_rules(components.fleet_node, components.config, self._active)
 
     def reload(self) -> None:
-        """Read the file again. Addresses to listen on, the name and the seed wait for the next start."""
+        """Reads the file again. Addresses to listen on, the name and the seed change only with the next start."""
         components = self._components
         try:
             config = load(os.environ, again=components.config)
         except ConfigError as error:
             components.metrics.count_reload(False)
-            log.error("configuration rejected; the one in force stays", error=str(error))
+            log.error("new configuration rejected; keeping the current one", error=str(error))
             return
         components.metrics.count_reload(True)
         components.config = config
--- a/limenotch/settings.py
+++ b/limenotch/settings.py
@@ -1,8 +1,8 @@
 """The program's own settings: what operators of other installations may tune, as the structs of a TOML file.
 
-They complement the platform's JSON (`config.py`), which says who a sidecar is and what its tier is like. Every
-key has a default, which is what the platform's own sidecars run with. Unknown keys are errors. `settings_file.py`
-reads them.
+They complement the platform's JSON configuration (`config.py`), which describes a sidecar and its tier. Every key has
+a default, which is the value that the platform's own sidecars use. Unknown keys are errors. `settings_file.py` reads
+the file.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct, field
 
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
-Part = Annotated[float, Meta(gt=0, lt=1)]
+Fraction = Annotated[float, Meta(gt=0, lt=1)]
 
 
 class LogSettings(Struct, frozen=True, forbid_unknown_fields=True):
@@ -23,7 +23,12 @@
 
 
 class ClientSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The table `[consumers]`: timeouts of clients' connections, and `body_rate` in bytes a second."""
+    """The table `[consumers]`: timeouts of clients' connections, and the minimum rate of bodies.
+
+    Seconds: `request_s` for a request's head, `body_s` for a body in addition to what `body_rate` (bytes a second)
+    allows, `idle_s` for the next request, `write_s` for writing a piece of a response; after SIGTERM, `accept_s` for
+    accepting connections and `keep_s` for keeping idle ones.
+    """
 
     request_s: Seconds = 2.6
     body_s: Seconds = 2.4
@@ -40,25 +45,31 @@
 
 
 class EndpointSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The table `[providers]`: times of endpoints' connections, and which part of their idle timeout is used."""
+    """The table `[providers]`: timeouts of connections to endpoints.
+
+    `idle_part` is the fraction of the endpoints' idle timeout after which an idle connection is closed here. Seconds:
+    `settle_s` between a response and the next request, `answer_s` and `stall_s` between two pieces of a response that
+    is buffered or being forwarded.
+    """
 
-    idle_part: Part = 0.4
+    idle_part: Fraction = 0.4
     settle_s: Seconds = 0.01
     answer_s: Seconds = 0.5
     stall_s: Seconds = 10.0
 
 
 class DiscoverySettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The table `[directory]`: after how long a silence a watch on discovery counts as failed."""
+    """The table `[directory]`: seconds without a line after which a watch of discovery counts as failed."""
 
     silence_s: Seconds = 2.5
 
 
 class DescriptorSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The table `[descriptors]`: how the process's limit of file descriptors is divided."""
+    """The table `[descriptors]`: how the process's file descriptors are divided; `reserve` is for all other uses."""
 
     reserve: Annotated[int, Meta(ge=16, le=512)] = 24
-    client_part: Part = field(default=0.5, name="for_consumers")  # of what the reserve leaves, to clients
+    # Of the descriptors that are not reserved, the fraction for clients' connections.
+    client_fraction: Fraction = field(default=0.5, name="for_consumers")
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
@@ -69,4 +80,4 @@
     endpoints: EndpointSettings = field(default=EndpointSettings(), name="providers")
     discovery: DiscoverySettings = field(default=DiscoverySettings(), name="directory")
     descriptors: DescriptorSettings = DescriptorSettings()
-    fleet: Any = None  # fleet.settings.Fleet where the file has that table; otherwise nothing of the fleet is imported
+    fleet: Any = None  # fleet.settings.Fleet if the file has this table; otherwise no module of the fleet is imported
--- a/limenotch/settings_file.py
+++ b/limenotch/settings_file.py
@@ -1,7 +1,6 @@
-"""Reads the program's settings from TOML and prints those in force.
+"""Reads the program's settings from TOML, and prints them with defaults included.
 
-Only this module knows both the plain settings and the `[fleet]` table's; it imports the latter only where a file has
-that table.
+The settings of the fleet are imported only if a file has a `[fleet]` table.
 """
 
 from __future__ import annotations
@@ -21,7 +20,10 @@
 
 
 def parse(text: str, name: str) -> Settings:
-    """The settings of a text. Raises toml.FaultError, whose text names file, line and key."""
+    """The settings in a text; `name` is the file's name in errors.
+
+    Raises toml.FaultError, whose text names the file, the line and the key.
+    """
     if "fleet" not in toml.decode_table(text, name):
         return toml.decode(text, name, Settings)
     from .fleet.settings import parse_with
@@ -30,9 +32,9 @@
 
 
 def load_settings(path: str | None, environ: Mapping[str, str]) -> Settings:
-    """The settings of the file given, else of the one that LIMENOTCH_SETTINGS names, else the defaults.
+    """The settings of the file at `path`, else of the file that LIMENOTCH_SETTINGS names, else the defaults.
 
-    Raises toml.FaultError.
+    Raises toml.FaultError if the file can't be read or used.
     """
     path = path or environ.get("LIMENOTCH_SETTINGS")
     if not path:
@@ -41,7 +43,7 @@
 
 
 def check_as(settings: Settings, sidecar: str) -> None:
-    """Check what depends on the sidecar's name. Raises toml.FaultError."""
+    """Checks the settings that depend on the sidecar's name. Raises toml.FaultError."""
     if settings.fleet is not None:
         from .fleet.settings import place
 
@@ -49,13 +51,13 @@
 
 
 def effective(settings: Settings) -> str:
-    """The settings as TOML, every key with the value in force; without tables that are absent."""
+    """The settings as TOML: every key with its value, defaults included, but no tables that are absent."""
     tables = msgspec.to_builtins(settings)
     return "\n".join("\n".join(_lines(name, table)) for name, table in tables.items() if table is not None)
 
 
 def _lines(path: str, table: dict[str, Any]) -> list[str]:
-    """A table and those within it. What is None has no form in TOML and is left out."""
+    """The lines of a table and of the tables within it. A value None can't be written in TOML and is left out."""
     inner = {key: value for key, value in table.items() if isinstance(value, dict)}
     plain = {key: value for key, value in table.items() if key not in inner and value is not None}
     lines = [f"[{path}]"]
--- a/limenotch/shutdown.py
+++ b/limenotch/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: the signal that asks for it, and the order in which the parts end."""
+"""Graceful shutdown: the signals that request it, and the order in which the components end."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class ShutdownRequest:
-    """Set by the first of SIGNALS, from which the times of the shutdown count."""
+    """A request to shut down, made by the first of SIGNALS. The schedule of the shutdown starts at that moment."""
 
     def __init__(self) -> None:
         self._requested = asyncio.Event()
         self._requested_at = 0.0
 
     def install(self) -> None:
-        """Handle the signals on the running event loop."""
+        """Handles the signals on the running event loop from now on."""
         loop = asyncio.get_running_loop()
         for number in SIGNALS:
             loop.add_signal_handler(number, self._request)
@@ -33,13 +33,16 @@
             self._requested.set()
 
     async def wait(self) -> float:
-        """Wait for the first signal; when it came, by time.monotonic."""
+        """Waits for the first signal, and returns when it arrived, in seconds of `time.monotonic`."""
         await self._requested.wait()
         return self._requested_at
 
 
 async def shut_down(components: Components, requested_at: float) -> None:
-    """Finish the requests taken, then end all parts. `requested_at`: time.monotonic of the first signal."""
+    """Leaves the fleet, and returns when the accepted requests are answered and clients' connections are closed.
+
+    `requested_at`: when the first signal arrived, in seconds of `time.monotonic`.
+    """
     log.info(
         "shutting down", open_requests=len(components.requests.open), handed_over=components.successor.successor_serves
     )
--- a/limenotch/toml.py
+++ b/limenotch/toml.py
@@ -1,8 +1,8 @@
-"""TOML that is decoded into checked structs; an error names its key and its line.
+"""Decodes TOML into validated structs, with errors that name the key and its line.
 
-msgspec decodes and checks the types, and what a struct's own `__post_init__` requires. It gives the place as a path
-such as `$.tier[0].kind[1].speed`; the line is found by scanning the text, since no maintained TOML reader gives the
-positions of keys in a way that a decoder could use (tomllib drops them, tomlkit keeps layout and not lines).
+msgspec decodes the text and checks types and what a struct's `__post_init__` requires. It names the key by a path such
+as `$.tier[0].kind[1].speed`; its line is found by scanning the text, since no maintained TOML reader provides the
+positions of keys in a form that a decoder could use (tomllib drops them, tomlkit keeps the layout but not the lines).
 """
 
 from __future__ import annotations
@@ -15,41 +15,44 @@
 
 from .errors import LimenotchError
 
-Kind = TypeVar("Kind", bound=msgspec.Struct)
+StructT = TypeVar("StructT", bound=msgspec.Struct)
 
-# Of a TOML text: `[table]` or `[[table]]`, and `key =`.
-HEADER = re.compile(r"^\s*(\[\[|\[)\s*([A-Za-z0-9_.\"'-]+)\s*(\]\]|\])")
-KEY = re.compile(r"^\s*([A-Za-z0-9_\"'-]+)\s*=")
-# Of msgspec's messages.
-AT = re.compile(r" - at `\$\.?([^`]*)`$")
-UNKNOWN = re.compile(r"Object contains unknown field `([^`]*)`")
-NEEDED = re.compile(r"Object missing required field `([^`]*)`")
+# In a TOML text: `[table]` or `[[table]]`, and `key =`.
+TABLE_HEADER = re.compile(r"^\s*(\[\[|\[)\s*([A-Za-z0-9_.\"'-]+)\s*(\]\]|\])")
+KEY_START = re.compile(r"^\s*([A-Za-z0-9_\"'-]+)\s*=")
+# In msgspec's messages: the path of the key, and what is wrong.
+KEY_PATH = re.compile(r" - at `\$\.?([^`]*)`$")
+UNKNOWN_FIELD = re.compile(r"Object contains unknown field `([^`]*)`")
+MISSING_FIELD = re.compile(r"Object missing required field `([^`]*)`")
 
 
 class FaultError(LimenotchError):
-    """What a file says can't be used; the text names the file, the line where there is one, and the key."""
+    """A file's content, or an option of the command line, can't be used.
+
+    The text names the file, the line if it is known, and the key, or else the option.
+    """
 
 
 class _LineIndex:
-    """The line of each table and key of a text, by its path in msgspec's form."""
+    """The line of each table and key of a text, by its path in the form of msgspec's messages."""
 
     def __init__(self, text: str) -> None:
         self.lines: dict[str, int] = {}
-        self._list_indexes: dict[str, int] = {}  # of the last table of each list of tables, by the list's path
+        self._list_indexes: dict[str, int] = {}  # by the path of a list of tables: the index of its last table so far
         table = ""
         for number, line in enumerate(text.splitlines(), 1):
-            header = HEADER.match(line)
+            header = TABLE_HEADER.match(line)
             if header is not None:
                 table = self._table_path(header[2].split("."), header[1] == "[[", number)
                 self.lines.setdefault(table, number)
                 continue
-            key = KEY.match(line)
+            key = KEY_START.match(line)
             if key is not None:
                 name = key[1].strip("\"'")
                 self.lines.setdefault(f"{table}.{name}" if table else name, number)
 
     def _table_path(self, parts: list[str], is_list_item: bool, number: int) -> str:
-        """The path of a table, where `[[...]]` begins the next one of its list."""
+        """The path of the table with this header; a header `[[...]]` starts the next table of its list."""
         path = ""
         for depth, part in enumerate(parts):
             path = f"{path}.{part}" if path else part
@@ -67,7 +70,7 @@
 
 
 def line_of(text: str, path: str) -> int | None:
-    """The line of a key, or of the nearest table or list around it; None if even that is not in the text."""
+    """The line of a key, else of the innermost table or list around it that is in the text; None if there is none."""
     lines = _LineIndex(text).lines
     while path:
         if path in lines:
@@ -77,14 +80,14 @@
 
 
 def fault(text: str, name: str, path: str, what: str) -> FaultError:
-    """The error for what is wrong with the key at `path` of a text; `name` is how its file is called in messages."""
+    """The error for a text whose key at `path` is wrong; `name` is the file's name in messages."""
     line = line_of(text, path)
     where = f"{name}:{line}" if line else name
     return FaultError(f"{where}: {path}: {what}" if path else f"{where}: {what}")
 
 
-def decode(text: str, name: str, kind: type[Kind]) -> Kind:
-    """The text as a struct. `name` is how the file is called in messages. Raises FaultError."""
+def decode(text: str, name: str, kind: type[StructT]) -> StructT:
+    """The text as a struct of class `kind`; `name` is the file's name in messages. Raises FaultError."""
     try:
         return msgspec.toml.decode(text, type=kind)
     except msgspec.ValidationError as error:
@@ -93,7 +96,7 @@
         raise FaultError(f"{name}: not TOML: {error}") from None
 
 
-def decode_over(text: str, name: str, base: str, base_name: str, kind: type[Kind], under: str = "") -> Kind:
+def decode_over(text: str, name: str, base: str, base_name: str, kind: type[StructT], under: str = "") -> StructT:
     """As `decode`, of a text that overrides a base text.
 
     Its tables are merged into the base's key by key, its lists and lists of tables replace the base's. The base
@@ -111,7 +114,7 @@
 
 
 def decode_table(text: str, name: str) -> dict[str, Any]:
-    """The text as plain values. Raises FaultError if it is not TOML."""
+    """The text as a dict of plain values. Raises FaultError if it is not TOML."""
     try:
         table = msgspec.toml.decode(text)
     except msgspec.DecodeError as error:
@@ -128,11 +131,11 @@
 
 
 def explain(message: str) -> tuple[str, str]:
-    """msgspec's message as the path of the key and what is wrong with it."""
-    match = AT.search(message)
+    """Splits msgspec's message into the path of the key and what is wrong with it."""
+    match = KEY_PATH.search(message)
     path = match[1] if match else ""
     what = message[: match.start()] if match else message
-    for pattern, explanation in ((UNKNOWN, "unknown key"), (NEEDED, "missing")):
+    for pattern, explanation in ((UNKNOWN_FIELD, "unknown key"), (MISSING_FIELD, "missing")):
         key = pattern.match(what)
         if key is not None:
             path = f"{path}.{key[1]}" if path else key[1]
--- a/limenotch/wiring.py
+++ b/limenotch/wiring.py
@@ -1,4 +1,4 @@
-"""Builds the parts of one process and connects them: what each part reports, and which other parts act on it."""
+"""Builds the components of one process, and connects what each component reports to those that act on it."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
 log = logs.get(__name__)
 
-BUFFERED_MEMORY_FRACTION = 1 / 8  # of the memory limit; connections' own buffers may take as much again
+BUFFERED_MEMORY_FRACTION = 1 / 8  # of the memory limit; the buffers of connections may take as much again
 
 
 def is_pushed(config: Config) -> bool:
-    """Whether an agent near by holds the endpoint list and pushes it, by the settings."""
+    """Whether, by the settings, discovery is a nearby agent that has the endpoint list and pushes it."""
     return config.raw_settings.get("registry_mode") == "push"
 
 
 def buffer_limit(memory_mb: float, processes: int) -> int:
-    """Bytes of long bodies that one of `processes` processes may buffer under a limit of `memory_mb` megabytes."""
+    """How many bytes of bodies each of `processes` processes may buffer; `memory_mb` (10^6 bytes) is for all."""
     return int(memory_mb * 1e6 * BUFFERED_MEMORY_FRACTION / processes)
 
 
 def make_fleet_node(config: Config, settings: Settings) -> FleetNode | None:
-    """This process's node of the fleet; None without a `[fleet]` table, and then nothing of the fleet is imported."""
+    """This process's node of the fleet; None without a `[fleet]` table, and then no module of the fleet is imported."""
     if settings.fleet is None:
         return None
     from .fleet_node import FleetNode
@@ -51,13 +51,13 @@
 
 
 class Components:
-    """The parts of one process, and what passes between them. Made on the event loop's thread.
+    """The components of one process, and the calls between them. To be created on the event loop's thread.
 
-    `config` is the configuration in force; a reload replaces it.
+    `config` is the file's configuration in force; a reload replaces it.
     """
 
     def __init__(self, config: Config, settings: Settings) -> None:
-        """Raises toml.FaultError on fleet settings that can't be used."""
+        """Raises toml.FaultError if the fleet's settings can't be used."""
         self.config = config
         self.is_serving = False
         self.has_endpoint_list = asyncio.Event()
@@ -98,8 +98,8 @@
         )
 
     def _make_discovery_client(self, settings: Settings) -> DiscoveryClient:
-        # Seeded by name and address too: where the system's random numbers are alike everywhere, all sidecars
-        # would query discovery in step.
+        # Seeded with the name and the address too: with the same seed in all sidecars, all of them would query
+        # discovery at the same times.
         random = Random(f"{self.config.seed:x}/{self.config.name}/{host_port(self.config.listen)}")
         return DiscoveryClient(
             self.config.discovery,
@@ -121,21 +121,21 @@
     # The endpoint list
 
     def receive_endpoints(self, endpoints: list[DiscoveredEndpoint], complete: bool) -> None:
-        """This process's discovery sent its complete list, or what changed; peers may know more."""
+        """Handles a list that discovery sent, complete or changes; peers of the fleet may have newer entries."""
         if self.fleet_node is not None:
             self.fleet_node.endpoints_listed(endpoints, complete)
             endpoints = self.fleet_node.override_entries(endpoints, complete)
         self.apply_endpoints(endpoints, complete)
 
     def apply_endpoints(self, endpoints: list[DiscoveredEndpoint], complete: bool) -> None:
-        """Put a list, or a change of it, in force."""
-        # The pool first: the load balancer's commands may go to an endpoint that is new.
+        """Applies a list, complete or changes."""
+        # The pool first: the load balancer's commands may concern an endpoint that is new in this list.
         self.endpoint_pool.apply_list(endpoints, complete)
         self.has_endpoint_list.set()
         self.requests.execute(self.load_balancer.endpoints_listed(endpoints, complete, self.discovery.silence_ms()))
 
     def discovery_failed(self) -> None:
-        """A query of discovery failed, or the watch ended."""
+        """Handles the failure of a query to discovery, or the end of a watch."""
         self.requests.execute(self.load_balancer.discovery_failed())
         if self.fleet_node is not None:
             self.fleet_node.discovery_failed()
@@ -143,7 +143,7 @@
     # Operators
 
     def set_ejected(self, name: str, ejected: bool, readmitted_at_ms: float) -> None:
-        """An operator has ejected an endpoint, or readmitted it at `readmitted_at_ms` of Unix time."""
+        """Ejects an endpoint for an operator, or ends its ejection; `readmitted_at_ms` (Unix time) is when it ended."""
         log.info("endpoint ejected by operator" if ejected else "endpoint readmitted by operator", endpoint=name)
         self.endpoint_pool.set_ejected(name, ejected)
         if self.fleet_node is not None:
@@ -151,17 +151,20 @@
         self.requests.execute(self.load_balancer.set_ejected(name, ejected, readmitted_at_ms))
 
     async def request_ejection(self, name: str, ejected: bool) -> bool | None:
-        """Eject or readmit an endpoint: whether that is stored for the next process; None for an unknown name."""
+        """Handles an operator's request to eject or readmit an endpoint.
+
+        Returns whether that is stored for the next process, or None if no endpoint has this name.
+        """
         if not self.endpoint_pool.knows(name) and name not in self.ejections.ejected:
             return None
         return await self.ejections.set_ejected(name, ejected, self.load_balancer.now_ms())
 
     def is_ready(self) -> bool:
-        """Whether this process serves requests: the answer to a health check."""
+        """Whether this process serves requests; health checks of operators get this."""
         return self.is_serving and self.clients.ready() and not self.clients.shutting_down
 
     def render_metrics(self) -> bytes:
-        """All metrics of this process, in statsd's lines."""
+        """All metrics of this process, as lines in statsd's format."""
         gauges = {
             "current": len(self.requests.open) + len(self.requests.streaming),
             "cluster_size": len(self.endpoint_pool),
@@ -172,25 +175,25 @@
     # The other processes of this sidecar
 
     def limit_resources(self) -> None:
-        """Hold all live processes of this sidecar together to the limits of one."""
+        """Divides the limits of the configuration by the number of running processes of this sidecar."""
         processes = self.successor.process_count
         self.descriptors.set_limit(self.config.sockets // processes)
         self.buffers.limit = buffer_limit(self.config.memory_mb, processes)
 
     def set_process_count(self, processes: int) -> None:
-        """So many processes of this sidecar live from now on, this one included."""
+        """Sets how many processes of this sidecar run from now on, this one included."""
         self.limit_resources()
         self.requests.execute(self.load_balancer.set_process_count(processes))
 
     def export_state(self) -> dict[str, Any]:
-        """What this process hands to its successor, as JSON values."""
+        """The state that this process hands over to its successor, as JSON values."""
         return {
             "list": self.discovery.export_list(self.endpoint_pool),
             "knowledge": self.load_balancer.export_state(),
         }
 
     def close(self) -> None:
-        """Release what is still held once all requests are answered."""
+        """Closes the remaining sockets, once all requests are answered."""
         self.admin.close()
         self.successor.close()
         self.discovery.close()
@@ -199,5 +202,5 @@
 
 
 def class_names(config: Config) -> Iterable[str]:
-    """The traffic classes that a configuration names."""
+    """The names of the request classes in a configuration."""
     return (cls.name for cls in config.settings.classes)
