--- a/limenotch/net/__init__.py
+++ b/limenotch/net/__init__.py
@@ -1,1 +1,4 @@
-"""The network side of limenotch, one module for each peer; calls.py has no protocol in it."""
+"""The network side of limenotch: clients, endpoints, discovery, operators, other sidecars, and the next process.
+
+`requests.py` and `request.py` are independent of the wire protocol.
+"""
--- a/limenotch/net/admin/queries.py
+++ b/limenotch/net/admin/queries.py
@@ -1,4 +1,4 @@
-"""Operators' requests to a component of the fleet node: a query with a ticket, and the wait for its one answer."""
+"""Operators' requests to a component of the fleet node: each is a query with a ticket, which gets one answer."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class Ticketed(Protocol):
-    """An answer that names its query."""
+    """An answer that identifies its query."""
 
     @property
     def ticket(self) -> int:
-        """Of the query, unique within its component and process."""
+        """The number of the query, unique within its component and process."""
         ...
 
 
@@ -26,33 +26,33 @@
 
 
 class OperatorQueries(Generic[AnswerT]):
-    """Owns the queries that wait for an answer. For use on one event loop."""
+    """Owns the queries to one component that wait for an answer. To be used on one event loop."""
 
-    def __init__(self, send_event: Callable[[ComponentEvent], None], prefix: str, within_s: float) -> None:
-        """`prefix` names the component; a query waits `within_s` seconds for its answer."""
+    def __init__(self, send_event: Callable[[ComponentEvent], None], prefix: str, timeout_s: float) -> None:
+        """`prefix` identifies the component; a query waits `timeout_s` seconds for its answer."""
         self._send_event = send_event
         self._prefix = prefix
-        self._within_s = within_s
+        self._timeout_s = timeout_s
         self._tickets = count(1)
         self._waiting: dict[int, asyncio.Future[AnswerT]] = {}
 
     def handle_answer(self, answer: AnswerT) -> None:
-        """Passes the component's answer to its query; dropped if that no longer waits."""
+        """Passes the component's answer to its query; an answer to a query that no longer waits is dropped."""
         waiting = self._waiting.pop(answer.ticket, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
     async def query(self, make_event: Callable[[int], Any]) -> AnswerT | None:
-        """The answer to the component's event that `make_event` makes of a ticket.
+        """Sends the component the event that `make_event` returns for a ticket, and waits for the answer.
 
-        None: no answer in time; the fleet node may have failed or be shutting down.
+        None: there was no answer in time; the fleet node may have failed or be shutting down.
         """
         ticket = next(self._tickets)
         waiting: asyncio.Future[AnswerT] = asyncio.get_running_loop().create_future()
         self._waiting[ticket] = waiting
         self._send_event(ComponentEvent(self._prefix, make_event(ticket)))
         try:
-            async with asyncio.timeout(self._within_s):
+            async with asyncio.timeout(self._timeout_s):
                 return await waiting
         except TimeoutError:
             return None
--- a/limenotch/net/admin/server.py
+++ b/limenotch/net/admin/server.py
@@ -1,7 +1,7 @@
-"""The operators' server: answers at the second address how the sidecar is, and takes ejections of endpoints.
+"""The operators' server: it responds to health checks and metrics requests, and takes ejections of endpoints.
 
-A connection carries one request. Connections are few and counted apart from clients': under any load of clients there
-is capacity, and a connection that has sent no request is closed for a new one.
+It has an address of its own. A connection carries one request. Operators' connections are few and limited apart from
+clients', so that clients can't use up their capacity; a connection without a complete request is closed for a new one.
 """
 
 from __future__ import annotations
@@ -25,16 +25,18 @@
 BACKLOG = 128  # connections not accepted yet
 REQUEST_TIMEOUT_S = 3.0  # seconds from the connection to the complete request
 LINGER_S = 0.5  # seconds for the operator to read the response
-MAX_BUFFER = 256 * 1024  # bytes of one connection
-MAX_READ = 64 * 1024  # bytes at once
+MAX_BUFFER_BYTES = 256 * 1024  # of one connection
+MAX_READ_BYTES = 64 * 1024  # in one read
 
 HEALTH = "/healthcheck"
 STATS = "/stats"
 ENDPOINTS = "/endpoints/"
-EJECTING_ACTIONS = {"maint": True, "ready": False}  # by the last part of the path: whether it ejects the endpoint
+EJECTING_ACTIONS = {"maint": True, "ready": False}  # the last segment of a path: whether it ejects the endpoint
 
-RequestHandler = Callable[[http1.Message], Awaitable[bytes]]  # a complete request to the response, which closes
-EjectionHandler = Callable[[str, bool], Awaitable[bool | None]]  # None: unknown endpoint; else whether it was persisted
+RequestHandler = Callable[
+    [http1.Message], Awaitable[bytes]
+]  # the response to a complete request; it ends the connection
+EjectionHandler = Callable[[str, bool], Awaitable[bool | None]]  # whether it was persisted; None: unknown endpoint
 
 
 class _Connection:
@@ -42,7 +44,7 @@
 
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
-        self.request_pending = True  # no complete request yet
+        self.request_pending = True  # whether the request is still incomplete
 
 
 class AdminServer:
@@ -55,14 +57,17 @@
         set_ejected: EjectionHandler,
         extra: Mapping[str, RequestHandler] = {},  # noqa: B006 (read only)
     ) -> None:
-        """`extra`: handlers of further paths, for all methods; a path that ends in `/` is for all paths below it."""
+        """`extra`: handlers of further paths, for all methods. A path that ends in `/` includes all paths below it.
+
+        `ready` decides the response to a health check, `stats` returns the metrics.
+        """
         self._ready = ready
         self._stats = stats
         self._set_ejected = set_ejected
         self._extra = extra
         self._loop = IOLoop.current()
         self._listener: Listener | None = None
-        self._connections: dict[_Connection, asyncio.Task[None]] = {}  # the oldest first
+        self._connections: dict[_Connection, asyncio.Task[None]] = {}  # with the tasks that serve them, oldest first
 
     def listen(self, address: Address) -> None:
         """Starts to accept connections. Raises OSError if the address can't be bound."""
@@ -78,15 +83,15 @@
 
     def _accept(self) -> None:
         if self._listener is not None:
-            self._listener.take(MAX_OPERATOR_CONNECTIONS, self._open_connection, self._log_accept_error)
+            self._listener.accept_connections(MAX_OPERATOR_CONNECTIONS, self._open_connection, self._log_accept_error)
 
     def _log_accept_error(self, error: OSError) -> None:
-        log.warning("operators' listener: accept failed", error=str(error))
+        log.warning("accepting an operator's connection failed", error=str(error))
 
     def _open_connection(self, sock: socket.socket) -> None:
         while len(self._connections) >= MAX_OPERATOR_CONNECTIONS:
             self._drop_one()
-        connection = _Connection(IOStream(sock, max_buffer_size=MAX_BUFFER))
+        connection = _Connection(IOStream(sock, max_buffer_size=MAX_BUFFER_BYTES))
         self._connections[connection] = asyncio.get_running_loop().create_task(self._serve(connection))
 
     def _drop_one(self) -> None:
@@ -105,7 +110,8 @@
             timer = self._loop.call_later(LINGER_S, stream.close)
             await stream.write(response)
             stream.socket.shutdown(socket.SHUT_WR)
-            await stream.read_bytes(MAX_READ, partial=True)  # closing on unread bytes would reset the response
+            # Closing the socket with unread bytes would reset the connection, and the response might be lost.
+            await stream.read_bytes(MAX_READ_BYTES, partial=True)
         except (StreamClosedError, OSError):
             pass
         finally:
@@ -114,15 +120,15 @@
             stream.close()
 
     async def _respond(self, connection: _Connection) -> bytes:
-        """The response to the connection's request. Raises StreamClosedError if it ends before that."""
+        """Reads the connection's request and returns the response. Raises StreamClosedError if the connection ends."""
         try:
             return await self._handle(await self._read_request(connection))
         except http1.MalformedError as error:
             return text_response(error.status, str(error))
         except StreamClosedError:
             raise
-        except Exception:  # a fault here is reported to the operator rather than left without a response
-            log.exception("operators' server: fault")
+        except Exception:  # an internal error: the operator gets a response for it rather than none
+            log.exception("internal error in the operators' server")
             return text_response(500, "internal fault")
 
     def _handle_timeout(self, connection: _Connection) -> None:
@@ -133,7 +139,7 @@
     async def _read_request(self, connection: _Connection) -> http1.Message:
         parser = http1.RequestParser()
         while (request := parser.take()) is None:
-            parser.feed(await connection.stream.read_bytes(MAX_READ, partial=True))
+            parser.feed(await connection.stream.read_bytes(MAX_READ_BYTES, partial=True))
         connection.request_pending = False
         return request
 
@@ -156,7 +162,7 @@
         return http1.write_response(200, [content_type], self._stats(), close=True)
 
     async def _eject(self, path: str) -> bytes:
-        """Ejects the endpoint named in the path, or ends its ejection."""
+        """Ejects the endpoint named in the path, or ends its ejection, and returns the response."""
         quoted_name, _, action = path.removeprefix(ENDPOINTS).rpartition("/")
         name = unquote(quoted_name)
         ejected = EJECTING_ACTIONS[action]
@@ -173,5 +179,5 @@
 
 
 def method_not_allowed(allowed: bytes) -> bytes:
-    """A 405 (RFC 9110, section 15.5.6); `allowed` as in the header."""
+    """A response with status 405 (RFC 9110, section 15.5.6); `allowed` is the value of its `Allow` header field."""
     return http1.write_response(405, [(b"Allow", allowed)], b"", close=True)
--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: its requests are read and accepted, and their responses written (RFC 9112)."""
+"""One connection of a client: reads its requests, passes them to the request manager, writes responses (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from . import http1
 from .client_connections import ClientConnections
 from .header_fields import budget_ms, decode_name
-from .pipe import BodyPipe, BrokenError
+from .pipe import BodyPipe, PipeBrokenError
 from .read_ahead import ClientStream, IdleEndError, Mode, ReadAhead
 from .request import FinalResponse, Request, Verdict
 from .request_check import check_request, details_of
@@ -21,8 +21,9 @@
 
 log = logs.get(__name__)
 
-# Closing with unread bytes resets the connection, and the client may lose the response before it (RFC 9112, 9.6). So
-# after shutting down our sending side a client has this long to read the response and close, and is read this far.
+# Closing a connection with unread bytes resets it, and the client may lose the response (RFC 9112, 9.6). So after our
+# sending side is shut down, the client has LINGER_S seconds to read the response and to close, and up to LINGER_BYTES
+# that it still sends are read and discarded.
 LINGER_S = 0.5
 LINGER_BYTES = 256 * 1024
 
@@ -39,22 +40,22 @@
     def __init__(self, stream: ClientStream, connections: ClientConnections[ClientConnection]) -> None:
         self.stream = stream
         self.reader = ReadAhead(stream, connections.budget)
-        self.used = False  # a request has arrived on it
+        self.used = False  # whether a request has arrived on it
         self._connections = connections
         self._parser = http1.RequestParser(http1.MAX_STREAMED_BODY_BYTES)
         self._timer: object = None  # limits the wait for a request, its head or its body
         self._request: Request | None = None
         self._final: asyncio.Future[FinalResponse] | None = None
         self._upload: asyncio.Task[None] | None = None  # receives the rest of a streamed request
-        self._body_wait_s = 0.0  # time spent waiting for the present body
-        self._address: str | None = None  # of the client, once it was looked up; "" if it is unknown
-        self._within_response = False  # a response is partly written
-        self._shut_down = False  # nothing more is written
+        self._body_wait_s = 0.0  # time spent waiting for the current body
+        self._address: str | None = None  # of the client; None: not looked up yet, "": unknown
+        self._within_response = False  # whether a streamed response is partly written
+        self._shut_down = False  # whether our sending side is shut down
         stream.ended = self._closed
 
     @property
     def owes_response(self) -> bool:
-        """Whether a request is open, or its response is being forwarded."""
+        """Whether a request is open or its response is being forwarded."""
         return self._request is not None
 
     @property
@@ -63,10 +64,10 @@
         return self._parser.idle and self.reader.empty
 
     def end_if_idle(self) -> bool:
-        """End the connection if it is between two requests; return whether it was.
+        """Ends the connection if it is between two requests; returns whether it did.
 
-        This is the one orderly way to end an idle connection. Between the check of what has arrived and the shutdown
-        of our sending side nothing else runs: a request that is read later is not forwarded, and its client knows.
+        This is the one orderly way to end an idle connection. Nothing else runs between the check that no bytes have
+        arrived and the shutdown of our sending side: a request that arrives later is not forwarded, as its client sees.
         """
         if self._shut_down or self._final is not None:
             return False
@@ -77,28 +78,28 @@
         return True
 
     def evict(self) -> bool:
-        """Close the connection at once if it is idle or lingers, to free its descriptor; return whether it was."""
+        """Closes the connection if it is idle or lingering, to free its descriptor; returns whether it did."""
         if not self._shut_down and not self.end_if_idle():
             return False
         self.stream.close()
         return True
 
     def end_incomplete_request(self) -> None:
-        """Before the process ends: reject a request that is not complete; it is not forwarded."""
+        """Rejects an incomplete request before the process ends, and ends an idle connection."""
         if self._shut_down or self.end_if_idle():
             return
         uploading = self._uploading
         if self._final is None or uploading:
-            self.reader.fail(http1.MalformedError(503, "the sidecar is ending"))
+            self.reader.fail(http1.MalformedError(503, "the sidecar is shutting down"))
         if self._request is not None and uploading:
-            self._request.payload.rest.cut()
+            self._request.payload.rest.break_off()
 
     @property
     def _uploading(self) -> bool:
         return self._upload is not None and not self._upload.done()
 
     async def serve(self) -> None:
-        """Serve the connection up to its end; the stream is closed on return."""
+        """Serves the connection up to its end; the stream is closed on return."""
         try:
             await self._serve_requests()
             await self._finish()
@@ -117,7 +118,7 @@
             self.stream.close()
 
     async def _serve_requests(self) -> None:
-        """Serve requests one after another, up to the last one of the connection."""
+        """Serves requests one after another, up to the last one of the connection."""
         keep_alive = True
         while keep_alive:
             message = await self._read_request()
@@ -128,30 +129,30 @@
                 await self._write(http1.write_response(status, [], b"", not keep_alive))
             else:
                 keep_alive = await self._serve_request(message)
-            if self._draining:  # that may have begun after the response was composed
+            if self._draining:  # the drain may have begun after the response was composed
                 return
 
     @property
     def _draining(self) -> bool:
-        """Whether the connection ends with its next response."""
-        return self._connections.closing and (self._connections.over or self._nothing_received)
+        """Whether the connection ends after its next response."""
+        return self._connections.draining and (self._connections.drains_unread or self._nothing_received)
 
     def _can_keep_alive(self, message: http1.Message) -> bool:
-        """Whether the connection serves further requests after the response to this one."""
+        """Whether the connection can serve further requests after the response to `message`."""
         return message.keep_alive and not self.reader.dropped and not self._draining
 
     async def _serve_request(self, message: http1.Message) -> bool:
-        """Serve one request up to its response; return whether the connection can be used again."""
+        """Serves one request up to its response; returns whether the connection can be used again."""
         self._accept(message)
         assert self._final is not None and self._request is not None
         request = self._request
         final = await self._final
         if self.stream.closed():
             return False
-        # A response may come before the end of its request: the rest is read, but no further request waits for that.
+        # The response may come before the end of its request: the rest is read, but no further request is served.
         early = self._uploading
         if message.rest is not None:
-            message.rest.cut()
+            message.rest.break_off()
         keep_alive = not early and self._can_keep_alive(message)
         if final.verdict is Verdict.SERVED and final.payload.rest is not None:
             keep_alive = await self._forward_response(request, final.payload, keep_alive, message.minor)
@@ -171,9 +172,9 @@
     async def _forward_response(
         self, request: Request, response: http1.Message, keep_alive: bool, minor_version: int
     ) -> bool:
-        """Forward a streamed response as it arrives; return whether the connection can be used again.
+        """Forwards a streamed response as it arrives; returns whether the connection can be used again.
 
-        If the response is cut short, the connection is reset or closed, so that the client can tell.
+        If the response is truncated, the connection is reset or closed, so that the client can tell.
         """
         chunked = response.length is None and minor_version == 1
         keep_alive = keep_alive and (chunked or response.length is not None)
@@ -190,14 +191,14 @@
                 await self._write(http1.LAST_CHUNK)
             ending = "answered"
             self._within_response = False
-        except BrokenError:
-            log.info("streamed response cut short", call=_printable_id(request))
+        except PipeBrokenError:
+            log.info("streamed response truncated", call=_printable_id(request))
             keep_alive = False
         finally:
-            response.rest.cut()
+            response.rest.break_off()
             self._request = None
             self._connections.requests.stream_ended(request, ending)
-            if self._within_response and minor_version == 0:  # an orderly end would pass for the end of the body
+            if self._within_response and minor_version == 0:  # an orderly end would mark the end of the body
                 self.stream.reset()
         return keep_alive
 
@@ -205,9 +206,9 @@
         await self.stream.write_within(self._connections.settings.write_s, response)
 
     async def _read_request(self) -> http1.Message:
-        """The next request: complete, or if it is long the part that is buffered, with the rest to follow.
+        """Reads the next request: complete or, if it is long, its buffered part, with the rest to be streamed.
 
-        One that does not arrive in time is rejected, or its connection ends.
+        A request that does not arrive in time is rejected; a connection on which none begins in time ends.
         """
         parser = self._parser
         limits = self._connections.settings
@@ -230,7 +231,7 @@
             self._stop_timer()
 
     async def _read_body(self, message: http1.Message) -> http1.Message:
-        """Read the body up to its end, or as far as it may be buffered."""
+        """Reads the body up to its end, or as far as it may be buffered."""
         parser = self._parser
         budget = self._connections.budget
         pieces: list[bytes] = []
@@ -243,7 +244,7 @@
             if parser.complete:
                 parser.next()
                 break
-            if budget.beyond(size):
+            if budget.requires_streaming(size):
                 message.rest = BodyPipe(budget)
                 break
             await self._read_more(size)
@@ -253,7 +254,7 @@
         return message
 
     async def _read_more(self, size: int) -> None:
-        """Read more of a body of which `size` bytes are there; it must arrive at its minimum rate or faster."""
+        """Reads more of a body of which `size` bytes have arrived; it is rejected below the minimum rate of bodies."""
         limits = self._connections.settings
         started_at = monotonic()
         left_s = limits.body_s + size / limits.body_rate - self._body_wait_s
@@ -263,7 +264,7 @@
         self._body_wait_s += monotonic() - started_at
 
     async def _receive_rest(self, message: http1.Message) -> None:
-        """Read the rest of a streamed request to its end, into its pipe while that is wanted."""
+        """Reads the rest of a streamed request to its end, and puts it into its pipe while an attempt reads that."""
         parser = self._parser
         pipe = message.rest
         size = len(message.body)
@@ -271,7 +272,7 @@
             while True:
                 piece = parser.pieces()
                 size += len(piece)
-                with contextlib.suppress(BrokenError):  # the request is answered already
+                with contextlib.suppress(PipeBrokenError):  # the request is answered already
                     await pipe.put(piece)
                 if parser.complete:
                     parser.next()
@@ -280,9 +281,9 @@
                     return
                 await self._read_more(size)
         except StreamClosedError:
-            pipe.cut()
-        except Exception as error:  # malformed, late or an internal error: either way it was never complete
-            pipe.cut()
+            pipe.break_off()
+        except Exception as error:  # malformed, too slow or an internal error: the request will never be complete
+            pipe.break_off()
             if self._final is not None and not self._final.done():
                 self._abandon_request()
                 self._final.set_exception(error)
@@ -293,24 +294,24 @@
 
     def _start_timer(self, wait_s: float) -> None:
         self._stop_timer()
-        self._timer = IOLoop.current().call_later(wait_s, self._overdue)
+        self._timer = IOLoop.current().call_later(wait_s, self._handle_timeout)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
             IOLoop.current().remove_timeout(self._timer)
             self._timer = None
 
-    def _overdue(self) -> None:
-        """End a silent connection, or one whose head or body does not end: such ones would use up the descriptors."""
+    def _handle_timeout(self) -> None:
+        """Ends an idle connection, or rejects a request that is not complete: both would use up the descriptors."""
         if self.stream.closed():
             return
-        if not self.reader.empty:  # read in this turn of the event loop, or about to be
+        if not self.reader.empty:  # bytes have arrived in time, and are processed later in this turn of the event loop
             self._start_timer(0.0)
         elif not self.end_if_idle():
             self.reader.fail(http1.MalformedError(408, "request not complete in time"))
 
     def _accept(self, message: http1.Message) -> None:
-        """Validate a request and pass it to the request manager. Raises MalformedError or StreamClosedError."""
+        """Validates a request and passes it to the request manager. Raises MalformedError or StreamClosedError."""
         check_request(message, self._connections.requests, self._connections.load_balancer)
         fields = message.fields
         streamed = message.rest is not None
@@ -318,7 +319,7 @@
         if self.stream.closed():  # its client has disconnected already
             raise StreamClosedError
         requests = self._connections.requests
-        # A request accepted during shutdown must not be open when the process is ended.
+        # A request accepted during a shutdown has to end before the process is killed.
         until_end_ms = max((requests.last_deadline - monotonic()) * 1000.0, 1.0)
         usable_ms = min(budget_ms(fields.get(b"x-budget", b"")), until_end_ms)
         final = self._final = asyncio.get_running_loop().create_future()
@@ -338,7 +339,7 @@
             self._upload = asyncio.get_running_loop().create_task(self._receive_rest(message))
 
     def _client_address(self) -> str:
-        """The client's address, "host:port"; empty if it is unknown or no interceptor needs it."""
+        """The client's address, "host:port"; empty if it is unknown or there is no interceptor."""
         if not self._connections.requests.interceptors:
             return ""
         if self._address is None:
@@ -346,7 +347,7 @@
         return self._address
 
     def _closed(self) -> None:
-        """The stream has closed, from either side."""
+        """Handles the end of the stream, whichever side closed it."""
         self.reader.close()
         self._connections.ended(self)
         self._abandon_request()
@@ -356,17 +357,17 @@
             self._connections.connection_ended(self._address)
 
     def _abandon_request(self) -> None:
-        """The response to this client's request is not wanted any more: end the request."""
+        """Ends the request, as its response is not needed any more."""
         request = self._request
         self._request = None
         if request is None:
             return
         self._connections.requests.client_disconnected(request)
         if request.payload.rest is not None:
-            request.payload.rest.cut()
+            request.payload.rest.break_off()
 
     async def _reject(self, error: http1.MalformedError) -> None:
-        """Answer with the reason and end the connection; within a response the text would pass for a part of it."""
+        """Responds with the error and ends the connection; resets it if a response is partly written."""
         if self._within_response:
             self.stream.reset()
             return
@@ -377,7 +378,7 @@
             await self._finish()
 
     async def _finish(self) -> None:
-        """End in order: send what was written, shut down our sending side, and discard what arrives for a while."""
+        """Shuts down our sending side, and discards what the client still sends until it closes the connection."""
         if self.stream.closed():
             return
         if self._upload is not None:
@@ -391,7 +392,7 @@
             IOLoop.current().remove_timeout(timer)
 
     def _shut_down_sending(self) -> None:
-        """Shut down our sending side; the connection is among the first to be evicted from then on."""
+        """Shuts down our sending side; from then on the connection is among the first to be evicted."""
         if self._shut_down:
             return
         self._shut_down = True
--- a/limenotch/net/client_connections.py
+++ b/limenotch/net/client_connections.py
@@ -18,24 +18,24 @@
 
 
 class ClientConnections(Protocol[ConnectionT]):
-    """All client connections as one of them, a `ConnectionT`, sees them."""
+    """What a connection of a client, a `ConnectionT`, uses of the listener that owns all client connections."""
 
     budget: BufferBudget
     requests: RequestManager
     load_balancer: LoadBalancer
     descriptors: DescriptorLimits
     settings: settings.ClientSettings
-    closing: bool  # draining: each connection ends with its next response, unless more of its client's has arrived
-    over: bool  # each connection ends with its next response, whatever has arrived
+    draining: bool  # each connection ends after its next response, unless bytes of a further request have arrived
+    drains_unread: bool  # each connection ends after its next response, whatever has arrived
 
     @property
     def ready(self) -> Callable[[], bool]:
-        """Whether the sidecar is ready to serve requests."""
+        """Called to find out whether the sidecar is ready to serve requests."""
         ...
 
     @property
     def connection_ended(self) -> Callable[[str], None]:
-        """Called with the address of a connection that ended, if any of its requests stated it."""
+        """Called with the client's address when a connection has ended, if the address was passed with a request."""
         ...
 
     def ended(self, connection: ConnectionT) -> None:
@@ -43,9 +43,9 @@
         ...
 
     def set_idle(self, connection: ConnectionT, idle: bool) -> None:
-        """The connection begins or ceases to wait for its next request."""
+        """The connection starts (`idle`) or stops waiting for its next request."""
         ...
 
     def set_lingering(self, connection: ConnectionT) -> None:
-        """The sending side of the connection is shut down; its client has not closed it yet."""
+        """Our sending side of the connection is shut down; the client has not closed it yet."""
         ...
--- a/limenotch/net/endpoint_connection.py
+++ b/limenotch/net/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: carries one request at a time, and reads at all times."""
+"""One connection to an endpoint, which carries one request at a time."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from .. import logs
 from ..load_balancer_types import DiscoveredEndpoint
 from . import http1
-from .pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe, BrokenError, BufferBudget
+from .pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe, BufferBudget, PipeBrokenError
 
 log = logs.get(__name__)
 
-MAX_BUFFER = 512 * 1024  # bytes of one connection
-FORWARD_AFTER_S = 0.3  # seconds after its head, a response that may be long is forwarded as it arrives
+MAX_BUFFER_BYTES = 512 * 1024  # of one connection
+FORWARD_AFTER_S = 0.3  # seconds after its head, a response that may be long is no longer buffered but forwarded
 
 
 class EndpointConnection:
-    """One connection to an endpoint; owned by the pool while idle, by one attempt otherwise.
+    """One connection to an endpoint; owned by the pool while it is idle, and by one attempt otherwise.
 
-    It reads all the time, so that an idle one that the endpoint has closed is never used again.
+    A read is pending at all times, so that an idle connection that the endpoint has closed is not used again.
     """
 
     def __init__(
@@ -35,21 +35,22 @@
         stall_s: float = 10.0,
         budget: BufferBudget | None = None,
     ) -> None:
-        """A response that has begun has to continue, and its head to end, within `answer_s` seconds: endless heads and
-        bodies shorter than announced would block their requests until no retry is possible. A response being forwarded
-        can't be had from another endpoint any more, and may stall for `stall_s` seconds.
+        """`answer_s`: seconds from the first byte of a response to the end of its head, and between two pieces of a
+        body that is buffered. Without this limit an endless head, or a body shorter than announced, would block its
+        request until no retry is possible. `stall_s`: seconds between two pieces of a body that is being forwarded; it
+        is longer, as another endpoint can't be tried any more.
         """
         self.stream = stream
         self.endpoint_name = endpoint_name
         self.address = address
-        self.endpoint_started_ms = 0.0  # of the endpoint's process that it was opened to, as the list has it
+        self.endpoint_started_ms = 0.0  # by the list, when the endpoint's process that it leads to started; Unix time
         self.idle_since = 0.0  # s
         self.idle_timer: object = None
-        self.forwarded: asyncio.Future[bool] | None = None  # of a response being forwarded: whether it was complete
+        self.forwarded: asyncio.Future[bool] | None = None  # done at the end of a forwarded response: was it complete
         self._answer_s = answer_s
         self._stall_s = stall_s
         self._parser = http1.ResponseParser(http1.MAX_STREAMED_BODY_BYTES)
-        self._budget = budget or BufferBudget(MAX_BUFFER)
+        self._budget = budget or BufferBudget(MAX_BUFFER_BYTES)
         self._response: asyncio.Future[http1.Message | None] | None = None
         self._head: http1.Message | None = None
         self._head_received_at = 0.0  # s
@@ -57,25 +58,27 @@
         self._buffered_bytes = 0
         self._pipe: BodyPipe | None = None
         self._pending_read: asyncio.Future[bytes] | None = None
-        self._timer: object = None  # of a response that has begun
+        self._timer: object = None  # limits the wait for the next piece of a response that has begun
 
     async def read(self) -> None:
-        """Reads responses until the connection ends, and closes it."""
+        """Reads responses until the connection ends, or receives what is not a response, and closes it."""
         try:
             while True:
-                self._pending_read = asyncio.ensure_future(self.stream.read_bytes(self._budget.piece, partial=True))
+                self._pending_read = asyncio.ensure_future(
+                    self.stream.read_bytes(self._budget.read_bytes, partial=True)
+                )
                 self._parser.feed(await self._pending_read)
                 if self._response is None or (self._response.done() and self._pipe is None):
-                    break  # bytes without a request
+                    break  # bytes that are no response to a request
                 await self._process_input()
         except StreamClosedError as error:
             # An orderly end completes a body without length (RFC 9112, section 6.3); a reset truncates it.
             if self._head is not None and error.real_error is None and self._parser.ends_with_connection:
                 self._complete(self._head)
-        except BrokenError:
-            pass  # nobody takes the rest of the body
+        except PipeBrokenError:
+            pass  # the rest of the body is not needed
         except http1.MalformedError as error:
-            log.warning("malformed response", endpoint=self.endpoint_name, error=str(error))
+            log.warning("malformed response from an endpoint", endpoint=self.endpoint_name, error=str(error))
         finally:
             self._cancel_timer()
             self.close()
@@ -86,7 +89,7 @@
         if self._head is None:
             self._head = parser.head()
             if self._head is None:
-                if not parser.idle and self._timer is None:  # else only interim responses so far
+                if not parser.idle and self._timer is None:  # not for interim responses (1xx), which the parser skips
                     self._start_timer(self._answer_s)
                 return
             self._head_received_at = monotonic()
@@ -111,20 +114,21 @@
             self.start_forwarding()
 
     def _should_forward(self) -> bool:
-        """Whether the response is to be buffered no longer."""
-        if self._budget.beyond(self._buffered_bytes):
+        """Whether the response is to be forwarded from now on rather than buffered."""
+        if self._budget.requires_streaming(self._buffered_bytes):
             return True
         return self.may_be_long and monotonic() > self._head_received_at + FORWARD_AFTER_S
 
     @property
     def may_be_long(self) -> bool:
-        """Whether the current response, by its head, may be longer than what is buffered."""
+        """Whether the current response, by its head, may be longer than what may be buffered."""
         announced = self._head.length if self._head is not None else 0
         return announced is None or announced > MAX_BUFFERED_BODY_BYTES
 
     def start_forwarding(self) -> bool:
-        """Hands over the response now, the rest of its body by a pipe; False if there is no head or it was handed over
-        before.
+        """Makes the response available now, with a pipe for the rest of its body.
+
+        Returns False if its head has not been received, or the response was made available before.
         """
         if self._head is None or self._response is None or self._response.done():
             return False
@@ -152,11 +156,11 @@
             self.forwarded.set_result(complete)
 
     def close(self) -> None:
-        """Closes the connection; a response that is incomplete by now counts as none, or as truncated."""
+        """Closes the connection; an incomplete response counts as none, or as truncated if it is being forwarded."""
         if self._response is not None and not self._response.done():
             self._response.set_result(None)
         if self._pipe is not None:
-            self._pipe.cut()
+            self._pipe.break_off()
             self._pipe = None
         self._finish_forwarding(complete=False)
         self.stream.close()
@@ -171,13 +175,13 @@
             self._timer = None
 
     def expect_response(self) -> asyncio.Future[http1.Message | None]:
-        """The next response, complete or being forwarded; None if the connection ends without one."""
+        """A future of the next response, complete or being forwarded; None if the connection ends without one."""
         self._response = asyncio.get_running_loop().create_future()
         self.forwarded = None
         return self._response
 
     def is_clean(self) -> bool:
-        """Whether it is open with nothing unread, even in the kernel: that would pass for the next response."""
+        """Whether the connection is open and has no unread bytes, which would be taken for the next response."""
         if self.stream.closed() or (self._pending_read is not None and self._pending_read.done()):
             return False
         try:
@@ -189,9 +193,9 @@
         return False
 
     def is_connected_to(self, endpoint: DiscoveredEndpoint) -> bool:
-        """Whether it leads to the listed process: the connections of an earlier one are reset."""
+        """Whether the connection leads to the process that is listed now, not to an earlier process of the endpoint."""
         return (self.address, self.endpoint_started_ms) == (endpoint.address, endpoint.started_ms)
 
     def is_reusable(self, response: http1.Message) -> bool:
-        """Whether another request may be sent after `response`."""
+        """Whether another request may be sent on the connection after `response`."""
         return response.keep_alive and self._parser.idle and not self.stream.closed()
--- a/limenotch/net/endpoint_pool.py
+++ b/limenotch/net/endpoint_pool.py
@@ -16,8 +16,8 @@
 from ..load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
 from . import attempt_check, http1
 from .attempt_message import encode_request
-from .endpoint_connection import MAX_BUFFER, EndpointConnection
-from .pipe import BodyPipe, BrokenError, BufferBudget
+from .endpoint_connection import MAX_BUFFER_BYTES, EndpointConnection
+from .pipe import BodyPipe, BufferBudget, PipeBrokenError
 from .request import Attempt
 from .requests import RequestManager
 from .response_outcome import ExchangeOutcome, attempt_ending, load_of
@@ -38,13 +38,14 @@
         tuning: settings.EndpointSettings = settings.EndpointSettings(),  # noqa: B008 (frozen)
         budget: BufferBudget | None = None,
     ) -> None:
-        """`idle_ms` is the endpoint's own idle timeout, of which the part `tuning.idle_part` is used: a request sent
-        while the endpoint closes the connection ends in a reset, after which only idempotent requests can be retried.
+        """`sockets`: the quota of descriptors. `connect_ms`: limit for connecting. `idle_ms`: the endpoints' own idle
+        timeout; only the fraction `tuning.idle_part` of it is used, as a request that is sent while the endpoint closes
+        the connection ends in a reset, after which only idempotent requests can be retried.
         """
         self._requests = requests
         self._sockets = sockets
         self._tuning = tuning
-        self._budget = budget or BufferBudget(MAX_BUFFER)
+        self._budget = budget or BufferBudget(MAX_BUFFER_BYTES)
         self._idle_part = tuning.idle_part
         self.set_timeouts(connect_ms, idle_ms)
         self._loop = IOLoop.current()
@@ -52,14 +53,14 @@
         self._ejected: set[str] = set()  # by an operator, listed or not
         self._idle: dict[str, list[EndpointConnection]] = {}
         self._used: dict[Attempt, EndpointConnection] = {}  # of attempts that have a connection now
-        self._timers: dict[Attempt, object] = {}
-        self._cut: dict[Attempt, AttemptEnding] = {}  # attempts ended from this side, and how
+        self._timers: dict[Attempt, object] = {}  # of the deadlines of attempts
+        self._forced_endings: dict[Attempt, AttemptEnding] = {}  # of attempts that this side has ended
         self._trace = logs.tracing()
         self._tasks: set[asyncio.Task[None]] = set()
         sockets.drop_idle = self._drop_oldest
 
     def set_timeouts(self, connect_ms: float, idle_ms: float) -> None:
-        """Changes the timeouts (ms) from now on; those already running are kept."""
+        """Changes the timeouts (ms, see `__init__`) from now on; timers that run already are not changed."""
         self._connect_s = connect_ms / 1000.0
         self._idle_s = idle_ms * self._idle_part / 1000.0
 
@@ -68,7 +69,7 @@
     def apply_list(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
         """Applies a list, or changes if it is not `complete`, in time linear in its length.
 
-        To be called before the load balancer gets it, which may send attempts to a new endpoint at once.
+        To be called before the load balancer gets the list, as it may send attempts to a new endpoint at once.
         """
         if complete:
             self._listed.clear()
@@ -90,11 +91,11 @@
         return iter(list(self._listed.values()))
 
     def __len__(self) -> int:
-        """How many are listed."""
+        """How many endpoints are listed."""
         return len(self._listed)
 
     def set_ejected(self, name: str, ejected: bool) -> None:
-        """An operator's ejection, or its end; to be called before the load balancer gets it."""
+        """Starts or ends an operator's ejection; to be called before the load balancer is notified of it."""
         if ejected:
             self._ejected.add(name)
         else:
@@ -102,14 +103,14 @@
         self._drop_unusable([name])
 
     def _usable(self, name: str) -> DiscoveredEndpoint | None:
-        """The endpoint, if new attempts may be sent to it now."""
+        """The endpoint, if it is listed and new attempts may be sent to it now; None otherwise."""
         endpoint = self._listed.get(name)
         if endpoint is None or not endpoint.accepts_requests or name in self._ejected:
             return None
         return endpoint
 
     def _drop_unusable(self, names: Iterable[str]) -> None:
-        """Closes idle connections to those of these endpoints that are not usable or have restarted."""
+        """Closes idle connections to the named endpoints that are not usable or have restarted."""
         for name in names:
             endpoint = self._usable(name)
             for connection in list(self._idle.get(name, ())):
@@ -119,20 +120,20 @@
     # Attempts
 
     def start(self, attempt: Attempt) -> None:
-        """Sends the attempt; its end is reported once, by `RequestManager.attempt_ended`, and not before it returns."""
+        """Sends the attempt. Its end is reported once, to `RequestManager.attempt_ended`, not within this call."""
         self._start_task(self._run(attempt))
 
     def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)  # the loop itself holds tasks by weak references only
+        self._tasks.add(task)  # the event loop has only weak references to tasks
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Ends the attempt, which is then reported as cancelled unless it ends otherwise first."""
-        self._cut_off(attempt, AttemptEnding.CANCELLED)
+        """Ends the attempt, which is then reported as cancelled unless it has ended in another way before."""
+        self._force_end(attempt, AttemptEnding.CANCELLED)
 
-    def _cut_off(self, attempt: Attempt, ending: AttemptEnding) -> None:
-        """Ends the attempt by closing its connection, which is how the endpoint notices."""
+    def _force_end(self, attempt: Attempt, ending: AttemptEnding) -> None:
+        """Ends the attempt by closing its connection, from which the endpoint can tell."""
         if attempt.ended:
             return
         connection = self._used.get(attempt)
@@ -142,8 +143,8 @@
             and connection.may_be_long
             and connection.start_forwarding()
         ):
-            return  # the deadline is that of its head, which was received
-        self._cut.setdefault(attempt, ending)
+            return  # the deadline of a long response applies to its head, which was received in time
+        self._forced_endings.setdefault(attempt, ending)
         if connection is not None:
             connection.close()
 
@@ -159,15 +160,15 @@
         finally:
             self._cancel_deadline(attempt)
             self._used.pop(attempt, None)
-            self._cut.pop(attempt, None)
+            self._forced_endings.pop(attempt, None)
             load = load_of(response) if response is not None else (None, None)
             self._requests.attempt_ended(attempt, ending, response, *load)
 
     def _start_deadline(self, attempt: Attempt) -> None:
-        """Starts the timer of its deadline, if it has one yet."""
+        """Starts the timer for the attempt's deadline; without effect while the deadline is infinite."""
         if attempt.deadline < math.inf:
             delay_s = max(attempt.deadline - monotonic(), 0.0)
-            timer = self._loop.call_later(delay_s, self._cut_off, attempt, AttemptEnding.TIMED_OUT)
+            timer = self._loop.call_later(delay_s, self._force_end, attempt, AttemptEnding.TIMED_OUT)
             self._timers[attempt] = timer
 
     def _cancel_deadline(self, attempt: Attempt) -> None:
@@ -188,8 +189,7 @@
             self._release(connection, outcome.response if outcome is not None and outcome.complete else None)
 
     async def _exchange_on(self, connection: EndpointConnection, attempt: Attempt) -> ExchangeOutcome:
-        # While the connection was acquired the request may have ended or the endpoint begun to drain: nothing may be
-        # sent then.
+        # The request may have ended, or the endpoint started to drain, while the connection was established.
         if not self._may_send(attempt):
             return ExchangeOutcome(self._unsent_ending(attempt, AttemptEnding.NOT_SENT))
         attempt.sent_at = monotonic()
@@ -198,7 +198,7 @@
         response = await pending_response
         if response is None:
             reset = AttemptEnding.RESET if written else AttemptEnding.CONNECT_FAILED
-            return ExchangeOutcome(self._cut.get(attempt, reset))
+            return ExchangeOutcome(self._forced_endings.get(attempt, reset))
         if response.rest is not None:
             return await self._forward_response(attempt, connection, response)
         return ExchangeOutcome(attempt_ending(response), response, complete=written)
@@ -206,7 +206,7 @@
     async def _forward_response(
         self, attempt: Attempt, connection: EndpointConnection, response: http1.Message
     ) -> ExchangeOutcome:
-        """Forwards a long response if it is the final one of its request. No deadline applies to the rest of it."""
+        """Passes on a long response if it becomes the final one of its request. No deadline applies to its body."""
         self._cancel_deadline(attempt)
         forwarded = connection.forwarded
         if response.status != 200:
@@ -215,12 +215,12 @@
             return ExchangeOutcome(AttemptEnding.CANCELLED)
         if await forwarded:
             return ExchangeOutcome(AttemptEnding.SERVED, response, complete=True)
-        return ExchangeOutcome(self._cut.get(attempt, AttemptEnding.RESET), response)
+        return ExchangeOutcome(self._forced_endings.get(attempt, AttemptEnding.RESET), response)
 
     async def _send_request(
         self, attempt: Attempt, connection: EndpointConnection, pending_response: asyncio.Future[http1.Message | None]
     ) -> bool:
-        """Whether the request was sent to its last byte: a response, or the end, may be received before that."""
+        """Sends the request; returns False if the response or the end of the connection comes before its last byte."""
         body_pipe = attempt.request.body_pipe
         try:
             await connection.stream.write(encode_request(attempt))
@@ -228,7 +228,7 @@
                 return False
         except StreamClosedError:
             return False
-        except BrokenError:  # the client ended the body: no response will end the exchange
+        except PipeBrokenError:  # the body will not be complete, so the endpoint will not send a response
             connection.close()
             return False
         self._requests.metrics.count_sent(attempt.request.class_name)
@@ -241,9 +241,9 @@
         body_pipe: BodyPipe,
         pending_response: asyncio.Future[http1.Message | None],
     ) -> bool:
-        """Whether the rest of a long request was sent before its response was received.
+        """Sends the rest of a long request; returns whether its last byte was sent before its response was received.
 
-        Raises StreamClosedError, or BrokenError if the client ended the body.
+        Raises StreamClosedError, or PipeBrokenError if the client did not complete the body.
         """
         upload = asyncio.ensure_future(self._write_body(attempt, connection, body_pipe))
         either: list[asyncio.Future[Any]] = [upload, pending_response]
@@ -260,7 +260,7 @@
         return True
 
     async def _write_body(self, attempt: Attempt, connection: EndpointConnection, body_pipe: BodyPipe) -> None:
-        """Sends the body as it is received; closes the connection if the endpoint does not read for `stall_s`."""
+        """Sends the body as it is received; closes the connection if the endpoint reads nothing for `stall_s`."""
         stream = connection.stream
         chunked = attempt.request.payload.length is None
         while piece := await body_pipe.get():
@@ -274,8 +274,8 @@
             await stream.write(http1.LAST_CHUNK)
 
     def _may_send(self, attempt: Attempt) -> bool:
-        """Whether its first byte may be sent now."""
-        if attempt in self._cut:
+        """Whether the first byte of the attempt may be sent now."""
+        if attempt in self._forced_endings:
             return False
         endpoint = self._usable(attempt.endpoint_name)
         obstacle = attempt_check.obstacle_to(attempt, endpoint, monotonic())
@@ -285,25 +285,25 @@
         return obstacle is None
 
     def _unsent_ending(self, attempt: Attempt, default: AttemptEnding) -> AttemptEnding:
-        """How an attempt ended before its first byte; one that timed out was not sent."""
-        ending = self._cut.get(attempt, default)
+        """The ending of an attempt of which no byte was sent; a timeout counts as not sent."""
+        ending = self._forced_endings.get(attempt, default)
         return AttemptEnding.NOT_SENT if ending is AttemptEnding.TIMED_OUT else ending
 
     # Connections
 
     async def _acquire_connection(self, attempt: Attempt) -> EndpointConnection | None:
-        """An idle connection or a new one; None if there is none in time."""
+        """An idle or a new connection for the attempt; None if none could be had in time."""
         endpoint = attempt.endpoint = self._usable(attempt.endpoint_name)
         if endpoint is None or not self._may_send(attempt):
-            self._cut.setdefault(attempt, AttemptEnding.NOT_SENT)
+            self._forced_endings.setdefault(attempt, AttemptEnding.NOT_SENT)
             return None
-        connection = self._take_settled(endpoint)
+        connection = self._take_idle_connection(endpoint)
         if connection is not None:
             self._used[attempt] = connection
             return connection
-        connection = self._open(endpoint) if self._sockets.take() else None
+        connection = self._open(endpoint) if self._sockets.acquire() else None
         if connection is None:
-            self._cut.setdefault(attempt, AttemptEnding.NOT_SENT)
+            self._forced_endings.setdefault(attempt, AttemptEnding.NOT_SENT)
             return None
         self._used[attempt] = connection
         if not await self._connect(connection, endpoint):
@@ -312,7 +312,7 @@
         return connection
 
     async def _connect(self, connection: EndpointConnection, endpoint: DiscoveredEndpoint) -> bool:
-        """Whether the connection was established in time; it is closed else."""
+        """Establishes the connection; returns False, with the connection closed, if that fails or takes too long."""
         stream = connection.stream
         timer = self._loop.call_later(self._connect_s, stream.close)
         try:
@@ -322,16 +322,16 @@
             return False
         finally:
             self._loop.remove_timeout(timer)
-        if not connection.is_clean():  # bytes received already are no response to a request of ours
+        if not connection.is_clean():  # bytes received before a request was sent can't be its response
             connection.close()
             return False
         return True
 
-    def _take_settled(self, endpoint: DiscoveredEndpoint) -> EndpointConnection | None:
-        """The last used connection of those idle for `settle_s`, so that the others reach their idle timeout.
+    def _take_idle_connection(self, endpoint: DiscoveredEndpoint) -> EndpointConnection | None:
+        """The last used of the connections that have been idle for `settle_s`, so that the others reach their timeout.
 
-        A faulty endpoint may respond twice: right after the first response nobody can tell whether more bytes are that
-        or the next request's response. Where no connection has been idle for so long, a new one is opened.
+        None if no connection has been idle for so long. A faulty endpoint may respond twice: bytes that arrive right
+        after its first response could be taken for the response to the next request.
         """
         idle_before = monotonic() - self._tuning.settle_s
         for connection in reversed(self._idle.get(endpoint.name, [])[:]):
@@ -344,16 +344,16 @@
         return None
 
     def _open(self, endpoint: DiscoveredEndpoint) -> EndpointConnection | None:
-        """A connection that is not connected yet; None, and its descriptor given back, if no socket can be had."""
+        """A connection that is not connected yet; None, with its descriptor released, if no socket can be created."""
         family = socket.AF_INET6 if ":" in endpoint.address[0] else socket.AF_INET
         try:
             sock = socket.socket(family, socket.SOCK_STREAM)
-        except OSError as error:  # no descriptor left in spite of the quota: the request was not sent
-            log.warning("no descriptor", endpoint=endpoint.name, error=str(error))
-            self._sockets.give_back()
+        except OSError as error:  # no descriptor is left in spite of the quota
+            log.warning("no descriptor for a connection to an endpoint", endpoint=endpoint.name, error=str(error))
+            self._sockets.release()
             return None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stream = IOStream(sock, max_buffer_size=MAX_BUFFER)
+        stream = IOStream(sock, max_buffer_size=MAX_BUFFER_BYTES)
         connection = EndpointConnection(
             stream, endpoint.name, endpoint.address, self._tuning.answer_s, self._tuning.stall_s, self._budget
         )
@@ -383,12 +383,12 @@
                 del self._idle[connection.endpoint_name]
 
     def _on_closed(self, connection: EndpointConnection) -> None:
-        """The one place where a connection's descriptor is given back."""
+        """Releases the descriptor of a connection that has closed, for whatever reason."""
         self._remove_idle(connection)
-        self._sockets.give_back()
+        self._sockets.release()
 
     def _drop_oldest(self) -> bool:
-        """Closes an idle connection, the oldest of its endpoint; False if there is none."""
+        """Closes one idle connection, the oldest one to its endpoint; False if there is none."""
         for idle in list(self._idle.values()):
             for connection in list(idle):
                 self._remove_idle(connection)
--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -237,7 +237,7 @@
 
     def _accept(self) -> None:
         if self._listener is not None and self._streams is not None:
-            self._listener.take(TURN, self._streams.admit, self._refused)
+            self._listener.accept_connections(TURN, self._streams.admit, self._refused)
 
     def _refused(self, error: OSError) -> None:
         log.warning("fleet's listener", error=str(error))
--- a/limenotch/net/pipe.py
+++ b/limenotch/net/pipe.py
@@ -1,4 +1,4 @@
-"""Streaming of long bodies from one connection to another, with bounded memory."""
+"""Streams long bodies from one connection to another, with bounded memory."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a body up to this size is buffered completely, so that it can be sent again
 READ_BYTES = 64 * 1024  # in one read
 SMALL_READ_BYTES = 8 * 1024  # in one read while the budget is exhausted
-MAX_PIPE_BYTES = 128 * 1024  # in one pipe
+MAX_PIPE_BYTES = 128 * 1024  # buffered in one pipe
 
 
-class BrokenError(Exception):
-    """The other end of the pipe is gone: its writer before the end of the body, or its reader."""
+class PipeBrokenError(Exception):
+    """The pipe was broken: its writer can't complete the body, or its reader needs no more of it."""
 
 
 class BufferBudget:
-    """The memory that all pipes and buffers share. Once exhausted, each still makes progress by small pieces."""
+    """The memory that all pipes and buffers share. Once it is exhausted, each still makes progress in small pieces."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit  # bytes
@@ -28,17 +28,17 @@
         return self.used >= self.limit
 
     @property
-    def piece(self) -> int:
-        """How many bytes to read at once now."""
+    def read_bytes(self) -> int:
+        """How many bytes to read at once at this moment."""
         return SMALL_READ_BYTES if self.exhausted else READ_BYTES
 
-    def beyond(self, size: int) -> bool:
+    def requires_streaming(self, size: int) -> bool:
         """Whether a body of which `size` bytes have arrived is to be streamed rather than buffered completely."""
         return size > MAX_BUFFERED_BODY_BYTES or size > SMALL_READ_BYTES and self.exhausted
 
 
 class BodyPipe:
-    """One body: `put` by the connection it arrives on, `get` by the one it is forwarded on."""
+    """The pieces of one body: `put` by the connection it arrives on, and `get` by the one it is forwarded on."""
 
     def __init__(self, budget: BufferBudget) -> None:
         self._budget = budget
@@ -47,10 +47,10 @@
         self._ended = False
         self._broken = False
         self._changed: asyncio.Event = asyncio.Event()
-        self.begun = False  # a piece was taken: what is left is not the complete body
+        self.was_read = False  # whether a piece was read: the rest is not the complete body
 
     async def put(self, piece: bytes) -> None:
-        """Add a piece; returns when there is capacity for the next one. Raises BrokenError once the reader is gone."""
+        """Adds a piece, and waits until there is capacity for the next one. Raises PipeBrokenError."""
         if piece and not self._broken:
             self._pieces.append(piece)
             self._count(len(piece))
@@ -59,30 +59,30 @@
             self._changed.clear()
             await self._changed.wait()
         if self._broken:
-            raise BrokenError
+            raise PipeBrokenError
 
     async def get(self) -> bytes:
-        """The next piece; b"" at the end. Raises BrokenError if the body was cut short."""
+        """Waits for the next piece; b"" at the end of the body. Raises PipeBrokenError."""
         while not self._pieces and not self._ended and not self._broken:
             self._changed.clear()
             await self._changed.wait()
         if self._broken:
-            raise BrokenError
+            raise PipeBrokenError
         if not self._pieces:
             return b""
-        self.begun = True
+        self.was_read = True
         piece = self._pieces.popleft()
         self._count(-len(piece))
         self._changed.set()
         return piece
 
     def end(self) -> None:
-        """The body is complete: no further piece is put."""
+        """Marks the body as complete: no further piece is put."""
         self._ended = True
         self._changed.set()
 
-    def cut(self) -> None:
-        """Break the pipe, from either end, and drop its content. Without effect once all was taken."""
+    def break_off(self) -> None:
+        """Breaks the pipe, from either end, and drops its content."""
         self._count(-self._buffered_bytes)
         self._pieces.clear()
         self._broken = True
--- a/limenotch/net/read_ahead.py
+++ b/limenotch/net/read_ahead.py
@@ -1,7 +1,7 @@
-"""Reading ahead on a client's connection, one read at a time, also while a request is open.
+"""Reads ahead on a client's connection, also while a request is open, so that its end is noticed.
 
-Tornado allows one read at a time, has no clean way to cancel one, and does not notice the end of a connection while
-bytes that nobody reads are in its buffer. So the one pending read is owned here, for whoever needs its bytes.
+Tornado allows one read at a time, can't cancel a read cleanly, and does not notice the end of a connection while unread
+bytes are in its buffer. So `ReadAhead` owns the one pending read, and buffers its bytes for the connection.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from ..config import host_port
 from .pipe import READ_BYTES, BufferBudget
 
-# Bytes that a client may send ahead of the response it waits for: several complete requests of buffered size.
-# Beyond one read they are buffered only while the memory budget for bodies is not exhausted.
+# Bytes that a client may send before it has received its response: several complete requests that are short enough to
+# be buffered. More than one read is buffered only while the memory budget for bodies is not exhausted.
 MAX_READ_AHEAD_BYTES = 256 * 1024
-# In a turn of the event loop: the end of a connection behind all that may be buffered is noticed in that turn, and a
-# flood of bytes leaves time for other connections.
+# Enough reads in one turn of the event loop to buffer all that may be buffered and to notice an end of the connection
+# behind it, and few enough that a flood of bytes leaves time for other connections.
 MAX_READS_PER_TURN = 4
 
 
 class Mode(Enum):
-    """What happens to bytes that arrive while nobody reads."""
+    """What happens to bytes that arrive while no `read` waits for them."""
 
     LEAVE = "left in the kernel"
     BUFFER = "buffered up to a limit, and left in the kernel beyond"
@@ -36,21 +36,24 @@
 
 
 class IdleEndError(Exception):
-    """The connection is ended while it is idle, between two requests."""
+    """The sidecar ends the connection while it is idle, between two requests."""
 
 
 class ClientStream(IOStream):
-    """Reports its end at once: Tornado's close callback runs a turn of the event loop later, after timers then due."""
+    """A client's connection that reports its end at once.
+
+    Tornado's close callback runs in the next turn of the event loop, after the timers that are due by then.
+    """
 
     ended: Callable[[], None] = staticmethod(lambda: None)
 
     def close_fd(self) -> None:
-        """Close the descriptor and call `ended` (overrides IOStream)."""
+        """Closes the descriptor and calls `ended` (overrides IOStream)."""
         super().close_fd()
         self.ended()
 
     async def write_within(self, limit_s: float, data: bytes) -> None:
-        """Write, for a limited time: the connection of a client that does not read would never be freed.
+        """Writes `data` within `limit_s` seconds, else closes the connection: a client may never read.
 
         Raises StreamClosedError.
         """
@@ -62,7 +65,7 @@
             IOLoop.current().remove_timeout(timer)
 
     def peer_connected(self) -> bool:
-        """Whether the client is there as far as the kernel knows, which learns of its end before a busy event loop."""
+        """Whether the client is connected as far as the kernel knows, which a busy event loop may not have noticed."""
         try:
             return self.socket.recv(1, socket.MSG_PEEK) != b""
         except BlockingIOError:
@@ -78,23 +81,23 @@
             return ""
 
     def shut_down_sending(self) -> None:
-        """Shut down our sending side, unless the client has disconnected already."""
+        """Shuts down our sending side, unless the client has disconnected already."""
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
 
     def reset(self) -> None:
-        """Reset the connection, so that the client does not take what was written for a complete response."""
+        """Resets the connection, so that the client does not take what was written for a complete response."""
         if not self.closed():
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.close()
 
 
 class ReadAhead:
-    """The bytes of one stream in order, as they arrive."""
+    """The bytes of one stream, in the order in which they arrive."""
 
     def __init__(self, stream: IOStream, budget: BufferBudget) -> None:
         self.stream = stream
-        self.dropped = False  # bytes are missing: no further request can be read
+        self.dropped = False  # whether bytes were dropped: no further request can be read then
         self._budget = budget
         self._mode = Mode.LEAVE
         self._buffer: list[bytes] = []
@@ -104,10 +107,10 @@
         self._error: Exception | None = None
 
     async def read(self) -> bytes:
-        """The bytes buffered so far, else the next ones that arrive.
+        """The buffered bytes; if there are none, waits for the next ones.
 
-        Raises StreamClosedError once the connection has ended, whatever is buffered: nobody waits for a response.
-        Raises the error that `fail` was given.
+        Raises StreamClosedError once the connection has ended, even if bytes are buffered, as the client would not get
+        a response. Raises the error passed to `fail`.
         """
         self._check()
         if not self._buffer:
@@ -123,18 +126,18 @@
         return data
 
     def set_mode(self, mode: Mode) -> None:
-        """Set the mode; what has arrived is read at once as far as that allows, and an end behind it noticed."""
+        """Sets the mode, and reads at once what has arrived, as far as the mode allows it."""
         self._mode = mode
         self._read_ahead()
 
     def fail(self, error: Exception) -> None:
-        """Make the read in progress, else the next one, raise this error."""
+        """Makes the `read` in progress, else the next one, raise this error."""
         self._error = error
         self._wake()
 
     @property
     def empty(self) -> bool:
-        """Whether no unread bytes have arrived, neither here nor in the kernel."""
+        """Whether there are no unread bytes, neither in the buffers of this process nor in the kernel."""
         if self._buffer or self.dropped:
             return False
         if self.stream.closed():
@@ -145,7 +148,7 @@
         return not self._pending.done() and not self._has_bytes_in_kernel()
 
     async def discard(self, limit: int) -> None:
-        """Read and drop up to `limit` bytes. Raises StreamClosedError at the end of the connection."""
+        """Reads and drops up to `limit` bytes. Raises StreamClosedError at the end of the connection."""
         self._error = None
         self._mode = Mode.LEAVE
         self._clear_buffer()
@@ -153,7 +156,7 @@
             limit -= len(await self.read())
 
     def close(self) -> None:
-        """The connection has ended: drop what is buffered."""
+        """Drops what is buffered, after the end of the connection."""
         self._clear_buffer()
 
     def _check(self) -> None:
@@ -177,7 +180,7 @@
                 self._waiter = None
 
     def _start_read(self) -> None:
-        """Begin a read unless one is pending; bytes that are there already are buffered at once."""
+        """Starts a read unless one is pending; bytes that have arrived already are buffered at once."""
         future = self._begin_read()
         if future is not None and future.done():
             self._take_result()
@@ -188,8 +191,8 @@
         if self._pending is not None or self.stream.closed():
             return None
         try:
-            self._pending = asyncio.ensure_future(self.stream.read_bytes(self._budget.piece, partial=True))
-        except OSError:  # the connection broke, and the stream has closed itself
+            self._pending = asyncio.ensure_future(self.stream.read_bytes(self._budget.read_bytes, partial=True))
+        except OSError:  # the connection is broken, and the stream has closed itself
             return None
         return self._pending
 
@@ -199,11 +202,11 @@
         self._read_ahead()
 
     def _take_result(self) -> None:
-        """Buffer or drop the bytes of a read that is done."""
+        """Buffers or drops the bytes of a read that is done."""
         future = self._pending
         self._pending = None
         if future is None or future.cancelled() or future.exception() is not None:
-            return  # the stream has closed
+            return  # the stream is closed
         piece = future.result()
         if self._mode is Mode.BUFFER_OR_DROP and (self.dropped or self._buffered_bytes + len(piece) > self._capacity):
             self.dropped = True
@@ -216,15 +219,15 @@
     def _capacity(self) -> int:
         return READ_BYTES if self._budget.exhausted else MAX_READ_AHEAD_BYTES
 
-    def _wants_more(self) -> bool:
+    def _should_read_ahead(self) -> bool:
         if self._mode is Mode.BUFFER:
             return self._buffered_bytes < self._capacity
         return self._mode is Mode.BUFFER_OR_DROP
 
     def _read_ahead(self) -> None:
-        """Read some pieces at once, and further ones in the next turns of the event loop."""
+        """Reads up to MAX_READS_PER_TURN pieces at once, and further pieces in the next turns of the event loop."""
         for reads_left in range(MAX_READS_PER_TURN, -1, -1):
-            future = self._begin_read() if self._wants_more() else None
+            future = self._begin_read() if self._should_read_ahead() else None
             if future is None:
                 return
             if reads_left == 0 or not future.done():
--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -284,7 +284,7 @@
         """Report the end of an attempt to the load balancer and execute what follows from it."""
         request = attempt.request
         spent_ms = (monotonic() - attempt.started_at) * 1000.0
-        body_consumed = request.body_pipe is not None and request.body_pipe.begun
+        body_consumed = request.body_pipe is not None and request.body_pipe.was_read
         if self._trace:
             trace_attempt(attempt, ending, spent_ms, utilisation, per_s)
         closed = request.final is not None or request.client_gone
--- a/limenotch/net/shutdown_schedule.py
+++ b/limenotch/net/shutdown_schedule.py
@@ -1,11 +1,11 @@
-"""The schedule of a graceful shutdown, from SIGTERM to the end of the process; it follows from the settings alone."""
+"""The schedule of a graceful shutdown, from SIGTERM to the end of the process, computed from the settings."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# SIGKILL follows SIGTERM no earlier than after the longest deadline, of which at most MAX_KILL_DELAY_S count, plus
-# KILL_GRACE_S. The other two are margins before it; half of END_MARGIN_S is for writing and reading the responses.
+# SIGKILL follows SIGTERM after the longest deadline, limited to MAX_KILL_DELAY_S, plus KILL_GRACE_S, or later. The
+# other two are margins before SIGKILL; half of END_MARGIN_S is for writing and reading the responses.
 MAX_KILL_DELAY_S = 3.0
 KILL_GRACE_S = 0.7
 ANSWER_MARGIN_S = 0.2
@@ -16,17 +16,17 @@
     """The steps of a graceful shutdown, in seconds after SIGTERM."""
 
     accept_s: float  # new connections are accepted until then
-    close_s: float  # from then on idle connections end, and each other one with its next response
+    close_s: float  # from then on idle connections are closed, and each other connection after its next response
     answer_s: float  # requests accepted during the shutdown are answered by then, incomplete ones rejected
     end_s: float  # connections that owe no response are closed, whatever their clients do
-    wait_s: float  # limit for requests accepted before SIGTERM and responses that have begun
+    wait_s: float  # requests accepted before SIGTERM, and responses that have begun, are awaited until then
 
 
 def schedule(longest_deadline_s: float, accept_s: float, keep_s: float, handed_over: bool = False) -> Schedule:
     """The schedule for request classes whose longest deadline is `longest_deadline_s`.
 
-    `accept_s` and `keep_s` are the operator's upper limits for accepting and keeping connections. The last request
-    accepted has half of the longest deadline left. With the listener `handed_over` there is nothing to accept.
+    `accept_s` and `keep_s` are the operator's upper limits for accepting and keeping connections. The last request that
+    is accepted still has half of the longest deadline. If the listener was `handed_over`, no connection is accepted.
     """
     counted_s = min(longest_deadline_s, MAX_KILL_DELAY_S)
     kill_s = counted_s + KILL_GRACE_S
--- a/limenotch/net/sockets.py
+++ b/limenotch/net/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and the limits of descriptors for clients and endpoints."""
+"""Listening sockets, and the limits of file descriptors for clients and endpoints."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 
 
 class DescriptorQuota:
-    """The descriptors of one side: connections of clients, or connections to endpoints."""
+    """Counts the file descriptors of clients' connections, or of connections to endpoints, against a limit."""
 
     def __init__(self) -> None:
         self.limit = 0
         self.used = 0
-        self.idle = 0  # of those used: each can serve a further request, or be closed to free its descriptor
+        self.idle = 0  # of those used, by idle connections: each can carry a request, or be closed for a new one
         self.drop_idle: Callable[[], bool] = lambda: False  # closes one idle connection, if there is any
 
-    def take(self) -> bool:
-        """Take one descriptor, if there is capacity or an idle connection can be closed; return whether it was."""
+    def acquire(self) -> bool:
+        """Counts one more descriptor if the limit allows it or an idle connection can be closed; False otherwise."""
         if self.used >= self.limit and not self.drop_idle():
             return False
         self.used += 1
         return True
 
-    def give_back(self) -> None:
-        """Return one descriptor."""
+    def release(self) -> None:
+        """Counts one descriptor less."""
         self.used -= 1
 
     @property
     def has_capacity(self) -> bool:
-        """Whether one more request could be served."""
+        """Whether one more request could have a connection."""
         return self.idle > 0 or self.used < self.limit
 
 
 class Listener:
-    """A listening socket on the event loop, which owns it; `accept` is called while connections wait."""
+    """Owns a listening socket on the event loop, and calls `accept` whenever connections wait in its queue."""
 
     def __init__(self, sock: socket.socket, accept: Callable[[], None]) -> None:
         self.socket = sock
@@ -47,10 +47,13 @@
         self._paused = False
         self._loop.add_handler(sock, lambda *_: accept(), IOLoop.READ)
 
-    def take(self, limit: int, admit: Callable[[socket.socket], None], failed: Callable[[OSError], None]) -> bool:
-        """Accept up to `limit` waiting connections and pass each to `admit`; return whether the queue is empty.
+    def accept_connections(
+        self, limit: int, handle_connection: Callable[[socket.socket], None], handle_error: Callable[[OSError], None]
+    ) -> bool:
+        """Accepts up to `limit` waiting connections, and passes each to `handle_connection`.
 
-        An accept that fails (aborted by its peer, no descriptor left) is reported to `failed` and ends the turn.
+        Returns whether the queue is empty. The first accept that fails (the peer has aborted, or no descriptor is left)
+        is reported to `handle_error`, and no more connections are accepted by this call.
         """
         for _ in range(limit):
             if self._closed:
@@ -60,13 +63,13 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                failed(error)
+                handle_error(error)
                 return False
-            admit(sock)
+            handle_connection(sock)
         return False
 
     def pause(self, wait_s: float) -> None:
-        """Do not call `accept` for `wait_s` seconds: waiting connections stay in the queue."""
+        """Does not call `accept` for `wait_s` seconds; meanwhile connections stay in the queue."""
         if not self._closed and not self._paused:
             self._paused = True
             self._loop.remove_handler(self.socket)
@@ -78,7 +81,7 @@
             self._loop.add_handler(self.socket, lambda *_: self._accept(), IOLoop.READ)
 
     def close(self) -> None:
-        """Close the socket; nothing is accepted any more."""
+        """Closes the socket; no further connection is accepted."""
         self._closed = True
         if not self._paused:
             self._loop.remove_handler(self.socket)
@@ -86,11 +89,11 @@
 
 
 MAX_OPERATOR_CONNECTIONS = 16  # at once, in addition to those of clients and endpoints
-MIN_SHARED_DESCRIPTORS = 8  # for clients and endpoints, whatever the limit is
+MIN_SHARED_DESCRIPTORS = 8  # for clients and endpoints together, however low the limit is
 
 
 class DescriptorLimits:
-    """Divides the descriptors between clients and endpoints."""
+    """Divides the process's file descriptors between clients and endpoints."""
 
     def __init__(
         self,
@@ -98,11 +101,11 @@
         tuning: DescriptorSettings = DescriptorSettings(),  # noqa: B008 (frozen)
         fleet_connections: int = 0,
     ) -> None:
-        """`limit`: of the process. `fleet_connections`: reserved for other sidecars, beside those for operators.
+        """`limit`: of the process. `fleet_connections`: descriptors reserved for connections to other sidecars.
 
-        `tuning.reserve` covers standard streams, the event loop, the listener, discovery and the interpreter. Neither
-        side can use up the other's part: otherwise idle clients would leave no descriptor to reach an endpoint by, and
-        every request would be rejected.
+        `tuning.reserve` covers standard streams, the event loop, the listener, discovery and the interpreter; those of
+        operators are reserved in addition. Clients and endpoints have separate quotas: otherwise idle clients could use
+        up all descriptors, no endpoint could be reached, and every request would be rejected.
         """
         self._tuning = tuning
         self._reserved = MAX_OPERATOR_CONNECTIONS + fleet_connections
@@ -111,12 +114,12 @@
         self.set_limit(limit)
 
     def set_limit(self, limit: int) -> None:
-        """Set the limit of the process, also at runtime: what is open beyond it stays until it closes.
+        """Sets the limit of the process, also at runtime.
 
-        Idle connections to endpoints beyond it are closed.
+        Idle connections to endpoints beyond the new limit are closed; all other connections stay open.
         """
         shared = max(limit - self._tuning.reserve - self._reserved, MIN_SHARED_DESCRIPTORS)
         self.clients.limit = int(shared * self._tuning.client_fraction)
         self.endpoints.limit = shared - self.clients.limit
         while self.endpoints.used > self.endpoints.limit and self.endpoints.drop_idle():
-            pass  # no client is affected
+            pass  # closing these affects no client
--- a/limenotch/net/successor.py
+++ b/limenotch/net/successor.py
@@ -1,8 +1,8 @@
-"""Hand-over between the processes of one sidecar: the listener and the learned state of the predecessor.
+"""Hand-over between two processes of one sidecar: the predecessor's listener and learned state go to its successor.
 
-They meet at a Unix socket in a folder that both can access. The new process asks; the old one answers with its
-listening socket and one line of JSON. The connection then stays open: the new process reports on it that it serves,
-and its end tells either process that the other one is gone.
+They connect over a Unix socket in a folder that both can access. The new process sends a request, and the old one
+responds with its listening socket and one line of JSON. The connection then stays open: the new process reports on it
+that it serves, and by the end of the connection each process notices that the other one has ended.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 SOCKET_SUFFIX = ".sock"  # appended to the prefix of all paths of this sidecar
 VERSION = 1  # of the hand-over's protocol
-HANDOVER_TIMEOUT_S = 2.0  # for a complete hand-over: a stopped process must not delay the start
+HANDOVER_TIMEOUT_S = 2.0  # for a complete hand-over: a predecessor that hangs must not delay the start for longer
 MAX_STATE_BYTES = 4 * 1024 * 1024  # of the line of JSON
 MAX_MESSAGE_BYTES = 64  # of the other lines
 MAX_REQUEST_BUFFER_BYTES = 4096  # for what the successor sends
 SERVING = b"serving\n"
-NOTED = b"noted\n"
+SERVING_ACK = b"noted\n"
 MAX_SOCKET_PATH_BYTES = 100  # of a Unix socket's address
 SOCKET_BACKLOG = 4  # connections
 MAX_FILE_DESCRIPTORS = 4  # accepted with the first byte; one is expected
@@ -49,7 +49,7 @@
 
 @contextlib.contextmanager
 def _address(path: Path) -> Iterator[str]:
-    """A path that fits into a Unix socket's address, however long the path of its folder is."""
+    """The path of a Unix socket as its address, shortened by way of an open descriptor of its folder if too long."""
     if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield str(path)
         return
@@ -75,9 +75,10 @@
         state_to_hand_over: Callable[[], dict[str, Any]],
         process_count_changed: Callable[[int], None],
     ) -> None:
-        """`path_prefix`: of the Unix socket; None: there is no hand-over. `address`: that of the listener.
+        """`path_prefix`: of the Unix socket; None: there is no hand-over. `address`: of the listener for clients.
 
-        `process_count_changed` is called with the number of live processes, this one included, after each change.
+        `state_to_hand_over` returns the state to hand over, as JSON values. `process_count_changed` is called with the
+        number of running processes of this sidecar, this one included, after each change.
         """
         self._path = Path(path_prefix + SOCKET_SUFFIX) if path_prefix else None
         self._address = address
@@ -92,18 +93,18 @@
 
     @property
     def successor_serves(self) -> bool:
-        """Whether a later process has this one's listener and serves requests."""
+        """Whether a later process has taken over this process's listener and serves requests."""
         return any(self._successors.values())
 
     @property
     def process_count(self) -> int:
-        """How many processes of this sidecar live, as far as this one is connected to them."""
+        """How many processes of this sidecar run: this one and those it is connected to."""
         return 1 + (self._predecessor is not None) + len(self._successors)
 
     # As the successor of another process
 
     async def request_handover(self) -> InheritedState | None:
-        """What the predecessor hands over; None if there is none, or it does not answer in time."""
+        """What the predecessor hands over; None if there is no predecessor, or the hand-over fails or times out."""
         if self._path is None:
             return None
         sock = None
@@ -112,7 +113,7 @@
             sock.setblocking(False)
             return await asyncio.wait_for(self._receive_handover(sock), HANDOVER_TIMEOUT_S)
         except (FileNotFoundError, ConnectionRefusedError):
-            log.info("no predecessor")
+            log.info("no predecessor to take over from")
         except (TimeoutError, OSError, ValueError, StreamClosedError) as error:
             log.warning("hand-over failed; starting without a predecessor", error=str(error) or type(error).__name__)
         if sock is not None:
@@ -120,7 +121,10 @@
         return None
 
     async def _receive_handover(self, sock: socket.socket) -> InheritedState:
-        """Ask for the hand-over on a new socket. Raises OSError, ValueError or StreamClosedError."""
+        """Requests the hand-over on a new socket, and receives it.
+
+        Raises OSError, ValueError (the response is invalid) or StreamClosedError.
+        """
         assert self._path is not None
         loop = asyncio.get_running_loop()
         with _address(self._path) as path:
@@ -140,31 +144,32 @@
             stream = IOStream(sock, max_buffer_size=MAX_STATE_BYTES)
             state = json.loads(await stream.read_until(b"\n", max_bytes=MAX_STATE_BYTES))
             if not isinstance(state, dict) or state.get("version") != VERSION:
-                raise ValueError("of another version")
+                raise ValueError(f"state is not an object of version {VERSION}")
         except BaseException:
             for received in sockets:
                 received.close()
             raise
         self._predecessor = stream
-        stream.set_close_callback(self._predecessor_gone)
+        stream.set_close_callback(self._handle_predecessor_end)
         return InheritedState(sockets[0], state)
 
     def _check_listener(self, sockets: list[socket.socket]) -> None:
-        """Raises ValueError or OSError unless there is exactly one socket, which listens on our address."""
+        """Raises ValueError or OSError unless `sockets` is exactly one socket, which listens on our address."""
         if len(sockets) != 1 or not sockets[0].getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             raise ValueError("no listener received")
         if sockets[0].getsockname()[:2] != self._address:
-            raise ValueError("the listener is of another address")
+            raise ValueError("the listener received has another address")
 
-    def _predecessor_gone(self) -> None:
+    def _handle_predecessor_end(self) -> None:
         self._predecessor = None
-        log.info("the predecessor is gone")
+        log.info("predecessor ended")
         self._process_count_changed(self.process_count)
 
     async def confirm_serving(self) -> None:
-        """Notify the predecessor that this process serves; return when it has acknowledged, or does not in time.
+        """Notifies the predecessor that this process serves; returns on its acknowledgement, or after a timeout.
 
-        It has to know before it is ended: only then are the connections that wait in the queue safe.
+        The predecessor has to know before it is ended: only then does it leave the connections in the listener's
+        queue to this process.
         """
         stream = self._predecessor
         if stream is None:
@@ -172,15 +177,18 @@
         timer = self._loop.call_later(HANDOVER_TIMEOUT_S, stream.close)
         with contextlib.suppress(StreamClosedError):
             await stream.write(SERVING)
-            await stream.read_until(NOTED, max_bytes=MAX_MESSAGE_BYTES)
+            await stream.read_until(SERVING_ACK, max_bytes=MAX_MESSAGE_BYTES)
         self._loop.remove_timeout(timer)
         if not stream.closed():
-            self._watch(stream)
+            self._start_watching(stream)
 
     # As the predecessor of another process
 
     def offer_listener(self, listener: socket.socket) -> None:
-        """Make this process the one that hands over. Without a folder or Unix sockets there is no hand-over."""
+        """Starts to listen for a successor, which gets `listener`; this replaces the predecessor's Unix socket.
+
+        Without a folder, or if the Unix socket can't be created, there is no hand-over.
+        """
         self._client_listener = listener
         if self._path is None:
             return
@@ -197,7 +205,7 @@
                 os.chmod(path, 0o600)
             os.replace(own_path, self._path)
         except OSError as error:
-            log.warning("the next process can't take over the listener", error=str(error))
+            log.warning("no Unix socket for the hand-over; a successor can't take over the listener", error=str(error))
             if sock is not None:
                 sock.close()
             return
@@ -206,9 +214,10 @@
 
     def _accept(self) -> None:
         if self._handover_listener is not None:
-            self._handover_listener.take(1, self._admit, lambda _: None)  # one that gave up asks again
+            # An error is ignored: a successor whose connection was aborted connects again.
+            self._handover_listener.accept_connections(1, self._start_handover, lambda _: None)
 
-    def _admit(self, sock: socket.socket) -> None:
+    def _start_handover(self, sock: socket.socket) -> None:
         task = asyncio.get_running_loop().create_task(
             self._hand_over(IOStream(sock, max_buffer_size=MAX_REQUEST_BUFFER_BYTES))
         )
@@ -226,15 +235,15 @@
             await stream.write(state)
             self._loop.remove_timeout(timer)
             self._successors[stream] = False
-            log.info("handed over", size=len(state))
+            log.info("handed over to a successor", size=len(state))
             self._process_count_changed(self.process_count)
             if await stream.read_until(SERVING, max_bytes=MAX_MESSAGE_BYTES):
                 self._successors[stream] = True
-                log.info("the next process serves")
-                await stream.write(NOTED)
+                log.info("successor serves")
+                await stream.write(SERVING_ACK)
             await stream.read_until_close()
         except (StreamClosedError, OSError) as error:
-            log.info("the next process is gone", error=str(error))
+            log.info("successor ended", error=str(error))
         except Exception:
             log.exception("internal error in the hand-over")
         finally:
@@ -243,16 +252,16 @@
             if self._successors.pop(stream, None) is not None:
                 self._process_count_changed(self.process_count)
                 if self._client_listener is not None and self._client_listener.fileno() >= 0:
-                    # The successor that is gone had replaced our Unix socket by its own.
+                    # The successor that ended may have replaced our Unix socket by its own.
                     self.offer_listener(self._client_listener)
 
-    def _watch(self, stream: IOStream) -> None:
-        """Notice the end of a connection on which nothing more is sent."""
-        task = asyncio.get_running_loop().create_task(self._until_closed(stream))
+    def _start_watching(self, stream: IOStream) -> None:
+        """Keeps reading a connection on which nothing more is sent, so that its end is noticed."""
+        task = asyncio.get_running_loop().create_task(self._read_until_closed(stream))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _until_closed(self, stream: IOStream) -> None:
+    async def _read_until_closed(self, stream: IOStream) -> None:
         with contextlib.suppress(StreamClosedError):
             await stream.read_until_close()
 
@@ -262,7 +271,7 @@
             self._handover_listener = None
 
     def close(self) -> None:
-        """Close the Unix socket and the connections to the other processes."""
+        """Closes the Unix socket and the connections to the other processes."""
         self._stop_listening()
         for stream in [*self._successors, *([self._predecessor] if self._predecessor is not None else [])]:
             stream.set_close_callback(None)
--- a/tests/helpers/connections.py
+++ b/tests/helpers/connections.py
@@ -47,7 +47,7 @@
             return bool(found)
 
         await until(admitted)
-        await until(lambda: found[0] in self.all._waiting)
+        await until(lambda: found[0] in self.all._idle)
         return sock, found[0]
 
     def taken(self) -> int:
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -25,7 +25,7 @@
 
 
 def timer(connections: Connections, consumer: ClientConnection) -> None:
-    consumer._overdue()
+    consumer._handle_timeout()
 
 
 def eviction(connections: Connections, consumer: ClientConnection) -> None:
@@ -59,7 +59,7 @@
         if used:
             sock.sendall(UP)
             await received(sock, b"\r\n\r\n")
-            await until(lambda: consumer in connections.all._waiting)
+            await until(lambda: consumer in connections.all._idle)
         sock.sendall(UP)
         where(consumer)
         end(connections, consumer)
@@ -105,7 +105,7 @@
         sock.sendall(part)
         await until(lambda: not consumer._parser.idle and consumer._timer is not None)
         sock.sendall(crossing)
-        consumer._overdue()
+        consumer._handle_timeout()
         sock.sendall(behind)
         answer = await received(sock)
         sock.close()
@@ -123,7 +123,7 @@
         sock.sendall(wire[: -len(late)])
         await until(lambda: not consumer._parser.idle and consumer.reader.empty)
         sock.sendall(late)
-        consumer._overdue()
+        consumer._handle_timeout()
         assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
@@ -184,7 +184,7 @@
         lingering, gone = await connections.client()
         lingering.sendall(UP.replace(b"\r\n\r\n", CLOSING))
         await received(lingering)
-        await until(lambda: work in connections.all._waiting)
+        await until(lambda: work in connections.all._idle)
         order: list[ClientConnection] = []
         for _ in range(3):
             before = set(connections.all._open)
@@ -205,7 +205,7 @@
         working, work = await connections.client()
         working.sendall(UP)
         await received(working, b"\r\n\r\n")
-        await until(lambda: work in connections.all._waiting)
+        await until(lambda: work in connections.all._idle)
         idle = []
         for _ in range(3 * limit):
             idle.append((await connections.client())[0])
@@ -227,7 +227,7 @@
         head = DELIVER[:-3].replace(b"HTTP/1.1", version).replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n")
         sock.sendall(head)
         await until(lambda: not consumer._parser.idle and consumer._timer is not None)
-        consumer._overdue()
+        consumer._handle_timeout()
         answer = await received(sock)
         sock.close()
         assert answer.startswith(http1.CONTINUE + b"HTTP/1.1 408 " if told else b"HTTP/1.1 408 ")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -198,7 +198,7 @@
     # Guards the end: who only asks whether we are ready kept its connection up to the kill.
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
-        connections.all.closing = True
+        connections.all.draining = True
         sock.sendall(sent)
         said = await received(sock)
         assert said.count(b"HTTP/1.1 200 ") == answers and said.count(b"Connection: close") == 1
@@ -214,7 +214,7 @@
 
         async def write(response: bytes) -> None:
             await written(response)
-            connections.all.closing = True
+            connections.all.draining = True
 
         consumer._write = write  # type: ignore[method-assign]
         sock.sendall(UP)
@@ -235,7 +235,7 @@
         if part == BIG[:-1]:
             await until(lambda: bool(connections.calls.open))
         times = schedule(20.0, 0.5, 1.8)
-        leaving = asyncio.create_task(connections.all.shut_down(since=monotonic() - times.answer_s))
+        leaving = asyncio.create_task(connections.all.shut_down(requested_at=monotonic() - times.answer_s))
         assert (await received(sock)).startswith(b"HTTP/1.1 503 ")
         assert not connections.calls.open
         sock.close()
@@ -249,7 +249,7 @@
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         times = schedule(20.0, 0.5, 1.8)
-        await connections.all.shut_down(since=monotonic() - times.end_s)
+        await connections.all.shut_down(requested_at=monotonic() - times.end_s)
         assert not connections.all._open
         assert await received(sock) == b""
         sock.close()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -315,16 +315,16 @@
     # Guards the way to the providers: consumers that only stay connected once used up every descriptor, and
     # all calls were rejected from then on.
     sockets, idle = DescriptorLimits(64), [1, 1]
-    while sockets.clients.take():
+    while sockets.clients.acquire():
         pass
-    assert sockets.endpoints.has_capacity and sockets.endpoints.take()
+    assert sockets.endpoints.has_capacity and sockets.endpoints.acquire()
 
     def drop() -> bool:
         sockets.endpoints.used -= bool(idle)
         return bool(idle and idle.pop())
 
     sockets.endpoints.drop_idle = drop
-    while sockets.endpoints.take():
+    while sockets.endpoints.acquire():
         pass
     assert (
         not idle
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -26,9 +26,9 @@
         listener = Listener(sock, lambda: None)
         clients = waiting(sock, 3)
         taken: list[socket.socket] = []
-        listener.take(2, taken.append, lambda error: None)
+        listener.accept_connections(2, taken.append, lambda error: None)
         first = len(taken)
-        listener.take(5, taken.append, lambda error: None)  # one is left; then accept would block
+        listener.accept_connections(5, taken.append, lambda error: None)  # one is left; then accept would block
         for s in (*taken, *clients):
             s.close()
         listener.close()
@@ -50,7 +50,7 @@
         listener = Listener(sock, lambda: None)
         errors: list[OSError] = []
         taken: list[socket.socket] = []
-        listener.take(4, taken.append, errors.append)
+        listener.accept_connections(4, taken.append, errors.append)
         listener.close()
         return errors, taken
 
@@ -70,7 +70,7 @@
             listener.close()
 
         errors: list[OSError] = []
-        listener.take(4, admit, errors.append)
+        listener.accept_connections(4, admit, errors.append)
         for s in (*taken, *clients):
             s.close()
         return len(taken), errors
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -16,8 +16,8 @@
     READ_BYTES,
     SMALL_READ_BYTES,
     BodyPipe,
-    BrokenError,
     BufferBudget,
+    PipeBrokenError,
 )
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import Settings
@@ -100,13 +100,13 @@
         greedy, modest = BodyPipe(budget), BodyPipe(budget)
         full = asyncio.create_task(greedy.put(b"g" * READ_BYTES))
         await asyncio.sleep(0)
-        assert budget.exhausted and budget.piece == SMALL_READ_BYTES and not full.done()
+        assert budget.exhausted and budget.read_bytes == SMALL_READ_BYTES and not full.done()
         for _ in range(5):
             putting = asyncio.create_task(modest.put(b"m" * SMALL_READ_BYTES))
             assert await modest.get() == b"m" * SMALL_READ_BYTES
             await putting
-        greedy.cut()
-        with pytest.raises(BrokenError):
+        greedy.break_off()
+        with pytest.raises(PipeBrokenError):
             await full
         assert budget.used == 0
 
@@ -120,11 +120,11 @@
         side = asyncio.create_task(pipe.put(b"x") if waiting == "put" else pipe.get())
         await asyncio.sleep(0)
         assert not side.done()
-        pipe.cut()
-        with pytest.raises(BrokenError):
+        pipe.break_off()
+        with pytest.raises(PipeBrokenError):
             await side
         for late in (pipe.put(b"y"), pipe.get()):
-            with pytest.raises(BrokenError):
+            with pytest.raises(PipeBrokenError):
                 await late
 
     run(case())
