--- a/limenotch/net/successor.py
+++ b/limenotch/net/successor.py
@@ -144,7 +144,7 @@
             stream = IOStream(sock, max_buffer_size=MAX_STATE_BYTES)
             state = json.loads(await stream.read_until(b"\n", max_bytes=MAX_STATE_BYTES))
             if not isinstance(state, dict) or state.get("version") != VERSION:
-                raise ValueError(f"state is not an object of version {VERSION}")
+                raise ValueError("the state received has another version of the hand-over")
         except BaseException:
             for received in sockets:
                 received.close()
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -322,7 +322,7 @@
     at[int(last) if isinstance(at, list) else last] = value
     new = balancer_that_knows()
     before = export_state(new)
-    with pytest.raises(ValueError, match="knowledge"):
+    with pytest.raises(ValueError, match="learned state"):
         import_state(new, told)
     assert export_state(new) == before
 
@@ -339,7 +339,7 @@
     assert new._balancer.registry.profiles[1].recent == 3.0
     unsound: list[Any] = [None, [], {}, {"kinds": 3}, {"kinds": {}, "module": None}]
     for told in unsound:
-        with pytest.raises(ValueError, match="knowledge"):
+        with pytest.raises(ValueError, match="learned state"):
             new.import_state(told)
 
 
