--- a/limenotch/net/attempt_check.py
+++ b/limenotch/net/attempt_check.py
@@ -1,6 +1,6 @@
-"""The check right before the first byte of an attempt. Nothing is sent to an endpoint without it.
+"""The check right before the first byte of an attempt. No attempt is sent to an endpoint without it.
 
-An attempt waits for a connection after its endpoint was chosen. Meanwhile the request may get its response, its client
+After its endpoint was chosen, an attempt waits for a connection. Meanwhile the request may get its response, its client
 may disconnect, its deadline or the time for a retry may pass, and the endpoint may start draining or restart.
 """
 
@@ -16,7 +16,7 @@
     """Why an attempt may not be sent."""
 
     REQUEST_ANSWERED = "the request has its response"
-    CLIENT_GONE = "the client has disconnected"
+    CLIENT_DISCONNECTED = "the client has disconnected"
     ATTEMPT_ENDED = "the attempt has ended"
     DEADLINE_PASSED = "the deadline of the attempt has passed"
     NOT_IN_SERVICE = "the endpoint accepts no requests"
@@ -26,14 +26,14 @@
 
 
 def obstacle_to(attempt: Attempt, endpoint: DiscoveredEndpoint | None, now: float) -> Obstacle | None:
-    """What prevents the attempt at `now`, in seconds of `time.monotonic`; None: it may be sent.
+    """What prevents sending the attempt at `now` (seconds of `time.monotonic`); None if it may be sent.
 
-    `endpoint` is the attempt's in the newest list; None if that one accepts no requests.
+    `endpoint` is the attempt's endpoint in the newest list; None if it accepts no requests.
     """
     request = attempt.request
     chosen = attempt.endpoint
-    if request.client_gone or not request.client_connected():
-        return Obstacle.CLIENT_GONE
+    if request.client_has_disconnected or not request.client_connected():
+        return Obstacle.CLIENT_DISCONNECTED
     if request.final is not None:
         return Obstacle.REQUEST_ANSWERED
     if attempt.ended:
--- a/limenotch/net/attempt_message.py
+++ b/limenotch/net/attempt_message.py
@@ -9,7 +9,10 @@
 
 
 def encode_request(attempt: Attempt) -> bytes:
-    """The request with the time left as `X-Budget` in microseconds; of a long one, what was received so far."""
+    """Encodes the request, with the remaining time budget as `X-Budget` in microseconds.
+
+    Of a request with a streamed body it encodes the head and the buffered part of the body.
+    """
     message: http1.Message = attempt.request.payload
     left_us = max(int(min(attempt.deadline - monotonic(), attempt.request.budget_left_s) * 1e6), 1)
     headers = [pair for pair in message.end_to_end() if pair[0].lower() != b"x-budget"]
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -104,10 +104,10 @@
                 self.head = head
                 self._body = parser._framing(head)
         assert self._body is not None
-        self._body.size = 0  # the length of the whole stream is not limited, that of each document is
-        self._body.take(parser.buffer)
-        documents = self._documents.feed(b"".join(self._body.parts))
-        self._body.parts.clear()
+        self._body.received_bytes = 0  # the length of the whole stream is not limited, that of each document is
+        self._body.decode(parser.buffer)
+        documents = self._documents.feed(b"".join(self._body.decoded))
+        self._body.decoded.clear()
         return documents
 
     @property
--- a/limenotch/net/header_fields.py
+++ b/limenotch/net/header_fields.py
@@ -9,7 +9,7 @@
 BUDGET_PATTERN = re.compile(rb"([0-9]{1,18}(?:\.[0-9]{0,9})?)([mu])")
 MAX_BUDGET_MS = 1e9  # exclusive
 
-# Rejected if repeated, even with equal values: an endpoint may identify the request by the other one of the two.
+# Rejected if repeated, even with equal values: an endpoint may use another one of the fields.
 UNREPEATABLE_FIELDS = frozenset((b"x-call-id", b"x-call-class", b"x-caller", b"x-budget", b"idempotency-key"))
 
 
@@ -28,7 +28,10 @@
 
 
 def decode_name(value: bytes) -> str:
-    """A name as the settings, which are UTF-8, write it; bytes that are not UTF-8 match no name there."""
+    """Decodes a name so that it can be compared with names in the settings, which are UTF-8.
+
+    Bytes that are not UTF-8 are decoded as Latin-1, and match no name in the settings.
+    """
     try:
         return value.decode("utf-8")
     except UnicodeDecodeError:
@@ -36,7 +39,7 @@
 
 
 def check_once(headers: http1.Headers) -> None:
-    """Raise MalformedError (status 400, naming the field) if a field that identifies a request is repeated."""
+    """Raises MalformedError (status 400, naming the field) if a field of UNREPEATABLE_FIELDS is repeated."""
     seen: set[bytes] = set()
     for name, _ in headers:
         key = name.lower()
--- a/limenotch/net/http1.py
+++ b/limenotch/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages (RFC 9110, RFC 9112): incremental parsers and writers, without I/O."""
+"""Incremental parsers and writers of HTTP/1.1 messages (RFC 9110, RFC 9112), without I/O."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from .http1_body import Body
 from .http1_body import MalformedError as MalformedError
 
-MAX_RESPONSE_BYTES = 1024 * 1024  # of the body of a response, likewise
+MAX_RESPONSE_BYTES = 1024 * 1024  # of the body of a response that is buffered completely; a parser may set another
 MAX_STREAMED_BODY_BYTES = 40 * 1024 * 1024  # of a body that is forwarded in pieces
 MAX_LENGTH_DIGITS = 15  # of Content-Length
-START_BYTES = 16  # of a message, checked before its head is complete
+START_BYTES = 16  # of a message, which are checked before its head is complete
 
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110, 5.6.2
 TARGET = re.compile(rb"[!-~\x80-\xff]+")
@@ -36,12 +36,12 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-# Headers of one connection only (RFC 9110, 7.6.1), or written anew by whoever frames the message.
+# Headers that apply to one connection only (RFC 9110, 7.6.1), or are written anew with the framing of the message.
 HOP_BY_HOP = frozenset(
     b"connection content-length expect keep-alive proxy-connection te trailer transfer-encoding upgrade".split()
 )
 
-# Rejected if repeated, even with equal values: the next recipient may use the other one.
+# Rejected if repeated, even with equal values: the next recipient may use another one of the repeated fields.
 UNREPEATABLE_FIELDS = frozenset((b"content-length", b"transfer-encoding", b"host"))
 
 Headers = list[tuple[bytes, bytes]]
@@ -52,14 +52,14 @@
     """A request (`method`, `target`) or a response (`status`)."""
 
     headers: Headers
-    fields: dict[bytes, bytes]  # by lower-case name; of repeated ones the last
+    fields: dict[bytes, bytes]  # values by lower-case name; of a repeated field the last one
     method: bytes = b""
     target: bytes = b""
     status: int = 0
-    minor: int = 1  # version of HTTP/1
+    minor: int = 1  # the minor version of HTTP/1
     body: bytes = b""  # complete, or the part of a long body that was buffered
     length: int | None = 0  # of the body in bytes; None: known only at its end
-    rest: Any = None  # pipe of a streamed body, with the pieces after `body`
+    rest: Any = None  # the pipe of a streamed body, with the pieces that follow `body`
 
     @property
     def keep_alive(self) -> bool:
@@ -77,7 +77,10 @@
 
 
 class _Parser:
-    """Incremental parser: fed with bytes as they arrive, it returns messages as they become complete."""
+    """Incremental parser: `feed` takes bytes as they arrive, `take` returns messages as they become complete.
+
+    A message with a long body can be read in pieces instead: by `head`, `pieces` until `complete`, and `next`.
+    """
 
     DEFAULT_MAX_BODY_BYTES = MAX_BODY_BYTES
 
@@ -86,26 +89,26 @@
         self.buffer = bytearray()
         self._message: Message | None = None
         self._body = Body(False, 0)
-        self._searched_bytes = 0  # of the buffer, without the end of a head
+        self._searched_bytes = 0  # at the front of the buffer, which do not contain the end of a head
 
     @property
     def idle(self) -> bool:
-        """Whether it is between messages and its buffer is empty."""
+        """Whether the parser is between messages and its buffer is empty."""
         return not self.buffer and self._message is None
 
     def feed(self, data: bytes) -> None:
-        """Append bytes that arrived."""
+        """Appends bytes that have arrived."""
         self.buffer += data
 
     def take(self) -> Message | None:
-        """The next complete message, if it is there. Raises MalformedError."""
+        """The next message if it is complete, else None. Raises MalformedError."""
         if self._message is None and self.head() is None:
             return None
-        self._body.take(self.buffer)
+        self._body.decode(self.buffer)
         return self._complete_message() if self._body.done else None
 
     def head(self) -> Message | None:
-        """The next message as soon as its head is there; its body is read by `pieces`. Raises MalformedError."""
+        """The next message, without its body, if its head is complete, else None. Raises MalformedError."""
         if self._message is None:
             message = self._head()
             if message is not None:
@@ -115,34 +118,35 @@
         return self._message
 
     def pieces(self) -> bytes:
-        """The bytes of the body that arrived since the last call. Raises MalformedError."""
-        self._body.take(self.buffer)
-        piece = b"".join(self._body.parts)
-        self._body.parts.clear()
+        """The bytes of the body that have arrived since the last call. Raises MalformedError."""
+        self._body.decode(self.buffer)
+        piece = b"".join(self._body.decoded)
+        self._body.decoded.clear()
         return piece
 
     @property
     def complete(self) -> bool:
-        """Whether the body of the present message is complete."""
+        """Whether the body of the current message is complete."""
         return self._message is not None and self._body.done
 
     def next(self) -> None:
-        """Go on to the next message after a complete one."""
+        """Moves on to the next message, after a complete one."""
         self._message = None
 
     def _complete_message(self) -> Message | None:
         message = self._message
         self._message = None
         if message is not None:
-            message.body = b"".join(self._body.parts)
+            message.body = b"".join(self._body.decoded)
             message.length = len(message.body)
         return message
 
     def _head(self) -> Message | None:
         while self.buffer.startswith(b"\r\n"):
             del self.buffer[:2]
-        if self.buffer != b"\r" and not self._may_start(bytes(self.buffer[:START_BYTES])):  # its end may never come
-            raise MalformedError(400, "no message of HTTP/1")
+        # Checked before the head is complete, as its end may never come.
+        if self.buffer != b"\r" and not self._may_start(bytes(self.buffer[:START_BYTES])):
+            raise MalformedError(400, "not a message of HTTP/1")
         end = self.buffer.find(b"\r\n\r\n", max(self._searched_bytes - 3, 0))
         if end < 0:
             self._searched_bytes = len(self.buffer)
@@ -176,11 +180,11 @@
         return Message(headers, fields)
 
     def _may_start(self, start: bytes) -> bool:
-        """Whether a message may begin with these bytes, which may be cut short."""
+        """Whether a message may begin with these bytes; `start` may be incomplete."""
         raise NotImplementedError
 
     def _ignores_malformed(self, name: bytes) -> bool:
-        """Whether a malformed header with this name is left out rather than rejected."""
+        """Whether a malformed header with this name is ignored; otherwise the message is rejected."""
         return False
 
     def _parse_start_line(self, line: bytes, message: Message) -> None:
@@ -190,12 +194,15 @@
         raise NotImplementedError
 
     def _shared_framing(self, message: Message, default: int | None) -> Body:
-        """The framing by the rules that requests and responses share (RFC 9112, 6.3)."""
+        """The framing by the rules that requests and responses share (RFC 9112, 6.3).
+
+        `default`: the length of the body without a header field that defines it; None: up to the connection's end.
+        """
         coding = message.fields.get(b"transfer-encoding")
         length = message.fields.get(b"content-length")
         if coding is not None:
             if length is not None or coding.lower() != b"chunked":
-                raise MalformedError(400, "framing not understood")
+                raise MalformedError(400, "unsupported framing")
             return Body(True, None, self.max_body_bytes)
         if length is None:
             return Body(False, default, self.max_body_bytes)
@@ -214,7 +221,7 @@
 
     @property
     def expects_continue(self) -> bool:
-        """Whether the present request waits for 100 (Continue) before its body is sent (RFC 9110, 10.1.1)."""
+        """Whether the client of the current request waits for 100 (Continue) before its body (RFC 9110, 10.1.1)."""
         message = self._message
         return message is not None and message.fields.get(b"expect", b"").lower() == b"100-continue"
 
@@ -229,10 +236,9 @@
         message.minor = int(parts[2][-1:])
 
     def _framing(self, message: Message) -> Body:
-        if (
-            message.minor == 0 and b"transfer-encoding" in message.fields
-        ):  # has no defined meaning there (RFC 9112, 6.1)
-            raise MalformedError(400, "chunks in HTTP/1.0")
+        # The field has no defined meaning in HTTP/1.0 (RFC 9112, 6.1).
+        if message.minor == 0 and b"transfer-encoding" in message.fields:
+            raise MalformedError(400, "Transfer-Encoding in HTTP/1.0")
         return self._shared_framing(message, 0)
 
 
@@ -245,18 +251,18 @@
         return b"HTTP/1.".startswith(start[:7])
 
     def _ignores_malformed(self, name: bytes) -> bool:
-        # A load report serves load balancing only: a malformed one must not cost the response.
+        # A load report is used for load balancing only: the response is valid without it.
         return name.strip().lower() == b"x-load-report"
 
     def take(self) -> Message | None:
-        """The next complete final response, if it is there. Raises MalformedError."""
+        """The next final response if it is complete, else None. Raises MalformedError."""
         message = super().take()
         while message is not None and 100 <= message.status < 200:  # interim: the final response follows
             message = super().take()
         return message
 
     def head(self) -> Message | None:
-        """The next final response as soon as its head is there. Raises MalformedError."""
+        """The next final response, without its body, if its head is complete, else None. Raises MalformedError."""
         message = super().head()
         while message is not None and 100 <= message.status < 200:
             self.next()
@@ -264,12 +270,12 @@
         return message
 
     def end(self) -> Message | None:
-        """The connection ended: the response that its end completes, if there is one."""
+        """The response that the end of the connection completes; None if there is none."""
         return self._complete_message() if self._message is not None and self.ends_with_connection else None
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether the end of the connection is the end of the present response's body."""
+        """Whether the body of the current response lasts until the end of the connection."""
         return not self._body.chunked and self._body.length is None
 
     def _parse_start_line(self, line: bytes, message: Message) -> None:
@@ -293,18 +299,21 @@
 
 
 def write_request(method: bytes, target: bytes, headers: Headers, body: bytes = b"") -> bytes:
-    """A complete request; `headers` without those of its framing."""
+    """A complete request; `headers` must not contain those of its framing, which are added."""
     length = b"Content-Length: %d\r\n" % len(body) if body or method not in (b"GET", b"HEAD") else b""
     return b"%b %b HTTP/1.1\r\n%b%b\r\n%b" % (method, target, _header_lines(headers), length, body)
 
 
 def request_head(method: bytes, target: bytes, headers: Headers, length: int | None) -> bytes:
-    """The head of a request whose body follows in pieces; without a `length` (bytes) these are sent as chunks."""
+    """The head of a request whose body follows in pieces; with `length` (bytes) None these are sent as chunks."""
     return b"%b %b HTTP/1.1\r\n%b%b\r\n" % (method, target, _header_lines(headers), _framing_header(length))
 
 
 def response_head(status: int, headers: Headers, length: int | None, close: bool, minor: int = 1) -> bytes:
-    """The same of a response; to a client of HTTP/1.0 the end of the connection is the end of the body."""
+    """The head of a response whose body follows in pieces, as in `request_head`.
+
+    For a client of HTTP/1.0 (`minor` 0) a body without a `length` lasts until the end of the connection.
+    """
     framing_header = b"" if length is None and minor == 0 else _framing_header(length)
     connection_header = b"Connection: close\r\n" if close else b""
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
@@ -321,7 +330,7 @@
 
 
 def chunk(piece: bytes) -> bytes:
-    """One chunk of the chunked coding (RFC 9112, 7.1)."""
+    """Encodes `piece` as one chunk of the chunked coding (RFC 9112, 7.1)."""
     return b"%x\r\n%b\r\n" % (len(piece), piece)
 
 
@@ -329,7 +338,10 @@
 
 
 def write_response(status: int, headers: Headers, body: bytes = b"", close: bool = False) -> bytes:
-    """A complete response; `headers` without those of its framing. With `close` it announces the connection's end."""
+    """A complete response; `headers` must not contain those of its framing, which are added.
+
+    With `close` it announces the end of the connection.
+    """
     reason = REASONS.get(status, b"")
     connection_header = b"Connection: close\r\n" if close else b""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
--- a/limenotch/net/http1_body.py
+++ b/limenotch/net/http1_body.py
@@ -1,17 +1,17 @@
-"""Bodies of HTTP/1.1 messages as their bytes arrive (RFC 9112, 6 and 7), and the error of what is no message."""
+"""Incremental parser of the bodies of HTTP/1.1 messages (RFC 9112, 6 and 7), and the error for malformed messages."""
 
 from __future__ import annotations
 
 import re
 
 MAX_HEAD_BYTES = 16 * 1024  # of a start line with its headers; also of the trailers
-MAX_BODY_BYTES = 64 * 1024  # of a request that is taken complete, unless its parser is given another limit
+MAX_BODY_BYTES = 64 * 1024  # of the body of a request that is buffered completely; a parser may set another limit
 MAX_CHUNK_LINE_BYTES = 1024  # of a chunk's size line
 CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?")
 
 
 class MalformedError(Exception):
-    """Bytes that are no valid message within the limits; `status` is that of a server's response to them."""
+    """Bytes that are not a valid message within the limits; `status`: with which a server responds to them."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -19,24 +19,30 @@
 
 
 class Body:
-    """A body's bytes as they arrive: of a known length, chunked, or all up to the connection's end (`length` None)."""
+    """Decodes a body as its bytes arrive.
+
+    It is `chunked`, has a known `length` in bytes or, with `length` None, lasts until the end of the connection.
+    """
 
     def __init__(self, chunked: bool, length: int | None, limit: int = MAX_BODY_BYTES) -> None:
         self.chunked = chunked
         self.length = length
         self.limit = limit  # bytes
-        self.parts: list[bytes] = []
-        self.size = 0  # bytes received
-        self.left = 0 if chunked else length  # bytes of the body or of the present chunk
-        self.state = "size" if chunked else "data"  # of a chunked body also "mark" (a chunk's end) and "trailer"
+        self.decoded: list[bytes] = []  # the content received; the user removes what it has processed
+        self.received_bytes = 0  # bytes received
+        self.missing_bytes = (
+            0 if chunked else length
+        )  # bytes missing of the body or of the current chunk; None: unknown
+        # What is expected next: in a chunked body also "mark" (the line end after a chunk) and "trailer".
+        self.state = "size" if chunked else "data"
         self.done = not chunked and length == 0
-        self.trailers = 0  # bytes
+        self.trailer_bytes = 0  # bytes of trailers received
 
-    def take(self, buffer: bytearray) -> None:
-        """Take the body's bytes from the front of the buffer. Raises MalformedError."""
+    def decode(self, buffer: bytearray) -> None:
+        """Moves the body's bytes from the front of the buffer to `decoded`. Raises MalformedError."""
         while not self.done:
             if self.state == "data":
-                if not self._take_data(buffer):
+                if not self._decode_data(buffer):
                     return
                 continue
             end = buffer.find(b"\r\n")
@@ -46,41 +52,41 @@
                 return
             line = bytes(buffer[:end])
             del buffer[: end + 2]
-            self._take_line(line)
+            self._process_line(line)
 
-    def _take_data(self, buffer: bytearray) -> bool:
-        """Take bytes of the body or of the present chunk; return whether that is complete."""
-        piece = bytes(buffer) if self.left is None else bytes(buffer[: self.left])
+    def _decode_data(self, buffer: bytearray) -> bool:
+        """Moves bytes of the body or of the current chunk from the buffer; returns whether that is complete."""
+        piece = bytes(buffer) if self.missing_bytes is None else bytes(buffer[: self.missing_bytes])
         del buffer[: len(piece)]
-        self.size += len(piece)
-        if self.size > self.limit:
+        self.received_bytes += len(piece)
+        if self.received_bytes > self.limit:
             raise MalformedError(413, "body too large")
-        self.parts.append(piece)
-        if self.left is None:
+        self.decoded.append(piece)
+        if self.missing_bytes is None:
             return False
-        self.left -= len(piece)
-        if self.left:
+        self.missing_bytes -= len(piece)
+        if self.missing_bytes:
             return False
         self.done = not self.chunked
         self.state = "mark"
         return True
 
-    def _take_line(self, line: bytes) -> None:
-        """Interpret a line of the chunked coding (RFC 9112, 7.1)."""
+    def _process_line(self, line: bytes) -> None:
+        """Processes a line of the chunked coding (RFC 9112, 7.1)."""
         if self.state == "mark":
             if line:
-                raise MalformedError(400, "chunk without its end")
+                raise MalformedError(400, "chunk not followed by a line end")
             self.state = "size"
         elif self.state == "size":
             match = CHUNK_SIZE.fullmatch(line)
             if match is None:
                 raise MalformedError(400, "bad chunk size")
-            self.left = int(match[1], 16)
-            if self.size + self.left > self.limit:
+            self.missing_bytes = int(match[1], 16)
+            if self.received_bytes + self.missing_bytes > self.limit:
                 raise MalformedError(413, "body too large")
-            self.state = "data" if self.left else "trailer"
+            self.state = "data" if self.missing_bytes else "trailer"
         else:
-            self.trailers += len(line)
-            if self.trailers > MAX_HEAD_BYTES:
+            self.trailer_bytes += len(line)
+            if self.trailer_bytes > MAX_HEAD_BYTES:
                 raise MalformedError(431, "trailers too large")
             self.done = not line
--- a/limenotch/net/request.py
+++ b/limenotch/net/request.py
@@ -1,6 +1,6 @@
-"""The state of a request and of its attempts, and the interfaces of those that take part in them.
+"""The state of requests and of their attempts, and the interfaces of the components that take part in handling them.
 
-Independent of the wire protocol; `RequestManager` owns the instances.
+Independent of the wire protocol. `RequestManager` owns the requests and attempts.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Verdict(Enum):
-    """How a request ended for its client."""
+    """How a request ended, as its client sees it."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -25,20 +25,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """The one final response to a request."""
+    """The final response to a request; each request has at most one."""
 
     verdict: Verdict
     payload: Any = None  # the response message of the endpoint that served it
     retry_after_ms: float = 0.0
     timed_out: bool = False
-    quota_exhausted: bool = False  # rejected because the quota of its tenant is spent
+    quota_exhausted: bool = False  # rejected because the quota of its tenant is used up
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     """One attempt to have a request served by one endpoint.
 
-    Times are seconds of `time.monotonic`: the event loop's clock follows the wall clock, which may be set.
+    Times are seconds of `time.monotonic`: the event loop's clock follows the system's clock, which may be set.
     """
 
     request: Request
@@ -46,7 +46,7 @@
     endpoint_name: str
     started_at: float
     deadline: float
-    response_began_at: float = 0.0  # when forwarding of its response began; 0: not yet
+    response_began_at: float = 0.0  # when its response began to be forwarded; 0: not yet
     ended: bool = False
     endpoint: DiscoveredEndpoint | None = None  # as listed by discovery when it was selected
     sent_at: float = 0.0  # when its first byte was written; 0: not yet
@@ -54,22 +54,22 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether its first byte was sent and its ending, if any, does not exclude that the endpoint ran it."""
+        """Whether the endpoint may have run it: its first byte was sent, and its ending does not rule it out."""
         return self.sent_at > 0 and self.ending not in NEVER_RAN
 
     @property
-    def wanted(self) -> bool:
-        """Whether it is in flight and its request still waits for a response."""
-        return not self.ended and self.request.final is None and not self.request.client_gone
+    def response_needed(self) -> bool:
+        """Whether the attempt is in flight and its request still waits for a response."""
+        return not self.ended and self.request.final is None and not self.request.client_has_disconnected
 
 
 @dataclass(frozen=True, slots=True)
 class RequestDetails:
-    """Optional properties of a request as its client stated them."""
+    """Optional properties of a request that its client has sent."""
 
-    idempotency_key: bytes = b""  # by which endpoints recognise a repeated request
+    idempotency_key: bytes = b""  # with it endpoints recognise a repeated request
     fields: Mapping[bytes, bytes] = field(default_factory=dict)  # header fields by lower-case name
-    connection: str = ""  # address of the client connection, "host:port"
+    connection: str = ""  # the client's address, "host:port"; empty: unknown
     is_retry: bool = False  # marked by the client as a retry of an earlier request
 
 
@@ -78,31 +78,31 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request of a client, from its acceptance to its final response."""
+    """One request of a client, from its arrival to its final response."""
 
     number: int  # unique within the process; request ids may recur
     request_id: bytes  # chosen by the client
     class_name: str  # its request class
     payload: Any
     deadline: float  # seconds of time.monotonic; infinite while its message is being received
-    budget_left_s: float  # of its time budget, counted from the last byte of its message
+    budget_left_s: float  # its time budget, which starts when the last byte of its message has been received
     respond: Callable[[FinalResponse], None]
-    body_pipe: BodyPipe | None = None  # the rest of a streamed message, which can be sent only once
+    body_pipe: BodyPipe | None = None  # the rest of a streamed message, which can be read only once
     tenant: str = ""
     details: RequestDetails = NO_DETAILS
     placement_hint: PlacementHint | None = None  # the preferred endpoint
-    already_charged: bool = False  # a retry of a request that was charged to the quota
+    already_charged: bool = False  # whether it is a retry of a request that was charged to the quota
     waited_ms: float = 0.0  # spent waiting for interceptors that returned RetryLater
-    interceptors: list[RequestInterceptor] = field(default_factory=list)  # those that admitted it, notified of its end
+    interceptors: list[RequestInterceptor] = field(default_factory=list)  # that have admitted it: notified of its end
     attempts: list[Attempt] = field(default_factory=list)
     final: FinalResponse | None = None
-    client_gone: bool = False
-    client_connected: Callable[[], bool] = lambda: True  # checks at this moment
+    client_has_disconnected: bool = False
+    client_connected: Callable[[], bool] = lambda: True  # whether the client is connected at this moment
     policy: RequestPolicy = RequestPolicy()
-    ran_elsewhere: SentAttempt | None = None  # as reported by another sidecar
+    ran_elsewhere: SentAttempt | None = None  # an attempt sent by another sidecar, as that one reported it
 
     def possible_executions(self) -> list[SentAttempt]:
-        """Its attempts that may have run, including those in flight and one that another sidecar reported."""
+        """The attempts that may have run, including those in flight and the one that another sidecar reported."""
         reported = [self.ran_elsewhere] if self.ran_elsewhere is not None else []
         return reported + [
             SentAttempt(attempt.endpoint.zone, attempt.endpoint.group, attempt.sent_at * 1000.0, not attempt.ended)
@@ -112,47 +112,50 @@
 
 
 class RetryLater(NamedTuple):
-    """Not decided yet: ask again after `delay_ms`, or end with `final` if the deadline comes first."""
+    """An interceptor has not decided yet: it is called again after `delay_ms`.
+
+    If the request's deadline comes first, the request ends with `final`.
+    """
 
     delay_ms: float
     final: FinalResponse
 
 
 class RequestInterceptor(Protocol):
-    """Takes part in the admission of requests beside the load balancer, and is notified of their events.
+    """Takes part in the admission of requests before the load balancer, and is notified of their events.
 
     Its methods run on the event loop and must not block.
     """
 
     def request_received(self, request: Request) -> FinalResponse | RetryLater | None:
-        """Decide on a request before the load balancer does.
+        """Decides on a request before the load balancer does.
 
-        A `FinalResponse` rejects the request; its Retry-After is limited to the configured maximum. With None the
-        request is admitted: its `placement_hint` may have been set here, and all events that follow are reported,
-        its end once by `request_closed`. After `RetryLater` this is called again, unless the request has ended.
+        A `FinalResponse` ends the request; its Retry-After is limited to the configured maximum. None admits the
+        request: this method may set its `placement_hint`, and the interceptor is notified of all events that follow,
+        of its end once by `request_closed`. After `RetryLater` this is called again, unless the request has ended.
         """
         ...
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """An attempt is about to be sent: from now on it may run."""
+        """An attempt is about to be sent: from now on the endpoint may run it."""
         ...
 
     def attempt_ended(self, attempt: Attempt, ending: AttemptEnding) -> None:
-        """An attempt ended; once for each, also after the end of its request."""
+        """An attempt has ended; called once for each attempt, also after the end of its request."""
         ...
 
     def request_closed(self, request: Request) -> None:
-        """The request ended with `request.final`; None if its client disconnected."""
+        """The request has ended with `request.final`, which is None if its client has disconnected."""
         ...
 
 
 class AttemptRunner(Protocol):
-    """Carries attempts to endpoints; reports each once to `RequestManager.attempt_ended`, never within `start`."""
+    """Sends attempts to endpoints; reports each end once, not within `start`, to `RequestManager.attempt_ended`."""
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt."""
+        """Starts an attempt."""
         ...
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt whose result is not wanted any more."""
+        """Ends an attempt whose result is not needed any more."""
         ...
--- a/limenotch/net/request_check.py
+++ b/limenotch/net/request_check.py
@@ -1,4 +1,4 @@
-"""Whether a message of a client is a request that can be accepted, and what its fields say beside its class."""
+"""Checks whether a client's message is a request that can be accepted, and reads optional header fields."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def details_of(fields: Mapping[bytes, bytes], connection: str) -> RequestDetails:
-    """What the header fields of a request say of it; `connection` is its client's address, or empty."""
+    """The optional properties of a request, from its header fields; `connection`: the client's address, or empty."""
     return RequestDetails(
         idempotency_key=fields.get(b"idempotency-key", b""),
         fields=fields,
@@ -24,7 +24,7 @@
 
 
 def check_request(message: http1.Message, requests: RequestManager, load_balancer: LoadBalancer) -> None:
-    """Raises MalformedError if the request is not one that can be accepted."""
+    """Raises MalformedError, with the status and the text for the client, unless the request can be accepted."""
     fields = message.fields
     if message.method in METHODS_WITHOUT_RESPONSE_BODY:
         raise http1.MalformedError(405, "GET or POST expected")
@@ -34,7 +34,7 @@
     request_id = fields.get(b"x-call-id")
     if not request_id:
         raise http1.MalformedError(400, "X-Call-Id: missing")
-    if requests.is_known(request_id):  # an endpoint would take it for a copy of the open one
+    if requests.is_known(request_id):  # an endpoint would take it for the request that has this id already
         raise http1.MalformedError(409, "X-Call-Id: of a call that is open")
     if not load_balancer.knows_class(decode_name(fields.get(b"x-call-class", b""))):
         raise http1.MalformedError(400, "X-Call-Class: unknown")
--- a/limenotch/net/request_trace.py
+++ b/limenotch/net/request_trace.py
@@ -1,4 +1,4 @@
-"""Log lines of single requests, at level `debug`: lab/timeline.py reads them."""
+"""Log lines of single requests, at level `debug`; lab/timeline.py reads them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def trace_accepted(request: Request, usable_ms: float) -> None:
-    """A request was accepted, and may stay open for so long."""
+    """Logs that a request was accepted, and for how many milliseconds it may stay open."""
     log.debug(
         "taken",
         call=request.number,
@@ -27,7 +27,9 @@
 def trace_attempt(
     attempt: Attempt, ending: AttemptEnding, spent_ms: float, utilisation: float | None, per_s: float | None
 ) -> None:
-    """An attempt ended after `spent_ms`; `utilisation` and `per_s` (requests per second) are its load report."""
+    """Logs that an attempt has ended after `spent_ms`; `utilisation` and `per_s` (requests per second) are from the
+    load report in its response.
+    """
     log.debug(
         "invoked",
         call=attempt.request.number,
@@ -41,7 +43,7 @@
 
 
 def trace_final(request: Request, final: FinalResponse, decision_metrics: Mapping[str, float]) -> None:
-    """A request has its final response; with what the decisions are based on at that time."""
+    """Logs the final response of a request, with the metrics that the load balancer's decisions are based on."""
     log.debug(
         "final",
         call=request.number,
--- a/limenotch/net/requests.py
+++ b/limenotch/net/requests.py
@@ -1,7 +1,7 @@
-"""The life of requests, independent of the wire protocol: accepted, carried out by attempts, answered exactly once.
+"""The lifecycle of requests, independent of the wire protocol: accepted, sent in attempts, answered exactly once.
 
-A protocol passes requests here with the message to be carried (`payload`), and provides an `AttemptRunner` that carries
-such messages to endpoints. Requests are identified by a counter of their own: request ids chosen by clients may recur,
+The module of a protocol passes each request here with its message (`payload`), and provides an `AttemptRunner` that
+sends such messages to endpoints. Requests are identified by a counter: request ids, which clients choose, may recur,
 though not while a request with the same id is open.
 """
 
@@ -57,7 +57,7 @@
         self.load_balancer = load_balancer
         self.max_open = max_open
         self.metrics = metrics or Metrics()
-        # During shutdown: when requests accepted from now on have to end, in seconds of time.monotonic.
+        # During a shutdown: when every request has to end, in seconds of time.monotonic.
         self.last_deadline = math.inf
         self.interceptors: tuple[RequestInterceptor, ...] = ()
         self.open: dict[int, Request] = {}
@@ -73,7 +73,7 @@
         self._trace = logs.tracing()
 
     def is_known(self, request_id: bytes) -> bool:
-        """Whether a request with this id is open, or one that may have run and must not run again was."""
+        """Whether a request with this id is open, or has ended, may have run and must not run again."""
         return self._request_ids.is_known(request_id, monotonic())
 
     def accept(
@@ -88,12 +88,12 @@
         body_pipe: BodyPipe | None = None,
         details: RequestDetails = NO_DETAILS,
     ) -> Request:
-        """Accept a request; `respond` is called exactly once unless its client disconnects first.
+        """Accepts a request; `respond` is called exactly once unless its client disconnects first.
 
-        Without `has_capacity` it is rejected at once. With a `body_pipe` its message is still being received, and its
-        time budget begins when the message is complete.
+        Without `has_capacity` the request is rejected at once. With a `body_pipe` its message is still being received,
+        and its time budget starts when the message is complete.
         """
-        # Limited by its class: otherwise a request could stay open for days.
+        # Limited by the deadline of its class: otherwise a request could stay open for days.
         usable_ms = usable_budget_ms(min(budget_ms, self.load_balancer.deadline_ms(class_name)))
         self._last_number += 1
         deadline = math.inf if body_pipe is not None else monotonic() + usable_ms / 1000.0
@@ -129,11 +129,11 @@
         try:
             self._admit(request)
         except Exception:
-            self.client_disconnected(request)  # the caller never received it, so nobody else would end it
+            self.client_disconnected(request)  # `accept` raises, so the protocol's module can't end the request
             raise
 
     def _admit(self, request: Request) -> None:
-        """Ask the interceptors that have not admitted the request yet, then the load balancer."""
+        """Calls the interceptors that have not admitted the request yet, then passes it to the load balancer."""
         for interceptor in self.interceptors[len(request.interceptors) :]:
             decision = interceptor.request_received(request)
             if isinstance(decision, RetryLater):
@@ -155,7 +155,7 @@
             return
         try:
             self._admit(request)
-        except Exception as error:  # nobody waits for this call: without an answer the client would have none
+        except Exception as error:  # called by a timer, which would ignore it: the client would get no response
             self.load_balancer.internal_errors.report(error, "an admission")
             self._abandon(request)
 
@@ -182,7 +182,7 @@
         )
 
     def finish_by(self, last_deadline: float) -> None:
-        """Begin the shutdown: every request, open ones included, is answered by then (seconds of time.monotonic)."""
+        """Starts a shutdown: every request, open ones included, is answered by `last_deadline` (time.monotonic)."""
         self.last_deadline = last_deadline
         self._loop.call_later(max(last_deadline - monotonic(), 0.0), self._end_all)
 
@@ -192,7 +192,7 @@
                 self._abandon(request)
 
     def _abandon(self, request: Request) -> None:
-        """Answer a request that the load balancer has not decided to end, and cancel its attempts."""
+        """Ends a request that the load balancer has not decided to end, and cancels its attempts."""
         if any(attempt.may_have_run for attempt in request.attempts):
             final = FinalResponse(Verdict.FAILED, timed_out=True)
         else:
@@ -202,12 +202,12 @@
         self._cancel_attempts(request)
 
     def client_disconnected(self, request: Request) -> None:
-        """The client is gone: no response is owed, and the attempts of the request are cancelled."""
+        """The client of the request has disconnected: no response is sent, and the attempts are cancelled."""
         if request.number in self.streaming:
-            request.client_gone = True
+            request.client_has_disconnected = True
             self.stream_ended(request, "departed")
-        elif request.final is None and not request.client_gone:
-            request.client_gone = True
+        elif request.final is None and not request.client_has_disconnected:
+            request.client_has_disconnected = True
             self.metrics.count_ended(request.class_name, "departed")
             self._forget(request)
             self._notify_closed(request)
@@ -217,16 +217,16 @@
         self._cancel_attempts(request)
 
     def _cancel_attempts(self, request: Request) -> None:
-        """Cancel its attempts, as nobody waits for their responses.
+        """Cancels all attempts of the request, as their responses are not needed any more.
 
-        That includes those the load balancer does not cancel, such as one whose response is being streamed.
+        That includes attempts that the load balancer does not cancel, such as one whose response is being streamed.
         """
         for attempt in request.attempts:
             if not attempt.ended:
                 self.attempt_runner.cancel(attempt)
 
     def upload_finished(self, attempt: Attempt) -> None:
-        """The last byte of a streamed message was written: the time budget of its request begins."""
+        """The last byte of a streamed message was sent: the time budget of its request starts."""
         attempt.started_at = monotonic()
         request = attempt.request
         request.deadline = min(attempt.started_at + request.budget_left_s, self.last_deadline)
@@ -237,14 +237,14 @@
     def response_started(
         self, attempt: Attempt, payload: Any, utilisation: float | None = None, per_s: float | None = None
     ) -> bool:
-        """A streamed response has begun; return whether it is the final response of its request, to be forwarded.
+        """A streamed response has begun; returns whether it is the final response of its request, to be forwarded.
 
-        For the load balancer that is the end of the attempt: the endpoint has done the work, and how long the client
-        reads is no sign of load. Whoever forwards the response reports its end to `stream_ended`. `utilisation` and
-        `per_s` (requests per second) are from the endpoint's load report.
+        For the load balancer that is the end of the attempt: the endpoint has done the work, and the time that the
+        client takes to read is no sign of load. The client's connection, which forwards the response, reports its end
+        to `stream_ended`. `utilisation` and `per_s` (requests per second) are from the endpoint's load report.
         """
         request = attempt.request
-        if not attempt.wanted:
+        if not attempt.response_needed:
             return False
         attempt.response_began_at = monotonic()
         self.streaming[request.number] = request
@@ -253,7 +253,7 @@
         return True
 
     def stream_ended(self, request: Request, ending: str) -> None:
-        """A streamed response is over; `ending` as named in the metrics."""
+        """A streamed response has ended; `ending` is the name of the metric that counts it."""
         if self.streaming.pop(request.number, None) is not None:
             self._request_ids.discard(request.request_id)
             self.metrics.count_ended(request.class_name, ending)
@@ -266,7 +266,7 @@
         utilisation: float | None = None,
         per_s: float | None = None,
     ) -> None:
-        """An attempt ended; the first one that is served becomes the final response of its request."""
+        """An attempt has ended; the response of the first attempt that is served becomes its request's final one."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -275,19 +275,19 @@
         del self._attempts_in_flight[request.number, attempt.number]
         for interceptor in request.interceptors:
             interceptor.attempt_ended(attempt, ending)
-        if ending is AttemptEnding.SERVED and request.final is None and not request.client_gone:
+        if ending is AttemptEnding.SERVED and request.final is None and not request.client_has_disconnected:
             self._close(request, FinalResponse(Verdict.SERVED, payload))
         if not attempt.response_began_at:  # otherwise it was reported when its response began
             self._report(attempt, ending, utilisation, per_s)
 
     def _report(self, attempt: Attempt, ending: AttemptEnding, utilisation: float | None, per_s: float | None) -> None:
-        """Report the end of an attempt to the load balancer and execute what follows from it."""
+        """Reports the end of an attempt to the load balancer, and executes the commands that it returns."""
         request = attempt.request
         spent_ms = (monotonic() - attempt.started_at) * 1000.0
         body_consumed = request.body_pipe is not None and request.body_pipe.was_read
         if self._trace:
             trace_attempt(attempt, ending, spent_ms, utilisation, per_s)
-        closed = request.final is not None or request.client_gone
+        closed = request.final is not None or request.client_has_disconnected
         self.execute(
             self.load_balancer.attempt_finished(
                 request.number,
@@ -307,7 +307,7 @@
         self.execute(self.load_balancer.timer_fired(token))
 
     def execute(self, commands: Commands) -> None:
-        """Execute commands in the order given, also where executing one produces further ones."""
+        """Executes commands in the order given; commands that result from executing one of them come last."""
         self._pending_commands.extend(commands)
         if self._executing:
             return
@@ -352,7 +352,7 @@
         self.attempt_runner.start(attempt)
 
     def _cancel_attempt(self, command: CancelAttempt) -> None:
-        # Not looked up by the open requests: a losing hedged request is cancelled after its request was answered.
+        # Not looked up among the open requests: a losing hedged attempt is cancelled after its request was answered.
         attempt = self._attempts_in_flight.get((command.request, command.attempt))
         if attempt is not None:
             self.attempt_runner.cancel(attempt)
@@ -372,7 +372,7 @@
             interceptor.request_closed(request)
 
     def _forget(self, request: Request) -> None:
-        """Remove the request from the open ones, and remember its id if it must not run again."""
+        """Removes the request from the open ones, and remembers its id if it may have run and must not run again."""
         if not request.policy.is_idempotent and any(attempt.may_have_run for attempt in request.attempts):
             now = monotonic()
             self._request_ids.remember(request.request_id, now, now + request.policy.deadline_s)
--- a/limenotch/net/response_outcome.py
+++ b/limenotch/net/response_outcome.py
@@ -1,4 +1,4 @@
-"""What an endpoint's response says: how the attempt ended, and the endpoint's load."""
+"""Reads an endpoint's response: how the attempt ended, and the endpoint's load."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from ..load_balancer_types import AttemptEnding
 from . import http1
 
-# By metric of the load report: the largest plausible value. Utilization is a part of the endpoint's cores, noise
-# included; requests per second are those of an endpoint of one process.
+# The largest plausible value of each metric of a load report. Utilization is relative to the endpoint's cores, and
+# includes noise; requests per second are those of one endpoint.
 MAX_REPORTED = {b"util": 4.0, b"qps": 1e6}
 
 
 class ExchangeOutcome(NamedTuple):
-    """How an exchange of request and response on a connection ended."""
+    """How the exchange of a request and its response on a connection ended."""
 
     ending: AttemptEnding
     response: http1.Message | None = None
-    complete: bool = False  # request and response were transferred to their last byte
+    complete: bool = False  # whether request and response were transferred to their last byte
 
 
 def attempt_ending(response: http1.Message) -> AttemptEnding:
-    """How the attempt ended; only a response marked as rejected says that the request never ran."""
+    """How the attempt ended; only a response marked as rejected tells that the request never ran."""
     if response.status == 200:
         return AttemptEnding.SERVED
     if response.status in (503, 504) and response.fields.get(b"x-rejected") == b"1":
@@ -30,9 +30,9 @@
 
 
 def load_report(report: bytes) -> tuple[float | None, float | None]:
-    """Utilization (of its cores) and requests per second in an `X-Load-Report`; None for what is missing.
+    """The utilization (of the endpoint's cores) and the requests per second in an `X-Load-Report`.
 
-    If one of them is malformed or out of range, neither counts.
+    None for each that is missing; None for both if one of them is malformed or out of range.
     """
     reported: dict[bytes, float] = {}
     for pair in report.removeprefix(b"TEXT ").split(b","):
--- a/limenotch/net/responses.py
+++ b/limenotch/net/responses.py
@@ -1,4 +1,4 @@
-"""Final responses of requests, encoded as HTTP/1.1 for a client (RFC 9110, RFC 9112)."""
+"""Encodes the final responses of requests as HTTP/1.1 for clients (RFC 9110, RFC 9112)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def write_final_response(final: FinalResponse, close: bool) -> bytes:
-    """Encode a final response: that of the endpoint with its body unchanged, or the status of a rejection or failure.
+    """Encodes a final response: the endpoint's response with its body unchanged, or the status of a failure.
 
     With `close` it announces the end of the connection.
     """
@@ -23,5 +23,5 @@
 
 
 def forwarded_headers(response: http1.Message) -> http1.Headers:
-    """The headers of an endpoint's response that are forwarded: end-to-end ones, without the load report."""
+    """The headers of an endpoint's response that the client gets: end-to-end ones, without the load report."""
     return [header for header in response.end_to_end() if header[0].lower() != b"x-load-report"]
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -99,7 +99,7 @@
     "the client disconnects": (
         IDEMPOTENT,
         AttemptEnding.ERROR,
-        lambda pool, attempt: setattr(attempt.request, "client_gone", True),
+        lambda pool, attempt: setattr(attempt.request, "client_has_disconnected", True),
     ),
     "the request is answered": (
         IDEMPOTENT,
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -216,7 +216,7 @@
         seen: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         await asyncio.sleep(0)
         sock.close()
-        asyncio.get_running_loop().call_later(0.001, lambda: seen.set_result(call.client_gone))
+        asyncio.get_running_loop().call_later(0.001, lambda: seen.set_result(call.client_has_disconnected))
         time.sleep(0.02)  # the loop is late: the end and the timer come in one turn
         assert await seen
 
@@ -287,8 +287,8 @@
         (call,) = connections.calls.open.values()
         assert call.client_connected()
         sock.close()  # in the kernel at once; this loop has not turned since
-        assert not call.client_connected() and not call.client_gone
-        await until(lambda: call.client_gone)
+        assert not call.client_connected() and not call.client_has_disconnected
+        await until(lambda: call.client_has_disconnected)
         assert not call.client_connected()
 
     run(with_connections(use))
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -127,8 +127,8 @@
 def test_each_obstacle_is_reported() -> None:
     assert obstacle_to(make_attempt(make_request(IDEMPOTENT)), CHOSEN_ENDPOINT, 1.0) is None
     disconnected = make_attempt(make_request(IDEMPOTENT))
-    disconnected.request.client_gone = True
-    assert obstacle_to(disconnected, CHOSEN_ENDPOINT, 1.0) is Obstacle.CLIENT_GONE
+    disconnected.request.client_has_disconnected = True
+    assert obstacle_to(disconnected, CHOSEN_ENDPOINT, 1.0) is Obstacle.CLIENT_DISCONNECTED
     ended = make_attempt(make_request(IDEMPOTENT))
     ended.ended = True
     assert obstacle_to(ended, CHOSEN_ENDPOINT, 1.0) is Obstacle.ATTEMPT_ENDED
