--- a/limenotch/cli/__init__.py
+++ b/limenotch/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The command line: one module a sub-command, each with its own usage text (docopt-ng) and a `command`.
+"""The command line: a module for each sub-command, with its usage text (docopt-ng) and a function `command`.
 
-A sub-command's module is imported when it is called, so that none pays for another's libraries.
+The module of a sub-command is imported when that is called, so that no sub-command needs the libraries of another one.
 """
 
 from __future__ import annotations
@@ -28,15 +28,16 @@
 MODULES = {"serve": "serve", "check-config": "check_config", "version": "version", "lab": "lab"}
 
 
-def dispatch(usage: str, modules: dict[str, str], package: str, argv: list[str], before: tuple[str, ...] = ()) -> int:
-    """Run the sub-command that `argv` names; the exit code. A faulty command line exits with 2.
+def dispatch(usage: str, modules: dict[str, str], package: str, argv: list[str], prefix: tuple[str, ...] = ()) -> int:
+    """Runs the sub-command that `argv` names and returns its exit code, which is 2 for an invalid command line.
 
-    `before` are the words that led here: a sub-command gets the whole line, as its usage text has it.
+    `modules`: by the sub-command, the name of its module in `package`. `prefix`: the commands before `argv`, as the
+    usage text of a sub-command includes them.
     """
     try:
-        arguments = docopt(usage, [*before, *argv], options_first=True)
+        arguments = docopt(usage, [*prefix, *argv], options_first=True)
     except SystemExit as end:
-        # docopt's own end: without a code it has printed the help that was asked for.
+        # Raised by docopt: without a code it has printed the help that was requested.
         if end.code is None:
             return 0
         print(end.code, file=sys.stderr)
@@ -48,7 +49,7 @@
         return 2
     module = importlib.import_module(f"{package}.{modules[name]}")
     try:
-        return int(module.command([*before, name, *arguments["<arguments>"]]))
+        return int(module.command([*prefix, name, *arguments["<arguments>"]]))
     except SystemExit as end:
         if end.code is None or isinstance(end.code, int):
             return end.code or 0
@@ -62,5 +63,5 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command line `argv`, by default the process's own; the exit code."""
+    """Runs the command line `argv`, by default that of the process, and returns the exit code."""
     return dispatch(USAGE, MODULES, __package__ or "limenotch.cli", sys.argv[1:] if argv is None else argv)
--- a/limenotch/cli/arguments.py
+++ b/limenotch/cli/arguments.py
@@ -1,4 +1,4 @@
-"""Options' values, checked; a fault names the option."""
+"""Parses the values of options; an error names the option."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from ..toml import FaultError
 
 
-def whole_number(given: dict[str, Any], option: str, least: int, default: int = 0) -> int:
-    """`default` where the option was not given. Raises FaultError."""
-    text = given[option]
+def whole_number(options: dict[str, Any], option: str, minimum: int, default: int = 0) -> int:
+    """The value of an option as an integer, `default` without the option. Raises FaultError."""
+    text = options[option]
     if text is None:
         return default
-    if not (text.isascii() and text.isdigit() and least <= int(text) < 10**12):
-        raise FaultError(f"{option}: expected a whole number of {least} or more, not {text!r}")
+    if not (text.isascii() and text.isdigit() and minimum <= int(text) < 10**12):
+        raise FaultError(f"{option}: expected a whole number of {minimum} or more, not {text!r}")
     return int(text)
 
 
-def number(given: dict[str, Any], option: str, least: float, most: float, default: float = 0.0) -> float:
-    """`default` where the option was not given. Raises FaultError."""
-    text = given[option]
+def number(options: dict[str, Any], option: str, minimum: float, maximum: float, default: float = 0.0) -> float:
+    """The value of an option as a number, `default` without the option. Raises FaultError."""
+    text = options[option]
     if text is None:
         return default
     try:
         value = float(text)
     except ValueError:
         value = float("nan")
-    if not least <= value <= most:
-        raise FaultError(f"{option}: expected a number from {least:g} to {most:g}, not {text!r}")
+    if not minimum <= value <= maximum:
+        raise FaultError(f"{option}: expected a number from {minimum:g} to {maximum:g}, not {text!r}")
     return value
--- a/limenotch/cli/check_config.py
+++ b/limenotch/cli/check_config.py
@@ -23,8 +23,8 @@
 
 
 def describe(config: Config) -> str:
-    """What a configuration comes to, in lines for a person."""
-    listed = config.known_list.get("endpoints") or []
+    """A summary of a configuration, in lines for humans."""
+    known_endpoints = config.known_list.get("endpoints") or []
     return "\n".join(
         [
             f"name: {config.name}",
@@ -33,17 +33,17 @@
             f"layer: {config.settings.tier_index}",
             f"classes: {', '.join(c.name for c in config.settings.classes)}",
             f"tenants: {len(config.settings.tenants)}",
-            f"providers known: {len(listed)}",
+            f"providers known: {len(known_endpoints)}",
             f"sockets: {config.sockets}",
         ]
     )
 
 
 def command(arguments: list[str]) -> int:
-    """Run the sub-command with its whole command line; the exit code."""
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        settings = load_settings(given["--settings"], os.environ)
+        settings = load_settings(options["--settings"], os.environ)
         config = load(os.environ)
         check_as(settings, config.name)
         print(describe(config))
--- a/limenotch/cli/lab/__init__.py
+++ b/limenotch/cli/lab/__init__.py
@@ -38,4 +38,5 @@
 
 
 def command(arguments: list[str]) -> int:
+    """Runs the sub-command with its command line, and returns the exit code."""
     return dispatch(USAGE, MODULES, __name__, arguments[1:], ("lab",))
--- a/limenotch/cli/lab/compare.py
+++ b/limenotch/cli/lab/compare.py
@@ -37,50 +37,53 @@
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        variants = [parse_variant(text) for text in given["--variant"]]
+        variants = [parse_variant(text) for text in options["--variant"]]
         names = [variant.name for variant in variants]
         if len(set(names)) != len(names) or len(names) < 2:
             raise FaultError("--variant: expected two or more, each with a name of its own")
-        if given["--resume"] and given["--out"] is None:
+        if options["--resume"] and options["--out"] is None:
             raise FaultError("--resume: needs --out")
-        first, count = whole_number(given, "--seed", 0), whole_number(given, "--seeds", 1)
-        processes = whole_number(given, "--processes", 1) or None
-        store = Store(Path(given["--out"]) if given["--out"] is not None else None)
+        first, count = whole_number(options, "--seed", 0), whole_number(options, "--seeds", 1)
+        processes = whole_number(options, "--processes", 1) or None
+        store = Store(Path(options["--out"]) if options["--out"] is not None else None)
         console = Console(stderr=True)
         with console.status("playing") as status:
-            runs, whole = play_variants(
+            runs, complete = play_variants(
                 variants,
-                given["--scenario"],
+                options["--scenario"],
                 range(first, first + count),
                 processes,
                 store,
-                given["--resume"],
+                options["--resume"],
                 lambda done, of: status.update(f"{done} of {of} runs"),
             )
-        found = compare(variants, runs)
-        if not found:
+        comparisons = compare(variants, runs)
+        if not comparisons:
             print("limenotch: interrupted before a pair of runs was done", file=sys.stderr)
             return 4
-        print_comparisons(found, sys.stderr if given["--json"] == "-" else sys.stdout)
-        if given["--json"] is not None:
+        print_comparisons(comparisons, sys.stderr if options["--json"] == "-" else sys.stdout)
+        if options["--json"] is not None:
             write_json(
-                given["--json"],
+                options["--json"],
                 {
                     "format": 1,
-                    "whole": whole,
+                    "whole": complete,
                     "variants": [asdict(variant) for variant in variants],
-                    "comparisons": [{**asdict(each), "verdict": each.verdict} for each in found],
+                    "comparisons": [
+                        {**asdict(comparison), "verdict": comparison.verdict} for comparison in comparisons
+                    ],
                 },
             )
-        if given["--report"] is not None:
+        if options["--report"] is not None:
             from ...lab.report import write_comparison
 
-            write_comparison(Path(given["--report"]), variants, found, runs, whole)
+            write_comparison(Path(options["--report"]), variants, comparisons, runs, complete)
     except FaultError as error:
         print(f"limenotch: {error}", file=sys.stderr)
         return 2
-    if not whole:
+    if not complete:
         return 4
     return 3 if any(figures["metrics"]["rules_broken"] for figures in runs.values()) else 0
--- a/limenotch/cli/lab/demo.py
+++ b/limenotch/cli/lab/demo.py
@@ -17,18 +17,19 @@
 from docopt import docopt
 
 from ...toml import FaultError
-from .rehearse import play, show
+from .rehearse import run_rehearsal, show_results
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        code = show(play("demo", 1, "", quiet=False), None, given["--report"], None)
+        exit_code = show_results(run_rehearsal("demo", 1, "", quiet=False), None, options["--report"], None)
     except FaultError as error:
         print(f"limenotch: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         print("limenotch: interrupted; all processes are ended", file=sys.stderr)
         return 4
-    print(f"the report: {Path(given['--report']).resolve()}")
-    return code
+    print(f"the report: {Path(options['--report']).resolve()}")
+    return exit_code
--- a/limenotch/cli/lab/emulate.py
+++ b/limenotch/cli/lab/emulate.py
@@ -28,8 +28,8 @@
 from ..arguments import number, whole_number
 
 
-async def keep(plan: Plan) -> dict[str, int]:
-    """The counts of broken rules, by rule."""
+async def emulate(plan: Plan) -> dict[str, int]:
+    """Runs the fleet and its sidecars, and returns how often each rule was broken."""
     with tempfile.TemporaryDirectory(prefix="limenotch-lab-") as folder:
         rehearsal = Rehearsal(plan, Path(folder), load=False)
         try:
@@ -45,13 +45,16 @@
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        over = list(given["--set"])
-        if given["--seconds"] is not None:
-            over.append(f"length_s = {number(given, '--seconds', 1, 3600):g}")
-        plan = planning.plan(scenario.load(given["<scenario>"], "\n".join(over)), whole_number(given, "--seed", 0))
-        counts = asyncio.run(keep(plan))
+        overrides = list(options["--set"])
+        if options["--seconds"] is not None:
+            overrides.append(f"length_s = {number(options, '--seconds', 1, 3600):g}")
+        plan = planning.plan(
+            scenario.load(options["<scenario>"], "\n".join(overrides)), whole_number(options, "--seed", 0)
+        )
+        counts = asyncio.run(emulate(plan))
     except (FaultError, SidecarError, TooLargeError) as error:
         print(f"limenotch: {error}", file=sys.stderr)
         return 2
--- a/limenotch/cli/lab/fleet.py
+++ b/limenotch/cli/lab/fleet.py
@@ -41,80 +41,88 @@
 from ...toml import FaultError
 from ..arguments import whole_number
 
-LOOK_S = 0.1
-SURE_S = 2.0  # for doubts to end, before the members are printed
-LATE_MS = 300.0  # what is printed waits so long for what came before it
+POLL_INTERVAL_S = 0.1
+SUSPICIONS_TIMEOUT_S = 2.0  # for suspicions to end, before the members are printed
+ROW_DELAY_MS = 300.0  # after its time a row is printed, so that rows of earlier times that come later precede it
 
 
-class Live:
-    """Prints rows of the drawing's columns as they come, in order of time."""
+class LiveTable:
+    """Prints rows in the columns of the expected timeline as they come, in order of time."""
 
     def __init__(self, drawn: Scenario, console: Console) -> None:
         self._drawn, self._console = drawn, console
         longest = [
             max((note.text for note in drawn.notes if note.node == name), key=len, default="") for name in drawn.columns
         ]
-        self._wide = drawing.widths(drawn, [longest])
-        self._told: set[tuple[str, float, str]] = set()
-        self._faults = 0  # printed
+        self._widths = drawing.widths(drawn, [longest])
+        self._printed: set[tuple[str, float, str]] = set()
+        self._faults = 0  # printed so far
 
-    def heading(self) -> None:
+    def print_heading(self) -> None:
+        """Prints the titles of the columns."""
         self._print("ms", {title: title for title in (*self._drawn.columns, FAULTS)})
 
-    def row(self, at: float, title: str, text: str) -> None:
+    def print_row(self, at_ms: float, title: str, text: str) -> None:
+        """Prints `text` in the column `title`, unless it was printed before or the timeline does not show it."""
         if title != FAULTS and (title not in self._drawn.columns or not self._drawn.shows(text)):
             return
-        if (title, at, text) not in self._told:
-            self._told.add((title, at, text))
-            self._print(f"{at:.0f}", {title: text})
+        if (title, at_ms, text) not in self._printed:
+            self._printed.add((title, at_ms, text))
+            self._print(f"{at_ms:.0f}", {title: text})
 
     def _print(self, first: str, cells: dict[str, str]) -> None:
         texts = [cells.get(title, "") for title in (*self._drawn.columns, FAULTS)]
-        self._console.print(drawing.line(first, texts, self._wide), markup=False, soft_wrap=True)
+        self._console.print(drawing.line(first, texts, self._widths), markup=False, soft_wrap=True)
 
     async def watch(self, stage: Stage) -> None:
-        self.heading()
+        """Prints the heading, then new rows of a running stage until it is cancelled."""
+        self.print_heading()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if stage.began_ms is not None:
-                self.rows(stage, stage.clock() - LATE_MS)
-
-    def rows(self, stage: Stage, until: float) -> None:
-        begun = stage.began_ms or 0.0
-        rows = [(seen.at_ms - begun, seen.node, seen.text) for seen in stage.processes.seen()]
-        for came, (_, fault) in list(zip(stage.begun, stage.drawing.faults, strict=True))[self._faults :]:
-            if 0.0 < came <= until:
-                rows.append((came, FAULTS, str(fault)))
+                self.print_rows(stage, stage.clock() - ROW_DELAY_MS)
+
+    def print_rows(self, stage: Stage, until_ms: float) -> None:
+        """Prints the rows up to `until_ms` of the stage's clock that have not been printed."""
+        stage_began_ms = stage.began_ms or 0.0
+        rows = [(seen.at_ms - stage_began_ms, seen.node, seen.text) for seen in stage.processes.seen()]
+        for fault_began_ms, (_, fault) in list(zip(stage.begun, stage.drawing.faults, strict=True))[self._faults :]:
+            if 0.0 < fault_began_ms <= until_ms:
+                rows.append((fault_began_ms, FAULTS, str(fault)))
                 self._faults += 1
         for row in sorted(rows):
-            if 0.0 <= row[0] <= until:
-                self.row(*row)
+            if 0.0 <= row[0] <= until_ms:
+                self.print_row(*row)
 
 
-def members(console: Console, held: dict[str, list[dict[str, Any]] | None]) -> None:
-    """A row a member, a column each who holds it."""
+def print_members(console: Console, members_by_node: dict[str, list[dict[str, Any]] | None]) -> None:
+    """Prints a table of members, with a row for each member and a column for each node that knows of members.
+
+    A node without an answer has None in place of its members.
+    """
     table = Table(box=None, pad_edge=False)
     table.add_column("as held by")
-    for holder in held:
-        table.add_column(holder)
-    known = {name: {member["name"]: member for member in found or ()} for name, found in held.items()}
-    for name in sorted({member for found in known.values() for member in found}):
+    for node in members_by_node:
+        table.add_column(node)
+    known = {name: {member["name"]: member for member in members or ()} for name, members in members_by_node.items()}
+    for name in sorted({member for members in known.values() for member in members}):
         cells = [
-            found.get(name, {}).get("state", "-") if held[holder] is not None else "no answer"
-            for holder, found in known.items()
+            members.get(name, {}).get("state", "-") if members_by_node[node] is not None else "no answer"
+            for node, members in known.items()
         ]
         table.add_row(name, *cells)
     console.print(table)
 
 
-async def on_processes(drawn: Scenario, console: Console) -> Outcome:
-    live = Live(drawn, console)
+async def run_on_processes(drawn: Scenario, console: Console) -> Outcome:
+    """Plays the expected timeline on real processes, and prints what happens."""
+    live = LiveTable(drawn, console)
 
     async def after(stage: Stage) -> None:
-        live.rows(stage, float("inf"))
+        live.print_rows(stage, float("inf"))
         states: dict[str, dict[str, Any] | None] = {}
 
-        async def sure() -> bool:
+        async def no_suspects() -> bool:
             nodes = [node for node in stage.processes.nodes.values() if node.alive]
             states.update(
                 zip([node.name for node in nodes], await asyncio.gather(*(node.state() for node in nodes)), strict=True)
@@ -123,54 +131,62 @@
                 member["state"] == "suspect" for state in states.values() if state for member in state["members"]
             )
 
-        with contextlib.suppress(NotReachedError):  # this process, which carries all they say, was busy at the end
-            await stage.processes.until(sure, SURE_S, "nobody is suspect")
-        members(console, {name: state["members"] if state is not None else None for name, state in states.items()})
+        with contextlib.suppress(NotReachedError):  # this process, which relays all their messages, may be too busy
+            await stage.processes.until(no_suspects, SUSPICIONS_TIMEOUT_S, "nobody is suspect")
+        print_members(
+            console, {name: state["members"] if state is not None else None for name, state in states.items()}
+        )
 
     with tempfile.TemporaryDirectory(prefix="limenotch-lab-") as folder:
         console.print(f"starting {len(drawn.nodes) - len(drawn.later)} sidecars, a directory, 6 providers, consumers")
         return await drills.play(drawn, Path(folder), watch=live.watch, after=after)
 
 
-def simulated(drawn: Scenario, own: bool, console: Console) -> int:
+def run_simulated(drawn: Scenario, own: bool, console: Console) -> int:
+    """Plays the expected timeline in simulated time, prints what happens, and returns the exit code.
+
+    `own`: the timeline is the user's, and what happens has to equal it to the millisecond.
+    """
     outcome = simulate(drawn, make_for(drawn))
-    live = Live(drawn, console)
-    live.heading()
-    for at, titles in drawing.rows(drawn, outcome.seen):
-        for title, text in zip((*drawn.columns, FAULTS), titles, strict=True):
+    live = LiveTable(drawn, console)
+    live.print_heading()
+    for at_ms, cells in drawing.rows(drawn, outcome.seen):
+        for title, text in zip((*drawn.columns, FAULTS), cells, strict=True):
             if text:
-                live.row(at, title, text)
-    world, held = outcome.world, dict[str, list[dict[str, Any]] | None]()
+                live.print_row(at_ms, title, text)
+    world, members_by_node = outcome.world, dict[str, list[dict[str, Any]] | None]()
     for name in drawn.nodes:
-        found = part_of(world, name)
-        if found is not None:
-            held[name] = [{"name": seen.name, "state": seen.state.value} for seen in found.members()]
-    members(console, held)
+        membership = part_of(world, name)
+        if membership is not None:
+            members_by_node[name] = [{"name": seen.name, "state": seen.state.value} for seen in membership.members()]
+    print_members(console, members_by_node)
     seen = [(float(note.at_ms), note.node, note.text) for note in outcome.seen if note.at_ms >= drawn.first_fault]
     difference = outcome.difference if own else within(drawn.quicker(1.0, float(drawn.first_fault)), seen)
-    return verdict(difference, [], console)
+    return print_verdict(difference, [], console)
 
 
-def verdict(difference: str | None, wrong: list[str], console: Console) -> int:
+def print_verdict(difference: str | None, violations: list[str], console: Console) -> int:
+    """Prints how the run differs from the expected timeline, and the violations; returns the exit code."""
     console.print("the drawing came out" if difference is None else difference, markup=False, soft_wrap=True)
-    for line in wrong:
+    for line in violations:
         console.print(line, markup=False, soft_wrap=True)
-    return 3 if difference is not None or wrong else 0
+    return 3 if difference is not None or violations else 0
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     console = Console(highlight=False)
-    path = given["<drawing>"]
+    path = options["<drawing>"]
     try:
         if path is not None:
             drawn = drawing.read(Path(path).read_text(encoding="utf-8"), Path(path).name)
         else:
-            count, seed = whole_number(given, "--members", 3), whole_number(given, "--seed", 0)
+            count, seed = whole_number(options, "--members", 3), whole_number(options, "--seed", 0)
             drawn = drawing.read(drills.death_and_return(count, seed), "fleet")
-        if given["--simulated"] or (not given["--processes"] and "window" not in drawn.head):
-            return simulated(drawn, path is not None, console)
-        outcome = asyncio.run(on_processes(drawn, console))
+        if options["--simulated"] or (not options["--processes"] and "window" not in drawn.head):
+            return run_simulated(drawn, path is not None, console)
+        outcome = asyncio.run(run_on_processes(drawn, console))
     except OSError as error:
         print(f"limenotch: {path}: {error.strerror}", file=sys.stderr)
         return 2
@@ -180,9 +196,9 @@
     except KeyboardInterrupt:
         print("limenotch: interrupted; all processes are ended", file=sys.stderr)
         return 4
-    wrong = [f"broken: {violation.rule}: {violation.text}" for violation in outcome.violations]
-    wrong += [f"sidecar {name} ended by itself" for name in outcome.crashed]
+    violations = [f"broken: {violation.rule}: {violation.text}" for violation in outcome.violations]
+    violations += [f"sidecar {name} ended by itself" for name in outcome.crashed]
     calls = ", ".join(f"{count} {what}" for what, count in sorted(outcome.calls.items()) if count)
     rules = "rules for calls were broken" if outcome.violations else "the rules for calls held"
     console.print(f"calls: {calls}; {outcome.excused} at a sidecar that was stopped; {rules}", soft_wrap=True)
-    return verdict(outcome.difference, wrong, console)
+    return print_verdict(outcome.difference, violations, console)
--- a/limenotch/cli/lab/load.py
+++ b/limenotch/cli/lab/load.py
@@ -39,11 +39,11 @@
 from ..arguments import number, whole_number
 from .run import write_json
 
-PROGRESS_S = 0.5
+PROGRESS_INTERVAL_S = 0.5
 
 
-def loopback(text: str) -> tuple[str, int]:
-    """Raises FaultError for anything that is not on this machine's loopback."""
+def loopback_address(text: str) -> tuple[str, int]:
+    """Parses HOST:PORT. Raises FaultError unless the host is a loopback address."""
     try:
         host, port = address(text, "<address>")
         if not ipaddress.ip_address(host).is_loopback:
@@ -54,26 +54,30 @@
 
 
 async def send(plan: Plan, addresses: list[tuple[str, int]], connections: int, console: Console) -> dict[str, Any]:
+    """Sends the plan's calls to the sidecars at `addresses` in turn, and returns the results.
+
+    `connections`: how many may be open to each address at once.
+    """
     seeds = Seeds(plan.seed)
     clients = Clients(
         plan.clients, plan.classes, plan.accounts, len(plan.network.zones), plan.quota_per_s, seeds, plan.trace
     )
     record, rules = Record(plan, []), Rules(Limits(slack_ms=SLACK_MS))
     pools = [Pool(host, port, connections) for host, port in addresses]
-    began, cpu = monotonic(), process_time()
-    turn = [0]
+    started_at, cpu_started = monotonic(), process_time()
+    calls_chosen = [0]
 
     def clock() -> float:
-        return (monotonic() - began) * 1000.0
+        return (monotonic() - started_at) * 1000.0
 
     def choose(request: Request) -> Pool:
-        turn[0] += 1
-        return pools[turn[0] % len(pools)]
+        calls_chosen[0] += 1
+        return pools[calls_chosen[0] % len(pools)]
 
-    # Ids of this run alone: another run's calls may still be open at the sidecars.
-    load = Load(plan, clients, record, rules, clock, choose, f"l{plan.seed}-{int(began * 1000) % 10**9}-")
+    # The ids are unique to this run, as calls of another run may still be open at the sidecars.
+    load = Load(plan, clients, record, rules, clock, choose, f"l{plan.seed}-{int(started_at * 1000) % 10**9}-")
 
-    async def progress() -> None:
+    async def show_progress() -> None:
         with console.status("") as status:
             while True:
                 p = load.progress
@@ -81,26 +85,26 @@
                     f"{clock() / 1000:5.1f} of {plan.length_ms / 1000:g} s  asked {p.asked}  open {p.open}  "
                     f"served {p.served}  rejected {p.rejected}  failed {p.failed}"
                 )
-                await asyncio.sleep(PROGRESS_S)
+                await asyncio.sleep(PROGRESS_INTERVAL_S)
 
-    beside = asyncio.get_running_loop().create_task(progress())
+    progress_task = asyncio.get_running_loop().create_task(show_progress())
     try:
         await load.run(plan.length_ms)
-        spent = clock() / 1000.0
+        spent_s = clock() / 1000.0
     finally:
-        beside.cancel()
+        progress_task.cancel()
         load.stop()
         for pool in pools:
             pool.close()
     rules.quiet(clock())
     record.rules = rules
-    late = histogram()
-    for value in load.late_us:
-        late.record_value(max(value, 1))
+    delays_us = histogram()
+    for delay_us in load.late_us:
+        delays_us.record_value(max(delay_us, 1))
     machine = {
-        "sent_late_ms": quantiles(late),
-        "cpu_s": round(process_time() - cpu, 3),
-        "seconds": round(spent, 3),
+        "sent_late_ms": quantiles(delays_us),
+        "cpu_s": round(process_time() - cpu_started, 3),
+        "seconds": round(spent_s, 3),
         "connections": sum(pool.opened for pool in pools),
         "foreign_answers": load.foreign,
     }
@@ -108,40 +112,41 @@
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        addresses = [loopback(text) for text in given["<address>"]]
-        over = [f"length_s = {number(given, '--seconds', 0.1, 600)!r}", "fault = []"]
-        if given["--rate"] is not None:
-            over.append(f"clients.rate_per_s = {number(given, '--rate', 0.1, 20_000)!r}")
-        chosen = scenario.load_for_load(given["--scenario"], over)
-        plan = planning.plan(chosen, whole_number(given, "--seed", 0))
-        figures = asyncio.run(send(plan, addresses, whole_number(given, "--connections", 1), Console(stderr=True)))
-        if given["--json"] is not None:
-            write_json(given["--json"], figures)
+        addresses = [loopback_address(text) for text in options["<address>"]]
+        overrides = [f"length_s = {number(options, '--seconds', 0.1, 600)!r}", "fault = []"]
+        if options["--rate"] is not None:
+            overrides.append(f"clients.rate_per_s = {number(options, '--rate', 0.1, 20_000)!r}")
+        chosen = scenario.load_for_load(options["--scenario"], overrides)
+        plan = planning.plan(chosen, whole_number(options, "--seed", 0))
+        results = asyncio.run(send(plan, addresses, whole_number(options, "--connections", 1), Console(stderr=True)))
+        if options["--json"] is not None:
+            write_json(options["--json"], results)
     except FaultError as error:
         print(f"limenotch: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         print("limenotch: interrupted", file=sys.stderr)
         return 4
-    to = sys.stderr if given["--json"] == "-" else sys.stdout
-    m, machine, requests = figures["metrics"], figures["machine"], figures["requests"]
+    output = sys.stderr if options["--json"] == "-" else sys.stdout
+    m, machine, requests = results["metrics"], results["machine"], results["requests"]
     print(
         f"asked {requests['asked']}, tries {requests['tries']}, served {requests['served']}, "
         f"rejected {requests['rejected']}, failed {requests['failed']}, timed out {requests['timed out']}",
-        file=to,
+        file=output,
     )
     print(
         f"in time {m['in_time']:.2%}; ms from the intended time: p50 {m['p50_ms']:.1f}, p95 {m['p95_ms']:.1f}, "
         f"p99 {m['p99_ms']:.1f}",
-        file=to,
+        file=output,
     )
-    late = machine["sent_late_ms"]
+    delays_ms = machine["sent_late_ms"]
     print(
-        f"this tool: sent late by {late.get('p50', 0):.2f} ms (p50), {late.get('p99', 0):.2f} ms (p99); "
+        f"this tool: sent late by {delays_ms.get('p50', 0):.2f} ms (p50), {delays_ms.get('p99', 0):.2f} ms (p99); "
         f"{requests['tries'] / max(machine['seconds'], 1e-9):.0f} calls a second on {machine['connections']} "
         f"connections, {machine['cpu_s'] / max(requests['tries'], 1) * 1e6:.0f} us of CPU a call",
-        file=to,
+        file=output,
     )
     return 3 if m["rules_broken"] else 0
--- a/limenotch/cli/lab/rehearse.py
+++ b/limenotch/cli/lab/rehearse.py
@@ -33,15 +33,15 @@
 from ..arguments import whole_number
 from .run import write_json
 
-PROGRESS_S = 0.5
+PROGRESS_INTERVAL_S = 0.5
 
 
-def play(name: str, seed: int, over: str, quiet: bool) -> dict[str, Any]:
-    """The figures of one rehearsal, with a progress line on standard error. Raises FaultError."""
-    plan = planning.plan(scenario.load(name, over), seed)
+def run_rehearsal(name: str, seed: int, overrides: str, quiet: bool) -> dict[str, Any]:
+    """Plays a scenario with a progress line on standard error, and returns the results. Raises FaultError."""
+    plan = planning.plan(scenario.load(name, overrides), seed)
     console = Console(stderr=True, highlight=False)
 
-    def said(text: str) -> None:
+    def report_start(text: str) -> None:
         if not quiet:
             console.print(f"starting {text}", style="dim", markup=False)
 
@@ -56,20 +56,21 @@
                         f"{now:5.1f} of {plan.length_ms / 1000:g} s  asked {p.asked}  open {p.open}  "
                         f"served {p.served}  rejected {p.rejected}  failed {p.failed}  {', '.join(bands)}"
                     )
-                await asyncio.sleep(PROGRESS_S)
+                await asyncio.sleep(PROGRESS_INTERVAL_S)
 
     try:
-        return asyncio.run(rehearse(plan, said, None if quiet else watch))
+        return asyncio.run(rehearse(plan, report_start, None if quiet else watch))
     except (SidecarError, TooLargeError) as error:
         raise FaultError(str(error)) from None
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        seed, over = whole_number(given, "--seed", 0), "\n".join(given["--set"])
-        figures = play(given["<scenario>"], seed, over, given["--quiet"])
-        return show(figures, given["--json"], given["--report"], given["--png"])
+        seed, overrides = whole_number(options, "--seed", 0), "\n".join(options["--set"])
+        results = run_rehearsal(options["<scenario>"], seed, overrides, options["--quiet"])
+        return show_results(results, options["--json"], options["--report"], options["--png"])
     except FaultError as error:
         print(f"limenotch: {error}", file=sys.stderr)
         return 2
@@ -78,22 +79,26 @@
         return 4
 
 
-def show(figures: dict[str, Any], json_to: str | None, page: str | None, images: str | None) -> int:
-    to = sys.stderr if json_to == "-" else sys.stdout
-    print_runs([Result(Job(figures["scenario"], figures["seed"]), figures)], to)
-    machine = figures["machine"]
+def show_results(results: dict[str, Any], json_path: str | None, page: str | None, images: str | None) -> int:
+    """Prints the results, writes them where the paths are given, and returns the exit code.
+
+    `page`: the path of the HTML report; `images`: the folder for its plots.
+    """
+    output = sys.stderr if json_path == "-" else sys.stdout
+    print_runs([Result(Job(results["scenario"], results["seed"]), results)], output)
+    machine = results["machine"]
     timers, sent = machine["loop_late_ms"].get("p99", 0), machine["sent_late_ms"].get("p99", 0)
     print(
         f"this machine: timers late by {timers:.1f} ms (p99), requests sent late by {sent:.1f} ms (p99), "
         f"the largest sidecar {machine['sidecar_memory_mb']} MB",
-        file=to,
+        file=output,
     )
     if machine["crashed"]:
-        print(f"sidecars that ended by themselves: {', '.join(machine['crashed'])}", file=to)
-    if json_to is not None:
-        write_json(json_to, figures)
+        print(f"sidecars that ended by themselves: {', '.join(machine['crashed'])}", file=output)
+    if json_path is not None:
+        write_json(json_path, results)
     if page is not None or images is not None:
         from ...lab.report import write_run
 
-        write_run(Path(page) if page else None, figures, Path(images) if images else None)
-    return 3 if figures["metrics"]["rules_broken"] or machine["crashed"] else 0
+        write_run(Path(page) if page else None, results, Path(images) if images else None)
+    return 3 if results["metrics"]["rules_broken"] or machine["crashed"] else 0
--- a/limenotch/cli/lab/run.py
+++ b/limenotch/cli/lab/run.py
@@ -34,22 +34,24 @@
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        first = whole_number(given, "--seed", 0)
-        count = whole_number(given, "--seeds", 1)
-        processes = whole_number(given, "--processes", 1)
+        first = whole_number(options, "--seed", 0)
+        count = whole_number(options, "--seeds", 1)
+        processes = whole_number(options, "--processes", 1)
         jobs = [
-            Job(given["<scenario>"], seed, given["--policy"], given["--time"]) for seed in range(first, first + count)
+            Job(options["<scenario>"], seed, options["--policy"], options["--time"])
+            for seed in range(first, first + count)
         ]
         results = play_all(jobs, processes)
-        print_runs(results, sys.stderr if given["--json"] == "-" else sys.stdout)
-        if given["--json"] is not None:
-            write_json(given["--json"], [r.figures for r in results] if count > 1 else results[0].figures)
-        if given["--report"] is not None or given["--png"] is not None:
+        print_runs(results, sys.stderr if options["--json"] == "-" else sys.stdout)
+        if options["--json"] is not None:
+            write_json(options["--json"], [r.figures for r in results] if count > 1 else results[0].figures)
+        if options["--report"] is not None or options["--png"] is not None:
             from ...lab.report import write_run
 
-            page, images = given["--report"], given["--png"]
+            page, images = options["--report"], options["--png"]
             write_run(Path(page) if page else None, results[0].figures, Path(images) if images else None)
     except FaultError as error:
         print(f"limenotch: {error}", file=sys.stderr)
@@ -57,8 +59,9 @@
     return 3 if any(r.figures["metrics"]["rules_broken"] for r in results) else 0
 
 
-def write_json(path: str, figures: Any) -> None:
-    text = json.dumps(figures, indent=1) + "\n"
+def write_json(path: str, results: Any) -> None:
+    """Writes the results to a file, or with `-` to standard output. Raises FaultError if the file can't be written."""
+    text = json.dumps(results, indent=1) + "\n"
     if path == "-":
         sys.stdout.write(text)
         return
--- a/limenotch/cli/lab/scenarios.py
+++ b/limenotch/cli/lab/scenarios.py
@@ -21,26 +21,27 @@
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        if given["--check"] is not None:
-            drawn = planning.plan(scenario.load(given["--check"]), seed=1)
+        if options["--check"] is not None:
+            checked_plan = planning.plan(scenario.load(options["--check"]), seed=1)
             print(
-                f"{drawn.scenario.name}: {sum(len(t.machines) for t in drawn.tiers)} providers, "
-                f"{drawn.first_rate:.1f} calls a second of {drawn.rate_per_s:.1f} (seed 1)"
+                f"{checked_plan.scenario.name}: {sum(len(t.machines) for t in checked_plan.tiers)} providers, "
+                f"{checked_plan.first_rate:.1f} calls a second of {checked_plan.rate_per_s:.1f} (seed 1)"
             )
             return 0
-        if given["<name>"] is not None:
-            scenario.load(given["<name>"])
+        if options["<name>"] is not None:
+            scenario.load(options["<name>"])
             folder = resources.files("limenotch.lab") / "scenarios"
-            print((folder / f"{given['<name>']}.toml").read_text(encoding="utf-8"), end="")
+            print((folder / f"{options['<name>']}.toml").read_text(encoding="utf-8"), end="")
             return 0
     except (FaultError, FileNotFoundError) as error:
         print(f"limenotch: {error}", file=sys.stderr)
         return 2
     for name in scenario.shipped():
-        played = scenario.load(name)
-        providers = "+".join(str(tier.providers) for tier in played.tier)
-        print(f"{name:16} {providers} providers, {played.sidecars.count} sidecars, {played.length_s:g} s")
-        print(fill(played.look_for, 100, initial_indent=" " * 17, subsequent_indent=" " * 17))
+        shipped = scenario.load(name)
+        providers = "+".join(str(tier.providers) for tier in shipped.tier)
+        print(f"{name:16} {providers} providers, {shipped.sidecars.count} sidecars, {shipped.length_s:g} s")
+        print(fill(shipped.look_for, 100, initial_indent=" " * 17, subsequent_indent=" " * 17))
     return 0
--- a/limenotch/cli/lab/timeline.py
+++ b/limenotch/cli/lab/timeline.py
@@ -23,24 +23,25 @@
 
 
 def command(arguments: list[str]) -> int:
-    given = docopt(__doc__ or "", arguments)
-    folder = Path(given["<folder>"])
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
+    folder = Path(options["<folder>"])
     files = sorted(path for path in folder.glob("*") if path.is_file()) if folder.is_dir() else []
     if not files:
         print(f"limenotch: {folder}: no folder with logs", file=sys.stderr)
         return 2
-    tier = given["--tier"]
+    tier = options["--tier"]
     if tier is not None and not tier.isdecimal():
         print(f"limenotch: --tier: expected a number from 0, not {tier!r}", file=sys.stderr)
         return 2
-    read = timeline.read(files)
-    layers = [int(tier)] if tier is not None else sorted(read.layers)
-    if given["--json"]:
-        print(json.dumps({"skipped": read.skipped, "tiers": {n: timeline.figures(read, n) for n in layers}}))
+    logs = timeline.read(files)
+    tiers = [int(tier)] if tier is not None else sorted(logs.layers)
+    if options["--json"]:
+        print(json.dumps({"skipped": logs.skipped, "tiers": {n: timeline.figures(logs, n) for n in tiers}}))
         return 0
-    for layer in layers:
-        print(f"tier {layer}, {read.sidecars[layer]} sidecars")
-        print(timeline.table(read, layer))
-    if read.skipped:
-        print(f"{read.skipped} lines could not be read", file=sys.stderr)
+    for number in tiers:
+        print(f"tier {number}, {logs.sidecars[number]} sidecars")
+        print(timeline.table(logs, number))
+    if logs.skipped:
+        print(f"{logs.skipped} lines could not be read", file=sys.stderr)
     return 0
--- a/limenotch/cli/serve.py
+++ b/limenotch/cli/serve.py
@@ -28,23 +28,23 @@
 
 
 def command(arguments: list[str]) -> int:
-    """Run the sub-command with its whole command line; the exit code."""
-    given = docopt(__doc__ or "", arguments)
+    """Runs the sub-command with its command line, and returns the exit code."""
+    options = docopt(__doc__ or "", arguments)
     try:
-        settings = load_settings(given["--settings"], os.environ)
+        settings = load_settings(options["--settings"], os.environ)
         config = load(os.environ)
         check_as(settings, config.name)
     except (ConfigError, FaultError) as error:
         print(f"limenotch: {error}", file=sys.stderr)
         return 2
-    form = given["--log"]
+    form = options["--log"]
     if form is not None:
         if form not in FORMS:
             print(f"limenotch: --log: expected {' or '.join(FORMS)}, not {form!r}", file=sys.stderr)
             return 2
         settings = msgspec.structs.replace(settings, log=msgspec.structs.replace(settings.log, form=form))
     configure(settings.log.form, settings.log.level, config.name)
-    from ..app import serve  # the network's imports are needed by this command only
+    from ..app import serve  # only here, as other commands do not need the modules of the network
 
     try:
         asyncio.run(serve(config, settings))
--- a/limenotch/cli/version.py
+++ b/limenotch/cli/version.py
@@ -12,7 +12,7 @@
 
 
 def command(arguments: list[str]) -> int:
-    """Run the sub-command with its whole command line; the exit code."""
+    """Runs the sub-command with its command line, and returns the exit code."""
     docopt(__doc__ or "", arguments)
     print(__version__)
     return 0
--- a/tests/fleet/test_lab_fleet.py
+++ b/tests/fleet/test_lab_fleet.py
@@ -51,9 +51,9 @@
 def test_a_start_is_shown_where_it_was_begun_whenever_its_process_was_ready(looked: tuple[float, ...]) -> None:
     drawn = drawing.read(drills.death_and_return(3, 1), "fleet")
     console = Console(highlight=False, file=io.StringIO(), width=200)
-    live = fleet.Live(drawn, console)
+    live = fleet.LiveTable(drawn, console)
     for until in looked:
-        live.rows(Played(drawn), until)  # type: ignore[arg-type]
+        live.print_rows(Played(drawn), until)  # type: ignore[arg-type]
     assert isinstance(console.file, io.StringIO)
     rows = [line.split(maxsplit=1) for line in console.file.getvalue().splitlines()]
     assert rows == [
