--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The directory's watch, on loopback sockets: ended, moved, silent, indented, cut anywhere."""
+"""The watch of discovery on loopback sockets: its end, a change of address, silence, and lists in any layout."""
 
 from __future__ import annotations
 
@@ -28,42 +28,44 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 10_000])
-def test_lists_may_be_indented_and_cut_anywhere(size: int) -> None:
+def test_lists_may_be_indented_and_arrive_in_pieces_of_any_size(size: int) -> None:
     entry = {"name": "a{", "address": "127.0.0.1:1", "status": "in_service"}
     lists = [
         {"index": 7, "snapshot": True, "endpoints": [entry, {**entry, "name": "b"}]},
         {"index": 8, "snapshot": False, "endpoints": [{**entry, "status": "terminating"}]},
     ]
-    body = b"\n\n".join(json.dumps(one, indent=2).encode() for one in lists)  # and no end of the last line
+    body = b"\n\n".join(json.dumps(each, indent=2).encode() for each in lists)  # the last line has no line end
 
     async def case() -> None:
-        heard, broken = asyncio.Queue[tuple[list[DiscoveredEndpoint], bool]](), asyncio.Queue[None]()
+        received, broken = asyncio.Queue[tuple[list[DiscoveredEndpoint], bool]](), asyncio.Queue[None]()
 
         async def handler(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(HEAD + b"".join(chunk(body[at : at + size]) for at in range(0, len(body), size)))
+            writer.write(HEAD + b"".join(chunk(body[start : start + size]) for start in range(0, len(body), size)))
             await reader.read()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         watched = DiscoveryClient(
-            server.sockets[0].getsockname(), lambda *told: heard.put_nowait(told), lambda: broken.put_nowait(None)
+            server.sockets[0].getsockname(),
+            lambda *update: received.put_nowait(update),
+            lambda: broken.put_nowait(None),
         )
         watched.watch()
-        # How many lists are told as one depends on how they come; the first is whole, and the last word counts.
-        held, first = dict[str, str](), True
-        while held.get("a{") != "terminating":
-            entries, whole = await heard.get()
-            assert whole is first
-            held.update((p.name, p.status.value) for p in entries)
+        # How many lists are reported as one depends on how they arrive; the first is complete, the last entry counts.
+        statuses, first = dict[str, str](), True
+        while statuses.get("a{") != "terminating":
+            entries, complete = await received.get()
+            assert complete is first
+            statuses.update((p.name, p.status.value) for p in entries)
             first = False
-        assert held == {"a{": "terminating", "b": "in_service"}
-        assert heard.empty() and broken.empty()
+        assert statuses == {"a{": "terminating", "b": "in_service"}
+        assert received.empty() and broken.empty()
 
     run(case())
 
 
-def test_a_watch_that_owes_the_end_of_a_list_is_silent() -> None:
-    # Guards against a watch that empty lines keep alive while all that it brings would go to a list without an end.
+def test_a_watch_within_an_incomplete_list_is_silent() -> None:
+    # Empty lines must not keep a watch alive whose list never ends: all that follows would be part of that list.
     async def case() -> None:
         broken = asyncio.Queue[None]()
 
@@ -87,16 +89,16 @@
     run(case())
 
 
-def test_a_move_is_tried_again_before_the_module_hears_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_queries_are_retried_after_a_move_before_a_failure_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(schedule, "MOVE_GRACE_S", 2.0)
     monkeypatch.setattr(schedule, "MAX_BACKOFFS_S", (0.01, 0.01, 0.01))
 
     async def case() -> None:
-        broken, asked = asyncio.Queue[None](), 0
+        broken, queries = asyncio.Queue[None](), 0
 
         async def handler(reader: Reader, writer: Writer) -> None:
-            nonlocal asked
-            asked += 1
+            nonlocal queries
+            queries += 1
             writer.close()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
@@ -105,39 +107,39 @@
         await broken.get()
         watched.move(server.sockets[0].getsockname())
         await broken.get()
-        assert asked >= 12 and broken.empty()
+        assert queries >= 12 and broken.empty()
         watched.close()
 
     run(case())
 
 
-def test_a_watch_that_ends_is_told_once_and_resumed_by_version() -> None:
+def test_a_watch_that_ends_is_reported_once_and_resumed_from_its_version() -> None:
     async def case() -> None:
-        asked, heard, broken = list[bytes](), list[tuple[list[DiscoveredEndpoint], bool]](), asyncio.Queue[None]()
+        targets, received, broken = list[bytes](), list[tuple[list[DiscoveredEndpoint], bool]](), asyncio.Queue[None]()
         lines = (
             b'{"index":7,"snapshot":true,"endpoints":[{"name":"a"},{"name":"b","address":"127.0.0.1:1",'
             b'"status":"odd"}]}\nnot json\n\n'
         )
-        answers = [
+        responses = [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(lines), lines),
             b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
         ]
 
         async def handler(reader: Reader, writer: Writer) -> None:
-            asked.append((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1])
-            writer.write(answers[len(asked) - 1])
+            targets.append((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1])
+            writer.write(responses[len(targets) - 1])
             writer.close()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        directory = DiscoveryClient(
-            server.sockets[0].getsockname(), lambda *told: heard.append(told), lambda: broken.put_nowait(None)
+        client = DiscoveryClient(
+            server.sockets[0].getsockname(), lambda *update: received.append(update), lambda: broken.put_nowait(None)
         )
-        for _ in answers:
-            directory.watch()
-            directory.watch()  # no second one beside it
+        for _ in responses:
+            client.watch()
+            client.watch()  # starts no second watch
             await broken.get()
-        assert broken.empty() and heard == [([], True)]
-        assert asked == [b"/discovery/hosts?follow=1", b"/discovery/hosts?follow=1&since=7"]
+        assert broken.empty() and received == [([], True)]
+        assert targets == [b"/discovery/hosts?follow=1", b"/discovery/hosts?follow=1&since=7"]
 
     run(case())
 
@@ -153,19 +155,19 @@
         json.loads('{"endpoints":[{"name":"a","address":"h:1","status":"in_service","weight":Infinity}]}'),
     ],
 )
-def test_odd_lists_crash_nothing(raw: Any) -> None:
-    told = parse_list(raw)
-    assert told is None or told[2] == []
+def test_invalid_lists_and_entries_are_skipped(raw: Any) -> None:
+    parsed = parse_list(raw)
+    assert parsed is None or parsed[2] == []
 
 
-def test_a_reload_follows_the_file_at_once_and_survives_a_faulty_one(
+def test_a_reload_applies_a_new_address_of_discovery_at_once_and_rejects_an_invalid_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Guards against ending on SIGHUP, and against the module's wait before it asks a directory again.
+    # SIGHUP must not end the process, and the new address must be queried without a backoff.
     async def case() -> None:
         asked, moved = asyncio.Queue[bytes](), asyncio.Queue[bytes]()
 
-        def directory(queue: asyncio.Queue[bytes]) -> Handler:
+        def discovery(queue: asyncio.Queue[bytes]) -> Handler:
             async def handler(reader: Reader, writer: Writer) -> None:
                 queue.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1])
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -174,7 +176,7 @@
 
             return handler
 
-        servers = [await asyncio.start_server(directory(q), "127.0.0.1", 0) for q in (asked, moved)]
+        servers = [await asyncio.start_server(discovery(q), "127.0.0.1", 0) for q in (asked, moved)]
         first, second = (config.host_port(s.sockets[0].getsockname()) for s in servers)
         path, port = tmp_path / "config.json", free_port()
         raw = {"listen": f"127.0.0.1:{port}", "discovery": first, "settings": SETTINGS}
@@ -201,7 +203,7 @@
     return DiscoveredEndpoint(name, ("127.0.0.1", 1), status)
 
 
-def test_changes_that_come_together_are_told_as_one_with_the_last_word_on_each() -> None:
+def test_lists_received_together_are_merged_and_the_last_entry_of_each_endpoint_counts() -> None:
     draining = listed("a", DiscoveryStatus.TERMINATING)
     assert merge_lists([]) is None
     assert merge_lists([EndpointList(1, False, [listed("a"), listed("b")]), EndpointList(2, False, [draining])]) == (
@@ -209,10 +211,10 @@
         False,
         [draining, listed("b")],
     )
-    # A whole list takes the place of all that came before it, and changes after it leave it whole.
-    came = [
+    # A complete list replaces all lists before it, and with later changes it is still a complete list.
+    lists = [
         EndpointList(1, False, [listed("x")]),
         EndpointList(4, True, [listed("a")]),
         EndpointList(0, False, [draining]),
     ]
-    assert merge_lists(came) == (4, True, [draining])
+    assert merge_lists(lists) == (4, True, [draining])
--- a/tests/test_discovery_jam.py
+++ b/tests/test_discovery_jam.py
@@ -1,4 +1,4 @@
-"""A watch that discovery closes in place of sending a change, while other sidecars keep discovery busy."""
+"""Discovery closes a watch instead of sending a change, while the queries of other sidecars keep discovery busy."""
 
 from __future__ import annotations
 
@@ -14,24 +14,25 @@
 from .helpers.processes import Processes, free_port, run
 from .test_drain_at_size import GRACE_S, Servers, configuration, until
 
-TOLD_S = 2.0  # after a watch was closed, whether or not its change has arrived
-DRAIN_GRACE_S = 0.5  # as on the join day
-JAM_S = 0.6  # in which discovery turns all calls away
-TIER = 3  # sidecars whose endpoints have changed
+CHANGE_DEADLINE_S = 2.0  # after a watch was closed, a change counts as known, whether or not it was received
+DRAIN_GRACE_S = 0.5  # as in the scenario in which sidecars join
+CONGESTION_S = 0.6  # for which discovery rejects all queries
+TIER_SIZE = 3  # sidecars whose endpoints have changed
 LATE_SEEDS = (2, 13, 16, 19, 20, 35)  # of the first 40; listed in KNOWN-RED.txt
 SEEDS = tuple(seed for seed in range(1, 41) if seed not in LATE_SEEDS)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_closed_watch_has_its_successor_before_its_change_counts(seed: int) -> None:
-    # Endpoints that drained were sent requests: a refused query waited for up to 4 s, as if the change were known.
-    assert max(closed_after_resets(seed, TIER)) <= TOLD_S + DRAIN_GRACE_S
+    # Draining endpoints were sent requests: after a rejected query the backoff was up to 4 s, as if the change were
+    # known.
+    assert max(closed_after_resets(seed, TIER_SIZE)) <= CHANGE_DEADLINE_S + DRAIN_GRACE_S
 
 
 @pytest.mark.parametrize("seed", LATE_SEEDS)
 def test_a_closed_watch_has_its_successor_in_time_wherever_other_callers_come_first(seed: int) -> None:
-    # Sidecars know nothing of each other: a place in discovery's queue may go to one that needs its list less.
-    assert max(closed_after_resets(seed, TIER)) <= TOLD_S + DRAIN_GRACE_S
+    # Sidecars know nothing of each other: a slot in discovery's queue may go to one that needs its list less.
+    assert max(closed_after_resets(seed, TIER_SIZE)) <= CHANGE_DEADLINE_S + DRAIN_GRACE_S
 
 
 def test_no_request_goes_to_a_drained_endpoint_after_discovery_closed_the_watch_and_refused_calls(
@@ -54,14 +55,14 @@
             for port in ports:
                 await processes.serve(configuration(port, at, servers.entries))
             await until(lambda: len(at.watches) == len(ports))
-            await asyncio.sleep(1.0)  # no watch is so young that its end is one more failure
+            await asyncio.sleep(1.0)  # the end of a watch that is younger would count as one more failure
             calls = [asyncio.create_task(call(port)) for port in ports]
             at.refuses = True
             discovery.change(*servers.names_of(0))
             closed_at = monotonic()
-            await asyncio.sleep(JAM_S)
+            await asyncio.sleep(CONGESTION_S)
             at.refuses = False
-            await asyncio.sleep(closed_at + TOLD_S + GRACE_S - monotonic())
+            await asyncio.sleep(closed_at + CHANGE_DEADLINE_S + GRACE_S - monotonic())
             before = len(servers.seen[0])
             await asyncio.sleep(2.0)
             done.set()
--- a/tests/test_discovery_seed.py
+++ b/tests/test_discovery_seed.py
@@ -1,4 +1,4 @@
-"""Each process draws its own waits for discovery, also where the system gives all of them the same random numbers."""
+"""Each process draws its own backoffs for discovery, even if all processes have the same seed."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class StoppedError(Exception):
-    """Far enough."""
+    """Ends the start of a process once its client of discovery is created."""
 
 
-def draw(monkeypatch: pytest.MonkeyPatch, **changes: Any) -> float:
-    """The first number that the waits of a process of this configuration are drawn by."""
+def first_random_number(monkeypatch: pytest.MonkeyPatch, **changes: Any) -> float:
+    """The first random number for the backoffs of a process with this configuration."""
     drawn: list[float] = []
 
-    def directory(*arguments: Any) -> None:
-        drawn.extend(one.random() for one in arguments if isinstance(one, Random))
+    def create_client(*arguments: Any) -> None:
+        drawn.extend(argument.random() for argument in arguments if isinstance(argument, Random))
         raise StoppedError
 
-    monkeypatch.setattr(wiring, "DiscoveryClient", directory)
+    monkeypatch.setattr(wiring, "DiscoveryClient", create_client)
     raw = {"name": "n1", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:1", "seed": "1f", "settings": SETTINGS}
     with pytest.raises(StoppedError):
         asyncio.run(app.serve(config.parse({**raw, **changes}, {})))
@@ -33,9 +33,9 @@
     return first
 
 
-def test_waits_follow_from_seed_name_and_address(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards a discovery that comes back: callers in step jam it, and the last have their list too late.
-    same = draw(monkeypatch)
-    assert draw(monkeypatch) == same
+def test_backoffs_depend_on_seed_name_and_address(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Sidecars that query in step congest a discovery that has returned, and the last ones get their list too late.
+    same = first_random_number(monkeypatch)
+    assert first_random_number(monkeypatch) == same
     changes: list[dict[str, Any]] = [{"name": "n2"}, {"seed": "20"}, {"listen": "127.0.0.1:5001"}]
-    assert len({same, *(draw(monkeypatch, **change) for change in changes)}) == 4
+    assert len({same, *(first_random_number(monkeypatch, **change) for change in changes)}) == 4
--- a/tests/test_discovery_states.py
+++ b/tests/test_discovery_states.py
@@ -1,4 +1,4 @@
-"""When discovery is asked, without sockets: drawn histories of failures against the terms, with a given clock."""
+"""When discovery is queried, without sockets: generated histories of failures, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -27,17 +27,20 @@
 )
 
 SILENCE_S = 3.0
-TOLD_S, MOVED_TOLD_S = 6.0, 4.0  # the terms: after discovery had it and could be reached; after a new configuration
+# Until when a change or a list has to be known: after discovery had it and was reachable; after a change of address.
+CHANGE_DEADLINE_S, MOVE_DEADLINE_S = 6.0, 4.0
 EPSILON = 1e-6
 
-# What becomes of a call, as (seconds after it began, event); what is not said never comes.
+# The events of a query, as (seconds after its start, event); there are no others.
 Fate = tuple[tuple[float, Event], ...]
 DELAY = st.floats(0.0, 2.5)
 
 
 @st.composite
 def fates(draw: st.DrawFn) -> Fate:
-    """Refused, never up, up and silent, failed with an error, listed and then ended or silent or alive for a while."""
+    """A query is rejected, never connected, connected but silent, failed, or it receives a list; then its watch ends,
+    is silent or receives lines for a while.
+    """
     up = draw(st.floats(0.0, 1.2))
     kind = draw(st.sampled_from(("refused", "never up", "silent", "error", "listed")))
     if kind == "never up":
@@ -58,10 +61,10 @@
     return tuple(events)
 
 
-class Play:
-    """One machine against calls whose fates are given; those that begin at `back` or later are answered `answer_s` on.
+class Simulation:
+    """Runs one machine with queries whose fates are given; queries from `back` on get a list after `answer_s`.
 
-    `lost` is the fate of the call that a move begins, if it is not to be answered.
+    `lost` is the fate of the query that a move starts, if it is not to get a list.
     """
 
     def __init__(
@@ -69,16 +72,16 @@
     ) -> None:
         self.machine, self.fates, self.back, self.answer_s, self.lost = machine, fates, back, answer_s, lost
         self.now, self.count = 0.0, 0
-        self.call: int | None = None  # the one under way
-        self.opened: list[float] = []
-        self.held: float | None = None  # when a call that began at `back` or later brought its list
-        self.word = -1.0  # when a call that began before that last had something to tell
-        self.failed = self.told = 0
-        self.todo: list[tuple[float, int, int, Event]] = []  # time, order, call (0: of none), event
-
-    def put(self, at: float, event: Event, call: int = 0) -> None:
+        self.query: int | None = None  # the number of the current query
+        self.opened: list[float] = []  # when each query started
+        self.listed: float | None = None  # when a query that started at `back` or later first received a list
+        self.last_line = -1.0  # when a query that started earlier last received anything
+        self.failed = self.reported = 0
+        self.todo: list[tuple[float, int, int, Event]] = []  # time, order, query (0: of none), event
+
+    def schedule_event(self, at: float, event: Event, query: int = 0) -> None:
         self.count += 1
-        heapq.heappush(self.todo, (at, self.count, call, event))
+        heapq.heappush(self.todo, (at, self.count, query, event))
 
     def run(self, end: float) -> None:
         while True:
@@ -87,48 +90,48 @@
                 return
             if due is not None and due <= at:
                 self.now = max(self.now, due)
-                self.feed(TimerExpired())
+                self.handle(TimerExpired())
                 continue
-            self.now, _, call, event = heapq.heappop(self.todo)
-            if call and call != self.call:
-                continue  # of a call that was given up
+            self.now, _, query, event = heapq.heappop(self.todo)
+            if query and query != self.query:
+                continue  # of a retired query
             if isinstance(event, (ListReceived, LineReceived)):
-                self.hear(event)
-            self.feed(event)
+                self.record_line(event)
+            self.handle(event)
 
-    def hear(self, event: Event) -> None:
+    def record_line(self, event: Event) -> None:
         if self.opened[-1] < self.back:
-            self.word = self.now
-        elif self.held is None and isinstance(event, ListReceived):
-            self.held = self.now
+            self.last_line = self.now
+        elif self.listed is None and isinstance(event, ListReceived):
+            self.listed = self.now
 
-    def feed(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         if isinstance(event, WatchEnded):
-            self.call, self.failed = None, self.failed + 1
-        for order in self.machine.handle(self.now, event):
-            if order is Action.REPORT_BROKEN:
-                self.told += 1
-            elif order is Action.RETIRE_WATCH:
-                assert self.call is not None, "leaves behind what is not open"
-                self.call, self.failed = None, self.failed + 1
+            self.query, self.failed = None, self.failed + 1
+        for action in self.machine.handle(self.now, event):
+            if action is Action.REPORT_BROKEN:
+                self.reported += 1
+            elif action is Action.RETIRE_WATCH:
+                assert self.query is not None, "retires a query while there is none"
+                self.query, self.failed = None, self.failed + 1
             else:
-                assert self.call is None, "two calls at once"
+                assert self.query is None, "two queries at once"
                 self.open(isinstance(event, AddressChanged))
 
     def open(self, moved: bool) -> None:
         self.opened.append(self.now)
-        self.call = len(self.opened)
+        self.query = len(self.opened)
         fate: Fate = ((0.0, Connected()), (self.answer_s, ListReceived()))
         fate += tuple((self.answer_s + 2.0 * beat, LineReceived()) for beat in range(1, 8))
         if moved and self.lost is not None:
             fate = self.lost
         elif self.now < self.back:
-            fate = self.fates[(self.call - 1) % len(self.fates)]
+            fate = self.fates[(self.query - 1) % len(self.fates)]
         for after, event in fate:
-            self.put(self.now + after, event, self.call)
+            self.schedule_event(self.now + after, event, self.query)
 
 
-def played(
+def simulate(
     fates: list[Fate],
     back: float,
     answer_s: float,
@@ -136,13 +139,13 @@
     pushed: bool = False,
     moves: tuple[float, ...] = (),
     lost: Fate | None = None,
-) -> Play:
-    play = Play(DiscoveryState(SILENCE_S, Random(seed), pushed), fates, back, answer_s, lost)
-    play.put(0.0, WatchRequested())
+) -> Simulation:
+    simulation = Simulation(DiscoveryState(SILENCE_S, Random(seed), pushed), fates, back, answer_s, lost)
+    simulation.schedule_event(0.0, WatchRequested())
     for at in moves:
-        play.put(at, AddressChanged())
-    play.run(back + 30.0)
-    return play
+        simulation.schedule_event(at, AddressChanged())
+    simulation.run(back + 30.0)
+    return simulation
 
 
 FATES = st.lists(fates(), min_size=1, max_size=8)
@@ -150,17 +153,20 @@
 
 
 @given(FATES, BACK, st.floats(0.0, 1.0), st.integers(0, 99), st.booleans())
-def test_from_any_state_the_list_is_held_in_time(
+def test_from_any_state_the_list_is_received_in_time(
     fates: list[Fate], back: float, answer_s: float, seed: int, pushed: bool
 ) -> None:
-    """Every call that began before `back` fails somehow, or is silent at last; from then on discovery answers.
+    """Every query that started before `back` fails, or is silent in the end; from then on discovery answers.
 
-    A watch that lives on beyond `back` has nothing to tell that is late; it is held to the same from its last word on.
+    A watch that continues after `back` has missed no change; for it the deadline counts from its last line on.
     """
-    play = played(fates, back, answer_s, seed, pushed)
-    reach = max(back, play.word)
-    assert play.held is not None and play.held <= reach + schedule.MAX_QUERY_INTERVAL_S + answer_s + EPSILON
-    assert schedule.MAX_QUERY_INTERVAL_S + answer_s <= TOLD_S
+    simulation = simulate(fates, back, answer_s, seed, pushed)
+    reachable_at = max(back, simulation.last_line)
+    assert (
+        simulation.listed is not None
+        and simulation.listed <= reachable_at + schedule.MAX_QUERY_INTERVAL_S + answer_s + EPSILON
+    )
+    assert schedule.MAX_QUERY_INTERVAL_S + answer_s <= CHANGE_DEADLINE_S
 
 
 @given(
@@ -175,20 +181,22 @@
         )
     ),
 )
-def test_a_watch_that_falls_silent_and_a_call_that_is_lost_leave_time_for_another(
+def test_after_a_silent_watch_and_a_lost_query_there_is_time_for_another_query(
     lasted: float, seed: int, lost: Fate
 ) -> None:
-    """Seen on loopback and by reading: 3 s of silence, a call of 3 s and the waits beside them were 7 s."""
+    """With 3 s of silence, a query of 3 s and the backoffs it took 7 s once."""
     silence_s, answer_s = settings.DiscoverySettings().silence_s, 0.5
     beats = tuple((at, LineReceived()) for at in (2.0 * beat for beat in range(1, 16)) if at <= lasted)
     watch: Fate = ((0.0, Connected()), (0.0, ListReceived()), *beats)
-    last_word = beats[-1][0] if beats else 0.0
-    play = Play(DiscoveryState(silence_s, Random(seed)), [watch, lost], last_word + 2 * silence_s - EPSILON, answer_s)
-    play.put(0.0, WatchRequested())
-    play.run(60.0)
-    lost_at = play.opened[1]
-    assert lost_at <= last_word + silence_s + schedule.MAX_BACKOFFS_S[0]
-    assert play.opened[2] + answer_s <= last_word + TOLD_S + EPSILON
+    last_line_at = beats[-1][0] if beats else 0.0
+    simulation = Simulation(
+        DiscoveryState(silence_s, Random(seed)), [watch, lost], last_line_at + 2 * silence_s - EPSILON, answer_s
+    )
+    simulation.schedule_event(0.0, WatchRequested())
+    simulation.run(60.0)
+    lost_at = simulation.opened[1]
+    assert lost_at <= last_line_at + silence_s + schedule.MAX_BACKOFFS_S[0]
+    assert simulation.opened[2] + answer_s <= last_line_at + CHANGE_DEADLINE_S + EPSILON
 
 
 @given(
@@ -207,53 +215,56 @@
         )
     ),
 )
-def test_a_new_address_is_asked_at_once_and_again_in_time(
+def test_a_new_address_is_queried_at_once_and_again_in_time(
     fates: list[Fate], moved: float, answer_s: float, seed: int, pushed: bool, lost: Fate
 ) -> None:
-    """Whatever went on at the old one; also where the first call at the new one is lost, in any way at all."""
-    play = played(fates, moved, answer_s, seed, pushed, (moved,))
-    assert moved in play.opened and play.held is not None and play.held <= moved + answer_s + EPSILON
-    play = played(fates, moved, answer_s, seed, pushed, (moved,), lost)
-    assert play.held is not None and play.held <= moved + MOVED_TOLD_S + EPSILON
+    """Whatever the state of the watch at the old address, and also if the first query to the new address is lost."""
+    simulation = simulate(fates, moved, answer_s, seed, pushed, (moved,))
+    assert (
+        moved in simulation.opened and simulation.listed is not None and simulation.listed <= moved + answer_s + EPSILON
+    )
+    simulation = simulate(fates, moved, answer_s, seed, pushed, (moved,), lost)
+    assert simulation.listed is not None and simulation.listed <= moved + MOVE_DEADLINE_S + EPSILON
 
 
 @given(FATES, BACK, st.integers(0, 99), st.lists(st.floats(0.0, 40.0), max_size=6), st.booleans())
-def test_each_call_that_fails_is_told_once_but_for_a_moves_own(
+def test_each_failed_query_is_reported_once_except_those_of_a_move(
     fates: list[Fate], back: float, seed: int, moves: list[float], pushed: bool
 ) -> None:
-    play = played(fates, back, 0.1, seed, pushed, tuple(moves))
-    assert play.told <= play.failed
+    simulation = simulate(fates, back, 0.1, seed, pushed, tuple(moves))
+    assert simulation.reported <= simulation.failed
     if not moves:
-        assert play.told == play.failed
+        assert simulation.reported == simulation.failed
 
 
-def test_failures_of_a_move_are_told_only_when_its_time_is_over() -> None:
-    play = Play(DiscoveryState(SILENCE_S, Random(2)), [((0.0, WatchEnded()),)], 100.0, 0.0)
-    play.put(0.0, AddressChanged())
-    play.run(schedule.MOVE_GRACE_S)
-    # Some tries within the time that there is, and no more: each refused call costs a full discovery time that others
-    # need. On the bench 16 callers that came back within 0.25 s let it answer one in 0.9 s, in place of one in 0.35 s.
-    assert play.told == 0 and 3 <= play.failed <= 8
-    play.run(schedule.MOVE_GRACE_S + schedule.MAX_BACKOFFS_S[-1])
-    assert play.told == 1
+def test_failures_after_a_move_are_reported_only_after_its_grace_period() -> None:
+    simulation = Simulation(DiscoveryState(SILENCE_S, Random(2)), [((0.0, WatchEnded()),)], 100.0, 0.0)
+    simulation.schedule_event(0.0, AddressChanged())
+    simulation.run(schedule.MOVE_GRACE_S)
+    # Several queries within the grace period, but not many: rejecting a query costs discovery at capacity time that it
+    # needs for others. In a benchmark with 16 sidecars that queried again within 0.25 s, discovery answered one query
+    # in 0.9 s instead of one in 0.35 s.
+    assert simulation.reported == 0 and 3 <= simulation.failed <= 8
+    simulation.run(schedule.MOVE_GRACE_S + schedule.MAX_BACKOFFS_S[-1])
+    assert simulation.reported == 1
 
 
 @given(st.lists(st.floats(0.0, 1.5), min_size=1, max_size=8), st.integers(0, 99), st.floats(0.0, 0.9))
-def test_moves_in_a_row_are_asked_at_a_bounded_pace_and_the_last_in_time(
+def test_consecutive_moves_cause_queries_at_a_limited_rate_and_the_last_is_in_time(
     gaps: list[float], seed: int, answer_s: float
 ) -> None:
-    """Each call that a move begins makes discovery put a whole list together; the old address tells on meanwhile."""
+    """Each query after a move makes discovery build a complete list; meanwhile the old address sends its changes."""
     moves, now = list[float](), 10.0
     for gap in gaps:
         now += gap
         moves.append(now)
-    play = played([()], 0.0, answer_s, seed, moves=tuple(moves))
-    last = next(at for at in play.opened if at >= moves[-1])
-    opened = [at for at in play.opened if moves[0] <= at <= last]
+    simulation = simulate([()], 0.0, answer_s, seed, moves=tuple(moves))
+    last = next(at for at in simulation.opened if at >= moves[-1])
+    opened = [at for at in simulation.opened if moves[0] <= at <= last]
     assert opened[0] == moves[0] and last <= moves[-1] + schedule.MOVE_SETTLE_S
-    assert last + answer_s <= moves[-1] + MOVED_TOLD_S
-    apart = [later - earlier for earlier, later in pairwise(opened)]
-    assert all(gap >= schedule.MOVE_SETTLE_S - EPSILON for gap in apart)
+    assert last + answer_s <= moves[-1] + MOVE_DEADLINE_S
+    intervals = [later - earlier for earlier, later in pairwise(opened)]
+    assert all(interval >= schedule.MOVE_SETTLE_S - EPSILON for interval in intervals)
 
 
 @given(
@@ -277,28 +288,28 @@
     ),
     st.integers(0, 9),
 )
-def test_any_order_of_events_is_survived(events: list[tuple[float, Event]], seed: int) -> None:
-    """Late events of any kind never open a second call, and outside IDLE there is always a time to come back."""
-    machine, now, calling = DiscoveryState(SILENCE_S, Random(seed)), 0.0, False
+def test_events_in_any_order_keep_the_machine_consistent(events: list[tuple[float, Event]], seed: int) -> None:
+    """Delayed events never start a second query, and in each state except IDLE a timer is set."""
+    machine, now, querying = DiscoveryState(SILENCE_S, Random(seed)), 0.0, False
     for gap, event in events:
         now += gap
-        was, before = machine.query_in_progress, machine.state
-        orders = machine.handle(now, event)
-        calling = was and not isinstance(event, WatchEnded)
-        calling |= isinstance(event, WatchResumed) and before is WatchState.BACKING_OFF
-        for order in orders:
-            if order is Action.OPEN_WATCH:
-                assert not calling
-                calling = True
-            elif order is Action.RETIRE_WATCH:
-                assert calling
-                calling = False
-        assert machine.query_in_progress == calling
+        was_querying, state_before = machine.query_in_progress, machine.state
+        actions = machine.handle(now, event)
+        querying = was_querying and not isinstance(event, WatchEnded)
+        querying |= isinstance(event, WatchResumed) and state_before is WatchState.BACKING_OFF
+        for action in actions:
+            if action is Action.OPEN_WATCH:
+                assert not querying
+                querying = True
+            elif action is Action.RETIRE_WATCH:
+                assert querying
+                querying = False
+        assert machine.query_in_progress == querying
         assert (machine.state is WatchState.IDLE) == (machine.timer_at is None)
         assert machine.timer_at is None or machine.timer_at <= now + max(SILENCE_S, schedule.MAX_QUERY_INTERVAL_S)
 
 
-def test_a_watch_goes_from_state_to_state() -> None:
+def test_each_event_leads_to_the_next_state() -> None:
     machine = DiscoveryState(SILENCE_S, Random(1))
 
     def after(now: float, event: Event) -> tuple[list[Action], WatchState, float | None]:
@@ -309,13 +320,13 @@
     assert after(1.0, WatchRequested()) == ([Action.OPEN_WATCH], WatchState.CONNECTING, up)
     assert after(1.0, WatchRequested()) == ([], WatchState.CONNECTING, up)
     assert after(1.1, Connected()) == ([], WatchState.QUERIED, listed)
-    assert after(1.5, LineReceived()) == ([], WatchState.QUERIED, listed)  # an empty line is no list
+    assert after(1.5, LineReceived()) == ([], WatchState.QUERIED, listed)  # an empty line is not a list
     assert after(2.0, ListReceived()) == ([], WatchState.FOLLOWING, 5.0)
     assert after(4.0, LineReceived()) == ([], WatchState.FOLLOWING, 7.0)
     assert after(6.9, TimerExpired()) == ([], WatchState.FOLLOWING, 7.0)
-    orders, state, due = after(7.0, TimerExpired())
+    actions, state, due = after(7.0, TimerExpired())
     assert (
-        (orders, state) == ([Action.RETIRE_WATCH, Action.REPORT_BROKEN], WatchState.BACKING_OFF)
+        (actions, state) == ([Action.RETIRE_WATCH, Action.REPORT_BROKEN], WatchState.BACKING_OFF)
         and due is not None
         and 7.0 < due <= 7.5
     )
