--- a/limenotch/net/peer_transport.py
+++ b/limenotch/net/peer_transport.py
@@ -237,7 +237,7 @@
 
     def _accept(self) -> None:
         if self._listener is not None and self._streams is not None:
-            self._listener.take(MAX_PER_TURN, self._streams.accept, self._accept_failed)
+            self._listener.accept_connections(MAX_PER_TURN, self._streams.accept, self._accept_failed)
 
     def _accept_failed(self, error: OSError) -> None:
         log.warning("fleet: accepting a connection failed", error=str(error))
