--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -27,7 +27,7 @@
 from msgspec.msgpack import Decoder, Encoder
 
 from limenotch.fleet.affinity import messages
-from limenotch.fleet.affinity.api import Kind, Providers, State
+from limenotch.fleet.affinity.api import AvailableEndpoints, Kind, State
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.fleet.interfaces import MemberChanged, MessageReceived, SendToMember, SetTimer, Started, TimerFired
@@ -54,11 +54,11 @@
         self._due: list[tuple[float, int, str, Any]] = []
         self._count = 0
         self._encoder = Encoder()
-        self._decoder: Decoder[Any] = Decoder(messages.Said)
+        self._decoder: Decoder[Any] = Decoder(messages.AffinityMessage)
 
     def begin(self, name: str) -> None:
         self.give(name, Started())
-        self.give(name, Providers(THERE))
+        self.give(name, AvailableEndpoints(THERE))
 
     def meet(self, one: str, two: str) -> None:
         for name in (one, two):
@@ -101,7 +101,7 @@
 
     def until_whole(self, name: str, most_ms: float) -> float:
         began = self.now
-        while not self.parts[name].table.whole:
+        while not self.parts[name].table.complete:
             self.run(self.now + 1)
             if self.now - began > most_ms:
                 raise AssertionError(f"{name} is not whole within {most_ms:g} ms")
@@ -114,9 +114,9 @@
 
 
 def bind(part: Bindings, now: float, first: int, last: int) -> None:
-    see = part.table.see
+    record_use = part.table.record_use
     for number in range(first, last):
-        see(now, Kind.FLOW, b"%d" % number, NAMES[number % 20], State.OPEN)
+        record_use(now, Kind.FLOW, b"%d" % number, NAMES[number % 20], State.OPEN)
 
 
 def bind_all(pair: Pair, count: int) -> float:
@@ -145,7 +145,7 @@
     found = perf_counter() - began
     began = perf_counter()
     for number in range(count):
-        table.see(pair.now, Kind.FLOW, b"%d" % number, NAMES[number % 20], State.OPEN)
+        table.record_use(pair.now, Kind.FLOW, b"%d" % number, NAMES[number % 20], State.OPEN)
     again = perf_counter() - began
     pair.run(pair.now + 500_000)
     pair.longest["a"] = pair.cpu["a"] = 0.0
@@ -219,8 +219,8 @@
         number += 1
         if number % 20 == 0:  # one key at two members, which neither can know of
             one, two = random.sample(run.names, 2)
-            run.see(one, (Kind.SESSION, b"x%d" % number), "p1")
-            run.see(two, (Kind.SESSION, b"x%d" % number), "p2")
+            run.record_use(one, (Kind.SESSION, b"x%d" % number), "p1")
+            run.record_use(two, (Kind.SESSION, b"x%d" % number), "p2")
         for consumer in sorted((one for one in consumers if one.due < run.world.now + 5), key=lambda one: one.due):
             run.world.run(max(run.world.now, consumer.due))
             consumer.come(run)
@@ -257,7 +257,7 @@
             while run.world.now < begin + span_ms:
                 if rate:
                     run.world.run(run.world.now + 1000 / rate / count)
-                    run.see(random.choice(run.names), (3, b"%d" % len(run.keys)), random.choice(NAMES))
+                    run.record_use(random.choice(run.names), (3, b"%d" % len(run.keys)), random.choice(NAMES))
                 else:
                     run.world.run(begin + span_ms)
             scale = count * (run.world.now - begin) / 1000
--- a/limenotch/fleet/affinity/__init__.py
+++ b/limenotch/fleet/affinity/__init__.py
@@ -12,9 +12,9 @@
 
 if TYPE_CHECKING:
     from .core import Bindings
-    from .expiry import death_ms, forget_ms
+    from .expiry import death_detection_ms, expiry_bound_ms
 
-__all__ = ["Bindings", "Tuning", "death_ms", "forget_ms"]
+__all__ = ["Bindings", "Tuning", "death_detection_ms", "expiry_bound_ms"]
 
 
 def __getattr__(name: str) -> Any:
@@ -22,7 +22,7 @@
         from .core import Bindings
 
         return Bindings
-    if name in ("death_ms", "forget_ms"):
+    if name in ("death_detection_ms", "expiry_bound_ms"):
         from . import expiry
 
         return getattr(expiry, name)
--- a/limenotch/fleet/affinity/api.py
+++ b/limenotch/fleet/affinity/api.py
@@ -13,16 +13,16 @@
 # Events
 
 
-class Providers(NamedTuple):
+class AvailableEndpoints(NamedTuple):
     """What may take work now, and where it stands: the whole list, after each change of it and of bans.
 
     A provider that was there and is not any more has gone: its bindings end.
     """
 
-    there: Mapping[str, tuple[str, str]]  # name: (cell, zone)
+    available: Mapping[str, tuple[str, str]]  # name: (cell, zone)
 
 
-class Window(NamedTuple):
+class DeduplicationWindow(NamedTuple):
     """How long repeats of a class's keyed calls are dropped, in ms; the longest of them is the key's idle time."""
 
     longest_ms: float
@@ -45,15 +45,15 @@
     LINGERING = 3
 
 
-class Bound(NamedTuple):
+class Binding(NamedTuple):
     """What a key belongs to. `seen_ms`: how long ago anyone saw it last; `made_ms`: how long ago it was made."""
 
-    provider: str
+    endpoint: str
     cell: str
     zone: str
     state: State
-    seen_ms: float
-    made_ms: float
+    idle_ms: float
+    age_ms: float
     charged: bool
 
 
@@ -61,15 +61,17 @@
     """All members' bindings, as this one knows them."""
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """False while it joins: a key that is not found may be bound all the same."""
         ...
 
-    def find(self, now: float, kind: Kind, key: bytes) -> Bound | None:
+    def find(self, now: float, kind: Kind, key: bytes) -> Binding | None:
         """None for one that is over, whether or not it is dropped yet."""
         ...
 
-    def see(self, now: float, kind: Kind, key: bytes, provider: str, state: State, charged: bool = False) -> bool:
+    def record_use(
+        self, now: float, kind: Kind, key: bytes, endpoint: str, state: State, charged: bool = False
+    ) -> bool:
         """A sight of one's own: makes the binding, or makes it young; `provider` another one than bound moves it only
         where the bound one is gone. False: the table is full, and it is not bound (counted).
         """
@@ -79,4 +81,4 @@
         """One's own, still opening, surely reached nobody: it is dropped here, and told so to who was told of it."""
         ...
 
-    def figures(self) -> Mapping[str, Any]: ...
+    def status(self) -> Mapping[str, Any]: ...
--- a/limenotch/fleet/affinity/clocks.py
+++ b/limenotch/fleet/affinity/clocks.py
@@ -14,10 +14,10 @@
 from __future__ import annotations
 
 INFINITE = float("inf")
-MOST = 16
+MAX_SAMPLES = 16
 
 
-class _Bound:
+class _OffsetBound:
     """Of the offset, from above; with negative offsets from below."""
 
     __slots__ = ("slope", "samples")
@@ -26,46 +26,50 @@
         self.slope = drift / (1 - drift)  # of their time, by which one's own may be longer
         self.samples: list[tuple[float, float]] = []  # their time, offset
 
-    def add(self, sent: float, offset: float) -> None:
+    def add(self, sent_ms: float, offset: float) -> None:
         slope, samples = self.slope, self.samples
-        for time, other in samples:
-            if other + slope * abs(sent - time) <= offset:
+        for sample_ms, sample_offset in samples:
+            if sample_offset + slope * abs(sent_ms - sample_ms) <= offset:
                 return
-        kept = [(time, other) for time, other in samples if offset + slope * abs(sent - time) > other]
-        self.samples = [*kept[1 - MOST :], (sent, offset)]
+        remaining = [
+            (sample_ms, sample_offset)
+            for sample_ms, sample_offset in samples
+            if offset + slope * abs(sent_ms - sample_ms) > sample_offset
+        ]
+        self.samples = [*remaining[1 - MAX_SAMPLES :], (sent_ms, offset)]
 
 
-class Clock:
+class ClockOffset:
     """Of one sender's one life."""
 
-    __slots__ = ("known", "_upper", "_lower")
+    __slots__ = ("has_round_trip", "_upper", "_lower")
 
     def __init__(self, drift: float) -> None:
-        self.known = False  # from one answer on: what came by a stream may have lain in it for long
-        self._upper, self._lower = _Bound(drift), _Bound(drift)
+        self.has_round_trip = False  # from one answer on: what came by a stream may have lain in it for long
+        self._upper, self._lower = _OffsetBound(drift), _OffsetBound(drift)
 
-    def heard(self, now: float, sent: float) -> None:
-        self._upper.add(sent, now - sent)
+    def add_one_way_sample(self, now: float, sent_ms: float) -> None:
+        self._upper.add(sent_ms, now - sent_ms)
 
-    def answered(self, now: float, asked: float, sent: float) -> None:
+    def add_round_trip_sample(self, now: float, request_sent_ms: float, sent_ms: float) -> None:
         """`asked` in one's own time, and not after `now`."""
-        self.known = True
-        self._lower.add(sent, sent - asked)
+        self.has_round_trip = True
+        self._lower.add(sent_ms, sent_ms - request_sent_ms)
 
-    def latest(self, now: float, theirs: float) -> float:
+    def latest_local_ms(self, now: float, remote_ms: float) -> float:
         """No earlier than it truly was; `now` if nothing was ever heard."""
         slope, best = self._upper.slope, now
-        for time, offset in self._upper.samples:
-            at = theirs + offset + slope * abs(theirs - time)
-            if at < best:
-                best = at
+        for sample_ms, offset in self._upper.samples:
+            local_ms = remote_ms + offset + slope * abs(remote_ms - sample_ms)
+            if local_ms < best:
+                best = local_ms
         return best
 
-    def earliest(self, now: float, theirs: float) -> float:
+    def earliest_local_ms(self, now: float, remote_ms: float) -> float:
         """No later than it truly was; minus infinite if nothing was ever answered."""
         slope, best = self._lower.slope, -INFINITE
-        for time, offset in self._lower.samples:
-            at = theirs - offset - slope * abs(theirs - time)
-            if at > best:
-                best = at
+        for sample_ms, offset in self._lower.samples:
+            local_ms = remote_ms - offset - slope * abs(remote_ms - sample_ms)
+            if local_ms > best:
+                best = local_ms
         return min(now, best)
--- a/limenotch/fleet/affinity/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -25,24 +25,26 @@
 from .. import interfaces
 from ..interfaces import Carrier, SetTimer
 from . import messages
-from .api import Providers, Window
+from .api import AvailableEndpoints, DeduplicationWindow
 from .clocks import INFINITE
-from .context import Ground
-from .entries import Noted, Watch
-from .join import Missing
-from .last_seen import MOST_COUNT, MOST_MESSAGES, Teller, take
-from .pages import page
+from .context import Context
+from .entries import ChangeCallback, EndCallback
+from .join import StateTransfer
+from .last_seen import MAX_COUNTER, MAX_MESSAGES_PER_TURN, UpdateSender, apply_replicas
+from .pages import build_page
 from .peers import Peer
-from .repair import Repair
-from .table import Shared
+from .repair import AntiEntropy
+from .table import AffinityTable
 from .tuning import Tuning
 
 TOKEN = 1
-MOST_TOUCHED = 500  # rows looked at in one turn of the wheel
-MOST_WAITING = 64  # messages of one member whose clock is not known yet
-SOON_MS = 1.0
-MOST_ECHO_MS = 60_000.0  # an answer later than that says nothing of a clock
-LOOK = 50  # rows passed over for each that may be changed in a sweep: a search in an array, not a loop
+MAX_ROWS_PER_TURN = 500  # rows looked at in one turn of the wheel
+MAX_DEFERRED_MESSAGES = 64  # messages of one member whose clock is not known yet
+CONTINUE_MS = 1.0
+MAX_ECHO_AGE_MS = 60_000.0  # an answer later than that says nothing of a clock
+SCANNED_ROWS_PER_CHANGE = (
+    50  # rows passed over for each that may be changed in a sweep: a search in an array, not a loop
+)
 
 
 class Bindings:
@@ -55,246 +57,275 @@
         key: bytes,
         tuning: Tuning | None = None,
         seed: int = 0,
-        noted: Noted | None = None,
+        on_change: ChangeCallback | None = None,
     ) -> None:
-        self.ground = Ground(name, process_epoch, key, tuning or Tuning(), seed, noted)
-        self.missing, self.repair = Missing(self.ground), Repair(self.ground)
-        self._begun = False
-        self._armed = INFINITE
-        self._cover_at = -INFINITE
+        self.context = Context(name, process_epoch, key, tuning or Tuning(), seed, on_change)
+        self.state_transfer, self.repair = StateTransfer(self.context), AntiEntropy(self.context)
+        self._is_started = False
+        self._timer_at_ms = INFINITE
+        self._next_watermark_ms = -INFINITE
         self._sweeps: list[tuple[int, int]] = []  # provider that went, next row to look at
-        self._fencing = self._full = False
+        self._expiring_after_fence = self._full_logged = False
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: self._started,
-            interfaces.MessageReceived: self._heard,
-            interfaces.TimerFired: self._fired,
-            interfaces.ShutdownStarted: lambda event: self._tell(1 << 20),
-            interfaces.MemberChanged: self._member,
+            interfaces.MessageReceived: self._message_received,
+            interfaces.TimerFired: self._timer_fired,
+            interfaces.ShutdownStarted: lambda event: self._send_updates(1 << 20),
+            interfaces.MemberChanged: self._member_changed,
             interfaces.Fenced: lambda event: self._fenced(),
-            Providers: self._providers,
-            Window: lambda event: self.table.spans.window(event.longest_ms),
+            AvailableEndpoints: self._endpoints_changed,
+            DeduplicationWindow: lambda event: self.table.lifetimes.set_window(event.longest_ms),
         }
-        repair = self.repair
+        anti_entropy = self.repair
         self._messages: dict[type, Callable[[Peer, Any], None]] = {
-            messages.Sights: self._sights,
-            messages.Cover: self._cover,
-            messages.Ping: self._ping,
-            messages.Pong: self._pong,
-            messages.Ask: self._asked,
-            messages.Page: self.missing.page,
-            messages.Compare: repair.compared,
-            messages.Digests: repair.digests,
-            messages.AskKeys: repair.keys_asked,
-            messages.Keys: repair.keys,
-            messages.Want: repair.wanted,
-            messages.Copies: repair.copies,
+            messages.LastSeenUpdate: self._on_update,
+            messages.Watermark: self._on_watermark,
+            messages.Ping: self._on_ping,
+            messages.Pong: self._on_pong,
+            messages.PageRequest: self._on_page_request,
+            messages.Page: self.state_transfer.on_page,
+            messages.DigestRequest: anti_entropy.on_digest_request,
+            messages.RangeDigests: anti_entropy.on_digests,
+            messages.RangeKeysRequest: anti_entropy.on_keys_request,
+            messages.RangeKeys: anti_entropy.on_keys,
+            messages.RowsRequest: anti_entropy.on_rows_request,
+            messages.RowReplicas: anti_entropy.on_replicas,
         }
 
     @property
-    def table(self) -> Shared:
-        return self.ground.table
+    def table(self) -> AffinityTable:
+        return self.context.table
 
     @property
     def counts(self) -> dict[str, int]:
-        return self.ground.table.counts
+        return self.context.table.counts
 
     @property
-    def watch(self) -> Watch | None:
-        return self.table.watch
+    def on_end(self) -> EndCallback | None:
+        return self.table.on_end
 
-    @watch.setter
-    def watch(self, watch: Watch | None) -> None:
-        self.table.watch = watch
+    @on_end.setter
+    def on_end(self, on_end: EndCallback | None) -> None:
+        self.table.on_end = on_end
 
     def hash_of(self, kind: Any, key: bytes) -> bytes:
         return self.table.hash(kind, key).to_bytes(16, "big")
 
     def handle(self, now: float, event: Any) -> list[Any]:
         """Raises TypeError on what is no event of bindings, ValueError where `now` runs backwards."""
-        ground = self.ground
-        if now < ground.now:
-            raise ValueError(f"time runs back from {ground.now} to {now}")
-        do = self._events.get(type(event))
-        if do is None:
+        context = self.context
+        if now < context.now:
+            raise ValueError(f"time runs back from {context.now} to {now}")
+        handler = self._events.get(type(event))
+        if handler is None:
             raise TypeError(f"no event of bindings: {event!r}")
-        ground.now, ground.out = now, []
-        do(event)
-        return ground.out
+        context.now, context.actions = now, []
+        handler(event)
+        return context.actions
 
     # Events
 
     def _started(self, event: interfaces.Started) -> None:
-        self._begun = True
-        self.table.clear(self.ground.now)
-        self._start_process_epoch(self.ground.process_epoch, kept=False)
-        self.missing.begin(kept=False)
+        self._is_started = True
+        self.table.clear(self.context.now)
+        self._start_process_epoch(self.context.process_epoch, retained_rows=False)
+        self.state_transfer.begin(retained_rows=False)
         self.repair.begin()
-        self._arm(self.ground.now + self.ground.tuning.batch_ms)
+        self._arm(self.context.now + self.context.tuning.batch_ms)
 
-    def _member(self, event: interfaces.MemberChanged) -> None:
-        ground = self.ground
-        if event.name != ground.name:
-            ground.peers.changed(ground.now, event.name, event.process_epoch, event.state)
+    def _member_changed(self, event: interfaces.MemberChanged) -> None:
+        context = self.context
+        if event.name != context.name:
+            context.peers.member_changed(context.now, event.name, event.process_epoch, event.state)
         else:
-            if event.process_epoch != ground.process_epoch:
-                self._start_process_epoch(event.process_epoch, kept=self.table.live > 0)
-            ground.inside = min(ground.inside, ground.now)
-        ground.least()
+            if event.process_epoch != context.process_epoch:
+                self._start_process_epoch(event.process_epoch, retained_rows=self.table.live_rows > 0)
+            context.member_since_ms = min(context.member_since_ms, context.now)
+        context.update_watermark()
 
-    def _start_process_epoch(self, process_epoch: int, kept: bool) -> None:
+    def _start_process_epoch(self, process_epoch: int, retained_rows: bool) -> None:
         """Its words are counted anew, and what the old one had not told yet goes first."""
-        ground = self.ground
-        ground.teller.hand_back()
-        ground.process_epoch, ground.teller = process_epoch, Teller(ground.table, process_epoch, ground.now, kept)
+        context = self.context
+        context.update_sender.return_unsent()
+        context.process_epoch, context.update_sender = (
+            process_epoch,
+            UpdateSender(context.table, process_epoch, context.now, retained_rows),
+        )
 
     def _fenced(self) -> None:
         """The new life is told next: what is said till then bears the old one, and nobody takes it."""
-        self.ground.peers.fenced(self.ground.now)
-        self._fencing = True
-        self.missing.begin(kept=True)
+        self.context.peers.reset_progress(self.context.now)
+        self._expiring_after_fence = True
+        self.state_transfer.begin(retained_rows=True)
         self.repair.begin()
 
-    def _providers(self, event: Providers) -> None:
-        self._sweeps += [(number, 0) for number in self.table.providers.now(event.there)]
+    def _endpoints_changed(self, event: AvailableEndpoints) -> None:
+        self._sweeps += [(number, 0) for number in self.table.endpoints.update_listed(event.available)]
 
-    def _fired(self, event: interfaces.TimerFired) -> None:
-        ground = self.ground
-        now, tuning, table = ground.now, ground.tuning, ground.table
-        if event.token != TOKEN or now < self._armed:
+    def _timer_fired(self, event: interfaces.TimerFired) -> None:
+        context = self.context
+        now, tuning, table = context.now, context.tuning, context.table
+        if event.token != TOKEN or now < self._timer_at_ms:
             return
-        self._armed = INFINITE
-        ground.least()
-        if self._fencing:
-            self._fencing = table.fenced(now, MOST_TOUCHED)
-        behind = table.age(now, MOST_TOUCHED)
-        behind = self._sweep() or behind or self._fencing
-        self._tell(MOST_MESSAGES)
-        if now >= self._cover_at:
-            ground.all(ground.teller.cover(now))
-            self._cover_at = now + tuning.cover_ms * ground.scale
-        for peer in ground.peers.live():
-            self._ask_clock(peer)
-        self.missing.tick()
+        self._timer_at_ms = INFINITE
+        context.update_watermark()
+        if self._expiring_after_fence:
+            self._expiring_after_fence = table.expire_after_fencing(now, MAX_ROWS_PER_TURN)
+        more_due = table.expire(now, MAX_ROWS_PER_TURN)
+        more_due = self._sweep() or more_due or self._expiring_after_fence
+        self._send_updates(MAX_MESSAGES_PER_TURN)
+        if now >= self._next_watermark_ms:
+            context.broadcast(context.update_sender.watermark(now))
+            self._next_watermark_ms = now + tuning.cover_ms * context.interval_scale
+        for peer in context.peers.alive_peers():
+            self._request_clock_sample(peer)
+        self.state_transfer.tick()
         self.repair.tick()
-        if table.full and not self._full:
-            ground.note("full", held=table.live)
-        self._full = table.full
-        self._arm(now + (SOON_MS if behind or ground.teller.behind else tuning.batch_ms * ground.scale))
-
-    def _heard(self, event: interfaces.MessageReceived) -> None:
-        ground, message = self.ground, event.message
-        if not isinstance(message, messages.BINDINGS) or not self._begun:
-            ground.table.count("no message of bindings")
+        if table.full and not self._full_logged:
+            context.log("full", held=table.live_rows)
+        self._full_logged = table.full
+        self._arm(
+            now
+            + (
+                CONTINUE_MS
+                if more_due or context.update_sender.round_unfinished
+                else tuning.batch_ms * context.interval_scale
+            )
+        )
+
+    def _message_received(self, event: interfaces.MessageReceived) -> None:
+        context, message = self.context, event.message
+        if not isinstance(message, messages.MESSAGE_TYPES) or not self._is_started:
+            context.table.add_count("no message of bindings")
             return
-        peer = ground.peers.speaks(ground.now, event.sender, message.process_epoch)
+        peer = context.peers.accept_message(context.now, event.sender, message.process_epoch)
         if peer is None:
-            ground.table.count("of a life that is over")
-        elif peer.clock.known or isinstance(message, (messages.Ping, messages.Pong)):
+            context.table.add_count("of a life that is over")
+        elif peer.clock.has_round_trip or isinstance(message, (messages.Ping, messages.Pong)):
             self._messages[type(message)](peer, message)
             # A page's or a range's bytes may be paid for before the next batch.
-            self._arm(max(min(self.missing.due, self.repair.due), ground.now + SOON_MS))
+            self._arm(max(min(self.state_transfer.due_at_ms, self.repair.due_at_ms), context.now + CONTINUE_MS))
         else:
-            if len(peer.waiting) < MOST_WAITING:
-                peer.waiting.append(message)
+            if len(peer.deferred) < MAX_DEFERRED_MESSAGES:
+                peer.deferred.append(message)
             else:
-                ground.table.count("too much before its clock was known")
-            self._ask_clock(peer)
+                context.table.add_count("too much before its clock was known")
+            self._request_clock_sample(peer)
 
     # Clocks
 
-    def _ask_clock(self, peer: Peer) -> None:
-        ground, tuning = self.ground, self.ground.tuning
-        if ground.now >= peer.ping_at:
-            peer.ping_at = ground.now + (tuning.digest_ms if peer.clock.known else tuning.batch_ms) * ground.scale
-            ground.say(peer, messages.Ping(ground.process_epoch, ground.now), Carrier.DATAGRAM)
-
-    def _ping(self, peer: Peer, ping: messages.Ping) -> None:
-        peer.clock.heard(self.ground.now, ping.sent)
-        self.ground.say(peer, messages.Pong(self.ground.process_epoch, ping.sent, self.ground.now), Carrier.DATAGRAM)
-
-    def _pong(self, peer: Peer, pong: messages.Pong) -> None:
-        now = self.ground.now
-        if not now - MOST_ECHO_MS <= pong.echo <= now:
-            self.table.count("unsound message")
+    def _request_clock_sample(self, peer: Peer) -> None:
+        context, tuning = self.context, self.context.tuning
+        if context.now >= peer.next_ping_ms:
+            peer.next_ping_ms = (
+                context.now
+                + (tuning.digest_ms if peer.clock.has_round_trip else tuning.batch_ms) * context.interval_scale
+            )
+            context.send(peer, messages.Ping(context.process_epoch, context.now), Carrier.DATAGRAM)
+
+    def _on_ping(self, peer: Peer, ping: messages.Ping) -> None:
+        peer.clock.add_one_way_sample(self.context.now, ping.sent_ms)
+        self.context.send(
+            peer, messages.Pong(self.context.process_epoch, ping.sent_ms, self.context.now), Carrier.DATAGRAM
+        )
+
+    def _on_pong(self, peer: Peer, pong: messages.Pong) -> None:
+        now = self.context.now
+        if not now - MAX_ECHO_AGE_MS <= pong.echo_ms <= now:
+            self.table.add_count("unsound message")
             return
-        peer.clock.heard(now, pong.sent)
-        peer.clock.answered(now, pong.echo, pong.sent)
-        peer.doubt = peer.clock.latest(now, pong.sent) - peer.clock.earliest(now, pong.sent)
-        waiting, peer.waiting = peer.waiting, []
-        for message in waiting:
+        peer.clock.add_one_way_sample(now, pong.sent_ms)
+        peer.clock.add_round_trip_sample(now, pong.echo_ms, pong.sent_ms)
+        peer.clock_uncertainty_ms = peer.clock.latest_local_ms(now, pong.sent_ms) - peer.clock.earliest_local_ms(
+            now, pong.sent_ms
+        )
+        deferred, peer.deferred = peer.deferred, []
+        for message in deferred:
             self._messages[type(message)](peer, message)
 
     # Sights
 
-    def _tell(self, most: int) -> None:
-        ground = self.ground
-        for batch in ground.teller.batches(ground.now, most):
-            ground.all(batch)
-            self._cover_at = ground.now + ground.tuning.cover_ms * ground.scale
-
-    def _sights(self, peer: Peer, sights: messages.Sights) -> None:
-        now, table = self.ground.now, self.ground.table
-        peer.clock.heard(now, sights.sent)
-        take(table, now, peer, sights.sent, (sights.providers, sights.names, sights.rows), True, sights.counter)
-        for undone in sights.undone:
+    def _send_updates(self, max_messages: int) -> None:
+        context = self.context
+        for batch in context.update_sender.next_batches(context.now, max_messages):
+            context.broadcast(batch)
+            self._next_watermark_ms = context.now + context.tuning.cover_ms * context.interval_scale
+
+    def _on_update(self, peer: Peer, update: messages.LastSeenUpdate) -> None:
+        now, table = self.context.now, self.context.table
+        peer.clock.add_one_way_sample(now, update.sent_ms)
+        apply_replicas(
+            table, now, peer, update.sent_ms, (update.endpoints, update.authors, update.rows), True, update.counter
+        )
+        for undone in update.undone:
             if len(undone.key) == 16:
-                table.undone(now, int.from_bytes(undone.key, "big"), undone.gen, undone.move, undone.count, peer.name)
-        self._counted(peer, sights, sights.seq - 1)
+                table.apply_undo(
+                    now, int.from_bytes(undone.key, "big"), undone.generation, undone.moves, undone.version, peer.name
+                )
+        self._record_progress(peer, update, update.seq - 1)
 
-    def _cover(self, peer: Peer, cover: messages.Cover) -> None:
-        peer.clock.heard(self.ground.now, cover.sent)
-        self._counted(peer, cover, cover.seq)
+    def _on_watermark(self, peer: Peer, watermark: messages.Watermark) -> None:
+        peer.clock.add_one_way_sample(self.context.now, watermark.sent_ms)
+        self._record_progress(peer, watermark, watermark.seq)
 
-    def _counted(self, peer: Peer, word: messages.Sights | messages.Cover, before: int) -> None:
+    def _record_progress(
+        self, peer: Peer, announcement: messages.LastSeenUpdate | messages.Watermark, previous_seq: int
+    ) -> None:
         """Whether all that it told `before` this word came. Only then does its cover count."""
-        ground = self.ground
-        if not (0 <= word.counter < MOST_COUNT and 0 <= word.born < MOST_COUNT and 0 <= word.seq < MOST_COUNT):
-            ground.table.count("unsound message")
+        context = self.context
+        if not (
+            0 <= announcement.counter < MAX_COUNTER
+            and 0 <= announcement.initial_counter < MAX_COUNTER
+            and 0 <= announcement.seq < MAX_COUNTER
+        ):
+            context.table.add_count("unsound message")
             return
-        ground.table.counter = max(ground.table.counter, word.counter)
-        peer.whole = word.whole
-        if peer.seq < 0:
-            if not word.kept:
-                peer.upto = word.born  # a new process that may have heard of no counter yet
-            peer.gap, peer.missed = word.kept or before > 0, before
-        elif before > peer.seq:
-            peer.gap, peer.missed = True, before
-        peer.seq = max(peer.seq, word.seq)
-        if not peer.gap:
-            peer.upto = max(peer.upto, word.counter)
-            peer.covered = max(peer.covered, peer.clock.earliest(ground.now, word.covered))
-            if ground.peers.holds_back(peer):
-                ground.least()
-
-    def _asked(self, peer: Peer, ask: messages.Ask) -> None:
-        answer = page(self.ground, ask)
-        if answer is not None:
-            self.ground.say(peer, answer)
+        context.table.counter = max(context.table.counter, announcement.counter)
+        peer.complete = announcement.complete
+        if peer.last_seq < 0:
+            if not announcement.retained_rows:
+                peer.known_counter = announcement.initial_counter  # a new process that may have heard of no counter yet
+            peer.has_gap, peer.gap_end_seq = announcement.retained_rows or previous_seq > 0, previous_seq
+        elif previous_seq > peer.last_seq:
+            peer.has_gap, peer.gap_end_seq = True, previous_seq
+        peer.last_seq = max(peer.last_seq, announcement.seq)
+        if not peer.has_gap:
+            peer.known_counter = max(peer.known_counter, announcement.counter)
+            peer.watermark_ms = max(
+                peer.watermark_ms, peer.clock.earliest_local_ms(context.now, announcement.watermark_ms)
+            )
+            if context.peers.limits_watermark(peer):
+                context.update_watermark()
+
+    def _on_page_request(self, peer: Peer, request: messages.PageRequest) -> None:
+        response = build_page(self.context, request)
+        if response is not None:
+            self.context.send(peer, response)
 
     # Providers that went, and the timer
 
     def _sweep(self) -> bool:
         """Marks what is bound to them, so that it gives way first; `find` knows already. Whether there is more."""
-        rows, most = self.table.rows, self.ground.tuning.most_moves
-        while self._sweeps and most > 0:
-            number, at = self._sweeps.pop()
-            if not self.table.providers.gone[number]:
+        rows, remaining = self.table.rows, self.context.tuning.most_moves
+        while self._sweeps and remaining > 0:
+            endpoint_number, row = self._sweeps.pop()
+            if not self.table.endpoints.removed[endpoint_number]:
                 continue  # nothing was bound to it any more, and the number is another's now
-            end = min(len(rows.who), at + LOOK * most)
-            while most > 0 and at < end:
+            end = min(len(rows.endpoint), row + SCANNED_ROWS_PER_CHANGE * remaining)
+            while remaining > 0 and row < end:
                 try:
-                    at = rows.who.index(number, at, end)
+                    row = rows.endpoint.index(endpoint_number, row, end)
                 except ValueError:
-                    at = end
+                    row = end
                     break
-                self.table.end(at)
-                at, most = at + 1, most - 1
-            if at < len(rows.who):
-                self._sweeps.append((number, at))
+                self.table.mark_endpoint_removed(row)
+                row, remaining = row + 1, remaining - 1
+            if row < len(rows.endpoint):
+                self._sweeps.append((endpoint_number, row))
                 return True
         return bool(self._sweeps)
 
-    def _arm(self, at: float) -> None:
-        if at < self._armed and at < INFINITE:
-            self._armed = at
-            self.ground.out.append(SetTimer(at, TOKEN))
+    def _arm(self, at_ms: float) -> None:
+        if at_ms < self._timer_at_ms and at_ms < INFINITE:
+            self._timer_at_ms = at_ms
+            self.context.actions.append(SetTimer(at_ms, TOKEN))
--- a/limenotch/fleet/affinity/entries.py
+++ b/limenotch/fleet/affinity/entries.py
@@ -8,30 +8,32 @@
 
 from .api import Kind, State
 from .clocks import INFINITE
-from .eviction import CLASSES, GOING, OPENED, OPENING, Order, class_of
-from .expiry import Spans
-from .messages import Place
-from .names import Members, Providers
-from .rows import CHARGED, ENDED, GRAVE, KIND, NIL, OWN, STATE, STATE_AT, TELL, Rows
-from .timer_wheel import OVER, Wheel
+from .eviction import CLASS_COUNT, ENDING, OPENED, OPENING, EvictionOrder, eviction_class
+from .expiry import Lifetimes
+from .messages import Placement
+from .names import EndpointNumbers, MemberNumbers
+from .rows import CHARGED, ENDPOINT_REMOVED, KIND, NIL, OBSERVED_HERE, STATE, STATE_SHIFT, TOMBSTONE, UNANNOUNCED, Rows
+from .timer_wheel import EXPIRED_SLOT, TimerWheel
 from .tuning import Tuning
 
-Noted = Callable[[str, bytes, str], None]  # `has`, `moved`, `forgot`; hash; provider: for drawings
-Watch = Callable[[str, bytes], None]  # each row that ends: `over`, `full`, `gone`, `undo`, `fenced`; hash
+ChangeCallback = Callable[[str, bytes, str], None]  # `has`, `moved`, `forgot`; hash; provider: for drawings
+EndCallback = Callable[[str, bytes], None]  # each row that ends: `over`, `full`, `gone`, `undo`, `fenced`; hash
 
 
-class Held:
+class TableEntries:
     """The table. `least`: own time up to which all others' sights are known, kept by the part."""
 
-    def __init__(self, name: str, key: bytes, tuning: Tuning, now: float = 0.0, noted: Noted | None = None) -> None:
-        self.tuning, self.spans, self.noted = tuning, Spans(tuning), noted
-        self.watch: Watch | None = None
-        self.members, self.providers = Members(), Providers()
-        self.me = self.members.number(name)
+    def __init__(
+        self, name: str, key: bytes, tuning: Tuning, now: float = 0.0, on_change: ChangeCallback | None = None
+    ) -> None:
+        self.tuning, self.lifetimes, self.on_change = tuning, Lifetimes(tuning), on_change
+        self.on_end: EndCallback | None = None
+        self.members, self.endpoints = MemberNumbers(), EndpointNumbers()
+        self.own_number = self.members.number(name)
         self.counter = 0  # Lamport's
-        self.least = INFINITE
-        self.slack = 0.0  # ms by which a copy may be older here than it is, kept by the part too
-        self.whole = False
+        self.watermark_ms = INFINITE
+        self.age_slack_ms = 0.0  # ms by which a copy may be older here than it is, kept by the part too
+        self.complete = False
         self.counts: dict[str, int] = {}
         self.changes = 0  # of what is held, its ages apart
         self._key = blake2b(key=key, digest_size=16)
@@ -41,231 +43,251 @@
     def clear(self, now: float) -> None:
         """Nothing is bound."""
         self.rows = Rows(self.members.bytes)
-        self.wheel = Wheel(self.rows, self.tuning.tick_ms, now)
-        self.orders = [Order(self.rows) for _ in range(CLASSES)]
-        self.providers_free()
-        self.live = 0
+        self.wheel = TimerWheel(self.rows, self.tuning.tick_ms, now)
+        self.orders = [EvictionOrder(self.rows) for _ in range(CLASS_COUNT)]
+        self.reset_endpoints()
+        self.live_rows = 0
         self.opening = 0  # of any kind
         self.full = False
-        self.to_tell: deque[int] = deque()  # rows; those without TELL have been told
+        self.to_announce: deque[int] = deque()  # rows; those without TELL have been told
         self.to_undo: deque[tuple[int, int, int, int]] = deque()  # key, gen, move, count
 
-    def providers_free(self) -> None:
-        there = self.providers.there
-        self.providers = Providers()
-        self.providers.now(there)
+    def reset_endpoints(self) -> None:
+        listed = self.endpoints.listed
+        self.endpoints = EndpointNumbers()
+        self.endpoints.update_listed(listed)
 
-    def idle(self, row: int) -> float:
-        return self.spans.idle[self.rows.what[row] & (KIND | STATE)]
+    def idle_ms(self, row: int) -> float:
+        return self.lifetimes.idle_ms[self.rows.flags[row] & (KIND | STATE)]
 
-    def ends(self, row: int) -> float:
-        rows, what = self.rows, self.rows.what[row]
+    def expires_at_ms(self, row: int) -> float:
+        rows, flags = self.rows, self.rows.flags[row]
         return min(
-            rows.seen[row] + self.spans.idle[what & (KIND | STATE)], rows.made[row] + self.spans.longest[what & KIND]
+            rows.last_seen_ms[row] + self.lifetimes.idle_ms[flags & (KIND | STATE)],
+            rows.created_ms[row] + self.lifetimes.max_lifetime_ms[flags & KIND],
         )
 
-    def forgets(self, row: int) -> float:
+    def removable_at_ms(self, row: int) -> float:
         """When it may be forgotten at the soonest: surely over for whoever saw it, by a clock as slow as may be."""
-        return min(self.unseen(row), self.rows.made[row] + self._longest(row))
+        return min(self.idle_removable_at_ms(row), self.rows.created_ms[row] + self._max_lifetime_ms(row))
 
-    def unseen(self, row: int) -> float:
+    def idle_removable_at_ms(self, row: int) -> float:
         """Of its idle time: the others have to have covered this. Once for clocks that run apart while it ages, once
         for the age of a copy, which is taken to be older than it may be: by that, and by `slack`; see sights.take.
         """
-        return self.rows.seen[row] + self.idle(row) * (1 + 2 * self.tuning.drift) + self.slack
+        return self.rows.last_seen_ms[row] + self.idle_ms(row) * (1 + 2 * self.tuning.drift) + self.age_slack_ms
 
-    def may_forget(self, row: int, now: float) -> bool:
+    def may_remove(self, row: int, now: float) -> bool:
         """A longest time is over at all by itself: no sight changes it."""
-        unseen = self.unseen(row)
-        return now >= unseen <= self.least or now >= self.rows.made[row] + self._longest(row)
+        idle_removable_at_ms = self.idle_removable_at_ms(row)
+        return now >= idle_removable_at_ms <= self.watermark_ms or now >= self.rows.created_ms[
+            row
+        ] + self._max_lifetime_ms(row)
 
-    def _longest(self, row: int) -> float:
-        return self.spans.longest[self.rows.what[row] & KIND] * (1 + self.tuning.drift)
+    def _max_lifetime_ms(self, row: int) -> float:
+        return self.lifetimes.max_lifetime_ms[self.rows.flags[row] & KIND] * (1 + self.tuning.drift)
 
-    def bury(self, now: float, row: int, why: str) -> None:
+    def remove(self, now: float, row: int, reason: str) -> None:
         """Forgotten here. What is left says which `gen` that was, for as long as a copy may be under way."""
         rows = self.rows
-        self._note("forgot", row)
-        self._ended(why, row)
-        self._leave(row)
+        self._notify_change("forgot", row)
+        self._notify_end(reason, row)
+        self._deactivate(row)
         if len(rows) > 2 * self.tuning.most:
-            self.count("no grave")
-            self.wheel.drop(row)
+            self.add_count("no grave")
+            self.wheel.unlink(row)
             rows.free(row)
             return
-        rows.what[row] = rows.what[row] & KIND | GRAVE
-        rows.made[row] = now
-        if why != "over":
-            rows.seen[row] = now  # young copies of it are about
-        self.wheel.put(row, now + self.tuning.grave_ms)
+        rows.flags[row] = rows.flags[row] & KIND | TOMBSTONE
+        rows.created_ms[row] = now
+        if reason != "over":
+            rows.last_seen_ms[row] = now  # young copies of it are about
+        self.wheel.schedule(row, now + self.tuning.grave_ms)
 
-    def end(self, row: int) -> None:
+    def mark_endpoint_removed(self, row: int) -> None:
         """Its provider has gone: it gives way first."""
         rows = self.rows
-        what = rows.what[row]
-        if what & (GRAVE | ENDED) or what & KIND == Kind.KEY:
+        flags = rows.flags[row]
+        if flags & (TOMBSTONE | ENDPOINT_REMOVED) or flags & KIND == Kind.KEY:
             return
-        self.orders[class_of(what)].drop(row, rows.stamp[row])
-        rows.what[row] = what | ENDED
-        self.orders[GOING].add(row, rows.stamp[row])
-        self._ended("gone", row)
+        self.orders[eviction_class(flags)].drop(row, rows.stamp[row])
+        rows.flags[row] = flags | ENDPOINT_REMOVED
+        self.orders[ENDING].add(row, rows.stamp[row])
+        self._notify_end("gone", row)
 
-    def tell(self, row: int) -> None:
-        if not self.rows.what[row] & TELL:
-            self.rows.what[row] |= TELL
-            self.to_tell.append(row)
+    def announce(self, row: int) -> None:
+        if not self.rows.flags[row] & UNANNOUNCED:
+            self.rows.flags[row] |= UNANNOUNCED
+            self.to_announce.append(row)
 
     def restamp(self, row: int, stamp: int) -> None:
         """Told, by anyone: the last of its class to give way."""
         rows = self.rows
         if stamp > rows.stamp[row]:
-            order = self.orders[self._class(row)]
+            order = self.orders[self._eviction_class(row)]
             order.drop(row, rows.stamp[row])
             rows.stamp[row] = stamp
             order.add(row, stamp)
 
-    def _class(self, row: int) -> int:
-        return class_of(self.rows.what[row])
+    def _eviction_class(self, row: int) -> int:
+        return eviction_class(self.rows.flags[row])
 
-    def _set(
+    def _write(
         self,
         row: int,
-        what: int,
-        place: Place,
-        gen: int,
-        move: int,
-        count: int,
-        by: str,
-        seen: float,
-        made: float,
-        told: float,
+        flags: int,
+        placement: Placement,
+        generation: int,
+        moves: int,
+        version: int,
+        author: str,
+        last_seen_ms: float,
+        created_ms: float,
+        announced_ms: float,
         stamp: int,
     ) -> None:
         rows = self.rows
-        number = self.providers.number(place)
-        ended = ENDED if self.providers.gone[number] else 0
-        rows.what[row], rows.who[row] = what & ~ENDED | ended, number
-        rows.gen[row], rows.move[row], rows.count[row] = gen, move, count
-        rows.by[row] = self.members.number(by)
-        rows.seen[row], rows.made[row], rows.told[row], rows.stamp[row] = seen, made, told, stamp
-
-    def _enter(self, row: int) -> None:
+        number = self.endpoints.number(placement)
+        ended = ENDPOINT_REMOVED if self.endpoints.removed[number] else 0
+        rows.flags[row], rows.endpoint[row] = flags & ~ENDPOINT_REMOVED | ended, number
+        rows.generation[row], rows.moves[row], rows.version[row] = generation, moves, version
+        rows.author[row] = self.members.number(author)
+        rows.last_seen_ms[row], rows.created_ms[row], rows.announced_ms[row], rows.stamp[row] = (
+            last_seen_ms,
+            created_ms,
+            announced_ms,
+            stamp,
+        )
+
+    def _activate(self, row: int) -> None:
         """A row whose columns are set counts from now on."""
         rows = self.rows
-        self.providers.hold(rows.who[row])
-        self.orders[self._class(row)].add(row, rows.stamp[row])
-        rows.toggle(row)
+        self.endpoints.acquire(rows.endpoint[row])
+        self.orders[self._eviction_class(row)].add(row, rows.stamp[row])
+        rows.toggle_digest(row)
         self.changes += 1
-        self.live += 1
-        self.opening += not rows.what[row] & STATE
+        self.live_rows += 1
+        self.opening += not rows.flags[row] & STATE
 
-    def _leave(self, row: int) -> None:
+    def _deactivate(self, row: int) -> None:
         rows = self.rows
-        self.orders[self._class(row)].drop(row, rows.stamp[row])
-        rows.toggle(row)
-        self.live -= 1
-        self.opening -= not rows.what[row] & STATE
-        self.providers.leave(rows.who[row])
+        self.orders[self._eviction_class(row)].drop(row, rows.stamp[row])
+        rows.toggle_digest(row)
+        self.live_rows -= 1
+        self.opening -= not rows.flags[row] & STATE
+        self.endpoints.release(rows.endpoint[row])
 
-    def _change(self, row: int, what: int) -> None:
+    def _change_flags(self, row: int, flags: int) -> None:
         """Other bits. A state with another idle time ends at another time."""
         rows = self.rows
-        state = (rows.what[row] ^ what) & STATE
-        self._leave(row)
-        rows.what[row] = what
-        self._enter(row)
+        state = (rows.flags[row] ^ flags) & STATE
+        self._deactivate(row)
+        rows.flags[row] = flags
+        self._activate(row)
         if state:
-            self.wheel.put(row, min(self.ends(row), self._told_out(row)))
+            self.wheel.schedule(row, min(self.expires_at_ms(row), self._pending_announcement_ms(row)))
 
-    def _told_out(self, row: int) -> float:
+    def _pending_announcement_ms(self, row: int) -> float:
         """When the others' age of it runs out, if that is sooner than one's own."""
-        return self.others_end(row) if self.rows.seen[row] > self.rows.told[row] else INFINITE
+        return self.announced_expiry_ms(row) if self.rows.last_seen_ms[row] > self.rows.announced_ms[row] else INFINITE
 
-    def others_end(self, row: int) -> float:
+    def announced_expiry_ms(self, row: int) -> float:
         """When it is over by the age that others hold."""
-        return self.rows.told[row] + self.idle(row)
+        return self.rows.announced_ms[row] + self.idle_ms(row)
 
-    def _young(self, row: int, seen: float) -> None:
+    def _refresh(self, row: int, last_seen_ms: float) -> None:
         """Seen by another, and not only here."""
         rows = self.rows
-        if seen > rows.seen[row]:
-            rows.seen[row] = seen
-            if rows.slot[row] == OVER:
-                self.wheel.put(row, self.ends(row))
-        rows.told[row] = max(rows.told[row], seen)
+        if last_seen_ms > rows.last_seen_ms[row]:
+            rows.last_seen_ms[row] = last_seen_ms
+            if rows.wheel_slot[row] == EXPIRED_SLOT:
+                self.wheel.schedule(row, self.expires_at_ms(row))
+        rows.announced_ms[row] = max(rows.announced_ms[row], last_seen_ms)
 
     def _replace(
         self,
         row: int,
-        what: int,
-        place: Place,
-        gen: int,
-        move: int,
-        count: int,
-        by: str,
-        seen: float,
-        made: float,
+        flags: int,
+        placement: Placement,
+        generation: int,
+        moves: int,
+        version: int,
+        author: str,
+        last_seen_ms: float,
+        created_ms: float,
         stamp: int,
-        same_gen: bool,
-        held_over: bool,
+        same_generation: bool,
+        old_expired: bool,
     ) -> None:
         """By a value that wins; what is known of the key's use stays."""
         rows = self.rows
-        held = rows.what[row]
-        moved = place[0] != self.providers.places[rows.who[row]][0]
-        told, stamp = rows.told[row], max(stamp, rows.stamp[row])
-        keep = held & (TELL | OWN)
-        if same_gen:
-            keep |= held & CHARGED
-        if not what & STATE and held & STATE and (same_gen or not held_over):
-            what |= State.OPEN << STATE_AT  # values.besides
-        seen, told = max(seen, rows.seen[row]), max(told, seen)
-        self.providers.hold(number := self.providers.number(place))  # not forgotten where it is the same
-        self._leave(row)
-        self._set(row, what | keep, place, gen, move, count, by, seen, made, told, stamp)
-        self._enter(row)
-        self.providers.leave(number)
-        self.wheel.put(row, min(self.ends(row), self._told_out(row)))
+        old_flags = rows.flags[row]
+        moved = placement[0] != self.endpoints.placements[rows.endpoint[row]][0]
+        announced_ms, stamp = rows.announced_ms[row], max(stamp, rows.stamp[row])
+        kept_flags = old_flags & (UNANNOUNCED | OBSERVED_HERE)
+        if same_generation:
+            kept_flags |= old_flags & CHARGED
+        if not flags & STATE and old_flags & STATE and (same_generation or not old_expired):
+            flags |= State.OPEN << STATE_SHIFT  # values.besides
+        last_seen_ms, announced_ms = max(last_seen_ms, rows.last_seen_ms[row]), max(announced_ms, last_seen_ms)
+        self.endpoints.acquire(number := self.endpoints.number(placement))  # not forgotten where it is the same
+        self._deactivate(row)
+        self._write(
+            row,
+            flags | kept_flags,
+            placement,
+            generation,
+            moves,
+            version,
+            author,
+            last_seen_ms,
+            created_ms,
+            announced_ms,
+            stamp,
+        )
+        self._activate(row)
+        self.endpoints.release(number)
+        self.wheel.schedule(row, min(self.expires_at_ms(row), self._pending_announcement_ms(row)))
         if moved:
-            self._note("moved", row)
+            self._notify_change("moved", row)
 
-    def _room(self, now: float, key: int, row: int, what: int, stamp: int) -> int:
+    def _allocate(self, now: float, key: int, row: int, flags: int, stamp: int) -> int:
         """A row for it, NIL if there is none: for its key, or its grave's."""
-        opening = not what & STATE
+        opening = not flags & STATE
         if opening and self.opening >= self.tuning.most_opening * self.tuning.most:
-            if not self._give_way(now, (OPENING,), what, stamp, key):
+            if not self._evict(now, (OPENING,), flags, stamp, key):
                 return NIL
-        elif self.live >= self.tuning.most:
-            if not self._give_way(now, (GOING, OPENING) if opening else (GOING, OPENED), what, stamp, key):
+        elif self.live_rows >= self.tuning.most:
+            if not self._evict(now, (ENDING, OPENING) if opening else (ENDING, OPENED), flags, stamp, key):
                 return NIL
-        elif self.live < 0.9 * self.tuning.most:
+        elif self.live_rows < 0.9 * self.tuning.most:
             self.full = False
         return self.rows.add(key) if row == NIL else row
 
-    def _give_way(self, now: float, classes: tuple[int, ...], what: int, stamp: int, key: int) -> bool:
-        mine = class_of(what)
-        for number in classes:
-            row = self.orders[number].lowest()
-            if mine == number and (row == NIL or (stamp, key) < (self.rows.stamp[row], self.rows.key(row))):
+    def _evict(self, now: float, classes: tuple[int, ...], flags: int, stamp: int, key: int) -> bool:
+        own_class = eviction_class(flags)
+        for class_number in classes:
+            row = self.orders[class_number].lowest()
+            if own_class == class_number and (row == NIL or (stamp, key) < (self.rows.stamp[row], self.rows.key(row))):
                 break  # it would itself be the next
             if row == NIL:
                 continue
-            self.count("gave way")
-            self.bury(now, row, "full")
+            self.add_count("gave way")
+            self.remove(now, row, "full")
             self.full = True
             return True
-        self.count("no room")
+        self.add_count("no room")
         self.full = True
         return False
 
-    def _note(self, word: str, row: int) -> None:
-        if self.noted is not None:
+    def _notify_change(self, change: str, row: int) -> None:
+        if self.on_change is not None:
             rows = self.rows
-            self.noted(word, rows.key(row).to_bytes(16, "big"), self.providers.places[rows.who[row]][0])
+            self.on_change(change, rows.key(row).to_bytes(16, "big"), self.endpoints.placements[rows.endpoint[row]][0])
 
-    def _ended(self, why: str, row: int) -> None:
-        if self.watch is not None:
-            self.watch(why, self.rows.key(row).to_bytes(16, "big"))
+    def _notify_end(self, reason: str, row: int) -> None:
+        if self.on_end is not None:
+            self.on_end(reason, self.rows.key(row).to_bytes(16, "big"))
 
-    def count(self, why: str) -> None:
-        self.counts[why] = self.counts.get(why, 0) + 1
+    def add_count(self, reason: str) -> None:
+        self.counts[reason] = self.counts.get(reason, 0) + 1
--- a/limenotch/fleet/affinity/eviction.py
+++ b/limenotch/fleet/affinity/eviction.py
@@ -17,21 +17,23 @@
 from collections.abc import Iterator
 
 from .api import Kind, State
-from .rows import ENDED, KIND, NIL, STATE, STATE_AT, Rows
+from .rows import ENDPOINT_REMOVED, KIND, NIL, STATE, STATE_SHIFT, Rows
 
-GOING, OPENING, OPENED, KEPT = range(4)
-CLASSES = 4
-_BY_STATE = {State.OPENING: OPENING, State.OPEN: OPENED, State.CLOSING: GOING, State.LINGERING: GOING}
-BY_WHAT = tuple(KEPT if what & KIND == Kind.KEY else _BY_STATE[State(what >> STATE_AT)] for what in range(16))
+ENDING, OPENING, OPENED, PROTECTED = range(4)
+CLASS_COUNT = 4
+_BY_STATE = {State.OPENING: OPENING, State.OPEN: OPENED, State.CLOSING: ENDING, State.LINGERING: ENDING}
+CLASS_BY_FLAGS = tuple(
+    PROTECTED if flags & KIND == Kind.KEY else _BY_STATE[State(flags >> STATE_SHIFT)] for flags in range(16)
+)
 
 
-def class_of(what: int) -> int:
+def eviction_class(flags: int) -> int:
     """By the row's bits."""
-    number = BY_WHAT[what & (KIND | STATE)]
-    return GOING if what & ENDED and number != KEPT else number
+    class_number = CLASS_BY_FLAGS[flags & (KIND | STATE)]
+    return ENDING if flags & ENDPOINT_REMOVED and class_number != PROTECTED else class_number
 
 
-class Order:
+class EvictionOrder:
     """Rows of one class by stamp: a list a stamp, linked in the rows. Few stamps: all of one batch have the same."""
 
     def __init__(self, rows: Rows) -> None:
@@ -40,7 +42,7 @@
         self._stamps: list[int] = []  # in order; those without a head are gone
         self._sorted: list[int] = []  # rows of the lowest stamp, lowest hash last
         self._lowest = -1  # that stamp
-        self.held = 0
+        self.size = 0
 
     def add(self, row: int, stamp: int) -> None:
         rows = self._rows
@@ -52,27 +54,27 @@
             elif stamps[bisect_left(stamps, stamp)] != stamp:
                 insort(stamps, stamp)
         else:
-            rows.newer[head] = row
-        rows.older[row], rows.newer[row] = head, NIL
+            rows.order_newer[head] = row
+        rows.order_older[row], rows.order_newer[row] = head, NIL
         self._heads[stamp] = row
-        self.held += 1
+        self.size += 1
         if stamp <= self._lowest:
             self._lowest = -1
 
     def drop(self, row: int, stamp: int) -> None:
         rows = self._rows
-        older, newer = rows.older[row], rows.newer[row]
+        older, newer = rows.order_older[row], rows.order_newer[row]
         if older != NIL:
-            rows.newer[older] = newer
+            rows.order_newer[older] = newer
         if newer != NIL:
-            rows.older[newer] = older
+            rows.order_older[newer] = older
         elif older != NIL:
             self._heads[stamp] = older
         else:
             del self._heads[stamp]
             if len(self._stamps) > 2 * len(self._heads) + 64:
                 self._stamps, self._heads = sorted(self._heads), dict(self._heads)  # a dict shrinks by a copy only
-        self.held -= 1
+        self.size -= 1
         if stamp == self._lowest:
             if self._sorted and self._sorted[-1] == row:
                 self._sorted.pop()
@@ -90,22 +92,22 @@
                 return NIL
             if self._stamps[0] != self._lowest:
                 del self._stamps[: bisect_left(self._stamps, self._lowest)]
-            self._sorted = sorted(self._at(self._lowest), key=rows.key, reverse=True)
+            self._sorted = sorted(self._rows_with(self._lowest), key=rows.key, reverse=True)
 
     def newest(self, floor: int, stamp: int, key: int) -> Iterator[int]:
         """Rows of stamps above `floor`, from the highest, after (`stamp`, `key`). Nothing may change meanwhile."""
         rows = self._rows
-        for at in range(bisect_left(self._stamps, stamp + 1) - 1, -1, -1):
-            each = self._stamps[at]
-            if each <= floor:
+        for index in range(bisect_left(self._stamps, stamp + 1) - 1, -1, -1):
+            candidate = self._stamps[index]
+            if candidate <= floor:
                 return
-            if each in self._heads:
-                for row in sorted(self._at(each), key=rows.key, reverse=True):
-                    if each < stamp or rows.key(row) < key:
+            if candidate in self._heads:
+                for row in sorted(self._rows_with(candidate), key=rows.key, reverse=True):
+                    if candidate < stamp or rows.key(row) < key:
                         yield row
 
-    def _at(self, stamp: int) -> Iterator[int]:
+    def _rows_with(self, stamp: int) -> Iterator[int]:
         row = self._heads.get(stamp, NIL)
         while row != NIL:
             yield row
-            row = self._rows.older[row]
+            row = self._rows.order_older[row]
--- a/limenotch/fleet/affinity/join.py
+++ b/limenotch/fleet/affinity/join.py
@@ -13,158 +13,181 @@
 from __future__ import annotations
 
 from .clocks import INFINITE
-from .context import Ground
-from .last_seen import MOST_COUNT, TENTHS
+from .context import Context
+from .last_seen import MAX_COUNTER, TENTHS_PER_MS
 from .messages import Page
 from .pages import Fetch
 from .peers import Peer
 
-SILENT = 4  # covers
+SILENT_WATERMARKS = 4  # covers
 
 
-class Missing:
-    def __init__(self, ground: Ground) -> None:
-        self.ground = ground
-        self._join: Fetch | None = None
-        self._join_at = INFINITE
-        self._kept = self._noted = False
-        self._asked: set[tuple[str, int]] = set()  # whose tables have come since one began to join
-        self._mends: dict[str, Fetch] = {}
-        self._mend_at: dict[str, float] = {}
+class StateTransfer:
+    def __init__(self, context: Context) -> None:
+        self.context = context
+        self._join_fetch: Fetch | None = None
+        self._next_join_ms = INFINITE
+        self._retained_rows = self._logged = False
+        self._fetched_from: set[tuple[str, int]] = set()  # whose tables have come since one began to join
+        self._gap_fetches: dict[str, Fetch] = {}
+        self._next_gap_fetch_ms: dict[str, float] = {}
 
-    def begin(self, kept: bool) -> None:
+    def begin(self, retained_rows: bool) -> None:
         """Joins, once others have come to know of it. `kept`: it has a table, and lacks what was told since."""
-        ground = self.ground
-        ground.table.whole, self._kept, self._noted = False, kept, False
-        self._join = None
-        self._mends.clear()
-        self._mend_at.clear()
-        self._asked.clear()
-        self._join_at = ground.now + ground.tuning.batch_ms
+        context = self.context
+        context.table.complete, self._retained_rows, self._logged = False, retained_rows, False
+        self._join_fetch = None
+        self._gap_fetches.clear()
+        self._next_gap_fetch_ms.clear()
+        self._fetched_from.clear()
+        self._next_join_ms = context.now + context.tuning.batch_ms
 
     def tick(self) -> None:
-        if self.ground.table.whole:
-            self._mend()
+        if self.context.table.complete:
+            self._fetch_gaps()
         else:
-            self._go_on()
+            self._continue_join()
 
     @property
-    def due(self) -> float:
+    def due_at_ms(self) -> float:
         """When the next page may be asked for."""
-        fetches = [*self._mends.values(), *([self._join] if self._join is not None else [])]
-        return min((fetch.due for fetch in fetches), default=INFINITE)
-
-    def page(self, peer: Peer, answer: Page) -> None:
-        ground, join = self.ground, self._join
-        if join is not None and join.peer is peer and join.serial == answer.serial:
-            join.heard(ground.table, ground.now, answer)
-            self._go_on()
+        fetches = [*self._gap_fetches.values(), *([self._join_fetch] if self._join_fetch is not None else [])]
+        return min((fetch.due_at_ms for fetch in fetches), default=INFINITE)
+
+    def on_page(self, peer: Peer, page: Page) -> None:
+        context, fetch = self.context, self._join_fetch
+        if fetch is not None and fetch.peer is peer and fetch.serial == page.serial:
+            fetch.on_page(context.table, context.now, page)
+            self._continue_join()
             return
-        for name, fetch in list(self._mends.items()):
-            if fetch.peer is peer and fetch.serial == answer.serial:
-                fetch.heard(ground.table, ground.now, answer)
+        for name, fetch in list(self._gap_fetches.items()):
+            if fetch.peer is peer and fetch.serial == page.serial:
+                fetch.on_page(context.table, context.now, page)
                 if fetch.done:
-                    del self._mends[name]
-                    self._close(fetch)
+                    del self._gap_fetches[name]
+                    self._record_known(fetch)
                 else:
-                    self._next(fetch)
+                    self._send_request(fetch)
                 return
-        ground.table.count("late page")
+        context.table.add_count("late page")
 
-    def _next(self, fetch: Fetch) -> None:
-        if (ask := fetch.ask(self.ground.now, self.ground.process_epoch)) is not None:
-            self.ground.say(fetch.peer, ask)
+    def _send_request(self, fetch: Fetch) -> None:
+        if (request := fetch.next_request(self.context.now, self.context.process_epoch)) is not None:
+            self.context.send(fetch.peer, request)
 
-    def _close(self, fetch: Fetch) -> None:
+    def _record_known(self, fetch: Fetch) -> None:
         """All that was told by those whom the first page names has come, as far as it says."""
-        ground, first = self.ground, fetch.first
+        context, first = self.context, fetch.first_page
         if first is None:
             return
-        for known in first.knows:
-            of = ground.peers.get(known.name)
-            if of is None or of.process_epoch != known.process_epoch or fetch.floor > of.upto or known.covered < 0:
+        for known in first.known_members:
+            member = context.peers.get(known.name)
+            if (
+                member is None
+                or member.process_epoch != known.process_epoch
+                or fetch.floor > member.known_counter
+                or known.watermark_age < 0
+            ):
                 continue
-            if not 0 <= known.counter < MOST_COUNT:
+            if not 0 <= known.counter < MAX_COUNTER:
                 continue
-            of.spoke = max(of.spoke, of.since)  # through another: it has bindings, and is waited for
-            of.seq = max(of.seq, known.seq)
-            if of.gap and known.seq < of.missed:
+            member.last_message_ms = max(
+                member.last_message_ms, member.known_since_ms
+            )  # through another: it has bindings, and is waited for
+            member.last_seq = max(member.last_seq, known.seq)
+            if member.has_gap and known.seq < member.gap_end_seq:
                 continue
-            of.gap = False
-            of.upto = max(of.upto, known.counter)
+            member.has_gap = False
+            member.known_counter = max(member.known_counter, known.counter)
             # What was told anew while pages went has left its place in them: it comes from who told it, if that is
             # heard; else with the next fetch, from here on.
-            if fetch.pages == 1 or ground.now - of.spoke <= SILENT * ground.tuning.cover_ms * ground.scale:
-                at = fetch.peer.clock.earliest(ground.now, first.sent) - known.covered / TENTHS
-                of.covered = max(of.covered, at)
-        ground.least()
+            if (
+                fetch.pages == 1
+                or context.now - member.last_message_ms
+                <= SILENT_WATERMARKS * context.tuning.cover_ms * context.interval_scale
+            ):
+                watermark_ms = (
+                    fetch.peer.clock.earliest_local_ms(context.now, first.sent_ms) - known.watermark_age / TENTHS_PER_MS
+                )
+                member.watermark_ms = max(member.watermark_ms, watermark_ms)
+        context.update_watermark()
 
     # Joining
 
-    def _go_on(self) -> None:
-        ground, now = self.ground, self.ground.now
-        if now < self._join_at or ground.inside > now:
+    def _continue_join(self) -> None:
+        context, now = self.context, self.context.now
+        if now < self._next_join_ms or context.member_since_ms > now:
             return
-        join = self._join
-        if join is not None:
-            if not join.done and not join.late(now) and join.peer.live:
-                self._next(join)
+        fetch = self._join_fetch
+        if fetch is not None:
+            if not fetch.done and not fetch.timed_out(now) and fetch.peer.is_alive:
+                self._send_request(fetch)
                 return
-            self._join = None
-            if join.done:
-                self._asked.add((join.peer.name, join.peer.process_epoch))
-                self._close(join)
-                if join.whole:
-                    self._whole()
+            self._join_fetch = None
+            if fetch.done:
+                self._fetched_from.add((fetch.peer.name, fetch.peer.process_epoch))
+                self._record_known(fetch)
+                if fetch.complete:
+                    self._finish_join()
                     return
             else:
                 # Another is tried soon; a random one, so that a silent one doesn't stop it for long.
-                self._join_at = now + ground.tuning.batch_ms
+                self._next_join_ms = now + context.tuning.batch_ms
                 return
-        live = ground.peers.live()
-        others = [peer for peer in live if (peer.name, peer.process_epoch) not in self._asked]
-        if self._kept and self._asked and all(peer.seq >= 0 and not peer.gap for peer in live):
-            others = []  # what it has, and what is known now of all since then, is all there is
-        if not others:
-            if now >= ground.inside + ground.tuning.cover_ms:
-                self._whole()
+        live = context.peers.alive_peers()
+        candidates = [peer for peer in live if (peer.name, peer.process_epoch) not in self._fetched_from]
+        if self._retained_rows and self._fetched_from and all(peer.last_seq >= 0 and not peer.has_gap for peer in live):
+            candidates = []  # what it has, and what is known now of all since then, is all there is
+        if not candidates:
+            if now >= context.member_since_ms + context.tuning.cover_ms:
+                self._finish_join()
             return
-        if not self._noted:
-            self._noted = True
-            ground.note("joins bindings")
-        peer = ground.random.choice([peer for peer in others if peer.whole] or others)
-        known = [each.upto for each in live if each.upto >= 0]
-        floor = min(known) if self._kept and known else -1
-        self._join = Fetch(peer, ground.serial(), floor, None, ground.tuning.join_bytes_per_s, now)
-        self._next(self._join)
-
-    def _whole(self) -> None:
-        ground = self.ground
-        ground.table.whole = True
-        ground.note("whole", held=ground.table.live)
-        ground.all(ground.teller.cover(ground.now))
+        if not self._logged:
+            self._logged = True
+            context.log("joins bindings")
+        peer = context.random.choice([peer for peer in candidates if peer.complete] or candidates)
+        known = [alive_peer.known_counter for alive_peer in live if alive_peer.known_counter >= 0]
+        floor = min(known) if self._retained_rows and known else -1
+        self._join_fetch = Fetch(peer, context.next_serial(), floor, None, context.tuning.join_bytes_per_s, now)
+        self._send_request(self._join_fetch)
+
+    def _finish_join(self) -> None:
+        context = self.context
+        context.table.complete = True
+        context.log("whole", held=context.table.live_rows)
+        context.broadcast(context.update_sender.watermark(context.now))
 
     # Gaps
 
-    def _mend(self) -> None:
-        ground, now = self.ground, self.ground.now
-        pause = ground.tuning.cover_ms * ground.scale
-        for name, fetch in list(self._mends.items()):
-            if fetch.late(now) or not fetch.peer.live:
-                del self._mends[name]
+    def _fetch_gaps(self) -> None:
+        context, now = self.context, self.context.now
+        watermark_interval_ms = context.tuning.cover_ms * context.interval_scale
+        for name, fetch in list(self._gap_fetches.items()):
+            if fetch.timed_out(now) or not fetch.peer.is_alive:
+                del self._gap_fetches[name]
             else:
-                self._next(fetch)
-        live = ground.peers.live()
-        heard = [peer for peer in live if now - peer.spoke <= SILENT * pause and peer.seq >= 0]
+                self._send_request(fetch)
+        live = context.peers.alive_peers()
+        audible = [
+            peer
+            for peer in live
+            if now - peer.last_message_ms <= SILENT_WATERMARKS * watermark_interval_ms and peer.last_seq >= 0
+        ]
         for peer in live:
-            silent = now - max(peer.spoke, peer.since) > SILENT * pause
-            if not (peer.gap or silent) or peer.name in self._mends or now < self._mend_at.get(peer.name, now):
+            silent = now - max(peer.last_message_ms, peer.known_since_ms) > SILENT_WATERMARKS * watermark_interval_ms
+            if (
+                not (peer.has_gap or silent)
+                or peer.name in self._gap_fetches
+                or now < self._next_gap_fetch_ms.get(peer.name, now)
+            ):
                 continue
-            others = [other for other in heard if other is not peer]
-            if silent and not others:
+            candidates = [other for other in audible if other is not peer]
+            if silent and not candidates:
                 continue
-            self._mend_at[peer.name] = now + pause
-            whom = ground.random.choice(others) if silent else peer
-            fetch = Fetch(whom, ground.serial(), peer.upto, peer, ground.tuning.repair_bytes_per_s, now)
-            self._mends[peer.name] = fetch
-            self._next(fetch)
+            self._next_gap_fetch_ms[peer.name] = now + watermark_interval_ms
+            source = context.random.choice(candidates) if silent else peer
+            fetch = Fetch(
+                source, context.next_serial(), peer.known_counter, peer, context.tuning.repair_bytes_per_s, now
+            )
+            self._gap_fetches[peer.name] = fetch
+            self._send_request(fetch)
--- a/limenotch/fleet/affinity/last_seen.py
+++ b/limenotch/fleet/affinity/last_seen.py
@@ -13,179 +13,202 @@
 from collections.abc import Iterable, Sequence
 from math import isfinite
 
-from .messages import MOST_ROWS, Copy, Cover, Place, Sights, Undone
+from .messages import MAX_UPDATE_ROWS, LastSeenUpdate, Placement, RowReplica, UndoneBinding, Watermark
 from .peers import Peer
-from .rows import CHARGED, GRAVE, KIND, STATE, TELL
-from .table import BITS, Shared
+from .rows import CHARGED, KIND, STATE, TOMBSTONE, UNANNOUNCED
+from .table import REPLICATED_FLAGS, AffinityTable
 
-MOST_MESSAGES = 2  # of a round, in one turn
-MOST_COUNT = 1 << 62
-MOST_NAME = 64  # letters of a member's name
-MOST_PLACE = 256  # of a provider's, a cell's, a zone's
-TENTHS = 10
-Packed = tuple[tuple[Place, ...], tuple[str, ...], tuple[Copy, ...]]
+MAX_MESSAGES_PER_TURN = 2  # of a round, in one turn
+MAX_COUNTER = 1 << 62
+MAX_NAME_LENGTH = 64  # letters of a member's name
+MAX_PLACEMENT_FIELD_LENGTH = 256  # of a provider's, a cell's, a zone's
+TENTHS_PER_MS = 10
+PackedRows = tuple[tuple[Placement, ...], tuple[str, ...], tuple[RowReplica, ...]]
 
 
-def pack(table: Shared, chosen: Iterable[int], now: float) -> Packed:
+def pack_rows(table: AffinityTable, rows_to_send: Iterable[int], now: float) -> PackedRows:
     """Rows, live ones all, and the tables that they point into."""
-    rows, places, names = table.rows, table.providers.places, table.members.names
-    providers: dict[int, int] = {}
-    members: dict[int, int] = {}
-    copies = []
-    for row in chosen:
-        who, by = rows.who[row], rows.by[row]
-        copies.append(
-            Copy(
+    rows, placements, author_names = table.rows, table.endpoints.placements, table.members.names
+    endpoint_indexes: dict[int, int] = {}
+    author_indexes: dict[int, int] = {}
+    replicas = []
+    for row in rows_to_send:
+        endpoint, author = rows.endpoint[row], rows.author[row]
+        replicas.append(
+            RowReplica(
                 rows.key(row).to_bytes(16, "big"),
-                rows.what[row] & BITS,
-                providers.setdefault(who, len(providers)),
-                members.setdefault(by, len(members)),
-                rows.gen[row],
-                rows.move[row],
-                rows.count[row],
-                int(max(0.0, now - rows.seen[row]) * TENTHS),
-                int(max(0.0, now - rows.made[row]) * TENTHS),
+                rows.flags[row] & REPLICATED_FLAGS,
+                endpoint_indexes.setdefault(endpoint, len(endpoint_indexes)),
+                author_indexes.setdefault(author, len(author_indexes)),
+                rows.generation[row],
+                rows.moves[row],
+                rows.version[row],
+                int(max(0.0, now - rows.last_seen_ms[row]) * TENTHS_PER_MS),
+                int(max(0.0, now - rows.created_ms[row]) * TENTHS_PER_MS),
                 rows.stamp[row],
             )
         )
-    return tuple(places[who] for who in providers), tuple(names[by] for by in members), tuple(copies)
+    return (
+        tuple(placements[endpoint] for endpoint in endpoint_indexes),
+        tuple(author_names[author] for author in author_indexes),
+        tuple(replicas),
+    )
 
 
-def sound(copy: Copy, providers: Sequence[Place], names: Sequence[str]) -> bool:
+def is_valid(replica: RowReplica, endpoints: Sequence[Placement], authors: Sequence[str]) -> bool:
     return (
-        len(copy.key) == 16
-        and 0 <= copy.what <= (KIND | STATE | CHARGED)
-        and 0 <= copy.who < len(providers)
-        and 0 <= copy.by < len(names)
-        and 0 <= copy.gen < 1 << 32
-        and 0 <= copy.move < 1 << 16
-        and 0 <= copy.count < MOST_COUNT
-        and 0 <= copy.stamp < MOST_COUNT
-        and copy.age >= 0
-        and copy.old >= 0
+        len(replica.key) == 16
+        and 0 <= replica.flags <= (KIND | STATE | CHARGED)
+        and 0 <= replica.endpoint < len(endpoints)
+        and 0 <= replica.author < len(authors)
+        and 0 <= replica.generation < 1 << 32
+        and 0 <= replica.moves < 1 << 16
+        and 0 <= replica.version < MAX_COUNTER
+        and 0 <= replica.stamp < MAX_COUNTER
+        and replica.last_seen_age >= 0
+        and replica.created_age >= 0
     )
 
 
-def _known(table: Shared, providers: Sequence[Place], names: Sequence[str]) -> bool:
+def _register_authors(table: AffinityTable, endpoints: Sequence[Placement], authors: Sequence[str]) -> bool:
     """Whether its names are such as there may be, and all who made values have their numbers."""
-    if any(len(name) > MOST_NAME for name in names) or any(len(part) > MOST_PLACE for at in providers for part in at):
+    if any(len(name) > MAX_NAME_LENGTH for name in authors) or any(
+        len(text) > MAX_PLACEMENT_FIELD_LENGTH for placement in endpoints for text in placement
+    ):
         return False
     try:
-        for name in names:
+        for name in authors:
             table.members.number(name)
     except ValueError:
         return False
     return True
 
 
-def take(table: Shared, now: float, peer: Peer, sent: float, packed: Packed, seer: bool, stamp: int = 0) -> None:
+def apply_replicas(
+    table: AffinityTable,
+    now: float,
+    peer: Peer,
+    sent_ms: float,
+    packed: PackedRows,
+    from_observer: bool,
+    stamp: int = 0,
+) -> None:
     """What a message bears, into the table."""
-    providers, names, copies = packed
-    if not isfinite(sent) or not 0 <= stamp < MOST_COUNT or not _known(table, providers, names):
-        table.count("unsound message")
+    endpoints, authors, replicas = packed
+    if not isfinite(sent_ms) or not 0 <= stamp < MAX_COUNTER or not _register_authors(table, endpoints, authors):
+        table.add_count("unsound message")
         return
     # A seer's own word is never older here than it is in truth. A copy is never younger: it may be of a sight of one's
     # own, and would else get younger each time it came round.
-    latest, earliest = peer.clock.latest(now, sent), peer.clock.earliest(now, sent)
-    at, doubt, slow = (latest, 0.0, 1.0) if seer else (earliest, latest - earliest, 1 + table.tuning.drift)
-    for copy in copies:
-        if not sound(copy, providers, names):
-            table.count("unsound copy")
+    latest, earliest = peer.clock.latest_local_ms(now, sent_ms), peer.clock.earliest_local_ms(now, sent_ms)
+    base_ms, uncertainty_ms, age_factor = (
+        (latest, 0.0, 1.0) if from_observer else (earliest, latest - earliest, 1 + table.tuning.drift)
+    )
+    for replica in replicas:
+        if not is_valid(replica, endpoints, authors):
+            table.add_count("unsound copy")
             continue
-        key = int.from_bytes(copy.key, "big")
-        table.hear(
+        key = int.from_bytes(replica.key, "big")
+        table.apply_replica(
             now,
             key,
-            copy.what,
-            providers[copy.who],
-            copy.gen,
-            copy.move,
-            copy.count,
-            names[copy.by],
-            at - slow * copy.age / TENTHS,
-            at - copy.old / TENTHS,
-            max(stamp, copy.stamp),
-            seer,
-            doubt,
+            replica.flags,
+            endpoints[replica.endpoint],
+            replica.generation,
+            replica.moves,
+            replica.version,
+            authors[replica.author],
+            base_ms - age_factor * replica.last_seen_age / TENTHS_PER_MS,
+            base_ms - replica.created_age / TENTHS_PER_MS,
+            max(stamp, replica.stamp),
+            from_observer,
+            uncertainty_ms,
         )
 
 
-class Teller:
+class UpdateSender:
     """One's own sights, in rounds. Of one life."""
 
-    def __init__(self, table: Shared, process_epoch: int, now: float, kept: bool = False) -> None:
+    def __init__(self, table: AffinityTable, process_epoch: int, now: float, retained_rows: bool = False) -> None:
         """`kept`: it has rows that it saw in an earlier life, which others may not have heard of."""
-        self.table, self.process_epoch, self.kept = table, process_epoch, kept
+        self.table, self.process_epoch, self.retained_rows = table, process_epoch, retained_rows
         self.seq = 0
-        self.born = table.counter
-        self.covered = now
+        self.initial_counter = table.counter
+        self.watermark_ms = now
         self._round: deque[int] | None = None
-        self._undo: deque[tuple[int, int, int, int]] = deque()
-        self._mark = now
+        self._round_undos: deque[tuple[int, int, int, int]] = deque()
+        self._round_cutoff_ms = now
 
-    def batches(self, now: float, most: int = MOST_MESSAGES) -> list[Sights]:
+    def next_batches(self, now: float, most: int = MAX_MESSAGES_PER_TURN) -> list[LastSeenUpdate]:
         """For all members: up to `most`, none if there is nothing to tell."""
         table, out = self.table, []
         for _ in range(most):
             if self._round is None:
                 # What was due in the wheel by then is among what is to be told.
-                self._mark = min(now, table.wheel.passed)
-                self._round, table.to_tell = table.to_tell, deque()
-                self._undo, table.to_undo = table.to_undo, deque()
-            chosen = self._chosen()
-            undone = [self._undo.popleft() for _ in range(min(len(self._undo), MOST_ROWS))]
-            over = not self._round and not self._undo
-            if chosen or undone:
-                self.born = self.born if self.seq else table.counter
+                self._round_cutoff_ms = min(now, table.wheel.processed_until_ms)
+                self._round, table.to_announce = table.to_announce, deque()
+                self._round_undos, table.to_undo = table.to_undo, deque()
+            rows_to_send = self._next_rows()
+            undone = [self._round_undos.popleft() for _ in range(min(len(self._round_undos), MAX_UPDATE_ROWS))]
+            round_finished = not self._round and not self._round_undos
+            if rows_to_send or undone:
+                self.initial_counter = self.initial_counter if self.seq else table.counter
                 table.counter += 1
                 self.seq += 1
-                packed = pack(table, chosen, now)
-                for row in chosen:
-                    table.rows.told[row] = table.rows.seen[row]
+                packed = pack_rows(table, rows_to_send, now)
+                for row in rows_to_send:
+                    table.rows.announced_ms[row] = table.rows.last_seen_ms[row]
                     table.restamp(row, table.counter)
-            if over:
-                self.covered, self._round = max(self.covered, self._mark), None
-            if chosen or undone:
-                ended = tuple(Undone(key.to_bytes(16, "big"), *rest) for key, *rest in undone)
+            if round_finished:
+                self.watermark_ms, self._round = max(self.watermark_ms, self._round_cutoff_ms), None
+            if rows_to_send or undone:
+                undone_bindings = tuple(UndoneBinding(key.to_bytes(16, "big"), *rest) for key, *rest in undone)
                 out.append(
-                    Sights(
+                    LastSeenUpdate(
                         self.process_epoch,
                         self.seq,
                         table.counter,
-                        self.born,
+                        self.initial_counter,
                         now,
-                        self.covered,
-                        table.whole,
+                        self.watermark_ms,
+                        table.complete,
                         *packed,
-                        ended,
-                        self.kept,
+                        undone_bindings,
+                        self.retained_rows,
                     )
                 )
-            if over:
+            if round_finished:
                 break
         return out
 
-    def hand_back(self) -> None:
-        self.table.to_tell.extendleft(reversed(self._round or ()))
-        self.table.to_undo.extendleft(reversed(self._undo))
-
-    def cover(self, now: float) -> Cover:
-        born = self.born if self.seq else self.table.counter
-        return Cover(
-            self.process_epoch, self.seq, self.table.counter, born, now, self.covered, self.table.whole, self.kept
+    def return_unsent(self) -> None:
+        self.table.to_announce.extendleft(reversed(self._round or ()))
+        self.table.to_undo.extendleft(reversed(self._round_undos))
+
+    def watermark(self, now: float) -> Watermark:
+        initial_counter = self.initial_counter if self.seq else self.table.counter
+        return Watermark(
+            self.process_epoch,
+            self.seq,
+            self.table.counter,
+            initial_counter,
+            now,
+            self.watermark_ms,
+            self.table.complete,
+            self.retained_rows,
         )
 
     @property
-    def behind(self) -> bool:
+    def round_unfinished(self) -> bool:
         return self._round is not None
 
-    def _chosen(self) -> list[int]:
+    def _next_rows(self) -> list[int]:
         assert self._round is not None
         rows = self.table.rows
-        chosen: list[int] = []
-        while self._round and len(chosen) < MOST_ROWS:
+        rows_to_send: list[int] = []
+        while self._round and len(rows_to_send) < MAX_UPDATE_ROWS:
             row = self._round.popleft()
-            if row < len(rows.what) and rows.what[row] & (TELL | GRAVE) == TELL:
-                rows.what[row] &= ~TELL
-                chosen.append(row)
-        return chosen
+            if row < len(rows.flags) and rows.flags[row] & (UNANNOUNCED | TOMBSTONE) == UNANNOUNCED:
+                rows.flags[row] &= ~UNANNOUNCED
+                rows_to_send.append(row)
+        return rows_to_send
--- a/limenotch/fleet/affinity/names.py
+++ b/limenotch/fleet/affinity/names.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Mapping
 
-from .messages import Place
+from .messages import Placement
 
-MOST_WENT = 10_000  # names of providers that went and are not back
-MOST_MEMBERS = 20_000
+MAX_REMOVED_NAMES = 10_000  # names of providers that went and are not back
+MAX_MEMBERS = 20_000
 
 
-class Members:
+class MemberNumbers:
     """Who made values. Never forgotten: a name each, however many lives it had."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         """Raises ValueError beyond MOST_MEMBERS."""
         found = self._numbers.get(name)
         if found is None:
-            if len(self.names) >= MOST_MEMBERS:
+            if len(self.names) >= MAX_MEMBERS:
                 raise ValueError("too many names")
             found = self._numbers[name] = len(self.names)
             self.names.append(name)
@@ -30,74 +30,74 @@
         return found
 
 
-class Providers:
+class EndpointNumbers:
     """A provider that went and is back has a new number: what was bound to it before has ended and stays so."""
 
     def __init__(self) -> None:
-        self.places: list[Place] = []
-        self.gone: list[bool] = []
-        self.there: Mapping[str, tuple[str, str]] = {}
-        self._rows: list[int] = []  # how many hold it
-        self._numbers: dict[Place, int] = {}
-        self._unheld: dict[int, None] = {}  # numbers that may be used again, if still none holds them
-        self._went: dict[str, None] = {}
-
-    def number(self, place: Place) -> int:
-        found = self._numbers.get(place)
+        self.placements: list[Placement] = []
+        self.removed: list[bool] = []
+        self.listed: Mapping[str, tuple[str, str]] = {}
+        self._row_counts: list[int] = []  # how many hold it
+        self._numbers: dict[Placement, int] = {}
+        self._unused: dict[int, None] = {}  # numbers that may be used again, if still none holds them
+        self._removed_names: dict[str, None] = {}
+
+    def number(self, placement: Placement) -> int:
+        found = self._numbers.get(placement)
         if found is None:
-            found = self._again()
+            found = self._reuse_number()
             if found >= 0:
-                self.places[found], self.gone[found] = place, place[0] in self._went
+                self.placements[found], self.removed[found] = placement, placement[0] in self._removed_names
             else:
-                found = len(self.places)
-                self.places.append(place)
-                self.gone.append(place[0] in self._went)
-                self._rows.append(0)
-            self._numbers[place] = found
+                found = len(self.placements)
+                self.placements.append(placement)
+                self.removed.append(placement[0] in self._removed_names)
+                self._row_counts.append(0)
+            self._numbers[placement] = found
         return found
 
-    def place(self, provider: str) -> Place:
+    def placement(self, endpoint: str) -> Placement:
         """Where it stands by the list; empty cell and zone for one that the list has not."""
-        return (provider, *self.there.get(provider, ("", "")))
-
-    def hold(self, number: int) -> None:
-        self._rows[number] += 1
-
-    def leave(self, number: int) -> None:
-        self._rows[number] -= 1
-        if not self._rows[number]:
-            self._unheld[number] = None  # a row that is changed leaves it and holds it again
-
-    def _again(self) -> int:
-        while self._unheld:
-            number, _ = self._unheld.popitem()
-            if not self._rows[number]:
-                if self._numbers.get(self.places[number]) == number:
-                    del self._numbers[self.places[number]]
+        return (endpoint, *self.listed.get(endpoint, ("", "")))
+
+    def acquire(self, number: int) -> None:
+        self._row_counts[number] += 1
+
+    def release(self, number: int) -> None:
+        self._row_counts[number] -= 1
+        if not self._row_counts[number]:
+            self._unused[number] = None  # a row that is changed leaves it and holds it again
+
+    def _reuse_number(self) -> int:
+        while self._unused:
+            number, _ = self._unused.popitem()
+            if not self._row_counts[number]:
+                if self._numbers.get(self.placements[number]) == number:
+                    del self._numbers[self.placements[number]]
                 return number
         return -1
 
-    def held(self, number: int) -> int:
-        return self._rows[number]
+    def row_count(self, number: int) -> int:
+        return self._row_counts[number]
 
-    def now(self, there: Mapping[str, tuple[str, str]]) -> list[int]:
+    def update_listed(self, listed: Mapping[str, tuple[str, str]]) -> list[int]:
         """The whole list. Numbers that have gone by it."""
-        was, self.there = self.there, dict(there)
-        for name in there:
-            if name in self._went:
-                del self._went[name]
-                for place in [place for place in self._numbers if place[0] == name]:
-                    del self._numbers[place]
-        went = {name for name, at in was.items() if there.get(name) != at}
-        for name in went - there.keys():
-            self._went[name] = None
-        while len(self._went) > MOST_WENT:
-            del self._went[next(iter(self._went))]
-        ended = [
+        before, self.listed = self.listed, dict(listed)
+        for name in listed:
+            if name in self._removed_names:
+                del self._removed_names[name]
+                for placement in [placement for placement in self._numbers if placement[0] == name]:
+                    del self._numbers[placement]
+        changed_names = {name for name, location in before.items() if listed.get(name) != location}
+        for name in changed_names - listed.keys():
+            self._removed_names[name] = None
+        while len(self._removed_names) > MAX_REMOVED_NAMES:
+            del self._removed_names[next(iter(self._removed_names))]
+        removed_numbers = [
             number
-            for place, number in self._numbers.items()
-            if place[0] in went and not self.gone[number] and there.get(place[0]) != place[1:]
+            for placement, number in self._numbers.items()
+            if placement[0] in changed_names and not self.removed[number] and listed.get(placement[0]) != placement[1:]
         ]
-        for number in ended:
-            self.gone[number] = True
-        return ended
+        for number in removed_numbers:
+            self.removed[number] = True
+        return removed_numbers
--- a/limenotch/fleet/affinity/pages.py
+++ b/limenotch/fleet/affinity/pages.py
@@ -13,100 +13,120 @@
 from itertools import islice
 
 from .clocks import INFINITE
-from .context import Ground
-from .last_seen import MOST_COUNT, TENTHS, pack, take
-from .messages import MOST_PAGE, Ask, Knows, Page
+from .context import Context
+from .last_seen import MAX_COUNTER, TENTHS_PER_MS, apply_replicas, pack_rows
+from .messages import MAX_PAGE_ROWS, KnownMember, Page, PageRequest
 from .peers import Peer
-from .table import Shared
+from .table import AffinityTable
 
-WAIT_MS = 1000.0  # for a page, beyond what its bytes may take
+ANSWER_TIMEOUT_MS = 1000.0  # for a page, beyond what its bytes may take
 ROW_BYTES = 56  # of one copy in a page, about
 LAST_KEY = (1 << 128) - 1
 
 
-def _knows(ground: Ground) -> tuple[Knows, ...]:
-    now, teller = ground.now, ground.teller
+def _known_members(context: Context) -> tuple[KnownMember, ...]:
+    now, update_sender = context.now, context.update_sender
 
-    def age(covered: float) -> int:
-        return int(max(0.0, now - covered) * TENTHS) + 1
+    def age(watermark_ms: float) -> int:
+        return int(max(0.0, now - watermark_ms) * TENTHS_PER_MS) + 1
 
-    known = [Knows(ground.name, ground.process_epoch, teller.seq, ground.table.counter, age(teller.covered))]
+    known = [
+        KnownMember(
+            context.name,
+            context.process_epoch,
+            update_sender.seq,
+            context.table.counter,
+            age(update_sender.watermark_ms),
+        )
+    ]
     known += [
-        Knows(peer.name, peer.process_epoch, peer.seq, peer.upto, age(peer.covered))
-        for peer in ground.peers.live()
-        if peer.seq >= 0 and not peer.gap and now - peer.covered < 1e12
+        KnownMember(peer.name, peer.process_epoch, peer.last_seq, peer.known_counter, age(peer.watermark_ms))
+        for peer in context.peers.alive_peers()
+        if peer.last_seq >= 0 and not peer.has_gap and now - peer.watermark_ms < 1e12
     ]
     return tuple(known)
 
 
-def page(ground: Ground, ask: Ask) -> Page | None:
+def build_page(context: Context, request: PageRequest) -> Page | None:
     """The answer; None to what makes no sense."""
-    if len(ask.key) != 16 or not (0 <= ask.stamp <= MOST_COUNT and -1 <= ask.floor <= MOST_COUNT):
+    if len(request.key) != 16 or not (0 <= request.stamp <= MAX_COUNTER and -1 <= request.floor <= MAX_COUNTER):
         return None
-    table, now = ground.table, ground.now
-    rows, key = table.rows, int.from_bytes(ask.key, "big")
-    if ask.of and ask.of != ground.name:
-        of = ground.peers.get(ask.of)
-        if of is None or of.process_epoch != ask.of_process_epoch or of.gap or of.seq < 0:
-            return Page(ground.process_epoch, ask.serial, now, (), (), (), True, table.whole)
-    newest = merge(
-        *(order.newest(ask.floor, ask.stamp, key) for order in table.orders),
+    table, now = context.table, context.now
+    rows, key = table.rows, int.from_bytes(request.key, "big")
+    if request.member and request.member != context.name:
+        member = context.peers.get(request.member)
+        if (
+            member is None
+            or member.process_epoch != request.member_process_epoch
+            or member.has_gap
+            or member.last_seq < 0
+        ):
+            return Page(context.process_epoch, request.serial, now, (), (), (), True, table.complete)
+    newest_first = merge(
+        *(order.newest(request.floor, request.stamp, key) for order in table.orders),
         key=lambda row: (-rows.stamp[row], -rows.key(row)),
     )
-    chosen = list(islice(newest, MOST_PAGE + 1))
-    knows = _knows(ground) if ask.stamp == MOST_COUNT else ()
+    chosen_rows = list(islice(newest_first, MAX_PAGE_ROWS + 1))
+    known_members = _known_members(context) if request.stamp == MAX_COUNTER else ()
     return Page(
-        ground.process_epoch,
-        ask.serial,
+        context.process_epoch,
+        request.serial,
         now,
-        *pack(table, chosen[:MOST_PAGE], now),
-        len(chosen) <= MOST_PAGE,
-        table.whole,
-        knows,
+        *pack_rows(table, chosen_rows[:MAX_PAGE_ROWS], now),
+        len(chosen_rows) <= MAX_PAGE_ROWS,
+        table.complete,
+        known_members,
     )
 
 
 class Fetch:
     """From `peer` what has stamps above `floor`; -1: all."""
 
-    def __init__(self, peer: Peer, serial: int, floor: int, of: Peer | None, rate: float, now: float) -> None:
-        self.peer, self.serial, self.floor, self.of, self.rate = peer, serial, floor, of, rate
-        self.asked = now
-        self.done = self.whole = False
-        self.first: Page | None = None
+    def __init__(
+        self, peer: Peer, serial: int, floor: int, member: Peer | None, bytes_per_s: float, now: float
+    ) -> None:
+        self.peer, self.serial, self.floor, self.member, self.bytes_per_s = peer, serial, floor, member, bytes_per_s
+        self.requested_at_ms = now
+        self.done = self.complete = False
+        self.first_page: Page | None = None
         self.pages = 0
-        self._stamp, self._key = MOST_COUNT, LAST_KEY
-        self._next = now
-        self._waits = False
+        self._stamp, self._key = MAX_COUNTER, LAST_KEY
+        self._next_request_ms = now
+        self._awaiting_page = False
 
-    def ask(self, now: float, process_epoch: int) -> Ask | None:
+    def next_request(self, now: float, process_epoch: int) -> PageRequest | None:
         """The next question, when its time has come."""
-        if self.done or self._waits or now < self._next:
+        if self.done or self._awaiting_page or now < self._next_request_ms:
             return None
-        self._waits, self.asked = True, now
-        of = ("", 0) if self.of is None else (self.of.name, self.of.process_epoch)
-        return Ask(process_epoch, self.serial, self.floor, self._stamp, self._key.to_bytes(16, "big"), *of)
+        self._awaiting_page, self.requested_at_ms = True, now
+        member = ("", 0) if self.member is None else (self.member.name, self.member.process_epoch)
+        return PageRequest(process_epoch, self.serial, self.floor, self._stamp, self._key.to_bytes(16, "big"), *member)
 
     @property
-    def due(self) -> float:
+    def due_at_ms(self) -> float:
         """When the next question may go out; infinite while an answer is awaited."""
-        return INFINITE if self.done or self._waits else self._next
+        return INFINITE if self.done or self._awaiting_page else self._next_request_ms
 
-    def late(self, now: float) -> bool:
-        return self._waits and now >= self.asked + WAIT_MS + 1000.0 * MOST_PAGE * ROW_BYTES / self.rate
+    def timed_out(self, now: float) -> bool:
+        return (
+            self._awaiting_page
+            and now >= self.requested_at_ms + ANSWER_TIMEOUT_MS + 1000.0 * MAX_PAGE_ROWS * ROW_BYTES / self.bytes_per_s
+        )
 
-    def heard(self, table: Shared, now: float, answer: Page) -> None:
-        if answer.serial != self.serial or not self._waits or self.done:
+    def on_page(self, table: AffinityTable, now: float, page: Page) -> None:
+        if page.serial != self.serial or not self._awaiting_page or self.done:
             return
-        self._waits = False
-        self.first, self.pages = self.first or answer, self.pages + 1
-        take(table, now, self.peer, answer.sent, (answer.providers, answer.names, answer.rows), seer=False)
-        self.done, self.whole = answer.last or not answer.rows, answer.whole
-        if answer.rows:
-            end = answer.rows[-1]
-            place = (end.stamp, int.from_bytes(end.key, "big"))
-            if not (place[0] >= 0 and place < (self._stamp, self._key)):
-                self.done, self.whole, self.first = True, False, None  # it goes round in circles
-            self._stamp, self._key = place
+        self._awaiting_page = False
+        self.first_page, self.pages = self.first_page or page, self.pages + 1
+        apply_replicas(
+            table, now, self.peer, page.sent_ms, (page.endpoints, page.authors, page.rows), from_observer=False
+        )
+        self.done, self.complete = page.last or not page.rows, page.complete
+        if page.rows:
+            last_replica = page.rows[-1]
+            position = (last_replica.stamp, int.from_bytes(last_replica.key, "big"))
+            if not (position[0] >= 0 and position < (self._stamp, self._key)):
+                self.done, self.complete, self.first_page = True, False, None  # it goes round in circles
+            self._stamp, self._key = position
         # A page's bytes at the rate, from when it was asked for.
-        self._next = max(now, self.asked + 1000.0 * len(answer.rows) * ROW_BYTES / self.rate)
+        self._next_request_ms = max(now, self.requested_at_ms + 1000.0 * len(page.rows) * ROW_BYTES / self.bytes_per_s)
--- a/limenotch/fleet/affinity/peers.py
+++ b/limenotch/fleet/affinity/peers.py
@@ -15,95 +15,101 @@
 
 from typing import Any
 
-from .clocks import INFINITE, Clock
+from .clocks import INFINITE, ClockOffset
 
-LIVE = frozenset({"alive", "suspect"})
-MOST = 5000
+ALIVE_STATES = frozenset({"alive", "suspect"})
+MAX_PEERS = 5000
 
 
 class Peer:
-    def __init__(self, name: str, process_epoch: int, state: str, now: float, drift: float, floor: int = -1) -> None:
-        self.name, self.process_epoch, self.state, self.since = name, process_epoch, state, now
-        self.clock = Clock(drift)
-        self.doubt = INFINITE  # ms between the bounds of its clock, as of its latest answer
-        self.spoke = -INFINITE  # last word in this life
-        self.whole = False
-        self.seq = -1  # of the last Sights heard; -1: nothing was heard yet
-        self.upto = floor  # counter up to which all that it told, in earlier lives too, is known here
-        self.gap = False
-        self.missed = 0  # seq that has to be reached before the gap is closed
-        self.covered = -INFINITE  # own clock
-        self.ping_at = now
-        self.waiting: list[Any] = []  # heard before its clock is known: how old what they bear is can't be said
+    def __init__(
+        self, name: str, process_epoch: int, state: str, now: float, drift: float, known_counter: int = -1
+    ) -> None:
+        self.name, self.process_epoch, self.state, self.known_since_ms = name, process_epoch, state, now
+        self.clock = ClockOffset(drift)
+        self.clock_uncertainty_ms = INFINITE  # ms between the bounds of its clock, as of its latest answer
+        self.last_message_ms = -INFINITE  # last word in this life
+        self.complete = False
+        self.last_seq = -1  # of the last Sights heard; -1: nothing was heard yet
+        self.known_counter = known_counter  # counter up to which all that it told, in earlier lives too, is known here
+        self.has_gap = False
+        self.gap_end_seq = 0  # seq that has to be reached before the gap is closed
+        self.watermark_ms = -INFINITE  # own clock
+        self.next_ping_ms = now
+        self.deferred: list[Any] = []  # heard before its clock is known: how old what they bear is can't be said
 
     @property
-    def live(self) -> bool:
-        return self.state in LIVE
+    def is_alive(self) -> bool:
+        return self.state in ALIVE_STATES
 
 
 class Peers:
     def __init__(self, name: str, drift: float) -> None:
         self._name, self._drift = name, drift
         self._peers: dict[str, Peer] = {}
-        self._live: list[Peer] | None = None  # made anew after a change
-        self._last: Peer | None = None  # the one that has covered least, as of the latest look
+        self._alive: list[Peer] | None = None  # made anew after a change
+        self._slowest: Peer | None = None  # the one that has covered least, as of the latest look
 
-    def live(self) -> list[Peer]:
+    def alive_peers(self) -> list[Peer]:
         """Those held alive; not to be changed by who asks."""
-        if self._live is None:
-            self._live = [peer for peer in self._peers.values() if peer.live]
-        return self._live
+        if self._alive is None:
+            self._alive = [peer for peer in self._peers.values() if peer.is_alive]
+        return self._alive
 
     def get(self, name: str) -> Peer | None:
         return self._peers.get(name)
 
-    def changed(self, now: float, name: str, process_epoch: int, state: str) -> None:
+    def member_changed(self, now: float, name: str, process_epoch: int, state: str) -> None:
         """What membership holds of it."""
         peer = self._peers.get(name)
-        self._live = self._last = None
+        self._alive = self._slowest = None
         if peer is None or peer.process_epoch < process_epoch:
-            if peer is None and len(self._peers) >= MOST:
-                self._forget()
+            if peer is None and len(self._peers) >= MAX_PEERS:
+                self._drop_dead_peer()
             self._peers[name] = Peer(
-                name, process_epoch, state, now, self._drift, peer.upto if peer is not None else -1
+                name, process_epoch, state, now, self._drift, peer.known_counter if peer is not None else -1
             )
-        elif peer.process_epoch == process_epoch or (state in LIVE and not peer.live):
+        elif peer.process_epoch == process_epoch or (state in ALIVE_STATES and not peer.is_alive):
             peer.state = state
 
-    def speaks(self, now: float, name: str, process_epoch: int) -> Peer | None:
+    def accept_message(self, now: float, name: str, process_epoch: int) -> Peer | None:
         """None if its word is not to be taken."""
         peer = self._peers.get(name)
         if name == self._name or (peer is not None and process_epoch < peer.process_epoch):
             return None
         if peer is None or process_epoch > peer.process_epoch:
-            if peer is None and len(self._peers) >= MOST:
+            if peer is None and len(self._peers) >= MAX_PEERS:
                 return None
-            state = peer.state if peer is not None and peer.live else ""
-            floor = peer.upto if peer is not None else -1
-            peer = self._peers[name] = Peer(name, process_epoch, state, now, self._drift, floor)
-            self._live = self._last = None
+            state = peer.state if peer is not None and peer.is_alive else ""
+            known_counter = peer.known_counter if peer is not None else -1
+            peer = self._peers[name] = Peer(name, process_epoch, state, now, self._drift, known_counter)
+            self._alive = self._slowest = None
         if peer.state == "dead":
             return None
-        peer.spoke = now
+        peer.last_message_ms = now
         return peer
 
-    def covered(self, now: float, patience: float) -> float:
+    def lowest_watermark_ms(self, now: float, silence_grace_ms: float) -> float:
         """Own time up to which all sights of all that count are known; infinite if nobody else does."""
-        count = [peer for peer in self.live() if peer.spoke > -INFINITE or now < peer.since + patience]
-        self._last = min(count, key=lambda peer: peer.covered, default=None)
-        return self._last.covered if self._last is not None else INFINITE
-
-    def holds_back(self, peer: Peer) -> bool:
+        waited_for = [
+            peer
+            for peer in self.alive_peers()
+            if peer.last_message_ms > -INFINITE or now < peer.known_since_ms + silence_grace_ms
+        ]
+        self._slowest = min(waited_for, key=lambda peer: peer.watermark_ms, default=None)
+        return self._slowest.watermark_ms if self._slowest is not None else INFINITE
+
+    def limits_watermark(self, peer: Peer) -> bool:
         """Whether all wait for it: only its cover changes what is covered by all."""
-        return self._last is None or self._last is peer
+        return self._slowest is None or self._slowest is peer
 
-    def fenced(self, now: float) -> None:
+    def reset_progress(self, now: float) -> None:
         """One's own new life: what they told while one was held dead went to others only."""
         for name, peer in list(self._peers.items()):
-            self._peers[name] = Peer(name, peer.process_epoch, peer.state, now, self._drift, peer.upto)
-        self._live = self._last = None
+            self._peers[name] = Peer(name, peer.process_epoch, peer.state, now, self._drift, peer.known_counter)
+        self._alive = self._slowest = None
 
-    def _forget(self) -> None:
-        gone = next((name for name, peer in self._peers.items() if not peer.live), None)
-        if gone is not None:
-            del self._peers[gone]
+    def _drop_dead_peer(self) -> None:
+        dead_name = next((name for name, peer in self._peers.items() if not peer.is_alive), None)
+        if dead_name is not None:
+            del self._peers[dead_name]
--- a/limenotch/fleet/affinity/repair.py
+++ b/limenotch/fleet/affinity/repair.py
@@ -13,244 +13,282 @@
 from typing import Any
 
 from .clocks import INFINITE
-from .context import Ground
-from .last_seen import pack, take
-from .messages import KEY_BYTES, MOST_KEYS, MOST_PAGE, AskKeys, Compare, Copies, Digests, Keys, Want
-from .pages import ROW_BYTES, WAIT_MS
+from .context import Context
+from .last_seen import apply_replicas, pack_rows
+from .messages import (
+    KEY_BYTES,
+    MAX_PAGE_ROWS,
+    MAX_RANGE_KEYS,
+    DigestRequest,
+    RangeDigests,
+    RangeKeys,
+    RangeKeysRequest,
+    RowReplicas,
+    RowsRequest,
+)
+from .pages import ANSWER_TIMEOUT_MS, ROW_BYTES
 from .peers import Peer
-from .rows import GRAVE, NIL, RANGES
-from .table import Shared
+from .rows import NIL, RANGES, TOMBSTONE
+from .table import AffinityTable
 
 DIGEST_BYTES = 8
 
 
-def digests(table: Shared, process_epoch: int, serial: int) -> Digests:
+def build_digests(table: AffinityTable, process_epoch: int, serial: int) -> RangeDigests:
     packed = b"".join(each.to_bytes(DIGEST_BYTES, "big") for each in table.rows.digests)
-    return Digests(process_epoch, serial, packed, table.whole)
+    return RangeDigests(process_epoch, serial, packed, table.complete)
 
 
-def keys(table: Shared, process_epoch: int, ask: AskKeys) -> Keys | None:
-    if not 0 <= ask.range < RANGES:
+def build_keys(table: AffinityTable, process_epoch: int, request: RangeKeysRequest) -> RangeKeys | None:
+    if not 0 <= request.range < RANGES:
         return None
-    parts = min(RANGES, table.rows.held(ask.range) // MOST_KEYS + 1)
-    if not 0 <= ask.part < parts:
+    subranges = min(RANGES, table.rows.range_size(request.range) // MAX_RANGE_KEYS + 1)
+    if not 0 <= request.subrange < subranges:
         return None
-    return Keys(
+    return RangeKeys(
         process_epoch,
-        ask.serial,
-        ask.range,
-        ask.part,
-        parts,
+        request.serial,
+        request.range,
+        request.subrange,
+        subranges,
         b"".join(
             key.to_bytes(16, "big") + digest.to_bytes(DIGEST_BYTES, "big")
-            for key, digest in listed(table, ask.range, ask.part, parts).items()
+            for key, digest in row_digests(table, request.range, request.subrange, subranges).items()
         ),
     )
 
 
-def listed(table: Shared, number: int, part: int, parts: int) -> dict[int, int]:
+def row_digests(table: AffinityTable, range_number: int, subrange: int, subranges: int) -> dict[int, int]:
     """Digest by key, of live rows."""
     rows = table.rows
     return {
         rows.key(row): rows.digest(row)
-        for row in rows.in_range(number)
-        if not rows.what[row] & GRAVE and ((rows.high[row] >> 48 & 0xFF) * parts) >> 8 == part
+        for row in rows.rows_in_range(range_number)
+        if not rows.flags[row] & TOMBSTONE and ((rows.high[row] >> 48 & 0xFF) * subranges) >> 8 == subrange
     }
 
 
-def copies(table: Shared, process_epoch: int, serial: int, wanted: Sequence[int], now: float, settle: float) -> Copies:
+def build_replicas(
+    table: AffinityTable, process_epoch: int, serial: int, wanted: Sequence[int], now: float, in_flight_ms: float
+) -> RowReplicas:
     """Of those that are here, not over, and not told within `settle` ms."""
     rows = table.rows
-    found = [row for key in wanted[:MOST_PAGE] if (row := rows.find(key)) != NIL and not rows.what[row] & GRAVE]
-    given = [row for row in found if now < table.ends(row) and now - rows.told[row] >= settle]
-    return Copies(process_epoch, serial, now, *pack(table, given, now))
+    found = [
+        row for key in wanted[:MAX_PAGE_ROWS] if (row := rows.find(key)) != NIL and not rows.flags[row] & TOMBSTONE
+    ]
+    replicas = [row for row in found if now < table.expires_at_ms(row) and now - rows.announced_ms[row] >= in_flight_ms]
+    return RowReplicas(process_epoch, serial, now, *pack_rows(table, replicas, now))
 
 
 class Exchange:
     """With one peer. `mended`: copies that went either way."""
 
-    def __init__(self, peer: Peer, serial: int, rate: float, settle: float, now: float) -> None:
-        self.peer, self.serial, self.rate, self.settle = peer, serial, rate, settle
+    def __init__(self, peer: Peer, serial: int, bytes_per_s: float, in_flight_ms: float, now: float) -> None:
+        self.peer, self.serial, self.bytes_per_s, self.in_flight_ms = peer, serial, bytes_per_s, in_flight_ms
         self.done = False
-        self.mended = 0
-        self.asked = now
+        self.repaired_rows = 0
+        self.requested_at_ms = now
         self._ranges: deque[int] = deque()
-        self._want: deque[int] = deque()
-        self._part = 0
-        self._next = now
-        self._said: type | None = None  # the question that is open
-        self._begun = False
+        self._wanted: deque[int] = deque()
+        self._subrange = 0
+        self._next_request_ms = now
+        self._expected: type | None = None  # the question that is open
+        self._digests_requested = False
 
-    def ask(self, now: float, process_epoch: int) -> list[Any]:
+    def next_requests(self, now: float, process_epoch: int) -> list[Any]:
         """The next question, when its time has come."""
-        if self.done or self._said is not None or now < self._next:
+        if self.done or self._expected is not None or now < self._next_request_ms:
             return []
-        question: Any
-        if not self._begun:
-            self._begun, question = True, Compare(process_epoch, self.serial)
-            self._said = Digests
-        elif self._want:
-            wanted = [self._want.popleft() for _ in range(min(len(self._want), MOST_PAGE))]
-            question = Want(
-                process_epoch, self.serial, b"".join(key.to_bytes(16, "big") for key in wanted), self.settle
+        request: Any
+        if not self._digests_requested:
+            self._digests_requested, request = True, DigestRequest(process_epoch, self.serial)
+            self._expected = RangeDigests
+        elif self._wanted:
+            wanted = [self._wanted.popleft() for _ in range(min(len(self._wanted), MAX_PAGE_ROWS))]
+            request = RowsRequest(
+                process_epoch, self.serial, b"".join(key.to_bytes(16, "big") for key in wanted), self.in_flight_ms
             )
-            self._said = Copies
+            self._expected = RowReplicas
         elif self._ranges:
-            question, self._said = AskKeys(process_epoch, self.serial, self._ranges[0], self._part), Keys
+            request, self._expected = (
+                RangeKeysRequest(process_epoch, self.serial, self._ranges[0], self._subrange),
+                RangeKeys,
+            )
         else:
             self.done = True
             return []
-        self.asked = now
-        return [question]
+        self.requested_at_ms = now
+        return [request]
 
     @property
-    def due(self) -> float:
+    def due_at_ms(self) -> float:
         """When the next question may go out; infinite while an answer is awaited."""
-        return INFINITE if self.done or self._said is not None else self._next
+        return INFINITE if self.done or self._expected is not None else self._next_request_ms
 
-    def late(self, now: float) -> bool:
-        return self._said is not None and now >= self.asked + WAIT_MS + 1000.0 * MOST_KEYS * KEY_BYTES / self.rate
+    def timed_out(self, now: float) -> bool:
+        return (
+            self._expected is not None
+            and now >= self.requested_at_ms + ANSWER_TIMEOUT_MS + 1000.0 * MAX_RANGE_KEYS * KEY_BYTES / self.bytes_per_s
+        )
 
-    def awaits(self, answer: Any) -> bool:
-        return answer.serial == self.serial and type(answer) is self._said
+    def awaits(self, response: Any) -> bool:
+        return response.serial == self.serial and type(response) is self._expected
 
-    def digests(self, table: Shared, now: float, answer: Digests) -> None:
-        self._said = None
+    def apply_digests(self, table: AffinityTable, now: float, response: RangeDigests) -> None:
+        self._expected = None
         size = DIGEST_BYTES
-        if len(answer.values) != RANGES * size:
+        if len(response.values) != RANGES * size:
             self.done = True
             return
-        theirs = [int.from_bytes(answer.values[at : at + size], "big") for at in range(0, RANGES * size, size)]
+        theirs = [int.from_bytes(response.values[at : at + size], "big") for at in range(0, RANGES * size, size)]
         self._ranges.extend(each for each in range(RANGES) if theirs[each] != table.rows.digests[each])
-        self._paid(now, len(answer.values))
+        self._charge_rate(now, len(response.values))
 
-    def keys(self, table: Shared, process_epoch: int, now: float, answer: Keys) -> list[Copies]:
+    def apply_keys(
+        self, table: AffinityTable, process_epoch: int, now: float, response: RangeKeys
+    ) -> list[RowReplicas]:
         """What the other lacks; what is lacked here is wanted next."""
         if (
             not self._ranges
-            or (answer.range, answer.part) != (self._ranges[0], self._part)
-            or not (0 < answer.parts <= RANGES)
-            or len(answer.packed) % KEY_BYTES
+            or (response.range, response.subrange) != (self._ranges[0], self._subrange)
+            or not (0 < response.subranges <= RANGES)
+            or len(response.packed) % KEY_BYTES
         ):
             self.done = True
             return []
-        self._said = None
-        packed = answer.packed
+        self._expected = None
+        packed = response.packed
         theirs = {packed[at : at + 16]: packed[at + 16 : at + KEY_BYTES] for at in range(0, len(packed), KEY_BYTES)}
-        lacks = []
-        for key, digest in listed(table, answer.range, answer.part, answer.parts).items():
+        missing_there = []
+        for key, digest in row_digests(table, response.range, response.subrange, response.subranges).items():
             theirs_of = theirs.pop(key.to_bytes(16, "big"), None)
             if theirs_of != digest.to_bytes(DIGEST_BYTES, "big"):
                 if theirs_of is not None:
-                    self._want.append(key)
-                lacks.append(key)
-        self._want.extend(int.from_bytes(key, "big") for key in theirs)
-        self._part += 1
-        if self._part >= answer.parts:
-            self._part = 0
+                    self._wanted.append(key)
+                missing_there.append(key)
+        self._wanted.extend(int.from_bytes(key, "big") for key in theirs)
+        self._subrange += 1
+        if self._subrange >= response.subranges:
+            self._subrange = 0
             self._ranges.popleft()
-        pages = [lacks[at : at + MOST_PAGE] for at in range(0, len(lacks), MOST_PAGE)]
-        out = [copies(table, process_epoch, 0, wanted, now, self.settle) for wanted in pages]
+        pages = [missing_there[at : at + MAX_PAGE_ROWS] for at in range(0, len(missing_there), MAX_PAGE_ROWS)]
+        out = [build_replicas(table, process_epoch, 0, wanted, now, self.in_flight_ms) for wanted in pages]
         out = [each for each in out if each.rows]
         sent = sum(len(each.rows) for each in out)
-        self.mended += sent
-        self._paid(now, len(packed) + ROW_BYTES * sent)
+        self.repaired_rows += sent
+        self._charge_rate(now, len(packed) + ROW_BYTES * sent)
         return out
 
-    def copied(self, now: float, rows: int) -> None:
-        self._said = None
-        self.mended += rows
-        self._paid(now, ROW_BYTES * rows)
+    def replicas_applied(self, now: float, rows: int) -> None:
+        self._expected = None
+        self.repaired_rows += rows
+        self._charge_rate(now, ROW_BYTES * rows)
 
-    def _paid(self, now: float, size: int) -> None:
-        self._next = max(now, self.asked + 1000.0 * size / self.rate)
+    def _charge_rate(self, now: float, size: int) -> None:
+        self._next_request_ms = max(now, self.requested_at_ms + 1000.0 * size / self.bytes_per_s)
 
 
-class Repair:
+class AntiEntropy:
     """One exchange each `digest_ms`, with a member at random; and the answers to others'."""
 
-    def __init__(self, ground: Ground) -> None:
-        self.ground = ground
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self._exchange: Exchange | None = None
-        self._at = 0.0
-        self._noted = False
+        self._next_exchange_ms = 0.0
+        self._logged = False
 
     def begin(self) -> None:
         self._exchange = None
-        self._at = self.ground.now + self.ground.tuning.digest_ms * self.ground.random.random()
+        self._next_exchange_ms = self.context.now + self.context.tuning.digest_ms * self.context.random.random()
 
     def tick(self) -> None:
-        ground, now, exchange = self.ground, self.ground.now, self._exchange
-        if not ground.table.whole:
+        context, now, exchange = self.context, self.context.now, self._exchange
+        if not context.table.complete:
             self._exchange = None
             return
         if exchange is not None:
-            if not exchange.done and not exchange.late(now) and exchange.peer.live:
-                self._go_on(exchange)
+            if not exchange.done and not exchange.timed_out(now) and exchange.peer.is_alive:
+                self._continue(exchange)
                 return
             self._exchange = None
-            if exchange.done and not exchange.mended:
-                self._noted = False
-        live = ground.peers.live()
-        if now < self._at or not live:
+            if exchange.done and not exchange.repaired_rows:
+                self._logged = False
+        live = context.peers.alive_peers()
+        if now < self._next_exchange_ms or not live:
             return
-        tuning, scale = ground.tuning, ground.scale
-        self._at = now + tuning.digest_ms * scale
-        settle = 2 * (tuning.batch_ms + tuning.cover_ms) * scale
-        self._exchange = Exchange(ground.random.choice(live), ground.serial(), tuning.repair_bytes_per_s, settle, now)
-        self._go_on(self._exchange)
-
-    def _go_on(self, exchange: Exchange) -> None:
-        for question in exchange.ask(self.ground.now, self.ground.process_epoch):
-            self.ground.say(exchange.peer, question)
+        tuning, scale = context.tuning, context.interval_scale
+        self._next_exchange_ms = now + tuning.digest_ms * scale
+        in_flight_ms = 2 * (tuning.batch_ms + tuning.cover_ms) * scale
+        self._exchange = Exchange(
+            context.random.choice(live), context.next_serial(), tuning.repair_bytes_per_s, in_flight_ms, now
+        )
+        self._continue(self._exchange)
+
+    def _continue(self, exchange: Exchange) -> None:
+        for request in exchange.next_requests(self.context.now, self.context.process_epoch):
+            self.context.send(exchange.peer, request)
 
     @property
-    def due(self) -> float:
-        return self._exchange.due if self._exchange is not None else INFINITE
+    def due_at_ms(self) -> float:
+        return self._exchange.due_at_ms if self._exchange is not None else INFINITE
 
-    def _open(self, peer: Peer, answer: Any) -> Exchange | None:
+    def _matching_exchange(self, peer: Peer, response: Any) -> Exchange | None:
         exchange = self._exchange
-        if exchange is None or exchange.peer is not peer or not exchange.awaits(answer):
-            self.ground.table.count("late answer")
+        if exchange is None or exchange.peer is not peer or not exchange.awaits(response):
+            self.context.table.add_count("late answer")
             return None
         return exchange
 
-    def compared(self, peer: Peer, compare: Compare) -> None:
-        self.ground.say(peer, digests(self.ground.table, self.ground.process_epoch, compare.serial))
-
-    def digests(self, peer: Peer, answer: Digests) -> None:
-        if (exchange := self._open(peer, answer)) is not None:
-            exchange.digests(self.ground.table, self.ground.now, answer)
-            self._go_on(exchange)
-
-    def keys_asked(self, peer: Peer, ask: AskKeys) -> None:
-        answer = keys(self.ground.table, self.ground.process_epoch, ask)
-        if answer is not None:
-            self.ground.say(peer, answer)
-
-    def keys(self, peer: Peer, answer: Keys) -> None:
-        ground = self.ground
-        if (exchange := self._open(peer, answer)) is not None:
-            for given in exchange.keys(ground.table, ground.process_epoch, ground.now, answer):
-                ground.say(peer, given)
-            self._go_on(exchange)
-
-    def wanted(self, peer: Peer, want: Want) -> None:
-        ground = self.ground
-        wanted = [int.from_bytes(want.keys[at : at + 16], "big") for at in range(0, len(want.keys) // 16 * 16, 16)]
-        ground.say(peer, copies(ground.table, ground.process_epoch, want.serial, wanted, ground.now, want.settle))
-
-    def copies(self, peer: Peer, given: Copies) -> None:
-        ground, table = self.ground, self.ground.table
-        exchange = self._open(peer, given) if given.serial else None
-        if given.serial and exchange is None:
+    def on_digest_request(self, peer: Peer, request: DigestRequest) -> None:
+        self.context.send(peer, build_digests(self.context.table, self.context.process_epoch, request.serial))
+
+    def on_digests(self, peer: Peer, response: RangeDigests) -> None:
+        if (exchange := self._matching_exchange(peer, response)) is not None:
+            exchange.apply_digests(self.context.table, self.context.now, response)
+            self._continue(exchange)
+
+    def on_keys_request(self, peer: Peer, request: RangeKeysRequest) -> None:
+        response = build_keys(self.context.table, self.context.process_epoch, request)
+        if response is not None:
+            self.context.send(peer, response)
+
+    def on_keys(self, peer: Peer, response: RangeKeys) -> None:
+        context = self.context
+        if (exchange := self._matching_exchange(peer, response)) is not None:
+            for replicas in exchange.apply_keys(context.table, context.process_epoch, context.now, response):
+                context.send(peer, replicas)
+            self._continue(exchange)
+
+    def on_rows_request(self, peer: Peer, request: RowsRequest) -> None:
+        context = self.context
+        wanted = [
+            int.from_bytes(request.keys[at : at + 16], "big") for at in range(0, len(request.keys) // 16 * 16, 16)
+        ]
+        context.send(
+            peer,
+            build_replicas(
+                context.table, context.process_epoch, request.serial, wanted, context.now, request.in_flight_ms
+            ),
+        )
+
+    def on_replicas(self, peer: Peer, replicas: RowReplicas) -> None:
+        context, table = self.context, self.context.table
+        exchange = self._matching_exchange(peer, replicas) if replicas.serial else None
+        if replicas.serial and exchange is None:
             return
         before = table.changes
-        take(table, ground.now, peer, given.sent, (given.providers, given.names, given.rows), seer=False)
-        mended = table.changes - before
-        if mended and table.whole and not self._noted:
-            self._noted = True
-            ground.note(f"repairs {peer.name}", rows=mended)
+        apply_replicas(
+            table,
+            context.now,
+            peer,
+            replicas.sent_ms,
+            (replicas.endpoints, replicas.authors, replicas.rows),
+            from_observer=False,
+        )
+        repaired = table.changes - before
+        if repaired and table.complete and not self._logged:
+            self._logged = True
+            context.log(f"repairs {peer.name}", rows=repaired)
         if exchange is not None:
-            exchange.copied(ground.now, mended)
-            self._go_on(exchange)
+            exchange.replicas_applied(context.now, repaired)
+            self._continue(exchange)
--- a/limenotch/fleet/affinity/rows.py
+++ b/limenotch/fleet/affinity/rows.py
@@ -15,140 +15,144 @@
 
 NIL = 0xFFFFFFFF
 RANGES = 256
-LOW = (1 << 64) - 1
+LOW_MASK = (1 << 64) - 1
 
-KIND, STATE, CHARGED, OWN, GRAVE, TELL, ENDED = 3, 12, 16, 32, 64, 128, 256
-STATE_AT = 2  # bits
+KIND, STATE, CHARGED, OBSERVED_HERE, TOMBSTONE, UNANNOUNCED, ENDPOINT_REMOVED = 3, 12, 16, 32, 64, 128, 256
+STATE_SHIFT = 2  # bits
 
 _pack = Struct("<QQIHQB").pack
-FIRST = 16  # places of an empty range
-MORE = 256  # rows by which the columns grow
+INITIAL_INDEX_SLOTS = 16  # places of an empty range
+ROWS_PER_GROWTH = 256  # rows by which the columns grow
 
 
 class Rows:
     """Columns by row. `names`: of those who made values, in bytes, by number."""
 
-    def __init__(self, names: list[bytes]) -> None:
-        self.names = names
+    def __init__(self, author_names: list[bytes]) -> None:
+        self.author_names = author_names
         self.high, self.low = array("Q"), array("Q")  # the hash
-        self.who = array("I")  # provider; ENDED: it went
-        self.what = array("H")  # KIND, STATE, CHARGED; OWN: seen here; GRAVE: forgotten; TELL: to be told; ENDED
-        self.gen, self.move = array("I"), array("H")
-        self.count, self.by = array("Q"), array("I")  # version
+        self.endpoint = array("I")  # provider; ENDED: it went
+        self.flags = array("H")  # KIND, STATE, CHARGED; OWN: seen here; GRAVE: forgotten; TELL: to be told; ENDED
+        self.generation, self.moves = array("I"), array("H")
+        self.version, self.author = array("Q"), array("I")  # version
         self.stamp = array("Q")
-        self.made, self.seen, self.told = array("d"), array("d"), array("d")  # own clock; told: as others hold `seen`
-        self.after, self.before, self.slot = array("I"), array("I"), array("H")  # the wheel's
-        self.older, self.newer = array("I"), array("I")  # the order's
+        self.created_ms, self.last_seen_ms, self.announced_ms = (
+            array("d"),
+            array("d"),
+            array("d"),
+        )  # own clock; told: as others hold `seen`
+        self.wheel_next, self.wheel_previous, self.wheel_slot = array("I"), array("I"), array("H")  # the wheel's
+        self.order_older, self.order_newer = array("I"), array("I")  # the order's
         self.digests = [0] * RANGES
         self._columns: tuple[array[Any], ...] = (
             self.high,
             self.low,
-            self.who,
-            self.what,
-            self.gen,
-            self.move,
-            self.count,
-            self.by,
+            self.endpoint,
+            self.flags,
+            self.generation,
+            self.moves,
+            self.version,
+            self.author,
             self.stamp,
-            self.made,
-            self.seen,
-            self.told,
-            self.after,
-            self.before,
-            self.slot,
-            self.older,
-            self.newer,
+            self.created_ms,
+            self.last_seen_ms,
+            self.announced_ms,
+            self.wheel_next,
+            self.wheel_previous,
+            self.wheel_slot,
+            self.order_older,
+            self.order_newer,
         )
-        self._free = array("I")
-        self._index = [array("I", bytes(4 * FIRST)) for _ in range(RANGES)]  # row + 1; 0: none
-        self._many = array("I", bytes(4 * RANGES))
+        self._free_rows = array("I")
+        self._index = [array("I", bytes(4 * INITIAL_INDEX_SLOTS)) for _ in range(RANGES)]  # row + 1; 0: none
+        self._range_sizes = array("I", bytes(4 * RANGES))
 
     def __len__(self) -> int:
         """Rows in use, graves too."""
-        return len(self.high) - len(self._free)
+        return len(self.high) - len(self._free_rows)
 
     def find(self, key: int) -> int:
         """NIL if it is not there."""
-        high, low = key >> 64, key & LOW
+        high, low = key >> 64, key & LOW_MASK
         table = self._index[high >> 56]
         mask = len(table) - 1
-        place = low & mask
-        while (row := table[place]) and (self.low[row - 1] != low or self.high[row - 1] != high):
-            place = (place + 1) & mask
+        position = low & mask
+        while (row := table[position]) and (self.low[row - 1] != low or self.high[row - 1] != high):
+            position = (position + 1) & mask
         return row - 1 if row else NIL
 
     def add(self, key: int) -> int:
         """A row for a hash that is not there; its other columns are what they were."""
-        high, low = key >> 64, key & LOW
-        if not self._free:
+        high, low = key >> 64, key & LOW_MASK
+        if not self._free_rows:
             end = len(self.high)
             for column in self._columns:
-                column.frombytes(bytes(MORE * column.itemsize))
-            for row in range(end, end + MORE):
-                self.what[row] = GRAVE  # whoever goes through all rows passes it over, as one that was freed
-            self._free.extend(range(end + MORE - 1, end - 1, -1))
-        row = self._free.pop()
+                column.frombytes(bytes(ROWS_PER_GROWTH * column.itemsize))
+            for row in range(end, end + ROWS_PER_GROWTH):
+                self.flags[row] = TOMBSTONE  # whoever goes through all rows passes it over, as one that was freed
+            self._free_rows.extend(range(end + ROWS_PER_GROWTH - 1, end - 1, -1))
+        row = self._free_rows.pop()
         self.high[row], self.low[row] = high, low
-        self.slot[row] = 0xFFFF
-        number = high >> 56
-        self._many[number] += 1
-        if 3 * self._many[number] > 2 * len(self._index[number]):
-            self._grow(number)
-        self._put(self._index[number], low, row)
+        self.wheel_slot[row] = 0xFFFF
+        range_number = high >> 56
+        self._range_sizes[range_number] += 1
+        if 3 * self._range_sizes[range_number] > 2 * len(self._index[range_number]):
+            self._grow(range_number)
+        self._insert(self._index[range_number], low, row)
         return row
 
     def free(self, row: int) -> None:
-        number = self.high[row] >> 56
-        table = self._index[number]
+        range_number = self.high[row] >> 56
+        table = self._index[range_number]
         mask = len(table) - 1
         hole = self.low[row] & mask
         while table[hole] != row + 1:
             hole = (hole + 1) & mask
-        place = hole
+        position = hole
         while True:
-            place = (place + 1) & mask
-            if not table[place]:
+            position = (position + 1) & mask
+            if not table[position]:
                 break
-            home = self.low[table[place] - 1] & mask
-            if (place - home) & mask >= (place - hole) & mask:
-                table[hole] = table[place]
-                hole = place
+            home = self.low[table[position] - 1] & mask
+            if (position - home) & mask >= (position - hole) & mask:
+                table[hole] = table[position]
+                hole = position
         table[hole] = 0
-        self._many[number] -= 1
-        self._free.append(row)
-        self.what[row] = GRAVE
+        self._range_sizes[range_number] -= 1
+        self._free_rows.append(row)
+        self.flags[row] = TOMBSTONE
 
-    def held(self, number: int) -> int:
+    def range_size(self, range_number: int) -> int:
         """Rows of a range, graves too."""
-        return self._many[number]
+        return self._range_sizes[range_number]
 
     def key(self, row: int) -> int:
         return self.high[row] << 64 | self.low[row]
 
-    def in_range(self, number: int) -> Iterator[int]:
+    def rows_in_range(self, range_number: int) -> Iterator[int]:
         """Rows of it, graves too. Nothing may be added or freed meanwhile."""
-        return (row - 1 for row in self._index[number] if row)
+        return (row - 1 for row in self._index[range_number] if row)
 
     def digest(self, row: int) -> int:
         """Of the key and its value, without ages: 64 bits."""
-        what = self.what[row] & (KIND | STATE | CHARGED)
-        packed = _pack(self.high[row], self.low[row], self.gen[row], self.move[row], self.count[row], what)
-        return int.from_bytes(blake2b(packed + self.names[self.by[row]], digest_size=8).digest(), "big")
+        flags = self.flags[row] & (KIND | STATE | CHARGED)
+        packed = _pack(self.high[row], self.low[row], self.generation[row], self.moves[row], self.version[row], flags)
+        return int.from_bytes(blake2b(packed + self.author_names[self.author[row]], digest_size=8).digest(), "big")
 
-    def toggle(self, row: int) -> None:
+    def toggle_digest(self, row: int) -> None:
         """Into its range's digest, or out of it."""
         self.digests[self.high[row] >> 56] ^= self.digest(row)
 
-    def _put(self, table: array[int], low: int, row: int) -> None:
+    def _insert(self, table: array[int], low: int, row: int) -> None:
         mask = len(table) - 1
-        place = low & mask
-        while table[place]:
-            place = (place + 1) & mask
-        table[place] = row + 1
-
-    def _grow(self, number: int) -> None:
-        old = self._index[number]
-        table = self._index[number] = array("I", bytes(4 * 2 * len(old)))
-        for held in old:
-            if held:
-                self._put(table, self.low[held - 1], held - 1)
+        position = low & mask
+        while table[position]:
+            position = (position + 1) & mask
+        table[position] = row + 1
+
+    def _grow(self, range_number: int) -> None:
+        old = self._index[range_number]
+        table = self._index[range_number] = array("I", bytes(4 * 2 * len(old)))
+        for entry in old:
+            if entry:
+                self._insert(table, self.low[entry - 1], entry - 1)
--- a/limenotch/fleet/affinity/table.py
+++ b/limenotch/fleet/affinity/table.py
@@ -19,20 +19,20 @@
 from collections.abc import Mapping
 from typing import Any
 
-from .api import Bound, Kind, State
+from .api import Binding, Kind, State
 from .clocks import INFINITE
-from .entries import Held
-from .eviction import GOING, KEPT
-from .messages import Place
-from .rows import CHARGED, GRAVE, KIND, NIL, OWN, STATE, STATE_AT, TELL
-from .timer_wheel import OVER
-from .values import AFTER, beats
+from .entries import TableEntries
+from .eviction import ENDING, PROTECTED
+from .messages import Placement
+from .rows import CHARGED, KIND, NIL, OBSERVED_HERE, STATE, STATE_SHIFT, TOMBSTONE, UNANNOUNCED
+from .timer_wheel import EXPIRED_SLOT
+from .values import MERGED_STATES, compare_versions
 
-BITS = KIND | STATE | CHARGED
-AFTER_BITS = [[int(AFTER[State(held), State(told)]) for told in range(4)] for held in range(4)]
+REPLICATED_FLAGS = KIND | STATE | CHARGED
+MERGED_STATE_BITS = [[int(MERGED_STATES[State(held), State(told)]) for told in range(4)] for held in range(4)]
 
 
-class Shared(Held):
+class AffinityTable(TableEntries):
     # api.Table
 
     def hash(self, kind: Kind, key: bytes) -> int:
@@ -40,281 +40,333 @@
         digest.update(self._kinds[kind] + key)
         return int.from_bytes(digest.digest(), "big")
 
-    def find(self, now: float, kind: Kind, key: bytes) -> Bound | None:
+    def find(self, now: float, kind: Kind, key: bytes) -> Binding | None:
         rows = self.rows
         row = rows.find(self.hash(kind, key))
         if row == NIL:
             return None
-        what = rows.what[row]
-        if what & GRAVE or self._forgotten(row, now):
+        flags = rows.flags[row]
+        if flags & TOMBSTONE or self._expire_if_allowed(row, now):
             return None
-        number = rows.who[row]
-        if kind and self.providers.gone[number]:
+        number = rows.endpoint[row]
+        if kind and self.endpoints.removed[number]:
             return None
-        name, cell, zone = self.providers.places[number]
-        return Bound(
+        name, cell, zone = self.endpoints.placements[number]
+        return Binding(
             name,
             cell,
             zone,
-            State((what & STATE) >> STATE_AT),
-            max(0.0, now - rows.seen[row]),
-            max(0.0, now - rows.made[row]),
-            bool(what & CHARGED),
+            State((flags & STATE) >> STATE_SHIFT),
+            max(0.0, now - rows.last_seen_ms[row]),
+            max(0.0, now - rows.created_ms[row]),
+            bool(flags & CHARGED),
         )
 
-    def see(self, now: float, kind: Kind, key: bytes, provider: str, state: State, charged: bool = False) -> bool:
-        hashed = self.hash(kind, key)
+    def record_use(
+        self, now: float, kind: Kind, key: bytes, endpoint: str, state: State, charged: bool = False
+    ) -> bool:
+        key_hash = self.hash(kind, key)
         rows = self.rows
-        row = rows.find(hashed)
-        if row == NIL or rows.what[row] & GRAVE or self._forgotten(row, now):
-            gen = 0 if row == NIL else rows.gen[row] + 1
-            return self._bind(now, hashed, row, kind, self.providers.place(provider), state, charged, gen)
-        if now >= self.ends(row):
-            return self._again(now, row, kind, provider, state, charged)
-        what = rows.what[row]
-        after = AFTER_BITS[(what & STATE) >> STATE_AT][state]
-        number = rows.who[row]
-        rows.seen[row] = now
-        if self.providers.gone[number] and provider != self.providers.places[number][0]:
-            place = self.providers.place(provider)
+        row = rows.find(key_hash)
+        if row == NIL or rows.flags[row] & TOMBSTONE or self._expire_if_allowed(row, now):
+            generation = 0 if row == NIL else rows.generation[row] + 1
+            return self._bind(now, key_hash, row, kind, self.endpoints.placement(endpoint), state, charged, generation)
+        if now >= self.expires_at_ms(row):
+            return self._rebind(now, row, kind, endpoint, state, charged)
+        flags = rows.flags[row]
+        after = MERGED_STATE_BITS[(flags & STATE) >> STATE_SHIFT][state]
+        number = rows.endpoint[row]
+        rows.last_seen_ms[row] = now
+        if self.endpoints.removed[number] and endpoint != self.endpoints.placements[number][0]:
+            placement = self.endpoints.placement(endpoint)
             # A key's cell and zone are where its repeats are dropped.
-            if kind != Kind.KEY or place[1:] == self.providers.places[number][1:]:
-                self._move(row, place)
-                what = rows.what[row]
-        new = what & ~STATE | after << STATE_AT | OWN | (CHARGED if charged else 0)
-        if new != what:
-            if (new ^ what) & BITS:
-                self._change(row, new)
-                self.tell(row)
+            if kind != Kind.KEY or placement[1:] == self.endpoints.placements[number][1:]:
+                self._move(row, placement)
+                flags = rows.flags[row]
+        new_flags = flags & ~STATE | after << STATE_SHIFT | OBSERVED_HERE | (CHARGED if charged else 0)
+        if new_flags != flags:
+            if (new_flags ^ flags) & REPLICATED_FLAGS:
+                self._change_flags(row, new_flags)
+                self.announce(row)
             else:
-                rows.what[row] = new
-        if not new & TELL and now - rows.told[row] > self.tuning.tell * self.spans.idle[new & (KIND | STATE)]:
-            self.tell(row)
+                rows.flags[row] = new_flags
+        if (
+            not new_flags & UNANNOUNCED
+            and now - rows.announced_ms[row] > self.tuning.tell * self.lifetimes.idle_ms[new_flags & (KIND | STATE)]
+        ):
+            self.announce(row)
         return True
 
     def undo(self, now: float, kind: Kind, key: bytes) -> None:
         rows = self.rows
         row = rows.find(self.hash(kind, key))
-        if row == NIL or rows.what[row] & GRAVE or rows.by[row] != self.me or (rows.what[row] & STATE) >> STATE_AT:
-            self.count("not to be undone")
+        if (
+            row == NIL
+            or rows.flags[row] & TOMBSTONE
+            or rows.author[row] != self.own_number
+            or (rows.flags[row] & STATE) >> STATE_SHIFT
+        ):
+            self.add_count("not to be undone")
             return
-        self.to_undo.append((rows.key(row), rows.gen[row], rows.move[row], rows.count[row]))
-        self.bury(now, row, "undo")
+        self.to_undo.append((rows.key(row), rows.generation[row], rows.moves[row], rows.version[row]))
+        self.remove(now, row, "undo")
 
     def status(self) -> Mapping[str, Any]:
         return {
-            "held": self.live,
-            "graves": len(self.rows) - self.live,
+            "held": self.live_rows,
+            "graves": len(self.rows) - self.live_rows,
             "opening": self.opening,
-            "whole": self.whole,
-            "to_tell": len(self.to_tell),
-            "ended": self.orders[GOING].held,
-            "kept": self.orders[KEPT].held,
+            "whole": self.complete,
+            "to_tell": len(self.to_announce),
+            "ended": self.orders[ENDING].size,
+            "kept": self.orders[PROTECTED].size,
             "counts": dict(self.counts),
         }
 
     def _bind(
-        self, now: float, key: int, row: int, kind: Kind, place: Place, state: State, charged: bool, gen: int
+        self,
+        now: float,
+        key: int,
+        row: int,
+        kind: Kind,
+        placement: Placement,
+        state: State,
+        charged: bool,
+        generation: int,
     ) -> bool:
-        what = kind | state << STATE_AT | (CHARGED if charged else 0)
-        row = self._room(now, key, row, what, self.counter + 1)
+        flags = kind | state << STATE_SHIFT | (CHARGED if charged else 0)
+        row = self._allocate(now, key, row, flags, self.counter + 1)
         if row == NIL:
-            self.count("refused")
+            self.add_count("refused")
             return False
         self.counter += 1
         # Nobody has been told: the first chance is the next batch, so its told age is of no account till then.
-        self._set(
-            row, what | OWN, place, gen, 0, self.counter, self.members.names[self.me], now, now, now, self.counter
+        self._write(
+            row,
+            flags | OBSERVED_HERE,
+            placement,
+            generation,
+            0,
+            self.counter,
+            self.members.names[self.own_number],
+            now,
+            now,
+            now,
+            self.counter,
         )
-        self._enter(row)
-        self.tell(row)
-        self.wheel.put(row, self.ends(row))
-        self._note("has", row)
+        self._activate(row)
+        self.announce(row)
+        self.wheel.schedule(row, self.expires_at_ms(row))
+        self._notify_change("has", row)
         return True
 
-    def _again(self, now: float, row: int, kind: Kind, provider: str, state: State, charged: bool) -> bool:
+    def _rebind(self, now: float, row: int, kind: Kind, endpoint: str, state: State, charged: bool) -> bool:
         """A sight of what is over by its age: a new one. As another may have seen it since, it stays where it is."""
         rows = self.rows
-        number = rows.who[row]
-        place, bound = self.providers.place(provider), self.providers.places[number]
-        charged = charged or bool(rows.what[row] & CHARGED)
-        if not self.providers.gone[number] or (kind == Kind.KEY and place[1:] != bound[1:]):
-            place = bound
-        gen = rows.gen[row] + 1
-        self._ended("over", row)
-        self._leave(row)
-        rows.what[row] = kind | GRAVE
-        self.wheel.put(row, now + self.tuning.grave_ms)
-        return self._bind(now, rows.key(row), row, kind, place, state, charged, gen)
+        number = rows.endpoint[row]
+        placement, bound = self.endpoints.placement(endpoint), self.endpoints.placements[number]
+        charged = charged or bool(rows.flags[row] & CHARGED)
+        if not self.endpoints.removed[number] or (kind == Kind.KEY and placement[1:] != bound[1:]):
+            placement = bound
+        generation = rows.generation[row] + 1
+        self._notify_end("over", row)
+        self._deactivate(row)
+        rows.flags[row] = kind | TOMBSTONE
+        self.wheel.schedule(row, now + self.tuning.grave_ms)
+        return self._bind(now, rows.key(row), row, kind, placement, state, charged, generation)
 
-    def _move(self, row: int, place: Place) -> None:
+    def _move(self, row: int, placement: Placement) -> None:
         rows = self.rows
-        move = min(rows.move[row] + 1, 0xFFFF)
+        moves = min(rows.moves[row] + 1, 0xFFFF)
         self.counter += 1
-        self._leave(row)
-        self._set(
+        self._deactivate(row)
+        self._write(
             row,
-            rows.what[row] & ~TELL,
-            place,
-            rows.gen[row],
-            move,
+            rows.flags[row] & ~UNANNOUNCED,
+            placement,
+            rows.generation[row],
+            moves,
             self.counter,
-            self.members.names[self.me],
-            rows.seen[row],
-            rows.made[row],
-            rows.told[row],
+            self.members.names[self.own_number],
+            rows.last_seen_ms[row],
+            rows.created_ms[row],
+            rows.announced_ms[row],
             rows.stamp[row],
         )
-        self._enter(row)
-        self.tell(row)
-        self._note("moved", row)
+        self._activate(row)
+        self.announce(row)
+        self._notify_change("moved", row)
 
     # Ages
 
-    def fenced(self, now: float, most: int) -> bool:
+    def expire_after_fencing(self, now: float, most: int) -> bool:
         """What is over by its age is dropped without others' word: they may have forgotten it. Whether there is more.
 
         What is young is kept: both sides of a cut are fenced at its heal, and neither may lose what it goes on using.
         """
-        least, self.least = self.least, INFINITE
-        more = self.age(now, most, "fenced")
-        self.least = least
+        least, self.watermark_ms = self.watermark_ms, INFINITE
+        more = self.expire(now, most, "fenced")
+        self.watermark_ms = least
         return more
 
-    def _forgotten(self, row: int, now: float) -> bool:
+    def _expire_if_allowed(self, row: int, now: float) -> bool:
         """Whether it may be, and then it is: what was found to be over once is not found again later."""
-        if not self.may_forget(row, now):
+        if not self.may_remove(row, now):
             return False
-        self.bury(now, row, "over")
+        self.remove(now, row, "over")
         return True
 
-    def age(self, now: float, most: int, why: str = "over") -> bool:
+    def expire(self, now: float, most: int, reason: str = "over") -> bool:
         """Looks at what is due and drops what may be forgotten: `most` rows. Whether more is due."""
         rows, wheel = self.rows, self.wheel
         for _ in range(most):
-            row = wheel.take(now)
+            row = wheel.pop_due(now)
             if row == NIL:
                 break
-            if rows.what[row] & GRAVE:
+            if rows.flags[row] & TOMBSTONE:
                 rows.free(row)
                 continue
-            forgets = self.forgets(row)
-            if forgets <= now:
-                wheel.link(row, OVER)
+            removable_at_ms = self.removable_at_ms(row)
+            if removable_at_ms <= now:
+                wheel.link(row, EXPIRED_SLOT)
                 continue
-            out = self.others_end(row)
-            if now < out:  # looked at then in any case: a sight may come that is held back
-                wheel.put(row, min(out, forgets))
-            elif now < (ends := self.ends(row)):
+            announced_expiry_ms = self.announced_expiry_ms(row)
+            if now < announced_expiry_ms:  # looked at then in any case: a sight may come that is held back
+                wheel.schedule(row, min(announced_expiry_ms, removable_at_ms))
+            elif now < (expires_at_ms := self.expires_at_ms(row)):
                 # The others' age of it runs out by now: they must not think that it is over.
-                self.tell(row)
-                wheel.put(row, ends)
+                self.announce(row)
+                wheel.schedule(row, expires_at_ms)
             else:
-                wheel.put(row, forgets)
+                wheel.schedule(row, removable_at_ms)
         for _ in range(most):
-            row = wheel.over
+            row = wheel.first_expired
             if row == NIL:
                 break
-            forgets = self.forgets(row)
-            if now < forgets:
-                wheel.put(row, min(forgets, self.others_end(row)))
-            elif self.may_forget(row, now):
-                self.bury(now, row, why)
+            removable_at_ms = self.removable_at_ms(row)
+            if now < removable_at_ms:
+                wheel.schedule(row, min(removable_at_ms, self.announced_expiry_ms(row)))
+            elif self.may_remove(row, now):
+                self.remove(now, row, reason)
             else:
-                return wheel.behind(now)
+                return wheel.is_behind(now)
         else:
             return True
-        return wheel.behind(now)
+        return wheel.is_behind(now)
 
     # What is heard
 
-    def hear(
+    def apply_replica(
         self,
         now: float,
         key: int,
-        what: int,
-        place: Place,
-        gen: int,
-        move: int,
-        count: int,
-        by: str,
-        seen: float,
-        made: float,
+        flags: int,
+        placement: Placement,
+        generation: int,
+        moves: int,
+        version: int,
+        author: str,
+        last_seen_ms: float,
+        created_ms: float,
         stamp: int,
-        seer: bool,
-        doubt: float = 0.0,
+        from_observer: bool,
+        uncertainty_ms: float = 0.0,
     ) -> bool:
         """A sight told by its seer, or a copy. Ages as on one's own clock. Whether it is held afterwards.
 
         `doubt`: ms by which who gave the copy may have held it to be younger than it was. What would be over by then
         is not taken where nothing is held, and what is no younger than that may be one's own sight come back.
         """
-        rows, spans = self.rows, self.spans
-        self.counter = max(self.counter, count, stamp)
-        what &= BITS
-        seen, made = min(seen, now), min(made, now)
-        over = now >= min(seen + spans.idle[what & (KIND | STATE)], made + spans.longest[what & KIND])
+        rows, spans = self.rows, self.lifetimes
+        self.counter = max(self.counter, version, stamp)
+        flags &= REPLICATED_FLAGS
+        last_seen_ms, created_ms = min(last_seen_ms, now), min(created_ms, now)
+        is_over = now >= min(
+            last_seen_ms + spans.idle_ms[flags & (KIND | STATE)], created_ms + spans.max_lifetime_ms[flags & KIND]
+        )
         row = rows.find(key)
-        if row == NIL or rows.what[row] & GRAVE:
-            if over or now + doubt >= seen + spans.idle[what & (KIND | STATE)]:
+        if row == NIL or rows.flags[row] & TOMBSTONE:
+            if is_over or now + uncertainty_ms >= last_seen_ms + spans.idle_ms[flags & (KIND | STATE)]:
                 return False
             if (
                 row != NIL
-                and gen <= rows.gen[row]
-                and not ((seer and gen == rows.gen[row]) or self._used_since(row, seen, made))
+                and generation <= rows.generation[row]
+                and not (
+                    (from_observer and generation == rows.generation[row])
+                    or self._used_since(row, last_seen_ms, created_ms)
+                )
             ):
-                self.count("copy of what is forgotten")
+                self.add_count("copy of what is forgotten")
                 return False
-            row = self._room(now, key, row, what, stamp)
+            row = self._allocate(now, key, row, flags, stamp)
             if row == NIL:
                 return False
-            self._set(row, what, place, gen, move, count, by, seen, made, seen, stamp)
-            self._enter(row)
-            self.wheel.put(row, self.ends(row))
-            self._note("has", row)
+            self._write(
+                row, flags, placement, generation, moves, version, author, last_seen_ms, created_ms, last_seen_ms, stamp
+            )
+            self._activate(row)
+            self.wheel.schedule(row, self.expires_at_ms(row))
+            self._notify_change("has", row)
             return True
-        order = beats(
-            gen, move, count, by, (rows.gen[row], rows.move[row], rows.count[row], self.members.names[rows.by[row]])
+        comparison = compare_versions(
+            generation,
+            moves,
+            version,
+            author,
+            (rows.generation[row], rows.moves[row], rows.version[row], self.members.names[rows.author[row]]),
         )
-        same_gen = gen == rows.gen[row]
-        if order > 0:
-            if over:
+        same_generation = generation == rows.generation[row]
+        if comparison > 0:
+            if is_over:
                 return False
-            held_over = now >= self.ends(row)
-            self._replace(row, what, place, gen, move, count, by, seen, made, stamp, same_gen, held_over)
-        elif same_gen or not over:
-            held = rows.what[row]
-            new = held | (what & CHARGED if same_gen else 0)
-            if order < 0 and not held & STATE and what & STATE:
-                new |= State.OPEN << STATE_AT  # values.besides
-            if order == 0:
-                after = AFTER_BITS[(held & STATE) >> STATE_AT][(what & STATE) >> STATE_AT]
-                new = new & ~STATE | after << STATE_AT
-            if new != held:
-                self._change(row, new)
-            if seer or seen > rows.seen[row] + doubt:
-                self._young(row, seen)
+            old_expired = now >= self.expires_at_ms(row)
+            self._replace(
+                row,
+                flags,
+                placement,
+                generation,
+                moves,
+                version,
+                author,
+                last_seen_ms,
+                created_ms,
+                stamp,
+                same_generation,
+                old_expired,
+            )
+        elif same_generation or not is_over:
+            old_flags = rows.flags[row]
+            new_flags = old_flags | (flags & CHARGED if same_generation else 0)
+            if comparison < 0 and not old_flags & STATE and flags & STATE:
+                new_flags |= State.OPEN << STATE_SHIFT  # values.besides
+            if comparison == 0:
+                after = MERGED_STATE_BITS[(old_flags & STATE) >> STATE_SHIFT][(flags & STATE) >> STATE_SHIFT]
+                new_flags = new_flags & ~STATE | after << STATE_SHIFT
+            if new_flags != old_flags:
+                self._change_flags(row, new_flags)
+            if from_observer or last_seen_ms > rows.last_seen_ms[row] + uncertainty_ms:
+                self._refresh(row, last_seen_ms)
             self.restamp(row, stamp)
         return True
 
-    def _used_since(self, row: int, seen: float, made: float) -> bool:
+    def _used_since(self, row: int, last_seen_ms: float, created_ms: float) -> bool:
         """Whether a copy tells more than its grave knows: it was used on where it was not forgotten, or made anew by
         one that knew of no earlier one. A copy is never younger than in truth, so what is no later is the old one.
         """
-        return made > self.rows.made[row] or seen > self.rows.seen[row] + self.slack
+        return created_ms > self.rows.created_ms[row] or last_seen_ms > self.rows.last_seen_ms[row] + self.age_slack_ms
 
-    def undone(self, now: float, key: int, gen: int, move: int, count: int, by: str) -> None:
+    def apply_undo(self, now: float, key: int, generation: int, moves: int, version: int, author: str) -> None:
         rows = self.rows
         row = rows.find(key)
         if (
             row == NIL
-            or rows.what[row] & GRAVE
-            or (rows.gen[row], rows.move[row], rows.count[row]) != (gen, move, count)
-            or self.members.names[rows.by[row]] != by
-            or (rows.what[row] & STATE) >> STATE_AT
+            or rows.flags[row] & TOMBSTONE
+            or (rows.generation[row], rows.moves[row], rows.version[row]) != (generation, moves, version)
+            or self.members.names[rows.author[row]] != author
+            or (rows.flags[row] & STATE) >> STATE_SHIFT
         ):
             return
-        if rows.what[row] & OWN:
-            self.tell(row)  # it was seen here too: in use
+        if rows.flags[row] & OBSERVED_HERE:
+            self.announce(row)  # it was seen here too: in use
             return
-        self.bury(now, row, "undo")
+        self.remove(now, row, "undo")
--- a/limenotch/fleet/affinity/timer_wheel.py
+++ b/limenotch/fleet/affinity/timer_wheel.py
@@ -13,72 +13,72 @@
 from .rows import NIL, Rows
 
 SLOTS = 8192
-OVER = SLOTS  # the list of what is over
-OUT = 0xFFFF  # of a row in none
-MOST_TICKS = 20_000  # passed in one turn, most of them empty: after a pause
+EXPIRED_SLOT = SLOTS  # the list of what is over
+NOT_LINKED = 0xFFFF  # of a row in none
+MAX_TICKS_PER_TURN = 20_000  # passed in one turn, most of them empty: after a pause
 
 
-class Wheel:
+class TimerWheel:
     def __init__(self, rows: Rows, tick_ms: float, now: float) -> None:
         self._rows, self.tick_ms = rows, tick_ms
-        self.done = int(now // tick_ms)  # ticks; all that was due by then has been looked at
+        self.current_tick = int(now // tick_ms)  # ticks; all that was due by then has been looked at
         self._first = array("I", [NIL]) * (SLOTS + 1)
         self._last = array("I", [NIL]) * (SLOTS + 1)
 
     @property
-    def passed(self) -> float:
+    def processed_until_ms(self) -> float:
         """All that was due up to this time has been given out."""
-        return self.done * self.tick_ms
+        return self.current_tick * self.tick_ms
 
-    def put(self, row: int, due: float) -> None:
+    def schedule(self, row: int, due_at_ms: float) -> None:
         """To be given out at `due`, no more than a tick later; where it stood before is left."""
-        tick = min(max(ceil(due / self.tick_ms), self.done + 1), self.done + SLOTS - 1)
+        tick = min(max(ceil(due_at_ms / self.tick_ms), self.current_tick + 1), self.current_tick + SLOTS - 1)
         self.link(row, tick % SLOTS)
 
     def link(self, row: int, slot: int) -> None:
         rows = self._rows
-        if rows.slot[row] != OUT:
-            self.drop(row)
+        if rows.wheel_slot[row] != NOT_LINKED:
+            self.unlink(row)
         last = self._last[slot]
-        rows.slot[row], rows.after[row], rows.before[row] = slot, NIL, last
+        rows.wheel_slot[row], rows.wheel_next[row], rows.wheel_previous[row] = slot, NIL, last
         if last == NIL:
             self._first[slot] = row
         else:
-            rows.after[last] = row
+            rows.wheel_next[last] = row
         self._last[slot] = row
 
-    def drop(self, row: int) -> None:
+    def unlink(self, row: int) -> None:
         rows = self._rows
-        slot = rows.slot[row]
-        if slot == OUT:
+        slot = rows.wheel_slot[row]
+        if slot == NOT_LINKED:
             return
-        after, before = rows.after[row], rows.before[row]
-        if before == NIL:
-            self._first[slot] = after
+        next_row, previous_row = rows.wheel_next[row], rows.wheel_previous[row]
+        if previous_row == NIL:
+            self._first[slot] = next_row
         else:
-            rows.after[before] = after
-        if after == NIL:
-            self._last[slot] = before
+            rows.wheel_next[previous_row] = next_row
+        if next_row == NIL:
+            self._last[slot] = previous_row
         else:
-            rows.before[after] = before
-        rows.slot[row] = OUT
+            rows.wheel_previous[next_row] = previous_row
+        rows.wheel_slot[row] = NOT_LINKED
 
-    def take(self, now: float) -> int:
+    def pop_due(self, now: float) -> int:
         """The next row that is due, out of the wheel; NIL if none is, or too many ticks passed for one turn."""
-        target, ticks = int(now // self.tick_ms), 0
-        while self.done < target and ticks < MOST_TICKS:
-            row = self._first[(self.done + 1) % SLOTS]
+        target_tick, ticks = int(now // self.tick_ms), 0
+        while self.current_tick < target_tick and ticks < MAX_TICKS_PER_TURN:
+            row = self._first[(self.current_tick + 1) % SLOTS]
             if row != NIL:
-                self.drop(row)
+                self.unlink(row)
                 return row
-            self.done += 1
+            self.current_tick += 1
             ticks += 1
         return NIL
 
-    def behind(self, now: float) -> bool:
-        return self.done < int(now // self.tick_ms)
+    def is_behind(self, now: float) -> bool:
+        return self.current_tick < int(now // self.tick_ms)
 
     @property
-    def over(self) -> int:
+    def first_expired(self) -> int:
         """The first of what is over; NIL if nothing is."""
-        return self._first[OVER]
+        return self._first[EXPIRED_SLOT]
--- a/limenotch/fleet/affinity/values.py
+++ b/limenotch/fleet/affinity/values.py
@@ -22,7 +22,7 @@
 
 from .api import State
 
-AFTER: dict[tuple[State, State], State] = {  # (held, told), of one value
+MERGED_STATES: dict[tuple[State, State], State] = {  # (held, told), of one value
     (State.OPENING, State.OPENING): State.OPENING,
     (State.OPENING, State.OPEN): State.OPEN,
     (State.OPENING, State.CLOSING): State.CLOSING,
@@ -47,42 +47,50 @@
     what comes round again is only less exact.
     """
 
-    gen: int
-    move: int
-    count: int  # type: ignore[assignment]
-    by: str
-    provider: tuple[str, str, str]  # name, cell, zone
+    generation: int
+    moves: int
+    version: int
+    author: str
+    endpoint: tuple[str, str, str]  # name, cell, zone
     state: State
     charged: bool
-    seen: float
-    made: float
+    last_seen_ms: float
+    created_ms: float
 
 
-def beats(gen: int, move: int, count: int, by: str, than: tuple[int, int, int, str]) -> int:
+def compare_versions(generation: int, moves: int, version: int, author: str, other: tuple[int, int, int, str]) -> int:
     """1: it wins over the second; 0: they are one value; -1: it loses."""
-    if (gen, move) != than[:2]:
-        return 1 if (gen, move) > than[:2] else -1
-    if (count, by) == than[2:]:
+    if (generation, moves) != other[:2]:
+        return 1 if (generation, moves) > other[:2] else -1
+    if (version, author) == other[2:]:
         return 0
-    return 1 if (count, by) < than[2:] else -1
+    return 1 if (version, author) < other[2:] else -1
 
 
-def besides(won: State, lost: State) -> State:
+def state_beside(won: State, lost: State) -> State:
     """The winner's state, where the other value had that one."""
     return State.OPEN if won == State.OPENING and lost != State.OPENING else won
 
 
-def merge(one: Value, other: Value) -> Value:
+def merge(winner: Value, loser: Value) -> Value:
     """What is held once both are known, and neither is over by its age.
 
     Use is of the key, not of who won: the later sight stays, and that it was open. So does a charge within one `gen`.
     """
-    order = beats(*one[:4], than=other[:4])
+    order = compare_versions(*winner[:4], other=loser[:4])
     if order < 0:
-        one, other = other, one
-    seen, charged = max(one.seen, other.seen), one.charged or (other.charged and one.gen == other.gen)
+        winner, loser = loser, winner
+    last_seen_ms, charged = (
+        max(winner.last_seen_ms, loser.last_seen_ms),
+        winner.charged or (loser.charged and winner.generation == loser.generation),
+    )
     if order:
-        return one._replace(state=besides(one.state, other.state), seen=seen, charged=charged)
-    return one._replace(
-        provider=min(one.provider, other.provider), state=AFTER[one.state, other.state], charged=charged, seen=seen
+        return winner._replace(
+            state=state_beside(winner.state, loser.state), last_seen_ms=last_seen_ms, charged=charged
+        )
+    return winner._replace(
+        endpoint=min(winner.endpoint, loser.endpoint),
+        state=MERGED_STATES[winner.state, loser.state],
+        charged=charged,
+        last_seen_ms=last_seen_ms,
     )
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -26,7 +26,7 @@
 from ..balancing.types import Effect
 from ..config import Config
 from ..fleet.affinity import messages
-from ..fleet.affinity.api import Kind, Providers, State, Window
+from ..fleet.affinity.api import AvailableEndpoints, DeduplicationWindow, Kind, State
 from ..fleet.affinity.core import Bindings
 from ..fleet.affinity.tuning import Tuning
 from ..fleet.hub import ComponentEvent
@@ -69,7 +69,7 @@
     """A consumer's connection."""
 
     key: bytes
-    provider: str = ""
+    endpoint: str = ""
 
 
 def joined(*parts: bytes) -> bytes:
@@ -124,13 +124,13 @@
 
     def first(self) -> list[Any]:
         """What the part is to know before anything else."""
-        return [Providers(self._there), Window(max(self._windows.values(), default=0.0))]
+        return [AvailableEndpoints(self._there), DeduplicationWindow(max(self._windows.values(), default=0.0))]
 
     def again(self, now: float) -> None:
         """What was bound before the part had begun, which begins with an empty table."""
         early, self._early = self._early or {}, None
-        for (kind, key), (provider, state, charged) in early.items():
-            self._table.see(now, kind, key, provider, state, charged)
+        for (kind, key), (endpoint, state, charged) in early.items():
+            self._table.record_use(now, kind, key, endpoint, state, charged)
 
     def configuration_applied(self, config: Config) -> None:
         windows = {
@@ -141,11 +141,11 @@
         if windows != self._windows:
             self._windows = windows
             self._classes |= windows.keys()
-            self._among.dispatch(ComponentEvent(PREFIX, Window(max(windows.values(), default=0.0))))
+            self._among.dispatch(ComponentEvent(PREFIX, DeduplicationWindow(max(windows.values(), default=0.0))))
 
-    def endpoints_listed(self, providers: Iterable[DiscoveredEndpoint], whole: bool) -> None:
+    def endpoints_listed(self, endpoints: Iterable[DiscoveredEndpoint], whole: bool) -> None:
         held = {} if whole else self._listed
-        held.update((provider.name, provider) for provider in providers)
+        held.update((endpoint.name, endpoint) for endpoint in endpoints)
         self._listed = {name: each for name, each in held.items() if each.status is not DiscoveryStatus.TERMINATED}
         self._tell()
 
@@ -165,24 +165,24 @@
         }
         if there != self._there:
             self._there = there
-            self._among.dispatch(ComponentEvent(PREFIX, Providers(there)))
+            self._among.dispatch(ComponentEvent(PREFIX, AvailableEndpoints(there)))
 
     def connection_closed(self, origin: str) -> None:
         kept = self._conns.pop(origin, None)
-        if kept is not None and kept.provider:
-            self._see(Kind.CONN, kept.key, kept.provider, State.CLOSING)
+        if kept is not None and kept.endpoint:
+            self._see(Kind.CONN, kept.key, kept.endpoint, State.CLOSING)
 
     def status(self) -> dict[str, Any]:
-        ground = self._bindings.ground
+        context = self._bindings.context
         return {
-            "state": "whole" if self._table.whole else "joining",
+            "state": "whole" if self._table.complete else "joining",
             **self._table.status(),
             "calls": {**self.counts, "open": len(self._mine)},
             "consumers": len(self._conns),
             "providers": len(self._there),
             "window_ms": max(self._windows.values(), default=0.0),
-            "told": ground.teller.seq,  # words of sights so far; of each other member, those heard here:
-            "heard": {peer.name: peer.seq for peer in ground.peers.live()},
+            "told": context.update_sender.seq,  # words of sights so far; of each other member, those heard here:
+            "heard": {peer.name: peer.last_seq for peer in context.peers.alive_peers()},
         }
 
     # Calls
@@ -209,7 +209,7 @@
                 own = b"%d %d" % (self._among.process_epoch, self._conn)  # another connection from there is another one
                 kept = self._conns[about.connection] = Kept(joined(self._among.name.encode(), b"", own))
             self.counts["connections"] += 1
-            if call.placement_hint is None and kept.provider:
+            if call.placement_hint is None and kept.endpoint:
                 self._prefer(call, Kind.CONN, kept.key)
         if mine.key or mine.session or mine.origin:
             self._mine[call.number] = mine
@@ -218,7 +218,7 @@
     def _keyed(self, call: Request, mine: Mine) -> FinalResponse | None:
         self.counts["keyed"] += 1
         bound = self._table.find(self._among.now(), Kind.KEY, mine.key)
-        if bound is None and call.details.is_retry and not self._table.whole:
+        if bound is None and call.details.is_retry and not self._table.complete:
             self.counts["unsure"] += 1
             return FinalResponse(Verdict.REJECTED)
         if bound is not None:
@@ -226,7 +226,7 @@
             call.already_charged = call.already_charged or bound.charged
             # The window counts from the first of them, wherever its latest repeat was seen.
             call.placement_hint = PlacementHint(
-                may_have_run=True, zone=bound.zone, group=_group(bound.cell), age_ms=bound.made_ms
+                may_have_run=True, zone=bound.zone, group=_group(bound.cell), age_ms=bound.age_ms
             )
             mine.hinted = True
         else:
@@ -240,7 +240,7 @@
     def _prefer(self, call: Request, kind: Kind, key: bytes) -> None:
         bound = self._table.find(self._among.now(), kind, key)
         if bound is not None:
-            call.placement_hint = PlacementHint(preferred_endpoint=bound.provider)
+            call.placement_hint = PlacementHint(preferred_endpoint=bound.endpoint)
 
     def attempt_started(self, invoker_call: Attempt) -> None:
         mine = self._mine.get(invoker_call.request.number)
@@ -298,7 +298,7 @@
             self._see(Kind.SESSION, mine.session, by, State.OPEN)
         kept = self._conns.get(mine.origin)
         if kept is not None:
-            kept.provider = by
+            kept.endpoint = by
             self._see(Kind.CONN, kept.key, by, State.OPEN)
 
     def _over(self, number: int, mine: Mine) -> None:
@@ -313,11 +313,11 @@
 
     # The table
 
-    def _see(self, kind: Kind, key: bytes, provider: str, state: State, charged: bool = False) -> bool:
+    def _see(self, kind: Kind, key: bytes, endpoint: str, state: State, charged: bool = False) -> bool:
         early = self._early
         if early is not None and len(early) < MOST_EARLY:
-            early[kind, key] = provider, state, charged
-        return self._table.see(self._among.now(), kind, key, provider, state, charged)
+            early[kind, key] = endpoint, state, charged
+        return self._table.record_use(self._among.now(), kind, key, endpoint, state, charged)
 
     def _undo(self, key: bytes) -> None:
         self.counts["undone"] += 1
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -18,7 +18,7 @@
 from msgspec.structs import replace
 
 from limenotch.fleet import membership
-from limenotch.fleet.affinity.api import Bound, Kind, Providers, State, Window
+from limenotch.fleet.affinity.api import AvailableEndpoints, Binding, DeduplicationWindow, Kind, State
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.fleet.hub import ComponentEvent, ComponentHub
@@ -66,7 +66,7 @@
     def handle(self, now: float, event: Any) -> list[Any]:
         out: list[Any] = self.hub.handle(now, event)
         if isinstance(event, Started):
-            for told in (Window(WINDOW_MS), Providers(THERE)):
+            for told in (DeduplicationWindow(WINDOW_MS), AvailableEndpoints(THERE)):
                 out += self.hub.handle(now, ComponentEvent(PREFIX, told))
         return out
 
@@ -100,7 +100,7 @@
         clock = max(node.now, node.clock(world.now))
         for key in self.keys:
             bound = self._find(node.part.bindings, clock, key)
-            now[key] = f"{key} {bound.provider}" if bound is not None else f"{key} none"
+            now[key] = f"{key} {bound.endpoint}" if bound is not None else f"{key} none"
             if bound is None and key not in last:
                 last[key] = now[key]
         figures = node.part.bindings.table.status()
@@ -116,7 +116,7 @@
                 world.seen.append(Seen(world.now, name, text))
         self.last[name] = (node.part, now)
 
-    def _find(self, bindings: Bindings, clock: float, key: str) -> Bound | None:
+    def _find(self, bindings: Bindings, clock: float, key: str) -> Binding | None:
         return bindings.table.find(clock, kind_of(key), key.encode())
 
     def ask(self, world: World, name: str, words: str) -> None:
@@ -129,21 +129,21 @@
             there.pop(about[0], None)
             if word == "back":
                 there[about[0]] = THERE[about[0]]
-            world.poke(name, ComponentEvent(PREFIX, Providers(dict(there))))
+            world.poke(name, ComponentEvent(PREFIX, AvailableEndpoints(dict(there))))
             return
         if node.part is None or node.paused:
             return
         table, clock = node.part.bindings.table, max(node.now, node.clock(world.now))
         if word == "see":
             state = State[about[2].upper()] if len(about) > 2 else State.OPEN
-            if not table.see(clock, kind_of(about[0]), about[0].encode(), about[1], state):
+            if not table.record_use(clock, kind_of(about[0]), about[0].encode(), about[1], state):
                 world.seen.append(Seen(world.now, name, f"{about[0]} refused"))
         elif word == "undo":
             table.undo(clock, kind_of(about[0]), about[0].encode())
         elif word in GROUPS:
             group, state = GROUPS[word]
             refused = sum(
-                not table.see(clock, kind_of(group), f"{group}{number}".encode(), about[1], state)
+                not table.record_use(clock, kind_of(group), f"{group}{number}".encode(), about[1], state)
                 for number in range(int(about[0]))
             )
             self.groups[group] = int(about[0])
--- a/limenotch/lab/fleet/bindings_history.py
+++ b/limenotch/lab/fleet/bindings_history.py
@@ -35,7 +35,7 @@
     node: str
     process: int
     process_epoch: int  # membership's
-    provider: str
+    endpoint: str
     state: int
 
 
@@ -49,7 +49,7 @@
     state: int
     state_at: float  # since when the binding is in that state
     states: set[int]
-    providers: set[str]
+    endpoints: set[str]
     sights: dict[tuple[str, int], Sight]  # the last of each process
     sure: bool = True  # False: begun when the one before may or may not have been forgotten
 
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -12,7 +12,7 @@
 
 from limenotch.fleet import membership
 from limenotch.fleet.affinity import messages
-from limenotch.fleet.affinity.api import Bound, Kind, Providers, State, Window
+from limenotch.fleet.affinity.api import AvailableEndpoints, Binding, DeduplicationWindow, Kind, State
 from limenotch.fleet.affinity.core import Bindings
 from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.fleet.hub import ComponentEvent, ComponentHub
@@ -24,7 +24,7 @@
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
 
-PREFIX = tag_of(messages.Sights).partition(".")[0] + "."
+PREFIX = tag_of(messages.LastSeenUpdate).partition(".")[0] + "."
 SECRET = b"of the laboratory"
 AGES = Ages(opening=400, open=1200, closing=500, lingering=300, longest=9000)
 QUICK = Tuning(
@@ -94,8 +94,8 @@
             checker.fenced(at, self.name)
         elif isinstance(event, MemberChanged):
             checker.holds(at, self.name, event.name, event.state, event.process_epoch)
-        elif isinstance(event, Providers):
-            checker.providers(at, self.name, event.there)
+        elif isinstance(event, AvailableEndpoints):
+            checker.endpoints(at, self.name, event.available)
         return self.part.handle(now, event)
 
 
@@ -134,7 +134,7 @@
             name, address(name), process_epoch, [address(one) for one in self.names[:2]], self.members, seed
         )
         bindings = Bindings(name, process_epoch, SECRET, self.tuning, seed)
-        bindings.watch = lambda why, mark: self._ended(name, bindings, why, mark)
+        bindings.on_end = lambda why, mark: self._ended(name, bindings, why, mark)
         self.checker.began(self.world.now, name, process_epoch)
         recorded = Recorded(self, name, bindings)
         hub = ComponentHub([("mb.", members), (PREFIX, recorded)], members)
@@ -142,8 +142,8 @@
         return Member(hub, members, bindings)
 
     def _settings(self, name: str) -> None:
-        self.tell(name, Window(self.window_ms))
-        self.tell(name, Providers(dict(self.there)))
+        self.tell(name, DeduplicationWindow(self.window_ms))
+        self.tell(name, AvailableEndpoints(dict(self.there)))
 
     def _ended(self, name: str, bindings: Bindings, why: str, mark: bytes) -> None:
         part = self.world.part(name)
@@ -168,7 +168,7 @@
 
     # Consumers
 
-    def see(self, name: str, key: Key, provider: str, state: int = State.OPEN) -> bool:
+    def record_use(self, name: str, key: Key, endpoint: str, state: int = State.OPEN) -> bool:
         """False: no process there, or it was refused."""
         bindings = self.bindings(name)
         if bindings is None:
@@ -177,17 +177,17 @@
             self.keys[key] = None
             self._hashes[bindings.hash_of(Kind(key[0]), key[1])] = key
         now, self._seeing = self.clock(name), key
-        taken = bindings.table.see(now, Kind(key[0]), key[1], provider, State(state))
+        taken = bindings.table.record_use(now, Kind(key[0]), key[1], endpoint, State(state))
         self._seeing = None
-        self.checker.sees(self.world.now, name, key, provider, state, taken)
+        self.checker.sees(self.world.now, name, key, endpoint, state, taken)
         return taken
 
-    def find(self, name: str, key: Key) -> Bound | None:
+    def find(self, name: str, key: Key) -> Binding | None:
         bindings = self.bindings(name)
         if bindings is None:
             return None
         bound = bindings.table.find(self.clock(name), Kind(key[0]), key[1])
-        self.checker.found(self.world.now, name, key, bound, bindings.table.whole)
+        self.checker.found(self.world.now, name, key, bound, bindings.table.complete)
         return bound
 
     def undo(self, name: str, key: Key) -> None:
@@ -196,13 +196,13 @@
             bindings.table.undo(self.clock(name), Kind(key[0]), key[1])
             self.checker.undone(self.world.now, name, key)
 
-    def come(self, name: str, key: Key, provider: str, state: int = State.OPEN) -> str | None:
+    def come(self, name: str, key: Key, endpoint: str, state: int = State.OPEN) -> str | None:
         """A consumer: stays where it is bound, else goes to `provider`. Gives where it went."""
         if self.bindings(name) is None:
             return None
         bound = self.find(name, key)
-        to = bound.provider if bound is not None else provider
-        return to if self.see(name, key, to, state) else None
+        to = bound.endpoint if bound is not None else endpoint
+        return to if self.record_use(name, key, to, state) else None
 
     # Time and faults
 
@@ -255,7 +255,7 @@
     def _one(self) -> bool:
         for name in self.names:
             part = self.world.part(name)
-            if part is None or part.membership.size() != len(self.names) or not part.bindings.table.whole:
+            if part is None or part.membership.size() != len(self.names) or not part.bindings.table.complete:
                 return False
         return True
 
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -11,7 +11,7 @@
 
 from msgspec.structs import replace
 
-from limenotch.fleet.affinity.api import Kind, Providers, State
+from limenotch.fleet.affinity.api import AvailableEndpoints, Kind, State
 from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.lab.fleet.bindings_history import Key
 from limenotch.lab.fleet.bindings_run import QUICK, SWEEP_MS, THERE, Run
@@ -33,11 +33,11 @@
     def come(self, run: Run) -> None:
         random = self.random
         name = random.choice(run.names)
-        provider = random.choice(sorted(run.there)) if run.there else "none"
+        endpoint = random.choice(sorted(run.there)) if run.there else "none"
         if self.state < State.CLOSING and random.random() < 0.1:
             # At two sidecars at once: neither can have heard of the other's.
             run.come(random.choice(run.names), self.key, random.choice(sorted(run.there) or ["none"]), self.state)
-        run.come(name, self.key, provider, self.state)
+        run.come(name, self.key, endpoint, self.state)
         idle = run.checker.stated.idle(self.key[0], self.state)
         part = self.part if random.random() < 0.8 else random.choice((0.9, 0.98, 1.0, 1.02, 1.1, 1.3, 3.0))
         self.due = run.world.now + idle * part
@@ -106,7 +106,9 @@
         run.there[name] = THERE[name]
     for node in run.names:
         if run.world.alive(node):
-            run.world.kernel.at(run.world.now + random.uniform(0, 30), run.tell, node, Providers(dict(run.there)))
+            run.world.kernel.at(
+                run.world.now + random.uniform(0, 30), run.tell, node, AvailableEndpoints(dict(run.there))
+            )
 
 
 def _fault(run: Run, random: Random) -> None:
--- a/limenotch/lab/fleet/checks_bindings.py
+++ b/limenotch/lab/fleet/checks_bindings.py
@@ -107,7 +107,7 @@
         if self._rough_until is not None:
             self._rough_until = at
 
-    def providers(self, at: float, node: str, names: Iterable[str]) -> None:
+    def endpoints(self, at: float, node: str, names: Iterable[str]) -> None:
         process = self.processes[node]
         if process is None:
             return
@@ -120,19 +120,19 @@
 
     # What the host asks of the table
 
-    def sees(self, at: float, node: str, key: Key, provider: str, state: int, taken: bool) -> None:
+    def sees(self, at: float, node: str, key: Key, endpoint: str, state: int, taken: bool) -> None:
         """A sight, before or after which it was bound to `provider` (what `find` says after it)."""
         process = self.processes[node]
         if process is None or not taken:
             return
         stated = self.stated
-        sight = Sight(at, node, process.number, process.process_epoch, provider, state)
+        sight = Sight(at, node, process.number, process.process_epoch, endpoint, state)
         truth = self.truths.get(key)
         if truth is None or at >= self._over(key, truth):
             sure = not any(
                 other is not None and (key in other.found or key in other.before) for other in self.processes.values()
             )
-            self.truths[key] = Truth(at, at, at, state, at, {state}, {provider}, {(node, process.number): sight}, sure)
+            self.truths[key] = Truth(at, at, at, state, at, {state}, {endpoint}, {(node, process.number): sight}, sure)
         else:
             idle = min(stated.idle(key[0], each) for each in truth.states)
             crossed = idle * (1 - stated.tell) * (1 - stated.drift) - stated.told_ms
@@ -143,7 +143,7 @@
             if not any(self._word(one) and at - one.at < idle for one in truth.sights.values()):
                 truth.sure = False
             truth.last = at
-            truth.providers.add(provider)
+            truth.endpoints.add(endpoint)
             truth.states.add(state)
             if state > truth.state:
                 truth.state, truth.state_at = state, at
@@ -179,7 +179,7 @@
             if truth is not None and at >= self._surely_over(key, truth) + spare:
                 process.over.setdefault(key, at)
         else:
-            process.found[key] = (at, bound.provider)
+            process.found[key] = (at, bound.endpoint)
             process.ended.pop(key, None)
             if truth is None:
                 self._wrong(at, "no revival", node, key, "found, and was never seen")
@@ -195,9 +195,9 @@
                     key,
                     f"last seen at {truth.last:.1f}, over and not found at {before:.1f}, found again",
                 )
-            since = process.gone.get(bound.provider)
+            since = process.gone.get(bound.endpoint)
             if since is not None and at - since > self.stated.gone_ms + EDGE_MS and key[0] != KEY:
-                self._wrong(at, "gone", node, key, f"{bound.provider} left the list at {since:.1f}")
+                self._wrong(at, "gone", node, key, f"{bound.endpoint} left the list at {since:.1f}")
         if whole:
             self._answers.setdefault(key, {})[node] = bound
 
@@ -244,7 +244,7 @@
         if truth is None or not truth.sure or process.ended.get(key) is not None:
             return
         found, stated = process.found.get(key), self.stated
-        if process.gone.keys() & truth.providers or (found is not None and found[1] in process.gone):
+        if process.gone.keys() & truth.endpoints or (found is not None and found[1] in process.gone):
             return
         if (node, process.number) not in truth.sights and (found is None or found[0] < truth.made):
             return  # it was not this binding that it had
@@ -304,8 +304,8 @@
     def _honest(self, at: float, node: str, key: Key, truth: Truth, bound: Any) -> None:
         stated = self.stated
         age = at - truth.last
-        if bound.seen_ms < age * (1 - stated.drift) - stated.young_ms - self._unclear_ms(at) - EDGE_MS:
-            self._wrong(at, "honest ages", node, key, f"seen {bound.seen_ms:.1f} ago, in truth {age:.1f}")
+        if bound.idle_ms < age * (1 - stated.drift) - stated.young_ms - self._unclear_ms(at) - EDGE_MS:
+            self._wrong(at, "honest ages", node, key, f"seen {bound.idle_ms:.1f} ago, in truth {age:.1f}")
 
     def _unclear_ms(self, at: float) -> float:
         """What clocks may have gained on each other, and messages been late, while a way was impaired."""
@@ -333,7 +333,7 @@
         answers, self._answers = self._answers, {}
         calm, stated = self.calm(at), self.stated
         for key, by in answers.items():
-            bound = {node: answer.provider for node, answer in by.items() if answer is not None}
+            bound = {node: answer.endpoint for node, answer in by.items() if answer is not None}
             if len(set(bound.values())) > 1:
                 span = at - self._differ.setdefault(key, at)
                 if calm:
