--- a/tests/fleet/affinity_bugs.py
+++ b/tests/fleet/affinity_bugs.py
@@ -12,118 +12,155 @@
 import pytest
 
 from limenotch.fleet.affinity import clocks, entries, eviction, last_seen, names, peers, table, values
-from limenotch.fleet.affinity.rows import GRAVE, NIL
+from limenotch.fleet.affinity.rows import NIL, TOMBSTONE
 from limenotch.lab.fleet.bindings_drawings import outcome
 from limenotch.lab.fleet.bindings_storms import crowd, storm
 from limenotch.lab.fleet.scenario import load
 
-Plant = Callable[[pytest.MonkeyPatch], None]
+InjectBug = Callable[[pytest.MonkeyPatch], None]
 DRAWINGS = Path(__file__).parent / "drawings" / "bindings"
 
 
-def drawn(name: str) -> Callable[[int], Any]:
+def expected_timeline(name: str) -> Callable[[int], Any]:
     return lambda seed: outcome(load(DRAWINGS / f"{name}.txt"))
 
 
-def revived_by_an_old_copy(patch: pytest.MonkeyPatch) -> None:
+def stale_replica_revives_binding(patch: pytest.MonkeyPatch) -> None:
     """What is over by its age is taken all the same, whatever the grave says."""
-    real = table.Shared.hear
+    real = table.AffinityTable.apply_replica
 
-    def hear(self: table.Shared, now: float, key: int, *rest: Any) -> bool:
-        what, place, gen, move, count, by, seen, made, stamp, seer = rest[:10]
+    def apply_replica(self: table.AffinityTable, now: float, key: int, *rest: Any) -> bool:
+        flags, placement, generation, moves, version, author, last_seen_ms, created_ms, stamp, from_observer = rest[:10]
         row = self.rows.find(key)
-        if not seer and row != NIL and self.rows.what[row] & GRAVE:
-            gen, seen, made = self.rows.gen[row] + 1, now - 10.0, now - 10.0
-        return real(self, now, key, what, place, gen, move, count, by, seen, made, stamp, seer, *rest[10:])
-
-    patch.setattr(table.Shared, "hear", hear)
-
-
-def aged_from_hearing(patch: pytest.MonkeyPatch) -> None:
+        if not from_observer and row != NIL and self.rows.flags[row] & TOMBSTONE:
+            generation, last_seen_ms, created_ms = self.rows.generation[row] + 1, now - 10.0, now - 10.0
+        return real(
+            self,
+            now,
+            key,
+            flags,
+            placement,
+            generation,
+            moves,
+            version,
+            author,
+            last_seen_ms,
+            created_ms,
+            stamp,
+            from_observer,
+            *rest[10:],
+        )
+
+    patch.setattr(table.AffinityTable, "apply_replica", apply_replica)
+
+
+def age_counted_from_receipt(patch: pytest.MonkeyPatch) -> None:
     """An age counts from when its message was heard, not from when it was sent."""
-    patch.setattr(clocks.Clock, "latest", lambda self, now, theirs: now)
+    patch.setattr(clocks.ClockOffset, "latest_local_ms", lambda self, now, remote_ms: now)
 
 
-def covered_before_told(patch: pytest.MonkeyPatch) -> None:
+def watermark_ahead_of_updates(patch: pytest.MonkeyPatch) -> None:
     """The cover speaks of a second that is still to come."""
-    real = last_seen.Teller.batches
+    real = last_seen.UpdateSender.next_batches
 
-    def batches(self: last_seen.Teller, now: float, *rest: Any) -> Any:
+    def next_batches(self: last_seen.UpdateSender, now: float, *rest: Any) -> Any:
         out = real(self, now, *rest)
-        self.covered = now + 1000.0
+        self.watermark_ms = now + 1000.0
         return out
 
-    patch.setattr(last_seen.Teller, "batches", batches)
+    patch.setattr(last_seen.UpdateSender, "next_batches", next_batches)
 
 
-def silent_one_not_waited_for(patch: pytest.MonkeyPatch) -> None:
-    def covered(self: peers.Peers, now: float, patience: float) -> float:
-        return min((peer.covered for peer in self.live() if now - peer.spoke < 100), default=clocks.INFINITE)
+def silent_member_not_waited_for(patch: pytest.MonkeyPatch) -> None:
+    def lowest_watermark_ms(self: peers.Peers, now: float, silence_grace_ms: float) -> float:
+        return min(
+            (peer.watermark_ms for peer in self.alive_peers() if now - peer.last_message_ms < 100),
+            default=clocks.INFINITE,
+        )
 
-    patch.setattr(peers.Peers, "covered", covered)
+    patch.setattr(peers.Peers, "lowest_watermark_ms", lowest_watermark_ms)
 
 
-def dead_one_waited_for(patch: pytest.MonkeyPatch) -> None:
-    def covered(self: peers.Peers, now: float, patience: float) -> float:
-        return min((peer.covered for peer in self._peers.values()), default=clocks.INFINITE)
+def dead_member_waited_for(patch: pytest.MonkeyPatch) -> None:
+    def lowest_watermark_ms(self: peers.Peers, now: float, silence_grace_ms: float) -> float:
+        return min((peer.watermark_ms for peer in self._peers.values()), default=clocks.INFINITE)
 
-    patch.setattr(peers.Peers, "covered", covered)
+    patch.setattr(peers.Peers, "lowest_watermark_ms", lowest_watermark_ms)
 
 
 def last_writer_wins(patch: pytest.MonkeyPatch) -> None:
-    real = values.beats
+    real = values.compare_versions
 
-    def beats(gen: int, move: int, count: int, by: str, than: tuple[int, int, int, str]) -> int:
-        won = real(gen, move, count, by, than)
-        return -won if (gen, move) == than[:2] else won
+    def compare_versions(
+        generation: int, moves: int, version: int, author: str, other: tuple[int, int, int, str]
+    ) -> int:
+        won = real(generation, moves, version, author, other)
+        return -won if (generation, moves) == other[:2] else won
 
-    patch.setattr(table, "beats", beats)
+    patch.setattr(table, "compare_versions", compare_versions)
 
 
-def given_way_by_own_clock(patch: pytest.MonkeyPatch) -> None:
+def eviction_by_own_order(patch: pytest.MonkeyPatch) -> None:
     """A sight makes a row the last to give way where it was seen alone, and not where it was heard of."""
-    real = table.Shared.hear
+    real = table.AffinityTable.apply_replica
 
-    def hear(self: table.Shared, now: float, key: int, *rest: Any) -> bool:
+    def apply_replica(self: table.AffinityTable, now: float, key: int, *rest: Any) -> bool:
         row = self.rows.find(key)
-        what, place, gen, move, count, by, seen, made, stamp, seer = rest[:10]
+        flags, placement, generation, moves, version, author, last_seen_ms, created_ms, stamp, from_observer = rest[:10]
         stamp = self.rows.stamp[row] if row != NIL else stamp
-        return real(self, now, key, what, place, gen, move, count, by, seen, made, stamp, seer, *rest[10:])
-
-    patch.setattr(table.Shared, "hear", hear)
-
-
-def half_open_push_out_open(patch: pytest.MonkeyPatch) -> None:
+        return real(
+            self,
+            now,
+            key,
+            flags,
+            placement,
+            generation,
+            moves,
+            version,
+            author,
+            last_seen_ms,
+            created_ms,
+            stamp,
+            from_observer,
+            *rest[10:],
+        )
+
+    patch.setattr(table.AffinityTable, "apply_replica", apply_replica)
+
+
+def opening_rows_evict_open_rows(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        eviction, "BY_WHAT", tuple(eviction.OPENED if each == eviction.OPENING else each for each in eviction.BY_WHAT)
+        eviction,
+        "CLASS_BY_FLAGS",
+        tuple(eviction.OPENED if each == eviction.OPENING else each for each in eviction.CLASS_BY_FLAGS),
     )
 
 
-def providers_that_went_are_found(patch: pytest.MonkeyPatch) -> None:
-    real = names.Providers.now
+def bindings_of_removed_endpoints_found(patch: pytest.MonkeyPatch) -> None:
+    real = names.EndpointNumbers.update_listed
 
-    def now(self: names.Providers, there: Any) -> list[int]:
-        for number in real(self, there):
-            self.gone[number] = False
+    def update_listed(self: names.EndpointNumbers, listed: Any) -> list[int]:
+        for number in real(self, listed):
+            self.removed[number] = False
         return []
 
-    patch.setattr(names.Providers, "now", now)
+    patch.setattr(names.EndpointNumbers, "update_listed", update_listed)
 
 
-def sights_held_back_for_good(patch: pytest.MonkeyPatch) -> None:
+def withheld_update_never_sent(patch: pytest.MonkeyPatch) -> None:
     """What changes ages by less than the part that is told is not told when the others' age runs out either."""
-    patch.setattr(entries.Held, "others_end", lambda self, row: float("inf"))
-
-
-BUGS: dict[Plant, tuple[Callable[[int], Any], int]] = {
-    revived_by_an_old_copy: (storm, 0),
-    aged_from_hearing: (storm, 0),
-    covered_before_told: (storm, 2),
-    silent_one_not_waited_for: (storm, 2),
-    dead_one_waited_for: (storm, 7),
-    last_writer_wins: (drawn("two-bind-at-once"), 0),
-    given_way_by_own_clock: (crowd, 0),
-    half_open_push_out_open: (drawn("flood-of-opening"), 0),
-    providers_that_went_are_found: (storm, 2),
-    sights_held_back_for_good: (storm, 0),
+    patch.setattr(entries.TableEntries, "announced_expiry_ms", lambda self, row: float("inf"))
+
+
+BUGS: dict[InjectBug, tuple[Callable[[int], Any], int]] = {
+    stale_replica_revives_binding: (storm, 0),
+    age_counted_from_receipt: (storm, 0),
+    watermark_ahead_of_updates: (storm, 2),
+    silent_member_not_waited_for: (storm, 2),
+    dead_member_waited_for: (storm, 7),
+    last_writer_wins: (expected_timeline("two-bind-at-once"), 0),
+    eviction_by_own_order: (crowd, 0),
+    opening_rows_evict_open_rows: (expected_timeline("flood-of-opening"), 0),
+    bindings_of_removed_endpoints_found: (storm, 2),
+    withheld_update_never_sent: (storm, 0),
 }
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from limenotch.config import parse
-from limenotch.fleet.affinity.api import Bound, Kind
+from limenotch.fleet.affinity.api import Binding, Kind
 from limenotch.fleet.hub import ComponentEvent
 from limenotch.fleet.interfaces import MemberChanged, Started, TimerFired
 from limenotch.fleet.settings import Bindings as Table
@@ -61,7 +61,7 @@
     return parse({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}, {})
 
 
-def provider(name: str, status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE) -> DiscoveredEndpoint:
+def endpoint(name: str, status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE) -> DiscoveredEndpoint:
     zone = "east" if name[0] == "e" else "west"
     return DiscoveredEndpoint(name, ("127.0.0.1", 1), status, zone, "k", 1 if zone == "east" else 2)
 
@@ -81,7 +81,7 @@
         self.calls.attempt_runner = self
         self.calls.watch_discovery = lambda: None
         self.made: list[Attempt] = []
-        self.bound_when_made: list[Bound | None] = []
+        self.bound_when_made: list[Binding | None] = []
         self.calls.execute(self.facade.start())
         self.layer.configuration_applied(held)
         self.names = itertools.count()
@@ -108,7 +108,7 @@
             self.part.handle(self.now(), asked.event)
 
     def list(self, names: list[str], status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE, whole: bool = False) -> None:
-        entries = [provider(name, status) for name in names]
+        entries = [endpoint(name, status) for name in names]
         self.layer.endpoints_listed(entries, whole)
         self.calls.execute(self.facade.endpoints_listed(entries, whole))
 
@@ -124,10 +124,10 @@
     def cancel(self, invoker_call: Attempt) -> None:
         asyncio.get_running_loop().call_soon(self.calls.attempt_ended, invoker_call, AttemptEnding.CANCELLED)
 
-    def bound(self, kind: str, tenant: str, key: bytes) -> Bound | None:
+    def bound(self, kind: str, tenant: str, key: bytes) -> Binding | None:
         return self.layer._table.find(self.now(), Kind.KEY, joined(kind.encode(), tenant.encode(), key))
 
-    def session(self, name: bytes, tenant: str = "acme") -> Bound | None:
+    def session(self, name: bytes, tenant: str = "acme") -> Binding | None:
         return self.layer._table.find(self.now(), Kind.SESSION, joined(tenant.encode(), b"", name))
 
     def take(
--- a/tests/fleet/affinity_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from limenotch.fleet.affinity import Bindings, Tuning, messages
-from limenotch.fleet.affinity.api import Bound, Kind, Providers, State
-from limenotch.fleet.affinity.table import Shared
+from limenotch.fleet.affinity.api import AvailableEndpoints, Binding, Kind, State
+from limenotch.fleet.affinity.table import AffinityTable
 from limenotch.fleet.affinity.tuning import Ages
 from limenotch.fleet.hub import ComponentEvent, ComponentHub
 from limenotch.fleet.interfaces import Fenced, MemberChanged, MessageReceived, Started, TimerFired
@@ -32,10 +32,10 @@
     part = Bindings(name, 1, KEY, tuning)
     part.handle(0.0, Started())
     part.handle(0.0, MemberChanged(name, "alive", address(name), 0, 1))
-    part.handle(0.0, Providers(THERE))
+    part.handle(0.0, AvailableEndpoints(THERE))
     part.handle(1000.0, TimerFired(1))
     part.handle(1000.0, TimerFired(1))
-    assert part.table.whole
+    assert part.table.complete
     return part
 
 
@@ -52,7 +52,7 @@
             for other in sorted(self.fleet.there | {self.name}):
                 process_epoch = self.process_epoch if other == self.name else self.fleet.process_epochs.get(other, 1)
                 out += self.bindings.handle(now, MemberChanged(other, "alive", address(other), 0, process_epoch))
-            out += self.bindings.handle(now, Providers(THERE))
+            out += self.bindings.handle(now, AvailableEndpoints(THERE))
         return out
 
 
@@ -67,7 +67,7 @@
     def handle(self, now: float, event: Any) -> list[Any]:
         out: list[Any] = self.hub.handle(now, event)
         if isinstance(event, Started):
-            out += self.hub.handle(now, ComponentEvent("bi.", Providers(THERE)))
+            out += self.hub.handle(now, ComponentEvent("bi.", AvailableEndpoints(THERE)))
         return out
 
 
@@ -96,7 +96,7 @@
         part: Bindings = self.world.part(name).bindings
         return part
 
-    def table(self, name: str) -> Shared:
+    def table(self, name: str) -> AffinityTable:
         return self.of(name).table
 
     def now(self, name: str) -> float:
@@ -121,45 +121,45 @@
         self.say(Fenced(), who)
         self.changed(who, "alive", self.process_epochs[who])
 
-    def see(
+    def record_use(
         self,
         name: str,
         key: bytes,
-        provider: str = "p1",
+        endpoint: str = "p1",
         state: State = State.OPEN,
         kind: Kind = Kind.SESSION,
         charged: bool = False,
     ) -> bool:
-        return self.table(name).see(self.now(name), kind, key, provider, state, charged)
+        return self.table(name).record_use(self.now(name), kind, key, endpoint, state, charged)
 
-    def find(self, name: str, key: bytes, kind: Kind = Kind.SESSION) -> Bound | None:
+    def find(self, name: str, key: bytes, kind: Kind = Kind.SESSION) -> Binding | None:
         return self.table(name).find(self.now(name), kind, key)
 
     def who(self, key: bytes, kind: Kind = Kind.SESSION) -> list[str | None]:
         """The provider that each has it bound to."""
         found = [self.find(name, key, kind) for name in self.names if self.world.alive(name)]
-        return [each and each.provider for each in found]
+        return [each and each.endpoint for each in found]
 
     def same(self) -> bool:
         """Whether all hold the same values."""
         return len({tuple(self.table(name).rows.digests) for name in self.names if self.world.alive(name)}) == 1
 
 
-def rounds(part: Bindings, now: float) -> list[messages.Sights]:
-    return part.ground.teller.batches(now)
+def rounds(part: Bindings, now: float) -> list[messages.LastSeenUpdate]:
+    return part.context.update_sender.next_batches(now)
 
 
 def hear(part: Bindings, message: Any, now: float, sender: str = "a") -> list[Any]:
     """As of a member whose clock is the same."""
-    if part.ground.peers.get(sender) is None:
+    if part.context.peers.get(sender) is None:
         part.handle(now, MemberChanged(sender, "alive", address(sender), 0, 1))
         part.handle(now, MessageReceived(address(sender), sender, messages.Pong(1, now, now)))
     return part.handle(now, MessageReceived(address(sender), sender, message))
 
 
-def sights(key: bytes, seen: float, now: float, seq: int = 1, **other: Any) -> messages.Sights:
+def sights(key: bytes, seen: float, now: float, seq: int = 1, **other: Any) -> messages.LastSeenUpdate:
     """As the member `z` would tell it."""
     made = alone(name="z")
-    made.table.see(seen, Kind.SESSION, key, other.get("provider", "p1"), State.OPEN)
-    (batch,) = made.ground.teller.batches(now)
+    made.table.record_use(seen, Kind.SESSION, key, other.get("provider", "p1"), State.OPEN)
+    (batch,) = made.context.update_sender.next_batches(now)
     return msgspec.structs.replace(batch, seq=seq)
--- a/tests/fleet/test_affinity_checker.py
+++ b/tests/fleet/test_affinity_checker.py
@@ -24,8 +24,8 @@
 
 
 class Is(NamedTuple):
-    provider: str = "p1"
-    seen_ms: float = 1e9
+    endpoint: str = "p1"
+    idle_ms: float = 1e9
 
 
 def three() -> Checker:
@@ -33,7 +33,7 @@
     checker = Checker(STATED, "abc")
     for node in "abc":
         checker.began(0.0, node, 1)
-        checker.providers(0.0, node, ("p1", "p2"))
+        checker.endpoints(0.0, node, ("p1", "p2"))
     for node in "abc":
         for other in "abc":
             checker.holds(1.0, node, other, "alive", 1)
@@ -142,9 +142,9 @@
 def test_an_age_that_counts_from_hearing() -> None:
     checker = three()
     checker.sees(5000, "a", FLOW, "p1", 1, True)
-    ask(checker, 5060, {"b": Is(seen_ms=58)})
+    ask(checker, 5060, {"b": Is(idle_ms=58)})
     checker.check()
-    ask(checker, 5600, {"b": Is(seen_ms=200)})
+    ask(checker, 5600, {"b": Is(idle_ms=200)})
     wrong(checker, "honest ages")
 
 
@@ -165,7 +165,7 @@
         checker.sees(5000, "a", FLOW, "p1", 1, True)
         ask(checker, 5060, {name: Is("p1") for name in "abc"})
         if gone:
-            checker.providers(5065, "b", ("p2",))
+            checker.endpoints(5065, "b", ("p2",))
         ask(checker, 5080, {name: Is("p2") for name in "abc"})
         if gone:
             checker.check()
@@ -186,7 +186,7 @@
     checker = three()
     checker.sees(5000, "a", FLOW, "p1", 1, True)
     checker.sees(5000, "a", CALL, "p1", 1, True)
-    checker.providers(5100, "a", ("p2",))
+    checker.endpoints(5100, "a", ("p2",))
     ask(checker, 5345, {"a": Is()})
     ask(checker, 5400, {"a": Is()}, CALL)
     checker.check()
--- a/tests/fleet/test_affinity_last_seen.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -10,8 +10,8 @@
 from limenotch.fleet.affinity import Tuning, messages
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.affinity.core import Bindings
-from limenotch.fleet.affinity.expiry import forget_ms, pace
-from limenotch.fleet.affinity.last_seen import pack, take
+from limenotch.fleet.affinity.expiry import expiry_bound_ms, interval_scale
+from limenotch.fleet.affinity.last_seen import apply_replicas, pack_rows
 from limenotch.fleet.affinity.rows import NIL
 from limenotch.fleet.affinity.tuning import Ages
 from limenotch.fleet.interfaces import (
@@ -34,20 +34,20 @@
     part = alone()
     told = 0
     for now in range(1000, 11_000, 100):
-        part.table.see(float(now), S, b"k", "p1", State.OPEN)
-        part.table.age(float(now), 100)
+        part.table.record_use(float(now), S, b"k", "p1", State.OPEN)
+        part.table.expire(float(now), 100)
         told += len(rounds(part, float(now)))
     assert 10_000 / 600 - 2 <= told <= 10_000 / 500 + 1
     row = part.table.rows.find(part.table.hash(S, b"k"))
-    last, held = part.table.rows.seen[row], part.table.rows.told[row]
+    last, held = part.table.rows.last_seen_ms[row], part.table.rows.announced_ms[row]
     assert held < last == 10_900.0
     for now in range(11_000, 16_000, 100):
-        part.table.age(float(now), 100)
+        part.table.expire(float(now), 100)
         batch = rounds(part, float(now))
         if batch:
             break
     assert held + QUICK.sessions.open <= now <= held + QUICK.sessions.open + QUICK.tick_ms
-    assert part.table.rows.told[row] == last
+    assert part.table.rows.announced_ms[row] == last
 
 
 def test_what_is_held_back_after_the_row_was_looked_at_is_told_in_time() -> None:
@@ -55,67 +55,69 @@
     for now in (1000.0, 4900.0):
         hear(part, sights(b"k", now, now, seq=int(now)), now, "z")
     for at in range(4900, 5200, 50):
-        part.table.age(float(at), 10)
-    part.table.see(5200.0, S, b"k", "p1", State.OPEN)  # an eighth of 4 s is more than this changes
+        part.table.expire(float(at), 10)
+    part.table.record_use(5200.0, S, b"k", "p1", State.OPEN)  # an eighth of 4 s is more than this changes
     assert not rounds(part, 5200.0)
     told = []
     for at in range(5200, 9200, 50):
-        part.table.age(float(at), 10)
+        part.table.expire(float(at), 10)
         told += [(at, batch) for batch in rounds(part, float(at))]
     assert [at for at, _ in told] == [pytest.approx(8950, abs=75)]
-    assert told[0][1].covered >= 8900
+    assert told[0][1].watermark_ms >= 8900
 
 
 def test_a_value_that_is_over_replaces_none_that_is_in_use() -> None:
     """It was made first, and would win; but nobody has seen it for long."""
     part = alone()
     part.table.counter = 50
-    part.table.see(6000.0, S, b"k", "p2", State.OPEN)
+    part.table.record_use(6000.0, S, b"k", "p2", State.OPEN)
     hear(part, sights(b"k", 1000.0, 1000.0), 6100.0, "z")
     found = part.table.find(6101.0, S, b"k")
-    assert found is not None and found.provider == "p2"
+    assert found is not None and found.endpoint == "p2"
     hear(part, sights(b"k", 6150.0, 6150.0, seq=2), 6151.0, "z")
     found = part.table.find(6152.0, S, b"k")
-    assert found is not None and found.provider == "p1"
+    assert found is not None and found.endpoint == "p1"
 
 
 def test_an_own_sight_is_not_lost_to_a_value_with_an_older_one() -> None:
     part = alone()
     key = part.table.hash(S, b"k")
-    part.table.see(4000.0, S, b"k", "p1", State.OPEN)
-    part.table.hear(4100.0, key, S | State.OPENING << 2, ("p2", "c1", "z1"), 1, 0, 9, "z", 3800.0, 3800.0, 9, True)
+    part.table.record_use(4000.0, S, b"k", "p1", State.OPEN)
+    part.table.apply_replica(
+        4100.0, key, S | State.OPENING << 2, ("p2", "c1", "z1"), 1, 0, 9, "z", 3800.0, 3800.0, 9, True
+    )
     found = part.table.find(4100.0, S, b"k")
     assert found is not None
-    assert (found.provider, found.state, found.seen_ms) == ("p2", State.OPEN, 100.0)
+    assert (found.endpoint, found.state, found.idle_ms) == ("p2", State.OPEN, 100.0)
 
 
 def test_covered_waits_for_the_whole_round() -> None:
     part = alone(Tuning())
     for number in range(3000):
-        part.table.see(1050.0, S, b"%d" % number, "p1", State.OPEN)
-    before = part.ground.teller.covered
-    part.table.age(1200.0, 10)
+        part.table.record_use(1050.0, S, b"%d" % number, "p1", State.OPEN)
+    before = part.context.update_sender.watermark_ms
+    part.table.expire(1200.0, 10)
     first = rounds(part, 1200.0)
-    part.table.see(1200.0, S, b"later", "p1", State.OPEN)
+    part.table.record_use(1200.0, S, b"later", "p1", State.OPEN)
     assert [len(each.rows) for each in first] == [512, 512]
-    assert part.ground.teller.covered == before < 1050.0
-    rest: list[messages.Sights] = []
-    while part.ground.teller.behind:
+    assert part.context.update_sender.watermark_ms == before < 1050.0
+    rest: list[messages.LastSeenUpdate] = []
+    while part.context.update_sender.round_unfinished:
         rest += rounds(part, 1300.0)
     assert [each.seq for each in first + rest] == list(range(1, 7))
-    assert rest[-1].covered == 1200.0
-    assert all(each.covered < 1050.0 for each in rest[:-1])
+    assert rest[-1].watermark_ms == 1200.0
+    assert all(each.watermark_ms < 1050.0 for each in rest[:-1])
     assert len(rounds(part, 1400.0)[0].rows) == 1
 
 
 def test_what_reached_nobody_is_undone_everywhere_but_where_it_was_seen() -> None:
     one, two, three = (alone(name=name) for name in "abc")
-    one.table.see(1000.0, S, b"k", "p1", State.OPENING)
+    one.table.record_use(1000.0, S, b"k", "p1", State.OPENING)
     (batch,) = rounds(one, 1010.0)
     for part in (two, three):
         hear(part, batch, 1011.0)
         assert part.table.find(1012.0, S, b"k") is not None
-    three.table.see(1012.0, S, b"k", "p1", State.OPENING)
+    three.table.record_use(1012.0, S, b"k", "p1", State.OPENING)
     one.table.undo(1013.0, S, b"k")
     (undone,) = rounds(one, 1020.0)
     for part in (two, three):
@@ -124,7 +126,7 @@
     (again,) = rounds(three, 1030.0)  # it is in use there: told at once
     hear(one, again, 1031.0, "c")
     assert one.table.find(1032.0, S, b"k") is not None
-    one.table.see(1033.0, S, b"k", "p1", State.OPEN)
+    one.table.record_use(1033.0, S, b"k", "p1", State.OPEN)
     one.table.undo(1034.0, S, b"k")
     assert one.table.find(1035.0, S, b"k") is not None
     assert one.counts["not to be undone"] == 1
@@ -134,11 +136,11 @@
     part = alone()
     batch = sights(b"k", 1000.0, 1000.0)
     hear(part, batch, 1001.0, "z")
-    part.table.bury(1002.0, part.table.rows.find(part.table.hash(S, b"k")), "over")
+    part.table.remove(1002.0, part.table.rows.find(part.table.hash(S, b"k")), "over")
     late = sights(b"k2", 1000.0, 1000.0, seq=2)
     hear(part, late, 4000.0, "z")
     found = part.table.find(4000.0, S, b"k2")
-    assert found is not None and 2850 <= found.seen_ms <= 3000
+    assert found is not None and 2850 <= found.idle_ms <= 3000
     hear(part, sights(b"k3", 1000.0, 1000.0, seq=3), 6000.0, "z")
     assert part.table.find(6000.0, S, b"k3") is None
 
@@ -153,68 +155,68 @@
     assert part.table.find(9000.0, S, b"k") is None
     part.handle(9002.0, MessageReceived(address("z"), "z", messages.Pong(1, 9000.0, 9001.0)))
     assert part.table.find(9002.0, S, b"k") is None
-    assert part.table.live == 0
+    assert part.table.live_rows == 0
 
 
 def test_a_copy_of_what_was_forgotten_revives_nothing_and_a_sight_that_crossed_does() -> None:
     part = alone()
     key = part.table.hash(S, b"k")
-    part.table.see(1000.0, S, b"k", "p1", State.OPEN)
+    part.table.record_use(1000.0, S, b"k", "p1", State.OPEN)
     row = part.table.rows.find(key)
-    values = (part.table.rows.gen[row], 0, part.table.rows.count[row], "a")
-    part.table.age(5500.0, 100)
-    assert part.table.live == 0
+    values = (part.table.rows.generation[row], 0, part.table.rows.version[row], "a")
+    part.table.expire(5500.0, 100)
+    assert part.table.live_rows == 0
     what = S | State.OPEN << 2
-    assert not part.table.hear(5510.0, key, what, ("p1", "c1", "z1"), *values, 1240.0, 1000.0, 9, False)
-    assert part.table.live == 0
-    assert not part.table.hear(5510.0, key, what, ("p1", "c1", "z1"), *values, 1000.0, 1000.0, 9, True)
-    assert part.table.hear(5510.0, key, what, ("p1", "c1", "z1"), *values, 4900.0, 1000.0, 9, True)
-    assert part.table.live == 1
-    part.table.bury(5600.0, part.table.rows.find(key), "undo")
-    assert not part.table.hear(5700.0, key, what, ("p1", "c1", "z1"), *values, 5500.0, 1000.0, 9, False)
+    assert not part.table.apply_replica(5510.0, key, what, ("p1", "c1", "z1"), *values, 1240.0, 1000.0, 9, False)
+    assert part.table.live_rows == 0
+    assert not part.table.apply_replica(5510.0, key, what, ("p1", "c1", "z1"), *values, 1000.0, 1000.0, 9, True)
+    assert part.table.apply_replica(5510.0, key, what, ("p1", "c1", "z1"), *values, 4900.0, 1000.0, 9, True)
+    assert part.table.live_rows == 1
+    part.table.remove(5600.0, part.table.rows.find(key), "undo")
+    assert not part.table.apply_replica(5700.0, key, what, ("p1", "c1", "z1"), *values, 5500.0, 1000.0, 9, False)
     # One that was used since where it was not forgotten.
-    assert part.table.hear(6000.0, key, what, ("p1", "c1", "z1"), *values, 5900.0, 1000.0, 9, False)
+    assert part.table.apply_replica(6000.0, key, what, ("p1", "c1", "z1"), *values, 5900.0, 1000.0, 9, False)
 
 
 def test_what_was_made_after_it_was_forgotten_is_taken_though_its_maker_knew_of_no_earlier_one() -> None:
     part = alone()
     key, what, place = part.table.hash(S, b"k"), S | State.OPEN << 2, ("p2", "c1", "z1")
     for now in (1000.0, 6000.0):  # twice bound, twice forgotten
-        part.table.see(now, S, b"k", "p1", State.OPEN)
-        part.table.age(now + 4500.0, 100)
-    assert part.table.live == 0
-    assert part.table.hear(10_600.0, key, what, place, 0, 0, 7, "z", 10_550.0, 10_550.0, 9, False)
+        part.table.record_use(now, S, b"k", "p1", State.OPEN)
+        part.table.expire(now + 4500.0, 100)
+    assert part.table.live_rows == 0
+    assert part.table.apply_replica(10_600.0, key, what, place, 0, 0, 7, "z", 10_550.0, 10_550.0, 9, False)
     found = part.table.find(10_601.0, S, b"k")
-    assert found is not None and found.provider == "p2"
+    assert found is not None and found.endpoint == "p2"
 
 
 def test_an_age_grows_no_younger_by_going_round() -> None:
     """One's own sight, back as a copy by a way of 40 ms."""
     one, two = alone(), alone(name="z")
-    one.table.see(1000.0, S, b"k", "p1", State.OPEN)
+    one.table.record_use(1000.0, S, b"k", "p1", State.OPEN)
     (batch,) = rounds(one, 1000.0)
     hear(two, batch, 1040.0, "a")
     hear(one, messages.Pong(1, 1000.0, 1040.0), 1080.0, "z")
-    before = one.table.rows.seen[0]
+    before = one.table.rows.last_seen_ms[0]
     for now in range(1100, 3000, 100):
-        packed = pack(two.table, [two.table.rows.find(two.table.hash(S, b"k"))], float(now))
-        peer = one.ground.peers.get("z")
+        packed = pack_rows(two.table, [two.table.rows.find(two.table.hash(S, b"k"))], float(now))
+        peer = one.context.peers.get("z")
         assert peer is not None
-        take(one.table, now + 40.0, peer, float(now), packed, False)
-        assert one.table.rows.seen[0] == before
+        apply_replicas(one.table, now + 40.0, peer, float(now), packed, False)
+        assert one.table.rows.last_seen_ms[0] == before
 
 
 def test_ten_thousand_that_expire_in_one_ms_go_by_pieces() -> None:
     part = alone(Tuning(conn=Ages(open=1000)))
     for number in range(10_000):
-        part.table.see(2000.0, Kind.CONN, b"%d" % number, "p1", State.OPEN)
-    while part.ground.teller.behind or part.table.to_tell:
+        part.table.record_use(2000.0, Kind.CONN, b"%d" % number, "p1", State.OPEN)
+    while part.context.update_sender.round_unfinished or part.table.to_announce:
         rounds(part, 2000.0)
     now, turns, most = 3500.0, 0, 0
-    while part.table.live:
-        before = part.table.live
+    while part.table.live_rows:
+        before = part.table.live_rows
         part.handle(now, TimerFired(1))
-        most, turns, now = max(most, before - part.table.live), turns + 1, now + 1.0
+        most, turns, now = max(most, before - part.table.live_rows), turns + 1, now + 1.0
         assert turns < 100
     assert 0 < most <= 500
 
@@ -225,7 +227,9 @@
     older, newer = plain[:-2], [*plain, "more"]  # without `undone`, `kept` and the rows' stamps
     older[-1] = [row[:-1] for row in older[-1]]
     for each in (older, newer):
-        read: messages.Sights = msgspec.msgpack.decode(msgspec.msgpack.encode(each), type=messages.Sights)
+        read: messages.LastSeenUpdate = msgspec.msgpack.decode(
+            msgspec.msgpack.encode(each), type=messages.LastSeenUpdate
+        )
         other = alone()
         hear(other, read, 1000.0, "z")
         assert other.table.find(1001.0, S, b"k") is not None
@@ -235,15 +239,15 @@
     "change",
     [
         {"key": b"short"},
-        {"what": 64},
-        {"what": -1},
-        {"who": 5},
-        {"by": -1},
-        {"gen": 1 << 32},
-        {"move": 1 << 16},
-        {"count": 1 << 63},
-        {"age": -1},
-        {"old": -1},
+        {"flags": 64},
+        {"flags": -1},
+        {"endpoint": 5},
+        {"author": -1},
+        {"generation": 1 << 32},
+        {"moves": 1 << 16},
+        {"version": 1 << 63},
+        {"last_seen_age": -1},
+        {"created_age": -1},
         {"stamp": -1},
     ],
 )
@@ -252,14 +256,14 @@
     batch = sights(b"k", 1000.0, 1000.0)
     bad = msgspec.structs.replace(batch, rows=(msgspec.structs.replace(batch.rows[0], **change),))
     hear(part, bad, 1001.0, "z")
-    assert part.table.live == 0
+    assert part.table.live_rows == 0
     assert part.counts["unsound copy"] == 1
 
 
 def test_datagrams_are_small_and_streams_bounded() -> None:
     part = alone(Tuning())
     for number in range(2000):
-        part.table.see(1050.0, S, b"%d" % number, "p1", State.OPEN)
+        part.table.record_use(1050.0, S, b"%d" % number, "p1", State.OPEN)
     for batch in rounds(part, 1100.0):
         assert len(msgspec.msgpack.encode(batch)) < 64 * 1024
     assert len(msgspec.msgpack.encode(messages.Pong(1 << 60, 1e9, 1e9))) < MAX_DATAGRAM_BYTES
@@ -279,8 +283,8 @@
 def test_fenced_keeps_the_young_and_drops_the_over_at_once() -> None:
     part = alone()
     part.handle(1000.0, MemberChanged("z", "alive", address("z"), 0, 1))
-    part.table.see(1000.0, S, b"old", "p1", State.OPEN)
-    part.table.see(4000.0, S, b"young", "p1", State.OPEN)
+    part.table.record_use(1000.0, S, b"old", "p1", State.OPEN)
+    part.table.record_use(4000.0, S, b"young", "p1", State.OPEN)
     part.handle(5500.0, TimerFired(1))
     assert part.table.find(5500.0, S, b"old") is not None  # z has not covered its end
     part.handle(5500.0, Fenced())
@@ -288,11 +292,11 @@
     part.handle(5600.0, TimerFired(1))
     assert part.table.find(5600.0, S, b"old") is None
     assert part.table.find(5600.0, S, b"young") is not None
-    assert not part.table.whole
+    assert not part.table.complete
     assert part.table.rows.find(part.table.hash(S, b"none")) == NIL
 
 
 def test_stated_times_grow_with_members_and_paths() -> None:
-    few, many = (forget_ms(QUICK, 4000, 3000, members, 10) for members in (3, 200))
+    few, many = (expiry_bound_ms(QUICK, 4000, 3000, members, 10) for members in (3, 200))
     assert 4000 + 3000 < few < many
-    assert pace(32) == 1 and pace(200) == 6.25
+    assert interval_scale(32) == 1 and interval_scale(200) == 6.25
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -68,7 +68,7 @@
 deadline_ms = 600
 effect = "at_most_once"
 """
-BINDINGS: dict[str, Any] = {"session": "X-Session", "digest_ms": 400.0}
+MESSAGE_TYPES: dict[str, Any] = {"session": "X-Session", "digest_ms": 400.0}
 
 
 class TogetherError(Exception):
@@ -76,7 +76,7 @@
 
 
 def play(
-    text: str, folder: Path, rules: bool = False, bindings: dict[str, Any] | None = BINDINGS
+    text: str, folder: Path, rules: bool = False, bindings: dict[str, Any] | None = MESSAGE_TYPES
 ) -> tuple[Outcome, Comers]:
     """Once more where they did not find each other before the drawing began: a port that was free may be taken."""
     for number in range(3):
@@ -221,7 +221,7 @@
             for _ in range(3):
                 writer.write(LOOK)
                 assert (await answer_from(reader, parser)).status == 200
-            await until(sidecar, consumers=1, providers=1, window_ms=9000.0)
+            await until(sidecar, consumers=1, endpoints=1, window_ms=9000.0)
             writer.close()
             await until(sidecar, consumers=0)
             file = tmp_path / "n.json"
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -14,7 +14,7 @@
 from limenotch.net.request import Verdict
 from limenotch.settings_file import parse as parse_settings
 
-from .affinity_node import ANSWER, CLASSES, FAR, NEAR, SERVED, SETTINGS, House, config, provider, run
+from .affinity_node import ANSWER, CLASSES, FAR, NEAR, SERVED, SETTINGS, House, config, endpoint, run
 
 # Keys
 
@@ -27,12 +27,12 @@
             key = b"%d" % number
             by = await house.served(key=key)
             first, bound = house.bound_when_made[-1], house.bound("keyed", "acme", key)
-            assert first is not None and (first.provider, first.state, first.charged) == (by, State.OPENING, False)
-            assert bound is not None and (bound.provider, bound.state, bound.charged) == (by, State.OPEN, True)
-            assert bound.zone == provider(by).zone
+            assert first is not None and (first.endpoint, first.state, first.charged) == (by, State.OPENING, False)
+            assert bound is not None and (bound.endpoint, bound.state, bound.charged) == (by, State.OPEN, True)
+            assert bound.zone == endpoint(by).zone
             zones.add(bound.zone)
             for _ in range(6):
-                assert provider(await house.served(key=key, resent=True)).zone == bound.zone
+                assert endpoint(await house.served(key=key, resent=True)).zone == bound.zone
                 assert house.last.already_charged
         assert zones == {"east", "west"} and house.count("repeats") == 72 and house.count("keyed") == 84
         assert not house.layer._mine and not house.layer._uses
@@ -65,7 +65,7 @@
         zone = NEAR if by in NEAR else FAR
         house.list(zone, DiscoveryStatus.TERMINATING)
         bound = house.bound("keyed", "acme", b"k")
-        assert bound is not None and bound.zone == provider(by).zone  # a key stays where it ran
+        assert bound is not None and bound.zone == endpoint(by).zone  # a key stays where it ran
         made = len(house.made)
         assert (await house.take(key=b"k", resent=True)).verdict is Verdict.REJECTED
         assert len(house.made) == made
@@ -115,8 +115,8 @@
             if final.done():
                 assert final.result().verdict is Verdict.REJECTED and bound is None
                 continue
-            assert house.made[-2].endpoint_name == first and bound is not None and bound.provider == second
-            moved += provider(first).zone != provider(second).zone
+            assert house.made[-2].endpoint_name == first and bound is not None and bound.endpoint == second
+            moved += endpoint(first).zone != endpoint(second).zone
             house.end()
             assert (await final).verdict is Verdict.SERVED and len(house.made) == made
         assert moved and house.count("undone") == 20
@@ -202,7 +202,7 @@
         house.end(AttemptEnding.CONNECT_FAILED)
         house.begin()
         bound = house.bound("keyed", "acme", b"k")
-        assert bound is not None and (bound.provider, bound.zone, bound.charged) == (by, provider(by).zone, True)
+        assert bound is not None and (bound.endpoint, bound.zone, bound.charged) == (by, endpoint(by).zone, True)
         assert house.bound("keyed", "acme", b"free") is None and house.session(b"s") is not None
         house.skew += 8000.0  # the window is told too: its class's, 9 s, not the settings' 2 s of what is opening
         assert house.bound("keyed", "acme", b"k") is not None
@@ -276,14 +276,14 @@
     async def case() -> None:
         house = House(Table(session="x-session", connections=True))
         home = await house.served(kind="free", origin="o", fields={"x-session": "s"})
-        away = next(name for name in NEAR + FAR if provider(name).zone != provider(home).zone)
+        away = next(name for name in NEAR + FAR if endpoint(name).zone != endpoint(home).zone)
         table, now = house.layer._table, house.now()
-        table.see(now, Kind.KEY, joined(b"keyed", b"acme", b"k"), away, State.OPEN)
+        table.record_use(now, Kind.KEY, joined(b"keyed", b"acme", b"k"), away, State.OPEN)
         by = await house.served(key=b"k", origin="o", fields={"x-session": "s"})
-        assert provider(by).zone == provider(away).zone
+        assert endpoint(by).zone == endpoint(away).zone
         assert await house.served(kind="free", origin="o", fields={"x-session": "s"}) == home  # not moved
         assert await house.served(key=b"new", origin="o", fields={"x-session": "s"}) == home
-        table.see(now, Kind.SESSION, joined(b"acme", b"", b"t"), away, State.OPEN)
+        table.record_use(now, Kind.SESSION, joined(b"acme", b"", b"t"), away, State.OPEN)
         assert await house.served(kind="free", origin="o", fields={"x-session": "t"}) == away
         assert await house.served(kind="free", origin="o") == home
 
@@ -302,7 +302,7 @@
             bound is not None
             and bound.charged
             and session is not None
-            and session.provider == invoker_call.endpoint_name
+            and session.endpoint == invoker_call.endpoint_name
         )
         house.calls.stream_ended(house.last, "answered")
         house.calls.attempt_ended(invoker_call, AttemptEnding.RESET)
--- a/tests/fleet/test_affinity_storms.py
+++ b/tests/fleet/test_affinity_storms.py
@@ -10,7 +10,7 @@
 from limenotch.fleet import membership
 from limenotch.lab.fleet.bindings_run import QUICK, Run
 from limenotch.lab.fleet.bindings_storms import crowd, storm
-from tests.fleet.affinity_bugs import BUGS, Plant
+from tests.fleet.affinity_bugs import BUGS, InjectBug
 
 KINDS = 4
 
@@ -35,7 +35,7 @@
     run = Run([f"m{number}" for number in range(50)], 1, tuning=slower, members=membership.Tuning())
     run.joined(10_000)
     for number in range(8):
-        run.see(f"m{number * 6}", (number % KINDS, b"k%d" % number), f"p{number % 3}")
+        run.record_use(f"m{number * 6}", (number % KINDS, b"k%d" % number), f"p{number % 3}")
     run.world.run(run.world.now + run.checker.stated.told_ms)
     for name in run.names:
         assert all(run.find(name, key) is not None for key in run.keys), name
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     ("bug", "run", "seed"), [(bug, *found) for bug, found in BUGS.items()], ids=[bug.__name__ for bug in BUGS]
 )
-def test_planted_faults_are_found(bug: Plant, run: Any, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_faults_are_found(bug: InjectBug, run: Any, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     bug(monkeypatch)
     with pytest.raises(AssertionError, match="none early|none late|no revival|honest ages|gone: |full: |that differs"):
         run(seed)
--- a/tests/fleet/test_affinity_values.py
+++ b/tests/fleet/test_affinity_values.py
@@ -10,8 +10,8 @@
 
 from limenotch.fleet.affinity import values
 from limenotch.fleet.affinity.api import Kind, State
-from limenotch.fleet.affinity.rows import CHARGED, GRAVE, NIL, STATE, STATE_AT
-from limenotch.fleet.affinity.values import AFTER, Value, beats, merge
+from limenotch.fleet.affinity.rows import CHARGED, NIL, STATE, STATE_SHIFT, TOMBSTONE
+from limenotch.fleet.affinity.values import MERGED_STATES, Value, compare_versions, merge
 from tests.fleet.affinity_worlds import alone
 
 PLACES = [("p1", "c1", "z1"), ("p2", "c1", "z1"), ("p3", "c2", "z2")]
@@ -42,21 +42,21 @@
     doc = values.__doc__ or ""
     lines = [line.split() for line in doc.splitlines()]
     row = next(line for line in lines if len(line) == 5 and line[0] == held.name.lower())
-    assert AFTER[held, told].name.lower() == row[1 + told]
+    assert MERGED_STATES[held, told].name.lower() == row[1 + told]
     for heard in (True, False):
         part = alone()
-        part.table.see(1000.0, Kind.SESSION, b"k", "p1", held)
+        part.table.record_use(1000.0, Kind.SESSION, b"k", "p1", held)
         key = part.table.hash(Kind.SESSION, b"k")
         at = part.table.rows.find(key)
         if heard:
-            part.table.hear(
+            part.table.apply_replica(
                 1001.0,
                 key,
-                Kind.SESSION | told << STATE_AT,
+                Kind.SESSION | told << STATE_SHIFT,
                 PLACES[0],
                 0,
                 0,
-                part.table.rows.count[at],
+                part.table.rows.version[at],
                 "a",
                 1001.0,
                 1000.0,
@@ -64,9 +64,9 @@
                 True,
             )
         else:
-            part.table.see(1001.0, Kind.SESSION, b"k", "p1", told)
-        assert (part.table.rows.what[at] & STATE) >> STATE_AT == AFTER[held, told]
-        assert part.table.rows.seen[at] == 1001.0
+            part.table.record_use(1001.0, Kind.SESSION, b"k", "p1", told)
+        assert (part.table.rows.flags[at] & STATE) >> STATE_SHIFT == MERGED_STATES[held, told]
+        assert part.table.rows.last_seen_ms[at] == 1001.0
 
 
 @given(value(), value(), value())
@@ -84,38 +84,38 @@
     part = alone()
     table, want = part.table, copies[0]
     for each in copies:
-        table.hear(
+        table.apply_replica(
             1000.0,
             77,
-            Kind.SESSION | each.state << STATE_AT | (CHARGED if each.charged else 0),
-            each.provider,
+            Kind.SESSION | each.state << STATE_SHIFT | (CHARGED if each.charged else 0),
+            each.endpoint,
             *each[:4],
-            each.seen,
-            each.made,
+            each.last_seen_ms,
+            each.created_ms,
             3,
             True,
         )
         want = merge(want, each)
     row = table.rows.find(77)
-    assert row != NIL and not table.rows.what[row] & GRAVE
+    assert row != NIL and not table.rows.flags[row] & TOMBSTONE
     rows = table.rows
     held = Value(
-        rows.gen[row],
-        rows.move[row],
-        rows.count[row],
-        table.members.names[rows.by[row]],
-        table.providers.places[rows.who[row]],
-        State((rows.what[row] & STATE) >> STATE_AT),
-        bool(rows.what[row] & CHARGED),
-        rows.seen[row],
-        rows.made[row],
+        rows.generation[row],
+        rows.moves[row],
+        rows.version[row],
+        table.members.names[rows.author[row]],
+        table.endpoints.placements[rows.endpoint[row]],
+        State((rows.flags[row] & STATE) >> STATE_SHIFT),
+        bool(rows.flags[row] & CHARGED),
+        rows.last_seen_ms[row],
+        rows.created_ms[row],
     )
     assert held == want
 
 
 def test_who_bound_first_wins() -> None:
-    assert beats(0, 0, 3, "b", (0, 0, 4, "a")) == 1
-    assert beats(0, 0, 4, "b", (0, 0, 4, "a")) == -1
-    assert beats(0, 1, 9, "b", (0, 0, 4, "a")) == 1
-    assert beats(1, 0, 9, "b", (0, 7, 4, "a")) == 1
-    assert beats(1, 2, 3, "a", (1, 2, 3, "a")) == 0
+    assert compare_versions(0, 0, 3, "b", (0, 0, 4, "a")) == 1
+    assert compare_versions(0, 0, 4, "b", (0, 0, 4, "a")) == -1
+    assert compare_versions(0, 1, 9, "b", (0, 0, 4, "a")) == 1
+    assert compare_versions(1, 0, 9, "b", (0, 7, 4, "a")) == 1
+    assert compare_versions(1, 2, 3, "a", (1, 2, 3, "a")) == 0
