--- a/limenotch/fleet/affinity/__init__.py
+++ b/limenotch/fleet/affinity/__init__.py
@@ -1,7 +1,7 @@
-"""Layer 5: what belongs to which provider, known to all and forgotten together; decisions only, see core.py.
+"""Affinity table: binds keys, sessions and client connections to endpoints, replicated to all sidecars of the fleet.
 
-Design: docs/fleet/bindings-design.md. The settings' reader needs `tuning` alone: the decisions are imported where the
-table is set.
+The package makes decisions only and does no I/O; core.py is the component. Design: docs/fleet/bindings-design.md.
+The settings reader needs only `tuning`; the other modules are imported lazily, when `[fleet.bindings]` is set.
 """
 
 from __future__ import annotations
--- a/limenotch/fleet/affinity/api.py
+++ b/limenotch/fleet/affinity/api.py
@@ -1,7 +1,7 @@
-"""What the host says to the bindings and hears of them, besides contract.py.
+"""Interface between the host and the affinity component, besides interfaces.py.
 
-The host calls `SelectionTable` itself, for each call, with the same clock as `handle`; nothing there waits or speaks.
-What is to be told of it goes out with the part's own timers.
+The host calls the table directly for each request, with the same clock that it gives to `handle`. The table's methods
+neither block nor send; the component's timers send the resulting updates.
 """
 
 from __future__ import annotations
@@ -14,24 +14,26 @@
 
 
 class AvailableEndpoints(NamedTuple):
-    """What may take work now, and where it stands: the whole list, after each change of it and of bans.
+    """The complete list of endpoints that accept requests, sent after each change of discovery or of ejections.
 
-    A provider that was there and is not any more has gone: its bindings end.
+    The bindings of an endpoint that is no longer in the list end.
     """
 
     available: Mapping[str, tuple[str, str]]  # name: (cell, zone)
 
 
 class DeduplicationWindow(NamedTuple):
-    """How long repeats of a class's keyed calls are dropped, in ms; the longest of them is the key's idle time."""
+    """The longest deduplication window of all classes, in ms: the idle time of bound keys."""
 
     longest_ms: float
 
 
-# What the host asks of the table
+# The table, as the host uses it
 
 
 class Kind(IntEnum):
+    """What a bound key identifies."""
+
     KEY = 0
     SESSION = 1
     CONN = 2
@@ -39,14 +41,19 @@
 
 
 class State(IntEnum):
-    OPENING = 0  # sent out, no answer yet
+    """Stage of a binding, which selects its idle time."""
+
+    OPENING = 0  # a request has been sent, no response yet
     OPEN = 1
     CLOSING = 2
     LINGERING = 3
 
 
 class Binding(NamedTuple):
-    """What a key belongs to. `seen_ms`: how long ago anyone saw it last; `made_ms`: how long ago it was made."""
+    """The endpoint that a key is bound to.
+
+    `idle_ms`: time since any member last used it; `age_ms`: time since it was created.
+    """
 
     endpoint: str
     cell: str
@@ -58,27 +65,34 @@
 
 
 class Table(Protocol):
-    """All members' bindings, as this one knows them."""
+    """The bindings of all members, as this member knows them."""
 
     @property
     def complete(self) -> bool:
-        """False while it joins: a key that is not found may be bound all the same."""
+        """False while this member is joining: a key that is not found may still be bound."""
         ...
 
     def find(self, now: float, kind: Kind, key: bytes) -> Binding | None:
-        """None for one that is over, whether or not it is dropped yet."""
+        """Returns None for an expired binding, even if its row has not been removed yet."""
         ...
 
     def record_use(
         self, now: float, kind: Kind, key: bytes, endpoint: str, state: State, charged: bool = False
     ) -> bool:
-        """A sight of one's own: makes the binding, or makes it young; `provider` another one than bound moves it only
-        where the bound one is gone. False: the table is full, and it is not bound (counted).
+        """Records a use of the key at this member: creates the binding, or refreshes it.
+
+        An `endpoint` other than the bound one moves the binding only if the bound one has been removed. Returns False
+        if the table is full and the key is not bound (counted).
         """
         ...
 
     def undo(self, now: float, kind: Kind, key: bytes) -> None:
-        """One's own, still opening, surely reached nobody: it is dropped here, and told so to who was told of it."""
+        """Removes a binding that this member created, that is still opening, and whose request reached no endpoint.
+
+        Members that have received the binding are told to remove it.
+        """
         ...
 
-    def status(self) -> Mapping[str, Any]: ...
+    def status(self) -> Mapping[str, Any]:
+        """Sizes and counts for `GET /fleet`."""
+        ...
--- a/limenotch/fleet/affinity/clocks.py
+++ b/limenotch/fleet/affinity/clocks.py
@@ -1,14 +1,14 @@
-"""What another's monotonic time is on one's own clock: between two bounds, both mended by every message.
+"""Converts a peer's monotonic time to the local clock, as an interval that each message narrows.
 
-own = theirs + offset, and the offset changes by `drift` of the time passed at most.
+local = remote + offset; the offset changes by at most `drift` of the elapsed time.
 
-- A message sent at s (theirs) and heard at h (own) shows that the offset is h - s at most: the upper bound. With it an
-  age is counted from when it was sent, however long it was under way.
-- An answer that was sent at s to what one sent at t (own) shows that it is t - s at least: the lower bound. What
-  another says it has covered counts by this one: too early rather than too late.
+- A message sent at s (remote) and received at r (local) shows that the offset is at most r - s: the upper bound. With
+  it an age counts from the time of sending, whatever the delay of the message.
+- An answer sent at s (remote) to a request sent at t (local) shows that the offset is at least t - s: the lower bound.
+  A peer's watermark is converted by this bound, so that it comes out too early rather than too late.
 
-A sample says the less of another of their times the further that is away: `drift` of the time between. So of all
-samples those count that no other one beats at its own time. MOST of them are kept, those heard last.
+A sample loses precision with the distance from its own time, by `drift` of that distance. A sample is therefore
+dropped if another one gives a tighter bound at its time. Of the rest the latest MAX_SAMPLES are retained.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 class _OffsetBound:
-    """Of the offset, from above; with negative offsets from below."""
+    """Upper bound of the offset; given negated offsets it is the lower bound."""
 
     __slots__ = ("slope", "samples")
 
     def __init__(self, drift: float) -> None:
-        self.slope = drift / (1 - drift)  # of their time, by which one's own may be longer
-        self.samples: list[tuple[float, float]] = []  # their time, offset
+        self.slope = drift / (1 - drift)  # local ms that may be gained or lost per remote ms
+        self.samples: list[tuple[float, float]] = []  # remote time, offset
 
     def add(self, sent_ms: float, offset: float) -> None:
         slope, samples = self.slope, self.samples
@@ -40,24 +40,24 @@
 
 
 class ClockOffset:
-    """Of one sender's one life."""
+    """Bounds of the clock offset of one process epoch of one peer."""
 
     __slots__ = ("has_round_trip", "_upper", "_lower")
 
     def __init__(self, drift: float) -> None:
-        self.has_round_trip = False  # from one answer on: what came by a stream may have lain in it for long
+        self.has_round_trip = False  # until an answer came: a message may have waited in its stream for long
         self._upper, self._lower = _OffsetBound(drift), _OffsetBound(drift)
 
     def add_one_way_sample(self, now: float, sent_ms: float) -> None:
         self._upper.add(sent_ms, now - sent_ms)
 
     def add_round_trip_sample(self, now: float, request_sent_ms: float, sent_ms: float) -> None:
-        """`asked` in one's own time, and not after `now`."""
+        """`request_sent_ms` is local time, not after `now`; `sent_ms` is the peer's time of its answer."""
         self.has_round_trip = True
         self._lower.add(sent_ms, sent_ms - request_sent_ms)
 
     def latest_local_ms(self, now: float, remote_ms: float) -> float:
-        """No earlier than it truly was; `now` if nothing was ever heard."""
+        """Latest local time that `remote_ms` can be; `now` if no message has been received."""
         slope, best = self._upper.slope, now
         for sample_ms, offset in self._upper.samples:
             local_ms = remote_ms + offset + slope * abs(remote_ms - sample_ms)
@@ -66,7 +66,7 @@
         return best
 
     def earliest_local_ms(self, now: float, remote_ms: float) -> float:
-        """No later than it truly was; minus infinite if nothing was ever answered."""
+        """Earliest local time that `remote_ms` can be; minus infinity if no answer has been received."""
         slope, best = self._lower.slope, -INFINITE
         for sample_ms, offset in self._lower.samples:
             local_ms = remote_ms - offset - slope * abs(remote_ms - sample_ms)
--- a/limenotch/fleet/affinity/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -1,20 +1,22 @@
-"""Bindings as a part: what is seen is told, what is heard is taken, what nobody sees is forgotten by all together.
+"""The affinity component: replicates uses of bindings to all members, which expire idle bindings together.
 
-| state | begins | what it does besides telling and taking |
+| state | begins | work besides sending and applying updates |
 | --- | --- | --- |
-| joining | start, being fenced | has others' tables come, or what they were told since: join.py |
-| whole | one whole member's has come, or all others', or none is there | mends gaps; compares by digests: repair.py |
+| joining | at start, after fencing | fetches peers' tables, or the updates that it missed: join.py |
+| complete | a complete peer's table has arrived, or all peers', or there is none | fills gaps; anti-entropy: repair.py |
 
 Rules
-- Sights go to all members, in rounds (sights.py); a cover follows each round. What is missing of a member's count is
-  asked for: of itself, or, where it is held alive and not heard, of another who hears it.
-- Nothing is forgotten before all that are held alive have covered its end. Who is held dead is not waited for, and
-  nothing of a life held dead is taken.
-- One that is fenced keeps what is young by its age, drops what is over at once, and joins anew: its ages were counted
-  through the pause or the cut by a clock that did not stop.
-- All that takes long goes by pieces: a bounded number of rows, messages and bytes a turn.
-
-Source: docs/fleet/bindings-design.md. The host calls `table` itself; only this speaks. Messages: messages.py.
+- Last-seen updates go to all members, in rounds (last_seen.py); a watermark follows each round. Updates missing from a
+  member's sequence are requested from that member, or, if it is alive but not received from, from a peer that does
+  receive from it.
+- A binding is removed only after the watermarks of all members held alive have passed its expiry. A member held dead is
+  not waited for, and no message of a process epoch held dead is applied.
+- A fenced member keeps the bindings that are still young, removes expired ones at once, and joins anew. Its ages are
+  right, as its clock kept running during the pause or the partition.
+- Long work is split: each turn handles a bounded number of rows, messages and bytes.
+
+Source: docs/fleet/bindings-design.md. The host calls `table` directly; only this component sends. Messages:
+messages.py.
 """
 
 from __future__ import annotations
@@ -38,17 +40,19 @@
 from .tuning import Tuning
 
 TOKEN = 1
-MAX_ROWS_PER_TURN = 500  # rows looked at in one turn of the wheel
-MAX_DEFERRED_MESSAGES = 64  # messages of one member whose clock is not known yet
+MAX_ROWS_PER_TURN = 500  # rows inspected by the timer wheel in one turn
+MAX_DEFERRED_MESSAGES = 64  # messages of one peer whose clock offset is not known yet
 CONTINUE_MS = 1.0
-MAX_ECHO_AGE_MS = 60_000.0  # an answer later than that says nothing of a clock
-SCANNED_ROWS_PER_CHANGE = (
-    50  # rows passed over for each that may be changed in a sweep: a search in an array, not a loop
-)
+MAX_ECHO_AGE_MS = 60_000.0  # a Pong that echoes an older Ping gives no sample of the clock
+SCANNED_ROWS_PER_CHANGE = 50  # in a sweep; passing over a row is a search in an array, not a loop
 
 
 class Bindings:
-    """`key`: the group's, 1 to 64 bytes: all have the same hash of a key, and nobody outside can make keys meet."""
+    """The component.
+
+    `key`: the fleet's secret, 1 to 64 bytes. All members compute the same hash of a bound key, and nobody else can
+    construct keys whose hashes collide.
+    """
 
     def __init__(
         self,
@@ -64,7 +68,7 @@
         self._is_started = False
         self._timer_at_ms = INFINITE
         self._next_watermark_ms = -INFINITE
-        self._sweeps: list[tuple[int, int]] = []  # provider that went, next row to look at
+        self._sweeps: list[tuple[int, int]] = []  # number of a removed endpoint, next row to inspect
         self._expiring_after_fence = self._full_logged = False
         self._events: dict[type, Callable[[Any], None]] = {
             interfaces.Started: self._started,
@@ -112,13 +116,13 @@
         return self.table.hash(kind, key).to_bytes(16, "big")
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """Raises TypeError on what is no event of bindings, ValueError where `now` runs backwards."""
+        """Returns the actions. Raises TypeError on an unknown event, ValueError if `now` runs backwards."""
         context = self.context
         if now < context.now:
-            raise ValueError(f"time runs back from {context.now} to {now}")
+            raise ValueError(f"clock runs backwards: from {context.now} to {now}")
         handler = self._events.get(type(event))
         if handler is None:
-            raise TypeError(f"no event of bindings: {event!r}")
+            raise TypeError(f"not an event of the affinity component: {event!r}")
         context.now, context.actions = now, []
         handler(event)
         return context.actions
@@ -144,7 +148,7 @@
         context.update_watermark()
 
     def _start_process_epoch(self, process_epoch: int, retained_rows: bool) -> None:
-        """Its words are counted anew, and what the old one had not told yet goes first."""
+        """Restarts the sequence of updates; those that the earlier process epoch had not sent go first."""
         context = self.context
         context.update_sender.return_unsent()
         context.process_epoch, context.update_sender = (
@@ -153,7 +157,7 @@
         )
 
     def _fenced(self) -> None:
-        """The new life is told next: what is said till then bears the old one, and nobody takes it."""
+        """The new process epoch follows in a MemberChanged; peers ignore what is sent under the old one until then."""
         self.context.peers.reset_progress(self.context.now)
         self._expiring_after_fence = True
         self.state_transfer.begin(retained_rows=True)
@@ -203,7 +207,7 @@
             context.table.add_count("of a life that is over")
         elif peer.clock.has_round_trip or isinstance(message, (messages.Ping, messages.Pong)):
             self._messages[type(message)](peer, message)
-            # A page's or a range's bytes may be paid for before the next batch.
+            # The byte rate may allow the next page or range before the next batch.
             self._arm(max(min(self.state_transfer.due_at_ms, self.repair.due_at_ms), context.now + CONTINUE_MS))
         else:
             if len(peer.deferred) < MAX_DEFERRED_MESSAGES:
@@ -243,7 +247,7 @@
         for message in deferred:
             self._messages[type(message)](peer, message)
 
-    # Sights
+    # Last-seen updates
 
     def _send_updates(self, max_messages: int) -> None:
         context = self.context
@@ -271,7 +275,7 @@
     def _record_progress(
         self, peer: Peer, announcement: messages.LastSeenUpdate | messages.Watermark, previous_seq: int
     ) -> None:
-        """Whether all that it told `before` this word came. Only then does its cover count."""
+        """Records a gap if not all updates up to `previous_seq` have arrived; without a gap the watermark advances."""
         context = self.context
         if not (
             0 <= announcement.counter < MAX_COUNTER
@@ -284,7 +288,7 @@
         peer.complete = announcement.complete
         if peer.last_seq < 0:
             if not announcement.retained_rows:
-                peer.known_counter = announcement.initial_counter  # a new process that may have heard of no counter yet
+                peer.known_counter = announcement.initial_counter  # a new process may not have received any counter yet
             peer.has_gap, peer.gap_end_seq = announcement.retained_rows or previous_seq > 0, previous_seq
         elif previous_seq > peer.last_seq:
             peer.has_gap, peer.gap_end_seq = True, previous_seq
@@ -302,15 +306,18 @@
         if response is not None:
             self.context.send(peer, response)
 
-    # Providers that went, and the timer
+    # Removed endpoints, and the timer
 
     def _sweep(self) -> bool:
-        """Marks what is bound to them, so that it gives way first; `find` knows already. Whether there is more."""
+        """Marks the rows bound to removed endpoints, so that they are evicted first; `find` ignores them already.
+
+        Returns whether there are more.
+        """
         rows, remaining = self.table.rows, self.context.tuning.most_moves
         while self._sweeps and remaining > 0:
             endpoint_number, row = self._sweeps.pop()
             if not self.table.endpoints.removed[endpoint_number]:
-                continue  # nothing was bound to it any more, and the number is another's now
+                continue  # no row had it any more, and another endpoint has the number now
             end = min(len(rows.endpoint), row + SCANNED_ROWS_PER_CHANGE * remaining)
             while remaining > 0 and row < end:
                 try:
--- a/limenotch/fleet/affinity/entries.py
+++ b/limenotch/fleet/affinity/entries.py
@@ -1,4 +1,4 @@
-"""Rows that count: entered, left, changed, buried, given room, with all that hangs on a row kept in step."""
+"""Live rows: activates, changes, evicts and removes them, and keeps digests, eviction order and wheel in step."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 from .timer_wheel import EXPIRED_SLOT, TimerWheel
 from .tuning import Tuning
 
-ChangeCallback = Callable[[str, bytes, str], None]  # `has`, `moved`, `forgot`; hash; provider: for drawings
-EndCallback = Callable[[str, bytes], None]  # each row that ends: `over`, `full`, `gone`, `undo`, `fenced`; hash
+ChangeCallback = Callable[[str, bytes, str], None]  # `has`, `moved`, `forgot`; hash; endpoint: for the simulator
+EndCallback = Callable[[str, bytes], None]  # per row that ends: `over`, `full`, `gone`, `undo`, `fenced`; hash
 
 
 class TableEntries:
-    """The table. `least`: own time up to which all others' sights are known, kept by the part."""
+    """The rows and what depends on them.
+
+    `watermark_ms`: local time up to which all peers' updates are known; the component maintains it.
+    """
 
     def __init__(
         self, name: str, key: bytes, tuning: Tuning, now: float = 0.0, on_change: ChangeCallback | None = None
@@ -30,27 +33,27 @@
         self.on_end: EndCallback | None = None
         self.members, self.endpoints = MemberNumbers(), EndpointNumbers()
         self.own_number = self.members.number(name)
-        self.counter = 0  # Lamport's
+        self.counter = 0  # Lamport counter
         self.watermark_ms = INFINITE
-        self.age_slack_ms = 0.0  # ms by which a copy may be older here than it is, kept by the part too
+        self.age_slack_ms = 0.0  # by how much a replica's age may be overestimated; maintained by the component
         self.complete = False
         self.counts: dict[str, int] = {}
-        self.changes = 0  # of what is held, its ages apart
+        self.changes = 0  # of live rows, other than of their ages
         self._key = blake2b(key=key, digest_size=16)
         self._kinds = [bytes([kind]) for kind in Kind]
         self.clear(now)
 
     def clear(self, now: float) -> None:
-        """Nothing is bound."""
+        """Removes all bindings."""
         self.rows = Rows(self.members.bytes)
         self.wheel = TimerWheel(self.rows, self.tuning.tick_ms, now)
         self.orders = [EvictionOrder(self.rows) for _ in range(CLASS_COUNT)]
         self.reset_endpoints()
         self.live_rows = 0
-        self.opening = 0  # of any kind
+        self.opening = 0  # rows in state OPENING, of any kind
         self.full = False
-        self.to_announce: deque[int] = deque()  # rows; those without TELL have been told
-        self.to_undo: deque[tuple[int, int, int, int]] = deque()  # key, gen, move, count
+        self.to_announce: deque[int] = deque()  # rows; those without UNANNOUNCED have been sent
+        self.to_undo: deque[tuple[int, int, int, int]] = deque()  # key, generation, moves, version
 
     def reset_endpoints(self) -> None:
         listed = self.endpoints.listed
@@ -68,17 +71,19 @@
         )
 
     def removable_at_ms(self, row: int) -> float:
-        """When it may be forgotten at the soonest: surely over for whoever saw it, by a clock as slow as may be."""
+        """Earliest time at which the row may be removed: expired at every member, even one with the slowest clock."""
         return min(self.idle_removable_at_ms(row), self.rows.created_ms[row] + self._max_lifetime_ms(row))
 
     def idle_removable_at_ms(self, row: int) -> float:
-        """Of its idle time: the others have to have covered this. Once for clocks that run apart while it ages, once
-        for the age of a copy, which is taken to be older than it may be: by that, and by `slack`; see sights.take.
+        """End of the idle time, which the peers' watermarks have to pass.
+
+        `drift` counts twice: clocks run apart while the row ages, and a replica's age is overestimated by `drift` and
+        `age_slack_ms`; see last_seen.apply_replicas.
         """
         return self.rows.last_seen_ms[row] + self.idle_ms(row) * (1 + 2 * self.tuning.drift) + self.age_slack_ms
 
     def may_remove(self, row: int, now: float) -> bool:
-        """A longest time is over at all by itself: no sight changes it."""
+        """The longest lifetime needs no watermark: all members count it from the creation, and no use extends it."""
         idle_removable_at_ms = self.idle_removable_at_ms(row)
         return now >= idle_removable_at_ms <= self.watermark_ms or now >= self.rows.created_ms[
             row
@@ -88,7 +93,7 @@
         return self.lifetimes.max_lifetime_ms[self.rows.flags[row] & KIND] * (1 + self.tuning.drift)
 
     def remove(self, now: float, row: int, reason: str) -> None:
-        """Forgotten here. What is left says which `gen` that was, for as long as a copy may be under way."""
+        """Turns a live row into a tombstone, which keeps the generation while replicas of the row may be in flight."""
         rows = self.rows
         self._notify_change("forgot", row)
         self._notify_end(reason, row)
@@ -101,11 +106,11 @@
         rows.flags[row] = rows.flags[row] & KIND | TOMBSTONE
         rows.created_ms[row] = now
         if reason != "over":
-            rows.last_seen_ms[row] = now  # young copies of it are about
+            rows.last_seen_ms[row] = now  # young replicas of it are in flight
         self.wheel.schedule(row, now + self.tuning.grave_ms)
 
     def mark_endpoint_removed(self, row: int) -> None:
-        """Its provider has gone: it gives way first."""
+        """The row's endpoint was removed: the row is evicted first. Keys stay as they are."""
         rows = self.rows
         flags = rows.flags[row]
         if flags & (TOMBSTONE | ENDPOINT_REMOVED) or flags & KIND == Kind.KEY:
@@ -121,7 +126,7 @@
             self.to_announce.append(row)
 
     def restamp(self, row: int, stamp: int) -> None:
-        """Told, by anyone: the last of its class to give way."""
+        """Any member's update makes the row the last of its class to be evicted."""
         rows = self.rows
         if stamp > rows.stamp[row]:
             order = self.orders[self._eviction_class(row)]
@@ -160,7 +165,7 @@
         )
 
     def _activate(self, row: int) -> None:
-        """A row whose columns are set counts from now on."""
+        """Makes a row live whose columns are set."""
         rows = self.rows
         self.endpoints.acquire(rows.endpoint[row])
         self.orders[self._eviction_class(row)].add(row, rows.stamp[row])
@@ -178,7 +183,7 @@
         self.endpoints.release(rows.endpoint[row])
 
     def _change_flags(self, row: int, flags: int) -> None:
-        """Other bits. A state with another idle time ends at another time."""
+        """Sets the flags, and reschedules the row if its state changed, as idle times depend on the state."""
         rows = self.rows
         state = (rows.flags[row] ^ flags) & STATE
         self._deactivate(row)
@@ -188,15 +193,15 @@
             self.wheel.schedule(row, min(self.expires_at_ms(row), self._pending_announcement_ms(row)))
 
     def _pending_announcement_ms(self, row: int) -> float:
-        """When the others' age of it runs out, if that is sooner than one's own."""
+        """When the row expires by the age that peers have, if this member has a later use; else infinite."""
         return self.announced_expiry_ms(row) if self.rows.last_seen_ms[row] > self.rows.announced_ms[row] else INFINITE
 
     def announced_expiry_ms(self, row: int) -> float:
-        """When it is over by the age that others hold."""
+        """When the row expires by the last use that was announced to the peers."""
         return self.rows.announced_ms[row] + self.idle_ms(row)
 
     def _refresh(self, row: int, last_seen_ms: float) -> None:
-        """Seen by another, and not only here."""
+        """Applies a use that another member announced."""
         rows = self.rows
         if last_seen_ms > rows.last_seen_ms[row]:
             rows.last_seen_ms[row] = last_seen_ms
@@ -219,7 +224,7 @@
         same_generation: bool,
         old_expired: bool,
     ) -> None:
-        """By a value that wins; what is known of the key's use stays."""
+        """Replaces the row's value by one that wins; the last use, and that the binding was open, are retained."""
         rows = self.rows
         old_flags = rows.flags[row]
         moved = placement[0] != self.endpoints.placements[rows.endpoint[row]][0]
@@ -228,9 +233,11 @@
         if same_generation:
             kept_flags |= old_flags & CHARGED
         if not flags & STATE and old_flags & STATE and (same_generation or not old_expired):
-            flags |= State.OPEN << STATE_SHIFT  # values.besides
+            flags |= State.OPEN << STATE_SHIFT  # values.state_beside
         last_seen_ms, announced_ms = max(last_seen_ms, rows.last_seen_ms[row]), max(announced_ms, last_seen_ms)
-        self.endpoints.acquire(number := self.endpoints.number(placement))  # not forgotten where it is the same
+        self.endpoints.acquire(
+            number := self.endpoints.number(placement)
+        )  # so that the number is not released if it is the same
         self._deactivate(row)
         self._write(
             row,
@@ -252,7 +259,7 @@
             self._notify_change("moved", row)
 
     def _allocate(self, now: float, key: int, row: int, flags: int, stamp: int) -> int:
-        """A row for it, NIL if there is none: for its key, or its grave's."""
+        """Returns a row for the key (`row` if its tombstone has one), evicting another if needed; NIL if full."""
         opening = not flags & STATE
         if opening and self.opening >= self.tuning.most_opening * self.tuning.most:
             if not self._evict(now, (OPENING,), flags, stamp, key):
@@ -269,7 +276,7 @@
         for class_number in classes:
             row = self.orders[class_number].lowest()
             if own_class == class_number and (row == NIL or (stamp, key) < (self.rows.stamp[row], self.rows.key(row))):
-                break  # it would itself be the next
+                break  # the new row would itself be evicted next
             if row == NIL:
                 continue
             self.add_count("gave way")
--- a/limenotch/fleet/affinity/eviction.py
+++ b/limenotch/fleet/affinity/eviction.py
@@ -1,14 +1,15 @@
-"""Who gives way in a full table: by data that is the same at all members, so the same ones in the same order.
+"""Eviction from a full table, by replicated data only, so that all members evict the same rows in the same order.
 
-| class | rows | gives way to |
+| class | rows | evicted for |
 | --- | --- | --- |
-| GOING | closing or lingering, and what is bound to a provider that went | anything |
-| OPENING | opening | opening ones only |
-| OPENED | open | open ones, where nothing is going |
-| KEPT | keyed calls inside their window | nothing |
-
-Within a class: the lowest stamp (the Lamport counter of the latest sight told), then the lowest hash. What is told by
-another and would itself be the next to give way is not taken: the table holds the highest, in whatever order they come.
+| ENDING | closing or lingering, or bound to a removed endpoint | any row |
+| OPENING | opening | opening rows only |
+| OPENED | open | open rows, if no row is ENDING |
+| PROTECTED | keys inside their deduplication window | nothing |
+
+Within a class the lowest stamp (Lamport counter of the latest announced use) is evicted first, then the lowest hash. A
+replica that would itself be evicted next is not stored, so the table ends with the highest rows in any order of
+arrival.
 """
 
 from __future__ import annotations
@@ -28,20 +29,20 @@
 
 
 def eviction_class(flags: int) -> int:
-    """By the row's bits."""
+    """Eviction class of a row with these flags."""
     class_number = CLASS_BY_FLAGS[flags & (KIND | STATE)]
     return ENDING if flags & ENDPOINT_REMOVED and class_number != PROTECTED else class_number
 
 
 class EvictionOrder:
-    """Rows of one class by stamp: a list a stamp, linked in the rows. Few stamps: all of one batch have the same."""
+    """Rows of one class by stamp: one list per stamp, linked through the rows. A batch shares a stamp, so few exist."""
 
     def __init__(self, rows: Rows) -> None:
         self._rows = rows
         self._heads: dict[int, int] = {}
-        self._stamps: list[int] = []  # in order; those without a head are gone
-        self._sorted: list[int] = []  # rows of the lowest stamp, lowest hash last
-        self._lowest = -1  # that stamp
+        self._stamps: list[int] = []  # ascending; a stamp without a head is obsolete
+        self._sorted: list[int] = []  # rows with the lowest stamp, lowest hash last
+        self._lowest = -1  # the stamp of `_sorted`; -1: `_sorted` is stale
         self.size = 0
 
     def add(self, row: int, stamp: int) -> None:
@@ -73,7 +74,7 @@
         else:
             del self._heads[stamp]
             if len(self._stamps) > 2 * len(self._heads) + 64:
-                self._stamps, self._heads = sorted(self._heads), dict(self._heads)  # a dict shrinks by a copy only
+                self._stamps, self._heads = sorted(self._heads), dict(self._heads)  # a dict shrinks only when copied
         self.size -= 1
         if stamp == self._lowest:
             if self._sorted and self._sorted[-1] == row:
@@ -82,7 +83,7 @@
                 self._lowest = -1
 
     def lowest(self) -> int:
-        """NIL if there is none."""
+        """The row to evict first; NIL if there is none."""
         rows = self._rows
         while True:
             if self._lowest >= 0 and self._sorted:
@@ -95,7 +96,7 @@
             self._sorted = sorted(self._rows_with(self._lowest), key=rows.key, reverse=True)
 
     def newest(self, floor: int, stamp: int, key: int) -> Iterator[int]:
-        """Rows of stamps above `floor`, from the highest, after (`stamp`, `key`). Nothing may change meanwhile."""
+        """Rows with stamps above `floor`, descending, from below (`stamp`, `key`). Not to be modified meanwhile."""
         rows = self._rows
         for index in range(bisect_left(self._stamps, stamp + 1) - 1, -1, -1):
             candidate = self._stamps[index]
--- a/limenotch/fleet/affinity/join.py
+++ b/limenotch/fleet/affinity/join.py
@@ -1,13 +1,13 @@
-"""What is missing here, and of whom it is asked: at joining, after a gap, and of one who can't be heard.
+"""State transfer: fetches missing rows when joining, after a gap, and for a peer whose messages do not arrive.
 
-| what is missing | floor of the question | asked of |
+| missing | stamp floor of the request | requested from |
 | --- | --- | --- |
-| all: a process that starts | none | one that is whole; of all, one by one, if none is |
-| what was told while one was held dead | the least counter known of those who are there | the same |
-| of one member: its Sights have a gap | its counter | itself |
-| of one member held alive and not heard for SILENT covers | its counter | another who hears it |
+| everything: the process has started | none | a peer with a complete table; if there is none, from all, one by one |
+| updates sent while this member was held dead | lowest counter known of the alive peers | the same |
+| updates of a peer whose sequence has a gap | the peer's known counter | that peer |
+| updates of a live peer silent for SILENT_WATERMARKS | the peer's known counter | a peer that receives from it |
 
-A first page says of whom all is known there. So one fetch closes the gaps of many.
+The first page lists the members whose updates its sender knows completely, so one fetch can close several gaps.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from .pages import Fetch
 from .peers import Peer
 
-SILENT_WATERMARKS = 4  # covers
+SILENT_WATERMARKS = 4  # watermark intervals without a message
 
 
 class StateTransfer:
@@ -28,12 +28,15 @@
         self._join_fetch: Fetch | None = None
         self._next_join_ms = INFINITE
         self._retained_rows = self._logged = False
-        self._fetched_from: set[tuple[str, int]] = set()  # whose tables have come since one began to join
+        self._fetched_from: set[tuple[str, int]] = set()  # peers whose tables have arrived since joining began
         self._gap_fetches: dict[str, Fetch] = {}
         self._next_gap_fetch_ms: dict[str, float] = {}
 
     def begin(self, retained_rows: bool) -> None:
-        """Joins, once others have come to know of it. `kept`: it has a table, and lacks what was told since."""
+        """Starts joining after one batch interval, so that peers have learned of this member.
+
+        `retained_rows`: there is a table already, and only the updates sent meanwhile are missing.
+        """
         context = self.context
         context.table.complete, self._retained_rows, self._logged = False, retained_rows, False
         self._join_fetch = None
@@ -50,14 +53,14 @@
 
     @property
     def due_at_ms(self) -> float:
-        """When the next page may be asked for."""
+        """Earliest time at which the next page may be requested."""
         fetches = [*self._gap_fetches.values(), *([self._join_fetch] if self._join_fetch is not None else [])]
         return min((fetch.due_at_ms for fetch in fetches), default=INFINITE)
 
     def on_page(self, peer: Peer, page: Page) -> None:
-        context, fetch = self.context, self._join_fetch
-        if fetch is not None and fetch.peer is peer and fetch.serial == page.serial:
-            fetch.on_page(context.table, context.now, page)
+        context, join_fetch = self.context, self._join_fetch
+        if join_fetch is not None and join_fetch.peer is peer and join_fetch.serial == page.serial:
+            join_fetch.on_page(context.table, context.now, page)
             self._continue_join()
             return
         for name, fetch in list(self._gap_fetches.items()):
@@ -76,7 +79,7 @@
             self.context.send(fetch.peer, request)
 
     def _record_known(self, fetch: Fetch) -> None:
-        """All that was told by those whom the first page names has come, as far as it says."""
+        """After a fetch: records as known the updates of the members that its first page lists."""
         context, first = self.context, fetch.first_page
         if first is None:
             return
@@ -93,14 +96,14 @@
                 continue
             member.last_message_ms = max(
                 member.last_message_ms, member.known_since_ms
-            )  # through another: it has bindings, and is waited for
+            )  # heard of through a peer: it has the component, so it is waited for
             member.last_seq = max(member.last_seq, known.seq)
             if member.has_gap and known.seq < member.gap_end_seq:
                 continue
             member.has_gap = False
             member.known_counter = max(member.known_counter, known.counter)
-            # What was told anew while pages went has left its place in them: it comes from who told it, if that is
-            # heard; else with the next fetch, from here on.
+            # A row updated between two pages may be in neither. The update arrives from its sender if that peer is
+            # received from; otherwise the next fetch covers it.
             if (
                 fetch.pages == 1
                 or context.now - member.last_message_ms
@@ -131,13 +134,13 @@
                     self._finish_join()
                     return
             else:
-                # Another is tried soon; a random one, so that a silent one doesn't stop it for long.
+                # Tries another peer soon; the choice is random, so that an unresponsive peer does not block joining.
                 self._next_join_ms = now + context.tuning.batch_ms
                 return
         live = context.peers.alive_peers()
         candidates = [peer for peer in live if (peer.name, peer.process_epoch) not in self._fetched_from]
         if self._retained_rows and self._fetched_from and all(peer.last_seq >= 0 and not peer.has_gap for peer in live):
-            candidates = []  # what it has, and what is known now of all since then, is all there is
+            candidates = []  # the retained rows and all peers' updates since are complete
         if not candidates:
             if now >= context.member_since_ms + context.tuning.cover_ms:
                 self._finish_join()
--- a/limenotch/fleet/affinity/last_seen.py
+++ b/limenotch/fleet/affinity/last_seen.py
@@ -1,10 +1,10 @@
-"""Rows as messages bear them, and what of one's own is to be told when.
+"""Encodes rows into messages, applies received rows, and sends this member's last-seen updates.
 
-- A row is to be told when its value changes, when its age here is younger than what others hold by more than `tell` of
-  its idle time, and, if it is younger at all, when the others' age of it runs out.
-- What is to be told at the time of a batch is one *round*; when the last of it is out, all sights up to that time are
-  covered. A large round takes several turns.
-- Ages go rounded down, so that on its way a sight never gets older.
+- A row is announced when its value changes, when the local last use is later than the announced one by more than `tell`
+  of the idle time, and, if it is later at all, when the announced age expires.
+- The rows to announce at the time of a batch form one *round*. Once all of the round is sent, the watermark is the
+  round's start. A large round takes several turns.
+- Ages are rounded down, so that encoding makes no use older.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from .rows import CHARGED, KIND, STATE, TOMBSTONE, UNANNOUNCED
 from .table import REPLICATED_FLAGS, AffinityTable
 
-MAX_MESSAGES_PER_TURN = 2  # of a round, in one turn
+MAX_MESSAGES_PER_TURN = 2  # of a round
 MAX_COUNTER = 1 << 62
-MAX_NAME_LENGTH = 64  # letters of a member's name
-MAX_PLACEMENT_FIELD_LENGTH = 256  # of a provider's, a cell's, a zone's
+MAX_NAME_LENGTH = 64  # characters of a member's name
+MAX_PLACEMENT_FIELD_LENGTH = 256  # of an endpoint's name, a cell, a zone
 TENTHS_PER_MS = 10
 PackedRows = tuple[tuple[Placement, ...], tuple[str, ...], tuple[RowReplica, ...]]
 
 
 def pack_rows(table: AffinityTable, rows_to_send: Iterable[int], now: float) -> PackedRows:
-    """Rows, live ones all, and the tables that they point into."""
+    """Encodes live rows, with the tables of placements and authors that they index."""
     rows, placements, author_names = table.rows, table.endpoints.placements, table.members.names
     endpoint_indexes: dict[int, int] = {}
     author_indexes: dict[int, int] = {}
@@ -71,7 +71,7 @@
 
 
 def _register_authors(table: AffinityTable, endpoints: Sequence[Placement], authors: Sequence[str]) -> bool:
-    """Whether its names are such as there may be, and all who made values have their numbers."""
+    """Assigns numbers to the authors of a message. False if a name is too long or there are too many members."""
     if any(len(name) > MAX_NAME_LENGTH for name in authors) or any(
         len(text) > MAX_PLACEMENT_FIELD_LENGTH for placement in endpoints for text in placement
     ):
@@ -93,13 +93,16 @@
     from_observer: bool,
     stamp: int = 0,
 ) -> None:
-    """What a message bears, into the table."""
+    """Applies the rows of a message to the table.
+
+    `from_observer`: the sender itself observed the uses; otherwise the rows are replicas of what it knows.
+    """
     endpoints, authors, replicas = packed
     if not isfinite(sent_ms) or not 0 <= stamp < MAX_COUNTER or not _register_authors(table, endpoints, authors):
         table.add_count("unsound message")
         return
-    # A seer's own word is never older here than it is in truth. A copy is never younger: it may be of a sight of one's
-    # own, and would else get younger each time it came round.
+    # The age of an observer's own update is never overestimated. The age of a replica is never underestimated: it may
+    # stem from a use at this member, and would otherwise become younger on each round trip.
     latest, earliest = peer.clock.latest_local_ms(now, sent_ms), peer.clock.earliest_local_ms(now, sent_ms)
     base_ms, uncertainty_ms, age_factor = (
         (latest, 0.0, 1.0) if from_observer else (earliest, latest - earliest, 1 + table.tuning.drift)
@@ -127,10 +130,10 @@
 
 
 class UpdateSender:
-    """One's own sights, in rounds. Of one life."""
+    """Sends the uses that one process epoch of this member observed, in rounds."""
 
     def __init__(self, table: AffinityTable, process_epoch: int, now: float, retained_rows: bool = False) -> None:
-        """`kept`: it has rows that it saw in an earlier life, which others may not have heard of."""
+        """`retained_rows`: the table has rows of an earlier process epoch, which peers may not have received."""
         self.table, self.process_epoch, self.retained_rows = table, process_epoch, retained_rows
         self.seq = 0
         self.initial_counter = table.counter
@@ -140,11 +143,11 @@
         self._round_cutoff_ms = now
 
     def next_batches(self, now: float, most: int = MAX_MESSAGES_PER_TURN) -> list[LastSeenUpdate]:
-        """For all members: up to `most`, none if there is nothing to tell."""
+        """Up to `most` messages, to be sent to all members; none if there is nothing to announce."""
         table, out = self.table, []
         for _ in range(most):
             if self._round is None:
-                # What was due in the wheel by then is among what is to be told.
+                # What fell due in the wheel up to this time has been queued by now.
                 self._round_cutoff_ms = min(now, table.wheel.processed_until_ms)
                 self._round, table.to_announce = table.to_announce, deque()
                 self._round_undos, table.to_undo = table.to_undo, deque()
--- a/limenotch/fleet/affinity/messages.py
+++ b/limenotch/fleet/affinity/messages.py
@@ -1,7 +1,7 @@
-"""What sidecars say to each other about bindings. Each bears its sender's `process_epoch`; ages count back from `sent`.
+"""Messages between the affinity components of sidecars. Each has its sender's `process_epoch`.
 
-`sent` is the sender's own monotonic time in ms; an age is in tenths of a ms before it. By datagram go Ping and Pong
-alone. Sights and covers go by stream: a cover must not pass the sights that it speaks of.
+`sent_ms` is the sender's monotonic time; an age is in tenths of a ms before it. Ping and Pong go by datagram, all
+others by stream: a watermark must not overtake the updates that it refers to.
 """
 
 from __future__ import annotations
@@ -10,14 +10,16 @@
 
 from ..interfaces import Message
 
-MAX_UPDATE_ROWS = 512  # in one Sights; some 50 bytes each
-MAX_PAGE_ROWS = 1024  # in one Page or Copies
-MAX_RANGE_KEYS = 16_384  # in one Keys, KEY_BYTES each
+MAX_UPDATE_ROWS = 512  # in one LastSeenUpdate; some 50 bytes each
+MAX_PAGE_ROWS = 1024  # in one Page or RowReplicas
+MAX_RANGE_KEYS = 16_384  # in one RangeKeys, KEY_BYTES each
 KEY_BYTES = 24  # the hash and the digest of its value
 
 
 class RowReplica(Struct, frozen=True, array_like=True):
-    """One binding. `what`: kind, state, charged in bits; `who`, `by`: places in the message's `providers`, `names`."""
+    """One binding. `flags`: bits of kind, state, charged; `endpoint`, `author`: indexes into the message's `endpoints`
+    and `authors`. `generation`, `moves`, `version`: see values.py.
+    """
 
     key: bytes  # 16 bytes, the keyed hash
     flags: int
@@ -25,26 +27,30 @@
     author: int
     generation: int
     moves: int
-    version: int  # with `by` the version
-    last_seen_age: int  # since the last sight
-    created_age: int  # since its making
-    stamp: int = 0  # Lamport counter of the latest sight told
+    version: int  # Lamport counter, compared before the author's name
+    last_seen_age: int  # since the last use
+    created_age: int  # since its creation
+    stamp: int = 0  # Lamport counter of the latest announced use
 
 
 class UndoneBinding(Struct, frozen=True, array_like=True):
+    """A binding that its author removes because its request reached no endpoint."""
+
     key: bytes
     generation: int
     moves: int
-    version: int  # the sender's own version
+    version: int  # as written by the sender
 
 
-Placement = tuple[str, str, str]  # provider, cell, zone
+Placement = tuple[str, str, str]  # endpoint, cell, zone
 
 
 class LastSeenUpdate(Message, frozen=True, array_like=True, tag="bi.sights"):
-    """To all. `seq` counts them without a gap, per life; `born`: the sender's counter when that life began to tell.
+    """To all members. `seq` counts the updates of a process epoch without gaps; `initial_counter`: the sender's Lamport
+    counter when that process epoch began to send.
 
-    `kept`: it has rows of an earlier life, which must be asked for from what was last known of that life.
+    `retained_rows`: the sender has rows of an earlier process epoch; receivers request them from the counter last
+    known.
     """
 
     process_epoch: int
@@ -52,7 +58,7 @@
     counter: int
     initial_counter: int
     sent_ms: float
-    watermark_ms: float  # all the sender's sights up to this time of its clock are told
+    watermark_ms: float  # the sender has announced its uses up to this time of its clock
     complete: bool
     endpoints: tuple[Placement, ...]
     authors: tuple[str, ...]
@@ -62,7 +68,7 @@
 
 
 class Watermark(Message, frozen=True, array_like=True, tag="bi.cover"):
-    """To all, where nothing else is to be told. `seq`: of the last Sights. All told later has a higher stamp."""
+    """To all members, when there is no update to send. `seq`: of the last update. Later updates have higher stamps."""
 
     process_epoch: int
     seq: int
@@ -75,20 +81,26 @@
 
 
 class Ping(Message, frozen=True, array_like=True, tag="bi.ping"):
+    """Asks for a sample of the receiver's clock."""
+
     process_epoch: int
     sent_ms: float
 
 
 class Pong(Message, frozen=True, array_like=True, tag="bi.pong"):
+    """Answers a Ping; `echo_ms`: the Ping's `sent_ms`."""
+
     process_epoch: int
     echo_ms: float
     sent_ms: float
 
 
 class PageRequest(Message, frozen=True, array_like=True, tag="bi.ask"):
-    """For the next page, newest first: stamps above `floor`, before (`stamp`, `key`) of the page before.
+    """Requests the next page, newest first: stamps above `floor` that precede (`stamp`, `key`), the previous page's
+    end.
 
-    `of`: whose sights are missing here; who does not know all of that life gives nothing. Empty: all is missing.
+    `member`: whose updates are missing; a receiver that does not know all updates of that process epoch answers with an
+    empty page. Empty: all rows are requested.
     """
 
     process_epoch: int
@@ -101,7 +113,10 @@
 
 
 class KnownMember(Struct, frozen=True, array_like=True):
-    """All Sights of that life up to `seq` are known, and those of its earlier lives. `covered`: age of its cover."""
+    """A member whose updates up to `seq`, and those of its earlier process epochs, the sender knows completely.
+
+    `watermark_age`: of the member's watermark.
+    """
 
     name: str
     process_epoch: int
@@ -111,6 +126,8 @@
 
 
 class Page(Message, frozen=True, array_like=True, tag="bi.page"):
+    """Answers a PageRequest. `last`: no page follows; `complete`: the sender is not joining itself."""
+
     process_epoch: int
     serial: int
     sent_ms: float
@@ -119,16 +136,18 @@
     rows: tuple[RowReplica, ...]
     last: bool
     complete: bool
-    known_members: tuple[KnownMember, ...] = ()  # on the first page: of whom all is in this table, the sender first
+    known_members: tuple[KnownMember, ...] = ()  # on the first page only, the sender first
 
 
 class DigestRequest(Message, frozen=True, array_like=True, tag="bi.compare"):
+    """Begins an anti-entropy exchange."""
+
     process_epoch: int
     serial: int
 
 
 class RangeDigests(Message, frozen=True, array_like=True, tag="bi.digests"):
-    """8 bytes for each of 256 ranges of the hash, by its first byte."""
+    """Answers a DigestRequest: 8 bytes for each of 256 ranges of the hash, by its first byte."""
 
     process_epoch: int
     serial: int
@@ -137,6 +156,8 @@
 
 
 class RangeKeysRequest(Message, frozen=True, array_like=True, tag="bi.askkeys"):
+    """Requests keys and digests of the rows in a range, or in a subrange of it."""
+
     process_epoch: int
     serial: int
     range: int
@@ -144,7 +165,7 @@
 
 
 class RangeKeys(Message, frozen=True, array_like=True, tag="bi.keys"):
-    """What the range has, KEY_BYTES each. In `parts` by the hash's second byte where it has much."""
+    """Keys and digests of a range, KEY_BYTES each. A large range is split in `subranges` by the hash's second byte."""
 
     process_epoch: int
     serial: int
@@ -155,14 +176,16 @@
 
 
 class RowsRequest(Message, frozen=True, array_like=True, tag="bi.want"):
+    """Requests the rows of these keys."""
+
     process_epoch: int
     serial: int
     keys: bytes  # 16 each
-    in_flight_ms: float = 0.0  # ms: what was told since comes by itself
+    in_flight_ms: float = 0.0  # rows announced within this many ms arrive as updates and are left out
 
 
 class RowReplicas(Message, frozen=True, array_like=True, tag="bi.copies"):
-    """Asked for by Want, or what the other was found to lack (`serial` 0)."""
+    """Answers a RowsRequest, or brings rows that the receiver was found to lack (`serial` 0)."""
 
     process_epoch: int
     serial: int
--- a/limenotch/fleet/affinity/names.py
+++ b/limenotch/fleet/affinity/names.py
@@ -1,4 +1,4 @@
-"""Providers and members by number, so that a row holds a number. Bounded by rows: what none holds is forgotten."""
+"""Numbers for endpoints and members, so that a row stores a number. Numbers of endpoints without rows are reused."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from .messages import Placement
 
-MAX_REMOVED_NAMES = 10_000  # names of providers that went and are not back
+MAX_REMOVED_NAMES = 10_000  # names of removed endpoints that have not been listed again
 MAX_MEMBERS = 20_000
 
 
 class MemberNumbers:
-    """Who made values. Never forgotten: a name each, however many lives it had."""
+    """Numbers of the members that wrote values. Never released: one number per name, whatever its process epochs."""
 
     def __init__(self) -> None:
         self.bytes: list[bytes] = []
@@ -19,11 +19,11 @@
         self._numbers: dict[str, int] = {}
 
     def number(self, name: str) -> int:
-        """Raises ValueError beyond MOST_MEMBERS."""
+        """Raises ValueError beyond MAX_MEMBERS."""
         found = self._numbers.get(name)
         if found is None:
             if len(self.names) >= MAX_MEMBERS:
-                raise ValueError("too many names")
+                raise ValueError("too many member names")
             found = self._numbers[name] = len(self.names)
             self.names.append(name)
             self.bytes.append(name.encode())
@@ -31,15 +31,17 @@
 
 
 class EndpointNumbers:
-    """A provider that went and is back has a new number: what was bound to it before has ended and stays so."""
+    """Numbers of placements. An endpoint that is removed and listed again gets a new number, so that bindings to its
+    earlier number stay ended.
+    """
 
     def __init__(self) -> None:
         self.placements: list[Placement] = []
         self.removed: list[bool] = []
         self.listed: Mapping[str, tuple[str, str]] = {}
-        self._row_counts: list[int] = []  # how many hold it
+        self._row_counts: list[int] = []  # by number
         self._numbers: dict[Placement, int] = {}
-        self._unused: dict[int, None] = {}  # numbers that may be used again, if still none holds them
+        self._unused: dict[int, None] = {}  # numbers to reuse, unless a row has acquired them since
         self._removed_names: dict[str, None] = {}
 
     def number(self, placement: Placement) -> int:
@@ -57,7 +59,7 @@
         return found
 
     def placement(self, endpoint: str) -> Placement:
-        """Where it stands by the list; empty cell and zone for one that the list has not."""
+        """The endpoint with its cell and zone as listed; both are empty for an endpoint that is not listed."""
         return (endpoint, *self.listed.get(endpoint, ("", "")))
 
     def acquire(self, number: int) -> None:
@@ -66,7 +68,7 @@
     def release(self, number: int) -> None:
         self._row_counts[number] -= 1
         if not self._row_counts[number]:
-            self._unused[number] = None  # a row that is changed leaves it and holds it again
+            self._unused[number] = None  # a row that changes may release and acquire it again
 
     def _reuse_number(self) -> int:
         while self._unused:
@@ -81,7 +83,7 @@
         return self._row_counts[number]
 
     def update_listed(self, listed: Mapping[str, tuple[str, str]]) -> list[int]:
-        """The whole list. Numbers that have gone by it."""
+        """Sets the complete list of endpoints. Returns the numbers that it removed."""
         before, self.listed = self.listed, dict(listed)
         for name in listed:
             if name in self._removed_names:
--- a/limenotch/fleet/affinity/pages.py
+++ b/limenotch/fleet/affinity/pages.py
@@ -1,10 +1,10 @@
-"""Fetching what is missing, page by page and newest first: the whole table, or what was told since some counter.
+"""Fetches missing rows page by page, newest first: the complete table, or the rows updated since some counter.
 
-    state   | a page came       | it was the last | nothing came for WAIT_MS
-    asks    | asks for the next | done            | given up; its owner asks somebody else
+    state      | a page arrives        | it is the last | none arrives for ANSWER_TIMEOUT_MS
+    requesting | requests the next one | done           | given up; the owner asks another peer
 
-One who serves keeps nothing between pages: the place in the table is in the question. What is told meanwhile comes by
-itself, as who asks is a member already; so what the first page says to be known is known when the last has come.
+The serving member keeps no state between pages: the request has the position. Updates sent meanwhile arrive by
+themselves, as the requester is a member already. So what the first page lists as known is known after the last page.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from .peers import Peer
 from .table import AffinityTable
 
-ANSWER_TIMEOUT_MS = 1000.0  # for a page, beyond what its bytes may take
-ROW_BYTES = 56  # of one copy in a page, about
+ANSWER_TIMEOUT_MS = 1000.0  # for a page, in addition to its transmission at the byte rate
+ROW_BYTES = 56  # approximate size of one replica in a page
 LAST_KEY = (1 << 128) - 1
 
 
@@ -48,7 +48,7 @@
 
 
 def build_page(context: Context, request: PageRequest) -> Page | None:
-    """The answer; None to what makes no sense."""
+    """Builds the answer to a page request; None if the request is invalid."""
     if len(request.key) != 16 or not (0 <= request.stamp <= MAX_COUNTER and -1 <= request.floor <= MAX_COUNTER):
         return None
     table, now = context.table, context.now
@@ -80,7 +80,10 @@
 
 
 class Fetch:
-    """From `peer` what has stamps above `floor`; -1: all."""
+    """Fetches from `peer` the rows with stamps above `floor`; -1: all rows.
+
+    `member`: whose updates are missing; None: everything is. `bytes_per_s` limits the rate of pages.
+    """
 
     def __init__(
         self, peer: Peer, serial: int, floor: int, member: Peer | None, bytes_per_s: float, now: float
@@ -95,7 +98,7 @@
         self._awaiting_page = False
 
     def next_request(self, now: float, process_epoch: int) -> PageRequest | None:
-        """The next question, when its time has come."""
+        """The next request, if it is time for one."""
         if self.done or self._awaiting_page or now < self._next_request_ms:
             return None
         self._awaiting_page, self.requested_at_ms = True, now
@@ -104,7 +107,7 @@
 
     @property
     def due_at_ms(self) -> float:
-        """When the next question may go out; infinite while an answer is awaited."""
+        """When the next request may be sent; infinite while a page is awaited."""
         return INFINITE if self.done or self._awaiting_page else self._next_request_ms
 
     def timed_out(self, now: float) -> bool:
@@ -126,7 +129,7 @@
             last_replica = page.rows[-1]
             position = (last_replica.stamp, int.from_bytes(last_replica.key, "big"))
             if not (position[0] >= 0 and position < (self._stamp, self._key)):
-                self.done, self.complete, self.first_page = True, False, None  # it goes round in circles
+                self.done, self.complete, self.first_page = True, False, None  # pages do not progress
             self._stamp, self._key = position
-        # A page's bytes at the rate, from when it was asked for.
+        # The page's size at the byte rate, counted from its request.
         self._next_request_ms = max(now, self.requested_at_ms + 1000.0 * len(page.rows) * ROW_BYTES / self.bytes_per_s)
--- a/limenotch/fleet/affinity/peers.py
+++ b/limenotch/fleet/affinity/peers.py
@@ -1,14 +1,14 @@
-"""The other members: which life, what has come of their sights, up to which time those are covered.
+"""The other members: their process epochs, which of their updates have arrived, and their watermarks.
 
-| a member is | it is waited for before anything is forgotten |
+| a member is | it is waited for before a binding is removed |
 | --- | --- |
-| held alive or suspect | yes; from its first word in this life on, or for `grave_ms` from when it was first held |
-| held dead or left, or not held at all | no; and nothing is taken from a life held dead. Who left tells all before |
-| heard in a higher life than is held | as before; nothing is known of this life's sights yet |
+| held alive or suspect | yes, if it sent a message in this process epoch; else for `grave_ms` after it was listed |
+| held dead, left or unlisted | no; messages of a process epoch held dead are dropped; a leaving member sends all first |
+| received from under a higher process epoch than listed | as before; none of its updates are known yet |
 
-A word of a life lower than known is dropped. A gap stops the cover of a member until what is missing has been asked for
-and has come: in the count of its Sights (a stream was lost), or before the first word heard of its life, where it told
-others something, or kept rows of an earlier life.
+Messages of a lower process epoch than known are dropped. A gap stops a member's watermark until the missing updates
+have been fetched. Gaps arise in the sequence of its updates (a stream was lost), or before its first message that
+arrived here, if it had sent updates to others before, or retained rows of an earlier process epoch.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
     ) -> None:
         self.name, self.process_epoch, self.state, self.known_since_ms = name, process_epoch, state, now
         self.clock = ClockOffset(drift)
-        self.clock_uncertainty_ms = INFINITE  # ms between the bounds of its clock, as of its latest answer
-        self.last_message_ms = -INFINITE  # last word in this life
+        self.clock_uncertainty_ms = INFINITE  # distance of the offset's bounds, as of the latest Pong
+        self.last_message_ms = -INFINITE  # local time, of this process epoch
         self.complete = False
-        self.last_seq = -1  # of the last Sights heard; -1: nothing was heard yet
-        self.known_counter = known_counter  # counter up to which all that it told, in earlier lives too, is known here
+        self.last_seq = -1  # of the last update; -1: no update or watermark received yet
+        self.known_counter = known_counter  # all its updates up to this counter, of earlier epochs too, are known
         self.has_gap = False
-        self.gap_end_seq = 0  # seq that has to be reached before the gap is closed
-        self.watermark_ms = -INFINITE  # own clock
+        self.gap_end_seq = 0  # the gap closes once all updates up to this seq are known
+        self.watermark_ms = -INFINITE  # local time
         self.next_ping_ms = now
-        self.deferred: list[Any] = []  # heard before its clock is known: how old what they bear is can't be said
+        self.deferred: list[Any] = []  # messages received before the clock offset is known: their ages cannot be told
 
     @property
     def is_alive(self) -> bool:
@@ -47,11 +47,11 @@
     def __init__(self, name: str, drift: float) -> None:
         self._name, self._drift = name, drift
         self._peers: dict[str, Peer] = {}
-        self._alive: list[Peer] | None = None  # made anew after a change
-        self._slowest: Peer | None = None  # the one that has covered least, as of the latest look
+        self._alive: list[Peer] | None = None  # cache; None after a change
+        self._slowest: Peer | None = None  # has the lowest watermark, as of its latest computation
 
     def alive_peers(self) -> list[Peer]:
-        """Those held alive; not to be changed by who asks."""
+        """Peers held alive or suspect. The caller must not modify the list."""
         if self._alive is None:
             self._alive = [peer for peer in self._peers.values() if peer.is_alive]
         return self._alive
@@ -60,7 +60,7 @@
         return self._peers.get(name)
 
     def member_changed(self, now: float, name: str, process_epoch: int, state: str) -> None:
-        """What membership holds of it."""
+        """Applies a change that membership reports."""
         peer = self._peers.get(name)
         self._alive = self._slowest = None
         if peer is None or peer.process_epoch < process_epoch:
@@ -73,7 +73,7 @@
             peer.state = state
 
     def accept_message(self, now: float, name: str, process_epoch: int) -> Peer | None:
-        """None if its word is not to be taken."""
+        """Registers a message from a member. Returns None if the message must be dropped."""
         peer = self._peers.get(name)
         if name == self._name or (peer is not None and process_epoch < peer.process_epoch):
             return None
@@ -90,7 +90,7 @@
         return peer
 
     def lowest_watermark_ms(self, now: float, silence_grace_ms: float) -> float:
-        """Own time up to which all sights of all that count are known; infinite if nobody else does."""
+        """Local time up to which the uses at all peers that are waited for are known; infinite if there are none."""
         waited_for = [
             peer
             for peer in self.alive_peers()
@@ -100,11 +100,11 @@
         return self._slowest.watermark_ms if self._slowest is not None else INFINITE
 
     def limits_watermark(self, peer: Peer) -> bool:
-        """Whether all wait for it: only its cover changes what is covered by all."""
+        """Whether the lowest watermark depends on this peer."""
         return self._slowest is None or self._slowest is peer
 
     def reset_progress(self, now: float) -> None:
-        """One's own new life: what they told while one was held dead went to others only."""
+        """Forgets the peers' progress after fencing: their updates did not reach a member that they held dead."""
         for name, peer in list(self._peers.items()):
             self._peers[name] = Peer(name, peer.process_epoch, peer.state, now, self._drift, peer.known_counter)
         self._alive = self._slowest = None
--- a/limenotch/fleet/affinity/repair.py
+++ b/limenotch/fleet/affinity/repair.py
@@ -1,9 +1,10 @@
-"""Two tables made the same by digests: 256 numbers, then what a range has where they differ, then the copies missing.
+"""Anti-entropy between two tables: compares 256 range digests, then the keys of differing ranges, then sends rows.
 
-    compare -> digests -> (a range that differs: askkeys -> keys -> copies to it, want -> copies from it)* -> done
+    DigestRequest -> RangeDigests -> (per differing range: RangeKeysRequest -> RangeKeys -> RowReplicas to the peer,
+    RowsRequest -> RowReplicas from the peer)* -> done
 
-One exchange at a time, led by who began; the other answers and keeps nothing. What was told a moment ago is under way
-to the other by itself and left out. Both directions are paid for by the one who leads, `rate` bytes a second.
+A member leads one exchange at a time; the answering peer keeps no state. Rows announced recently are in flight and left
+out. The leader's byte rate, `bytes_per_s`, limits both directions.
 """
 
 from __future__ import annotations
@@ -35,11 +36,13 @@
 
 
 def build_digests(table: AffinityTable, process_epoch: int, serial: int) -> RangeDigests:
+    """Answer to a DigestRequest."""
     packed = b"".join(each.to_bytes(DIGEST_BYTES, "big") for each in table.rows.digests)
     return RangeDigests(process_epoch, serial, packed, table.complete)
 
 
 def build_keys(table: AffinityTable, process_epoch: int, request: RangeKeysRequest) -> RangeKeys | None:
+    """Answer to a RangeKeysRequest; None if the request is invalid."""
     if not 0 <= request.range < RANGES:
         return None
     subranges = min(RANGES, table.rows.range_size(request.range) // MAX_RANGE_KEYS + 1)
@@ -59,7 +62,7 @@
 
 
 def row_digests(table: AffinityTable, range_number: int, subrange: int, subranges: int) -> dict[int, int]:
-    """Digest by key, of live rows."""
+    """Digests by key, of the live rows in a subrange."""
     rows = table.rows
     return {
         rows.key(row): rows.digest(row)
@@ -71,7 +74,7 @@
 def build_replicas(
     table: AffinityTable, process_epoch: int, serial: int, wanted: Sequence[int], now: float, in_flight_ms: float
 ) -> RowReplicas:
-    """Of those that are here, not over, and not told within `settle` ms."""
+    """Replicas of the wanted rows that are live, not expired, and not announced within `in_flight_ms`."""
     rows = table.rows
     found = [
         row for key in wanted[:MAX_PAGE_ROWS] if (row := rows.find(key)) != NIL and not rows.flags[row] & TOMBSTONE
@@ -81,7 +84,7 @@
 
 
 class Exchange:
-    """With one peer. `mended`: copies that went either way."""
+    """An exchange with one peer. `repaired_rows`: rows transferred in both directions."""
 
     def __init__(self, peer: Peer, serial: int, bytes_per_s: float, in_flight_ms: float, now: float) -> None:
         self.peer, self.serial, self.bytes_per_s, self.in_flight_ms = peer, serial, bytes_per_s, in_flight_ms
@@ -92,11 +95,11 @@
         self._wanted: deque[int] = deque()
         self._subrange = 0
         self._next_request_ms = now
-        self._expected: type | None = None  # the question that is open
+        self._expected: type | None = None  # type of the awaited answer
         self._digests_requested = False
 
     def next_requests(self, now: float, process_epoch: int) -> list[Any]:
-        """The next question, when its time has come."""
+        """The next request, if it is time for one."""
         if self.done or self._expected is not None or now < self._next_request_ms:
             return []
         request: Any
@@ -122,7 +125,7 @@
 
     @property
     def due_at_ms(self) -> float:
-        """When the next question may go out; infinite while an answer is awaited."""
+        """When the next request may be sent; infinite while an answer is awaited."""
         return INFINITE if self.done or self._expected is not None else self._next_request_ms
 
     def timed_out(self, now: float) -> bool:
@@ -147,7 +150,7 @@
     def apply_keys(
         self, table: AffinityTable, process_epoch: int, now: float, response: RangeKeys
     ) -> list[RowReplicas]:
-        """What the other lacks; what is lacked here is wanted next."""
+        """Returns the rows that the peer lacks; rows that are missing here are requested next."""
         if (
             not self._ranges
             or (response.range, response.subrange) != (self._ranges[0], self._subrange)
@@ -189,7 +192,7 @@
 
 
 class AntiEntropy:
-    """One exchange each `digest_ms`, with a member at random; and the answers to others'."""
+    """Runs one exchange per `digest_ms` with a random peer, and answers the peers' exchanges."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
--- a/limenotch/fleet/affinity/rows.py
+++ b/limenotch/fleet/affinity/rows.py
@@ -1,8 +1,8 @@
-"""Bindings as rows of arrays, without an object an entry: 94 bytes a row, 6 to 12 more in the index.
+"""Storage of bindings in arrays, without an object per entry: 94 bytes per row, and 6 to 12 more in the index.
 
-A row is a number, used again when freed. The index finds it by its hash: 256 open-addressed tables, by the hash's
-first byte, so that none has to be made larger in one go with all rows in it, and a range's rows are found at once.
-Deleting shifts back (Knuth, The Art of Computer Programming 3, 6.4, algorithm R): no dead places remain.
+A row is a number, reused after it is freed. The index maps a hash to its row by 256 open-addressed tables, selected by
+the hash's first byte: growing one never rehashes all rows at once, and the rows of a range are found directly. Deletion
+shifts entries back (Knuth, The Art of Computer Programming 3, 6.4, algorithm R), so that no deleted slots remain.
 """
 
 from __future__ import annotations
@@ -26,13 +26,14 @@
 
 
 class Rows:
-    """Columns by row. `names`: of those who made values, in bytes, by number."""
+    """Columns, indexed by row. `author_names`: the encoded names of members, by number."""
 
     def __init__(self, author_names: list[bytes]) -> None:
         self.author_names = author_names
-        self.high, self.low = array("Q"), array("Q")  # the hash
-        self.endpoint = array("I")  # provider; ENDED: it went
-        self.flags = array("H")  # KIND, STATE, CHARGED; OWN: seen here; GRAVE: forgotten; TELL: to be told; ENDED
+        self.high, self.low = array("Q"), array("Q")  # the two halves of the hash
+        self.endpoint = array("I")  # number of the placement
+        # KIND, STATE, CHARGED; OBSERVED_HERE; TOMBSTONE: also of a free row; UNANNOUNCED; ENDPOINT_REMOVED
+        self.flags = array("H")
         self.generation, self.moves = array("I"), array("H")
         self.version, self.author = array("Q"), array("I")  # version
         self.stamp = array("Q")
@@ -40,9 +41,9 @@
             array("d"),
             array("d"),
             array("d"),
-        )  # own clock; told: as others hold `seen`
-        self.wheel_next, self.wheel_previous, self.wheel_slot = array("I"), array("I"), array("H")  # the wheel's
-        self.order_older, self.order_newer = array("I"), array("I")  # the order's
+        )  # local clock
+        self.wheel_next, self.wheel_previous, self.wheel_slot = array("I"), array("I"), array("H")  # links of the wheel
+        self.order_older, self.order_newer = array("I"), array("I")  # links of the order
         self.digests = [0] * RANGES
         self._columns: tuple[array[Any], ...] = (
             self.high,
@@ -68,11 +69,11 @@
         self._range_sizes = array("I", bytes(4 * RANGES))
 
     def __len__(self) -> int:
-        """Rows in use, graves too."""
+        """Rows in use, tombstones included."""
         return len(self.high) - len(self._free_rows)
 
     def find(self, key: int) -> int:
-        """NIL if it is not there."""
+        """The row of a hash; NIL if there is none."""
         high, low = key >> 64, key & LOW_MASK
         table = self._index[high >> 56]
         mask = len(table) - 1
@@ -82,14 +83,14 @@
         return row - 1 if row else NIL
 
     def add(self, key: int) -> int:
-        """A row for a hash that is not there; its other columns are what they were."""
+        """Takes a row for a hash that has none; the row's other columns keep their old contents."""
         high, low = key >> 64, key & LOW_MASK
         if not self._free_rows:
             end = len(self.high)
             for column in self._columns:
                 column.frombytes(bytes(ROWS_PER_GROWTH * column.itemsize))
             for row in range(end, end + ROWS_PER_GROWTH):
-                self.flags[row] = TOMBSTONE  # whoever goes through all rows passes it over, as one that was freed
+                self.flags[row] = TOMBSTONE  # loops over all rows skip it, like a freed row
             self._free_rows.extend(range(end + ROWS_PER_GROWTH - 1, end - 1, -1))
         row = self._free_rows.pop()
         self.high[row], self.low[row] = high, low
@@ -123,24 +124,24 @@
         self.flags[row] = TOMBSTONE
 
     def range_size(self, range_number: int) -> int:
-        """Rows of a range, graves too."""
+        """Number of rows of a range, tombstones included."""
         return self._range_sizes[range_number]
 
     def key(self, row: int) -> int:
         return self.high[row] << 64 | self.low[row]
 
     def rows_in_range(self, range_number: int) -> Iterator[int]:
-        """Rows of it, graves too. Nothing may be added or freed meanwhile."""
+        """Rows of a range, tombstones included. No row may be added or freed during the iteration."""
         return (row - 1 for row in self._index[range_number] if row)
 
     def digest(self, row: int) -> int:
-        """Of the key and its value, without ages: 64 bits."""
+        """64-bit digest of the key and its value, without ages."""
         flags = self.flags[row] & (KIND | STATE | CHARGED)
         packed = _pack(self.high[row], self.low[row], self.generation[row], self.moves[row], self.version[row], flags)
         return int.from_bytes(blake2b(packed + self.author_names[self.author[row]], digest_size=8).digest(), "big")
 
     def toggle_digest(self, row: int) -> None:
-        """Into its range's digest, or out of it."""
+        """Adds a row to its range's digest, or removes it."""
         self.digests[self.high[row] >> 56] ^= self.digest(row)
 
     def _insert(self, table: array[int], low: int, row: int) -> None:
--- a/limenotch/fleet/affinity/table.py
+++ b/limenotch/fleet/affinity/table.py
@@ -1,17 +1,17 @@
-"""All that is bound, as this member knows it: `api.Table`, what is heard, and what is forgotten.
+"""The bindings that this member knows: implements `api.Table`, applies replicas, and expires rows.
 
-| a row is | it ends by | and then |
+| a row is | event | result |
 | --- | --- | --- |
-| live | its age (last sight + idle, or made + longest) | waits, over, for the others' word |
-| over | a sight, own or told | live: `gen` + 1 if it was one's own, which knows that it was over |
-| over | all that count have covered the time of its end | a grave |
-| grave | an own sight | live, `gen` + 1 |
-| grave | a sight told by its seer, young by its age | live as told: the sight and the drop crossed |
-| grave | a copy, young by its age, of a later sight than was known here | live as copied: it was used on elsewhere |
-| grave | any other copy of the forgotten `gen` | nothing: an old copy revives nothing |
-| grave | `grave_ms` | nothing is left |
+| live | last use + idle time, or creation + longest lifetime, passes | expired; waits for the peers' watermarks |
+| expired | a use, local or announced | live; generation + 1 if local, as this member knows that it had expired |
+| expired | the watermarks of all peers waited for have passed its expiry | tombstone |
+| tombstone | a local use | live, generation + 1 |
+| tombstone | its observer's update, young by its age | live as announced: the update and the removal crossed |
+| tombstone | a young replica with a later use than was known here | live as replicated: it was in use elsewhere |
+| tombstone | any other replica of the removed generation | unchanged: a stale replica revives nothing |
+| tombstone | `grave_ms` pass | the row is freed |
 
-One that is over is found as long as another may have seen it since: knowing it restricts.
+An expired row is still found while a peer may have used it since: a known binding restricts where requests go.
 """
 
 from __future__ import annotations
@@ -33,6 +33,8 @@
 
 
 class AffinityTable(TableEntries):
+    """The table of bindings; the host calls the methods of `api.Table`, the component the others."""
+
     # api.Table
 
     def hash(self, kind: Kind, key: bytes) -> int:
@@ -79,7 +81,7 @@
         rows.last_seen_ms[row] = now
         if self.endpoints.removed[number] and endpoint != self.endpoints.placements[number][0]:
             placement = self.endpoints.placement(endpoint)
-            # A key's cell and zone are where its repeats are dropped.
+            # A key stays in its cell and zone: only there its repeats are deduplicated.
             if kind != Kind.KEY or placement[1:] == self.endpoints.placements[number][1:]:
                 self._move(row, placement)
                 flags = rows.flags[row]
@@ -140,7 +142,7 @@
             self.add_count("refused")
             return False
         self.counter += 1
-        # Nobody has been told: the first chance is the next batch, so its told age is of no account till then.
+        # The next batch announces the row, so that `announced_ms` does not matter before it.
         self._write(
             row,
             flags | OBSERVED_HERE,
@@ -161,7 +163,7 @@
         return True
 
     def _rebind(self, now: float, row: int, kind: Kind, endpoint: str, state: State, charged: bool) -> bool:
-        """A sight of what is over by its age: a new one. As another may have seen it since, it stays where it is."""
+        """Binds anew a row that is expired by its age. It keeps its endpoint, as a peer may have used it since."""
         rows = self.rows
         number = rows.endpoint[row]
         placement, bound = self.endpoints.placement(endpoint), self.endpoints.placements[number]
@@ -200,9 +202,10 @@
     # Ages
 
     def expire_after_fencing(self, now: float, most: int) -> bool:
-        """What is over by its age is dropped without others' word: they may have forgotten it. Whether there is more.
+        """Removes expired rows without waiting for watermarks: the peers may have removed them. Returns whether more
+        remain.
 
-        What is young is kept: both sides of a cut are fenced at its heal, and neither may lose what it goes on using.
+        Young rows are retained: both sides of a partition are fenced when it heals, and neither may lose what it uses.
         """
         least, self.watermark_ms = self.watermark_ms, INFINITE
         more = self.expire(now, most, "fenced")
@@ -210,14 +213,14 @@
         return more
 
     def _expire_if_allowed(self, row: int, now: float) -> bool:
-        """Whether it may be, and then it is: what was found to be over once is not found again later."""
+        """Removes the row if that is allowed, and returns whether: a row not found once is not found again later."""
         if not self.may_remove(row, now):
             return False
         self.remove(now, row, "over")
         return True
 
     def expire(self, now: float, most: int, reason: str = "over") -> bool:
-        """Looks at what is due and drops what may be forgotten: `most` rows. Whether more is due."""
+        """Inspects up to `most` due rows and removes those that may be removed. Returns whether more are due."""
         rows, wheel = self.rows, self.wheel
         for _ in range(most):
             row = wheel.pop_due(now)
@@ -231,10 +234,10 @@
                 wheel.link(row, EXPIRED_SLOT)
                 continue
             announced_expiry_ms = self.announced_expiry_ms(row)
-            if now < announced_expiry_ms:  # looked at then in any case: a sight may come that is held back
+            if now < announced_expiry_ms:  # inspected then in any case: a use may come that is not announced at once
                 wheel.schedule(row, min(announced_expiry_ms, removable_at_ms))
             elif now < (expires_at_ms := self.expires_at_ms(row)):
-                # The others' age of it runs out by now: they must not think that it is over.
+                # The announced age has expired, the actual one has not: peers must not take the row for expired.
                 self.announce(row)
                 wheel.schedule(row, expires_at_ms)
             else:
@@ -254,7 +257,7 @@
             return True
         return wheel.is_behind(now)
 
-    # What is heard
+    # Messages of peers
 
     def apply_replica(
         self,
@@ -272,10 +275,12 @@
         from_observer: bool,
         uncertainty_ms: float = 0.0,
     ) -> bool:
-        """A sight told by its seer, or a copy. Ages as on one's own clock. Whether it is held afterwards.
+        """Applies an observer's update, or a replica. Times are on the local clock. Returns whether the key is bound
+        then.
 
-        `doubt`: ms by which who gave the copy may have held it to be younger than it was. What would be over by then
-        is not taken where nothing is held, and what is no younger than that may be one's own sight come back.
+        `uncertainty_ms`: by how much its sender may underestimate a replica's age. A replica that would be expired with
+        it is not stored as a new row, and does not refresh a row that is younger without it, as it may be a use at this
+        member that has come back.
         """
         rows, spans = self.rows, self.lifetimes
         self.counter = max(self.counter, version, stamp)
@@ -338,7 +343,7 @@
             old_flags = rows.flags[row]
             new_flags = old_flags | (flags & CHARGED if same_generation else 0)
             if comparison < 0 and not old_flags & STATE and flags & STATE:
-                new_flags |= State.OPEN << STATE_SHIFT  # values.besides
+                new_flags |= State.OPEN << STATE_SHIFT  # values.state_beside
             if comparison == 0:
                 after = MERGED_STATE_BITS[(old_flags & STATE) >> STATE_SHIFT][(flags & STATE) >> STATE_SHIFT]
                 new_flags = new_flags & ~STATE | after << STATE_SHIFT
@@ -350,12 +355,13 @@
         return True
 
     def _used_since(self, row: int, last_seen_ms: float, created_ms: float) -> bool:
-        """Whether a copy tells more than its grave knows: it was used on where it was not forgotten, or made anew by
-        one that knew of no earlier one. A copy is never younger than in truth, so what is no later is the old one.
+        """Whether a replica is newer than the tombstone: used since where it was not removed, or created anew by a
+        member that knew no earlier binding. Replicas are never too young, so one that is not later is the removed one.
         """
         return created_ms > self.rows.created_ms[row] or last_seen_ms > self.rows.last_seen_ms[row] + self.age_slack_ms
 
     def apply_undo(self, now: float, key: int, generation: int, moves: int, version: int, author: str) -> None:
+        """Removes a binding that its author has undone, unless the value changed or it was used here."""
         rows = self.rows
         row = rows.find(key)
         if (
@@ -367,6 +373,6 @@
         ):
             return
         if rows.flags[row] & OBSERVED_HERE:
-            self.announce(row)  # it was seen here too: in use
+            self.announce(row)  # it was used here too: the author has to restore it
             return
         self.remove(now, row, "undo")
--- a/limenotch/fleet/affinity/timer_wheel.py
+++ b/limenotch/fleet/affinity/timer_wheel.py
@@ -1,8 +1,8 @@
-"""A hashed timing wheel (Varghese, Lauck, "Hashed and Hierarchical Timing Wheels", 1987, scheme 6), links in the rows.
+"""A hashed timing wheel (Varghese, Lauck, "Hashed and Hierarchical Timing Wheels", 1987, scheme 6), linked in the rows.
 
-A row stands in the slot of the tick at which it is to be looked at again, at most a turn ahead. A sight does not touch
-it: whoever looks at it then moves it on. So ageing costs one look a row and idle time (or turn), and what expires.
-One list more holds, in order, what is over and waits for the others' word.
+A row is in the slot of the tick at which it is inspected next, at most one turn ahead. A use does not reschedule it;
+the inspection does. So ageing costs one inspection per row and idle time (or turn of the wheel), plus the expired rows.
+An additional list has, in order, the expired rows that wait for the peers' watermarks.
 """
 
 from __future__ import annotations
@@ -13,25 +13,27 @@
 from .rows import NIL, Rows
 
 SLOTS = 8192
-EXPIRED_SLOT = SLOTS  # the list of what is over
-NOT_LINKED = 0xFFFF  # of a row in none
-MAX_TICKS_PER_TURN = 20_000  # passed in one turn, most of them empty: after a pause
+EXPIRED_SLOT = SLOTS  # the list of expired rows
+NOT_LINKED = 0xFFFF  # `wheel_slot` of a row in no list
+MAX_TICKS_PER_TURN = 20_000  # per turn of the component; after a pause most of them are empty
 
 
 class TimerWheel:
+    """Schedules rows by time, with a resolution of `tick_ms`."""
+
     def __init__(self, rows: Rows, tick_ms: float, now: float) -> None:
         self._rows, self.tick_ms = rows, tick_ms
-        self.current_tick = int(now // tick_ms)  # ticks; all that was due by then has been looked at
+        self.current_tick = int(now // tick_ms)  # all rows due up to this tick have been given out
         self._first = array("I", [NIL]) * (SLOTS + 1)
         self._last = array("I", [NIL]) * (SLOTS + 1)
 
     @property
     def processed_until_ms(self) -> float:
-        """All that was due up to this time has been given out."""
+        """All rows due up to this time have been given out."""
         return self.current_tick * self.tick_ms
 
     def schedule(self, row: int, due_at_ms: float) -> None:
-        """To be given out at `due`, no more than a tick later; where it stood before is left."""
+        """Schedules a row for `due_at_ms`, up to a tick later, instead of its earlier time."""
         tick = min(max(ceil(due_at_ms / self.tick_ms), self.current_tick + 1), self.current_tick + SLOTS - 1)
         self.link(row, tick % SLOTS)
 
@@ -64,7 +66,7 @@
         rows.wheel_slot[row] = NOT_LINKED
 
     def pop_due(self, now: float) -> int:
-        """The next row that is due, out of the wheel; NIL if none is, or too many ticks passed for one turn."""
+        """Unlinks and returns the next due row; NIL if there is none, or after MAX_TICKS_PER_TURN empty ticks."""
         target_tick, ticks = int(now // self.tick_ms), 0
         while self.current_tick < target_tick and ticks < MAX_TICKS_PER_TURN:
             row = self._first[(self.current_tick + 1) % SLOTS]
@@ -80,5 +82,5 @@
 
     @property
     def first_expired(self) -> int:
-        """The first of what is over; NIL if nothing is."""
+        """The first of the expired rows; NIL if there is none."""
         return self._first[EXPIRED_SLOT]
--- a/limenotch/fleet/affinity/values.py
+++ b/limenotch/fleet/affinity/values.py
@@ -1,19 +1,20 @@
-"""Which of two values of one key wins, and what comes of two sights of it: pure functions of data, the same everywhere.
+"""Conflict resolution between two values of one key: pure functions of the data, with the same result at all members.
 
-A value is ranked by `gen` (how often its key was forgotten), then `move` (how often it was moved after its provider
-went), both the higher first; then by its version, the lower first: who bound first. A version is the Lamport counter
-and the name of who made the value, so that two never have the same.
+A value is ranked by its generation (how often the key's binding was removed), then by its moves (how often it moved
+after its endpoint was removed), the higher first. Then the lower version wins: the first to bind. A version is the
+author's Lamport counter with the author's name, so that no two values have the same.
 
-    held \\ told   opening    open       closing    lingering
+known \\ received  opening    open       closing    lingering
     opening       opening    open       closing    lingering
     open          open       open       closing    lingering
     closing       closing    closing    closing    lingering
     lingering     lingering  lingering  lingering  lingering
 
-holds within one value, told by another as seen by oneself: nothing goes back but by a new `gen`. Of two values the
-winner keeps its state, but an opening one is open if the other was, and is not over by its age: the key is in use.
+The table applies to one value, for received and for local uses alike: a state never goes back, except in a new
+generation. Of two values the winner keeps its state; but an opening winner becomes open if the other value was past
+opening and is not expired, as the key is in use.
 
-`merge` is commutative, associative and idempotent, so it is of no account in which order and how often copies come.
+`merge` is commutative, associative and idempotent: neither the order nor the repetition of replicas matters.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 from .api import State
 
-MERGED_STATES: dict[tuple[State, State], State] = {  # (held, told), of one value
+MERGED_STATES: dict[tuple[State, State], State] = {  # (known, received), of one value
     (State.OPENING, State.OPENING): State.OPENING,
     (State.OPENING, State.OPEN): State.OPEN,
     (State.OPENING, State.CLOSING): State.CLOSING,
@@ -43,8 +44,8 @@
 
 
 class Value(NamedTuple):
-    """`seen` and `made` in ms of one's own clock. A value is made once: of `made` the first that is heard is kept, as
-    what comes round again is only less exact.
+    """A key's value. Times in ms of the local clock. A value is created once, so the first `created_ms` received is
+    retained: those received later are less exact.
     """
 
     generation: int
@@ -59,7 +60,7 @@
 
 
 def compare_versions(generation: int, moves: int, version: int, author: str, other: tuple[int, int, int, str]) -> int:
-    """1: it wins over the second; 0: they are one value; -1: it loses."""
+    """1: the first value wins; 0: both are the same value; -1: `other` wins."""
     if (generation, moves) != other[:2]:
         return 1 if (generation, moves) > other[:2] else -1
     if (version, author) == other[2:]:
@@ -68,14 +69,15 @@
 
 
 def state_beside(won: State, lost: State) -> State:
-    """The winner's state, where the other value had that one."""
+    """The winner's state beside a losing value in state `lost`."""
     return State.OPEN if won == State.OPENING and lost != State.OPENING else won
 
 
 def merge(winner: Value, loser: Value) -> Value:
-    """What is held once both are known, and neither is over by its age.
+    """The value after both are known, neither being expired by its age.
 
-    Use is of the key, not of who won: the later sight stays, and that it was open. So does a charge within one `gen`.
+    Uses belong to the key, not to the winner: the later use is retained, and that the binding was open; within one
+    generation also that it was charged.
     """
     order = compare_versions(*winner[:4], other=loser[:4])
     if order < 0:
--- a/tests/fleet/test_affinity_last_seen.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -10,7 +10,7 @@
 from limenotch.fleet.affinity import Tuning, messages
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.affinity.core import Bindings
-from limenotch.fleet.affinity.expiry import expiry_bound_ms, interval_scale
+from limenotch.fleet.affinity.expiry import expiry_bound_ms, interval_factor
 from limenotch.fleet.affinity.last_seen import apply_replicas, pack_rows
 from limenotch.fleet.affinity.rows import NIL
 from limenotch.fleet.affinity.tuning import Ages
@@ -299,4 +299,4 @@
 def test_stated_times_grow_with_members_and_paths() -> None:
     few, many = (expiry_bound_ms(QUICK, 4000, 3000, members, 10) for members in (3, 200))
     assert 4000 + 3000 < few < many
-    assert interval_scale(32) == 1 and interval_scale(200) == 6.25
+    assert interval_factor(32) == 1 and interval_factor(200) == 6.25
