--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -32,20 +32,20 @@
 from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.fleet.interfaces import MemberChanged, MessageReceived, SendToMember, SetTimer, Started, TimerFired
 from limenotch.lab.fleet.bindings_run import PREFIX, Run
-from limenotch.lab.fleet.bindings_storms import Consumer
+from limenotch.lab.fleet.bindings_storms import ReturningClient
 
-SLICE = 2000  # bindings made between two batches
+BINDINGS_PER_BATCH = 2000  # bindings made between two batches
 AGES = Ages(open=600_000.0)
 SECRET = b"a benchmark's"
-THERE = {f"p{number}": (f"cell{number % 4}", f"z{number % 2}") for number in range(20)}
-NAMES = sorted(THERE)
+ENDPOINTS = {f"p{number}": (f"cell{number % 4}", f"z{number % 2}") for number in range(20)}
+NAMES = sorted(ENDPOINTS)
 
 
 class Pair:
     """Members that talk through encoded messages, 1 ms each; CPU of each is kept apart."""
 
     def __init__(self, names: str, tuning: Tuning) -> None:
-        self.parts = {name: Bindings(name, 1, SECRET, tuning, 1) for name in names}
+        self.bindings = {name: Bindings(name, 1, SECRET, tuning, 1) for name in names}
         self.cpu = dict.fromkeys(names, 0.0)
         self.longest = dict.fromkeys(names, 0.0)  # of one turn, s
         self.bytes = dict.fromkeys(names, 0)
@@ -57,38 +57,38 @@
         self._decoder: Decoder[Any] = Decoder(messages.AffinityMessage)
 
     def begin(self, name: str) -> None:
-        self.give(name, Started())
-        self.give(name, AvailableEndpoints(THERE))
+        self.deliver(name, Started())
+        self.deliver(name, AvailableEndpoints(ENDPOINTS))
 
-    def meet(self, one: str, two: str) -> None:
+    def connect(self, one: str, two: str) -> None:
         for name in (one, two):
-            self.give(name, MemberChanged(name, "alive", (name, 1), 1, 1))
+            self.deliver(name, MemberChanged(name, "alive", (name, 1), 1, 1))
         for name, other in ((one, two), (two, one)):
-            self.give(name, MemberChanged(other, "alive", (other, 1), 1, 1))
+            self.deliver(name, MemberChanged(other, "alive", (other, 1), 1, 1))
 
-    def give(self, name: str, event: Any) -> None:
-        began = process_time()
+    def deliver(self, name: str, event: Any) -> None:
+        started_at = process_time()
         if isinstance(event, bytes):
-            frm, event = event[:1].decode(), self._decoder.decode(event[1:])
-            event = MessageReceived((frm, 1), frm, event)
-        actions = self.parts[name].handle(self.now, event)
+            sender, event = event[:1].decode(), self._decoder.decode(event[1:])
+            event = MessageReceived((sender, 1), sender, event)
+        actions = self.bindings[name].handle(self.now, event)
         out = [
             (action.member, name.encode() + self._encoder.encode(action.message))
             for action in actions
             if isinstance(action, SendToMember)
         ]
-        spent = process_time() - began
+        spent = process_time() - started_at
         self.cpu[name] += spent
         self.longest[name] = max(self.longest[name], spent)
         for action in actions:
             if isinstance(action, SetTimer):
-                self._put(action.at_ms, name, TimerFired(action.token))
+                self._schedule(action.at_ms, name, TimerFired(action.token))
         for to, packed in out:
             self.bytes[name] += len(packed) - 1
             self.messages[name] += 1
-            self._put(self.now + 1, to, packed)
+            self._schedule(self.now + 1, to, packed)
 
-    def _put(self, at: float, name: str, event: Any) -> None:
+    def _schedule(self, at: float, name: str, event: Any) -> None:
         self._count += 1
         heappush(self._due, (at, self._count, name, event))
 
@@ -96,25 +96,25 @@
         while self._due and self._due[0][0] <= until:
             at, _, name, event = heappop(self._due)
             self.now = max(self.now, at)
-            self.give(name, event)
+            self.deliver(name, event)
         self.now = until
 
-    def until_whole(self, name: str, most_ms: float) -> float:
-        began = self.now
-        while not self.parts[name].table.complete:
+    def run_until_complete(self, name: str, max_ms: float) -> float:
+        started_at = self.now
+        while not self.bindings[name].table.complete:
             self.run(self.now + 1)
-            if self.now - began > most_ms:
-                raise AssertionError(f"{name} is not whole within {most_ms:g} ms")
-        return self.now - began
+            if self.now - started_at > max_ms:
+                raise AssertionError(f"{name} is not whole within {max_ms:g} ms")
+        return self.now - started_at
 
 
-def grown() -> int:
+def resident_bytes() -> int:
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
-def bind(part: Bindings, now: float, first: int, last: int) -> None:
-    record_use = part.table.record_use
+def bind(bindings: Bindings, now: float, first: int, last: int) -> None:
+    record_use = bindings.table.record_use
     for number in range(first, last):
         record_use(now, Kind.FLOW, b"%d" % number, NAMES[number % 20], State.OPEN)
 
@@ -122,10 +122,10 @@
 def bind_all(pair: Pair, count: int) -> float:
     """All at one member, SLICE each 100 ms. Gives the seconds that the calls took."""
     spent = 0.0
-    for first in range(0, count, SLICE):
-        began = perf_counter()
-        bind(pair.parts["a"], pair.now, first, min(first + SLICE, count))
-        spent += perf_counter() - began
+    for first in range(0, count, BINDINGS_PER_BATCH):
+        started_at = perf_counter()
+        bind(pair.bindings["a"], pair.now, first, min(first + BINDINGS_PER_BATCH, count))
+        spent += perf_counter() - started_at
         pair.run(pair.now + 100)
     pair.run(pair.now + 2000)
     return spent
@@ -135,18 +135,18 @@
     pair = Pair("a", Tuning(most=max(count, 16), flow=AGES))
     pair.begin("a")
     pair.run(500)
-    table = pair.parts["a"].table
-    before = grown()
+    table = pair.bindings["a"].table
+    before = resident_bytes()
     bound = bind_all(pair, count)
-    size = (grown() - before) / count
-    began = perf_counter()
+    size = (resident_bytes() - before) / count
+    started_at = perf_counter()
     for number in range(count):
         table.find(pair.now, Kind.FLOW, b"%d" % number)
-    found = perf_counter() - began
-    began = perf_counter()
+    found = perf_counter() - started_at
+    started_at = perf_counter()
     for number in range(count):
         table.record_use(pair.now, Kind.FLOW, b"%d" % number, NAMES[number % 20], State.OPEN)
-    again = perf_counter() - began
+    again = perf_counter() - started_at
     pair.run(pair.now + 500_000)
     pair.longest["a"] = pair.cpu["a"] = 0.0
     pair.run(pair.now + 200_000)
@@ -154,26 +154,26 @@
     return (size, *(1e6 * spent / count for spent in (bound, found, again, pair.cpu["a"])), 1e3 * pair.longest["a"])
 
 
-def entries(most: int) -> None:
+def entries(max_entries: int) -> None:
     print("entries    bytes each   bind us  find us  again us   over us   longest turn ms")
     for count in (10_000, 100_000, 1_000_000):
-        if count <= most:
+        if count <= max_entries:
             with multiprocessing.get_context("spawn").Pool(1) as pool:
                 size, bound, found, again, over, turn = pool.apply(entries_of, (count,))
             print(f"{count:9} {size:11.0f} {bound:9.2f} {found:8.2f} {again:9.2f} {over:9.2f} {turn:13.1f}", flush=True)
 
 
-def sights(count: int = 100_000) -> None:
+def last_seen_updates(count: int = 100_000) -> None:
     pair = Pair("ab", Tuning(most=2 * count))
     for name in "ab":
         pair.begin(name)
-    pair.meet("a", "b")
+    pair.connect("a", "b")
     pair.run(2000)
     for what in ("new", "again"):
         cpu, size = dict(pair.cpu), pair.bytes["a"]
-        began = process_time()
-        bind(pair.parts["a"], pair.now, 0, count)
-        seen = process_time() - began
+        started_at = process_time()
+        bind(pair.bindings["a"], pair.now, 0, count)
+        seen = process_time() - started_at
         pair.run(pair.now + 60_000)
         told, heard = (1e6 * (pair.cpu[name] - cpu[name]) / count for name in "ab")
         seen *= 1e6 / count
@@ -183,13 +183,13 @@
             f"own, or {1e6 / heard:,.0f} of others",
             flush=True,
         )
-    assert pair.parts["b"].table.status()["held"] == count
+    assert pair.bindings["b"].table.status()["held"] == count
 
 
-def takeover(most: int) -> None:
+def state_transfer(max_entries: int) -> None:
     print("takeover   whole after ms   MB   CPU s of who gives  of who joins   longest turn ms")
     for count in (10_000, 100_000, 1_000_000):
-        if count > most:
+        if count > max_entries:
             continue
         pair = Pair("ab", Tuning(most=max(count, 16), flow=AGES))
         pair.begin("a")
@@ -198,9 +198,9 @@
         cpu, size = dict(pair.cpu), pair.bytes["a"]
         pair.longest = dict.fromkeys("ab", 0.0)
         pair.begin("b")
-        pair.meet("a", "b")
-        took = pair.until_whole("b", 120_000)
-        assert pair.parts["b"].table.status()["held"] == count
+        pair.connect("a", "b")
+        took = pair.run_until_complete("b", 120_000)
+        assert pair.bindings["b"].table.status()["held"] == count
         print(
             f"{count:8} {took:16.0f} {(pair.bytes['a'] - size) / 1e6:6.1f} {pair.cpu['a'] - cpu['a']:15.2f} "
             f"{pair.cpu['b'] - cpu['b']:15.2f} {1e3 * max(pair.longest.values()):15.1f}",
@@ -208,12 +208,12 @@
         )
 
 
-def together(count: int, seed: int, span_ms: float = 8000.0) -> Run:
+def disagreement(count: int, seed: int, span_ms: float = 8000.0) -> Run:
     """Consumers in calm; all asked for all keys each 5 ms."""
     run = Run([f"m{number}" for number in range(count)], seed, drift_ppm=200.0)
-    run.joined(20_000)
+    run.wait_until_joined(20_000)
     random = Random(seed)
-    consumers = [Consumer(random, number) for number in range(8)]
+    clients = [ReturningClient(random, number) for number in range(8)]
     until, number = run.world.now + span_ms, 0
     while run.world.now < until:
         number += 1
@@ -221,25 +221,27 @@
             one, two = random.sample(run.names, 2)
             run.record_use(one, (Kind.SESSION, b"x%d" % number), "p1")
             run.record_use(two, (Kind.SESSION, b"x%d" % number), "p2")
-        for consumer in sorted((one for one in consumers if one.due < run.world.now + 5), key=lambda one: one.due):
-            run.world.run(max(run.world.now, consumer.due))
-            consumer.come(run)
+        for client in sorted(
+            (one for one in clients if one.due_at_ms < run.world.now + 5), key=lambda one: one.due_at_ms
+        ):
+            run.world.run(max(run.world.now, client.due_at_ms))
+            client.send_request(run)
         run.run(run.world.now + 5, sweep_ms=5)
     run.checker.check()
     return run
 
 
-def all_together(members: list[int], seeds: int) -> None:
+def disagreements(members: list[int], seeds: int) -> None:
     print("members   disagreed ms (stated)   found beyond idle ms (stated)")
     for count in members:
         if count > 50:
             continue
-        runs = [together(count, seed) for seed in range(seeds if count < 20 else 1)]
-        stated = runs[0].checker.stated
-        beyond = f"{2 * stated.drift:.2f} x idle + {stated.spare_ms:.0f}"
+        runs = [disagreement(count, seed) for seed in range(seeds if count < 20 else 1)]
+        guarantees = runs[0].checker.guarantees
+        beyond = f"{2 * guarantees.drift:.2f} x idle + {guarantees.margin_ms:.0f}"
         print(
-            f"{count:7} {max(run.checker.longest_disagreement for run in runs):13.0f} ({stated.agree_ms:.0f})"
-            f"{max(run.checker.latest_found for run in runs):18.0f} ({beyond})",
+            f"{count:7} {max(run.checker.max_disagreement_ms for run in runs):13.0f} ({guarantees.agreement_ms:.0f})"
+            f"{max(run.checker.max_overdue_ms for run in runs):18.0f} ({beyond})",
             flush=True,
         )
 
@@ -248,11 +250,11 @@
     print(f"members   bytes/s of bindings, idle   with {each:g} new bindings a second and member   messages/s")
     for count in members:
         run = Run([f"m{number}" for number in range(count)], 1, tuning=Tuning())
-        run.joined(20_000)
+        run.wait_until_joined(20_000)
         found = []
         for rate in (0.0, each):
             run.world.run(run.world.now + 2000)
-            before = said(run)
+            before = sent_traffic(run)
             random, begin = Random(1), run.world.now
             while run.world.now < begin + span_ms:
                 if rate:
@@ -261,11 +263,11 @@
                 else:
                     run.world.run(begin + span_ms)
             scale = count * (run.world.now - begin) / 1000
-            found += [(now - then) / scale for now, then in zip(said(run), before, strict=True)]
+            found += [(now - then) / scale for now, then in zip(sent_traffic(run), before, strict=True)]
         print(f"{count:7} {found[1]:20.0f} {found[3]:40.0f} {found[2]:20.1f}", flush=True)
 
 
-def said(run: Run) -> tuple[int, int]:
+def sent_traffic(run: Run) -> tuple[int, int]:
     """How many messages and bytes of bindings, of all."""
     both = [
         each for node in run.world.nodes.values() for tag, each in node.traffic.by_tag.items() if tag.startswith(PREFIX)
@@ -283,9 +285,9 @@
     members = [int(one) for one in given.members.split(",")]
     benches: dict[str, Callable[[], None]] = {
         "entries": lambda: entries(given.most),
-        "sights": sights,
-        "takeover": lambda: takeover(given.most),
-        "together": lambda: all_together(members, given.seeds),
+        "sights": last_seen_updates,
+        "takeover": lambda: state_transfer(given.most),
+        "together": lambda: disagreements(members, given.seeds),
         "traffic": lambda: traffic(members),
     }
     for what in given.what:
--- a/benchmarks/affinity_cost.py
+++ b/benchmarks/affinity_cost.py
@@ -29,8 +29,8 @@
 
 from .replicated_notes import cpu_ms, listed, provider
 
-TURN = 400  # calls
-NAMES = 1000  # sessions, and keys that come again
+REQUESTS_PER_TURN = 400  # calls
+DISTINCT_KEYS = 1000  # sessions, and keys that come again
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "look", "effect": "idempotent", "target_ms": 9000.0, "hard_limit_ms": 20000.0},
@@ -47,13 +47,13 @@
     "permissions": {"cancel": True, "parallel_tries": False, "max_attempts": 1, "connect_timeout_ms": 9000.0},
     "registry_mode": "ask",
 }
-Words = Callable[[int], tuple[int | None, int | None]]  # number of a call: its key, its session
-KINDS: dict[str, Words] = {
+KeyAndSession = Callable[[int], tuple[int | None, int | None]]  # number of a call: its key, its session
+WORKLOADS: dict[str, KeyAndSession] = {
     "plain": lambda number: (None, None),
-    "keys": lambda number: (NAMES + number, None),
-    "repeats": lambda number: (number % NAMES, None),
-    "sessions": lambda number: (None, number % NAMES),
-    "both": lambda number: (-1 - number, number % NAMES),
+    "keys": lambda number: (DISTINCT_KEYS + number, None),
+    "repeats": lambda number: (number % DISTINCT_KEYS, None),
+    "sessions": lambda number: (None, number % DISTINCT_KEYS),
+    "both": lambda number: (-1 - number, number % DISTINCT_KEYS),
 }
 
 
@@ -72,33 +72,33 @@
     return http1.write_request(b"GET" if key is None else b"POST", b"/api", headers, b"")
 
 
-async def turn(node: NodeProcess, words: Words, first: int) -> float:
+async def turn(node: NodeProcess, workload: KeyAndSession, first: int) -> float:
     """CPU of the process in us a call, one call after another on one connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", node.serving)
     parser, before = http1.ResponseParser(), cpu_ms(node)
-    for number in range(first, first + TURN):
-        writer.write(wire(*words(number)))
+    for number in range(first, first + REQUESTS_PER_TURN):
+        writer.write(wire(*workload(number)))
         while (message := parser.take()) is None:
             parser.feed(await reader.read(65536))
         if message.status != 200:
             raise RuntimeError(f"a call got {message.status}")
     writer.close()
-    return (cpu_ms(node) - before) / TURN * 1000.0
+    return (cpu_ms(node) - before) / REQUESTS_PER_TURN * 1000.0
 
 
 async def fleet(
     processes: Processes, folder: Path, names: list[str], known: dict[str, Any], more: dict[str, Any]
 ) -> None:
-    at = {name: f"127.0.0.1:{free_port()}" for name in names}
+    addresses = {name: f"127.0.0.1:{free_port()}" for name in names}
 
     def toml(node: NodeProcess) -> str:
         return fleet_table(
-            at[node.name],
+            addresses[node.name],
             {},
             {
                 "group": names[0],
                 "key_file": str(folder / "key"),
-                "seeds": [other for other in at.values() if other != at[node.name]],
+                "seeds": [other for other in addresses.values() if other != addresses[node.name]],
                 **more,
             },
         )
@@ -107,11 +107,11 @@
         processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, known, toml))
     await processes.start(names)
 
-    def together(name: str, state: dict[str, Any]) -> bool:
+    def all_joined(name: str, state: dict[str, Any]) -> bool:
         bindings = state["parts"].get("bindings", {"state": "whole"})
         return len(state["members"]) == len(names) and bindings["state"] == "whole"
 
-    await processes.until_all(together, 30, "all are together", names)
+    await processes.until_all(all_joined, 30, "all are together", names)
 
 
 async def measure(folder: Path, calls: int) -> None:
@@ -122,14 +122,14 @@
         await fleet(processes, folder, ["on", "on2", "on3"], known, {"bindings": {"session": "X-Session"}})
         await fleet(processes, folder, ["off", "off2", "off3"], known, {})
         print("| calls | on, us | off, us | ratio | another member, us |\n| --- | --- | --- | --- | --- |")
-        for kind, words in KINDS.items():
+        for kind, workload in WORKLOADS.items():
             spent: dict[str, list[float]] = {"on": [], "off": [], "another": []}
-            for number in range(max(6, calls // TURN)):
+            for number in range(max(6, calls // REQUESTS_PER_TURN)):
                 for name in ("on", "off") if number % 2 else ("off", "on"):
                     before = cpu_ms(processes.nodes["on2"])
-                    spent[name].append(await turn(processes.nodes[name], words, number * TURN))
+                    spent[name].append(await turn(processes.nodes[name], workload, number * REQUESTS_PER_TURN))
                     if name == "on":
-                        spent["another"].append((cpu_ms(processes.nodes["on2"]) - before) / TURN * 1000.0)
+                        spent["another"].append((cpu_ms(processes.nodes["on2"]) - before) / REQUESTS_PER_TURN * 1000.0)
             on, off, another = (statistics.median(spent[name][2:]) for name in ("on", "off", "another"))
             print(f"| {kind} | {on:.1f} | {off:.1f} | {on / off:.3f} | {another:.1f} |", flush=True)
         state = await processes.nodes["on"].state()
--- a/limenotch/fleet/affinity/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -2,8 +2,8 @@
 
 | state | begins | work besides sending and applying updates |
 | --- | --- | --- |
-| joining | at start, after fencing | fetches peers' tables, or the updates that it missed: join.py |
-| complete | a complete peer's table has arrived, or all peers', or there is none | fills gaps; anti-entropy: repair.py |
+| joining | at start, after fencing | fetches peers' tables, or missed updates: join.py |
+| complete | a complete peer's table has arrived, or all peers', or there is none | join.py for gaps; repair.py |
 
 Rules
 - Last-seen updates go to all members, in rounds (last_seen.py); a watermark follows each round. Updates missing from a
--- a/limenotch/fleet/affinity/peers.py
+++ b/limenotch/fleet/affinity/peers.py
@@ -3,7 +3,7 @@
 | a member is | it is waited for before a binding is removed |
 | --- | --- |
 | held alive or suspect | yes, if it sent a message in this process epoch; else for `grave_ms` after it was listed |
-| held dead, left or unlisted | no; messages of a process epoch held dead are dropped; a leaving member sends all first |
+| held dead, left or unlisted | no; messages of a process epoch held dead are dropped; a leaver sends all first |
 | received from under a higher process epoch than listed | as before; none of its updates are known yet |
 
 Messages of a lower process epoch than known are dropped. A gap stops a member's watermark until the missing updates
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -1,19 +1,19 @@
-"""What belongs to which provider, put to use at this sidecar: keyed calls, sessions, kept connections.
+"""Applies the affinity table to this sidecar's requests: idempotency keys, sessions, persistent connections.
 
-| of a call | known when it is taken | then |
+| a request has | known when it arrives | result |
 | --- | --- | --- |
-| its key | where it went before | only there its repeat is dropped: it goes to that zone or cell, or is rejected |
-| its key | nothing, and the table is not whole | rejected if its consumer marks it as a repeat, else as any other |
-| its session, else its connection | the provider | it goes there while that one may take work |
+| a key | where it went before | it goes to that zone or cell, where repeats are deduplicated, or is rejected |
+| a key | nothing, and the table is incomplete | rejected if the client marks it as a repeat, else handled normally |
+| a session, else a connection | the endpoint | it goes there while that endpoint accepts requests |
 
-| an attempt | its key is |
+| an attempt | the key is |
 | --- | --- |
-| is being made | bound, before the first byte |
-| surely never ran, as no other of that key has | free again, if it was bound by it |
-| may have run | bound for the window |
+| starts | bound, before the first byte is sent |
+| never ran for certain, nor did any other with that key | unbound again, if this attempt bound it |
+| may have run | bound for the deduplication window |
 
-What is seen is seen by whoever served: sessions and connections are bound when a call of theirs is. Keys are bound with
-their class and tenant, so that no tenant reaches another's.
+Sessions and connections are bound to the endpoint that served one of their requests. Keys are bound together with their
+class and tenant, so that no tenant can use another tenant's keys.
 """
 
 from __future__ import annotations
@@ -36,99 +36,99 @@
 from .base import FleetAdapter, NodeContext, message_types
 
 PREFIX = "bi."
-MOST_EARLY = 10_000  # bindings of calls that came before this process was among the others
+MAX_EARLY_BINDINGS = 10_000  # bindings recorded before the component has started
 COUNTS = ("keyed", "repeats", "unsure", "unbound", "crossed", "undone", "sessions", "connections")
 
 
 @dataclass(slots=True)
-class Use:
-    """Of one key, by the calls of this process that are open."""
+class KeyAttempts:
+    """The open requests of this process with one key, and their attempts."""
 
-    calls: int = 0
-    out: int = 0  # attempts
-    ours: bool = False  # bound by these, and nothing of it can have run but what is out
-    stands: bool = False  # bound before, or something may have run
+    requests: int = 0
+    in_flight: int = 0  # attempts
+    bound_here: bool = False  # bound by these attempts; no attempt except those in flight can have run
+    must_stay: bool = False  # bound earlier, or an attempt may have run
 
 
 @dataclass(slots=True)
-class Mine:
-    """Of one call: what of it is bound."""
+class RequestBindings:
+    """What one request binds."""
 
     key: bytes = b""
     session: bytes = b""
-    origin: str = ""
-    hinted: bool = False
-    changes: int = -1  # of the table, when its key was not found there
-    served: str = ""  # by which provider
-    out: int = 0
+    connection: str = ""
+    has_hint: bool = False
+    table_changes: int = -1  # the table's `changes` when the key was not found there
+    served_by: str = ""  # endpoint
+    in_flight: int = 0  # attempts
     closed: bool = False
 
 
 @dataclass(slots=True)
-class Kept:
-    """A consumer's connection."""
+class ClientConnection:
+    """A client's connection, and the endpoint that served its latest request."""
 
     key: bytes
     endpoint: str = ""
 
 
-def joined(*parts: bytes) -> bytes:
-    """One key of several: other parts make another one, wherever they are cut."""
+def composite_key(*parts: bytes) -> bytes:
+    """Joins three parts into one key; the lengths of two make it unambiguous."""
     return b"%d %d " % (len(parts[0]), len(parts[1])) + b"".join(parts)
 
 
-class Begun:
-    """The part, told at its beginning what the host knew before."""
+class StartedComponent:
+    """The component, which receives at its start what the host knew before."""
 
-    def __init__(self, layer: AffinityAdapter, bindings: Bindings) -> None:
-        self._layer, self._bindings = layer, bindings
+    def __init__(self, adapter: AffinityAdapter, bindings: Bindings) -> None:
+        self._adapter, self._bindings = adapter, bindings
 
     def handle(self, now: float, event: Any) -> list[Any]:
         actions = self._bindings.handle(now, event)
         if isinstance(event, Started):
-            for first in self._layer.first():
-                actions += self._bindings.handle(now, first)
-            self._layer.again(now)
+            for initial_event in self._adapter.initial_events():
+                actions += self._bindings.handle(now, initial_event)
+            self._adapter.replay_early_bindings(now)
         return actions
 
 
 class AffinityAdapter(FleetAdapter):
+    """Connects the affinity component to the request manager and the fleet node."""
+
     name, prefix, is_replicated = "bindings", PREFIX, False
     messages = message_types(messages)
 
-    def __init__(self, among: NodeContext, tuning: Tuning) -> None:
+    def __init__(self, node: NodeContext, tuning: Tuning) -> None:
         super().__init__()
-        self._among, self._tuning = among, tuning
-        self._bindings = Bindings(
-            among.name, among.process_epoch, among.key, tuning, int.from_bytes(os.urandom(8), "big")
-        )
+        self._node, self._tuning = node, tuning
+        self._bindings = Bindings(node.name, node.process_epoch, node.key, tuning, int.from_bytes(os.urandom(8), "big"))
         self._table = self._bindings.table
         self._header = tuning.session.lower().encode("latin-1")
-        self._windows: dict[str, float] = {}  # of keyed classes
-        self._classes: set[str] = set()  # a class that no longer is has bindings of before
-        self._listed: dict[str, DiscoveredEndpoint] = {}
-        self._out: set[str] = set()
-        self._there: dict[str, tuple[str, str]] = {}
-        self._early: dict[tuple[Kind, bytes], tuple[str, State, bool]] | None = {}  # None: the part has begun
-        self._uses: dict[bytes, Use] = {}
-        self._mine: dict[int, Mine] = {}
-        self._conns: dict[str, Kept] = {}
-        self._conn = 0
+        self._windows: dict[str, float] = {}  # ms, of deduplicated classes
+        self._classes: set[str] = set()  # removed classes stay: their keys are still bound
+        self._endpoints: dict[str, DiscoveredEndpoint] = {}
+        self._ejected: set[str] = set()
+        self._available: dict[str, tuple[str, str]] = {}
+        self._early_bindings: dict[tuple[Kind, bytes], tuple[str, State, bool]] | None = {}  # None: started
+        self._key_attempts: dict[bytes, KeyAttempts] = {}
+        self._request_bindings: dict[int, RequestBindings] = {}
+        self._connections: dict[str, ClientConnection] = {}
+        self._connection_count = 0
         self.counts = dict.fromkeys(COUNTS, 0)
         self.interceptor = self
 
-    # As a layer
+    # Fleet adapter
 
     def component(self, state: bytes | None, index: int) -> Component:
-        return Begun(self, self._bindings)
+        return StartedComponent(self, self._bindings)
 
-    def first(self) -> list[Any]:
-        """What the part is to know before anything else."""
-        return [AvailableEndpoints(self._there), DeduplicationWindow(max(self._windows.values(), default=0.0))]
+    def initial_events(self) -> list[Any]:
+        """Events that the component handles first."""
+        return [AvailableEndpoints(self._available), DeduplicationWindow(max(self._windows.values(), default=0.0))]
 
-    def again(self, now: float) -> None:
-        """What was bound before the part had begun, which begins with an empty table."""
-        early, self._early = self._early or {}, None
+    def replay_early_bindings(self, now: float) -> None:
+        """Records the uses from before the component's start, which clears the table."""
+        early, self._early_bindings = self._early_bindings or {}, None
         for (kind, key), (endpoint, state, charged) in early.items():
             self._table.record_use(now, kind, key, endpoint, state, charged)
 
@@ -141,193 +141,200 @@
         if windows != self._windows:
             self._windows = windows
             self._classes |= windows.keys()
-            self._among.dispatch(ComponentEvent(PREFIX, DeduplicationWindow(max(windows.values(), default=0.0))))
+            self._node.dispatch(ComponentEvent(PREFIX, DeduplicationWindow(max(windows.values(), default=0.0))))
 
-    def endpoints_listed(self, endpoints: Iterable[DiscoveredEndpoint], whole: bool) -> None:
-        held = {} if whole else self._listed
-        held.update((endpoint.name, endpoint) for endpoint in endpoints)
-        self._listed = {name: each for name, each in held.items() if each.status is not DiscoveryStatus.TERMINATED}
-        self._tell()
+    def endpoints_listed(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
+        known = {} if complete else self._endpoints
+        known.update((endpoint.name, endpoint) for endpoint in endpoints)
+        self._endpoints = {name: each for name, each in known.items() if each.status is not DiscoveryStatus.TERMINATED}
+        self._publish_endpoints()
 
-    def ejection_changed(self, name: str, out: bool, at_ms: float) -> None:
-        if out:
-            self._out.add(name)
+    def ejection_changed(self, name: str, ejected: bool, at_ms: float) -> None:
+        if ejected:
+            self._ejected.add(name)
         else:
-            self._out.discard(name)
-        self._tell()
+            self._ejected.discard(name)
+        self._publish_endpoints()
 
-    def _tell(self) -> None:
-        """At once: what may take no work keeps nothing from now on."""
-        there = {
+    def _publish_endpoints(self) -> None:
+        """Sends the available endpoints at once: bindings of an endpoint that accepts no requests end now."""
+        available = {
             name: (str(each.group), each.zone)
-            for name, each in self._listed.items()
-            if each.accepts_requests and name not in self._out
+            for name, each in self._endpoints.items()
+            if each.accepts_requests and name not in self._ejected
         }
-        if there != self._there:
-            self._there = there
-            self._among.dispatch(ComponentEvent(PREFIX, AvailableEndpoints(there)))
+        if available != self._available:
+            self._available = available
+            self._node.dispatch(ComponentEvent(PREFIX, AvailableEndpoints(available)))
 
     def connection_closed(self, origin: str) -> None:
-        kept = self._conns.pop(origin, None)
-        if kept is not None and kept.endpoint:
-            self._see(Kind.CONN, kept.key, kept.endpoint, State.CLOSING)
+        connection = self._connections.pop(origin, None)
+        if connection is not None and connection.endpoint:
+            self._record_use(Kind.CONN, connection.key, connection.endpoint, State.CLOSING)
 
     def status(self) -> dict[str, Any]:
         context = self._bindings.context
         return {
             "state": "whole" if self._table.complete else "joining",
             **self._table.status(),
-            "calls": {**self.counts, "open": len(self._mine)},
-            "consumers": len(self._conns),
-            "providers": len(self._there),
+            "calls": {**self.counts, "open": len(self._request_bindings)},
+            "consumers": len(self._connections),
+            "providers": len(self._available),
             "window_ms": max(self._windows.values(), default=0.0),
-            "told": context.update_sender.seq,  # words of sights so far; of each other member, those heard here:
+            "told": context.update_sender.seq,  # updates sent; "heard": sequence number received of each peer
             "heard": {peer.name: peer.last_seq for peer in context.peers.alive_peers()},
         }
 
-    # Calls
+    # Request interceptor
 
-    def request_received(self, call: Request) -> FinalResponse | None:
-        about, mine = call.details, Mine()
-        if self._tuning.keys and about.idempotency_key and call.class_name in self._classes:
-            mine.key = joined(call.class_name.encode(), call.tenant.encode(), about.idempotency_key)
-            final = self._keyed(call, mine)
+    def request_received(self, request: Request) -> FinalResponse | None:
+        details, bindings = request.details, RequestBindings()
+        if self._tuning.keys and details.idempotency_key and request.class_name in self._classes:
+            bindings.key = composite_key(request.class_name.encode(), request.tenant.encode(), details.idempotency_key)
+            final = self._look_up_key(request, bindings)
             if final is not None:
                 return final
         if self._header:
-            value = about.fields.get(self._header)
+            value = details.fields.get(self._header)
             if value:
-                mine.session = joined(call.tenant.encode(), b"", value)
+                bindings.session = composite_key(request.tenant.encode(), b"", value)
                 self.counts["sessions"] += 1
-                if call.placement_hint is None:
-                    self._prefer(call, Kind.SESSION, mine.session)
-        if self._tuning.connections and about.connection:
-            mine.origin = about.connection
-            kept = self._conns.get(about.connection)
-            if kept is None:
-                self._conn += 1
-                own = b"%d %d" % (self._among.process_epoch, self._conn)  # another connection from there is another one
-                kept = self._conns[about.connection] = Kept(joined(self._among.name.encode(), b"", own))
+                if request.placement_hint is None:
+                    self._prefer_bound_endpoint(request, Kind.SESSION, bindings.session)
+        if self._tuning.connections and details.connection:
+            bindings.connection = details.connection
+            connection = self._connections.get(details.connection)
+            if connection is None:
+                self._connection_count += 1
+                number = b"%d %d" % (
+                    self._node.process_epoch,
+                    self._connection_count,
+                )  # unique: addresses recur
+                connection = self._connections[details.connection] = ClientConnection(
+                    composite_key(self._node.name.encode(), b"", number)
+                )
             self.counts["connections"] += 1
-            if call.placement_hint is None and kept.endpoint:
-                self._prefer(call, Kind.CONN, kept.key)
-        if mine.key or mine.session or mine.origin:
-            self._mine[call.number] = mine
+            if request.placement_hint is None and connection.endpoint:
+                self._prefer_bound_endpoint(request, Kind.CONN, connection.key)
+        if bindings.key or bindings.session or bindings.connection:
+            self._request_bindings[request.number] = bindings
         return None
 
-    def _keyed(self, call: Request, mine: Mine) -> FinalResponse | None:
+    def _look_up_key(self, request: Request, bindings: RequestBindings) -> FinalResponse | None:
         self.counts["keyed"] += 1
-        bound = self._table.find(self._among.now(), Kind.KEY, mine.key)
-        if bound is None and call.details.is_retry and not self._table.complete:
+        bound = self._table.find(self._node.now(), Kind.KEY, bindings.key)
+        if bound is None and request.details.is_retry and not self._table.complete:
             self.counts["unsure"] += 1
             return FinalResponse(Verdict.REJECTED)
         if bound is not None:
             self.counts["repeats"] += 1
-            call.already_charged = call.already_charged or bound.charged
-            # The window counts from the first of them, wherever its latest repeat was seen.
-            call.placement_hint = PlacementHint(
-                may_have_run=True, zone=bound.zone, group=_group(bound.cell), age_ms=bound.age_ms
+            request.already_charged = request.already_charged or bound.charged
+            # The window counts from the first request with this key, wherever its latest repeat arrived.
+            request.placement_hint = PlacementHint(
+                may_have_run=True, zone=bound.zone, group=_group_number(bound.cell), age_ms=bound.age_ms
             )
-            mine.hinted = True
+            bindings.has_hint = True
         else:
-            mine.changes = self._table.changes
-        use = self._uses.get(mine.key)
-        if use is None:
-            use = self._uses[mine.key] = Use()
-        use.calls += 1
+            bindings.table_changes = self._table.changes
+        attempts = self._key_attempts.get(bindings.key)
+        if attempts is None:
+            attempts = self._key_attempts[bindings.key] = KeyAttempts()
+        attempts.requests += 1
         return None
 
-    def _prefer(self, call: Request, kind: Kind, key: bytes) -> None:
-        bound = self._table.find(self._among.now(), kind, key)
+    def _prefer_bound_endpoint(self, request: Request, kind: Kind, key: bytes) -> None:
+        bound = self._table.find(self._node.now(), kind, key)
         if bound is not None:
-            call.placement_hint = PlacementHint(preferred_endpoint=bound.endpoint)
+            request.placement_hint = PlacementHint(preferred_endpoint=bound.endpoint)
 
-    def attempt_started(self, invoker_call: Attempt) -> None:
-        mine = self._mine.get(invoker_call.request.number)
-        if mine is None:
+    def attempt_started(self, attempt: Attempt) -> None:
+        bindings = self._request_bindings.get(attempt.request.number)
+        if bindings is None:
             return
-        mine.out += 1
-        if not mine.key:
+        bindings.in_flight += 1
+        if not bindings.key:
             return
-        use = self._uses[mine.key]
-        use.out += 1
-        if not (use.ours or use.stands):
-            known = mine.hinted
-            if not known and mine.changes != self._table.changes:
-                known = self._table.find(self._among.now(), Kind.KEY, mine.key) is not None
-                self.counts["crossed"] += known  # told of while this one waited to be sent
-            use.ours, use.stands = not known, known
-        if not self._see(Kind.KEY, mine.key, invoker_call.endpoint_name, State.OPENING):
+        attempts = self._key_attempts[bindings.key]
+        attempts.in_flight += 1
+        if not (attempts.bound_here or attempts.must_stay):
+            already_bound = bindings.has_hint
+            if not already_bound and bindings.table_changes != self._table.changes:
+                already_bound = self._table.find(self._node.now(), Kind.KEY, bindings.key) is not None
+                self.counts["crossed"] += already_bound  # a peer's binding arrived while the request was queued
+            attempts.bound_here, attempts.must_stay = not already_bound, already_bound
+        if not self._record_use(Kind.KEY, bindings.key, attempt.endpoint_name, State.OPENING):
             self.counts["unbound"] += 1
-            use.ours = False
+            attempts.bound_here = False
 
-    def attempt_ended(self, invoker_call: Attempt, ending: AttemptEnding) -> None:
-        call = invoker_call.request
-        mine = self._mine.get(call.number)
-        if mine is None:
+    def attempt_ended(self, attempt: Attempt, ending: AttemptEnding) -> None:
+        request = attempt.request
+        bindings = self._request_bindings.get(request.number)
+        if bindings is None:
             return
-        mine.out -= 1
-        if ending is AttemptEnding.SERVED and not mine.served:
-            mine.served = invoker_call.endpoint_name
-        if mine.key:
-            use = self._uses[mine.key]
-            use.out -= 1
+        bindings.in_flight -= 1
+        if ending is AttemptEnding.SERVED and not bindings.served_by:
+            bindings.served_by = attempt.endpoint_name
+        if bindings.key:
+            attempts = self._key_attempts[bindings.key]
+            attempts.in_flight -= 1
             if ending not in NEVER_RAN:
-                use.ours, use.stands = False, True
-            elif use.ours and not use.out:
-                use.ours = False
-                self._undo(mine.key)
-        self._over(call.number, mine)
-
-    def request_closed(self, call: Request) -> None:
-        mine = self._mine.get(call.number)
-        if mine is None:
+                attempts.bound_here, attempts.must_stay = False, True
+            elif attempts.bound_here and not attempts.in_flight:
+                attempts.bound_here = False
+                self._undo(bindings.key)
+        self._finish(request.number, bindings)
+
+    def request_closed(self, request: Request) -> None:
+        bindings = self._request_bindings.get(request.number)
+        if bindings is None:
             return
-        mine.closed = True
-        if call.final is not None and call.final.verdict is Verdict.SERVED:
-            # A long answer is the call's answer before its attempt has ended.
-            by = mine.served or next((each.endpoint_name for each in call.attempts if each.response_began_at), "")
-            if by:
-                self._served(mine, by)
-        self._over(call.number, mine)
-
-    def _served(self, mine: Mine, by: str) -> None:
-        if mine.key:
-            self._see(Kind.KEY, mine.key, by, State.OPEN, True)
-        if mine.session:
-            self._see(Kind.SESSION, mine.session, by, State.OPEN)
-        kept = self._conns.get(mine.origin)
-        if kept is not None:
-            kept.endpoint = by
-            self._see(Kind.CONN, kept.key, by, State.OPEN)
-
-    def _over(self, number: int, mine: Mine) -> None:
-        if not mine.closed or mine.out:
+        bindings.closed = True
+        if request.final is not None and request.final.verdict is Verdict.SERVED:
+            # A streamed response is delivered before its attempt has ended.
+            endpoint = bindings.served_by or next(
+                (each.endpoint_name for each in request.attempts if each.response_began_at), ""
+            )
+            if endpoint:
+                self._record_served(bindings, endpoint)
+        self._finish(request.number, bindings)
+
+    def _record_served(self, bindings: RequestBindings, endpoint: str) -> None:
+        if bindings.key:
+            self._record_use(Kind.KEY, bindings.key, endpoint, State.OPEN, True)
+        if bindings.session:
+            self._record_use(Kind.SESSION, bindings.session, endpoint, State.OPEN)
+        connection = self._connections.get(bindings.connection)
+        if connection is not None:
+            connection.endpoint = endpoint
+            self._record_use(Kind.CONN, connection.key, endpoint, State.OPEN)
+
+    def _finish(self, number: int, bindings: RequestBindings) -> None:
+        if not bindings.closed or bindings.in_flight:
             return
-        del self._mine[number]
-        if mine.key:
-            use = self._uses[mine.key]
-            use.calls -= 1
-            if not use.calls:
-                del self._uses[mine.key]
+        del self._request_bindings[number]
+        if bindings.key:
+            attempts = self._key_attempts[bindings.key]
+            attempts.requests -= 1
+            if not attempts.requests:
+                del self._key_attempts[bindings.key]
 
     # The table
 
-    def _see(self, kind: Kind, key: bytes, endpoint: str, state: State, charged: bool = False) -> bool:
-        early = self._early
-        if early is not None and len(early) < MOST_EARLY:
+    def _record_use(self, kind: Kind, key: bytes, endpoint: str, state: State, charged: bool = False) -> bool:
+        early = self._early_bindings
+        if early is not None and len(early) < MAX_EARLY_BINDINGS:
             early[kind, key] = endpoint, state, charged
-        return self._table.record_use(self._among.now(), kind, key, endpoint, state, charged)
+        return self._table.record_use(self._node.now(), kind, key, endpoint, state, charged)
 
     def _undo(self, key: bytes) -> None:
         self.counts["undone"] += 1
-        if self._early is not None:
-            self._early.pop((Kind.KEY, key), None)
-        self._table.undo(self._among.now(), Kind.KEY, key)
+        if self._early_bindings is not None:
+            self._early_bindings.pop((Kind.KEY, key), None)
+        self._table.undo(self._node.now(), Kind.KEY, key)
 
 
-def _group(cell: str) -> int:
-    """As the directory numbers it; -1, where nobody is, for what is no number."""
+def _group_number(cell: str) -> int:
+    """The cell's number in discovery; -1, which no endpoint has, if the text is not a number."""
     try:
         return int(cell)
     except ValueError:
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -1,13 +1,13 @@
-"""Members, consumers and directories for drawings of bindings.
+"""Nodes and commands for the expected timelines of the affinity table (tests/fleet/drawings/bindings).
 
-Keys are named by kind: `k1` a keyed call (window 1500 ms), `s1` a session, `c1` a connection, `f1` a flow.
-`ask a WORDS`: `see f1 p1`, `see f1 p1 opening` (or `open`, `closing`, `lingering`), `undo f1`, `gone p1` and `back p1`
-(its own directory says so), `many 10000 p1` (flows `m0`, ... seen in one ms), `flood 100 p1` (half-open, `o0`, ...),
-`calls 15 p1` (keyed calls `k100`, ...).
+Keys are named by kind: `k1` an idempotency key (window 1500 ms), `s1` a session, `c1` a connection, `f1` a flow. `ask a
+COMMAND`: `see f1 p1`, `see f1 p1 opening` (or `open`, `closing`, `lingering`), `undo f1`, `gone p1` and `back p1` (in
+that node's list of endpoints), `many 10000 p1` (flows `m0`, ... used in one ms), `flood 100 p1` (opening flows `o0`,
+...), `calls 15 p1` (keys `k100`, ...).
 
-Each node is asked each 5 ms for all keys named in the file, and notes what has changed: `f1 p1` (found there),
-`f1 none` (not found any more). Of many: `200 of m`, how many are found, when its table has changed. Head
-`most`: rows a table has; `opening`: the part of them that half-open ones may have.
+Each node is probed every 5 ms for all keys in the file, and changes are recorded: `f1 p1` (found there), `f1 none` (no
+longer found). Of a group: `200 of m`, the number found, when the node's table has changed. Settings in the head:
+`most`: rows per table; `opening`: the share of them that opening rows may take.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
     session="s",
     connections=True,
 )
-MEMBERS = membership.Tuning(period_ms=200, timeout_ms=40, gossip_ms=15, reconnect=2)
+MEMBERSHIP_TUNING = membership.Tuning(period_ms=200, timeout_ms=40, gossip_ms=15, reconnect=2)
 WINDOW_MS = 1500.0
-THERE = {"p1": ("x", "z1"), "p2": ("x", "z1"), "p3": ("y", "z2")}
+ENDPOINTS = {"p1": ("x", "z1"), "p2": ("x", "z1"), "p3": ("y", "z2")}
 KINDS = {"k": Kind.KEY, "s": Kind.SESSION, "c": Kind.CONN}
 GROUPS = {"many": ("m", State.OPEN), "flood": ("o", State.OPENING), "calls": ("k10", State.OPEN)}
 PROBE_MS = 5.0
@@ -56,8 +56,8 @@
     return KINDS.get(key[0], Kind.FLOW)
 
 
-class Told:
-    """A node's parts; its bindings are told the window and a full directory when the process begins."""
+class ConfiguredNode:
+    """A node's components; at its start the affinity component receives the window and a complete endpoint list."""
 
     def __init__(self, members: Membership, bindings: Bindings) -> None:
         self.membership, self.bindings = members, bindings
@@ -66,21 +66,21 @@
     def handle(self, now: float, event: Any) -> list[Any]:
         out: list[Any] = self.hub.handle(now, event)
         if isinstance(event, Started):
-            for told in (DeduplicationWindow(WINDOW_MS), AvailableEndpoints(THERE)):
-                out += self.hub.handle(now, ComponentEvent(PREFIX, told))
+            for initial_event in (DeduplicationWindow(WINDOW_MS), AvailableEndpoints(ENDPOINTS)):
+                out += self.hub.handle(now, ComponentEvent(PREFIX, initial_event))
         return out
 
 
 class Prober:
-    """Asks all nodes, and notes what has changed since it asked them last."""
+    """Probes all nodes, and records what has changed since the last probe."""
 
     def __init__(self, scenario: Scenario) -> None:
         named = (re.fullmatch(r"(?:see|undo) (\w+)( .*)?", getattr(fault, "words", "")) for _, fault in scenario.faults)
         self.keys = sorted({found[1] for found in named if found})
         self.scenario = scenario
         self.groups: dict[str, int] = {}
-        self.last: dict[str, tuple[Any, dict[str, str]]] = {}  # by node: its part, what was found
-        self.there: dict[str, dict[str, tuple[str, str]]] = {}
+        self.last: dict[str, tuple[Any, dict[str, str]]] = {}  # by node: its component, what was found
+        self.endpoints: dict[str, dict[str, tuple[str, str]]] = {}
 
     def begin(self, world: World) -> None:
         world.kernel.late(world.now + PROBE_MS, self.probe, world)
@@ -88,74 +88,74 @@
     def probe(self, world: World) -> None:
         for name, node in world.nodes.items():
             if node.part is not None and not node.paused:
-                self.look(world, name)
+                self.probe_node(world, name)
         self.begin(world)
 
-    def look(self, world: World, name: str) -> None:
+    def probe_node(self, world: World, name: str) -> None:
         node = world.nodes[name]
-        part, last = self.last.get(name, (None, {}))
-        if part is not node.part:
+        last_component, last = self.last.get(name, (None, {}))
+        if last_component is not node.part:
             last = {}
-        now: dict[str, str] = {}
-        clock = max(node.now, node.clock(world.now))
+        current: dict[str, str] = {}
+        now_ms = max(node.now, node.clock(world.now))
         for key in self.keys:
-            bound = self._find(node.part.bindings, clock, key)
-            now[key] = f"{key} {bound.endpoint}" if bound is not None else f"{key} none"
+            bound = self._find(node.part.bindings, now_ms, key)
+            current[key] = f"{key} {bound.endpoint}" if bound is not None else f"{key} none"
             if bound is None and key not in last:
-                last[key] = now[key]
-        figures = node.part.bindings.table.status()
-        now["changes"] = f"{figures['held']} {figures['graves']}"
-        for group, most in self.groups.items():
-            now[group] = last.get(group, f"0 of {group}")
-            if now["changes"] != last.get("changes") or group not in last:
-                found = (self._find(node.part.bindings, clock, f"{group}{number}") for number in range(most))
-                now[group] = f"{sum(bound is not None for bound in found)} of {group}"
+                last[key] = current[key]
+        status = node.part.bindings.table.status()
+        current["changes"] = f"{status['held']} {status['graves']}"
+        for group, count in self.groups.items():
+            current[group] = last.get(group, f"0 of {group}")
+            if current["changes"] != last.get("changes") or group not in last:
+                found = (self._find(node.part.bindings, now_ms, f"{group}{number}") for number in range(count))
+                current[group] = f"{sum(bound is not None for bound in found)} of {group}"
                 last.setdefault(group, f"0 of {group}")
-        for key, text in now.items():
+        for key, text in current.items():
             if last.get(key) != text and key != "changes":
                 world.seen.append(Seen(world.now, name, text))
-        self.last[name] = (node.part, now)
+        self.last[name] = (node.part, current)
 
-    def _find(self, bindings: Bindings, clock: float, key: str) -> Binding | None:
-        return bindings.table.find(clock, kind_of(key), key.encode())
+    def _find(self, bindings: Bindings, now_ms: float, key: str) -> Binding | None:
+        return bindings.table.find(now_ms, kind_of(key), key.encode())
 
-    def ask(self, world: World, name: str, words: str) -> None:
-        """ValueError on words that there are not."""
+    def run_command(self, world: World, name: str, words: str) -> None:
+        """Runs a command of the timeline at a node. ValueError on an unknown command."""
         node = world.nodes[name]
-        word, _, rest = words.partition(" ")
-        about = rest.split()
-        if word in ("gone", "back"):
-            there = self.there.setdefault(name, dict(THERE))
-            there.pop(about[0], None)
-            if word == "back":
-                there[about[0]] = THERE[about[0]]
-            world.poke(name, ComponentEvent(PREFIX, AvailableEndpoints(dict(there))))
+        command, _, rest = words.partition(" ")
+        arguments = rest.split()
+        if command in ("gone", "back"):
+            endpoints = self.endpoints.setdefault(name, dict(ENDPOINTS))
+            endpoints.pop(arguments[0], None)
+            if command == "back":
+                endpoints[arguments[0]] = ENDPOINTS[arguments[0]]
+            world.poke(name, ComponentEvent(PREFIX, AvailableEndpoints(dict(endpoints))))
             return
         if node.part is None or node.paused:
             return
-        table, clock = node.part.bindings.table, max(node.now, node.clock(world.now))
-        if word == "see":
-            state = State[about[2].upper()] if len(about) > 2 else State.OPEN
-            if not table.record_use(clock, kind_of(about[0]), about[0].encode(), about[1], state):
-                world.seen.append(Seen(world.now, name, f"{about[0]} refused"))
-        elif word == "undo":
-            table.undo(clock, kind_of(about[0]), about[0].encode())
-        elif word in GROUPS:
-            group, state = GROUPS[word]
-            refused = sum(
-                not table.record_use(clock, kind_of(group), f"{group}{number}".encode(), about[1], state)
-                for number in range(int(about[0]))
+        table, now_ms = node.part.bindings.table, max(node.now, node.clock(world.now))
+        if command == "see":
+            state = State[arguments[2].upper()] if len(arguments) > 2 else State.OPEN
+            if not table.record_use(now_ms, kind_of(arguments[0]), arguments[0].encode(), arguments[1], state):
+                world.seen.append(Seen(world.now, name, f"{arguments[0]} refused"))
+        elif command == "undo":
+            table.undo(now_ms, kind_of(arguments[0]), arguments[0].encode())
+        elif command in GROUPS:
+            group, state = GROUPS[command]
+            rejected = sum(
+                not table.record_use(now_ms, kind_of(group), f"{group}{number}".encode(), arguments[1], state)
+                for number in range(int(arguments[0]))
             )
-            self.groups[group] = int(about[0])
-            if refused:
-                world.seen.append(Seen(world.now, name, f"{refused} of {group} refused"))
+            self.groups[group] = int(arguments[0])
+            if rejected:
+                world.seen.append(Seen(world.now, name, f"{rejected} of {group} refused"))
         else:
-            raise ValueError(f"ask {name} {words}: no such words")
-        self.look(world, name)
+            raise ValueError(f"ask {name} {words}: unknown command")
+        self.probe_node(world, name)
 
 
 def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
-    """AssertionError where it did not come out, if `exact`."""
+    """Plays the scenario. With `exact`, raises AssertionError if it differs from the expected timeline."""
     tuning = replace(
         TUNING,
         most=int(scenario.figure("most", TUNING.most)),
@@ -164,8 +164,8 @@
     prober = Prober(scenario)
     seeds = [address(name) for name in scenario.nodes[:2]]
 
-    def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Told:
-        members = Membership(name, address(name), process_epoch, seeds, MEMBERS, seed)
-        return Told(members, Bindings(name, process_epoch, SECRET, tuning, seed))
+    def make(name: str, seed: int, process_epoch: int, stored_log: StoredLog) -> ConfiguredNode:
+        members = Membership(name, address(name), process_epoch, seeds, MEMBERSHIP_TUNING, seed)
+        return ConfiguredNode(members, Bindings(name, process_epoch, SECRET, tuning, seed))
 
-    return (check if exact else play)(scenario, make, prober.ask, prober.begin)
+    return (check if exact else play)(scenario, make, prober.run_command, prober.begin)
--- a/limenotch/lab/fleet/bindings_history.py
+++ b/limenotch/lab/fleet/bindings_history.py
@@ -1,4 +1,4 @@
-"""What a run's history is made of, for checks_bindings: what is promised, sights, the truth of a key, a process."""
+"""Records of a simulated run for checks_bindings: guarantees, uses, the actual state of a binding, processes."""
 
 from __future__ import annotations
 
@@ -7,64 +7,68 @@
 from typing import NamedTuple
 
 Key = tuple[int, bytes]  # kind, key
-KEY, OPENING, OPEN = 0, 0, 1  # numbers of api.Kind and api.State, as written down in the design
+KEY, OPENING, OPEN = 0, 0, 1  # numbers of api.Kind and api.State, as in the design
 DEAD = ("dead", "left")
-LOSSY_MS = 12_700.0  # of a stream's segment that was lost six times (weather.TRY_AGAIN_MS, doubled each time)
-LOST_MS = 1500.0  # in which all datagrams of one way may be lost
-EDGE_MS = 2.0  # of floats, and of what clocks gain on each other between two messages
+LOSSY_MS = 12_700.0  # delay of a segment lost six times (weather.TRY_AGAIN_MS, doubled each time)
+LOST_MS = 1500.0  # all datagrams of one link may be lost for this long
+EDGE_MS = 2.0  # tolerance for float error and for clock drift between two messages
 
 
 @dataclass(frozen=True)
-class Stated:
-    """What is promised, ms of true time. `idle(kind, state)`, `longest(kind)`."""
+class Guarantees:
+    """What the affinity table guarantees, in ms of true time. `idle_ms(kind, state)`, `lifetime_ms(kind)`."""
 
-    idle: Callable[[int, int], float]
-    longest: Callable[[int], float]
-    tell: float
+    idle_ms: Callable[[int, int], float]
+    lifetime_ms: Callable[[int], float]
+    announce_share: float
     drift: float
-    told_ms: float  # until a sight is known to all, while no way is impaired
-    spare_ms: float  # beyond idle time and drift, until all have forgotten, while no way is impaired
-    mend_ms: float  # from the end of an impairment, or a change of who is held alive, until tables are one again
-    agree_ms: float  # how long two may find different providers while all is calm
-    young_ms: float  # by how much an age may be too young: the shortest way of a message, drift
-    gone_ms: float = 250.0
+    propagation_ms: float  # until a use is known to all members, while no link is impaired
+    margin_ms: float  # beyond idle time and drift, until all have removed it, while no link is impaired
+    convergence_ms: float  # from the end of a fault, or a membership change, until tables are equal
+    agreement_ms: float  # how long two members may find different endpoints in calm
+    age_error_ms: float  # by how much an age may be too low: shortest message delay, drift
+    removal_ms: float = 250.0
 
 
-class Sight(NamedTuple):
-    at: float
+class Use(NamedTuple):
+    """A use of a key that a process observed. `process`: its `Process.number`."""
+
+    at_ms: float
     node: str
     process: int
-    process_epoch: int  # membership's
+    process_epoch: int  # as in membership
     endpoint: str
     state: int
 
 
 @dataclass
 class Truth:
-    """Of one key: the sights of the binding that is there now, or was last."""
+    """The actual state of a key's current or latest binding."""
 
-    made: float
-    anew: float  # the latest that some member may take it to be made: it was over there when it was seen again
-    last: float
+    created_ms: float
+    recreated_ms: float  # latest creation that a member may assume: it had expired there when used again
+    last_ms: float
     state: int
-    state_at: float  # since when the binding is in that state
+    state_since_ms: float  # when the binding entered that state
     states: set[int]
     endpoints: set[str]
-    sights: dict[tuple[str, int], Sight]  # the last of each process
-    sure: bool = True  # False: begun when the one before may or may not have been forgotten
+    uses: dict[tuple[str, int], Use]  # latest of each process
+    certain: bool = True  # False: created when the earlier one may or may not have been removed
 
 
 @dataclass
 class Process:
+    """One process of a node; a fence ends it and begins another."""
+
     number: int
     process_epoch: int
-    since: float
-    found: dict[Key, tuple[float, str]] = field(default_factory=dict)  # when last, and the provider
-    over: dict[Key, float] = field(default_factory=dict)  # not found although or because it was over in truth: when
-    before: set[Key] = field(default_factory=set)  # found before the fence, and not asked for since
-    ended: dict[Key, str] = field(default_factory=dict)  # why a row ended, if it was not by age
-    gone: dict[str, float] = field(default_factory=dict)  # providers that left the list, when
-    there: frozenset[str] = frozenset()
-    holds: dict[str, tuple[str, int]] = field(default_factory=dict)  # of others: state, life
-    changed: float = 0.0  # when that was other last
-    given: list[Key] = field(default_factory=list)  # way for others, in order
+    started_ms: float
+    found: dict[Key, tuple[float, str]] = field(default_factory=dict)  # time of the last lookup, endpoint
+    expired: dict[Key, float] = field(default_factory=dict)  # actually expired and not found: when
+    pre_fence: set[Key] = field(default_factory=set)  # found before the fence, not looked up since
+    end_reasons: dict[Key, str] = field(default_factory=dict)  # if the row did not end by age
+    removed: dict[str, float] = field(default_factory=dict)  # endpoints that left the list: when
+    endpoints: frozenset[str] = frozenset()
+    peers: dict[str, tuple[str, int]] = field(default_factory=dict)  # state and process epoch
+    changed_ms: float = 0.0  # when `peers` changed last
+    evicted_keys: list[Key] = field(default_factory=list)  # in order
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -1,7 +1,7 @@
-"""Bindings over membership in simulated time: consumers that come back through other sidecars, providers that go.
+"""Simulated fleet with the affinity table over membership: clients return through other sidecars, endpoints go.
 
-`Run` is the world, a hub of membership and bindings a node, and checks_bindings.Checker told of everything in the
-world's true time. Runs under faults are in bindings_storms.
+`Run` has the simulated world, a hub with membership and the affinity component per node, and a checks_bindings.Checker
+that receives all events in the world's true time. Runs under faults are in bindings_storms.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from limenotch.fleet.membership import Membership
 from limenotch.fleet.wire import tag_of
 from limenotch.lab.fleet import faults
-from limenotch.lab.fleet.checks_bindings import LOSSY_MS, Checker, Key, Stated
+from limenotch.lab.fleet.checks_bindings import LOSSY_MS, Checker, Guarantees, Key
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
 
 PREFIX = tag_of(messages.LastSeenUpdate).partition(".")[0] + "."
 SECRET = b"of the laboratory"
 AGES = Ages(opening=400, open=1200, closing=500, lingering=300, longest=9000)
-QUICK = Tuning(
+FAST = Tuning(
     key=AGES,
     sessions=AGES,
     conn=AGES,
@@ -41,65 +41,65 @@
     connections=True,
     most=5000,
 )
-MEMBERS = membership.Tuning(period_ms=200, timeout_ms=40, gossip_ms=15, reconnect=2)
+MEMBERSHIP_TUNING = membership.Tuning(period_ms=200, timeout_ms=40, gossip_ms=15, reconnect=2)
 WINDOW_MS = 1500.0
-THERE = {f"p{number}": (f"cell{number % 4}", f"z{number % 2}") for number in range(6)}
+ENDPOINTS = {f"p{number}": (f"cell{number % 4}", f"z{number % 2}") for number in range(6)}
 SWEEP_MS = 20.0
 
 
-def detect_ms(members: membership.Tuning, count: int) -> float:
-    """From a process's fall until all hold it dead: a probe's turn and its answer's time, and the longest suspicion."""
-    return 3 * members.period_ms + members.suspicion_longest * members.shortest_ms(count)
+def death_detection_ms(members: membership.Tuning, member_count: int) -> float:
+    """From a process's death until all members hold it dead: probe interval, its answer's time-out, suspicion."""
+    return 3 * members.period_ms + members.suspicion_longest * members.shortest_ms(member_count)
 
 
-def stated(
-    tuning: Tuning, members: membership.Tuning, count: int, delay_ms: float = 1.0, window_ms: float = WINDOW_MS
-) -> Stated:
-    """What docs/fleet/bindings.md promises of these settings where a message takes `delay_ms` at most."""
+def guarantees(
+    tuning: Tuning, members: membership.Tuning, member_count: int, delay_ms: float = 1.0, window_ms: float = WINDOW_MS
+) -> Guarantees:
+    """What docs/fleet/bindings.md guarantees with these settings, if a message takes at most `delay_ms`."""
 
-    def idle(kind: int, state: int) -> float:
+    def idle_ms(kind: int, state: int) -> float:
         ages = (tuning.key, tuning.sessions, tuning.conn, tuning.flow)[kind]
-        of_state = (ages.opening, ages.open, ages.closing, ages.lingering)[state]
-        if kind == Kind.KEY:  # whatever was sent out may have run, answered or not
-            return max(window_ms, of_state if state != State.OPEN else 0.0)
-        return of_state
+        state_ms = (ages.opening, ages.open, ages.closing, ages.lingering)[state]
+        if kind == Kind.KEY:  # a request that was sent may have run, answered or not
+            return max(window_ms, state_ms if state != State.OPEN else 0.0)
+        return state_ms
 
-    def longest(kind: int) -> float:
+    def max_lifetime_ms(kind: int) -> float:
         return (tuning.key, tuning.sessions, tuning.conn, tuning.flow)[kind].longest
 
-    scale = max(1.0, count / 32)  # of batches and covers, which go to all
-    batch, cover = tuning.batch_ms * scale, tuning.cover_ms * scale
-    return Stated(
-        idle,
-        longest,
+    scale = max(1.0, member_count / 32)  # of batches and watermarks, which go to all members
+    batch_ms, watermark_ms = tuning.batch_ms * scale, tuning.cover_ms * scale
+    return Guarantees(
+        idle_ms,
+        max_lifetime_ms,
         tuning.tell,
         tuning.drift,
-        told_ms=batch + 2 * tuning.tick_ms + 3 * delay_ms + 10,
-        spare_ms=4 * cover + 2 * batch + 2 * tuning.tick_ms + 4 * delay_ms,
-        mend_ms=detect_ms(members, count) + 6 * tuning.digest_ms + 4 * delay_ms,
-        agree_ms=batch + 4 * delay_ms + 3 * tuning.digest_ms,
-        young_ms=3 * delay_ms + 5,
+        propagation_ms=batch_ms + 2 * tuning.tick_ms + 3 * delay_ms + 10,
+        margin_ms=4 * watermark_ms + 2 * batch_ms + 2 * tuning.tick_ms + 4 * delay_ms,
+        convergence_ms=death_detection_ms(members, member_count) + 6 * tuning.digest_ms + 4 * delay_ms,
+        agreement_ms=batch_ms + 4 * delay_ms + 3 * tuning.digest_ms,
+        age_error_ms=3 * delay_ms + 5,
     )
 
 
-class Recorded:
-    """The bindings' part, and what it is told by membership and its host, at the instant when it is told."""
+class RecordedComponent:
+    """The affinity component; reports the events that it receives to the checker."""
 
-    def __init__(self, run: Run, name: str, part: Bindings) -> None:
-        self.run, self.name, self.part = run, name, part
+    def __init__(self, run: Run, name: str, component: Bindings) -> None:
+        self.run, self.name, self.component = run, name, component
 
     def handle(self, now: float, event: Any) -> list[Any]:
         checker, at = self.run.checker, self.run.world.now
         if isinstance(event, Fenced):
             checker.fenced(at, self.name)
         elif isinstance(event, MemberChanged):
-            checker.holds(at, self.name, event.name, event.state, event.process_epoch)
+            checker.member_changed(at, self.name, event.name, event.state, event.process_epoch)
         elif isinstance(event, AvailableEndpoints):
-            checker.endpoints(at, self.name, event.available)
-        return self.part.handle(now, event)
+            checker.endpoints_changed(at, self.name, event.available)
+        return self.component.handle(now, event)
 
 
-class Member(NamedTuple):
+class NodeComponents(NamedTuple):
     hub: ComponentHub
     membership: Membership
     bindings: Bindings
@@ -109,130 +109,132 @@
 
 
 class Run:
+    """A simulated fleet; its methods act on one node, or on all."""
+
     def __init__(
         self,
         nodes: Iterable[str],
         seed: int = 0,
         *,
-        tuning: Tuning = QUICK,
-        members: membership.Tuning = MEMBERS,
+        tuning: Tuning = FAST,
+        members: membership.Tuning = MEMBERSHIP_TUNING,
         delay_ms: float = 1.0,
         window_ms: float = WINDOW_MS,
-        there: Mapping[str, tuple[str, str]] = THERE,
-        **weather: Any,
+        endpoints: Mapping[str, tuple[str, str]] = ENDPOINTS,
+        **network_conditions: Any,
     ) -> None:
         self.names = list(nodes)
-        self.tuning, self.members, self.there, self.window_ms = tuning, members, dict(there), window_ms
-        self.checker = Checker(stated(tuning, members, len(self.names), delay_ms, window_ms), self.names)
-        self.keys: dict[Key, None] = {}  # all that were ever seen, in order
-        self._hashes: dict[bytes, Key] = {}
-        self._seeing: Key | None = None
-        self.world = World(self.names, self.make, seed, delay_ms=delay_ms, **weather)
-
-    def make(self, name: str, seed: int, process_epoch: int, held: StoredLog) -> Member:
+        self.tuning, self.members, self.endpoints, self.window_ms = tuning, members, dict(endpoints), window_ms
+        self.checker = Checker(guarantees(tuning, members, len(self.names), delay_ms, window_ms), self.names)
+        self.keys: dict[Key, None] = {}  # all keys ever used, in order
+        self._keys_by_hash: dict[bytes, Key] = {}
+        self._key_in_use: Key | None = None
+        self.world = World(self.names, self.make, seed, delay_ms=delay_ms, **network_conditions)
+
+    def make(self, name: str, seed: int, process_epoch: int, stored_log: StoredLog) -> NodeComponents:
         members = Membership(
-            name, address(name), process_epoch, [address(one) for one in self.names[:2]], self.members, seed
+            name, address(name), process_epoch, [address(seed_name) for seed_name in self.names[:2]], self.members, seed
         )
         bindings = Bindings(name, process_epoch, SECRET, self.tuning, seed)
-        bindings.on_end = lambda why, mark: self._ended(name, bindings, why, mark)
-        self.checker.began(self.world.now, name, process_epoch)
-        recorded = Recorded(self, name, bindings)
+        bindings.on_end = lambda reason, key_hash: self._row_ended(name, bindings, reason, key_hash)
+        self.checker.process_started(self.world.now, name, process_epoch)
+        recorded = RecordedComponent(self, name, bindings)
         hub = ComponentHub([("mb.", members), (PREFIX, recorded)], members)
-        self.world.kernel.at(self.world.now, self._settings, name)
-        return Member(hub, members, bindings)
-
-    def _settings(self, name: str) -> None:
-        self.tell(name, DeduplicationWindow(self.window_ms))
-        self.tell(name, AvailableEndpoints(dict(self.there)))
-
-    def _ended(self, name: str, bindings: Bindings, why: str, mark: bytes) -> None:
-        part = self.world.part(name)
-        key = self._hashes.get(mark)
-        if key == self._seeing and why == "over":
-            return  # over by its age, and seen again before it could be forgotten: nobody finds it missing
-        if key is not None and part is not None and part.bindings is bindings:
-            self.checker.dropped(self.world.now, name, key, why)
-
-    def tell(self, name: str, event: Any) -> None:
+        self.world.kernel.at(self.world.now, self._send_settings, name)
+        return NodeComponents(hub, members, bindings)
+
+    def _send_settings(self, name: str) -> None:
+        self.notify(name, DeduplicationWindow(self.window_ms))
+        self.notify(name, AvailableEndpoints(dict(self.endpoints)))
+
+    def _row_ended(self, name: str, bindings: Bindings, reason: str, key_hash: bytes) -> None:
+        components = self.world.part(name)
+        key = self._keys_by_hash.get(key_hash)
+        if key == self._key_in_use and reason == "over":
+            return  # expired, and used again before it was removed: no lookup misses it
+        if key is not None and components is not None and components.bindings is bindings:
+            self.checker.row_ended(self.world.now, name, key, reason)
+
+    def notify(self, name: str, event: Any) -> None:
         self.world.poke(name, ComponentEvent(PREFIX, event))
 
     def bindings(self, name: str) -> Bindings | None:
-        """None if no process runs there that could be asked now."""
+        """The node's component; None if no process is running there."""
         node = self.world.nodes[name]
         return node.part.bindings if node.part is not None and not node.paused else None
 
-    def clock(self, name: str) -> float:
+    def local_time(self, name: str) -> float:
         node = self.world.nodes[name]
         node.now = max(node.now, node.clock(self.world.now))
         return node.now
 
-    # Consumers
+    # Clients
 
     def record_use(self, name: str, key: Key, endpoint: str, state: int = State.OPEN) -> bool:
-        """False: no process there, or it was refused."""
+        """Records a use at a node. False: no process is running there, or the table rejected it."""
         bindings = self.bindings(name)
         if bindings is None:
             return False
         if key not in self.keys:
             self.keys[key] = None
-            self._hashes[bindings.hash_of(Kind(key[0]), key[1])] = key
-        now, self._seeing = self.clock(name), key
-        taken = bindings.table.record_use(now, Kind(key[0]), key[1], endpoint, State(state))
-        self._seeing = None
-        self.checker.sees(self.world.now, name, key, endpoint, state, taken)
-        return taken
+            self._keys_by_hash[bindings.hash_of(Kind(key[0]), key[1])] = key
+        now, self._key_in_use = self.local_time(name), key
+        accepted = bindings.table.record_use(now, Kind(key[0]), key[1], endpoint, State(state))
+        self._key_in_use = None
+        self.checker.use_recorded(self.world.now, name, key, endpoint, state, accepted)
+        return accepted
 
     def find(self, name: str, key: Key) -> Binding | None:
         bindings = self.bindings(name)
         if bindings is None:
             return None
-        bound = bindings.table.find(self.clock(name), Kind(key[0]), key[1])
-        self.checker.found(self.world.now, name, key, bound, bindings.table.complete)
+        bound = bindings.table.find(self.local_time(name), Kind(key[0]), key[1])
+        self.checker.lookup(self.world.now, name, key, bound, bindings.table.complete)
         return bound
 
     def undo(self, name: str, key: Key) -> None:
         bindings = self.bindings(name)
         if bindings is not None:
-            bindings.table.undo(self.clock(name), Kind(key[0]), key[1])
-            self.checker.undone(self.world.now, name, key)
+            bindings.table.undo(self.local_time(name), Kind(key[0]), key[1])
+            self.checker.binding_undone(self.world.now, name, key)
 
-    def come(self, name: str, key: Key, endpoint: str, state: int = State.OPEN) -> str | None:
-        """A consumer: stays where it is bound, else goes to `provider`. Gives where it went."""
+    def client_request(self, name: str, key: Key, endpoint: str, state: int = State.OPEN) -> str | None:
+        """A client's request: goes to the bound endpoint, else to `endpoint`. Returns where it went."""
         if self.bindings(name) is None:
             return None
         bound = self.find(name, key)
-        to = bound.endpoint if bound is not None else endpoint
-        return to if self.record_use(name, key, to, state) else None
+        chosen = bound.endpoint if bound is not None else endpoint
+        return chosen if self.record_use(name, key, chosen, state) else None
 
     # Time and faults
 
     def fault(self, text: str) -> None:
         self.world.fault(faults.parse(text))
-        self.looked()
-
-    def looked(self) -> None:
-        """Tells the checker which ways nothing passes, or not in time."""
-        weather, names = self.world.weather, self.names
-        ways = {way for way in weather.cuts | set(weather.slow) if way[0] != way[1]}
-        for out in weather.muted | weather.paused | weather.dead:
-            ways |= {(out, name) for name in names if name != out}
-        for out in weather.paused | weather.dead:
-            ways |= {(name, out) for name in names if name != out}
+        self.report_impairments()
+
+    def report_impairments(self) -> None:
+        """Reports to the checker which links lose or delay messages."""
+        network_conditions, names = self.world.weather, self.names
+        links = {link for link in network_conditions.cuts | set(network_conditions.slow) if link[0] != link[1]}
+        for unreachable in network_conditions.muted | network_conditions.paused | network_conditions.dead:
+            links |= {(unreachable, name) for name in names if name != unreachable}
+        for unreachable in network_conditions.paused | network_conditions.dead:
+            links |= {(name, unreachable) for name in names if name != unreachable}
         now = self.world.now
-        self.checker.impaired(now, ways)
-        self.checker.slow_ms = max([self.checker.slow_ms, *weather.slow.values()])
-        lossy = weather.overall["loss"] > 0 or any(weather.chances["loss"].values())
+        self.checker.links_impaired(now, links)
+        self.checker.slowest_link_ms = max([self.checker.slowest_link_ms, *network_conditions.slow.values()])
+        lossy = network_conditions.overall["loss"] > 0 or any(network_conditions.chances["loss"].values())
         if lossy:
             self.checker.lossy_until = inf
         elif self.checker.lossy_until == inf:
             self.checker.lossy_until = now + LOSSY_MS
 
     def kill(self, name: str) -> None:
-        self.checker.ended(self.world.now, name)
+        self.checker.process_ended(self.world.now, name)
         self.fault(f"kill {name}")
 
     def run(self, until: float, sweep_ms: float = SWEEP_MS) -> None:
-        """All are asked for all keys each `sweep_ms`."""
+        """Runs until `until`, and looks up all keys at all nodes each `sweep_ms`."""
         while self.world.now < until:
             self.world.run(min(until, self.world.now + sweep_ms))
             self.sweep()
@@ -244,22 +246,26 @@
                     self.find(name, key)
         self.checker.sweep(self.world.now)
 
-    def joined(self, most_ms: float = 5000.0) -> None:
-        """Until all hold all alive and have whole tables. AssertionError if not in time."""
-        until = self.world.now + most_ms
-        while not self._one():
+    def wait_until_joined(self, max_ms: float = 5000.0) -> None:
+        """Runs until all nodes hold all alive and have complete tables. AssertionError if that takes too long."""
+        until = self.world.now + max_ms
+        while not self._all_joined():
             if self.world.now >= until:
-                raise AssertionError(f"not all whole within {most_ms:g} ms")
+                raise AssertionError(f"not all tables are complete within {max_ms:g} ms")
             self.world.run(self.world.now + 10)
 
-    def _one(self) -> bool:
+    def _all_joined(self) -> bool:
         for name in self.names:
-            part = self.world.part(name)
-            if part is None or part.membership.size() != len(self.names) or not part.bindings.table.complete:
+            components = self.world.part(name)
+            if (
+                components is None
+                or components.membership.size() != len(self.names)
+                or not components.bindings.table.complete
+            ):
                 return False
         return True
 
-    def calm(self) -> None:
+    def end_faults(self) -> None:
         for text in ("heal", "loss 0%", "delay 1..1", "double 0%", "reorder 0%"):
             self.fault(text)
         for name, node in self.world.nodes.items():
@@ -267,4 +273,4 @@
                 self.fault(f"start {name}")
             elif node.paused:
                 self.fault(f"wake {name}")
-        self.checker.rough(self.world.now)
+        self.checker.faults_ended(self.world.now)
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -1,8 +1,8 @@
-"""Runs of bindings under everything at once, the same for the same seed.
+"""Randomized runs of the affinity table, reproducible by seed.
 
-A *consumer* here is a key that comes to some sidecar, is found or bound there, and comes again after a while that is a
-part of its idle time, often close to the whole of it. Flows go through all states, as a stand-in replica of a
-layer-four balancer has them. `storm` has faults of all kinds; `crowd` has none, and tables that are too small.
+A *client* is a key that arrives at some sidecar, is found or bound there, and returns after a share of its idle time,
+often almost all of it. Flows go through all states, as in a layer-four load balancer. `fault_run` injects faults of all
+kinds; `crowded_run` injects none and has tables that are too small.
 """
 
 from __future__ import annotations
@@ -14,42 +14,44 @@
 from limenotch.fleet.affinity.api import AvailableEndpoints, Kind, State
 from limenotch.fleet.affinity.tuning import Ages, Tuning
 from limenotch.lab.fleet.bindings_history import Key
-from limenotch.lab.fleet.bindings_run import QUICK, SWEEP_MS, THERE, Run
+from limenotch.lab.fleet.bindings_run import ENDPOINTS, FAST, SWEEP_MS, Run
 
-LONG = Ages(opening=60_000, open=60_000, closing=60_000, lingering=60_000)
+LONG_AGES = Ages(opening=60_000, open=60_000, closing=60_000, lingering=60_000)
 
 
-class Consumer:
-    """A key that comes again and again, for a flow through all its states."""
+class ReturningClient:
+    """A key that returns again and again; a flow goes through all its states."""
 
     def __init__(self, random: Random, number: int) -> None:
         self.random = random
         kind = random.choice((Kind.KEY, Kind.SESSION, Kind.CONN, Kind.FLOW, Kind.FLOW))
         self.key: Key = (int(kind), f"{kind.name.lower()}{number}".encode())
         self.state = int(State.OPENING if kind in (Kind.KEY, Kind.FLOW) else State.OPEN)
-        self.due = random.uniform(0, 1500)
-        self.part = random.choice((0.1, 0.3, 0.6))  # of the idle time, usually
+        self.due_at_ms = random.uniform(0, 1500)
+        self.idle_share = random.choice((0.1, 0.3, 0.6))  # usual share of the idle time between two requests
 
-    def come(self, run: Run) -> None:
+    def send_request(self, run: Run) -> None:
         random = self.random
         name = random.choice(run.names)
-        endpoint = random.choice(sorted(run.there)) if run.there else "none"
+        endpoint = random.choice(sorted(run.endpoints)) if run.endpoints else "none"
         if self.state < State.CLOSING and random.random() < 0.1:
-            # At two sidecars at once: neither can have heard of the other's.
-            run.come(random.choice(run.names), self.key, random.choice(sorted(run.there) or ["none"]), self.state)
-        run.come(name, self.key, endpoint, self.state)
-        idle = run.checker.stated.idle(self.key[0], self.state)
-        part = self.part if random.random() < 0.8 else random.choice((0.9, 0.98, 1.0, 1.02, 1.1, 1.3, 3.0))
-        self.due = run.world.now + idle * part
+            # At two sidecars at once: neither can have received the other's update.
+            run.client_request(
+                random.choice(run.names), self.key, random.choice(sorted(run.endpoints) or ["none"]), self.state
+            )
+        run.client_request(name, self.key, endpoint, self.state)
+        idle = run.checker.guarantees.idle_ms(self.key[0], self.state)
+        share = self.idle_share if random.random() < 0.8 else random.choice((0.9, 0.98, 1.0, 1.02, 1.1, 1.3, 3.0))
+        self.due_at_ms = run.world.now + idle * share
         if self.key[0] == Kind.FLOW and random.random() < 0.25 or self.state == State.OPENING:
             self.state += 1
-        if self.state > State.LINGERING:  # the five numbers are used again, now and then too soon
+        if self.state > State.LINGERING:  # the same five-tuple is reused, sometimes too soon
             self.state = int(State.OPENING)
-            self.due = run.world.now + idle * random.choice((0.5, 1.5, 4.0))
+            self.due_at_ms = run.world.now + idle * random.choice((0.5, 1.5, 4.0))
 
 
-def storm(seed: int, span_ms: float = 6000.0, tuning: Tuning = QUICK, consumers: int = 12) -> Run:
-    """Clocks differ by up to the bound of drift: each is out by a little less than half of it."""
+def fault_run(seed: int, span_ms: float = 6000.0, tuning: Tuning = FAST, clients: int = 12) -> Run:
+    """Clocks drift apart by up to the configured bound: each is off by a little less than half of it."""
     random = Random(f"{seed} bindings")
     names = list("abcdef"[: random.choice((3, 3, 4, 5))])
     delay = random.choice((1, 1, 5, 20))
@@ -61,57 +63,59 @@
         drift_ppm=tuning.drift * 0.49e6,
         wake=random.choice(("timers", "heard")),
     )
-    run.joined()
-    run.looked()
+    run.wait_until_joined()
+    run.report_impairments()
     run.fault(f"loss {random.choice((0, 0, 5, 20))}%")
     run.fault(f"delay 1..{delay}")
     run.fault(f"double {random.choice((0, 0, 10))}%")
     run.fault(f"reorder {random.choice((0, 0, 10))}%")
-    there = [Consumer(random, number) for number in range(consumers)]
-    begin, worst = run.world.now, random.choice((0.0, 0.03, 0.08))  # chance of a fault in each step
+    clients_ = [ReturningClient(random, number) for number in range(clients)]
+    begin, fault_chance = run.world.now, random.choice((0.0, 0.03, 0.08))  # in each step
     while run.world.now < begin + span_ms:
-        _step(run, there, run.world.now + SWEEP_MS)
-        if random.random() < worst:
-            _fault(run, random)
+        _step(run, clients_, run.world.now + SWEEP_MS)
+        if random.random() < fault_chance:
+            _inject_random_fault(run, random)
         if random.random() < 0.01:
-            _go_or_come(run, random)
-    run.calm()
-    stated_ms = run.checker.stated
-    until = max(run.world.now, run.checker.lossy_until) + stated_ms.mend_ms + 2500
+            _change_endpoints(run, random)
+    run.end_faults()
+    guarantees = run.checker.guarantees
+    until = max(run.world.now, run.checker.lossy_until) + guarantees.convergence_ms + 2500
     while run.world.now < until:
-        _step(run, there, run.world.now + SWEEP_MS)
-    # All go silent: all must forget.
-    longest = max(stated_ms.idle(key[0], state) for key in run.keys for state in State)
-    run.run(run.world.now + longest * 1.2 + 500)
-    left = [key for key in run.keys if any(run.find(name, key) is not None for name in run.names)]
-    assert not left, f"never forgotten: {left}"
+        _step(run, clients_, run.world.now + SWEEP_MS)
+    # No client sends any more: all bindings must be removed.
+    longest_idle_ms = max(guarantees.idle_ms(key[0], state) for key in run.keys for state in State)
+    run.run(run.world.now + longest_idle_ms * 1.2 + 500)
+    found_keys = [key for key in run.keys if any(run.find(name, key) is not None for name in run.names)]
+    assert not found_keys, f"never removed: {found_keys}"
     run.checker.check()
     return run
 
 
-def _step(run: Run, consumers: list[Consumer], until: float) -> None:
-    for consumer in sorted((one for one in consumers if one.due < until), key=lambda one: one.due):
-        run.world.run(max(run.world.now, consumer.due))
-        consumer.come(run)
+def _step(run: Run, clients: list[ReturningClient], until: float) -> None:
+    for client in sorted(
+        (client_ for client_ in clients if client_.due_at_ms < until), key=lambda client_: client_.due_at_ms
+    ):
+        run.world.run(max(run.world.now, client.due_at_ms))
+        client.send_request(run)
     run.run(until)
     run.checker.check()
 
 
-def _go_or_come(run: Run, random: Random) -> None:
-    """Providers, each sidecar's own directory at its own time."""
-    name = random.choice(sorted(THERE))
-    if name in run.there:
-        del run.there[name]
+def _change_endpoints(run: Run, random: Random) -> None:
+    """Removes or adds an endpoint; each sidecar learns of it at its own time."""
+    name = random.choice(sorted(ENDPOINTS))
+    if name in run.endpoints:
+        del run.endpoints[name]
     else:
-        run.there[name] = THERE[name]
+        run.endpoints[name] = ENDPOINTS[name]
     for node in run.names:
         if run.world.alive(node):
             run.world.kernel.at(
-                run.world.now + random.uniform(0, 30), run.tell, node, AvailableEndpoints(dict(run.there))
+                run.world.now + random.uniform(0, 30), run.notify, node, AvailableEndpoints(dict(run.endpoints))
             )
 
 
-def _fault(run: Run, random: Random) -> None:
+def _inject_random_fault(run: Run, random: Random) -> None:
     world, name = run.world, random.choice(run.names)
     kind = random.choice(
         (
@@ -164,11 +168,18 @@
         run.fault(f"wake {name}")
 
 
-def crowd(seed: int, most: int = 24, rounds: int = 120) -> Run:
-    """Tables of `most` rows, and more seen; between two sights all hear of all, nothing gets old: equal replicas."""
+def crowded_run(seed: int, most: int = 24, rounds: int = 120) -> Run:
+    """More bindings than tables of `most` rows can store. Between two uses all updates arrive and nothing expires, so
+    that replicas are equal.
+    """
     random = Random(f"{seed} crowd")
-    run = Run("abc", seed, tuning=replace(QUICK, flow=LONG, sessions=LONG, conn=LONG, most=most), window_ms=60_000.0)
-    run.joined()
+    run = Run(
+        "abc",
+        seed,
+        tuning=replace(FAST, flow=LONG_AGES, sessions=LONG_AGES, conn=LONG_AGES, most=most),
+        window_ms=60_000.0,
+    )
+    run.wait_until_joined()
     kinds = (Kind.KEY, Kind.SESSION, Kind.CONN, Kind.FLOW, Kind.FLOW, Kind.FLOW)
     for number in range(rounds):
         kind = random.choice(kinds)
@@ -176,8 +187,8 @@
             kind = Kind.FLOW
         key = (int(kind), b"%s%d" % (kind.name.lower().encode(), random.randrange(number + 10)))
         state = random.choice((State.OPENING, State.OPEN, State.OPEN, State.CLOSING, State.LINGERING))
-        run.come(random.choice(run.names), key, random.choice(sorted(THERE)), int(state))
+        run.client_request(random.choice(run.names), key, random.choice(sorted(ENDPOINTS)), int(state))
         run.run(run.world.now + 25, sweep_ms=25)
-    run.checker.same_order(run.world.now)
+    run.checker.check_eviction_order(run.world.now)
     run.checker.check()
     return run
--- a/tests/fleet/affinity_bugs.py
+++ b/tests/fleet/affinity_bugs.py
@@ -14,7 +14,7 @@
 from limenotch.fleet.affinity import clocks, entries, eviction, last_seen, names, peers, table, values
 from limenotch.fleet.affinity.rows import NIL, TOMBSTONE
 from limenotch.lab.fleet.bindings_drawings import outcome
-from limenotch.lab.fleet.bindings_storms import crowd, storm
+from limenotch.lab.fleet.bindings_storms import crowded_run, fault_run
 from limenotch.lab.fleet.scenario import load
 
 InjectBug = Callable[[pytest.MonkeyPatch], None]
@@ -153,14 +153,14 @@
 
 
 BUGS: dict[InjectBug, tuple[Callable[[int], Any], int]] = {
-    stale_replica_revives_binding: (storm, 0),
-    age_counted_from_receipt: (storm, 0),
-    watermark_ahead_of_updates: (storm, 2),
-    silent_member_not_waited_for: (storm, 2),
-    dead_member_waited_for: (storm, 7),
+    stale_replica_revives_binding: (fault_run, 0),
+    age_counted_from_receipt: (fault_run, 0),
+    watermark_ahead_of_updates: (fault_run, 2),
+    silent_member_not_waited_for: (fault_run, 2),
+    dead_member_waited_for: (fault_run, 7),
     last_writer_wins: (expected_timeline("two-bind-at-once"), 0),
-    eviction_by_own_order: (crowd, 0),
+    eviction_by_own_order: (crowded_run, 0),
     opening_rows_evict_open_rows: (expected_timeline("flood-of-opening"), 0),
-    bindings_of_removed_endpoints_found: (storm, 2),
-    withheld_update_never_sent: (storm, 0),
+    bindings_of_removed_endpoints_found: (fault_run, 2),
+    withheld_update_never_sent: (fault_run, 0),
 }
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -13,7 +13,7 @@
 from limenotch.fleet.hub import ComponentEvent
 from limenotch.fleet.interfaces import MemberChanged, Started, TimerFired
 from limenotch.fleet.settings import Bindings as Table
-from limenotch.fleet_adapters.affinity import AffinityAdapter, joined
+from limenotch.fleet_adapters.affinity import AffinityAdapter, composite_key
 from limenotch.fleet_adapters.base import NodeContext
 from limenotch.load_balancer import LoadBalancer
 from limenotch.load_balancer_types import AttemptEnding, DiscoveredEndpoint, DiscoveryStatus
@@ -125,10 +125,10 @@
         asyncio.get_running_loop().call_soon(self.calls.attempt_ended, invoker_call, AttemptEnding.CANCELLED)
 
     def bound(self, kind: str, tenant: str, key: bytes) -> Binding | None:
-        return self.layer._table.find(self.now(), Kind.KEY, joined(kind.encode(), tenant.encode(), key))
+        return self.layer._table.find(self.now(), Kind.KEY, composite_key(kind.encode(), tenant.encode(), key))
 
     def session(self, name: bytes, tenant: str = "acme") -> Binding | None:
-        return self.layer._table.find(self.now(), Kind.SESSION, joined(tenant.encode(), b"", name))
+        return self.layer._table.find(self.now(), Kind.SESSION, composite_key(tenant.encode(), b"", name))
 
     def take(
         self,
--- a/tests/fleet/affinity_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -19,20 +19,20 @@
 from limenotch.store.records import StoredLog
 
 KEY = b"0123456789abcdef"
-THERE = {"p1": ("c1", "z1"), "p2": ("c1", "z1"), "p3": ("c2", "z2")}
-QUICK = Tuning(
+ENDPOINTS = {"p1": ("c1", "z1"), "p2": ("c1", "z1"), "p3": ("c2", "z2")}
+FAST = Tuning(
     sessions=Ages(opening=1000, open=4000, closing=500, lingering=500),
     key=Ages(open=3000),
     flow=Ages(opening=1000, open=4000, closing=500, lingering=500),
 )
 
 
-def alone(tuning: Tuning = QUICK, name: str = "a") -> Bindings:
+def alone(tuning: Tuning = FAST, name: str = "a") -> Bindings:
     """One that nobody else is with, whole, at 1000 ms."""
     part = Bindings(name, 1, KEY, tuning)
     part.handle(0.0, Started())
     part.handle(0.0, MemberChanged(name, "alive", address(name), 0, 1))
-    part.handle(0.0, AvailableEndpoints(THERE))
+    part.handle(0.0, AvailableEndpoints(ENDPOINTS))
     part.handle(1000.0, TimerFired(1))
     part.handle(1000.0, TimerFired(1))
     assert part.table.complete
@@ -52,7 +52,7 @@
             for other in sorted(self.fleet.there | {self.name}):
                 process_epoch = self.process_epoch if other == self.name else self.fleet.process_epochs.get(other, 1)
                 out += self.bindings.handle(now, MemberChanged(other, "alive", address(other), 0, process_epoch))
-            out += self.bindings.handle(now, AvailableEndpoints(THERE))
+            out += self.bindings.handle(now, AvailableEndpoints(ENDPOINTS))
         return out
 
 
@@ -67,7 +67,7 @@
     def handle(self, now: float, event: Any) -> list[Any]:
         out: list[Any] = self.hub.handle(now, event)
         if isinstance(event, Started):
-            out += self.hub.handle(now, ComponentEvent("bi.", AvailableEndpoints(THERE)))
+            out += self.hub.handle(now, ComponentEvent("bi.", AvailableEndpoints(ENDPOINTS)))
         return out
 
 
@@ -76,7 +76,7 @@
         self,
         names: Iterable[str],
         seed: int = 1,
-        tuning: Tuning = QUICK,
+        tuning: Tuning = FAST,
         real: bool = False,
         mute: str = "",
         **weather: Any,
--- a/tests/fleet/test_affinity_checker.py
+++ b/tests/fleet/test_affinity_checker.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from limenotch.lab.fleet.checks_bindings import Checker, Key, Stated
+from limenotch.lab.fleet.checks_bindings import Checker, Guarantees, Key
 
-STATED = Stated(
-    idle=lambda kind, state: (400.0, 1000.0, 300.0, 200.0)[state],
-    longest=lambda kind: 10_000.0,
-    tell=0.125,
+GUARANTEES = Guarantees(
+    idle_ms=lambda kind, state: (400.0, 1000.0, 300.0, 200.0)[state],
+    lifetime_ms=lambda kind: 10_000.0,
+    announce_share=0.125,
     drift=0.01,
-    told_ms=50,
-    spare_ms=220,
-    mend_ms=1000,
-    agree_ms=100,
-    young_ms=5,
+    propagation_ms=50,
+    margin_ms=220,
+    convergence_ms=1000,
+    agreement_ms=100,
+    age_error_ms=5,
 )
 FLOW: Key = (3, b"f1")
 CALL: Key = (0, b"k1")
@@ -30,19 +30,19 @@
 
 def three() -> Checker:
     """Members that know each other, and whose beginning is long over."""
-    checker = Checker(STATED, "abc")
+    checker = Checker(GUARANTEES, "abc")
     for node in "abc":
-        checker.began(0.0, node, 1)
-        checker.endpoints(0.0, node, ("p1", "p2"))
+        checker.process_started(0.0, node, 1)
+        checker.endpoints_changed(0.0, node, ("p1", "p2"))
     for node in "abc":
         for other in "abc":
-            checker.holds(1.0, node, other, "alive", 1)
+            checker.member_changed(1.0, node, other, "alive", 1)
     return checker
 
 
 def ask(checker: Checker, at: float, answers: dict[str, Is | None], key: Key = FLOW) -> None:
     for node, answer in answers.items():
-        checker.found(at, node, key, answer, True)
+        checker.lookup(at, node, key, answer, True)
     checker.sweep(at)
 
 
@@ -53,21 +53,21 @@
 
 def test_a_sound_life() -> None:
     checker = three()
-    checker.sees(5000, "a", FLOW, "p1", 1, True)
+    checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
     ask(checker, 5001, {"a": Is(), "b": None, "c": None})
     ask(checker, 5060, {"a": Is(), "b": Is(), "c": Is()})
     ask(checker, 6150, {"a": Is(), "b": None, "c": Is()})
     ask(checker, 6230, {"a": None, "b": None, "c": None})
-    checker.sees(7000, "b", FLOW, "p2", 1, True)
+    checker.use_recorded(7000, "b", FLOW, "p2", 1, True)
     ask(checker, 7100, {"a": Is("p2"), "b": Is("p2"), "c": Is("p2")})
     checker.check()
 
 
 def test_dropped_while_another_saw_it() -> None:
     checker = three()
-    checker.sees(5000, "a", FLOW, "p1", 1, True)
+    checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
     ask(checker, 5060, {"a": Is(), "b": Is()})
-    checker.sees(5900, "b", FLOW, "p1", 1, True)
+    checker.use_recorded(5900, "b", FLOW, "p1", 1, True)
     ask(checker, 6100, {"a": None, "b": Is()})
     wrong(checker, "none early")
 
@@ -75,12 +75,12 @@
 def test_a_silent_one_is_waited_for_until_it_is_held_dead() -> None:
     for state in ("suspect", "dead"):
         checker = three()
-        checker.sees(5000, "a", FLOW, "p1", 1, True)
+        checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
         ask(checker, 5060, {"a": Is(), "b": Is()})
-        checker.sees(5900, "b", FLOW, "p1", 1, True)
-        checker.ended(5901, "b")
-        checker.holds(6000, "a", "b", state, 1)
-        checker.dropped(6100, "a", FLOW, "over")
+        checker.use_recorded(5900, "b", FLOW, "p1", 1, True)
+        checker.process_ended(5901, "b")
+        checker.member_changed(6000, "a", "b", state, 1)
+        checker.row_ended(6100, "a", FLOW, "over")
         if state == "dead":
             checker.check()
         else:
@@ -89,9 +89,9 @@
 
 def test_one_that_was_fenced_is_somebody_else() -> None:
     checker = three()
-    checker.sees(5000, "a", FLOW, "p1", 1, True)
+    checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
     ask(checker, 5060, {"a": Is(), "b": Is()})
-    checker.sees(5900, "b", FLOW, "p1", 1, True)
+    checker.use_recorded(5900, "b", FLOW, "p1", 1, True)
     checker.fenced(6000, "b")
     ask(checker, 6100, {"a": None})
     checker.check()
@@ -100,7 +100,7 @@
 def test_found_too_late() -> None:
     for at in (6220, 6290):
         checker = three()
-        checker.sees(5000, "a", FLOW, "p1", 1, True)
+        checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
         ask(checker, at, {"a": Is()})
         if at == 6220:
             checker.check()
@@ -111,9 +111,9 @@
 def test_a_cut_excuses_only_while_it_lasts_and_mends() -> None:
     for heal, at in ((8000, 9090), (5500, 6730)):
         checker = three()
-        checker.sees(5000, "a", FLOW, "p1", 1, True)
-        checker.impaired(5100, [("a", "b"), ("b", "a")])
-        checker.impaired(heal, [])
+        checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
+        checker.links_impaired(5100, [("a", "b"), ("b", "a")])
+        checker.links_impaired(heal, [])
         ask(checker, at, {"a": Is()})
         if heal == 8000:
             checker.check()
@@ -123,16 +123,16 @@
 
 def test_one_held_dead_excuses_nothing() -> None:
     checker = three()
-    checker.sees(8000, "a", FLOW, "p1", 1, True)
-    checker.impaired(5100, [("a", "b"), ("b", "a")])
-    checker.holds(5500, "a", "b", "dead", 1)
+    checker.use_recorded(8000, "a", FLOW, "p1", 1, True)
+    checker.links_impaired(5100, [("a", "b"), ("b", "a")])
+    checker.member_changed(5500, "a", "b", "dead", 1)
     ask(checker, 9300, {"a": Is()})
     wrong(checker, "none late")
 
 
 def test_revived() -> None:
     checker = three()
-    checker.sees(5000, "a", FLOW, "p1", 1, True)
+    checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
     ask(checker, 5060, {"a": Is(), "b": Is()})
     ask(checker, 6100, {"a": None})
     ask(checker, 6110, {"a": Is()})
@@ -141,7 +141,7 @@
 
 def test_an_age_that_counts_from_hearing() -> None:
     checker = three()
-    checker.sees(5000, "a", FLOW, "p1", 1, True)
+    checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
     ask(checker, 5060, {"b": Is(idle_ms=58)})
     checker.check()
     ask(checker, 5600, {"b": Is(idle_ms=200)})
@@ -150,8 +150,8 @@
 
 def test_two_providers_for_too_long() -> None:
     checker = three()
-    checker.sees(5000, "a", FLOW, "p1", 1, True)
-    checker.sees(5000, "b", FLOW, "p2", 1, True)
+    checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
+    checker.use_recorded(5000, "b", FLOW, "p2", 1, True)
     for at in (5010, 5050, 5110):
         ask(checker, at, {"a": Is("p1"), "b": Is("p2")})
     checker.check()
@@ -162,10 +162,10 @@
 def test_moved_without_need() -> None:
     for gone in (True, False):
         checker = three()
-        checker.sees(5000, "a", FLOW, "p1", 1, True)
+        checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
         ask(checker, 5060, {name: Is("p1") for name in "abc"})
         if gone:
-            checker.endpoints(5065, "b", ("p2",))
+            checker.endpoints_changed(5065, "b", ("p2",))
         ask(checker, 5080, {name: Is("p2") for name in "abc"})
         if gone:
             checker.check()
@@ -175,7 +175,7 @@
 
 def test_missing_in_calm() -> None:
     checker = three()
-    checker.sees(5000, "a", FLOW, "p1", 1, True)
+    checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
     ask(checker, 5100, {"a": Is(), "b": None})
     checker.check()
     ask(checker, 5151, {"a": Is(), "b": None})
@@ -184,9 +184,9 @@
 
 def test_found_at_a_provider_that_went() -> None:
     checker = three()
-    checker.sees(5000, "a", FLOW, "p1", 1, True)
-    checker.sees(5000, "a", CALL, "p1", 1, True)
-    checker.endpoints(5100, "a", ("p2",))
+    checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
+    checker.use_recorded(5000, "a", CALL, "p1", 1, True)
+    checker.endpoints_changed(5100, "a", ("p2",))
     ask(checker, 5345, {"a": Is()})
     ask(checker, 5400, {"a": Is()}, CALL)
     checker.check()
@@ -196,8 +196,8 @@
 
 def test_a_call_gives_way_inside_its_window() -> None:
     checker = three()
-    checker.sees(5000, "a", CALL, "p1", 1, True)
-    checker.dropped(5900, "a", CALL, "full")
+    checker.use_recorded(5000, "a", CALL, "p1", 1, True)
+    checker.row_ended(5900, "a", CALL, "full")
     wrong(checker, "full")
 
 
@@ -205,10 +205,10 @@
     checker = three()
     other: Key = (3, b"f2")
     for key in (FLOW, other):
-        checker.sees(5000, "a", key, "p1", 1, True)
+        checker.use_recorded(5000, "a", key, "p1", 1, True)
     for node, order in (("a", (FLOW, other)), ("b", (other, FLOW))):
         for key in order:
-            checker.dropped(5500, node, key, "full")
+            checker.row_ended(5500, node, key, "full")
     checker.check()
-    checker.same_order(5600)
+    checker.check_eviction_order(5600)
     wrong(checker, "full")
--- a/tests/fleet/test_affinity_core.py
+++ b/tests/fleet/test_affinity_core.py
@@ -11,9 +11,9 @@
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.members import TUNING
 from limenotch.lab.fleet.world import address
-from tests.fleet.affinity_worlds import QUICK, THERE, Fleet
+from tests.fleet.affinity_worlds import ENDPOINTS, FAST, Fleet
 
-IDLE = QUICK.sessions.open
+IDLE = FAST.sessions.open
 
 
 def real(names: str = "abc", seed: int = 1) -> Fleet:
@@ -42,14 +42,14 @@
 
 def test_all_forget_together_within_the_stated_time() -> None:
     fleet = real()
-    stated = expiry_bound_ms(QUICK, IDLE, 0.0, 3, 2.0)
+    guarantees = expiry_bound_ms(FAST, IDLE, 0.0, 3, 2.0)
     fleet.record_use("a", b"k")
     fleet.run(3000)
     fleet.record_use("b", b"k")  # the age is of the last sight anywhere
     times = gone_at(fleet, b"k", 2 * IDLE)
     assert min(times) >= IDLE
-    assert max(times) <= stated
-    assert max(times) - min(times) <= QUICK.cover_ms + 2 * QUICK.tick_ms
+    assert max(times) <= guarantees
+    assert max(times) - min(times) <= FAST.cover_ms + 2 * FAST.tick_ms
 
 
 def test_one_that_is_seen_at_one_place_is_kept_at_all() -> None:
@@ -129,7 +129,7 @@
     fleet.record_use("a", b"k", kind=Kind.KEY)
     fleet.run(200)
     fault(fleet, "cut a b | c d")
-    fleet.run(QUICK.key.open + 8000)
+    fleet.run(FAST.key.open + 8000)
     assert fleet.who(b"k", Kind.KEY) == [None] * 4
     fault(fleet, "heal")
     for _ in range(60):
@@ -192,7 +192,7 @@
         fleet.record_use("abc"[number % 3], b"%d" % number, f"p{1 + number % 2}")
     fleet.record_use("a", b"key", "p1", kind=Kind.KEY)
     fleet.run(300)
-    fleet.say(AvailableEndpoints({name: at for name, at in THERE.items() if name != "p1"}))
+    fleet.say(AvailableEndpoints({name: at for name, at in ENDPOINTS.items() if name != "p1"}))
     for number in range(300):
         assert set(fleet.who(b"%d" % number)) == {None if number % 2 == 0 else "p2"}
     assert fleet.who(b"key", Kind.KEY) == ["p1"] * 3
@@ -201,7 +201,7 @@
     fleet.record_use("b", b"0", "p3")  # the agreed way afterwards: whoever comes first moves it, for all
     fleet.run(300)
     assert fleet.who(b"0") == ["p3"] * 3
-    fleet.say(AvailableEndpoints(THERE))
+    fleet.say(AvailableEndpoints(ENDPOINTS))
     assert fleet.who(b"2") == [None] * 3
 
 
--- a/tests/fleet/test_affinity_eviction.py
+++ b/tests/fleet/test_affinity_eviction.py
@@ -13,7 +13,7 @@
 from limenotch.fleet.affinity.rows import ENDPOINT_REMOVED, NIL, STATE_SHIFT, TOMBSTONE, Rows
 from limenotch.fleet.affinity.tuning import Ages
 from limenotch.fleet.interfaces import LogLine, TimerFired
-from tests.fleet.affinity_worlds import THERE, alone
+from tests.fleet.affinity_worlds import ENDPOINTS, alone
 
 SMALL = Tuning(most=16, most_opening=0.25, flow=Ages(opening=60_000))
 
@@ -149,7 +149,7 @@
 def test_full_is_noted_once_an_episode_and_what_ended_goes_first() -> None:
     part = alone(SMALL)
     keys = fill(part, kind=Kind.CONN)
-    part.handle(1000.0, AvailableEndpoints({name: at for name, at in THERE.items() if name != "p1"}))
+    part.handle(1000.0, AvailableEndpoints({name: at for name, at in ENDPOINTS.items() if name != "p1"}))
     assert held(part, Kind.CONN, *keys) == []
     now, notes = 1000.0, []
     for number in range(20):
--- a/tests/fleet/test_affinity_join.py
+++ b/tests/fleet/test_affinity_join.py
@@ -13,7 +13,7 @@
 from limenotch.fleet.wire import MOST_FRAME
 from limenotch.lab.fleet import faults
 from limenotch.lab.fleet.world import address
-from tests.fleet.affinity_worlds import QUICK, Fleet, alone
+from tests.fleet.affinity_worlds import FAST, Fleet, alone
 
 S = Kind.SESSION
 LONG = Tuning(sessions=Ages(opening=1000, open=600_000), join_bytes_per_s=2_000_000)
@@ -112,17 +112,17 @@
         fleet.run(200)
         assert fleet.world.now < 2700 or fleet.find("b", b"k") is not None
     # After its last sight all forget it, though b never hears a: covers come through c too.
-    fleet.run(QUICK.sessions.open * 1.04 + 1500)
+    fleet.run(FAST.sessions.open * 1.04 + 1500)
     assert fleet.who(b"k") == [None] * 3
 
 
 def test_a_member_without_bindings_blocks_nothing_for_long() -> None:
     """An older program: it is a member, and never says a word of them."""
-    fleet = Fleet("abc", later="c", mute="c", tuning=msgspec.structs.replace(QUICK, grave_ms=3000.0))
+    fleet = Fleet("abc", later="c", mute="c", tuning=msgspec.structs.replace(FAST, grave_ms=3000.0))
     fleet.run(500)
     assert fleet.table("a").complete is False  # it may know what nobody else does
     fleet.record_use("a", b"k")
-    fleet.run(QUICK.sessions.open + 3500)
+    fleet.run(FAST.sessions.open + 3500)
     assert fleet.who(b"k") == [None, None]
 
 
--- a/tests/fleet/test_affinity_last_seen.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -24,7 +24,7 @@
     TimerFired,
 )
 from limenotch.lab.fleet.world import address
-from tests.fleet.affinity_worlds import KEY, QUICK, alone, hear, rounds, sights
+from tests.fleet.affinity_worlds import FAST, KEY, alone, hear, rounds, sights
 
 S = Kind.SESSION
 
@@ -46,7 +46,7 @@
         batch = rounds(part, float(now))
         if batch:
             break
-    assert held + QUICK.sessions.open <= now <= held + QUICK.sessions.open + QUICK.tick_ms
+    assert held + FAST.sessions.open <= now <= held + FAST.sessions.open + FAST.tick_ms
     assert part.table.rows.announced_ms[row] == last
 
 
@@ -297,6 +297,6 @@
 
 
 def test_stated_times_grow_with_members_and_paths() -> None:
-    few, many = (expiry_bound_ms(QUICK, 4000, 3000, members, 10) for members in (3, 200))
+    few, many = (expiry_bound_ms(FAST, 4000, 3000, members, 10) for members in (3, 200))
     assert 4000 + 3000 < few < many
     assert interval_factor(32) == 1 and interval_factor(200) == 6.25
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -9,7 +9,7 @@
 from limenotch import toml
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.settings import Bindings as Table
-from limenotch.fleet_adapters.affinity import joined
+from limenotch.fleet_adapters.affinity import composite_key
 from limenotch.load_balancer_types import NEVER_RAN, AttemptEnding, DiscoveryStatus
 from limenotch.net.request import Verdict
 from limenotch.settings_file import parse as parse_settings
@@ -35,7 +35,7 @@
                 assert endpoint(await house.served(key=key, resent=True)).zone == bound.zone
                 assert house.last.already_charged
         assert zones == {"east", "west"} and house.count("repeats") == 72 and house.count("keyed") == 84
-        assert not house.layer._mine and not house.layer._uses
+        assert not house.layer._request_bindings and not house.layer._key_attempts
 
     run(case)
 
@@ -53,7 +53,7 @@
             assert house.bound(kind, "acme", b"k") is None and house.last.placement_hint is None
         await house.served(kind="keyed")  # without a key nobody would know its repeat
         assert house.count("keyed") == 3
-        assert joined(b"ab", b"c", b"") != joined(b"a", b"bc", b"") != joined(b"a", b"b", b"c")
+        assert composite_key(b"ab", b"c", b"") != composite_key(b"a", b"bc", b"") != composite_key(b"a", b"b", b"c")
 
     run(case)
 
@@ -97,7 +97,7 @@
         assert house.bound("keyed", "acme", b"k") is not None
         house.end(ending)
         assert (house.bound("keyed", "acme", b"k") is None) is (ending in NEVER_RAN)
-        assert not house.layer._mine and not house.layer._uses
+        assert not house.layer._request_bindings and not house.layer._key_attempts
         assert house.count("undone") == (ending in NEVER_RAN)
 
     run(case)
@@ -149,7 +149,7 @@
         house.calls.client_disconnected(house.last)
         house.end(AttemptEnding.CONNECT_FAILED)  # not what the first was
         assert house.bound("keyed", "acme", b"before") is not None
-        assert not house.layer._mine and not house.layer._uses
+        assert not house.layer._request_bindings and not house.layer._key_attempts
 
     run(case)
 
@@ -168,7 +168,7 @@
         await house.served(key=b"k")
         await house.served(key=b"k", resent=True)  # known by now
         await house.served(kind="free", resent=True)
-        assert not house.layer._mine and not house.layer._uses
+        assert not house.layer._request_bindings and not house.layer._key_attempts
 
     run(case)
 
@@ -261,10 +261,10 @@
         house = House(Table(connections=True))
         by = await house.served(kind="free", origin="1.2.3.4:5")
         assert {await house.served(kind="free", origin="1.2.3.4:5") for _ in range(15)} == {by}
-        key = house.layer._conns["1.2.3.4:5"].key
+        key = house.layer._connections["1.2.3.4:5"].key
         house.layer.connection_closed("1.2.3.4:5")
         bound = house.layer._table.find(house.now(), Kind.CONN, key)
-        assert bound is not None and bound.state is State.CLOSING and not house.layer._conns
+        assert bound is not None and bound.state is State.CLOSING and not house.layer._connections
         seen = {await house.served(kind="free", origin=f"1.2.3.4:{port}") for port in range(5, 25)}
         assert len(seen) > 1  # the first of them is another connection from the same place
         house.layer.connection_closed("unknown")
@@ -278,12 +278,12 @@
         home = await house.served(kind="free", origin="o", fields={"x-session": "s"})
         away = next(name for name in NEAR + FAR if endpoint(name).zone != endpoint(home).zone)
         table, now = house.layer._table, house.now()
-        table.record_use(now, Kind.KEY, joined(b"keyed", b"acme", b"k"), away, State.OPEN)
+        table.record_use(now, Kind.KEY, composite_key(b"keyed", b"acme", b"k"), away, State.OPEN)
         by = await house.served(key=b"k", origin="o", fields={"x-session": "s"})
         assert endpoint(by).zone == endpoint(away).zone
         assert await house.served(kind="free", origin="o", fields={"x-session": "s"}) == home  # not moved
         assert await house.served(key=b"new", origin="o", fields={"x-session": "s"}) == home
-        table.record_use(now, Kind.SESSION, joined(b"acme", b"", b"t"), away, State.OPEN)
+        table.record_use(now, Kind.SESSION, composite_key(b"acme", b"", b"t"), away, State.OPEN)
         assert await house.served(kind="free", origin="o", fields={"x-session": "t"}) == away
         assert await house.served(kind="free", origin="o") == home
 
@@ -306,7 +306,7 @@
         )
         house.calls.stream_ended(house.last, "answered")
         house.calls.attempt_ended(invoker_call, AttemptEnding.RESET)
-        assert not house.layer._mine and not house.layer._uses
+        assert not house.layer._request_bindings and not house.layer._key_attempts
         assert house.bound("keyed", "acme", b"k") is not None
 
     run(case)
--- a/tests/fleet/test_affinity_storms.py
+++ b/tests/fleet/test_affinity_storms.py
@@ -8,8 +8,8 @@
 from msgspec.structs import replace
 
 from limenotch.fleet import membership
-from limenotch.lab.fleet.bindings_run import QUICK, Run
-from limenotch.lab.fleet.bindings_storms import crowd, storm
+from limenotch.lab.fleet.bindings_run import FAST, Run
+from limenotch.lab.fleet.bindings_storms import crowded_run, fault_run
 from tests.fleet.affinity_bugs import BUGS, InjectBug
 
 KINDS = 4
@@ -17,38 +17,38 @@
 
 @pytest.mark.parametrize("seed", [3, 4, 9, 13, 21])
 def test_a_storm_breaks_no_rule(seed: int) -> None:
-    counts = storm(seed).checker.counts
+    counts = fault_run(seed).checker.counts
     assert counts["dropped"] > 50
     assert counts["judged late"] > 1000
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_replicas_let_the_same_ones_go_in_one_order(seed: int) -> None:
-    run = crowd(seed)
-    lists = [process.given for process in run.checker.processes.values() if process is not None]
+    run = crowded_run(seed)
+    lists = [process.evicted_keys for process in run.checker.processes.values() if process is not None]
     assert len(lists[0]) > 20
     assert all(given == lists[0] for given in lists)
 
 
 def test_fifty_find_and_forget_together() -> None:
-    slower = replace(QUICK, batch_ms=50, cover_ms=250, digest_ms=2000, tick_ms=50)
+    slower = replace(FAST, batch_ms=50, cover_ms=250, digest_ms=2000, tick_ms=50)
     run = Run([f"m{number}" for number in range(50)], 1, tuning=slower, members=membership.Tuning())
-    run.joined(10_000)
+    run.wait_until_joined(10_000)
     for number in range(8):
         run.record_use(f"m{number * 6}", (number % KINDS, b"k%d" % number), f"p{number % 3}")
-    run.world.run(run.world.now + run.checker.stated.told_ms)
+    run.world.run(run.world.now + run.checker.guarantees.propagation_ms)
     for name in run.names:
         assert all(run.find(name, key) is not None for key in run.keys), name
-    stated = run.checker.stated
-    longest = max(stated.idle(kind, 1) for kind in range(KINDS))
-    run.world.run(run.world.now + longest * (1 + 2 * stated.drift) + stated.spare_ms)
+    guarantees = run.checker.guarantees
+    longest = max(guarantees.idle_ms(kind, 1) for kind in range(KINDS))
+    run.world.run(run.world.now + longest * (1 + 2 * guarantees.drift) + guarantees.margin_ms)
     run.sweep()
     assert run.checker.counts["dropped"] == 50 * len(run.keys)
     run.checker.check()
 
 
 def test_the_same_seed_is_the_same_run() -> None:
-    assert storm(9, 1500).world.digest() == storm(9, 1500).world.digest()
+    assert fault_run(9, 1500).world.digest() == fault_run(9, 1500).world.digest()
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_affinity_table.py
+++ b/tests/fleet/test_affinity_table.py
@@ -8,7 +8,7 @@
 from limenotch.fleet.affinity.expiry import Lifetimes
 from limenotch.fleet.affinity.tuning import Ages
 from limenotch.fleet.interfaces import TimerFired
-from tests.fleet.affinity_worlds import QUICK, THERE, alone
+from tests.fleet.affinity_worlds import ENDPOINTS, FAST, alone
 
 S = Kind.SESSION
 
@@ -24,7 +24,7 @@
     assert table.record_use(3000.0, S, b"k", "p2", State.OPEN, charged=True)
     found = table.find(3500.0, S, b"k")
     assert found == ("p1", "c1", "z1", State.OPEN, 500.0, 2500.0, True)
-    part.handle(3500.0, AvailableEndpoints({"p2": THERE["p2"], "p3": THERE["p3"]}))
+    part.handle(3500.0, AvailableEndpoints({"p2": ENDPOINTS["p2"], "p3": ENDPOINTS["p3"]}))
     assert table.find(3500.0, S, b"k") is None
     assert table.record_use(3600.0, S, b"k", "p2", State.OPEN)
     found = table.find(3600.0, S, b"k")
@@ -35,8 +35,8 @@
 def test_a_provider_that_is_back_has_none_of_its_old_ones() -> None:
     part = alone()
     part.table.record_use(1000.0, S, b"k", "p1", State.OPEN)
-    part.handle(1100.0, AvailableEndpoints({"p2": THERE["p2"]}))
-    part.handle(1200.0, AvailableEndpoints(THERE))
+    part.handle(1100.0, AvailableEndpoints({"p2": ENDPOINTS["p2"]}))
+    part.handle(1200.0, AvailableEndpoints(ENDPOINTS))
     assert part.table.find(1300.0, S, b"k") is None
     part.table.record_use(1300.0, S, b"new", "p1", State.OPEN)
     assert part.table.find(1400.0, S, b"new") is not None
@@ -48,7 +48,7 @@
 def test_a_key_keeps_its_cell_and_zone_when_its_provider_went() -> None:
     part = alone()
     part.table.record_use(1000.0, Kind.KEY, b"k", "p1", State.OPEN)
-    part.handle(1100.0, AvailableEndpoints({"p2": THERE["p2"], "p3": THERE["p3"]}))
+    part.handle(1100.0, AvailableEndpoints({"p2": ENDPOINTS["p2"], "p3": ENDPOINTS["p3"]}))
     found = part.table.find(1200.0, Kind.KEY, b"k")
     assert found is not None and found[:3] == ("p1", "c1", "z1")
     part.table.record_use(1200.0, Kind.KEY, b"k", "p3", State.OPEN)
@@ -61,10 +61,10 @@
 
 def test_alone_it_is_over_at_its_age_and_a_new_one_outranks_it() -> None:
     part = alone()
-    table, idle = part.table, QUICK.sessions.open
+    table, idle = part.table, FAST.sessions.open
     table.record_use(1000.0, S, b"k", "p1", State.OPEN)
     assert table.find(1000.0 + idle - 1, S, b"k") is not None
-    slow = 1000.0 + idle * (1 + 2 * QUICK.drift)
+    slow = 1000.0 + idle * (1 + 2 * FAST.drift)
     assert table.find(slow, S, b"k") is None
     table.expire(slow + 100, 100)
     assert table.live_rows == 0
@@ -94,7 +94,7 @@
 
 
 def test_the_window_is_the_keys_time_in_each_state() -> None:
-    lifetimes = Lifetimes(QUICK)
+    lifetimes = Lifetimes(FAST)
     assert lifetimes.idle_ms[Kind.KEY :: 4] == [3000, 3000, 5000, 3000]
     lifetimes.set_window(90_000.0)
     assert lifetimes.idle_ms[Kind.KEY :: 4] == [90_000] * 4
@@ -111,7 +111,7 @@
     part.table.record_use(1000.0, S, b"k", "p1", State.OPEN)  # the first provider's number is that of an empty row
     part.table.record_use(1000.0, S, b"x", "p1", State.OPEN)
     part.table.remove(1000.0, part.table.rows.find(part.table.hash(S, b"x")), "undo")
-    part.handle(1100.0, AvailableEndpoints({"p2": THERE["p2"]}))
+    part.handle(1100.0, AvailableEndpoints({"p2": ENDPOINTS["p2"]}))
     part.handle(1200.0, TimerFired(1))
     assert part.table.status()["ended"] == 1
     part.table.record_use(1300.0, S, b"k", "p2", State.OPEN)
