--- a/benchmarks/affinity.py
+++ b/benchmarks/affinity.py
@@ -1,16 +1,16 @@
-"""What bindings cost: bytes and time of an entry, sights a second, a takeover, and what members say to each other.
+"""Cost of the affinity table: memory and time per binding, updates per second, state transfer, traffic of members.
 
     python -m benchmarks.affinity [entries sights takeover together traffic] [--most 1000000] [--members 9,50,200]
 
-- `entries`: a process each; n flows are bound in one table. bytes: what the process grew by, over n. `bind`, `find`,
-  `again` (a sight of what is bound): us each.
-  `over`: all expire in one ms; us an entry, and the longest turn of the part's timer while they go.
-- `sights`: two members, messages encoded and decoded as between processes: us of CPU a told sight at who tells and at
-  who hears, and how many a second a core of each kind can do.
-- `takeover`: a newcomer to a table of n: simulated ms until it is whole, bytes, CPU seconds of both.
-- `together`: members in calm under consumers that come back elsewhere: the longest that two found different providers,
-  the longest that anybody found a binding beyond its idle time, and what is stated.
-- `traffic`: bytes a member and second of the bindings' own messages; each member has so many new bindings a second.
+- `entries`: n flows are bound in one table, in a process of its own. bytes: growth of the process, over n. `bind`,
+  `find`, `again` (a use of a bound key): us each.
+  `over`: all expire in one ms; us per binding, and the longest turn of the component's timer during the removal.
+- `sights`: two members, messages encoded and decoded as between processes: us of CPU per announced use at the sender
+  and at the receiver, and how many of each a core can handle per second.
+- `takeover`: a member joins one with a table of n: simulated ms until it is complete, bytes, CPU seconds of both.
+- `together`: members in calm with clients that return elsewhere: the longest time for which two members found different
+  endpoints, the longest time a binding was found beyond its idle time, and the guaranteed values.
+- `traffic`: bytes per member and second of the component's messages, at a rate of new bindings per member.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from limenotch.lab.fleet.bindings_run import PREFIX, Run
 from limenotch.lab.fleet.bindings_storms import ReturningClient
 
-BINDINGS_PER_BATCH = 2000  # bindings made between two batches
+BINDINGS_PER_BATCH = 2000  # keys bound between two batches
 AGES = Ages(open=600_000.0)
 SECRET = b"a benchmark's"
 ENDPOINTS = {f"p{number}": (f"cell{number % 4}", f"z{number % 2}") for number in range(20)}
@@ -42,7 +42,7 @@
 
 
 class Pair:
-    """Members that talk through encoded messages, 1 ms each; CPU of each is kept apart."""
+    """Members that exchange encoded messages with a delay of 1 ms; counts the CPU time of each member."""
 
     def __init__(self, names: str, tuning: Tuning) -> None:
         self.bindings = {name: Bindings(name, 1, SECRET, tuning, 1) for name in names}
@@ -104,7 +104,7 @@
         while not self.bindings[name].table.complete:
             self.run(self.now + 1)
             if self.now - started_at > max_ms:
-                raise AssertionError(f"{name} is not whole within {max_ms:g} ms")
+                raise AssertionError(f"{name} is not complete within {max_ms:g} ms")
         return self.now - started_at
 
 
@@ -120,7 +120,7 @@
 
 
 def bind_all(pair: Pair, count: int) -> float:
-    """All at one member, SLICE each 100 ms. Gives the seconds that the calls took."""
+    """Binds all at one member, BINDINGS_PER_BATCH each 100 ms. Returns the seconds that the calls took."""
     spent = 0.0
     for first in range(0, count, BINDINGS_PER_BATCH):
         started_at = perf_counter()
@@ -209,7 +209,7 @@
 
 
 def disagreement(count: int, seed: int, span_ms: float = 8000.0) -> Run:
-    """Consumers in calm; all asked for all keys each 5 ms."""
+    """A run with returning clients and without faults; all members look up all keys each 5 ms."""
     run = Run([f"m{number}" for number in range(count)], seed, drift_ppm=200.0)
     run.wait_until_joined(20_000)
     random = Random(seed)
@@ -217,7 +217,7 @@
     until, number = run.world.now + span_ms, 0
     while run.world.now < until:
         number += 1
-        if number % 20 == 0:  # one key at two members, which neither can know of
+        if number % 20 == 0:  # one key at two members at once
             one, two = random.sample(run.names, 2)
             run.record_use(one, (Kind.SESSION, b"x%d" % number), "p1")
             run.record_use(two, (Kind.SESSION, b"x%d" % number), "p2")
@@ -268,7 +268,7 @@
 
 
 def sent_traffic(run: Run) -> tuple[int, int]:
-    """How many messages and bytes of bindings, of all."""
+    """Messages and bytes that the affinity components of all nodes have sent."""
     both = [
         each for node in run.world.nodes.values() for tag, each in node.traffic.by_tag.items() if tag.startswith(PREFIX)
     ]
--- a/benchmarks/affinity_cost.py
+++ b/benchmarks/affinity_cost.py
@@ -1,14 +1,14 @@
-"""What bindings cost a call: its CPU at a sidecar of a fleet that has them, beside one of a fleet that has not.
+"""CPU cost of the affinity table per request: a sidecar of a fleet with it, compared with one of a fleet without it.
 
     python -m benchmarks.affinity_cost [CALLS]
 
-Two fleets of three processes, one with `[fleet.bindings]`, one without; else the same. One sidecar of each gets the
-same calls in turns of TURN; the CPU is that of its process by the kernel's clock, with all that its fleet does in that
-time, telling what was seen included. Ratios are of the medians of the turns. In the last column is the CPU of another
-member, which hears of it, spread over the same calls.
+There are two fleets of three processes that differ only in `[fleet.bindings]`. One sidecar of each gets the same
+requests, in turns of REQUESTS_PER_TURN. The CPU time is that of the process by the kernel's clock; it includes the work
+for the fleet in that time, such as sending updates. Ratios are of the medians of the turns. The last column is the CPU
+time of another member, which receives the updates, divided by the same number of requests.
 
-`plain`: no key, no session. `keys`: each call has a new one. `repeats`: one of 1000 keys that are bound. `sessions`:
-one of 1000. `both`: a new key and one of 1000 sessions.
+`plain`: no key, no session. `keys`: a new key per request. `repeats`: one of 1000 bound keys. `sessions`: one of 1000
+sessions. `both`: a new key and one of 1000 sessions.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 
 from .replicated_notes import cpu_ms, listed, provider
 
-REQUESTS_PER_TURN = 400  # calls
-DISTINCT_KEYS = 1000  # sessions, and keys that come again
+REQUESTS_PER_TURN = 400
+DISTINCT_KEYS = 1000  # sessions, and repeated keys
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "look", "effect": "idempotent", "target_ms": 9000.0, "hard_limit_ms": 20000.0},
@@ -47,7 +47,7 @@
     "permissions": {"cancel": True, "parallel_tries": False, "max_attempts": 1, "connect_timeout_ms": 9000.0},
     "registry_mode": "ask",
 }
-KeyAndSession = Callable[[int], tuple[int | None, int | None]]  # number of a call: its key, its session
+KeyAndSession = Callable[[int], tuple[int | None, int | None]]  # from a request's number: its key, its session
 WORKLOADS: dict[str, KeyAndSession] = {
     "plain": lambda number: (None, None),
     "keys": lambda number: (DISTINCT_KEYS + number, None),
@@ -73,7 +73,7 @@
 
 
 async def turn(node: NodeProcess, workload: KeyAndSession, first: int) -> float:
-    """CPU of the process in us a call, one call after another on one connection."""
+    """CPU time of the process in us per request, with one request after another on one connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", node.serving)
     parser, before = http1.ResponseParser(), cpu_ms(node)
     for number in range(first, first + REQUESTS_PER_TURN):
--- a/limenotch/fleet/affinity/__init__.py
+++ b/limenotch/fleet/affinity/__init__.py
@@ -1,4 +1,5 @@
-"""Affinity table: binds keys, sessions and client connections to endpoints, replicated to all sidecars of the fleet.
+"""Fleet layer 5, the affinity table: binds keys, sessions and client connections to endpoints, replicated to all
+sidecars of the fleet.
 
 The package makes decisions only and does no I/O; core.py is the component. Design: docs/fleet/bindings-design.md.
 The settings reader needs only `tuning`; the other modules are imported lazily, when `[fleet.bindings]` is set.
--- a/limenotch/fleet/affinity/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -3,7 +3,7 @@
 | state | begins | work besides sending and applying updates |
 | --- | --- | --- |
 | joining | at start, after fencing | fetches peers' tables, or missed updates: join.py |
-| complete | a complete peer's table has arrived, or all peers', or there is none | join.py for gaps; repair.py |
+| complete | a complete peer's table, or all peers' tables, have arrived, or no peer exists | fills gaps; repair.py |
 
 Rules
 - Last-seen updates go to all members, in rounds (last_seen.py); a watermark follows each round. Updates missing from a
--- a/limenotch/fleet/affinity/entries.py
+++ b/limenotch/fleet/affinity/entries.py
@@ -235,9 +235,8 @@
         if not flags & STATE and old_flags & STATE and (same_generation or not old_expired):
             flags |= State.OPEN << STATE_SHIFT  # values.state_beside
         last_seen_ms, announced_ms = max(last_seen_ms, rows.last_seen_ms[row]), max(announced_ms, last_seen_ms)
-        self.endpoints.acquire(
-            number := self.endpoints.number(placement)
-        )  # so that the number is not released if it is the same
+        # Acquired first, so that the number is not released if it stays the same.
+        self.endpoints.acquire(number := self.endpoints.number(placement))
         self._deactivate(row)
         self._write(
             row,
--- a/limenotch/fleet/affinity/join.py
+++ b/limenotch/fleet/affinity/join.py
@@ -94,9 +94,8 @@
                 continue
             if not 0 <= known.counter < MAX_COUNTER:
                 continue
-            member.last_message_ms = max(
-                member.last_message_ms, member.known_since_ms
-            )  # heard of through a peer: it has the component, so it is waited for
+            # Its updates came through a peer, so it has the component and is waited for.
+            member.last_message_ms = max(member.last_message_ms, member.known_since_ms)
             member.last_seq = max(member.last_seq, known.seq)
             if member.has_gap and known.seq < member.gap_end_seq:
                 continue
--- a/limenotch/fleet/affinity/rows.py
+++ b/limenotch/fleet/affinity/rows.py
@@ -37,11 +37,8 @@
         self.generation, self.moves = array("I"), array("H")
         self.version, self.author = array("Q"), array("I")  # version
         self.stamp = array("Q")
-        self.created_ms, self.last_seen_ms, self.announced_ms = (
-            array("d"),
-            array("d"),
-            array("d"),
-        )  # local clock
+        # In ms of the local clock.
+        self.created_ms, self.last_seen_ms, self.announced_ms = (array("d"), array("d"), array("d"))
         self.wheel_next, self.wheel_previous, self.wheel_slot = array("I"), array("I"), array("H")  # links of the wheel
         self.order_older, self.order_newer = array("I"), array("I")  # links of the order
         self.digests = [0] * RANGES
--- a/limenotch/fleet_adapters/affinity.py
+++ b/limenotch/fleet_adapters/affinity.py
@@ -206,10 +206,8 @@
             connection = self._connections.get(details.connection)
             if connection is None:
                 self._connection_count += 1
-                number = b"%d %d" % (
-                    self._node.process_epoch,
-                    self._connection_count,
-                )  # unique: addresses recur
+                # Another connection from the same address gets another key.
+                number = b"%d %d" % (self._node.process_epoch, self._connection_count)
                 connection = self._connections[details.connection] = ClientConnection(
                     composite_key(self._node.name.encode(), b"", number)
                 )
--- a/limenotch/lab/fleet/checks_bindings.py
+++ b/limenotch/lab/fleet/checks_bindings.py
@@ -1,6 +1,6 @@
 """Invariants of every simulated run of the affinity table, checked from outside in the simulator's true time.
 
-A rule is violated if:
+Rules, and what violates them:
 - none early: a member no longer finds a key (or removes it as expired) that a member not held dead used within its
   idle time.
 - none late: a key is found later than guaranteed after its last use anywhere. That time begins anew after a link to a
@@ -13,9 +13,8 @@
 - gone: a binding is found 250 ms after its endpoint left the member's list (a `key` keeps cell and zone).
 - full: a `key` inside its window is evicted; two replicas evict the same keys in different order.
 
-The checker calls no code under test. A *use* belongs to the process that observed it: (node, number of its processes
-and fences). A use within the idle time after the last one continues the binding; if it comes just later, when some
-members may have removed the binding, both outcomes are accepted.
+The checker calls no code under test. A *use* belongs to the process that observed it: (node, count of processes and
+fences). A use within the idle time continues the binding; one just later may find it or not: both are accepted.
 """
 
 from __future__ import annotations
--- a/tests/fleet/affinity_bugs.py
+++ b/tests/fleet/affinity_bugs.py
@@ -1,4 +1,4 @@
-"""Faults planted into the bindings by hand, one at a time: each must be found, in the run of its seed.
+"""Bugs injected into the affinity table, one at a time: the checker has to find each in the run with its seed.
 
 `BUGS` has for each the run and the seed in which it is found: as many as there are before it did not show it.
 """
@@ -26,7 +26,7 @@
 
 
 def stale_replica_revives_binding(patch: pytest.MonkeyPatch) -> None:
-    """What is over by its age is taken all the same, whatever the grave says."""
+    """A replica that is expired by its age is applied, in spite of the tombstone."""
     real = table.AffinityTable.apply_replica
 
     def apply_replica(self: table.AffinityTable, now: float, key: int, *rest: Any) -> bool:
@@ -55,12 +55,12 @@
 
 
 def age_counted_from_receipt(patch: pytest.MonkeyPatch) -> None:
-    """An age counts from when its message was heard, not from when it was sent."""
+    """An age counts from the receipt of its message instead of its sending."""
     patch.setattr(clocks.ClockOffset, "latest_local_ms", lambda self, now, remote_ms: now)
 
 
 def watermark_ahead_of_updates(patch: pytest.MonkeyPatch) -> None:
-    """The cover speaks of a second that is still to come."""
+    """The watermark is a second ahead of the updates sent."""
     real = last_seen.UpdateSender.next_batches
 
     def next_batches(self: last_seen.UpdateSender, now: float, *rest: Any) -> Any:
@@ -101,7 +101,7 @@
 
 
 def eviction_by_own_order(patch: pytest.MonkeyPatch) -> None:
-    """A sight makes a row the last to give way where it was seen alone, and not where it was heard of."""
+    """A use moves a row to the end of the eviction order only at its observer, not where its update arrives."""
     real = table.AffinityTable.apply_replica
 
     def apply_replica(self: table.AffinityTable, now: float, key: int, *rest: Any) -> bool:
@@ -148,7 +148,7 @@
 
 
 def withheld_update_never_sent(patch: pytest.MonkeyPatch) -> None:
-    """What changes ages by less than the part that is told is not told when the others' age runs out either."""
+    """A use that changes the age by less than the announced share is not announced at the announced expiry either."""
     patch.setattr(entries.TableEntries, "announced_expiry_ms", lambda self, row: float("inf"))
 
 
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -1,4 +1,4 @@
-"""One sidecar's calls with the bindings beside them, and no sockets: attempts end as a test tells them to."""
+"""A sidecar's request manager with the affinity adapter and without sockets; the tests end the attempts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from limenotch.fleet.affinity.api import Binding, Kind
 from limenotch.fleet.hub import ComponentEvent
 from limenotch.fleet.interfaces import MemberChanged, Started, TimerFired
-from limenotch.fleet.settings import Bindings as Table
+from limenotch.fleet.settings import Bindings as BindingsSettings
 from limenotch.fleet_adapters.affinity import AffinityAdapter, composite_key
 from limenotch.fleet_adapters.base import NodeContext
 from limenotch.load_balancer import LoadBalancer
@@ -52,7 +52,7 @@
     "registry_mode": "ask",
     "layer": 1,
 }
-ANSWER = Message([], {})
+RESPONSE = Message([], {})
 SERVED, FAR = AttemptEnding.SERVED, [f"w{number}" for number in range(3)]
 NEAR = [f"e{number}" for number in range(3)]
 
@@ -61,112 +61,120 @@
     return parse({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}, {})
 
 
-def endpoint(name: str, status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE) -> DiscoveredEndpoint:
+def discovered_endpoint(name: str, status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE) -> DiscoveredEndpoint:
     zone = "east" if name[0] == "e" else "west"
     return DiscoveredEndpoint(name, ("127.0.0.1", 1), status, zone, "k", 1 if zone == "east" else 2)
 
 
-class House:
-    """A sidecar's calls with the layer beside them; attempts end as they are told."""
+class SidecarHarness:
+    """A request manager with the affinity adapter; attempts end when a test calls `end_attempt`."""
 
-    def __init__(self, table: Table | None = None, begun: bool = True, whole: bool = True) -> None:
+    def __init__(self, settings: BindingsSettings | None = None, started: bool = True, complete: bool = True) -> None:
         self.skew = 0.0
-        self.layer = AffinityAdapter(NodeContext("a", 7, (), KEY, self.tell, self.now), table or Table())
-        self.part = self.layer.component(None, 0)
-        self.begun = False
-        held = config(SETTINGS)
-        self.facade = LoadBalancer(held.settings, 5, held.zones, held.kinds, clock=self.now)
-        self.calls = RequestManager(self.facade, 1000)
-        self.calls.interceptors = (self.layer,)
-        self.calls.attempt_runner = self
-        self.calls.watch_discovery = lambda: None
-        self.made: list[Attempt] = []
-        self.bound_when_made: list[Binding | None] = []
-        self.calls.execute(self.facade.start())
-        self.layer.configuration_applied(held)
+        self.adapter = AffinityAdapter(
+            NodeContext("a", 7, (), KEY, self.dispatch, self.now), settings or BindingsSettings()
+        )
+        self.component = self.adapter.component(None, 0)
+        self.started = False
+        configuration = config(SETTINGS)
+        self.load_balancer = LoadBalancer(
+            configuration.settings, 5, configuration.zones, configuration.kinds, clock=self.now
+        )
+        self.request_manager = RequestManager(self.load_balancer, 1000)
+        self.request_manager.interceptors = (self.adapter,)
+        self.request_manager.attempt_runner = self
+        self.request_manager.watch_discovery = lambda: None
+        self.attempts: list[Attempt] = []
+        self.bindings_at_start: list[Binding | None] = []
+        self.request_manager.execute(self.load_balancer.start())
+        self.adapter.configuration_applied(configuration)
         self.names = itertools.count()
-        if begun:
-            self.begin(whole)
-        self.list(NEAR + FAR, whole=True)
+        if started:
+            self.start_component(complete)
+        self.list_endpoints(NEAR + FAR, complete=True)
 
     def now(self) -> float:
         return monotonic() * 1000.0 + self.skew
 
-    def begin(self, whole: bool = True) -> None:
-        self.part.handle(self.now(), Started())
-        self.begun = True
-        if whole:
-            self.part.handle(self.now(), MemberChanged("a", "alive", ("127.0.0.1", 9), 0, 7))
+    def start_component(self, complete: bool = True) -> None:
+        self.component.handle(self.now(), Started())
+        self.started = True
+        if complete:
+            self.component.handle(self.now(), MemberChanged("a", "alive", ("127.0.0.1", 9), 0, 7))
             self.skew += 300.0
-            for _ in range(5):  # alone, it is whole a cover later
+            for _ in range(5):  # without peers the table is complete after one watermark interval
                 self.skew += 60.0
-                self.part.handle(self.now(), TimerFired(1))
-            assert self.layer.status()["state"] == "whole"
-
-    def tell(self, asked: ComponentEvent) -> None:
-        if self.begun:
-            self.part.handle(self.now(), asked.event)
-
-    def list(self, names: list[str], status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE, whole: bool = False) -> None:
-        entries = [endpoint(name, status) for name in names]
-        self.layer.endpoints_listed(entries, whole)
-        self.calls.execute(self.facade.endpoints_listed(entries, whole))
-
-    def start(self, invoker_call: Attempt) -> None:
-        call = invoker_call.request
-        self.bound_when_made.append(
-            self.bound(call.class_name, call.tenant, call.details.idempotency_key)
-            if call.details.idempotency_key
+                self.component.handle(self.now(), TimerFired(1))
+            assert self.adapter.status()["state"] == "whole"
+
+    def dispatch(self, event: ComponentEvent) -> None:
+        if self.started:
+            self.component.handle(self.now(), event.event)
+
+    def list_endpoints(
+        self, names: list[str], status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE, complete: bool = False
+    ) -> None:
+        entries = [discovered_endpoint(name, status) for name in names]
+        self.adapter.endpoints_listed(entries, complete)
+        self.request_manager.execute(self.load_balancer.endpoints_listed(entries, complete))
+
+    def start(self, running_attempt: Attempt) -> None:
+        request = running_attempt.request
+        self.bindings_at_start.append(
+            self.key_binding(request.class_name, request.tenant, request.details.idempotency_key)
+            if request.details.idempotency_key
             else None
         )
-        self.made.append(invoker_call)
+        self.attempts.append(running_attempt)
 
-    def cancel(self, invoker_call: Attempt) -> None:
-        asyncio.get_running_loop().call_soon(self.calls.attempt_ended, invoker_call, AttemptEnding.CANCELLED)
+    def cancel(self, running_attempt: Attempt) -> None:
+        asyncio.get_running_loop().call_soon(
+            self.request_manager.attempt_ended, running_attempt, AttemptEnding.CANCELLED
+        )
 
-    def bound(self, kind: str, tenant: str, key: bytes) -> Binding | None:
-        return self.layer._table.find(self.now(), Kind.KEY, composite_key(kind.encode(), tenant.encode(), key))
+    def key_binding(self, class_name: str, tenant: str, key: bytes) -> Binding | None:
+        return self.adapter._table.find(self.now(), Kind.KEY, composite_key(class_name.encode(), tenant.encode(), key))
 
-    def session(self, name: bytes, tenant: str = "acme") -> Binding | None:
-        return self.layer._table.find(self.now(), Kind.SESSION, composite_key(tenant.encode(), b"", name))
+    def session_binding(self, name: bytes, tenant: str = "acme") -> Binding | None:
+        return self.adapter._table.find(self.now(), Kind.SESSION, composite_key(tenant.encode(), b"", name))
 
-    def take(
+    def send(
         self,
-        kind: str = "keyed",
+        class_name: str = "keyed",
         key: bytes = b"",
         tenant: str = "acme",
-        resent: bool = False,
-        origin: str = "",
+        is_retry: bool = False,
+        connection: str = "",
         fields: dict[str, str] | None = None,
     ) -> asyncio.Future[FinalResponse]:
         final: asyncio.Future[FinalResponse] = asyncio.get_running_loop().create_future()
-        about = RequestDetails(
-            key, {name.encode(): value.encode() for name, value in (fields or {}).items()}, origin, resent
+        options = RequestDetails(
+            key, {name.encode(): value.encode() for name, value in (fields or {}).items()}, connection, is_retry
         )
-        self.last = self.calls.accept(
-            b"%d" % next(self.names), None, kind, tenant, 900.0, final.set_result, details=about
+        self.last_request = self.request_manager.accept(
+            b"%d" % next(self.names), None, class_name, tenant, 900.0, final.set_result, details=options
         )
         return final
 
-    def end(self, ending: AttemptEnding = SERVED, attempt: int = -1) -> str:
-        """Of the latest attempt; the provider that it was at."""
-        invoker_call = self.made[attempt]
-        self.calls.attempt_ended(invoker_call, ending, ANSWER if ending is SERVED else None)
-        return invoker_call.endpoint_name
+    def end_attempt(self, ending: AttemptEnding = SERVED, attempt: int = -1) -> str:
+        """Ends an attempt, by default the latest one; returns its endpoint's name."""
+        running_attempt = self.attempts[attempt]
+        self.request_manager.attempt_ended(running_attempt, ending, RESPONSE if ending is SERVED else None)
+        return running_attempt.endpoint_name
 
-    async def served(self, **about: Any) -> str:
-        """A call that is served at its first attempt; by whom."""
-        before, final = len(self.made), self.take(**about)
+    async def send_served(self, **options: Any) -> str:
+        """Sends a request that is served at its first attempt; returns the endpoint's name."""
+        before, final = len(self.attempts), self.send(**options)
         async with asyncio.timeout(5):
-            while len(self.made) == before and not final.done():
+            while len(self.attempts) == before and not final.done():
                 await asyncio.sleep(0.001)
-        by = self.end()
+        served_by = self.end_attempt()
         assert (await final).verdict is Verdict.SERVED
-        return by
+        return served_by
 
-    def count(self, word: str) -> int:
-        return int(self.layer.counts[word])
+    def count(self, name: str) -> int:
+        return int(self.adapter.counts[name])
 
 
-def run(case: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    asyncio.run(asyncio.wait_for(case(), 30))
+def run(test_case: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    asyncio.run(asyncio.wait_for(test_case(), 30))
--- a/tests/fleet/affinity_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -1,4 +1,4 @@
-"""Members with bindings in simulated time, for tests. Membership is told by the test, or is the real one in a hub."""
+"""Simulated members with the affinity component. Membership events come from the test, or from the real component."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 )
 
 
-def alone(tuning: Tuning = FAST, name: str = "a") -> Bindings:
-    """One that nobody else is with, whole, at 1000 ms."""
-    part = Bindings(name, 1, KEY, tuning)
-    part.handle(0.0, Started())
-    part.handle(0.0, MemberChanged(name, "alive", address(name), 0, 1))
-    part.handle(0.0, AvailableEndpoints(ENDPOINTS))
-    part.handle(1000.0, TimerFired(1))
-    part.handle(1000.0, TimerFired(1))
-    assert part.table.complete
-    return part
+def single_member(tuning: Tuning = FAST, name: str = "a") -> Bindings:
+    """The component of the only member of a fleet, with a complete table, at 1000 ms."""
+    bindings = Bindings(name, 1, KEY, tuning)
+    bindings.handle(0.0, Started())
+    bindings.handle(0.0, MemberChanged(name, "alive", address(name), 0, 1))
+    bindings.handle(0.0, AvailableEndpoints(ENDPOINTS))
+    bindings.handle(1000.0, TimerFired(1))
+    bindings.handle(1000.0, TimerFired(1))
+    assert bindings.table.complete
+    return bindings
 
 
-class Told:
-    """A member whose membership is what `Fleet` says."""
+class FakeMembershipNode:
+    """A member that receives membership events from `Fleet`."""
 
     def __init__(self, fleet: Fleet, name: str, process_epoch: int) -> None:
         self.fleet, self.name, self.process_epoch = fleet, name, process_epoch
@@ -49,15 +49,15 @@
     def handle(self, now: float, event: Any) -> list[Any]:
         out = self.bindings.handle(now, event)
         if isinstance(event, Started):
-            for other in sorted(self.fleet.there | {self.name}):
+            for other in sorted(self.fleet.listed_members | {self.name}):
                 process_epoch = self.process_epoch if other == self.name else self.fleet.process_epochs.get(other, 1)
                 out += self.bindings.handle(now, MemberChanged(other, "alive", address(other), 0, process_epoch))
             out += self.bindings.handle(now, AvailableEndpoints(ENDPOINTS))
         return out
 
 
-class Hubbed:
-    """A member with the real membership below."""
+class RealMembershipNode:
+    """A member with the real membership component."""
 
     def __init__(self, fleet: Fleet, name: str, seed: int, process_epoch: int) -> None:
         membership = Membership(name, address(name), process_epoch, [address("a"), address("b")], TUNING, seed)
@@ -77,49 +77,53 @@
         names: Iterable[str],
         seed: int = 1,
         tuning: Tuning = FAST,
-        real: bool = False,
-        mute: str = "",
-        **weather: Any,
+        real_membership: bool = False,
+        silent: str = "",
+        **world_options: Any,
     ) -> None:
-        """`mute`: of `later`, held alive all the same."""
+        """`later` (a world option): members that start later; `silent`: those of them that are held alive already."""
         self.names, self.tuning = list(names), tuning
-        self.there = set(self.names) - set(weather.get("later", "")) | set(mute)
+        self.listed_members = set(self.names) - set(world_options.get("later", "")) | set(silent)
         self.process_epochs: dict[str, int] = {}
-        self._real = real
-        self.world = World(self.names, self._make, seed, **weather)
+        self._real_membership = real_membership
+        self.world = World(self.names, self._make, seed, **world_options)
 
-    def _make(self, name: str, seed: int, process_epoch: int, held: StoredLog) -> Any:
+    def _make(self, name: str, seed: int, process_epoch: int, stored_log: StoredLog) -> Any:
         self.process_epochs[name] = process_epoch
-        return Hubbed(self, name, seed, process_epoch) if self._real else Told(self, name, process_epoch)
+        return (
+            RealMembershipNode(self, name, seed, process_epoch)
+            if self._real_membership
+            else FakeMembershipNode(self, name, process_epoch)
+        )
 
-    def of(self, name: str) -> Bindings:
-        part: Bindings = self.world.part(name).bindings
-        return part
+    def bindings_of(self, name: str) -> Bindings:
+        bindings: Bindings = self.world.part(name).bindings
+        return bindings
 
     def table(self, name: str) -> AffinityTable:
-        return self.of(name).table
+        return self.bindings_of(name).table
 
     def now(self, name: str) -> float:
         node = self.world.nodes[name]
         return max(node.now, node.clock(self.world.now))
 
-    def run(self, span: float) -> None:
-        self.world.run(self.world.now + span)
+    def run(self, span_ms: float) -> None:
+        self.world.run(self.world.now + span_ms)
 
-    def say(self, event: Any, *names: str) -> None:
+    def send_event(self, event: Any, *names: str) -> None:
         for name in names or self.names:
             if self.world.alive(name):
-                self.world.poke(name, ComponentEvent("bi.", event) if self._real else event)
+                self.world.poke(name, ComponentEvent("bi.", event) if self._real_membership else event)
 
-    def changed(self, who: str, state: str, process_epoch: int, *names: str) -> None:
-        self.there.add(who)
-        self.say(MemberChanged(who, state, address(who), 0, process_epoch), *names)
+    def member_changed(self, member: str, state: str, process_epoch: int, *names: str) -> None:
+        self.listed_members.add(member)
+        self.send_event(MemberChanged(member, state, address(member), 0, process_epoch), *names)
 
-    def fence(self, who: str) -> None:
-        """It has been dead to the others; all hear of its next life."""
-        self.process_epochs[who] += 1
-        self.say(Fenced(), who)
-        self.changed(who, "alive", self.process_epochs[who])
+    def fence(self, member: str) -> None:
+        """Fences a member that the others held dead; all receive its next process epoch."""
+        self.process_epochs[member] += 1
+        self.send_event(Fenced(), member)
+        self.member_changed(member, "alive", self.process_epochs[member])
 
     def record_use(
         self,
@@ -135,31 +139,31 @@
     def find(self, name: str, key: bytes, kind: Kind = Kind.SESSION) -> Binding | None:
         return self.table(name).find(self.now(name), kind, key)
 
-    def who(self, key: bytes, kind: Kind = Kind.SESSION) -> list[str | None]:
-        """The provider that each has it bound to."""
+    def bound_endpoints(self, key: bytes, kind: Kind = Kind.SESSION) -> list[str | None]:
+        """The endpoint to which each running member has the key bound."""
         found = [self.find(name, key, kind) for name in self.names if self.world.alive(name)]
         return [each and each.endpoint for each in found]
 
-    def same(self) -> bool:
-        """Whether all hold the same values."""
+    def is_converged(self) -> bool:
+        """Whether all running members have the same values."""
         return len({tuple(self.table(name).rows.digests) for name in self.names if self.world.alive(name)}) == 1
 
 
-def rounds(part: Bindings, now: float) -> list[messages.LastSeenUpdate]:
-    return part.context.update_sender.next_batches(now)
+def next_updates(bindings: Bindings, now: float) -> list[messages.LastSeenUpdate]:
+    return bindings.context.update_sender.next_batches(now)
 
 
-def hear(part: Bindings, message: Any, now: float, sender: str = "a") -> list[Any]:
-    """As of a member whose clock is the same."""
-    if part.context.peers.get(sender) is None:
-        part.handle(now, MemberChanged(sender, "alive", address(sender), 0, 1))
-        part.handle(now, MessageReceived(address(sender), sender, messages.Pong(1, now, now)))
-    return part.handle(now, MessageReceived(address(sender), sender, message))
+def receive(bindings: Bindings, message: Any, now: float, sender: str = "a") -> list[Any]:
+    """Delivers a message of a member whose clock has no offset."""
+    if bindings.context.peers.get(sender) is None:
+        bindings.handle(now, MemberChanged(sender, "alive", address(sender), 0, 1))
+        bindings.handle(now, MessageReceived(address(sender), sender, messages.Pong(1, now, now)))
+    return bindings.handle(now, MessageReceived(address(sender), sender, message))
 
 
-def sights(key: bytes, seen: float, now: float, seq: int = 1, **other: Any) -> messages.LastSeenUpdate:
-    """As the member `z` would tell it."""
-    made = alone(name="z")
-    made.table.record_use(seen, Kind.SESSION, key, other.get("provider", "p1"), State.OPEN)
-    (batch,) = made.context.update_sender.next_batches(now)
+def make_update(key: bytes, last_use_ms: float, now: float, seq: int = 1, **options: Any) -> messages.LastSeenUpdate:
+    """The update that the member `z` would send."""
+    bindings = single_member(name="z")
+    bindings.table.record_use(last_use_ms, Kind.SESSION, key, options.get("endpoint", "p1"), State.OPEN)
+    (batch,) = bindings.context.update_sender.next_batches(now)
     return msgspec.structs.replace(batch, seq=seq)
--- a/tests/fleet/test_affinity_checker.py
+++ b/tests/fleet/test_affinity_checker.py
@@ -1,4 +1,4 @@
-"""The checker of bindings finds each thing that it is for, in a history written by hand, and nothing in a sound one."""
+"""The affinity checker finds each kind of violation in a history written by hand, and none in a valid one."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     age_error_ms=5,
 )
 FLOW: Key = (3, b"f1")
-CALL: Key = (0, b"k1")
+KEY: Key = (0, b"k1")
 
 
-class Is(NamedTuple):
+class Found(NamedTuple):
     endpoint: str = "p1"
     idle_ms: float = 1e9
 
 
-def three() -> Checker:
-    """Members that know each other, and whose beginning is long over."""
+def three_members() -> Checker:
+    """A checker with three members that know each other and started long ago."""
     checker = Checker(GUARANTEES, "abc")
     for node in "abc":
         checker.process_started(0.0, node, 1)
@@ -40,43 +40,43 @@
     return checker
 
 
-def ask(checker: Checker, at: float, answers: dict[str, Is | None], key: Key = FLOW) -> None:
+def lookup_all(checker: Checker, now: float, answers: dict[str, Found | None], key: Key = FLOW) -> None:
     for node, answer in answers.items():
-        checker.lookup(at, node, key, answer, True)
-    checker.sweep(at)
+        checker.lookup(now, node, key, answer, True)
+    checker.sweep(now)
 
 
-def wrong(checker: Checker, rule: str) -> None:
+def assert_violated(checker: Checker, rule: str) -> None:
     with pytest.raises(AssertionError, match=rf"^{rule}: "):
         checker.check()
 
 
-def test_a_sound_life() -> None:
-    checker = three()
+def test_a_valid_history() -> None:
+    checker = three_members()
     checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-    ask(checker, 5001, {"a": Is(), "b": None, "c": None})
-    ask(checker, 5060, {"a": Is(), "b": Is(), "c": Is()})
-    ask(checker, 6150, {"a": Is(), "b": None, "c": Is()})
-    ask(checker, 6230, {"a": None, "b": None, "c": None})
+    lookup_all(checker, 5001, {"a": Found(), "b": None, "c": None})
+    lookup_all(checker, 5060, {"a": Found(), "b": Found(), "c": Found()})
+    lookup_all(checker, 6150, {"a": Found(), "b": None, "c": Found()})
+    lookup_all(checker, 6230, {"a": None, "b": None, "c": None})
     checker.use_recorded(7000, "b", FLOW, "p2", 1, True)
-    ask(checker, 7100, {"a": Is("p2"), "b": Is("p2"), "c": Is("p2")})
+    lookup_all(checker, 7100, {"a": Found("p2"), "b": Found("p2"), "c": Found("p2")})
     checker.check()
 
 
-def test_dropped_while_another_saw_it() -> None:
-    checker = three()
+def test_removed_while_another_member_used_it() -> None:
+    checker = three_members()
     checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-    ask(checker, 5060, {"a": Is(), "b": Is()})
+    lookup_all(checker, 5060, {"a": Found(), "b": Found()})
     checker.use_recorded(5900, "b", FLOW, "p1", 1, True)
-    ask(checker, 6100, {"a": None, "b": Is()})
-    wrong(checker, "none early")
+    lookup_all(checker, 6100, {"a": None, "b": Found()})
+    assert_violated(checker, "none early")
 
 
-def test_a_silent_one_is_waited_for_until_it_is_held_dead() -> None:
+def test_a_silent_member_is_waited_for_until_it_is_held_dead() -> None:
     for state in ("suspect", "dead"):
-        checker = three()
+        checker = three_members()
         checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-        ask(checker, 5060, {"a": Is(), "b": Is()})
+        lookup_all(checker, 5060, {"a": Found(), "b": Found()})
         checker.use_recorded(5900, "b", FLOW, "p1", 1, True)
         checker.process_ended(5901, "b")
         checker.member_changed(6000, "a", "b", state, 1)
@@ -84,125 +84,125 @@
         if state == "dead":
             checker.check()
         else:
-            wrong(checker, "none early")
+            assert_violated(checker, "none early")
 
 
-def test_one_that_was_fenced_is_somebody_else() -> None:
-    checker = three()
+def test_a_fenced_member_is_not_waited_for() -> None:
+    checker = three_members()
     checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-    ask(checker, 5060, {"a": Is(), "b": Is()})
+    lookup_all(checker, 5060, {"a": Found(), "b": Found()})
     checker.use_recorded(5900, "b", FLOW, "p1", 1, True)
     checker.fenced(6000, "b")
-    ask(checker, 6100, {"a": None})
+    lookup_all(checker, 6100, {"a": None})
     checker.check()
 
 
 def test_found_too_late() -> None:
-    for at in (6220, 6290):
-        checker = three()
+    for now in (6220, 6290):
+        checker = three_members()
         checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-        ask(checker, at, {"a": Is()})
-        if at == 6220:
+        lookup_all(checker, now, {"a": Found()})
+        if now == 6220:
             checker.check()
         else:
-            wrong(checker, "none late")
+            assert_violated(checker, "none late")
 
 
-def test_a_cut_excuses_only_while_it_lasts_and_mends() -> None:
-    for heal, at in ((8000, 9090), (5500, 6730)):
-        checker = three()
+def test_a_partition_excuses_lateness_only_until_convergence() -> None:
+    for heal, now in ((8000, 9090), (5500, 6730)):
+        checker = three_members()
         checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
         checker.links_impaired(5100, [("a", "b"), ("b", "a")])
         checker.links_impaired(heal, [])
-        ask(checker, at, {"a": Is()})
+        lookup_all(checker, now, {"a": Found()})
         if heal == 8000:
             checker.check()
         else:
-            wrong(checker, "none late")
+            assert_violated(checker, "none late")
 
 
-def test_one_held_dead_excuses_nothing() -> None:
-    checker = three()
+def test_a_member_held_dead_excuses_nothing() -> None:
+    checker = three_members()
     checker.use_recorded(8000, "a", FLOW, "p1", 1, True)
     checker.links_impaired(5100, [("a", "b"), ("b", "a")])
     checker.member_changed(5500, "a", "b", "dead", 1)
-    ask(checker, 9300, {"a": Is()})
-    wrong(checker, "none late")
+    lookup_all(checker, 9300, {"a": Found()})
+    assert_violated(checker, "none late")
 
 
-def test_revived() -> None:
-    checker = three()
+def test_revival_of_an_expired_key() -> None:
+    checker = three_members()
     checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-    ask(checker, 5060, {"a": Is(), "b": Is()})
-    ask(checker, 6100, {"a": None})
-    ask(checker, 6110, {"a": Is()})
-    wrong(checker, "no revival")
+    lookup_all(checker, 5060, {"a": Found(), "b": Found()})
+    lookup_all(checker, 6100, {"a": None})
+    lookup_all(checker, 6110, {"a": Found()})
+    assert_violated(checker, "no revival")
 
 
-def test_an_age_that_counts_from_hearing() -> None:
-    checker = three()
+def test_an_age_counted_from_receipt() -> None:
+    checker = three_members()
     checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-    ask(checker, 5060, {"b": Is(idle_ms=58)})
+    lookup_all(checker, 5060, {"b": Found(idle_ms=58)})
     checker.check()
-    ask(checker, 5600, {"b": Is(idle_ms=200)})
-    wrong(checker, "honest ages")
+    lookup_all(checker, 5600, {"b": Found(idle_ms=200)})
+    assert_violated(checker, "honest ages")
 
 
-def test_two_providers_for_too_long() -> None:
-    checker = three()
+def test_two_endpoints_for_too_long() -> None:
+    checker = three_members()
     checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
     checker.use_recorded(5000, "b", FLOW, "p2", 1, True)
-    for at in (5010, 5050, 5110):
-        ask(checker, at, {"a": Is("p1"), "b": Is("p2")})
+    for now in (5010, 5050, 5110):
+        lookup_all(checker, now, {"a": Found("p1"), "b": Found("p2")})
     checker.check()
-    ask(checker, 5111, {"a": Is("p1"), "b": Is("p2")})
-    wrong(checker, "one provider")
+    lookup_all(checker, 5111, {"a": Found("p1"), "b": Found("p2")})
+    assert_violated(checker, "one provider")
 
 
-def test_moved_without_need() -> None:
-    for gone in (True, False):
-        checker = three()
+def test_a_needless_move() -> None:
+    for removed in (True, False):
+        checker = three_members()
         checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-        ask(checker, 5060, {name: Is("p1") for name in "abc"})
-        if gone:
+        lookup_all(checker, 5060, {name: Found("p1") for name in "abc"})
+        if removed:
             checker.endpoints_changed(5065, "b", ("p2",))
-        ask(checker, 5080, {name: Is("p2") for name in "abc"})
-        if gone:
+        lookup_all(checker, 5080, {name: Found("p2") for name in "abc"})
+        if removed:
             checker.check()
         else:
-            wrong(checker, "one provider")
+            assert_violated(checker, "one provider")
 
 
 def test_missing_in_calm() -> None:
-    checker = three()
+    checker = three_members()
     checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-    ask(checker, 5100, {"a": Is(), "b": None})
+    lookup_all(checker, 5100, {"a": Found(), "b": None})
     checker.check()
-    ask(checker, 5151, {"a": Is(), "b": None})
-    wrong(checker, "none missing")
+    lookup_all(checker, 5151, {"a": Found(), "b": None})
+    assert_violated(checker, "none missing")
 
 
-def test_found_at_a_provider_that_went() -> None:
-    checker = three()
+def test_found_at_a_removed_endpoint() -> None:
+    checker = three_members()
     checker.use_recorded(5000, "a", FLOW, "p1", 1, True)
-    checker.use_recorded(5000, "a", CALL, "p1", 1, True)
+    checker.use_recorded(5000, "a", KEY, "p1", 1, True)
     checker.endpoints_changed(5100, "a", ("p2",))
-    ask(checker, 5345, {"a": Is()})
-    ask(checker, 5400, {"a": Is()}, CALL)
+    lookup_all(checker, 5345, {"a": Found()})
+    lookup_all(checker, 5400, {"a": Found()}, KEY)
     checker.check()
-    ask(checker, 5360, {"a": Is()})
-    wrong(checker, "gone")
+    lookup_all(checker, 5360, {"a": Found()})
+    assert_violated(checker, "gone")
 
 
-def test_a_call_gives_way_inside_its_window() -> None:
-    checker = three()
-    checker.use_recorded(5000, "a", CALL, "p1", 1, True)
-    checker.row_ended(5900, "a", CALL, "full")
-    wrong(checker, "full")
+def test_a_key_evicted_inside_its_window() -> None:
+    checker = three_members()
+    checker.use_recorded(5000, "a", KEY, "p1", 1, True)
+    checker.row_ended(5900, "a", KEY, "full")
+    assert_violated(checker, "full")
 
 
-def test_two_orders() -> None:
-    checker = three()
+def test_two_eviction_orders() -> None:
+    checker = three_members()
     other: Key = (3, b"f2")
     for key in (FLOW, other):
         checker.use_recorded(5000, "a", key, "p1", 1, True)
@@ -211,4 +211,4 @@
             checker.row_ended(5500, node, key, "full")
     checker.check()
     checker.check_eviction_order(5600)
-    wrong(checker, "full")
+    assert_violated(checker, "full")
--- a/tests/fleet/test_affinity_drawings.py
+++ b/tests/fleet/test_affinity_drawings.py
@@ -1,4 +1,4 @@
-"""The bindings' drawings, each of which must come out exactly in simulated time."""
+"""Expected timelines of the affinity table: simulated runs have to match them exactly."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from limenotch.lab.fleet.bindings_drawings import outcome
 from limenotch.lab.fleet.scenario import load
 
-FILES = sorted((Path(__file__).parent / "drawings" / "bindings").glob("*.txt"))
+TIMELINES = sorted((Path(__file__).parent / "drawings" / "bindings").glob("*.txt"))
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_comes_out(path: Path) -> None:
+@pytest.mark.parametrize("path", TIMELINES, ids=lambda path: path.stem)
+def test_timeline_is_as_expected(path: Path) -> None:
     outcome(load(path))
 
 
-def test_there_are_as_many_as_the_page_shows() -> None:
+def test_the_documentation_lists_all_timelines() -> None:
     page = (Path(__file__).parents[2] / "docs" / "fleet" / "bindings.md").read_text(encoding="utf-8")
-    assert len(FILES) >= 14
-    assert all(path.name in page for path in FILES)
+    assert len(TIMELINES) >= 14
+    assert all(path.name in page for path in TIMELINES)
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -1,6 +1,6 @@
-"""Bindings on processes: consumers call throughout and come back through other sidecars, and faults come between.
+"""The affinity table in real processes: clients return through other sidecars while faults are injected.
 
-Words of `ask`, and how each is judged: fleet/returning_clients.py.
+The commands of `ask` and their checks are in fleet/returning_clients.py.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from .test_log_processes import AGREEMENT, MEMBERSHIP
 from .test_rules_processes import RULES
 
-TRAFFIC = """
+SCENARIO = """
 name = "bindings"
 length_s = {length_s}
 [sidecars]
@@ -68,80 +68,80 @@
 deadline_ms = 600
 effect = "at_most_once"
 """
-MESSAGE_TYPES: dict[str, Any] = {"session": "X-Session", "digest_ms": 400.0}
+BINDINGS: dict[str, Any] = {"session": "X-Session", "digest_ms": 400.0}
 
 
-class TogetherError(Exception):
-    """They did not find each other."""
+class NotJoinedError(Exception):
+    """The processes did not join in time."""
 
 
 def play(
-    text: str, folder: Path, rules: bool = False, bindings: dict[str, Any] | None = MESSAGE_TYPES
+    text: str, folder: Path, rules: bool = False, bindings: dict[str, Any] | None = BINDINGS
 ) -> tuple[Outcome, Comers]:
-    """Once more where they did not find each other before the drawing began: a port that was free may be taken."""
+    """Plays the timeline, in up to three tries if the processes do not join: a free port may be taken meanwhile."""
     for number in range(3):
-        place = folder / str(number)
-        place.mkdir()
-        with suppress(TogetherError, SidecarError):
-            return played(text, place, rules, bindings)
-    raise AssertionError("not together, three times")
+        subfolder = folder / str(number)
+        subfolder.mkdir()
+        with suppress(NotJoinedError, SidecarError):
+            return play_once(text, subfolder, rules, bindings)
+    raise AssertionError("the processes did not join in three tries")
 
 
-def played(text: str, folder: Path, rules: bool, bindings: dict[str, Any] | None) -> tuple[Outcome, Comers]:
-    drawn = drawing.read(text)
-    traffic = TRAFFIC.format(length_s=drawn.ends / 1000.0, count=len(drawn.nodes))
-    plan = planning.plan(scenario.parse(traffic, "bindings"), 3)
+def play_once(text: str, folder: Path, rules: bool, bindings: dict[str, Any] | None) -> tuple[Outcome, Comers]:
+    timeline = drawing.read(text)
+    scenario_text = SCENARIO.format(length_s=timeline.ends / 1000.0, count=len(timeline.nodes))
+    plan = planning.plan(scenario.parse(scenario_text, "bindings"), 3)
     key = folder / "key"
     key.write_text("a key for tests, of 16 bytes or more")
-    comers = Comers()
-    tables: Any = {"membership": MEMBERSHIP, "agreement": AGREEMENT}
+    clients = Comers()
+    sections: Any = {"membership": MEMBERSHIP, "agreement": AGREEMENT}
     if bindings is not None:
-        tables["bindings"] = bindings
-    fleet = together(drawn.nodes, key, tuple("abc") if rules else (), **tables)
+        sections["bindings"] = bindings
+    fleet = together(timeline.nodes, key, tuple("abc") if rules else (), **sections)
 
-    async def case() -> Outcome:
+    async def run_case() -> Outcome:
         bench = Bench(
             plan,
             folder,
-            drawn,
-            weather.Weather(drawn.seed),
-            ask=comers.asked,
+            timeline,
+            weather.Weather(timeline.seed),
+            ask=clients.asked,
             fleet=lambda stage, node: fleet(stage, node) + (RULES if rules else ""),
         )
-        comers.stage, comers.there = bench, list(drawn.nodes)
+        clients.stage, clients.there = bench, list(timeline.nodes)
 
-        async def settled(processes: Processes) -> None:
-            def holds(name: str, state: dict[str, Any]) -> bool:
+        async def wait_until_joined(processes: Processes) -> None:
+            def is_joined(name: str, state: dict[str, Any]) -> bool:
                 parts, alive = state["parts"], sum(member["state"] == "alive" for member in state["members"])
                 return (
-                    alive == len(drawn.nodes)
+                    alive == len(timeline.nodes)
                     and (not rules or parts["rules"].get("state") == "leased")
                     and (bindings is None or parts["bindings"]["state"] == "whole")
                 )
 
             try:
-                await processes.until_all(holds, 12, "all are together")
+                await processes.until_all(is_joined, 12, "all are together")
             except NotReachedError as error:
-                raise TogetherError(str(error)) from None
+                raise NotJoinedError(str(error)) from None
 
         try:
-            outcome = await bench.perform(settled)
-            comers.repeats += sum(process.ledger.repeats for process in bench.fleet.every[0])
-            if not any(str(fault).startswith(("kill", "cut")) for _, fault in drawn.faults) and bindings is not None:
-                # What a sidecar has not told before its end, or could tell nobody, may run again.
+            outcome = await bench.perform(wait_until_joined)
+            clients.repeats += sum(process.ledger.repeats for process in bench.fleet.every[0])
+            if not any(str(fault).startswith(("kill", "cut")) for _, fault in timeline.faults) and bindings is not None:
+                # With a kill or a partition, keys whose updates did not reach the other sidecars may run again.
                 assert not sum(process.ledger.double for process in bench.fleet.every[0])
             return outcome
         finally:
             await bench.close()
 
-    outcome = asyncio.run(asyncio.wait_for(case(), 120))
+    outcome = asyncio.run(asyncio.wait_for(run_case(), 120))
     outcome.check()
     assert outcome.calls["served"] > 50
-    return outcome, comers
+    return outcome, clients
 
 
-def test_keys_and_sessions_stay_through_all_sidecars_until_their_providers_go(tmp_path: Path) -> None:
-    _, comers = play(
+def test_keys_and_sessions_stay_through_all_sidecars_until_their_endpoints_are_removed(tmp_path: Path) -> None:
+    _, clients = play(
         """
 nodes: a b c
 
@@ -167,12 +167,12 @@
         rules=True,
     )
     for key in ("k1", "k2", "k3"):
-        assert comers.bench.zones_of[key] == {comers.zones[key]}
-    assert comers.repeats > 10
+        assert clients.bench.zones_of[key] == {clients.zones[key]}
+    assert clients.repeats > 10
 
 
-def test_of_five_one_is_killed_and_back_and_two_are_cut_off_and_healed(tmp_path: Path) -> None:
-    _, comers = play(
+def test_five_sidecars_with_a_kill_a_restart_and_a_partition(tmp_path: Path) -> None:
+    _, clients = play(
         """
 nodes: a b c d e
 
@@ -201,18 +201,18 @@
         tmp_path,
     )
     for key in ("k1", "k2", "k3", "k4", "k5", "k6"):
-        assert comers.bench.zones_of[key] == {comers.zones[key]}, key
+        assert clients.bench.zones_of[key] == {clients.zones[key]}, key
 
 
-def test_the_same_consumers_find_their_keys_run_twice_without_bindings(tmp_path: Path) -> None:
-    # So that what the other runs are judged by can fail.
-    _, comers = play("\nnodes: a b c\n\nms     faults\n100    ask a twice\n2500\n", tmp_path, bindings=None)
-    assert any(len(comers.bench.zones_of[f"k{number}"]) == 2 for number in range(8))
-    assert sum(process.ledger.double for process in comers.bench.fleet.every[0]) > 0
+def test_keys_run_twice_without_bindings(tmp_path: Path) -> None:
+    # Shows that the check of the other tests can fail.
+    _, clients = play("\nnodes: a b c\n\nms     faults\n100    ask a twice\n2500\n", tmp_path, bindings=None)
+    assert any(len(clients.bench.zones_of[f"k{number}"]) == 2 for number in range(8))
+    assert sum(process.ledger.double for process in clients.bench.fleet.every[0]) > 0
 
 
-def test_a_connection_s_end_and_a_file_read_again_are_heard(tmp_path: Path) -> None:
-    async def case() -> None:
+def test_closed_connections_and_reloaded_settings_are_applied(tmp_path: Path) -> None:
+    async def run_case() -> None:
         table = "[fleet.bindings]\nconnections = true\n"
         async with serving(tmp_path, "n", table) as sidecar, asyncio.timeout(20):
             await until(sidecar, state="whole", consumers=0)
@@ -231,26 +231,26 @@
             sidecar.process.send_signal(signal.SIGHUP)
             await until(sidecar, window_ms=12_000.0)
 
-    asyncio.run(case())
+    asyncio.run(run_case())
 
 
-async def until(sidecar: Sidecar, **figures: Any) -> None:
+async def until(sidecar: Sidecar, **expected: Any) -> None:
     while True:
         found = (await sidecar.told())["parts"]["bindings"]
-        if {key: found[key] for key in figures} == figures:
+        if {key: found[key] for key in expected} == expected:
             return
         await asyncio.sleep(0.02)
 
 
-def test_without_its_table_nothing_that_decides_is_imported(tmp_path: Path) -> None:
-    async def case() -> None:
+def test_the_component_is_imported_only_if_configured(tmp_path: Path) -> None:
+    async def run_case() -> None:
         async with serving(tmp_path, "off", "") as off, serving(tmp_path, "on", "[fleet.bindings]\n") as on:
             assert "bindings" not in (await off.told())["parts"]
             assert "bindings" in (await on.told())["parts"]
             names = [set(await each.end()) for each in (off, on)]
         found = [{name for name in each if "affinity" in name} for each in names]
-        # Its table is read by the one reader of settings, whose type it is.
+        # The settings reader imports the type of the settings table.
         assert found[0] == {"limenotch.fleet.affinity", "limenotch.fleet.affinity.tuning"}
         assert found[1] >= {"limenotch.fleet_adapters.affinity", "limenotch.fleet.affinity.core"}
 
-    asyncio.run(case())
+    asyncio.run(run_case())
--- a/tests/fleet/test_affinity_storms.py
+++ b/tests/fleet/test_affinity_storms.py
@@ -1,4 +1,4 @@
-"""Bindings under storms, in crowded tables and among fifty members, held against the checker; planted faults found."""
+"""Randomized fault runs, full tables and fifty members against the affinity checker, which finds injected bugs."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 @pytest.mark.parametrize("seed", [3, 4, 9, 13, 21])
-def test_a_storm_breaks_no_rule(seed: int) -> None:
+def test_a_randomized_fault_run_violates_no_rule(seed: int) -> None:
     counts = fault_run(seed).checker.counts
     assert counts["dropped"] > 50
     assert counts["judged late"] > 1000
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_replicas_let_the_same_ones_go_in_one_order(seed: int) -> None:
+def test_replicas_evict_the_same_keys_in_the_same_order(seed: int) -> None:
     run = crowded_run(seed)
     lists = [process.evicted_keys for process in run.checker.processes.values() if process is not None]
     assert len(lists[0]) > 20
-    assert all(given == lists[0] for given in lists)
+    assert all(evicted == lists[0] for evicted in lists)
 
 
-def test_fifty_find_and_forget_together() -> None:
+def test_fifty_members_find_and_remove_together() -> None:
     slower = replace(FAST, batch_ms=50, cover_ms=250, digest_ms=2000, tick_ms=50)
     run = Run([f"m{number}" for number in range(50)], 1, tuning=slower, members=membership.Tuning())
     run.wait_until_joined(10_000)
@@ -40,21 +40,21 @@
     for name in run.names:
         assert all(run.find(name, key) is not None for key in run.keys), name
     guarantees = run.checker.guarantees
-    longest = max(guarantees.idle_ms(kind, 1) for kind in range(KINDS))
-    run.world.run(run.world.now + longest * (1 + 2 * guarantees.drift) + guarantees.margin_ms)
+    longest_idle_ms = max(guarantees.idle_ms(kind, 1) for kind in range(KINDS))
+    run.world.run(run.world.now + longest_idle_ms * (1 + 2 * guarantees.drift) + guarantees.margin_ms)
     run.sweep()
     assert run.checker.counts["dropped"] == 50 * len(run.keys)
     run.checker.check()
 
 
-def test_the_same_seed_is_the_same_run() -> None:
+def test_the_same_seed_gives_the_same_run() -> None:
     assert fault_run(9, 1500).world.digest() == fault_run(9, 1500).world.digest()
 
 
 @pytest.mark.parametrize(
     ("bug", "run", "seed"), [(bug, *found) for bug, found in BUGS.items()], ids=[bug.__name__ for bug in BUGS]
 )
-def test_planted_faults_are_found(bug: InjectBug, run: Any, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_injected_bugs_are_found(bug: InjectBug, run: Any, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     bug(monkeypatch)
     with pytest.raises(AssertionError, match="none early|none late|no revival|honest ages|gone: |full: |that differs"):
         run(seed)
--- a/tests/fleet/test_affinity_values.py
+++ b/tests/fleet/test_affinity_values.py
@@ -1,4 +1,4 @@
-"""Which value wins: the table of states, and that order and repetition of copies are of no account."""
+"""Conflict resolution: the table of states, and that order and repetition of replicas do not matter."""
 
 from __future__ import annotations
 
@@ -12,51 +12,51 @@
 from limenotch.fleet.affinity.api import Kind, State
 from limenotch.fleet.affinity.rows import CHARGED, NIL, STATE, STATE_SHIFT, TOMBSTONE
 from limenotch.fleet.affinity.values import MERGED_STATES, Value, compare_versions, merge
-from tests.fleet.affinity_worlds import alone
+from tests.fleet.affinity_worlds import single_member
 
-PLACES = [("p1", "c1", "z1"), ("p2", "c1", "z1"), ("p3", "c2", "z2")]
+PLACEMENTS = [("p1", "c1", "z1"), ("p2", "c1", "z1"), ("p3", "c2", "z2")]
 
 
 @st.composite
 def value(draw: st.DrawFn) -> Value:
-    gen, move, count, by = draw(
+    generation, moves, version, author = draw(
         st.tuples(st.integers(0, 2), st.integers(0, 1), st.integers(1, 2), st.sampled_from("ab"))
     )
-    place = PLACES[(gen + move + count + len(by) + ord(by)) % 3]  # a value has one provider
+    placement = PLACEMENTS[(generation + moves + version + len(author) + ord(author)) % 3]  # one endpoint per value
     return Value(
-        gen,
-        move,
-        count,
-        by,
-        place,
+        generation,
+        moves,
+        version,
+        author,
+        placement,
         draw(st.sampled_from(State)),
         draw(st.booleans()),
         draw(st.integers(900, 1000)) * 1.0,
-        float(count),
+        float(version),
     )
 
 
-@pytest.mark.parametrize(("held", "told"), list(product(State, State)))
-def test_each_pair_of_states(held: State, told: State) -> None:
-    """As the table printed in the module says, row by row; and in the table of rows, heard and seen."""
+@pytest.mark.parametrize(("known", "received"), list(product(State, State)))
+def test_merged_state_of_each_pair(known: State, received: State) -> None:
+    """Compares the code with the table in the module's docstring, for received updates and for local uses."""
     doc = values.__doc__ or ""
     lines = [line.split() for line in doc.splitlines()]
-    row = next(line for line in lines if len(line) == 5 and line[0] == held.name.lower())
-    assert MERGED_STATES[held, told].name.lower() == row[1 + told]
-    for heard in (True, False):
-        part = alone()
-        part.table.record_use(1000.0, Kind.SESSION, b"k", "p1", held)
-        key = part.table.hash(Kind.SESSION, b"k")
-        at = part.table.rows.find(key)
-        if heard:
-            part.table.apply_replica(
+    row = next(line for line in lines if len(line) == 5 and line[0] == known.name.lower())
+    assert MERGED_STATES[known, received].name.lower() == row[1 + received]
+    for from_peer in (True, False):
+        bindings = single_member()
+        bindings.table.record_use(1000.0, Kind.SESSION, b"k", "p1", known)
+        key = bindings.table.hash(Kind.SESSION, b"k")
+        row_number = bindings.table.rows.find(key)
+        if from_peer:
+            bindings.table.apply_replica(
                 1001.0,
                 key,
-                Kind.SESSION | told << STATE_SHIFT,
-                PLACES[0],
+                Kind.SESSION | received << STATE_SHIFT,
+                PLACEMENTS[0],
                 0,
                 0,
-                part.table.rows.version[at],
+                bindings.table.rows.version[row_number],
                 "a",
                 1001.0,
                 1000.0,
@@ -64,14 +64,14 @@
                 True,
             )
         else:
-            part.table.record_use(1001.0, Kind.SESSION, b"k", "p1", told)
-        assert (part.table.rows.flags[at] & STATE) >> STATE_SHIFT == MERGED_STATES[held, told]
-        assert part.table.rows.last_seen_ms[at] == 1001.0
+            bindings.table.record_use(1001.0, Kind.SESSION, b"k", "p1", received)
+        assert (bindings.table.rows.flags[row_number] & STATE) >> STATE_SHIFT == MERGED_STATES[known, received]
+        assert bindings.table.rows.last_seen_ms[row_number] == 1001.0
 
 
 @given(value(), value(), value())
 @settings(max_examples=400, deadline=None, derandomize=True)
-def test_merge_is_a_join(one: Value, two: Value, three: Value) -> None:
+def test_merge_is_commutative_associative_and_idempotent(one: Value, two: Value, three: Value) -> None:
     assert merge(one, two) == merge(two, one)
     assert merge(merge(one, two), three) == merge(one, merge(two, three))
     assert merge(one, one) == one
@@ -80,10 +80,10 @@
 
 @given(st.lists(value(), min_size=1, max_size=6))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_the_rows_come_to_what_merge_says(copies: list[Value]) -> None:
-    part = alone()
-    table, want = part.table, copies[0]
-    for each in copies:
+def test_rows_end_as_merge_does(replicas: list[Value]) -> None:
+    bindings = single_member()
+    table, expected = bindings.table, replicas[0]
+    for each in replicas:
         table.apply_replica(
             1000.0,
             77,
@@ -95,11 +95,11 @@
             3,
             True,
         )
-        want = merge(want, each)
+        expected = merge(expected, each)
     row = table.rows.find(77)
     assert row != NIL and not table.rows.flags[row] & TOMBSTONE
     rows = table.rows
-    held = Value(
+    known = Value(
         rows.generation[row],
         rows.moves[row],
         rows.version[row],
@@ -110,10 +110,10 @@
         rows.last_seen_ms[row],
         rows.created_ms[row],
     )
-    assert held == want
+    assert known == expected
 
 
-def test_who_bound_first_wins() -> None:
+def test_the_first_to_bind_wins() -> None:
     assert compare_versions(0, 0, 3, "b", (0, 0, 4, "a")) == 1
     assert compare_versions(0, 0, 4, "b", (0, 0, 4, "a")) == -1
     assert compare_versions(0, 1, 9, "b", (0, 0, 4, "a")) == 1
