--- a/limenotch/fleet/affinity/context.py
+++ b/limenotch/fleet/affinity/context.py
@@ -53,8 +53,8 @@
         """Recomputes the lowest watermark of the peers, and the error that ages from them may have."""
         table, tuning = self.table, self.tuning
         table.watermark_ms = self.peers.lowest_watermark_ms(self.now, tuning.grave_ms)
-        live = self.peers.alive_peers()
-        uncertainty_ms = max((peer.clock_uncertainty_ms for peer in live), default=0.0)
+        alive = self.peers.alive_peers()
+        uncertainty_ms = max((peer.clock_uncertainty_ms for peer in alive), default=0.0)
         # The bounds of a clock offset drift apart from one answer to the next.
-        drift_gap_ms = 2 * tuning.drift * tuning.digest_ms * self.interval_scale if live else 0.0
+        drift_gap_ms = 2 * tuning.drift * tuning.digest_ms * self.interval_scale if alive else 0.0
         table.age_slack_ms = drift_gap_ms + (uncertainty_ms if uncertainty_ms < INFINITE else tuning.cover_ms)
--- a/limenotch/fleet/affinity/join.py
+++ b/limenotch/fleet/affinity/join.py
@@ -136,9 +136,13 @@
                 # Tries another peer soon; the choice is random, so that an unresponsive peer does not block joining.
                 self._next_join_ms = now + context.tuning.batch_ms
                 return
-        live = context.peers.alive_peers()
-        candidates = [peer for peer in live if (peer.name, peer.process_epoch) not in self._fetched_from]
-        if self._retained_rows and self._fetched_from and all(peer.last_seq >= 0 and not peer.has_gap for peer in live):
+        alive = context.peers.alive_peers()
+        candidates = [peer for peer in alive if (peer.name, peer.process_epoch) not in self._fetched_from]
+        if (
+            self._retained_rows
+            and self._fetched_from
+            and all(peer.last_seq >= 0 and not peer.has_gap for peer in alive)
+        ):
             candidates = []  # the retained rows and all peers' updates since are complete
         if not candidates:
             if now >= context.member_since_ms + context.tuning.cover_ms:
@@ -148,7 +152,7 @@
             self._logged = True
             context.log("joins bindings")
         peer = context.random.choice([peer for peer in candidates if peer.complete] or candidates)
-        known = [alive_peer.known_counter for alive_peer in live if alive_peer.known_counter >= 0]
+        known = [alive_peer.known_counter for alive_peer in alive if alive_peer.known_counter >= 0]
         floor = min(known) if self._retained_rows and known else -1
         self._join_fetch = Fetch(peer, context.next_serial(), floor, None, context.tuning.join_bytes_per_s, now)
         self._send_request(self._join_fetch)
@@ -169,13 +173,13 @@
                 del self._gap_fetches[name]
             else:
                 self._send_request(fetch)
-        live = context.peers.alive_peers()
-        audible = [
+        alive = context.peers.alive_peers()
+        reachable = [
             peer
-            for peer in live
+            for peer in alive
             if now - peer.last_message_ms <= SILENT_WATERMARKS * watermark_interval_ms and peer.last_seq >= 0
         ]
-        for peer in live:
+        for peer in alive:
             silent = now - max(peer.last_message_ms, peer.known_since_ms) > SILENT_WATERMARKS * watermark_interval_ms
             if (
                 not (peer.has_gap or silent)
@@ -183,7 +187,7 @@
                 or now < self._next_gap_fetch_ms.get(peer.name, now)
             ):
                 continue
-            candidates = [other for other in audible if other is not peer]
+            candidates = [other for other in reachable if other is not peer]
             if silent and not candidates:
                 continue
             self._next_gap_fetch_ms[peer.name] = now + watermark_interval_ms
--- a/limenotch/fleet/affinity/last_seen.py
+++ b/limenotch/fleet/affinity/last_seen.py
@@ -142,10 +142,10 @@
         self._round_undos: deque[tuple[int, int, int, int]] = deque()
         self._round_cutoff_ms = now
 
-    def next_batches(self, now: float, most: int = MAX_MESSAGES_PER_TURN) -> list[LastSeenUpdate]:
+    def next_batches(self, now: float, max_messages: int = MAX_MESSAGES_PER_TURN) -> list[LastSeenUpdate]:
         """Up to `most` messages, to be sent to all members; none if there is nothing to announce."""
         table, out = self.table, []
-        for _ in range(most):
+        for _ in range(max_messages):
             if self._round is None:
                 # What fell due in the wheel up to this time has been queued by now.
                 self._round_cutoff_ms = min(now, table.wheel.processed_until_ms)
--- a/limenotch/fleet/affinity/repair.py
+++ b/limenotch/fleet/affinity/repair.py
@@ -216,14 +216,14 @@
             self._exchange = None
             if exchange.done and not exchange.repaired_rows:
                 self._logged = False
-        live = context.peers.alive_peers()
-        if now < self._next_exchange_ms or not live:
+        alive = context.peers.alive_peers()
+        if now < self._next_exchange_ms or not alive:
             return
         tuning, scale = context.tuning, context.interval_scale
         self._next_exchange_ms = now + tuning.digest_ms * scale
         in_flight_ms = 2 * (tuning.batch_ms + tuning.cover_ms) * scale
         self._exchange = Exchange(
-            context.random.choice(live), context.next_serial(), tuning.repair_bytes_per_s, in_flight_ms, now
+            context.random.choice(alive), context.next_serial(), tuning.repair_bytes_per_s, in_flight_ms, now
         )
         self._continue(self._exchange)
 
--- a/limenotch/fleet/affinity/table.py
+++ b/limenotch/fleet/affinity/table.py
@@ -201,14 +201,14 @@
 
     # Ages
 
-    def expire_after_fencing(self, now: float, most: int) -> bool:
+    def expire_after_fencing(self, now: float, max_rows: int) -> bool:
         """Removes expired rows without waiting for watermarks: the peers may have removed them. Returns whether more
         remain.
 
         Young rows are retained: both sides of a partition are fenced when it heals, and neither may lose what it uses.
         """
         least, self.watermark_ms = self.watermark_ms, INFINITE
-        more = self.expire(now, most, "fenced")
+        more = self.expire(now, max_rows, "fenced")
         self.watermark_ms = least
         return more
 
@@ -219,10 +219,10 @@
         self.remove(now, row, "over")
         return True
 
-    def expire(self, now: float, most: int, reason: str = "over") -> bool:
+    def expire(self, now: float, max_rows: int, reason: str = "over") -> bool:
         """Inspects up to `most` due rows and removes those that may be removed. Returns whether more are due."""
         rows, wheel = self.rows, self.wheel
-        for _ in range(most):
+        for _ in range(max_rows):
             row = wheel.pop_due(now)
             if row == NIL:
                 break
@@ -242,7 +242,7 @@
                 wheel.schedule(row, expires_at_ms)
             else:
                 wheel.schedule(row, removable_at_ms)
-        for _ in range(most):
+        for _ in range(max_rows):
             row = wheel.first_expired
             if row == NIL:
                 break
--- a/limenotch/fleet/affinity/tuning.py
+++ b/limenotch/fleet/affinity/tuning.py
@@ -32,9 +32,7 @@
     sessions: Ages = Ages(open=1_800_000.0)
     conn: Ages = Ages(open=60_000.0)
     flow: Ages = Ages()
-    tell: Annotated[float, Meta(gt=0, le=0.5)] = (
-        0.125  # of the idle time: a use that changes the age by more is announced
-    )
+    tell: Annotated[float, Meta(gt=0, le=0.5)] = 0.125  # of the idle time: smaller changes of an age are withheld
     batch_ms: Span = 50.0
     cover_ms: Span = 250.0  # between watermarks, if no update is sent
     drift: Annotated[float, Meta(ge=0, le=0.5)] = 0.02
@@ -45,6 +43,4 @@
     repair_bytes_per_s: Rate = 1_048_576
     most: Annotated[int, Meta(ge=16, le=16_000_000)] = 1_000_000
     most_opening: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of `most`
-    most_moves: Annotated[int, Meta(ge=1, le=1_000_000)] = (
-        10_000  # rows changed in one turn when an endpoint is removed
-    )
+    most_moves: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000  # rows per turn when an endpoint is removed
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -233,10 +233,10 @@
         self.checker.process_ended(self.world.now, name)
         self.fault(f"kill {name}")
 
-    def run(self, until: float, sweep_ms: float = SWEEP_MS) -> None:
+    def run(self, until_ms: float, sweep_ms: float = SWEEP_MS) -> None:
         """Runs until `until`, and looks up all keys at all nodes each `sweep_ms`."""
-        while self.world.now < until:
-            self.world.run(min(until, self.world.now + sweep_ms))
+        while self.world.now < until_ms:
+            self.world.run(min(until_ms, self.world.now + sweep_ms))
             self.sweep()
 
     def sweep(self) -> None:
@@ -248,9 +248,9 @@
 
     def wait_until_joined(self, max_ms: float = 5000.0) -> None:
         """Runs until all nodes hold all alive and have complete tables. AssertionError if that takes too long."""
-        until = self.world.now + max_ms
+        until_ms = self.world.now + max_ms
         while not self._all_joined():
-            if self.world.now >= until:
+            if self.world.now >= until_ms:
                 raise AssertionError(f"not all tables are complete within {max_ms:g} ms")
             self.world.run(self.world.now + 10)
 
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -79,8 +79,8 @@
             _change_endpoints(run, random)
     run.end_faults()
     guarantees = run.checker.guarantees
-    until = max(run.world.now, run.checker.lossy_until) + guarantees.convergence_ms + 2500
-    while run.world.now < until:
+    until_ms = max(run.world.now, run.checker.lossy_until) + guarantees.convergence_ms + 2500
+    while run.world.now < until_ms:
         _step(run, clients_, run.world.now + SWEEP_MS)
     # No client sends any more: all bindings must be removed.
     longest_idle_ms = max(guarantees.idle_ms(key[0], state) for key in run.keys for state in State)
@@ -91,13 +91,13 @@
     return run
 
 
-def _step(run: Run, clients: list[ReturningClient], until: float) -> None:
+def _step(run: Run, clients: list[ReturningClient], until_ms: float) -> None:
     for client in sorted(
-        (client_ for client_ in clients if client_.due_at_ms < until), key=lambda client_: client_.due_at_ms
+        (client_ for client_ in clients if client_.due_at_ms < until_ms), key=lambda client_: client_.due_at_ms
     ):
         run.world.run(max(run.world.now, client.due_at_ms))
         client.send_request(run)
-    run.run(until)
+    run.run(until_ms)
     run.checker.check()
 
 
@@ -136,8 +136,8 @@
             "heal",
         )
     )
-    rest = [other for other in run.names if other != name]
-    others = " ".join(rest)
+    other_names = [other for other in run.names if other != name]
+    others = " ".join(other_names)
     if kind == "kill" and world.alive(name):
         run.kill(name)
     elif kind == "start" and not world.alive(name):
@@ -149,12 +149,12 @@
         run.fault(f"wake {name}")
     elif kind == "cut":
         run.fault(f"cut {name} | {others}")
-    elif kind == "halves" and len(rest) > 2:
-        run.fault(f"cut {name} {rest[0]} | {' '.join(rest[1:])}")
+    elif kind == "halves" and len(other_names) > 2:
+        run.fault(f"cut {name} {other_names[0]} | {' '.join(other_names[1:])}")
     elif kind == "one way":
         run.fault(random.choice((f"cut {name} > {others}", f"cut {others} > {name}")))
     elif kind == "link":
-        run.fault(f"cut {name} | {rest[0]}")
+        run.fault(f"cut {name} | {other_names[0]}")
     elif kind == "mute":
         run.fault(f"mute {name}")
     elif kind == "slow":
@@ -168,7 +168,7 @@
         run.fault(f"wake {name}")
 
 
-def crowded_run(seed: int, most: int = 24, rounds: int = 120) -> Run:
+def crowded_run(seed: int, max_rows: int = 24, rounds: int = 120) -> Run:
     """More bindings than tables of `most` rows can store. Between two uses all updates arrive and nothing expires, so
     that replicas are equal.
     """
@@ -176,7 +176,7 @@
     run = Run(
         "abc",
         seed,
-        tuning=replace(FAST, flow=LONG_AGES, sessions=LONG_AGES, conn=LONG_AGES, most=most),
+        tuning=replace(FAST, flow=LONG_AGES, sessions=LONG_AGES, conn=LONG_AGES, most=max_rows),
         window_ms=60_000.0,
     )
     run.wait_until_joined()
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -114,9 +114,9 @@
     def list_endpoints(
         self, names: list[str], status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE, complete: bool = False
     ) -> None:
-        entries = [discovered_endpoint(name, status) for name in names]
-        self.adapter.endpoints_listed(entries, complete)
-        self.request_manager.execute(self.load_balancer.endpoints_listed(entries, complete))
+        endpoints = [discovered_endpoint(name, status) for name in names]
+        self.adapter.endpoints_listed(endpoints, complete)
+        self.request_manager.execute(self.load_balancer.endpoints_listed(endpoints, complete))
 
     def start(self, running_attempt: Attempt) -> None:
         request = running_attempt.request
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -221,7 +221,7 @@
             for _ in range(3):
                 writer.write(LOOK)
                 assert (await answer_from(reader, parser)).status == 200
-            await until(sidecar, consumers=1, endpoints=1, window_ms=9000.0)
+            await until(sidecar, consumers=1, providers=1, window_ms=9000.0)
             writer.close()
             await until(sidecar, consumers=0)
             file = tmp_path / "n.json"
