--- a/limenotch/fleet/affinity/context.py
+++ b/limenotch/fleet/affinity/context.py
@@ -42,7 +42,7 @@
     def send(self, peer: Peer, message: Message, carrier: Carrier = Carrier.STREAM) -> None:
         self.actions.append(SendToMember(peer.name, message, carrier))
 
-    def broadcast(self, message: Message) -> None:
+    def all(self, message: Message) -> None:
         for peer in self.peers.alive_peers():
             self.send(peer, message)
 
--- a/limenotch/fleet/affinity/core.py
+++ b/limenotch/fleet/affinity/core.py
@@ -179,7 +179,7 @@
         more_due = self._sweep() or more_due or self._expiring_after_fence
         self._send_updates(MAX_MESSAGES_PER_TURN)
         if now >= self._next_watermark_ms:
-            context.broadcast(context.update_sender.watermark(now))
+            context.all(context.update_sender.watermark(now))
             self._next_watermark_ms = now + tuning.cover_ms * context.interval_scale
         for peer in context.peers.alive_peers():
             self._request_clock_sample(peer)
@@ -252,7 +252,7 @@
     def _send_updates(self, max_messages: int) -> None:
         context = self.context
         for batch in context.update_sender.next_batches(context.now, max_messages):
-            context.broadcast(batch)
+            context.all(batch)
             self._next_watermark_ms = context.now + context.tuning.cover_ms * context.interval_scale
 
     def _on_update(self, peer: Peer, update: messages.LastSeenUpdate) -> None:
--- a/limenotch/fleet/affinity/join.py
+++ b/limenotch/fleet/affinity/join.py
@@ -161,7 +161,7 @@
         context = self.context
         context.table.complete = True
         context.log("whole", held=context.table.live_rows)
-        context.broadcast(context.update_sender.watermark(context.now))
+        context.all(context.update_sender.watermark(context.now))
 
     # Gaps
 
--- a/tests/fleet/affinity_node.py
+++ b/tests/fleet/affinity_node.py
@@ -91,7 +91,7 @@
         self.names = itertools.count()
         if started:
             self.start_component(complete)
-        self.list_endpoints(NEAR + FAR, complete=True)
+        self.list(NEAR + FAR, complete=True)
 
     def now(self) -> float:
         return monotonic() * 1000.0 + self.skew
@@ -111,7 +111,7 @@
         if self.started:
             self.component.handle(self.now(), event.event)
 
-    def list_endpoints(
+    def list(
         self, names: list[str], status: DiscoveryStatus = DiscoveryStatus.IN_SERVICE, complete: bool = False
     ) -> None:
         endpoints = [discovered_endpoint(name, status) for name in names]
--- a/tests/fleet/test_affinity_last_seen.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -54,15 +54,15 @@
     bindings = single_member()
     for now in (1000.0, 4900.0):
         receive(bindings, make_update(b"k", now, now, seq=int(now)), now, "z")
-    for now in range(4900, 5200, 50):
-        bindings.table.expire(float(now), 10)
+    for time_ms in range(4900, 5200, 50):
+        bindings.table.expire(float(time_ms), 10)
     bindings.table.record_use(5200.0, SESSION, b"k", "p1", State.OPEN)  # changes less than an eighth of 4 s
     assert not next_updates(bindings, 5200.0)
     announcements = []
-    for now in range(5200, 9200, 50):
-        bindings.table.expire(float(now), 10)
-        announcements += [(now, batch) for batch in next_updates(bindings, float(now))]
-    assert [now for now, _ in announcements] == [pytest.approx(8950, abs=75)]
+    for time_ms in range(5200, 9200, 50):
+        bindings.table.expire(float(time_ms), 10)
+        announcements += [(time_ms, batch) for batch in next_updates(bindings, float(time_ms))]
+    assert [time_ms for time_ms, _ in announcements] == [pytest.approx(8950, abs=75)]
     assert announcements[0][1].watermark_ms >= 8900
 
 
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -78,13 +78,13 @@
         sidecar = SidecarHarness()
         served_by = await sidecar.send_served(key=b"k")
         zone = NEAR if served_by in NEAR else FAR
-        sidecar.list_endpoints(zone, DiscoveryStatus.TERMINATING)
+        sidecar.list(zone, DiscoveryStatus.TERMINATING)
         bound = sidecar.key_binding("keyed", "acme", b"k")
         assert bound is not None and bound.zone == discovered_endpoint(served_by).zone  # a key stays where it ran
         attempt_count = len(sidecar.attempts)
         assert (await sidecar.send(key=b"k", is_retry=True)).verdict is Verdict.REJECTED
         assert len(sidecar.attempts) == attempt_count
-        sidecar.list_endpoints(zone[:1], complete=False)
+        sidecar.list(zone[:1], complete=False)
         assert await sidecar.send_served(key=b"k", is_retry=True) == zone[0]
 
     run(case)
@@ -267,7 +267,7 @@
                 sidecar.adapter.ejection_changed(served_by, True, 0.0)
                 sidecar.request_manager.execute(sidecar.load_balancer.set_ejected(served_by, True))
             else:
-                sidecar.list_endpoints(
+                sidecar.list(
                     [served_by], DiscoveryStatus.TERMINATING if reason == "drains" else DiscoveryStatus.TERMINATED
                 )
             assert sidecar.session_binding(reason.encode()) is None  # at once
@@ -279,7 +279,7 @@
                 sidecar.adapter.ejection_changed(served_by, False, 1.0)
                 sidecar.request_manager.execute(sidecar.load_balancer.set_ejected(served_by, False, 1.0))
             else:
-                sidecar.list_endpoints([served_by])
+                sidecar.list([served_by])
             # The first endpoint is back: the session does not move again.
             assert await sidecar.send_served(class_name="free", fields=name) == next_endpoint
 
@@ -358,11 +358,11 @@
         "lingering",
         "longest",
     }
-    for line, message in (
+    for setting, message in (
         (' session = "x y"', "fleet.bindings.session: expected the name of a header field"),
         ('sesion = "x"', "fleet.bindings.sesion: unknown key"),
         ("most = 1", "fleet.bindings.most"),
     ):
-        bad = text[: text.index("[fleet.bindings]")] + f"[fleet.bindings]\n{line}\n"
+        bad = text[: text.index("[fleet.bindings]")] + f"[fleet.bindings]\n{setting}\n"
         with pytest.raises(toml.FaultError, match=message):
             parse_settings(bad, "f.toml")
