--- a/limenotch/fleet/affinity/__init__.py
+++ b/limenotch/fleet/affinity/__init__.py
@@ -1,7 +1,8 @@
-"""Layer 5: what belongs to which provider, known to all and forgotten together; decisions only, see core.py.
+"""Fleet layer 5, the affinity table: binds keys, sessions and client connections to endpoints, replicated to all
+sidecars of the fleet.
 
-Design: docs/fleet/bindings-design.md. The settings' reader needs `tuning` alone: the decisions are imported where the
-table is set.
+The package makes decisions only and does no I/O; core.py is the component. Design: docs/fleet/bindings-design.md.
+The settings reader needs only `tuning`; the other modules are imported lazily, when `[fleet.bindings]` is set.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 if TYPE_CHECKING:
     from .core import Bindings
-    from .expiry import death_ms, forget_ms
+    from .expiry import death_detection_ms, expiry_bound_ms
 
-__all__ = ["Bindings", "Tuning", "death_ms", "forget_ms"]
+__all__ = ["Bindings", "Tuning", "death_detection_ms", "expiry_bound_ms"]
 
 
 def __getattr__(name: str) -> Any:
@@ -22,7 +23,7 @@
         from .core import Bindings
 
         return Bindings
-    if name in ("death_ms", "forget_ms"):
+    if name in ("death_detection_ms", "expiry_bound_ms"):
         from . import expiry
 
         return getattr(expiry, name)
--- a/limenotch/fleet/affinity/messages.py
+++ b/limenotch/fleet/affinity/messages.py
@@ -1,7 +1,7 @@
-"""What sidecars say to each other about bindings. Each bears its sender's `process_epoch`; ages count back from `sent`.
+"""Messages between the affinity components of sidecars. Each has its sender's `process_epoch`.
 
-`sent` is the sender's own monotonic time in ms; an age is in tenths of a ms before it. By datagram go Ping and Pong
-alone. Sights and covers go by stream: a cover must not pass the sights that it speaks of.
+`sent_ms` is the sender's monotonic time; an age is in tenths of a ms before it. Ping and Pong go by datagram, all
+others by stream: a watermark must not overtake the updates that it refers to.
 """
 
 from __future__ import annotations
@@ -10,85 +10,97 @@
 
 from ..interfaces import Message
 
-MOST_ROWS = 512  # in one Sights; some 50 bytes each
-MOST_PAGE = 1024  # in one Page or Copies
-MOST_KEYS = 16_384  # in one Keys, KEY_BYTES each
+MAX_UPDATE_ROWS = 512  # in one LastSeenUpdate; some 50 bytes each
+MAX_PAGE_ROWS = 1024  # in one Page or RowReplicas
+MAX_RANGE_KEYS = 16_384  # in one RangeKeys, KEY_BYTES each
 KEY_BYTES = 24  # the hash and the digest of its value
 
 
-class Copy(Struct, frozen=True, array_like=True):
-    """One binding. `what`: kind, state, charged in bits; `who`, `by`: places in the message's `providers`, `names`."""
+class RowReplica(Struct, frozen=True, array_like=True):
+    """One binding. `flags`: bits of kind, state, charged; `endpoint`, `author`: indexes into the message's `endpoints`
+    and `authors`. `generation`, `moves`, `version`: see values.py.
+    """
 
     key: bytes  # 16 bytes, the keyed hash
-    what: int
-    who: int
-    by: int
-    gen: int
-    move: int
-    count: int  # with `by` the version
-    age: int  # since the last sight
-    old: int  # since its making
-    stamp: int = 0  # Lamport counter of the latest sight told
-
-
-class Undone(Struct, frozen=True, array_like=True):
+    flags: int
+    endpoint: int
+    author: int
+    generation: int
+    moves: int
+    version: int  # Lamport counter, compared before the author's name
+    last_seen_age: int  # since the last use
+    created_age: int  # since its creation
+    stamp: int = 0  # Lamport counter of the latest announced use
+
+
+class UndoneBinding(Struct, frozen=True, array_like=True):
+    """A binding that its author removes because its request reached no endpoint."""
+
     key: bytes
-    gen: int
-    move: int
-    count: int  # the sender's own version
+    generation: int
+    moves: int
+    version: int  # as written by the sender
 
 
-Place = tuple[str, str, str]  # provider, cell, zone
+Placement = tuple[str, str, str]  # endpoint, cell, zone
 
 
-class Sights(Message, frozen=True, array_like=True, tag="bi.sights"):
-    """To all. `seq` counts them without a gap, per life; `born`: the sender's counter when that life began to tell.
+class LastSeenUpdate(Message, frozen=True, array_like=True, tag="bi.sights"):
+    """To all members. `seq` counts the updates of a process epoch without gaps; `initial_counter`: the sender's Lamport
+    counter when that process epoch began to send.
 
-    `kept`: it has rows of an earlier life, which must be asked for from what was last known of that life.
+    `retained_rows`: the sender has rows of an earlier process epoch; receivers request them from the counter last
+    known.
     """
 
     process_epoch: int
     seq: int
     counter: int
-    born: int
-    sent: float
-    covered: float  # all the sender's sights up to this time of its clock are told
-    whole: bool
-    providers: tuple[Place, ...]
-    names: tuple[str, ...]
-    rows: tuple[Copy, ...]
-    undone: tuple[Undone, ...] = ()
-    kept: bool = False
+    initial_counter: int
+    sent_ms: float
+    watermark_ms: float  # the sender has announced its uses up to this time of its clock
+    complete: bool
+    endpoints: tuple[Placement, ...]
+    authors: tuple[str, ...]
+    rows: tuple[RowReplica, ...]
+    undone: tuple[UndoneBinding, ...] = ()
+    retained_rows: bool = False
 
 
-class Cover(Message, frozen=True, array_like=True, tag="bi.cover"):
-    """To all, where nothing else is to be told. `seq`: of the last Sights. All told later has a higher stamp."""
+class Watermark(Message, frozen=True, array_like=True, tag="bi.cover"):
+    """To all members, when there is no update to send. `seq`: of the last update. Later updates have higher stamps."""
 
     process_epoch: int
     seq: int
     counter: int
-    born: int
-    sent: float
-    covered: float
-    whole: bool
-    kept: bool = False
+    initial_counter: int
+    sent_ms: float
+    watermark_ms: float
+    complete: bool
+    retained_rows: bool = False
 
 
 class Ping(Message, frozen=True, array_like=True, tag="bi.ping"):
+    """Asks for a sample of the receiver's clock."""
+
     process_epoch: int
-    sent: float
+    sent_ms: float
 
 
 class Pong(Message, frozen=True, array_like=True, tag="bi.pong"):
+    """Answers a Ping; `echo_ms`: the Ping's `sent_ms`."""
+
     process_epoch: int
-    echo: float
-    sent: float
+    echo_ms: float
+    sent_ms: float
 
 
-class Ask(Message, frozen=True, array_like=True, tag="bi.ask"):
-    """For the next page, newest first: stamps above `floor`, before (`stamp`, `key`) of the page before.
+class PageRequest(Message, frozen=True, array_like=True, tag="bi.ask"):
+    """Requests the next page, newest first: stamps above `floor` that precede (`stamp`, `key`), the previous page's
+    end.
 
-    `of`: whose sights are missing here; who does not know all of that life gives nothing. Empty: all is missing.
+    `member`: whose updates are missing; a receiver that does not know all updates of that process epoch answers with an
+    empty page. Empty: all rows are requested.
     """
 
     process_epoch: int
@@ -96,81 +108,118 @@
     floor: int
     stamp: int
     key: bytes
-    of: str = ""
-    of_process_epoch: int = 0
+    member: str = ""
+    member_process_epoch: int = 0
+
 
+class KnownMember(Struct, frozen=True, array_like=True):
+    """A member whose updates up to `seq`, and those of its earlier process epochs, the sender knows completely.
 
-class Knows(Struct, frozen=True, array_like=True):
-    """All Sights of that life up to `seq` are known, and those of its earlier lives. `covered`: age of its cover."""
+    `watermark_age`: of the member's watermark.
+    """
 
     name: str
     process_epoch: int
     seq: int
     counter: int
-    covered: int
+    watermark_age: int
 
 
 class Page(Message, frozen=True, array_like=True, tag="bi.page"):
+    """Answers a PageRequest. `last`: no page follows; `complete`: the sender is not joining itself."""
+
     process_epoch: int
     serial: int
-    sent: float
-    providers: tuple[Place, ...]
-    names: tuple[str, ...]
-    rows: tuple[Copy, ...]
+    sent_ms: float
+    endpoints: tuple[Placement, ...]
+    authors: tuple[str, ...]
+    rows: tuple[RowReplica, ...]
     last: bool
-    whole: bool
-    knows: tuple[Knows, ...] = ()  # on the first page: of whom all is in this table, the sender first
+    complete: bool
+    known_members: tuple[KnownMember, ...] = ()  # on the first page only, the sender first
 
 
-class Compare(Message, frozen=True, array_like=True, tag="bi.compare"):
+class DigestRequest(Message, frozen=True, array_like=True, tag="bi.compare"):
+    """Begins an anti-entropy exchange."""
+
     process_epoch: int
     serial: int
 
 
-class Digests(Message, frozen=True, array_like=True, tag="bi.digests"):
-    """8 bytes for each of 256 ranges of the hash, by its first byte."""
+class RangeDigests(Message, frozen=True, array_like=True, tag="bi.digests"):
+    """Answers a DigestRequest: 8 bytes for each of 256 ranges of the hash, by its first byte."""
 
     process_epoch: int
     serial: int
     values: bytes
-    whole: bool
+    complete: bool
+
 
+class RangeKeysRequest(Message, frozen=True, array_like=True, tag="bi.askkeys"):
+    """Requests keys and digests of the rows in a range, or in a subrange of it."""
 
-class AskKeys(Message, frozen=True, array_like=True, tag="bi.askkeys"):
     process_epoch: int
     serial: int
     range: int
-    part: int = 0
+    subrange: int = 0
 
 
-class Keys(Message, frozen=True, array_like=True, tag="bi.keys"):
-    """What the range has, KEY_BYTES each. In `parts` by the hash's second byte where it has much."""
+class RangeKeys(Message, frozen=True, array_like=True, tag="bi.keys"):
+    """Keys and digests of a range, KEY_BYTES each. A large range is split in `subranges` by the hash's second byte."""
 
     process_epoch: int
     serial: int
     range: int
-    part: int
-    parts: int
+    subrange: int
+    subranges: int
     packed: bytes
 
 
-class Want(Message, frozen=True, array_like=True, tag="bi.want"):
+class RowsRequest(Message, frozen=True, array_like=True, tag="bi.want"):
+    """Requests the rows of these keys."""
+
     process_epoch: int
     serial: int
     keys: bytes  # 16 each
-    settle: float = 0.0  # ms: what was told since comes by itself
+    in_flight_ms: float = 0.0  # rows announced within this many ms arrive as updates and are left out
 
 
-class Copies(Message, frozen=True, array_like=True, tag="bi.copies"):
-    """Asked for by Want, or what the other was found to lack (`serial` 0)."""
+class RowReplicas(Message, frozen=True, array_like=True, tag="bi.copies"):
+    """Answers a RowsRequest, or brings rows that the receiver was found to lack (`serial` 0)."""
 
     process_epoch: int
     serial: int
-    sent: float
-    providers: tuple[Place, ...]
-    names: tuple[str, ...]
-    rows: tuple[Copy, ...]
-
-
-BINDINGS = (Sights, Cover, Ping, Pong, Ask, Page, Compare, Digests, AskKeys, Keys, Want, Copies)
-Said = Sights | Cover | Ping | Pong | Ask | Page | Compare | Digests | AskKeys | Keys | Want | Copies
+    sent_ms: float
+    endpoints: tuple[Placement, ...]
+    authors: tuple[str, ...]
+    rows: tuple[RowReplica, ...]
+
+
+MESSAGE_TYPES = (
+    LastSeenUpdate,
+    Watermark,
+    Ping,
+    Pong,
+    PageRequest,
+    Page,
+    DigestRequest,
+    RangeDigests,
+    RangeKeysRequest,
+    RangeKeys,
+    RowsRequest,
+    RowReplicas,
+)
+AffinityMessage = (
+    LastSeenUpdate
+    | Watermark
+    | Ping
+    | Pong
+    | PageRequest
+    | Page
+    | DigestRequest
+    | RangeDigests
+    | RangeKeysRequest
+    | RangeKeys
+    | RowsRequest
+    | RowReplicas
+)
