--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -42,7 +42,7 @@
     for number in range(kills):
         world = World(names, maker(names[:2], tuning), number)
         at = SETTLED_MS + tuning.period_ms * number / kills
-        world.kernel.at(at, world.fault, parse(f"kill {names[-1]}"))
+        world.kernel.schedule(at, world.fault, parse(f"kill {names[-1]}"))
         world.run(at + 10 * tuning.period_ms)
         deaths = {
             change.node: change.at_ms
--- a/benchmarks/kernel.py
+++ b/benchmarks/kernel.py
@@ -20,17 +20,17 @@
     def arrive(left: int) -> None:
         queue.append(kernel.now)
         if len(queue) == 1:
-            kernel.at(kernel.now + random.expovariate(1.0), leave)
+            kernel.schedule(kernel.now + random.expovariate(1.0), leave)
         if left:
-            kernel.at(kernel.now + random.expovariate(0.7), arrive, left - 1)
+            kernel.schedule(kernel.now + random.expovariate(0.7), arrive, left - 1)
 
     def leave() -> None:
         took[0] += kernel.now - queue.pop(0)
         if queue:
-            kernel.at(kernel.now + random.expovariate(1.0), leave)
+            kernel.schedule(kernel.now + random.expovariate(1.0), leave)
 
     began = process_time()
-    kernel.at(0.0, arrive, JOBS - 1)
+    kernel.schedule(0.0, arrive, JOBS - 1)
     kernel.run()
     return process_time() - began, took[0] / JOBS
 
--- a/limenotch/cli/lab/load.py
+++ b/limenotch/cli/lab/load.py
@@ -31,7 +31,7 @@
 from ...lab.emulate.wire import Pool
 from ...lab.model.chance import Seeds
 from ...lab.model.clients import Clients, Request
-from ...lab.model.rules import Limits, Rules
+from ...lab.model.rules import Limits, RuleChecker
 from ...lab.planning import Plan
 from ...lab.record import Record
 from ...lab.tallies import histogram, quantiles
@@ -58,7 +58,7 @@
     clients = Clients(
         plan.clients, plan.classes, plan.accounts, len(plan.network.zones), plan.quota_per_s, seeds, plan.trace
     )
-    record, rules = Record(plan, []), Rules(Limits(slack_ms=SLACK_MS))
+    record, rules = Record(plan, []), RuleChecker(Limits(slack_ms=SLACK_MS))
     pools = [Pool(host, port, connections) for host, port in addresses]
     began, cpu = monotonic(), process_time()
     turn = [0]
@@ -92,7 +92,7 @@
         load.stop()
         for pool in pools:
             pool.close()
-    rules.quiet(clock())
+    rules.run_ended(clock())
     record.rules = rules
     late = histogram()
     for value in load.late_us:
--- a/limenotch/cli/lab/rehearse.py
+++ b/limenotch/cli/lab/rehearse.py
@@ -51,7 +51,7 @@
                 now, load = rehearsal.clock() / 1000.0, rehearsal.load
                 if load is not None:
                     p = load.progress
-                    bands = [b.text for b in rehearsal.script.bands if b.begin_ms <= now * 1000 < b.end_ms]
+                    bands = [b.text for b in rehearsal.schedule.intervals if b.begin_ms <= now * 1000 < b.end_ms]
                     status.update(
                         f"{now:5.1f} of {plan.length_ms / 1000:g} s  asked {p.asked}  open {p.open}  "
                         f"served {p.served}  rejected {p.rejected}  failed {p.failed}  {', '.join(bands)}"
--- a/limenotch/lab/emulate/directory.py
+++ b/limenotch/lab/emulate/directory.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from ...net import http1
-from ..model.directory import Broken, Directory, Entry, Tell
+from ..model.directory import Directory, Entry, ListUpdate, WatchFailed
 from .wire import Served, listener
 
 HEARTBEAT_S = 2.0
@@ -121,7 +121,7 @@
         directories: list[Directory],
         clock: Callable[[], float],
         lines: Callable[[tuple[int, int], tuple[Entry, ...]], list[dict[str, Any]]],
-        told: Callable[[tuple[int, int], Tell], None],
+        told: Callable[[tuple[int, int], ListUpdate], None],
     ) -> None:
         self._directories, self._clock, self._lines, self._told = directories, clock, lines, told
         self._watchers: dict[tuple[int, int], Watcher] = {}
@@ -136,21 +136,21 @@
         return self._watchers[key].port
 
     def _ask(self, watcher: Watcher) -> None:
-        self._directories[watcher.key[0]].ask(self._clock(), watcher.key)
+        self._directories[watcher.key[0]].query(self._clock(), watcher.key)
         self.tend(watcher.key[0])
 
     def _left(self, watcher: Watcher) -> None:
-        self._directories[watcher.key[0]].leave(watcher.key)
+        self._directories[watcher.key[0]].remove_watcher(watcher.key)
 
     def tend(self, tier: int) -> None:
         """See to it that the directory runs when it is due."""
         timer = self._timers[tier]
         if timer is not None:
             timer.cancel()
-        due = self._directories[tier].due()
+        next_event_ms = self._directories[tier].next_event_ms()
         self._timers[tier] = None
-        if due != float("inf"):
-            wait = max(due - self._clock(), 0.0) / 1000.0
+        if next_event_ms != float("inf"):
+            wait = max(next_event_ms - self._clock(), 0.0) / 1000.0
             self._timers[tier] = asyncio.get_running_loop().call_later(wait, self._run, tier)
 
     def _run(self, tier: int) -> None:
@@ -158,9 +158,9 @@
             watcher = self._watchers.get(told.watcher)  # type: ignore[call-overload]
             if watcher is None:
                 continue
-            if isinstance(told, Broken):
+            if isinstance(told, WatchFailed):
                 watcher.broken()
-            elif watcher.tell(self._lines(watcher.key, told.entries), told.whole):
+            elif watcher.tell(self._lines(watcher.key, told.entries), told.complete):
                 self._told(watcher.key, told)
         self.tend(tier)
 
--- a/limenotch/lab/emulate/host.py
+++ b/limenotch/lab/emulate/host.py
@@ -15,13 +15,13 @@
 from ...toml import FaultError
 from ..model.chance import Seeds
 from ..model.clients import Clients, Request
-from ..model.directory import Entry, Tell
-from ..model.faults import Deed, Script
-from ..model.fleet import Changed, Fleet, Site
+from ..model.directory import Entry, ListUpdate
+from ..model.faults import FaultAction, FaultSchedule
+from ..model.fleet import Fleet, FleetChange, Site
 from ..model.jobs import Job
 from ..model.network import Network
 from ..model.provider import Provider
-from ..model.rules import Limits, Rules
+from ..model.rules import Limits, RuleChecker
 from ..planning import Plan, settings_of
 from ..record import Record
 from ..scenario import BY_HAND
@@ -78,9 +78,9 @@
             plan.clients, plan.classes, plan.accounts, len(plan.network.zones), plan.quota_per_s, seeds, plan.trace
         )
         self.fleet = Fleet(plan, seeds, network, self.clients)
-        self.script = Script(plan, seeds)
-        self.rules = Rules(Limits(plan.scenario.rules.drain_grace_ms, SLACK_MS))
-        self.record = Record(plan, self.script.bands)
+        self.schedule = FaultSchedule(plan, seeds)
+        self.rules = RuleChecker(Limits(plan.scenario.rules.drain_grace_ms, SLACK_MS))
+        self.record = Record(plan, self.schedule.intervals)
         self._began = monotonic()
         self._unix_ms = time() * 1000.0
         self.providers = ProviderHost(self.fleet, self.rules, self.record, self.clock, self._call_below)
@@ -134,7 +134,7 @@
         port = await self.directories.watcher(key)
         entries = tuple(self.fleet.directories[tier].entries.values())
         known = {"index": 0, "snapshot": True, "endpoints": self._lines(key, entries)}
-        self.rules.forget(key)
+        self.rules.sidecar_stopped(key)
         sidecar = SidecarProcess(f"s{tier}-{number}", self.folder, settings, port, self.fleet.sidecar_seed(key), known)
         self.sidecars[key] = sidecar
         sidecar.spawn()
@@ -154,16 +154,16 @@
             lines.append(line_of(entry, address, self.plan.network.zones, kinds, self._unix_ms))
         return lines
 
-    def _told(self, key: tuple[int, int], told: Tell) -> None:
+    def _told(self, key: tuple[int, int], told: ListUpdate) -> None:
         now = self.clock()
-        self.record.told(len(told.entries))
-        if told.whole:
+        self.record.list_entries_sent(len(told.entries))
+        if told.complete:
             held = self._known.get(str(key), set())
             for name in sorted(held - {entry.name for entry in told.entries}):
-                self.rules.told(now, key, name, "gone")
+                self.rules.stage_reported(now, key, name, "gone")
             self._known[str(key)] = {entry.name for entry in told.entries}
         for entry in told.entries:
-            self.rules.told(now, key, entry.name, entry.stage)
+            self.rules.stage_reported(now, key, entry.name, entry.stage)
             self._known.setdefault(str(key), set()).add(entry.name)
 
     # The run
@@ -175,7 +175,7 @@
         gc.collect()
         gc.freeze()  # thousands of objects that stay: looking them through again and again stalls the loop
         loop = asyncio.get_running_loop()
-        timers = [loop.call_later(deed.at_ms / 1000.0, self._deed, deed) for deed in self.script.deeds]
+        timers = [loop.call_later(action.at_ms / 1000.0, self._apply_fault, action) for action in self.schedule.actions]
         sampler, lag = loop.create_task(self._sample()), loop.create_task(self._lag.watch())
         try:
             if self._with_load:
@@ -229,13 +229,13 @@
     def _call_below(self, site: Site, process: Provider, job: Job) -> Callable[[], None]:
         machine, now = site.machine, self.clock()
         pool = self._pools.get((machine.tier + 1, machine.index))
-        budget = self.fleet.budget_below(now, job)
+        budget = self.fleet.lower_budget_ms(now, job)
         self._lower += 1
         name = f"b{self._lower}"
         spec = self.plan.classes[job.cls]
         over = [False]
         held: list[Asking] = []
-        self.rules.taken(now, name, spec.effect, spec.scope, spec.window_ms, now + budget)
+        self.rules.request_accepted(now, name, spec.effect, spec.scope, spec.window_ms, now + budget)
 
         def answered(message: http1.Message | None) -> None:
             if over[0]:
@@ -244,21 +244,21 @@
             timer.cancel()
             verdict, _ = verdict_of(message, name)
             if message is None:
-                self.rules.lost(name)
+                self.rules.request_lost(name)
             else:
-                self.rules.answered(self.clock(), name, verdict)
-            self.providers.resume(site, process, job.ticket, verdict == "served")
+                self.rules.request_answered(self.clock(), name, verdict)
+            self.providers.resume(site, process, job.job_id, verdict == "served")
 
         def leave(resumes: bool = False) -> None:
             if over[0]:
                 return
             over[0] = True
             timer.cancel()
-            self.rules.departed(self.clock(), name)
+            self.rules.client_disconnected(self.clock(), name)
             for connection in held:
                 connection.drop()
             if resumes:
-                self.providers.resume(site, process, job.ticket, False)
+                self.providers.resume(site, process, job.job_id, False)
 
         def began(connection: Asking) -> None:
             held[:] = [connection]
@@ -270,38 +270,38 @@
         if pool is None:
             loop.call_soon(answered, None)
         else:
-            key = self.fleet.key_below(job.cls, self._lower)
-            size = self.fleet.size_below(job, machine.tier)
+            key = self.fleet.lower_request_key(job.cls, self._lower)
+            size = self.fleet.lower_request_size(job, machine.tier)
             pool.ask(call_wire(self.plan, job.cls, 0, name, key, budget, size), answered, began)
         return leave
 
     # Faults
 
-    def _deed(self, deed: Deed) -> None:
-        self._see_to(self.fleet.carry_out(self.clock(), deed))
-        if deed.kind == "directory":
+    def _apply_fault(self, action: FaultAction) -> None:
+        self._see_to(self.fleet.apply(self.clock(), action))
+        if action.kind == "directory":
             for tier in range(len(self.plan.tiers)):
                 self.directories.tend(tier)
-        elif deed.kind not in ("surge", "hot", "cut"):
-            self.providers.wake(self.fleet.sites[deed.tier][deed.target])
-            self.directories.tend(deed.tier)
+        elif action.kind not in ("surge", "hot", "cut"):
+            self.providers.wake(self.fleet.sites[action.tier][action.target])
+            self.directories.tend(action.tier)
 
     def _fell(self, site: Site) -> None:
-        self.rules.fell(self.clock(), site.name)
+        self.rules.provider_crashed(self.clock(), site.name)
         self.record.event(self.clock(), "fell", site.name)
-        self._see_to(self.fleet.fall(self.clock(), site))
+        self._see_to(self.fleet.crash(self.clock(), site))
 
-    def _see_to(self, changes: list[Changed]) -> None:
+    def _see_to(self, changes: list[FleetChange]) -> None:
         for changed in changes:
             site, tier = changed.site, changed.site.machine.tier
-            self.record.event(self.clock(), changed.what, site.name)
-            if changed.what == "stopped":
-                self.providers.stopped(site, changed.tickets)
+            self.record.event(self.clock(), changed.kind, site.name)
+            if changed.kind == "stopped":
+                self.providers.stopped(site, changed.job_ids)
                 if tier + 1 < len(self.plan.tiers):
                     self._kill_inner((tier + 1, site.machine.index))
-            elif changed.what == "started":
+            elif changed.kind == "started":
                 self._background(self._open_again(site))
-            elif changed.what == "back":
+            elif changed.kind == "back":
                 self.providers.back(site)
             self.directories.tend(tier)
 
@@ -313,7 +313,7 @@
         if sidecar is not None:
             sidecar.kill()
             sidecar.end()
-        self.rules.forget(key)
+        self.rules.sidecar_stopped(key)
 
     async def _open_again(self, site: Site) -> None:
         """A new process on the machine: its own sidecar first, then its listeners."""
--- a/limenotch/lab/emulate/load.py
+++ b/limenotch/lab/emulate/load.py
@@ -12,7 +12,7 @@
 
 from ...net import http1
 from ..model.clients import Clients, Request
-from ..model.rules import Rules
+from ..model.rules import RuleChecker
 from ..planning import Plan
 from ..record import Record
 from .wire import Asking, Pool
@@ -76,7 +76,7 @@
         plan: Plan,
         clients: Clients,
         record: Record,
-        rules: Rules,
+        rules: RuleChecker,
         clock: Callable[[], float],
         choose: Callable[[Request], Pool | None],
         mark: str = "c",
@@ -96,16 +96,16 @@
     async def run(self, until_ms: float) -> None:
         """All requests born before `until_ms`, and what becomes of them."""
         request = self._clients.next(0.0)
-        while request is not None and request.born_ms < until_ms:
-            wait = request.born_ms - self._clock()
+        while request is not None and request.created_at_ms < until_ms:
+            wait = request.created_at_ms - self._clock()
             if wait > AHEAD_MS:
                 await asyncio.sleep((wait - AHEAD_MS / 2) / 1000.0)
             now = self._clock()
-            while request is not None and request.born_ms <= now + AHEAD_MS and request.born_ms < until_ms:
-                self._record.asked(request)
+            while request is not None and request.created_at_ms <= now + AHEAD_MS and request.created_at_ms < until_ms:
+                self._record.request_created(request)
                 self.progress.asked += 1
-                self._try(request, request.born_ms)
-                request = self._clients.next(request.born_ms)
+                self._try(request, request.created_at_ms)
+                request = self._clients.next(request.created_at_ms)
             await asyncio.sleep(0)
         self._ended = True
         if self._open:
@@ -134,16 +134,16 @@
         now = self._clock()
         late = max(now - meant, 0.0)
         self.late_us.append(int(late * 1000.0))
-        request.tries += 1
+        request.attempts += 1
         self._open += 1
         self.progress.open = self._open
-        self._record.tried(meant, request)
+        self._record.attempt_started(meant, request)
         self._count += 1
         name = f"{self._mark}{self._count}"
         pool = self._choose(request)
         spec = self._plan.classes[request.cls]
         end = meant + request.budget_ms
-        self._rules.taken(now, name, spec.effect, spec.scope, spec.window_ms, end)
+        self._rules.request_accepted(now, name, spec.effect, spec.scope, spec.window_ms, end)
         held: list[Asking] = []
         over = [False]
 
@@ -157,9 +157,9 @@
                 return
             verdict, retry_after_ms = verdict_of(message, name)
             if message is None:
-                self._rules.lost(name)  # its connection broke: the client can't tell what became of it
+                self._rules.request_lost(name)  # its connection broke: the client can't tell what became of it
             else:
-                self._rules.answered(self._clock(), name, verdict)
+                self._rules.request_answered(self._clock(), name, verdict)
                 self.foreign += verdict == "failed" and message.status == 200
             ended(verdict, retry_after_ms)
 
@@ -167,7 +167,7 @@
             for connection in held:
                 connection.drop()
             if not over[0]:
-                self._rules.departed(self._clock(), name)
+                self._rules.client_disconnected(self._clock(), name)
                 ended("timed out", 0.0)
 
         timer = self._later(end + SLACK_MS - now, give_up)
@@ -176,7 +176,7 @@
             return
         left = max(end - now, 1.0)
         wire = call_wire(
-            self._plan, request.cls, request.account, name, request.key, left, request.size, request.tries > 1
+            self._plan, request.cls, request.account, name, request.key, left, request.size, request.attempts > 1
         )
 
         def began(connection: Asking) -> None:
@@ -188,12 +188,12 @@
 
     def _answered(self, request: Request, outcome: str, retry_after_ms: float) -> None:
         now = self._clock()
-        self._record.outcome(now, request, outcome, retry_after_ms)
+        self._record.attempt_ended(now, request, outcome, retry_after_ms)
         progress = self.progress
         progress.served += outcome == "served"
         progress.rejected += outcome == "rejected"
         progress.failed += outcome not in ("served", "rejected")
-        wait = None if outcome == "served" else self._clients.comes_back(request, outcome, retry_after_ms)
+        wait = None if outcome == "served" else self._clients.retry_delay_ms(request, outcome, retry_after_ms)
         self._open -= 1
         progress.open = self._open
         if wait is not None:
--- a/limenotch/lab/emulate/providers.py
+++ b/limenotch/lab/emulate/providers.py
@@ -14,9 +14,9 @@
 
 from ...net import http1
 from ..model.fleet import Fleet, Site
-from ..model.jobs import Below, Done, Effect, End, Job
+from ..model.jobs import Effect, Job, JobEnd, JobFinished, LowerTierRequest
 from ..model.provider import Provider
-from ..model.rules import Rules
+from ..model.rules import RuleChecker
 from ..record import Record
 from .wire import Served, listener
 
@@ -38,7 +38,7 @@
     process: Provider
     call: str
     order: int
-    ticket: int = 0
+    job_id: int = 0
     hushed: bool = False
 
 
@@ -97,7 +97,7 @@
 
 class ProviderHost:
     def __init__(
-        self, fleet: Fleet, rules: Rules, record: Record, clock: Callable[[], float], below: CallsBelow
+        self, fleet: Fleet, rules: RuleChecker, record: Record, clock: Callable[[], float], below: CallsBelow
     ) -> None:
         self.fleet, self.rules, self.record, self.clock, self._below = fleet, rules, record, clock, below
         self.doors: dict[tuple[Key, int], Door] = {}  # by sidecar and number of the site
@@ -139,8 +139,8 @@
             self.unknown += 1
             connection.answer(http1.write_response(400 if call else 404, [], b""))
             return
-        order = self.rules.sent(now, call, door.key, site.name, self.fleet.group_of(site.machine))
-        self.record.sent(now, site.machine.tier, order, door.zone != site.machine.zone)
+        order = self.rules.attempt_sent(now, call, door.key, site.name, self.fleet.group_of(site.machine))
+        self.record.attempt_sent(now, site.machine.tier, order, door.zone != site.machine.zone)
         attempt = door.attempts[connection] = Attempt(connection, door, process, call, order)
         if not self._reaches(door):
             attempt.hushed = True
@@ -158,7 +158,7 @@
         self._after(delay, self._arrive, attempt, job)
 
     def _reaches(self, door: Door) -> bool:
-        return not door.site.silent and self.fleet.network.reaches(door.zone, door.site.machine.zone)
+        return not door.site.silent and self.fleet.network.is_reachable(door.zone, door.site.machine.zone)
 
     def _after(self, delay_ms: float, do: Callable[..., None], *about: object) -> None:
         if delay_ms < NEAR_MS:
@@ -171,19 +171,19 @@
         if attempt.connection not in door.attempts or process.stopped:
             return
         taken = process.offer(self.clock(), job)
-        if process.fallen:
+        if process.crashed:
             self.fell(door.site)
         elif taken:
-            attempt.ticket = job.ticket
-            self._attempts[job.ticket] = attempt
+            attempt.job_id = job.job_id
+            self._attempts[job.job_id] = attempt
             self.wake(door.site)
         else:
             self._answer(attempt, "refused")
 
     def abandoned(self, attempt: Attempt) -> None:
         """Its connection ended before an answer was written: the sidecar's wish, or this process's end."""
-        self.rules.ended(self.clock(), attempt.call, attempt.order, "connection ended", True)
-        if attempt.ticket and self._attempts.pop(attempt.ticket, None) is not None and not attempt.process.stopped:
+        self.rules.attempt_ended(self.clock(), attempt.call, attempt.order, "connection ended", True)
+        if attempt.job_id and self._attempts.pop(attempt.job_id, None) is not None and not attempt.process.stopped:
             delay = self.fleet.network.delay_ms(attempt.door.zone, attempt.door.site.machine.zone)
             self._after(delay, self._drop, attempt)
 
@@ -191,13 +191,13 @@
         process = attempt.process
         if process.stopped:
             return
-        self._effects(attempt.door.site, process, process.drop(self.clock(), attempt.ticket))
-        if not process.holds(attempt.ticket):
-            self._leave_below(attempt.ticket)
+        self._effects(attempt.door.site, process, process.cancel(self.clock(), attempt.job_id))
+        if not process.has_job(attempt.job_id):
+            self._leave_below(attempt.job_id)
         self.wake(attempt.door.site)
 
-    def _leave_below(self, ticket: int) -> None:
-        leave = self._lower.pop(ticket, None)
+    def _leave_below(self, job_id: int) -> None:
+        leave = self._lower.pop(job_id, None)
         if leave is not None:
             leave()
 
@@ -216,7 +216,7 @@
             wire = http1.write_response(500, headers, b"")
         else:
             wire = http1.write_response(503, [*headers, (b"X-Rejected", b"1")], b"")
-        if how != "refused" and self.fleet.spoils(door.site):
+        if how != "refused" and self.fleet.corrupts_response(door.site):
             wire = SPOILT
         delay = self.fleet.network.delay_ms(door.zone, door.site.machine.zone)
         self._after(delay, self._write, attempt, wire, how != "refused")
@@ -226,57 +226,57 @@
         if door.attempts.pop(attempt.connection, None) is None:
             return
         now = self.clock()
-        self.rules.ended(now, attempt.call, attempt.order, "answered", ran)
+        self.rules.attempt_ended(now, attempt.call, attempt.order, "answered", ran)
         attempt.connection.answer(wire)
 
     # The processes
 
     def wake(self, site: Site) -> None:
         process = site.process
-        due = process.due() if process is not None else float("inf")
+        next_event_ms = process.next_event_ms() if process is not None else float("inf")
         held = self._timers.get(site)
         if held is not None:
-            if held[0] <= due:
+            if held[0] <= next_event_ms:
                 return
             held[1].cancel()
             del self._timers[site]
-        if due != float("inf"):
-            wait = max(due - self.clock(), 0.0) / 1000.0
-            self._timers[site] = (due, asyncio.get_running_loop().call_later(wait, self._run, site))
+        if next_event_ms != float("inf"):
+            wait = max(next_event_ms - self.clock(), 0.0) / 1000.0
+            self._timers[site] = (next_event_ms, asyncio.get_running_loop().call_later(wait, self._run, site))
 
     def _run(self, site: Site) -> None:
         self._timers.pop(site, None)
         process = site.process
         if process is not None and not process.stopped:
             now = self.clock()
-            if process.due() <= now:
+            if process.next_event_ms() <= now:
                 self._effects(site, process, process.run(now))
             self.wake(site)
 
     def _effects(self, site: Site, process: Provider, effects: list[Effect]) -> None:
         for effect in effects:
             job = effect.job
-            if isinstance(effect, Done):
-                attempt = self._attempts.pop(job.ticket, None)
+            if isinstance(effect, JobFinished):
+                attempt = self._attempts.pop(job.job_id, None)
                 if attempt is not None:
-                    attempt.ticket = 0
-                    how = {End.SERVED: "served", End.ERROR: "error", End.EXPIRED: "refused"}[effect.end]
+                    attempt.job_id = 0
+                    how = {JobEnd.SERVED: "served", JobEnd.ERROR: "error", JobEnd.EXPIRED: "refused"}[effect.end]
                     self._answer(attempt, how)
-            elif isinstance(effect, Below):
-                self._lower[job.ticket] = self._below(site, process, job)
+            elif isinstance(effect, LowerTierRequest):
+                self._lower[job.job_id] = self._below(site, process, job)
 
-    def resume(self, site: Site, process: Provider, ticket: int, served: bool) -> None:
+    def resume(self, site: Site, process: Provider, job_id: int, served: bool) -> None:
         """A call of the tier below has ended."""
-        self._lower.pop(ticket, None)
+        self._lower.pop(job_id, None)
         if not process.stopped:
-            self._effects(site, process, process.resume(self.clock(), ticket, served))
+            self._effects(site, process, process.resume(self.clock(), job_id, served))
             self.wake(site)
 
-    def stopped(self, site: Site, tickets: tuple[int, ...]) -> None:
+    def stopped(self, site: Site, job_ids: tuple[int, ...]) -> None:
         """Its process is gone, with what it held."""
-        for ticket in tickets:
-            self._attempts.pop(ticket, None)
-            self._leave_below(ticket)
+        for job_id in job_ids:
+            self._attempts.pop(job_id, None)
+            self._leave_below(job_id)
         for door in self.of_site(site):
             door.shut()
 
--- a/limenotch/lab/experiment.py
+++ b/limenotch/lab/experiment.py
@@ -55,7 +55,7 @@
             "cpu_s": spent,
             "events": world.kernel.events,
             "calls": calls,
-            "deciding_s": world.deciding,
+            "deciding_s": world.decision_time_s,
         },
     )
 
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -83,7 +83,7 @@
         self.there: dict[str, dict[str, tuple[str, str]]] = {}
 
     def begin(self, world: World) -> None:
-        world.kernel.late(world.now + PROBE_MS, self.probe, world)
+        world.kernel.schedule_last(world.now + PROBE_MS, self.probe, world)
 
     def probe(self, world: World) -> None:
         for name, node in world.nodes.items():
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -138,7 +138,7 @@
         self.checker.began(self.world.now, name, process_epoch)
         recorded = Recorded(self, name, bindings)
         hub = ComponentHub([("mb.", members), (PREFIX, recorded)], members)
-        self.world.kernel.at(self.world.now, self._settings, name)
+        self.world.kernel.schedule(self.world.now, self._settings, name)
         return Member(hub, members, bindings)
 
     def _settings(self, name: str) -> None:
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -106,7 +106,7 @@
         run.there[name] = THERE[name]
     for node in run.names:
         if run.world.alive(node):
-            run.world.kernel.at(run.world.now + random.uniform(0, 30), run.tell, node, Providers(dict(run.there)))
+            run.world.kernel.schedule(run.world.now + random.uniform(0, 30), run.tell, node, Providers(dict(run.there)))
 
 
 def _fault(run: Run, random: Random) -> None:
@@ -138,7 +138,7 @@
         run.fault(f"start {name}")
     elif kind == "pause" and world.alive(name):
         run.fault(f"pause {name}")
-        world.kernel.at(world.now + random.choice((50, 150, 400, 4000)), _wake, run, name)
+        world.kernel.schedule(world.now + random.choice((50, 150, 400, 4000)), _wake, run, name)
     elif kind == "wake" and world.alive(name):
         run.fault(f"wake {name}")
     elif kind == "cut":
--- a/limenotch/lab/fleet/disk.py
+++ b/limenotch/lab/fleet/disk.py
@@ -57,7 +57,7 @@
     def _write(self) -> None:
         self._writing, self._pending = self._pending, []
         span_ms = self.state.ms if self.state.state == "slow" else self._fsync_ms
-        self._kernel.at(self._kernel.now + span_ms, self._written, self._crashes)
+        self._kernel.schedule(self._kernel.now + span_ms, self._written, self._crashes)
 
     def _written(self, crash: int) -> None:
         if crash != self._crashes:
--- a/limenotch/lab/fleet/scenario.py
+++ b/limenotch/lab/fleet/scenario.py
@@ -58,7 +58,7 @@
     for at, fault in scenario.faults:
         if isinstance(fault, Ask) and ask is None:
             raise ValueError(f"{scenario.name}: {str(fault)!r}: nobody answers `ask` here")
-        world.kernel.at(float(at), _happen, world, fault, ask)
+        world.kernel.schedule(float(at), _happen, world, fault, ask)
     # A note at 999.7 stands in the row of 1000, one at 1000.5 does not.
     world.run(scenario.ends + 0.4999)
     seen = [(note.at_ms, note.node, note.text) for note in world.seen]
--- a/limenotch/lab/fleet/stage.py
+++ b/limenotch/lab/fleet/stage.py
@@ -176,7 +176,7 @@
         key = self.keys_of[node.name]
         if node.starts and self._clock_back_s:
             self._wish(node.name, clock_s=self._wishes.get(node.name, Wish()).clock_s - self._clock_back_s)
-        self.trial.forget(key)
+        self.trial.sidecar_stopped(key)
         entries = tuple(self.fleet.directories[0].entries.values())
         node.know({"index": 0, "snapshot": True, "endpoints": self._lines(key, entries)})
         spawning = asyncio.get_running_loop().run_in_executor(None, node.spawn)  # a fork holds the loop up
@@ -216,7 +216,7 @@
             await asyncio.gather(*self._tasks, return_exceptions=True)
         finally:
             playing.cancel()
-        self.trial.quiet(self.clock())
+        self.trial.run_ended(self.clock())
         begun = self._began * 1000.0
         seen = [(each.at_ms - begun, each.node, each.text) for each in self.processes.seen()]
         difference = self._compare(seen, self.happened) if self._compare is not None else None
--- a/limenotch/lab/fleet/streams.py
+++ b/limenotch/lab/fleet/streams.py
@@ -76,11 +76,11 @@
         now, to = self._kernel.now, stream.to
         fate = self._weather.fate(now, stream.frm, to.name, Carrier.STREAM) if stream.frm != to.name else [0.0]
         if not fate:
-            self._kernel.at(now + self._patience, self._give_up, stream, stream.opened, heard)
+            self._kernel.schedule(now + self._patience, self._give_up, stream, stream.opened, heard)
             self._keep(stream, heard)
             return
         stream.last = max(stream.last, now + fate[0])
-        self._kernel.at(stream.last, self._deliver, stream, stream.opened, heard)
+        self._kernel.schedule(stream.last, self._deliver, stream, stream.opened, heard)
 
     def _keep(self, stream: _Stream, heard: Any) -> None:
         if len(stream.waiting) < MOST_WAITING:
--- a/limenotch/lab/fleet/trial.py
+++ b/limenotch/lab/fleet/trial.py
@@ -5,7 +5,7 @@
   a second one must still be allowed by the call's class.
 - A stopped sidecar is told of a drain when it wakes.
 - A call is known for OVER_MS after its end, and what the host's loop was late by is not held against an attempt.
-- Calls of one that is killed are owed nothing; `Rules.lost` is told by the consumer, whose connection breaks.
+- Calls of one that is killed are owed nothing; the consumer, whose connection breaks, calls `request_lost`.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from collections.abc import Hashable
 from typing import Any
 
-from ..model.rules import Allowed, Limits, Rules
+from ..model.rules import Limits, Permissions, RuleChecker
 
 OVER_MS = 2000.0
 
 
-class Trial(Rules):
+class Trial(RuleChecker):
     """Memory follows the calls of a run that were excused, which are few and short."""
 
     def __init__(self, limits: Limits | None = None) -> None:
@@ -43,16 +43,16 @@
         if since is None:
             return
         self._woke[sidecar] = now
-        for key, at in self._told.items():
+        for key, at in self._stopped_since_ms.items():
             if key[0] == sidecar and at >= since - self.limits.grace_ms:
-                self._told[key] = now
+                self._stopped_since_ms[key] = now
 
     def died(self, sidecar: Hashable) -> None:
         self._paused.pop(sidecar, None)
         self._woke.pop(sidecar, None)
-        self.forget(sidecar)
+        self.sidecar_stopped(sidecar)
 
-    def taken(
+    def request_accepted(
         self,
         now: float,
         call: Hashable,
@@ -60,54 +60,54 @@
         scope: str,
         window_ms: float,
         end: float,
-        allowed: Allowed | None = None,
+        allowed: Permissions | None = None,
     ) -> None:
-        super().taken(now, call, effect, scope, window_ms, end, allowed)
+        super().request_accepted(now, call, effect, scope, window_ms, end, allowed)
         if self._next is not None:
             self._via[call] = (self._next, now)
             self._next = None
 
-    def sent(self, now: float, call: Hashable, sidecar: Hashable, provider: str, group: int) -> int:
-        if call not in self._calls and call in self._kept:
-            self._past[call] = self._kept[call]
-        elif call not in self._calls and call not in self._past:
+    def attempt_sent(self, now: float, call: Hashable, sidecar: Hashable, provider: str, group: int) -> int:
+        if call not in self._open and call in self._kept:
+            self._recent[call] = self._kept[call]
+        elif call not in self._open and call not in self._recent:
             ended, held = self._over.get(call, (0.0, None))
             if held is not None and now - ended <= self.limits.slack_ms + self.lag_ms():
-                self._past[call] = held
-        return super().sent(now, call, sidecar, provider, group)
+                self._recent[call] = held
+        return super().attempt_sent(now, call, sidecar, provider, group)
 
-    def ended(self, now: float, call: Hashable, attempt: int, outcome: str, ran: bool) -> None:
+    def attempt_ended(self, now: float, call: Hashable, attempt: int, outcome: str, ran: bool) -> None:
         kept = self._kept.get(call)
-        if call not in self._calls and kept is not None and attempt < len(kept.attempts):
+        if call not in self._open and kept is not None and attempt < len(kept.attempts):
             kept.attempts[attempt].over, kept.attempts[attempt].ran = True, ran
-        super().ended(now, call, attempt, outcome, ran)
+        super().attempt_ended(now, call, attempt, outcome, ran)
 
-    def answered(self, now: float, call: Hashable, verdict: str) -> None:
-        held = self._calls.get(call)
+    def request_answered(self, now: float, call: Hashable, verdict: str) -> None:
+        held = self._open.get(call)
         if held is not None and self._was_stopped(call):
             held.left = True  # late or not, it came
-        super().answered(now, call, verdict)
+        super().request_answered(now, call, verdict)
         self._via.pop(call, None)
 
-    def departed(self, now: float, call: Hashable) -> None:
-        held = self._calls.get(call)
+    def client_disconnected(self, now: float, call: Hashable) -> None:
+        held = self._open.get(call)
         if held is None or held.answered or not self._was_stopped(call):
-            super().departed(now, call)
+            super().client_disconnected(now, call)
         else:
             held.note(now, "its consumer left; its sidecar had been stopped")
             held.left = held.answered = True
             self._kept[call] = held
             self.excused += 1
-            self._drop(now, call, held)
+            self._forget_if_finished(now, call, held)
         self._via.pop(call, None)
 
-    def lost(self, call: Hashable) -> None:
-        super().lost(call)
+    def request_lost(self, call: Hashable) -> None:
+        super().request_lost(call)
         self._via.pop(call, None)
 
-    def _drop(self, now: float, call: Hashable, held: Any) -> None:
-        super()._drop(now, call, held)
-        if call not in self._calls:
+    def _forget_if_finished(self, now: float, call: Hashable, held: Any) -> None:
+        super()._forget_if_finished(now, call, held)
+        if call not in self._open:
             self._over[call] = (now, held)
             while self._over and next(iter(self._over.values()))[0] < now - OVER_MS:
                 del self._over[next(iter(self._over))]
--- a/limenotch/lab/fleet/wallet_drawings.py
+++ b/limenotch/lab/fleet/wallet_drawings.py
@@ -105,7 +105,7 @@
         fsync_ms=scenario.figure("fsync", 2.0),
     )
     for at_ms, fault in scenario.faults:
-        run.world.kernel.at(float(at_ms), _apply_fault, run, fault)
+        run.world.kernel.schedule(float(at_ms), _apply_fault, run, fault)
     run.world.run(scenario.ends + 0.4999)
     seen = [(note.at_ms, note.node, note.text) for note in run.world.seen]
     result = Outcome(scenario, run.world, scenario.looked_at(seen), exact(scenario, seen))
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -248,7 +248,7 @@
         return self.world.now
 
     def later(self, delay_ms: float, name: str, event: Any) -> None:
-        self.world.kernel.at(self.world.now + delay_ms, self.world.poke, name, event)
+        self.world.kernel.schedule(self.world.now + delay_ms, self.world.poke, name, event)
 
     # Operators
 
@@ -310,7 +310,7 @@
         if per_s > 0:
             gap = 1000 / per_s
             first = random.random() * gap if random else gap
-            self.world.kernel.at(
+            self.world.kernel.schedule(
                 self.world.now + first, self._next, name, tenant, number, gap, random, (dear, failed, duration_ms)
             )
 
@@ -332,7 +332,7 @@
                 random.random() >= failed,
             )
             after = gap * random.expovariate(1.0)
-        self.world.kernel.at(self.world.now + after, self._next, name, tenant, number, gap, random, mix)
+        self.world.kernel.schedule(self.world.now + after, self._next, name, tenant, number, gap, random, mix)
 
     def stop_streams(self) -> None:
         """Sends no further requests."""
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -167,7 +167,7 @@
             if name in absent:
                 self.weather.dead.add(name)
             else:
-                self.kernel.at(0.0, self._start, self.nodes[name])
+                self.kernel.schedule(0.0, self._start, self.nodes[name])
         if absent - self.nodes.keys():
             raise ValueError(f"later: {sorted(absent - self.nodes.keys())} are none of the nodes")
 
@@ -181,7 +181,7 @@
 
     def at(self, time: float, fault: Fault) -> None:
         """The fault happens at that time, before what else that instant holds if asked for before the run."""
-        self.kernel.at(time, self.fault, fault)
+        self.kernel.schedule(time, self.fault, fault)
 
     def fault(self, fault: Fault) -> None:
         """It happens now. ValueError on a node that there is not; `Ask` is the caller's and does nothing here."""
@@ -349,13 +349,13 @@
             self._streams.send(frm, to, heard)
             return
         if frm == to.name:
-            kernel.at(kernel.now, self._arrive, to, heard)
+            kernel.schedule(kernel.now, self._arrive, to, heard)
             return
         fates = self.weather.fate(kernel.now, frm, to.name, carrier)
         if not fates:
             self._count("lost")
         for delay in fates:
-            kernel.at(kernel.now + delay, self._arrive, to, heard)
+            kernel.schedule(kernel.now + delay, self._arrive, to, heard)
 
     def _arrive(self, to: Node, heard: MessageReceived) -> None:
         if to.part is None:
@@ -371,7 +371,7 @@
             self._count("buffer full")
 
     def _set(self, node: Node, action: SetTimer) -> None:
-        self.kernel.at((action.at_ms - node.ahead) / node.rate, self._fire, node, node.process_epoch, action)
+        self.kernel.schedule((action.at_ms - node.ahead) / node.rate, self._fire, node, node.process_epoch, action)
 
     def _fire(self, node: Node, process_epoch: int, timer: SetTimer) -> None:
         if node.process_epoch != process_epoch or node.part is None:
--- a/limenotch/lab/matrix.py
+++ b/limenotch/lab/matrix.py
@@ -214,7 +214,7 @@
     world = World(plan(scenario_of(cell, length_s), seed), policy.load(spec))
     record = world.run()
     calls = sum(tier["attempts"] for tier in record.result()["tiers"])
-    if world.rules.kept:
+    if world.rules.all_hold:
         return None, calls
     counts = {rule: count for rule, count in world.rules.counts.items() if count}
     return Broken(cell, seed, counts, world.rules.violations[0]), calls
--- a/limenotch/lab/model/__init__.py
+++ b/limenotch/lab/model/__init__.py
@@ -1,6 +1,7 @@
-"""The model of a deployment, as state machines that are told the time.
+"""The model of a deployment, as state machines that get the time as an argument.
 
-No part of it does I/O, reads a clock or sets a timer. A host tells a part what happens and when (`now`, in ms),
-asks it when it must be woken (`due`), and carries out the effects it gives back. Hosts differ in what time is and
-in what carries the messages; every behaviour of a provider, the directory, the network or a client lives here.
+No state machine does I/O, reads a clock or sets a timer. A host passes events with their time (`now`, in ms), calls
+`run` at the time that `next_event_ms` gives, and carries out the effects that are returned. The hosts, which are the
+simulator and the emulator, differ in their clock and in their transport of messages. Every behaviour of a provider,
+a directory, the network or a client is here.
 """
--- a/limenotch/lab/model/chance.py
+++ b/limenotch/lab/model/chance.py
@@ -1,7 +1,7 @@
-"""Random numbers: NumPy generators, one for each thing that draws, spawned from the run's seed by name.
+"""Random numbers: one NumPy generator for each user of random numbers, derived from the run's seed by name.
 
-Streams are keyed by name and not by the order of their making, so that one more provider or another policy leaves
-all other draws as they were. That is what makes runs of two variants comparable seed by seed.
+Streams are keyed by name and not by the order of their creation, so an additional provider or another policy leaves
+all other draws unchanged. This makes runs of two variants comparable seed by seed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Chance:
-    """One stream of draws."""
+    """A stream of random numbers."""
 
     __slots__ = ("_generator", "_uniform", "_exponential", "_normal")
 
@@ -25,45 +25,48 @@
         self._normal: list[float] = []
 
     def uniform(self) -> float:
-        """From [0, 1)."""
+        """Draws from [0, 1)."""
         if not self._uniform:
             self._uniform = self._generator.random(BLOCK).tolist()
         return self._uniform.pop()
 
     def between(self, low: float, high: float) -> float:
+        """Draws from [low, high)."""
         return low + (high - low) * self.uniform()
 
     def exponential(self) -> float:
-        """With mean 1."""
+        """Draws from the exponential distribution with mean 1."""
         if not self._exponential:
             self._exponential = self._generator.standard_exponential(BLOCK).tolist()
         return self._exponential.pop()
 
     def normal(self) -> float:
+        """Draws from the standard normal distribution."""
         if not self._normal:
             self._normal = self._generator.standard_normal(BLOCK).tolist()
         return self._normal.pop()
 
     def index(self, count: int) -> int:
-        """From 0 to count - 1."""
+        """Draws an integer from 0 to count - 1."""
         return min(int(self.uniform() * count), count - 1)
 
-    def happens(self, chance: float) -> bool:
-        return chance > 0 and self.uniform() < chance
+    def occurs(self, probability: float) -> bool:
+        """Whether an event of this probability occurs; a probability of 0 takes no draw."""
+        return probability > 0 and self.uniform() < probability
 
-    def order(self, count: int) -> list[int]:
-        """A permutation of 0 to count - 1."""
-        order: list[int] = self._generator.permutation(count).tolist()
-        return order
+    def permutation(self, count: int) -> list[int]:
+        """Draws a permutation of 0 to count - 1."""
+        permutation: list[int] = self._generator.permutation(count).tolist()
+        return permutation
 
 
 class Seeds:
-    """Gives out the streams of one run."""
+    """Creates the streams of one run."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
     def stream(self, *name: str | int) -> Chance:
-        """The stream of this name; asked for twice, it begins anew."""
+        """The stream of this name; a second call with the same name returns a stream from its beginning."""
         key = tuple(part if isinstance(part, int) else crc32(part.encode()) for part in name)
         return Chance(np.random.SeedSequence(entropy=self.seed, spawn_key=key))
--- a/limenotch/lab/model/clients.py
+++ b/limenotch/lab/model/clients.py
@@ -60,17 +60,17 @@
     """One wish of a client; its tries are calls of their own."""
 
     number: int
-    born_ms: float
+    created_at_ms: float
     cls: int
     account: int
     size: float  # factor on the class's work
     budget_ms: float
     zone: int
     retries: int
-    honours: bool
+    honours_retry_after: bool
     key: str
-    in_share: bool = True
-    tries: int = 0
+    within_quota: bool = True
+    attempts: int = 0
     outcomes: list[str] = field(default_factory=list)
 
 
@@ -106,24 +106,31 @@
         """`quota_per_s` is what all accounts together may send at their worth."""
         self.spec, self.classes, self.accounts = spec, classes, accounts
         self.quota_per_s = quota_per_s
-        self._gaps, self._what = seeds.stream("clients", "gaps"), seeds.stream("clients", "what")
-        self._back = seeds.stream("clients", "back")
+        self._arrivals, self._properties = seeds.stream("clients", "gaps"), seeds.stream("clients", "what")
+        self._backoff = seeds.stream("clients", "back")
         self._trace: Iterator[TraceRow] | None = iter(trace) if trace is not None else None
-        usual = sum(a.share * a.usage for a in accounts) or 1.0
-        self._usual = [a.share * a.usage / usual for a in accounts] or [1.0]
-        self.surge = [1.0] * len(self._usual)
+        total_usage = sum(a.share * a.usage for a in accounts) or 1.0
+        self._usual_shares = [a.share * a.usage / total_usage for a in accounts] or [1.0]
+        self.surge_factors = [1.0] * len(self._usual_shares)
         self._phase = seeds.stream("clients", "wave").uniform()
         weights = [1.0 + spec.zone_skew * (1.0 if z == 0 else 0.0) for z in range(zones)]
         self._zones = [w / sum(weights) for w in weights]
         self._shares = [c.share / sum(c.share for c in classes) for c in classes]
-        self._saved = [0.0] * len(self._usual)  # of each account's quota, and since when
-        self._since = [0.0] * len(self._usual)
-        self.count = 0
+        self._quota_tokens = [0.0] * len(self._usual_shares)  # of each account's quota, and since when
+        self._quota_updated_ms = [0.0] * len(self._usual_shares)
+        self.request_count = 0
 
     def rate_per_s(self, now: float) -> float:
         spec = self.spec
         wave = 1.0 + spec.wave * sin(2 * pi * (now / spec.wave_ms + self._phase)) if spec.wave else 1.0
-        return spec.rate_per_s * wave * sum(u * s for u, s in zip(self._usual, self.surge, strict=True))
+        return (
+            spec.rate_per_s
+            * wave
+            * sum(
+                usual_share * surge_factor
+                for usual_share, surge_factor in zip(self._usual_shares, self.surge_factors, strict=True)
+            )
+        )
 
     def next(self, now: float) -> Request | None:
         """The one after `now`, in order; None when a trace is at its end."""
@@ -131,44 +138,53 @@
             row = next(self._trace, None)
             return None if row is None else self._request(max(row.at_ms, now), row.cls, row.account, row.size)
         rate = self.rate_per_s(now)
-        born = now + self._gaps.exponential() * 1000.0 / max(rate, 1e-9)
-        cls = _pick(self._shares, self._what.uniform())
-        weights = [u * s for u, s in zip(self._usual, self.surge, strict=True)]
-        whole = sum(weights)
-        account = _pick([w / whole for w in weights], self._what.uniform())
-        return self._request(born, cls, account, draw_size(self.classes[cls], self._what))
-
-    def _request(self, born: float, cls: int, account: int, size: float) -> Request:
-        spec, what = self.spec, self._what
-        self.count += 1
-        retries = spec.retries if what.uniform() < spec.retry_share else 0
-        budget = self.classes[cls].deadline_ms * what.between(*spec.patience)
-        zone = _pick(self._zones, what.uniform())
-        honours = what.uniform() < spec.honour
-        key = f"k{self.count}" if self.classes[cls].effect == "deduplicated" else ""
-        request = Request(self.count, born, cls, account, size, budget, zone, retries, honours, key)
-        request.in_share = self._within(born, account)
+        created_at_ms = now + self._arrivals.exponential() * 1000.0 / max(rate, 1e-9)
+        cls = _pick(self._shares, self._properties.uniform())
+        weights = [
+            usual_share * surge_factor
+            for usual_share, surge_factor in zip(self._usual_shares, self.surge_factors, strict=True)
+        ]
+        total_weight = sum(weights)
+        account = _pick([w / total_weight for w in weights], self._properties.uniform())
+        return self._request(created_at_ms, cls, account, draw_size(self.classes[cls], self._properties))
+
+    def _request(self, created_at_ms: float, cls: int, account: int, size: float) -> Request:
+        spec, properties = self.spec, self._properties
+        self.request_count += 1
+        retries = spec.retries if properties.uniform() < spec.retry_share else 0
+        budget = self.classes[cls].deadline_ms * properties.between(*spec.patience)
+        zone = _pick(self._zones, properties.uniform())
+        honours_retry_after = properties.uniform() < spec.honour
+        key = f"k{self.request_count}" if self.classes[cls].effect == "deduplicated" else ""
+        request = Request(
+            self.request_count, created_at_ms, cls, account, size, budget, zone, retries, honours_retry_after, key
+        )
+        request.within_quota = self._take_quota_token(created_at_ms, account)
         return request
 
-    def _within(self, now: float, account: int) -> bool:
+    def _take_quota_token(self, now: float, account: int) -> bool:
         if not self.accounts:
             return True
         rate = self.accounts[account].share * self.quota_per_s
-        saved = min(self._saved[account] + (now - self._since[account]) * rate / 1000.0, max(rate, 1.0))
-        within = saved >= 1.0
-        self._saved[account], self._since[account] = saved - 1.0 if within else saved, now
-        return within
-
-    def comes_back(self, request: Request, outcome: str, retry_after_ms: float) -> float | None:
+        tokens = min(
+            self._quota_tokens[account] + (now - self._quota_updated_ms[account]) * rate / 1000.0, max(rate, 1.0)
+        )
+        available = tokens >= 1.0
+        self._quota_tokens[account], self._quota_updated_ms[account] = tokens - 1.0 if available else tokens, now
+        return available
+
+    def retry_delay_ms(self, request: Request, outcome: str, retry_after_ms: float) -> float | None:
         """After how long the client tries again; None: never. `outcome` is not `served`."""
-        if request.tries > request.retries:
+        if request.attempts > request.retries:
             return None
         low, high = self.spec.backoff_ms
-        wait = self._back.between(low, high) * (2.0 ** (request.tries - 1) if self.spec.backoff_grows else 1.0)
-        if outcome == "rejected" and request.honours and retry_after_ms > 0:
+        delay_ms = self._backoff.between(low, high) * (
+            2.0 ** (request.attempts - 1) if self.spec.backoff_grows else 1.0
+        )
+        if outcome == "rejected" and request.honours_retry_after and retry_after_ms > 0:
             # Who is told when to come back spreads a little, as real clients do.
-            wait = max(wait, retry_after_ms * (1.0 + 0.2 * self._back.uniform()))
-        return wait
+            delay_ms = max(delay_ms, retry_after_ms * (1.0 + 0.2 * self._backoff.uniform()))
+        return delay_ms
 
 
 def _pick(shares: list[float], draw: float) -> int:
--- a/limenotch/lab/model/directory.py
+++ b/limenotch/lab/model/directory.py
@@ -41,15 +41,15 @@
     started_ms: float = 0.0
 
 
-class Tell(NamedTuple):
+class ListUpdate(NamedTuple):
     """Written to a watcher now."""
 
     watcher: Hashable
-    whole: bool
+    complete: bool
     entries: tuple[Entry, ...]
 
 
-class Broken(NamedTuple):
+class WatchFailed(NamedTuple):
     """The watch, or the call for it, has failed now."""
 
     watcher: Hashable
@@ -57,9 +57,9 @@
 
 @dataclass(slots=True)
 class _Watch:
-    offset: float
-    version: int = -1  # the latest change it has; -1: not served yet
-    at: float = inf  # when it is written to next
+    phase_ms: float
+    next_change_index: int = -1  # the latest change it has; -1: not served yet
+    due_at_ms: float = inf  # when it is written to next
 
 
 class Directory:
@@ -67,107 +67,107 @@
         self.spec, self._chance = spec, chance
         self.entries: dict[str, Entry] = {}  # as known here, those gone left out
         self.down = False
-        self._changes: list[Entry] = []  # all of them, in the order known
+        self._change_log: list[Entry] = []  # all of them, in the order known
         self._watches: dict[Hashable, _Watch] = {}
-        self._todo: list[tuple[float, int, str, Any]] = []
-        self._count = 0
-        self._free_at = 0.0
+        self._events: list[tuple[float, int, str, Any]] = []
+        self._event_count = 0
+        self._idle_at_ms = 0.0
 
-    def known(self, entry: Entry) -> None:
+    def add_initial(self, entry: Entry) -> None:
         """Listed from the beginning."""
         self.entries[entry.name] = entry
-        self._changes.append(entry)
+        self._change_log.append(entry)
 
-    def happens(self, now: float, entry: Entry, silent: bool = False) -> None:
+    def schedule_change(self, now: float, entry: Entry, silent: bool = False) -> None:
         """A provider has changed; it becomes known after the lag for that kind of change."""
         spec = self.spec
-        lag = {"ready": spec.add_ms, "draining": spec.drain_ms, "gone": spec.notice_ms}[entry.stage]
+        lag_range_ms = {"ready": spec.add_ms, "draining": spec.drain_ms, "gone": spec.notice_ms}[entry.stage]
         if silent:
-            lag = spec.silent_ms
-        self._put(now + self._chance.between(*lag), "learn", entry)
+            lag_range_ms = spec.silent_ms
+        self._schedule(now + self._chance.between(*lag_range_ms), "learn", entry)
 
-    def forget(self, now: float, name: str, for_ms: float) -> None:
+    def forget_endpoint(self, now: float, name: str, duration_ms: float) -> None:
         """It loses an entry that is alive, and finds it again."""
         entry = self.entries.get(name)
         if entry is not None:
-            self._put(now, "learn", replace(entry, stage="gone"))
-            self._put(now + for_ms, "learn", entry)
+            self._schedule(now, "learn", replace(entry, stage="gone"))
+            self._schedule(now + duration_ms, "learn", entry)
 
-    def go_down(self, now: float, down: bool) -> None:
+    def set_down(self, now: float, down: bool) -> None:
         self.down = down
         if down:
-            self._put(now, "end", None)
+            self._schedule(now, "end", None)
 
-    def ask(self, now: float, watcher: Hashable) -> None:
+    def query(self, now: float, watcher: Hashable) -> None:
         """A call for the whole list and all changes from then on."""
-        start = max(now, self._free_at)
-        if self.down or start + self.spec.call_ms - now > self.spec.timeout_ms:
-            self._put(now + self.spec.timeout_ms if not self.down else now, "fail", watcher)
+        start_ms = max(now, self._idle_at_ms)
+        if self.down or start_ms + self.spec.call_ms - now > self.spec.timeout_ms:
+            self._schedule(now + self.spec.timeout_ms if not self.down else now, "fail", watcher)
             return
-        self._free_at = start + self.spec.call_ms
-        self._put(self._free_at, "serve", watcher)
+        self._idle_at_ms = start_ms + self.spec.call_ms
+        self._schedule(self._idle_at_ms, "serve", watcher)
 
-    def leave(self, watcher: Hashable) -> None:
+    def remove_watcher(self, watcher: Hashable) -> None:
         self._watches.pop(watcher, None)
 
-    def due(self) -> float:
-        return self._todo[0][0] if self._todo else inf
-
-    def run(self, now: float) -> list[Tell | Broken]:
-        told: list[Tell | Broken] = []
-        while self._todo and self._todo[0][0] <= now:
-            at, _, what, about = heappop(self._todo)
-            if what == "learn":
-                self._learn(at, about)
-            elif what == "write":
-                self._write(about, told)
-            elif what == "serve":
-                self._serve(at, about, told)
-            elif what == "fail":
-                told.append(Broken(about))
+    def next_event_ms(self) -> float:
+        return self._events[0][0] if self._events else inf
+
+    def run(self, now: float) -> list[ListUpdate | WatchFailed]:
+        updates: list[ListUpdate | WatchFailed] = []
+        while self._events and self._events[0][0] <= now:
+            due_at_ms, _, kind, subject = heappop(self._events)
+            if kind == "learn":
+                self._apply_change(due_at_ms, subject)
+            elif kind == "write":
+                self._write_update(subject, updates)
+            elif kind == "serve":
+                self._answer_query(due_at_ms, subject, updates)
+            elif kind == "fail":
+                updates.append(WatchFailed(subject))
             else:
-                told += [Broken(watcher) for watcher in self._watches]
+                updates += [WatchFailed(watcher) for watcher in self._watches]
                 self._watches.clear()
-        return told
+        return updates
 
-    def _put(self, at: float, what: str, about: Any) -> None:
-        self._count += 1
-        heappush(self._todo, (at, self._count, what, about))
+    def _schedule(self, due_at_ms: float, kind: str, subject: Any) -> None:
+        self._event_count += 1
+        heappush(self._events, (due_at_ms, self._event_count, kind, subject))
 
-    def _learn(self, now: float, entry: Entry) -> None:
+    def _apply_change(self, now: float, entry: Entry) -> None:
         if entry.stage == "gone":
             if self.entries.pop(entry.name, None) is None:
                 return
         else:
-            held = self.entries.get(entry.name)
-            if held is not None and held.stage == "draining" and entry.started_ms == held.started_ms:
+            current = self.entries.get(entry.name)
+            if current is not None and current.stage == "draining" and entry.started_ms == current.started_ms:
                 return  # news that were overtaken
             self.entries[entry.name] = entry
-        self._changes.append(entry)
+        self._change_log.append(entry)
         for name, watch in self._watches.items():
-            if watch.at == inf:
-                self._plan(now, name, watch)
+            if watch.due_at_ms == inf:
+                self._schedule_write(now, name, watch)
 
-    def _plan(self, now: float, watcher: Hashable, watch: _Watch) -> None:
+    def _schedule_write(self, now: float, watcher: Hashable, watch: _Watch) -> None:
         period = self.spec.period_ms
-        ahead = (watch.offset - now) % period if period > 0 else 0.0
-        watch.at = now + ahead + self.spec.spread_ms * self._chance.uniform()
-        self._put(watch.at, "write", watcher)
+        until_next_ms = (watch.phase_ms - now) % period if period > 0 else 0.0
+        watch.due_at_ms = now + until_next_ms + self.spec.spread_ms * self._chance.uniform()
+        self._schedule(watch.due_at_ms, "write", watcher)
 
-    def _write(self, watcher: Hashable, told: list[Tell | Broken]) -> None:
+    def _write_update(self, watcher: Hashable, updates: list[ListUpdate | WatchFailed]) -> None:
         watch = self._watches.get(watcher)
-        if watch is None or watch.at == inf:
+        if watch is None or watch.due_at_ms == inf:
             return
-        watch.at = inf
-        changed = self._changes[watch.version :]
-        watch.version = len(self._changes)
+        watch.due_at_ms = inf
+        changed = self._change_log[watch.next_change_index :]
+        watch.next_change_index = len(self._change_log)
         latest = {entry.name: entry for entry in changed}
         if latest:
-            told.append(Tell(watcher, False, tuple(latest.values())))
+            updates.append(ListUpdate(watcher, False, tuple(latest.values())))
 
-    def _serve(self, now: float, watcher: Hashable, told: list[Tell | Broken]) -> None:
+    def _answer_query(self, now: float, watcher: Hashable, updates: list[ListUpdate | WatchFailed]) -> None:
         if self.down:
-            told.append(Broken(watcher))
+            updates.append(WatchFailed(watcher))
             return
-        self._watches[watcher] = _Watch(self.spec.period_ms * self._chance.uniform(), len(self._changes))
-        told.append(Tell(watcher, True, tuple(self.entries.values())))
+        self._watches[watcher] = _Watch(self.spec.period_ms * self._chance.uniform(), len(self._change_log))
+        updates.append(ListUpdate(watcher, True, tuple(self.entries.values())))
--- a/limenotch/lab/model/faults.py
+++ b/limenotch/lab/model/faults.py
@@ -18,7 +18,7 @@
 RISE_STEP_MS = 250.0
 
 
-class Deed(NamedTuple):
+class FaultAction(NamedTuple):
     """One thing that happens. What `value` means is the kind's matter.
 
     drain, stop, start, kill (value: ms until a new process starts, 0: never), silent (1 or 0), slow (times slower),
@@ -33,11 +33,11 @@
     tier: int = 0
     target: int = 0
     value: float = 0.0
-    other: int = 0
+    second_zone: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Band:
+class FaultInterval:
     """A fault as a report draws it."""
 
     kind: str
@@ -46,39 +46,39 @@
     text: str
 
 
-def _of(value: Range, chance: Chance) -> float:
+def _draw(value: Range, chance: Chance) -> float:
     return chance.between(*value) if isinstance(value, tuple) else value
 
 
-class Script:
+class FaultSchedule:
     """The deeds of a plan, in order."""
 
     def __init__(self, plan: Plan, seeds: Seeds) -> None:
         self._plan = plan
-        self.bands: list[Band] = []
-        deeds: list[Deed] = []
+        self.intervals: list[FaultInterval] = []
+        actions: list[FaultAction] = []
         for number, fault in enumerate(plan.scenario.fault):
-            deeds += self._deeds(fault, seeds.stream("fault", number))
-        self.deeds = sorted(deeds, key=lambda deed: deed.at_ms)
+            actions += self._fault_actions(fault, seeds.stream("fault", number))
+        self.actions = sorted(actions, key=lambda action: action.at_ms)
 
-    def _deeds(self, fault: Fault, chance: Chance) -> Iterator[Deed]:
-        begin = _of(fault.at_s, chance) * 1000.0
-        length = _of(fault.length_s, chance) * 1000.0
-        size = _of(fault.size, chance)
+    def _fault_actions(self, fault: Fault, chance: Chance) -> Iterator[FaultAction]:
+        begin_ms = _draw(fault.at_s, chance) * 1000.0
+        length_ms = _draw(fault.length_s, chance) * 1000.0
+        size = _draw(fault.size, chance)
         names = [tier.name for tier in self._plan.tiers]
         tier = names.index(fault.tier) if fault.tier is not None else 0
         victims = self._victims(fault, tier, chance)
-        make = getattr(self, f"_{fault.kind}")
+        generate_actions = getattr(self, f"_{fault.kind}")
         text = f"{fault.kind} {names[tier]}" + (f" x{len(victims)}" if victims else "")
         if fault.kind in ("directory_down", "cut_link", "hot_sidecar"):
             text = " ".join((fault.kind, *(fault.zones or ())))
-        last = begin
-        for deed in make(fault, chance, begin, length, size, tier, victims):
-            last = max(last, deed.at_ms)
-            if deed.kind == "surge":
-                text = f"surge {self._plan.accounts[deed.target].name}"
-            yield deed
-        self.bands.append(Band(fault.kind, begin, max(last, begin + length), text))
+        last_ms = begin_ms
+        for action in generate_actions(fault, chance, begin_ms, length_ms, size, tier, victims):
+            last_ms = max(last_ms, action.at_ms)
+            if action.kind == "surge":
+                text = f"surge {self._plan.accounts[action.target].name}"
+            yield action
+        self.intervals.append(FaultInterval(fault.kind, begin_ms, max(last_ms, begin_ms + length_ms), text))
 
     def _victims(self, fault: Fault, tier: int, chance: Chance) -> list[int]:
         machines = len(self._plan.tiers[tier].machines)
@@ -88,147 +88,278 @@
             return list(fault.victims)
         count = fault.count if fault.count is not None else 1
         if fault.part is not None:
-            count = max(round(_of(fault.part, chance) * machines), 1)
-        return chance.order(machines)[:count]
+            count = max(round(_draw(fault.part, chance) * machines), 1)
+        return chance.permutation(machines)[:count]
 
     # One method a kind: from the begin on, for the length.
 
     def _deploy(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         """In batches: drain, end, and start a new process on the machine, one batch after another."""
         machines = len(self._plan.tiers[tier].machines)
-        drain = _of(fault.drain_s, chance) * 1000.0
-        at_once = max(round(_of(fault.batch, chance) * machines), 1)
-        batches = [victims[first : first + at_once] for first in range(0, len(victims), at_once)]
-        step = max((length - drain) / max(len(batches) - 1, 1), 0.0) if len(batches) > 1 else 0.0
+        drain_ms = _draw(fault.drain_s, chance) * 1000.0
+        batch_size = max(round(_draw(fault.batch, chance) * machines), 1)
+        batches = [victims[first : first + batch_size] for first in range(0, len(victims), batch_size)]
+        step = max((length_ms - drain_ms) / max(len(batches) - 1, 1), 0.0) if len(batches) > 1 else 0.0
         for number, batch in enumerate(batches):
             for machine in batch:
-                at = begin + number * step
-                yield Deed(at, "drain", tier, machine)
-                yield Deed(at + drain, "stop", tier, machine)
-                yield Deed(at + drain + chance.between(100.0, 1000.0), "start", tier, machine)
-
-    def _while(
-        self, kind: str, begin: float, length: float, tier: int, victims: list[int], on: float, off: float
-    ) -> Iterator[Deed]:
+                at_ms = begin_ms + number * step
+                yield FaultAction(at_ms, "drain", tier, machine)
+                yield FaultAction(at_ms + drain_ms, "stop", tier, machine)
+                yield FaultAction(at_ms + drain_ms + chance.between(100.0, 1000.0), "start", tier, machine)
+
+    def _on_then_off(
+        self,
+        kind: str,
+        begin_ms: float,
+        length_ms: float,
+        tier: int,
+        victims: list[int],
+        on_value: float,
+        off_value: float,
+    ) -> Iterator[FaultAction]:
         for machine in victims:
-            yield Deed(begin, kind, tier, machine, on)
-            yield Deed(begin + length, kind, tier, machine, off)
+            yield FaultAction(begin_ms, kind, tier, machine, on_value)
+            yield FaultAction(begin_ms + length_ms, kind, tier, machine, off_value)
 
     def _slow(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
-        return self._while("slow", begin, length, tier, victims, max(size, 1.0), 1.0)
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
+        return self._on_then_off("slow", begin_ms, length_ms, tier, victims, max(size, 1.0), 1.0)
 
     def _stall(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
-        return self._while("stall", begin, length, tier, victims, 1.0, 0.0)
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
+        return self._on_then_off("stall", begin_ms, length_ms, tier, victims, 1.0, 0.0)
 
     def _silent(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
-        return self._while("silent", begin, length, tier, victims, 1.0, 0.0)
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
+        return self._on_then_off("silent", begin_ms, length_ms, tier, victims, 1.0, 0.0)
 
     def _error_burst(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
-        return self._while("errors", begin, length, tier, victims, size, 0.0)
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
+        return self._on_then_off("errors", begin_ms, length_ms, tier, victims, size, 0.0)
 
     def _spoil(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
-        return self._while("spoil", begin, length, tier, victims, size, 0.0)
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
+        return self._on_then_off("spoil", begin_ms, length_ms, tier, victims, size, 0.0)
 
     def _neighbour(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
-        turn = _of(fault.on_s, chance) * 1000.0
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
+        mean_phase_ms = _draw(fault.on_s, chance) * 1000.0
         for machine in victims:
-            at, on = begin, True
-            while at < begin + length:
-                yield Deed(at, "neighbour", tier, machine, size if on else 0.0)
-                at += turn * chance.between(0.5, 1.5) if turn > 0 else length
-                on = not on
-            yield Deed(begin + length, "neighbour", tier, machine, 0.0)
+            at_ms, is_on = begin_ms, True
+            while at_ms < begin_ms + length_ms:
+                yield FaultAction(at_ms, "neighbour", tier, machine, size if is_on else 0.0)
+                at_ms += mean_phase_ms * chance.between(0.5, 1.5) if mean_phase_ms > 0 else length_ms
+                is_on = not is_on
+            yield FaultAction(begin_ms + length_ms, "neighbour", tier, machine, 0.0)
 
     def _kill(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         for machine in victims:
-            yield Deed(begin, "kill", tier, machine, length)
-            if length > 0:
-                yield Deed(begin + length, "start", tier, machine)
+            yield FaultAction(begin_ms, "kill", tier, machine, length_ms)
+            if length_ms > 0:
+                yield FaultAction(begin_ms + length_ms, "start", tier, machine)
 
     def _ban(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         """One after another. A restart would give the machine's process a new name here, so there is none."""
         for number, machine in enumerate(victims):
-            at = begin + number * length
-            yield Deed(at, "ban", tier, machine, 1.0)
-            yield Deed(at + length, "ban", tier, machine, 0.0)
+            at_ms = begin_ms + number * length_ms
+            yield FaultAction(at_ms, "ban", tier, machine, 1.0)
+            yield FaultAction(at_ms + length_ms, "ban", tier, machine, 0.0)
 
     def _retune(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
-        yield Deed(begin, "retune", value=size)
-        if length > 0:
-            yield Deed(begin + length, "retune", value=float(self._plan.scenario.sidecars.max_attempts))
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
+        yield FaultAction(begin_ms, "retune", value=size)
+        if length_ms > 0:
+            yield FaultAction(begin_ms + length_ms, "retune", value=float(self._plan.scenario.sidecars.max_attempts))
 
     def _upgrade(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         """All entries in turn."""
         count = self._plan.scenario.sidecars.count
         for sidecar in range(count):
-            yield Deed(begin + length * sidecar / count, "upgrade", target=sidecar)
+            yield FaultAction(begin_ms + length_ms * sidecar / count, "upgrade", target=sidecar)
 
     def _forget(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         for machine in victims:
-            yield Deed(begin, "forget", tier, machine, length)
+            yield FaultAction(begin_ms, "forget", tier, machine, length_ms)
 
     def _directory_down(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         # One service for all tiers.
-        yield Deed(begin, "directory", value=1.0)
-        yield Deed(begin + length, "directory", value=0.0)
+        yield FaultAction(begin_ms, "directory", value=1.0)
+        yield FaultAction(begin_ms + length_ms, "directory", value=0.0)
 
     def _ramp(
-        self, kind: str, target: int, begin: float, length: float, rise: float, off: float, on: float
-    ) -> Iterator[Deed]:
+        self,
+        kind: str,
+        target: int,
+        begin_ms: float,
+        length_ms: float,
+        rise_ms: float,
+        off_value: float,
+        on_value: float,
+    ) -> Iterator[FaultAction]:
         """Up to `on` within `rise`, and back as fast at the end."""
-        steps = max(int(rise / RISE_STEP_MS), 1)
+        steps = max(int(rise_ms / RISE_STEP_MS), 1)
         for step in range(1, steps + 1):
-            value = off + (on - off) * step / steps
-            yield Deed(begin + rise * (step - 1) / steps, kind, target=target, value=value)
-            yield Deed(begin + length - rise * (step - 1) / steps, kind, target=target, value=off + on - value)
+            value = off_value + (on_value - off_value) * step / steps
+            yield FaultAction(begin_ms + rise_ms * (step - 1) / steps, kind, target=target, value=value)
+            yield FaultAction(
+                begin_ms + length_ms - rise_ms * (step - 1) / steps,
+                kind,
+                target=target,
+                value=off_value + on_value - value,
+            )
 
     def _surge(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         names = [account.name for account in self._plan.accounts]
         draw = chance.index(len(names))
         account = names.index(fault.account) if fault.account is not None else draw
-        rise = min(_of(fault.rise_s, chance) * 1000.0, length / 2)
-        return self._ramp("surge", account, begin, length, rise, 1.0, max(size, 0.0))
+        rise_ms = min(_draw(fault.rise_s, chance) * 1000.0, length_ms / 2)
+        return self._ramp("surge", account, begin_ms, length_ms, rise_ms, 1.0, max(size, 0.0))
 
     def _hot_sidecar(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         sidecar = chance.index(self._plan.scenario.sidecars.count)
-        rise = min(_of(fault.rise_s, chance) * 1000.0, length / 2)
-        return self._ramp("hot", sidecar, begin, length, rise, 0.0, size)
+        rise_ms = min(_draw(fault.rise_s, chance) * 1000.0, length_ms / 2)
+        return self._ramp("hot", sidecar, begin_ms, length_ms, rise_ms, 0.0, size)
 
     def _cut_link(
-        self, fault: Fault, chance: Chance, begin: float, length: float, size: float, tier: int, victims: list[int]
-    ) -> Iterator[Deed]:
+        self,
+        fault: Fault,
+        chance: Chance,
+        begin_ms: float,
+        length_ms: float,
+        size: float,
+        tier: int,
+        victims: list[int],
+    ) -> Iterator[FaultAction]:
         zones = self._plan.network.zones
         assert fault.zones is not None  # checked with the scenario
-        one, two = zones.index(fault.zones[0]), zones.index(fault.zones[1])
-        yield Deed(begin, "cut", target=one, other=two, value=1.0)
-        yield Deed(begin + length, "cut", target=one, other=two, value=0.0)
+        first_zone, second_zone = zones.index(fault.zones[0]), zones.index(fault.zones[1])
+        yield FaultAction(begin_ms, "cut", target=first_zone, second_zone=second_zone, value=1.0)
+        yield FaultAction(begin_ms + length_ms, "cut", target=first_zone, second_zone=second_zone, value=0.0)
--- a/limenotch/lab/model/fleet.py
+++ b/limenotch/lab/model/fleet.py
@@ -11,9 +11,9 @@
 from .chance import Seeds
 from .clients import Clients, draw_size
 from .directory import Directory, Entry
-from .faults import Deed
+from .faults import FaultAction
 from .jobs import Job
-from .keys import Group
+from .keys import DeduplicationGroup
 from .network import Network
 from .provider import Provider
 
@@ -30,7 +30,13 @@
         self.process: Provider | None = None
         self.draining = False
         self.silent = False  # nothing it sends arrives, nor does anything reach it
-        self.slow, self.taken, self.stalled, self.errors, self.spoil = 1.0, 0.0, False, 0.0, 0.0
+        self.slowdown, self.neighbour_share, self.stalled, self.error_chance, self.corrupt_chance = (
+            1.0,
+            0.0,
+            False,
+            0.0,
+            0.0,
+        )
 
     @property
     def name(self) -> str:
@@ -38,17 +44,17 @@
         return f"{self.tier_name}-{self.machine.index}-{self.generation}"
 
     @property
-    def serves(self) -> bool:
-        return self.process is not None and not (self.process.stopped or self.process.fallen)
+    def is_running(self) -> bool:
+        return self.process is not None and not (self.process.stopped or self.process.crashed)
 
 
-class Changed(NamedTuple):
+class FleetChange(NamedTuple):
     """What a host must see to: `started` a process, `stopped` one (connections are reset, the jobs are lost),
     `drains`: it takes no new connections' work from now on, `hushed` or `back`: a silent machine."""
 
-    what: str
+    kind: str
     site: Site
-    tickets: tuple[int, ...] = ()
+    job_ids: tuple[int, ...] = ()
 
 
 class Fleet:
@@ -58,28 +64,28 @@
         self.directories = [
             Directory(plan.directory, seeds.stream("directory", number)) for number in range(len(plan.tiers))
         ]
-        self.hot: dict[int, float] = {}  # entry sidecars, and the part of all traffic each is given
-        self._everyone: dict[str, tuple[float, Group]] = {}
-        self._groups: dict[tuple[int, str, int], Group] = {}
-        self.every: list[list[Provider]] = [[] for _ in plan.tiers]  # processes, those gone included
-        self._front = seeds.stream("front")
+        self.hot_shares: dict[int, float] = {}  # entry sidecars, and the part of all traffic each is given
+        self._all_keys: dict[str, tuple[float, DeduplicationGroup]] = {}
+        self._groups: dict[tuple[int, str, int], DeduplicationGroup] = {}
+        self.all_processes: list[list[Provider]] = [[] for _ in plan.tiers]  # processes, those gone included
+        self._entry_choice = seeds.stream("front")
         self._work = [seeds.stream("work", tier) for tier in range(len(plan.tiers))]
         self._scope = next((c.scope for c in plan.classes if c.effect == "deduplicated"), "all")
         for tier, sites in enumerate(self.sites):
             for site in sites:
-                self._start(0.0, site, 0.0)
-                self.directories[tier].known(self.entry(site))
+                self._start_process(0.0, site, 0.0)
+                self.directories[tier].add_initial(self.entry(site))
 
     def entry_rank(self, zone: int) -> int:
         """The entry sidecar that the front gives a try of this zone to: a hot one, or one of the zone."""
-        draw = self._front.uniform()
-        for rank, part in self.hot.items():
-            draw -= part
+        draw = self._entry_choice.uniform()
+        for rank, share in self.hot_shares.items():
+            draw -= share
             if draw < 0:
                 return rank
         count = self.plan.scenario.sidecars.count
         ranks = range(zone, count, len(self.plan.network.zones)) or range(count)
-        return ranks[self._front.index(len(ranks))]
+        return ranks[self._entry_choice.index(len(ranks))]
 
     def sidecar_seed(self, key: tuple[int, int]) -> int:
         """Of the sidecar that sends to tier `key[0]`; an inner one's is new with each process of its machine."""
@@ -98,116 +104,120 @@
         started = site.process.started_ms if site.process is not None else 0.0
         return Entry(site.name, stage, m.zone, m.kind, m.cell, m.weight, started)
 
-    def _start(self, now: float, site: Site, started_ms: float) -> None:
+    def _start_process(self, now: float, site: Site, started_ms: float) -> None:
         site.generation += 1
         site.draining = False
         m = site.machine
-        group = self._groups.setdefault((m.tier, self._scope, self.group_of(m)), Group(self._everyone))
+        group = self._groups.setdefault((m.tier, self._scope, self.group_of(m)), DeduplicationGroup(self._all_keys))
         chance = self._seeds.stream("provider", m.tier, m.index, site.generation)
         site.process = Provider(site.name, m.spec, chance, group, now, started_ms)
-        self.every[m.tier].append(site.process)
-        site.process.error_burst = site.errors
-        site.process.strain(now, site.slow, site.taken, site.stalled)
+        self.all_processes[m.tier].append(site.process)
+        site.process.error_burst = site.error_chance
+        site.process.set_interference(now, site.slowdown, site.neighbour_share, site.stalled)
 
-    def job(self, tier: int, ticket: int, cls: int, size: float, key: str, end: float) -> Job:
+    def job(self, tier: int, job_id: int, cls: int, size: float, key: str, deadline_at_ms: float) -> Job:
         """What an attempt at a call brings to a provider of this tier: its work, cut by the calls it makes below."""
         spec, chance = self.plan.classes[cls], self._work[tier]
         noise = spec.attempt_noise
-        factor = exp(noise * chance.normal() - noise * noise / 2) if noise else 1.0
-        work = spec.work_ms * self.plan.tiers[tier].work * size * factor
-        calls = self.plan.tiers[tier].calls
-        count = int(calls) + (1 if chance.uniform() < calls - int(calls) else 0)
-        return Job(ticket, [work / (count + 1)] * (count + 1), end, key, spec.window_ms, cls, size)
+        noise_factor = exp(noise * chance.normal() - noise * noise / 2) if noise else 1.0
+        work = spec.work_ms * self.plan.tiers[tier].work * size * noise_factor
+        lower_requests = self.plan.tiers[tier].calls
+        count = int(lower_requests) + (1 if chance.uniform() < lower_requests - int(lower_requests) else 0)
+        return Job(job_id, [work / (count + 1)] * (count + 1), deadline_at_ms, key, spec.window_ms, cls, size)
 
-    def budget_below(self, now: float, job: Job) -> float:
+    def lower_budget_ms(self, now: float, job: Job) -> float:
         """How long a job waits for an answer of the tier below, ms."""
-        whole = self.plan.classes[job.cls].deadline_ms
-        return min(max(job.end - now, 1.0), whole) if self.plan.scenario.sidecars.passes_deadline else whole
-
-    def size_below(self, job: Job, tier: int) -> float:
+        deadline_ms = self.plan.classes[job.cls].deadline_ms
+        return (
+            min(max(job.deadline_at_ms - now, 1.0), deadline_ms)
+            if self.plan.scenario.sidecars.passes_deadline
+            else deadline_ms
+        )
+
+    def lower_request_size(self, job: Job, tier: int) -> float:
         """Of a lower call of a job of this tier."""
         spec = self.plan.classes[job.cls]
         return job.size if spec.carried else draw_size(spec, self._work[tier])
 
-    def key_below(self, cls: int, number: int) -> str:
+    def lower_request_key(self, cls: int, number: int) -> str:
         """A lower call is a call of its own, and so is its key."""
         return f"b{number}" if self.plan.classes[cls].effect == "deduplicated" else ""
 
-    def spoils(self, site: Site) -> bool:
+    def corrupts_response(self, site: Site) -> bool:
         """Whether the answer that its process gives now arrives spoilt."""
-        return site.spoil > 0 and self._work[site.machine.tier].happens(site.spoil)
+        return site.corrupt_chance > 0 and self._work[site.machine.tier].occurs(site.corrupt_chance)
 
-    def fall(self, now: float, site: Site) -> list[Changed]:
+    def crash(self, now: float, site: Site) -> list[FleetChange]:
         """A process was pushed over: it is down, and the directory learns of it as of any death."""
-        return self._end(now, site, "stopped")
+        return self._stop_process(now, site, "stopped")
 
-    def _end(self, now: float, site: Site, what: str) -> list[Changed]:
+    def _stop_process(self, now: float, site: Site, kind: str) -> list[FleetChange]:
         process = site.process
         if process is None or process.stopped:
             return []
-        tickets = tuple(process.tickets)
+        job_ids = tuple(process.job_ids)
         process.stop(now)
-        self.directories[site.machine.tier].happens(now, self.entry(site, "gone"), silent=site.silent)
-        return [Changed(what, site, tickets)]
+        self.directories[site.machine.tier].schedule_change(now, self.entry(site, "gone"), silent=site.silent)
+        return [FleetChange(kind, site, job_ids)]
 
-    def carry_out(self, now: float, deed: Deed) -> list[Changed]:
-        if deed.kind in ("directory", "surge", "hot", "cut"):
-            self._whole(now, deed)
+    def apply(self, now: float, action: FaultAction) -> list[FleetChange]:
+        if action.kind in ("directory", "surge", "hot", "cut"):
+            self._apply_to_fleet(now, action)
             return []
-        site = self.sites[deed.tier][deed.target]
-        process, directory = site.process, self.directories[deed.tier]
-        if deed.kind == "drain":
-            if site.serves and not site.draining:
+        site = self.sites[action.tier][action.target]
+        process, directory = site.process, self.directories[action.tier]
+        if action.kind == "drain":
+            if site.is_running and not site.draining:
                 site.draining = True
-                directory.happens(now, self.entry(site, "draining"))
-                return [Changed("drains", site)]
-        elif deed.kind in ("stop", "kill"):
-            return self._end(now, site, "stopped")
-        elif deed.kind == "start":
+                directory.schedule_change(now, self.entry(site, "draining"))
+                return [FleetChange("drains", site)]
+        elif action.kind in ("stop", "kill"):
+            return self._stop_process(now, site, "stopped")
+        elif action.kind == "start":
             if process is None or process.stopped:
-                self._start(now, site, max(now, 1e-3))
-                directory.happens(now, self.entry(site))
-                return [Changed("started", site)]
-        elif deed.kind == "silent":
-            site.silent = deed.value > 0
-            if site.silent and site.serves:
-                directory.happens(now, self.entry(site, "gone"), silent=True)
-            elif site.serves:
-                directory.happens(now, self.entry(site))
-            return [Changed("hushed" if site.silent else "back", site)]
-        elif deed.kind == "forget":
-            directory.forget(now, site.name, deed.value)
+                self._start_process(now, site, max(now, 1e-3))
+                directory.schedule_change(now, self.entry(site))
+                return [FleetChange("started", site)]
+        elif action.kind == "silent":
+            site.silent = action.value > 0
+            if site.silent and site.is_running:
+                directory.schedule_change(now, self.entry(site, "gone"), silent=True)
+            elif site.is_running:
+                directory.schedule_change(now, self.entry(site))
+            return [FleetChange("hushed" if site.silent else "back", site)]
+        elif action.kind == "forget":
+            directory.forget_endpoint(now, site.name, action.value)
         else:
-            self._strain(now, site, deed)
+            self._apply_to_machine(now, site, action)
         return []
 
-    def _strain(self, now: float, site: Site, deed: Deed) -> None:
-        if deed.kind == "slow":
-            site.slow = deed.value
-        elif deed.kind == "neighbour":
-            site.taken = deed.value
-        elif deed.kind == "stall":
-            site.stalled = deed.value > 0
-        elif deed.kind == "errors":
-            site.errors = deed.value
-        elif deed.kind == "spoil":
-            site.spoil = deed.value
+    def _apply_to_machine(self, now: float, site: Site, action: FaultAction) -> None:
+        if action.kind == "slow":
+            site.slowdown = action.value
+        elif action.kind == "neighbour":
+            site.neighbour_share = action.value
+        elif action.kind == "stall":
+            site.stalled = action.value > 0
+        elif action.kind == "errors":
+            site.error_chance = action.value
+        elif action.kind == "spoil":
+            site.corrupt_chance = action.value
         else:
-            raise ValueError(f"no such deed: {deed.kind}")
+            raise ValueError(f"unknown kind of fault action: {action.kind}")
         if site.process is not None and not site.process.stopped:
-            site.process.error_burst = site.errors
-            site.process.strain(now, site.slow, site.taken, site.stalled)
+            site.process.error_burst = site.error_chance
+            site.process.set_interference(now, site.slowdown, site.neighbour_share, site.stalled)
 
-    def _whole(self, now: float, deed: Deed) -> None:
-        if deed.kind == "directory":
+    def _apply_to_fleet(self, now: float, action: FaultAction) -> None:
+        if action.kind == "directory":
             for directory in self.directories:
-                directory.go_down(now, deed.value > 0)
-        elif deed.kind == "surge":
-            self.clients.surge[deed.target] = deed.value
-        elif deed.kind == "hot":
-            if deed.value > 0:
-                self.hot[deed.target] = deed.value
+                directory.set_down(now, action.value > 0)
+        elif action.kind == "surge":
+            self.clients.surge_factors[action.target] = action.value
+        elif action.kind == "hot":
+            if action.value > 0:
+                self.hot_shares[action.target] = action.value
             else:
-                self.hot.pop(deed.target, None)
+                self.hot_shares.pop(action.target, None)
         else:
-            self.network.cut_link(deed.target, deed.other, deed.value > 0)
+            self.network.set_link_cut(action.target, action.second_zone, action.value > 0)
--- a/limenotch/lab/model/keys.py
+++ b/limenotch/lab/model/keys.py
@@ -1,34 +1,35 @@
-"""Keys of calls whose repeats are dropped, as the providers of one group know them together."""
+"""Idempotency keys that the providers of a group share, to drop repeated requests."""
 
 from __future__ import annotations
 
 from collections import deque
 
 
-class Group:
-    """What the providers of one group know together of the keys they have served."""
+class DeduplicationGroup:
+    """The keys that the providers of one group have served, each until the end of its window."""
 
-    def __init__(self, everyone: dict[str, tuple[float, Group]] | None = None) -> None:
-        self._done: dict[str, float] = {}
-        self._ages: deque[tuple[float, str]] = deque()
-        self._everyone = everyone if everyone is not None else {}
+    def __init__(self, all_keys: dict[str, tuple[float, DeduplicationGroup]] | None = None) -> None:
+        self._expiry_by_key: dict[str, float] = {}
+        self._expiries: deque[tuple[float, str]] = deque()
+        self._all_keys = all_keys if all_keys is not None else {}
 
-    def knows(self, now: float, key: str) -> bool:
-        while self._ages and self._ages[0][0] <= now:
-            self._done.pop(self._ages[0][1], None)
-            held = self._everyone.get(self._ages[0][1])
-            if held is not None and held[0] <= now:
-                del self._everyone[self._ages[0][1]]
-            self._ages.popleft()
-        return key in self._done
+    def contains(self, now: float, key: str) -> bool:
+        """Whether the group has served the key within its window; removes expired keys."""
+        while self._expiries and self._expiries[0][0] <= now:
+            self._expiry_by_key.pop(self._expiries[0][1], None)
+            entry = self._all_keys.get(self._expiries[0][1])
+            if entry is not None and entry[0] <= now:
+                del self._all_keys[self._expiries[0][1]]
+            self._expiries.popleft()
+        return key in self._expiry_by_key
 
     def commit(self, now: float, key: str, window_ms: float) -> bool:
-        """Keep the key; False if another group has it too, so that the work has taken effect twice."""
-        other = self._everyone.get(key)
-        once = other is None or other[1] is self or other[0] <= now
-        if key not in self._done:
-            self._done[key] = now + window_ms
-            self._ages.append((now + window_ms, key))
-        if once:
-            self._everyone[key] = (now + window_ms, self)
-        return once
+        """Stores the key; False if another group has it too, so that the work has taken effect twice."""
+        entry = self._all_keys.get(key)
+        is_only_commit = entry is None or entry[1] is self or entry[0] <= now
+        if key not in self._expiry_by_key:
+            self._expiry_by_key[key] = now + window_ms
+            self._expiries.append((now + window_ms, key))
+        if is_only_commit:
+            self._all_keys[key] = (now + window_ms, self)
+        return is_only_commit
--- a/limenotch/lab/model/provider_spec.py
+++ b/limenotch/lab/model/provider_spec.py
@@ -1,4 +1,4 @@
-"""What one provider is like, by its kind: cores, slots, warmth, choking, errors. Times in ms."""
+"""The properties of one provider: cores, slots, warm-up, choking, errors. Times are in ms."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Stops(Enum):
-    """Which jobs end when their caller drops them."""
+    """Which jobs end when their client disconnects."""
 
     ALL = "all"
     QUEUED = "queued"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProviderSpec:
-    """One provider's nature; times in ms, work in ms of one yardstick core."""
+    """The properties of one provider; times in ms, work in ms of one reference core. See provider.py."""
 
     cores: int = 1
     speed: float = 1.0
@@ -33,7 +33,7 @@
     choke_most_ms: float = 20_000.0
     cold_from: float = 1.0
     cold_ms: float = 0.0
-    warm_work_ms: float = 0.0  # work after which it is warm, if that comes sooner; 0: by time alone
+    warm_work_ms: float = 0.0  # work after which it is warm, if earlier than `cold_ms`; 0: by time alone
     fall_multiple: float = 4.0
     fall_ms: float = 3000.0
     error_rate: float = 0.0
@@ -43,8 +43,8 @@
     connections: int = 1_000_000
     full_tax: float = 0.0
     probe_ms: float = 0.0  # work for each probe
-    reports: bool = True  # answers carry its load
-    report_ms: float = 1000.0  # how often its load report is made anew
+    reports: bool = True  # responses carry its load report
+    report_ms: float = 1000.0  # interval between load reports
     report_delay_ms: float = 0.0
     report_noise: float = 0.0  # standard deviation, relative
-    repeat_ms: float = 0.5  # work for a keyed repeat that is recognised at once
+    repeat_ms: float = 0.5  # work for a repeat that is recognised by its key
--- a/limenotch/lab/model/rules.py
+++ b/limenotch/lab/model/rules.py
@@ -29,8 +29,8 @@
 ALLOWED = "nothing that the settings forbid"
 RULES = (ONE_ANSWER, REPEATS, DRAINS, COLD, ALLOWED)
 
-MOST_KEPT = 20  # violations kept whole; all are counted
-MOST_LINES = 60  # of one call's history
+MAX_VIOLATIONS = 20  # violations kept whole; all are counted
+MAX_HISTORY_LINES = 60  # of one call's history
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class Permissions:
     """What the settings allowed when a call came."""
 
     attempts: int
@@ -67,188 +67,196 @@
 
 
 @dataclass(slots=True)
-class _Call:
+class _TrackedRequest:
     effect: str
     scope: str
     window_ms: float
     end: float
-    allowed: Allowed | None = None  # None: not checked
+    allowed: Permissions | None = None  # None: not checked
     history: list[tuple[float, str, tuple[object, ...]]] = field(default_factory=list)  # worded when needed
     attempts: list[_Attempt] = field(default_factory=list)
     answered: bool = False
     left: bool = False  # its consumer is gone: nothing is owed
 
-    def note(self, now: float, text: str, *about: object) -> None:
-        if len(self.history) < MOST_LINES:
-            self.history.append((now, text, about))
+    def note(self, now: float, text: str, *arguments: object) -> None:
+        if len(self.history) < MAX_HISTORY_LINES:
+            self.history.append((now, text, arguments))
 
-    def lines(self) -> tuple[str, ...]:
-        return tuple(f"{at:.1f} ms: {text.format(*about)}" for at, text, about in self.history)
+    def history_lines(self) -> tuple[str, ...]:
+        return tuple(f"{at_ms:.1f} ms: {text.format(*arguments)}" for at_ms, text, arguments in self.history)
 
 
-def _harmless(held: _Call) -> bool:
+def _is_harmless_to_repeat(tracked: _TrackedRequest) -> bool:
     """Whether its consumer may repeat it anywhere for as long as it waits, which a rejection says."""
-    ran = [attempt.sent for attempt in held.attempts if attempt.ran]
-    if not ran or held.effect == "idempotent":
+    ran = [attempt.sent for attempt in tracked.attempts if attempt.ran]
+    if not ran or tracked.effect == "idempotent":
         return True
-    dropped_everywhere = held.effect == "deduplicated" and held.scope == "all"
-    return dropped_everywhere and held.end < min(ran) + held.window_ms
+    deduplicated_everywhere = tracked.effect == "deduplicated" and tracked.scope == "all"
+    return deduplicated_everywhere and tracked.end < min(ran) + tracked.window_ms
 
 
-class Rules:
+class RuleChecker:
     def __init__(self, limits: Limits | None = None) -> None:
         self.limits = limits or Limits()
         self.counts = dict.fromkeys(RULES, 0)
         self.violations: list[Violation] = []
         self.lag_ms: Callable[[], float] = lambda: 0.0  # by which the host's loop may have read late just now
-        self._calls: dict[Hashable, _Call] = {}
-        self._past: dict[Hashable, _Call] = {}  # over for no longer than the slack, the oldest first
-        self._past_ends: deque[tuple[float, Hashable]] = deque()
-        self._told: dict[tuple[Hashable, str], float] = {}  # sidecar and provider: since when it takes nothing
+        self._open: dict[Hashable, _TrackedRequest] = {}
+        self._recent: dict[Hashable, _TrackedRequest] = {}  # over for no longer than the slack, the oldest first
+        self._recent_expiries: deque[tuple[float, Hashable]] = deque()
+        self._stopped_since_ms: dict[
+            tuple[Hashable, str], float
+        ] = {}  # sidecar and provider: since when it takes nothing
 
     @property
-    def kept(self) -> bool:
+    def all_hold(self) -> bool:
         return not any(self.counts.values())
 
     @property
-    def open(self) -> int:
-        return len(self._calls)
+    def open_requests(self) -> int:
+        return len(self._open)
 
-    def taken(
+    def request_accepted(
         self,
         now: float,
-        call: Hashable,
+        request: Hashable,
         effect: str,
         scope: str,
         window_ms: float,
         end: float,
-        allowed: Allowed | None = None,
+        allowed: Permissions | None = None,
     ) -> None:
         """A sidecar has taken a call whose consumer waits until `end`."""
-        if call in self._calls:
-            self._break(ONE_ANSWER, now, f"call {call!r} was taken twice", self._calls[call])
-        held = self._calls[call] = _Call(effect, scope, window_ms, end, allowed)
-        held.note(now, "taken, {}, to be answered by {:.1f}", effect, end)
+        if request in self._open:
+            self._report_violation(ONE_ANSWER, now, f"call {request!r} was taken twice", self._open[request])
+        tracked = self._open[request] = _TrackedRequest(effect, scope, window_ms, end, allowed)
+        tracked.note(now, "taken, {}, to be answered by {:.1f}", effect, end)
 
-    def told(self, now: float, sidecar: Hashable, provider: str, stage: str) -> None:
+    def stage_reported(self, now: float, sidecar: Hashable, provider: str, stage: str) -> None:
         """A sidecar was told of a provider: `ready`, `draining` or `gone`."""
         if stage == "ready":
-            self._told.pop((sidecar, provider), None)
+            self._stopped_since_ms.pop((sidecar, provider), None)
         else:
-            self._told.setdefault((sidecar, provider), now)
+            self._stopped_since_ms.setdefault((sidecar, provider), now)
 
-    def forget(self, sidecar: Hashable) -> None:
+    def sidecar_stopped(self, sidecar: Hashable) -> None:
         """The sidecar is gone, with what it was told."""
-        for key in [key for key in self._told if key[0] == sidecar]:
-            del self._told[key]
+        for key in [key for key in self._stopped_since_ms if key[0] == sidecar]:
+            del self._stopped_since_ms[key]
 
-    def sent(self, now: float, call: Hashable, sidecar: Hashable, provider: str, group: int) -> int:
+    def attempt_sent(self, now: float, request: Hashable, sidecar: Hashable, provider: str, group: int) -> int:
         """The first byte of an attempt goes to a provider. Gives the attempt's number."""
-        held = self._calls.get(call) or self._past.get(call)
-        if held is None:
-            self._break(ONE_ANSWER, now, f"call {call!r} sent to {provider} after it was over", None)
+        tracked = self._open.get(request) or self._recent.get(request)
+        if tracked is None:
+            self._report_violation(ONE_ANSWER, now, f"call {request!r} sent to {provider} after it was over", None)
             return 0
-        held.note(now, "attempt {} to {}, group {}", len(held.attempts), provider, group)
-        since = self._told.get((sidecar, provider))
+        tracked.note(now, "attempt {} to {}, group {}", len(tracked.attempts), provider, group)
+        stopped_since_ms = self._stopped_since_ms.get((sidecar, provider))
         grace = self.limits.grace_ms + self.limits.slack_ms
-        if since is not None and now > since + grace + self.lag_ms():
-            text = f"call {call!r} sent to {provider} {now - since:.0f} ms after it was known to drain or be gone"
-            self._break(DRAINS, now, text, held)
-        self._repeat(now, call, held, group)
-        self._permitted(now, call, held)
-        held.attempts.append(_Attempt(provider, group, now))
-        return len(held.attempts) - 1
-
-    def _repeat(self, now: float, call: Hashable, held: _Call, group: int) -> None:
-        earlier = [a for a in held.attempts if a.ran]
-        if not earlier or held.effect == "idempotent":
+        if stopped_since_ms is not None and now > stopped_since_ms + grace + self.lag_ms():
+            text = f"request {request!r} sent to {provider} {now - stopped_since_ms:.0f} ms after its removal or drain was listed"
+            self._report_violation(DRAINS, now, text, tracked)
+        self._check_repeat(now, request, tracked, group)
+        self._check_permissions(now, request, tracked)
+        tracked.attempts.append(_Attempt(provider, group, now))
+        return len(tracked.attempts) - 1
+
+    def _check_repeat(self, now: float, request: Hashable, tracked: _TrackedRequest, group: int) -> None:
+        may_have_run = [a for a in tracked.attempts if a.ran]
+        if not may_have_run or tracked.effect == "idempotent":
             return
-        if held.effect != "deduplicated":
-            self._break(REPEATS, now, f"call {call!r} may run once and went out again", held)
-        elif held.scope != "all" and any(a.group != group for a in earlier):
-            self._break(REPEATS, now, f"call {call!r} went out again to another group", held)
-        elif now > earlier[0].sent + held.window_ms + self.limits.slack_ms:
-            self._break(REPEATS, now, f"call {call!r} went out again after its window", held)
-
-    def _permitted(self, now: float, call: Hashable, held: _Call) -> None:
-        if held.allowed is None:
+        if tracked.effect != "deduplicated":
+            self._report_violation(REPEATS, now, f"call {request!r} may run once and went out again", tracked)
+        elif tracked.scope != "all" and any(a.group != group for a in may_have_run):
+            self._report_violation(REPEATS, now, f"call {request!r} went out again to another group", tracked)
+        elif now > may_have_run[0].sent + tracked.window_ms + self.limits.slack_ms:
+            self._report_violation(REPEATS, now, f"call {request!r} went out again after its window", tracked)
+
+    def _check_permissions(self, now: float, request: Hashable, tracked: _TrackedRequest) -> None:
+        if tracked.allowed is None:
             return
-        if len(held.attempts) >= held.allowed.attempts:
-            self._break(ALLOWED, now, f"call {call!r} went out more than {held.allowed.attempts} times", held)
-        if not held.allowed.copies and any(not a.over for a in held.attempts):
-            self._break(ALLOWED, now, f"call {call!r} went out again while an attempt was out", held)
-
-    def cancelled(self, now: float, call: Hashable) -> None:
+        if len(tracked.attempts) >= tracked.allowed.attempts:
+            self._report_violation(
+                ALLOWED, now, f"call {request!r} went out more than {tracked.allowed.attempts} times", tracked
+            )
+        if not tracked.allowed.copies and any(not a.over for a in tracked.attempts):
+            self._report_violation(ALLOWED, now, f"call {request!r} went out again while an attempt was out", tracked)
+
+    def attempt_cancelled(self, now: float, request: Hashable) -> None:
         """The decisions order that an attempt be given up."""
-        held = self._calls.get(call)
-        if held is not None and held.allowed is not None and not held.allowed.cancel:
-            self._break(ALLOWED, now, f"an attempt at call {call!r} was cancelled", held)
+        tracked = self._open.get(request)
+        if tracked is not None and tracked.allowed is not None and not tracked.allowed.cancel:
+            self._report_violation(ALLOWED, now, f"an attempt at call {request!r} was cancelled", tracked)
 
-    def advised(self, now: float, call: Hashable, retry_after_ms: float) -> None:
+    def retry_advised(self, now: float, request: Hashable, retry_after_ms: float) -> None:
         """A rejection says when to return; to be told before `answered`."""
-        held = self._calls.get(call)
-        if retry_after_ms > 0 and held is not None and held.allowed is not None and not held.allowed.advice:
-            self._break(ALLOWED, now, f"call {call!r} was told to return after {retry_after_ms:.0f} ms", held)
+        tracked = self._open.get(request)
+        if retry_after_ms > 0 and tracked is not None and tracked.allowed is not None and not tracked.allowed.advice:
+            self._report_violation(
+                ALLOWED, now, f"call {request!r} was told to return after {retry_after_ms:.0f} ms", tracked
+            )
 
-    def ended(self, now: float, call: Hashable, attempt: int, outcome: str, ran: bool) -> None:
+    def attempt_ended(self, now: float, request: Hashable, attempt: int, outcome: str, ran: bool) -> None:
         """An attempt ended for the sidecar; `ran`: it may have run."""
-        held = self._calls.get(call)
-        if held is None or not attempt < len(held.attempts):
+        tracked = self._open.get(request)
+        if tracked is None or not attempt < len(tracked.attempts):
             return
-        held.note(now, "attempt {} ended: {}", attempt, outcome)
-        held.attempts[attempt].over, held.attempts[attempt].ran = True, ran
-        self._drop(now, call, held)
+        tracked.note(now, "attempt {} ended: {}", attempt, outcome)
+        tracked.attempts[attempt].over, tracked.attempts[attempt].ran = True, ran
+        self._forget_if_finished(now, request, tracked)
 
-    def answered(self, now: float, call: Hashable, verdict: str) -> None:
+    def request_answered(self, now: float, request: Hashable, verdict: str) -> None:
         """The sidecar gave a final answer: `served`, `rejected` or `failed`."""
-        held = self._calls.get(call)
-        if held is None or held.answered:
-            self._break(ONE_ANSWER, now, f"call {call!r} was answered again: {verdict}", held)
+        tracked = self._open.get(request)
+        if tracked is None or tracked.answered:
+            self._report_violation(ONE_ANSWER, now, f"call {request!r} was answered again: {verdict}", tracked)
             return
-        held.note(now, "answered: {}", verdict)
-        late = now - held.end - self.limits.slack_ms
-        if late > 0 and late > self.lag_ms() and not held.left:
-            self._break(ONE_ANSWER, now, f"call {call!r} was answered {now - held.end:.1f} ms late", held)
-        if verdict == "rejected" and not _harmless(held):
-            self._break(REPEATS, now, f"call {call!r} was rejected though it may have run", held)
-        held.answered = True
-        self._drop(now, call, held)
-
-    def departed(self, now: float, call: Hashable) -> None:
+        tracked.note(now, "answered: {}", verdict)
+        lateness_ms = now - tracked.end - self.limits.slack_ms
+        if lateness_ms > 0 and lateness_ms > self.lag_ms() and not tracked.left:
+            self._report_violation(
+                ONE_ANSWER, now, f"call {request!r} was answered {now - tracked.end:.1f} ms late", tracked
+            )
+        if verdict == "rejected" and not _is_harmless_to_repeat(tracked):
+            self._report_violation(REPEATS, now, f"call {request!r} was rejected though it may have run", tracked)
+        tracked.answered = True
+        self._forget_if_finished(now, request, tracked)
+
+    def client_disconnected(self, now: float, request: Hashable) -> None:
         """The consumer is gone, before its time was over or at its end. At the end it is owed an answer."""
-        held = self._calls.get(call)
-        if held is None or held.answered:
+        tracked = self._open.get(request)
+        if tracked is None or tracked.answered:
             return
-        held.note(now, "its consumer left")
-        if now >= held.end - 1e-6 and not self.lag_ms() > self.limits.slack_ms:
-            self._break(ONE_ANSWER, now, f"call {call!r} had no answer by its end", held)
-        held.left = held.answered = True
-        self._drop(now, call, held)
+        tracked.note(now, "its consumer left")
+        if now >= tracked.end - 1e-6 and not self.lag_ms() > self.limits.slack_ms:
+            self._report_violation(ONE_ANSWER, now, f"call {request!r} had no answer by its end", tracked)
+        tracked.left = tracked.answered = True
+        self._forget_if_finished(now, request, tracked)
 
-    def lost(self, call: Hashable) -> None:
+    def request_lost(self, request: Hashable) -> None:
         """The sidecar itself is gone, by a fault of the scenario: nothing is owed."""
-        self._calls.pop(call, None)
+        self._open.pop(request, None)
 
-    def fell(self, now: float, provider: str) -> None:
-        self._break(COLD, now, f"{provider} was pushed over while cold", None)
+    def provider_crashed(self, now: float, provider: str) -> None:
+        self._report_violation(COLD, now, f"{provider} was pushed over while cold", None)
 
-    def quiet(self, now: float) -> None:
+    def run_ended(self, now: float) -> None:
         """The run is over and all should have been answered."""
-        for call, held in list(self._calls.items()):
-            if not held.answered:
-                self._break(ONE_ANSWER, now, f"call {call!r} was never answered", held)
+        for request, tracked in list(self._open.items()):
+            if not tracked.answered:
+                self._report_violation(ONE_ANSWER, now, f"call {request!r} was never answered", tracked)
 
-    def _drop(self, now: float, call: Hashable, held: _Call) -> None:
-        if not (held.answered and all(a.over for a in held.attempts)):
+    def _forget_if_finished(self, now: float, request: Hashable, tracked: _TrackedRequest) -> None:
+        if not (tracked.answered and all(a.over for a in tracked.attempts)):
             return
-        del self._calls[call]
+        del self._open[request]
         if self.limits.slack_ms > 0:
-            self._past[call] = held
-            self._past_ends.append((now + self.limits.slack_ms, call))
-            while self._past_ends[0][0] < now:
-                self._past.pop(self._past_ends.popleft()[1], None)
+            self._recent[request] = tracked
+            self._recent_expiries.append((now + self.limits.slack_ms, request))
+            while self._recent_expiries[0][0] < now:
+                self._recent.pop(self._recent_expiries.popleft()[1], None)
 
-    def _break(self, rule: str, now: float, text: str, held: _Call | None) -> None:
+    def _report_violation(self, rule: str, now: float, text: str, tracked: _TrackedRequest | None) -> None:
         self.counts[rule] += 1
-        if len(self.violations) < MOST_KEPT:
-            self.violations.append(Violation(rule, now, text, held.lines() if held else ()))
+        if len(self.violations) < MAX_VIOLATIONS:
+            self.violations.append(Violation(rule, now, text, tracked.history_lines() if tracked else ()))
--- a/limenotch/lab/planning.py
+++ b/limenotch/lab/planning.py
@@ -73,7 +73,7 @@
     for extra in range(tier.providers - sum(counts)):
         counts[extra % len(counts)] += 1
     kinds = [kind for kind, count in enumerate(counts) for _ in range(count)]
-    order = draw.order(len(kinds))
+    order = draw.permutation(len(kinds))
     choke, report, conn = tier.choke, tier.report, tier.connections
     usual = [_draw(kind.speed, draw) for kind in tier.kind]
     machines = []
--- a/limenotch/lab/record.py
+++ b/limenotch/lab/record.py
@@ -11,8 +11,8 @@
 from dataclasses import asdict, dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from .model.faults import Band
-from .model.rules import RULES, Rules
+from .model.faults import FaultInterval
+from .model.rules import RULES, RuleChecker
 from .tallies import Sums, TierSums, Window, histogram, quantiles
 
 if TYPE_CHECKING:
@@ -49,8 +49,8 @@
 
 
 class Record:
-    def __init__(self, plan: Plan, bands: list[Band]) -> None:
-        self.plan, self.bands = plan, bands
+    def __init__(self, plan: Plan, intervals: list[FaultInterval]) -> None:
+        self.plan, self.intervals = plan, intervals
         count = int(plan.length_ms / WINDOW_MS) + 1
         self.windows = [Window() for _ in range(count)]
         self.classes = [Sums() for _ in plan.classes]
@@ -74,7 +74,7 @@
                 for tier in plan.tiers
             ]
         self._busy: dict[tuple[int, int], tuple[object, float]] = {}
-        self.rules: Rules | None = None
+        self.rules: RuleChecker | None = None
         self.work: list[dict[str, float]] = []
         self.cut_short = False
         self.machine: dict[str, Any] = {}  # of runs in real time
@@ -87,11 +87,11 @@
 
     def _worth(self, request: Request) -> float:
         worth = self.plan.classes[request.cls].worth
-        return worth if request.in_share else worth * self.plan.scenario.sidecars.over_share_worth
+        return worth if request.within_quota else worth * self.plan.scenario.sidecars.over_share_worth
 
-    def asked(self, request: Request) -> None:
+    def request_created(self, request: Request) -> None:
         worth = self._worth(request)
-        window = self._window(request.born_ms)
+        window = self._window(request.created_at_ms)
         sums = [self.classes[request.cls]]
         if self.accounts:
             sums.append(self.accounts[request.account])
@@ -101,15 +101,15 @@
             each.asked += 1
             each.worth += worth
 
-    def tried(self, now: float, request: Request) -> None:
+    def attempt_started(self, now: float, request: Request) -> None:
         window = self._window(now)
         window.tries += 1
         self.tries += 1
-        if request.tries > 1:
+        if request.attempts > 1:
             window.retries += 1
             self.retries += 1
 
-    def sent(self, now: float, tier: int, number: int, crossing: bool) -> None:
+    def attempt_sent(self, now: float, tier: int, number: int, crossing: bool) -> None:
         window, sums = self._window(now), self.tiers[tier]
         sums.attempts += 1
         sums.crossings += crossing
@@ -118,7 +118,7 @@
             sums.again += 1
             window.copies += 1
 
-    def outcome(self, now: float, request: Request, outcome: str, retry_after_ms: float) -> None:
+    def attempt_ended(self, now: float, request: Request, outcome: str, retry_after_ms: float) -> None:
         """One try's end. The request's own end is its last."""
         window = self._window(now)
         if request.outcomes:
@@ -137,11 +137,11 @@
 
     def _served(self, now: float, request: Request) -> None:
         spec = self.plan.classes[request.cls]
-        took = now - request.born_ms
+        took = now - request.created_at_ms
         self.latency[request.cls].record_value(max(int(took * 1000.0), 1))
         in_time = took <= spec.aim_ms
         earned = self._worth(request) * (1.0 if in_time else spec.late_worth)
-        self._window(request.born_ms).earned += earned
+        self._window(request.created_at_ms).earned += earned
         sums = [self.classes[request.cls]]
         if self.accounts:
             sums.append(self.accounts[request.account])
@@ -150,7 +150,7 @@
             each.served += 1
             each.in_time += in_time
 
-    def told(self, lines: int) -> None:
+    def list_entries_sent(self, lines: int) -> None:
         self.lines_told += lines
 
     def event(self, now: float, what: str, name: str) -> None:
@@ -168,7 +168,7 @@
                 process = site.process
                 runnable = held = 0
                 util = 0.0
-                if process is not None and site.serves:
+                if process is not None and site.is_running:
                     process.report(now)  # brings its sums up to now
                     key = (tier, site.machine.index)
                     before = self._busy.get(key)
@@ -177,7 +177,7 @@
                     span = WINDOW_MS * process.spec.cores
                     util = min((busy - since) / span, 1.0)
                     self._busy[key] = (process, busy)
-                    runnable, held = process.runnable, process.held
+                    runnable, held = process.runnable, process.job_count
                 state = state_of(site, now)
                 states[state] += 1
                 loads.append(runnable / max(site.machine.spec.cores, 1))
@@ -278,11 +278,11 @@
             ],
             "directory_lines": self.lines_told,
             "rules": {
-                "kept": rules.kept,
+                "kept": rules.all_hold,
                 "counts": {rule: rules.counts[rule] for rule in RULES},
                 "violations": [asdict(violation) for violation in rules.violations],
             },
-            "faults": [asdict(band) for band in self.bands],
+            "faults": [asdict(band) for band in self.intervals],
             "events": [list(event) for event in self.events],
             "windows": {name: _rounded([getattr(w, name) for w in self.windows]) for name in Window.__slots__},
             "samples": {
@@ -325,7 +325,7 @@
 def state_of(site: Any, now: float) -> str:
     """A letter of STATES."""
     process = site.process
-    if process is None or not site.serves:
+    if process is None or not site.is_running:
         return "x"
     if site.silent:
         return "s"
@@ -345,7 +345,7 @@
         sums = dict.fromkeys(("offered", "refused", "served", "wasted", "unspent", "excess", "held_work"), 0.0)
         counts = dict.fromkeys(("jobs", "turned_away", "repeats", "double"), 0)
         held, sojourn, pushed = 0.0, 0.0, 0.0
-        for process in fleet.every[tier]:
+        for process in fleet.all_processes[tier]:
             process.report(now)
             ledger = process.ledger
             for name in sums:
@@ -354,7 +354,7 @@
                 counts[name] += getattr(ledger, name)
             held += ledger.held_ms
             sojourn += process.sojourn_ms(now)
-            pushed = max(pushed, process.pushed)
+            pushed = max(pushed, process.max_cold_load_ratio)
         accounted = sums["refused"] + sums["served"] + sums["wasted"] + sums["unspent"] + sums["held_work"]
         result.append(
             {
--- a/limenotch/lab/simulate/__init__.py
+++ b/limenotch/lab/simulate/__init__.py
@@ -1,4 +1,5 @@
-"""The model in simulated time: an event heap, sidecars that hold the decision module, and the world around them.
+"""The simulator: runs the model of `lab/model` in simulated time, with an event heap and simulated sidecars.
 
-One decision module instance a sidecar, driven through its public interface; instances share nothing.
+Each simulated sidecar drives its own instance of the decision module through that module's public interface.
+Instances share no state.
 """
--- a/limenotch/lab/simulate/calls.py
+++ b/limenotch/lab/simulate/calls.py
@@ -1,4 +1,4 @@
-"""Calls and attempts of a sidecar in simulated time."""
+"""Requests of a simulated sidecar and the attempts at them."""
 
 from __future__ import annotations
 
@@ -8,42 +8,46 @@
 
 from ..model.fleet import Site
 from ..model.provider import Provider
-from ..model.rules import Allowed
+from ..model.rules import Permissions
 
-Answer = Callable[[str, float], None]  # verdict, and when to come back
+RequestCallback = Callable[[str, float], None]  # called with the outcome and Retry-After in ms
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    call: Call
+    """An attempt at a request on one endpoint; `process` is None if the endpoint is unknown."""
+
+    request: SidecarRequest
     number: int
     site: Site | None
     process: Provider | None
     name: str
-    began: float
-    end: float
-    ticket: int = 0
-    order: int = -1  # as the rules count it; -1: not a byte was written
+    started_at_ms: float
+    deadline_at_ms: float
+    job_id: int = 0
+    check_index: int = -1  # the attempt's index in the rule checker; -1: no byte was written
     connected: bool = False
-    over: bool = False
-    hushed: bool = False  # what it sent, or its answer, was lost on the way
+    finished: bool = False
+    lost_in_network: bool = False  # the attempt or its response was lost in the network
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class SidecarRequest:
+    """A request that one sidecar has accepted."""
+
     number: int
     cls: int
     size: float
     key: str
-    end: float  # when its consumer stops waiting
-    answer: Answer
+    deadline_at_ms: float  # when the client stops waiting
+    on_completed: RequestCallback
     attempts: list[Attempt] = field(default_factory=list)
     closed: bool = False
 
 
-def allowed_by(told: dict[str, Any]) -> Allowed:
-    """What a sidecar's settings allow, for the rules."""
-    permissions = told["permissions"]
-    return Allowed(
+def permissions_of(settings: dict[str, Any]) -> Permissions:
+    """What a sidecar's settings permit, in the form that the rule checker takes."""
+    permissions = settings["permissions"]
+    return Permissions(
         permissions["max_attempts"], permissions["parallel_tries"], permissions["cancel"], permissions["retry_after"]
     )
--- a/limenotch/lab/simulate/kernel.py
+++ b/limenotch/lab/simulate/kernel.py
@@ -1,7 +1,8 @@
-"""A clock that jumps from event to event.
+"""The event loop of simulated time: its clock jumps from one scheduled event to the next.
 
-An event is a function and its arguments at a time. Events of one instant happen in the order they were asked for,
-those marked `late` after all others: an answer that comes at the very end of its call's time is in time.
+An event is a callback with its arguments, scheduled for a time. Events of one instant run in the order in which they
+were scheduled, except that events of `schedule_last` run after all others of that instant: a response that arrives
+exactly at the deadline of its request is in time.
 """
 
 from __future__ import annotations
@@ -13,34 +14,37 @@
 
 
 class Kernel:
-    __slots__ = ("now", "events", "_heap", "_count")
+    """A heap of scheduled events and the current simulated time."""
+
+    __slots__ = ("now", "events", "_heap", "_scheduled")
 
     def __init__(self) -> None:
         self.now = 0.0  # ms
         self.events = 0
         self._heap: list[tuple[float, int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._count = 0
+        self._scheduled = 0
 
-    def at(self, time: float, do: Callable[..., None], *about: Any) -> None:
-        """At `time`, or now if that has passed."""
-        self._count += 1
-        heappush(self._heap, (time if time > self.now else self.now, 0, self._count, do, about))
+    def schedule(self, at_ms: float, callback: Callable[..., None], *arguments: Any) -> None:
+        """Schedules the callback for `at_ms`, or for now if that time has passed."""
+        self._scheduled += 1
+        heappush(self._heap, (at_ms if at_ms > self.now else self.now, 0, self._scheduled, callback, arguments))
 
-    def late(self, time: float, do: Callable[..., None], *about: Any) -> None:
-        """As `at`, after all else of that instant."""
-        self._count += 1
-        heappush(self._heap, (time if time > self.now else self.now, 1, self._count, do, about))
+    def schedule_last(self, at_ms: float, callback: Callable[..., None], *arguments: Any) -> None:
+        """Schedules the callback as `schedule` does, but after all other events of that instant."""
+        self._scheduled += 1
+        heappush(self._heap, (at_ms if at_ms > self.now else self.now, 1, self._scheduled, callback, arguments))
 
-    def run(self, until: float = inf) -> None:
-        """All events before or at `until`."""
+    def run(self, until_ms: float = inf) -> None:
+        """Runs all events up to and including `until_ms`, or until none is left."""
         heap = self._heap
-        while heap and heap[0][0] <= until:
-            self.now, _, _, do, about = heappop(heap)
+        while heap and heap[0][0] <= until_ms:
+            self.now, _, _, callback, arguments = heappop(heap)
             self.events += 1
-            do(*about)
-        if until != inf:
-            self.now = max(self.now, until)
+            callback(*arguments)
+        if until_ms != inf:
+            self.now = max(self.now, until_ms)
 
     @property
     def pending(self) -> int:
+        """The number of scheduled events."""
         return len(self._heap)
--- a/limenotch/lab/simulate/world.py
+++ b/limenotch/lab/simulate/world.py
@@ -1,6 +1,6 @@
-"""The world in simulated time: it carries messages between clients, sidecars, providers and directories.
+"""The simulated deployment: carries messages between clients, sidecars, providers and directories.
 
-All behaviour is in the model; here is only the order of things: who is told what, after which delay.
+All behaviour is in `lab/model`. This module decides only which party receives what, and after which delay.
 """
 
 from __future__ import annotations
@@ -10,56 +10,61 @@
 
 from ..model.chance import Seeds
 from ..model.clients import Clients, Request
-from ..model.faults import Deed, Script
-from ..model.fleet import Changed, Fleet, Site
-from ..model.jobs import Below, Done, Effect, End, Job
+from ..model.faults import FaultAction, FaultSchedule
+from ..model.fleet import Fleet, FleetChange, Site
+from ..model.jobs import Effect, Job, JobEnd, JobFinished, LowerTierRequest
 from ..model.network import Network
 from ..model.provider import Provider
-from ..model.rules import Limits, Rules
+from ..model.rules import Limits, RuleChecker
 from ..planning import Plan, settings_of
 from ..policy import Policy
 from ..record import Record
 from ..scenario import BY_HAND
 from . import by_hand
-from .calls import Attempt, Call
+from .calls import Attempt, SidecarRequest
 from .directory_queries import DirectoryQueries
 from .kernel import Kernel
 from .sidecar import Sidecar
 
 SAMPLE_MS = 1000.0
-MOST_OPEN = 500_000  # tries under way: a scenario that holds more is cut, and says so
+MAX_OPEN_ATTEMPTS = 500_000  # of clients at once; a run that would have more drops new requests and sets `cut_short`
 
 
 class World:
+    """One run of a plan in simulated time."""
+
     def __init__(self, plan: Plan, policy: Policy, clock: Callable[[], float] | None = None) -> None:
-        """`clock` (seconds) measures the time that decisions take; it changes nothing in the run."""
+        """`clock` (seconds), if given, measures the time spent in the decision modules; it does not affect the run."""
         self.plan, self.policy, self.clock = plan, policy, clock
-        self.deciding = 0.0
+        self.decision_time_s = 0.0
         self.kernel = Kernel()
         seeds = Seeds(plan.seed)
         self.network = Network(plan.network, seeds)
         zones = len(plan.network.zones)
         self.clients = Clients(plan.clients, plan.classes, plan.accounts, zones, plan.quota_per_s, seeds, plan.trace)
         self.fleet = Fleet(plan, seeds, self.network, self.clients)
-        self.script = Script(plan, seeds)
-        self.rules = Rules(Limits(grace_ms=plan.scenario.rules.drain_grace_ms))
-        self.record = Record(plan, self.script.bands)
-        self._count = 0
+        self.schedule = FaultSchedule(plan, seeds)
+        self.rules = RuleChecker(Limits(grace_ms=plan.scenario.rules.drain_grace_ms))
+        self.record = Record(plan, self.schedule.intervals)
+        self._last_id = 0
         self._names: dict[str, tuple[Site, Provider]] = {}
-        self._attempts: dict[int, tuple[Sidecar, Attempt]] = {}  # by ticket: those that a provider holds
-        self._below: dict[int, tuple[Sidecar, Call]] = {}  # by ticket: the lower call of a job
-        self._due: dict[Site, float] = {}
+        self._attempts: dict[int, tuple[Sidecar, Attempt]] = {}  # by job id: attempts in work or queued at a provider
+        self._lower_requests: dict[
+            int, tuple[Sidecar, SidecarRequest]
+        ] = {}  # by job id: the job's request to the tier below
+        self._next_run_ms: dict[Site, float] = {}
         self.directories = DirectoryQueries(self)
         self.sidecars: dict[tuple[int, int], Sidecar] = {}
-        self.leaving: list[Sidecar] = []  # processes that another has taken the place of
-        self.banned: set[tuple[int, str]] = set()  # tier and name of providers that are out by hand
-        self._open = 0
+        self.replaced_sidecars: list[Sidecar] = []  # old processes during an upgrade
+        self.ejected: set[tuple[int, str]] = set()  # tier and name of providers ejected by an operator
+        self._open_attempts = 0
         self.cut_short = False
-        self._over = False
+        self._ended = False
 
     # A run
 
     def run(self) -> Record:
+        """Runs the plan to its end and returns the record."""
         kernel, plan = self.kernel, self.plan
         for sites in self.fleet.sites:
             for site in sites:
@@ -70,18 +75,18 @@
         for tier, sites in enumerate(self.fleet.sites[:-1]):
             for site in sites:
                 self._start_inner(tier, site)
-        for deed in self.script.deeds:
-            kernel.at(deed.at_ms, self._deed, deed)
-        kernel.at(0.0, self._sample)
+        for action in self.schedule.actions:
+            kernel.schedule(action.at_ms, self._apply_fault, action)
+        kernel.schedule(0.0, self._sample)
         self._next_request()
-        longest = max(cls.deadline_ms for cls in plan.classes)
-        # After the last arrival all is answered: retries, and the wait before each.
-        tail = (longest + max(plan.clients.backoff_ms[1], plan.scenario.sidecars.max_retry_after_ms) * 4) * (
+        max_deadline_ms = max(cls.deadline_ms for cls in plan.classes)
+        # After the last arrival, time for all retries and the waits before them.
+        tail_ms = (max_deadline_ms + max(plan.clients.backoff_ms[1], plan.scenario.sidecars.max_retry_after_ms) * 4) * (
             1 + plan.clients.retries
         ) + 1000.0
-        kernel.run(plan.length_ms + tail)
-        self._over = True
-        self.rules.quiet(kernel.now)
+        kernel.run(plan.length_ms + tail_ms)
+        self._ended = True
+        self.rules.run_ended(kernel.now)
         self.record.end(kernel.now, self)
         return self.record
 
@@ -89,44 +94,44 @@
 
     def _next_request(self) -> None:
         request = self.clients.next(self.kernel.now)
-        if request is None or request.born_ms >= self.plan.length_ms:
+        if request is None or request.created_at_ms >= self.plan.length_ms:
             return
-        self.kernel.at(request.born_ms, self._born, request)
+        self.kernel.schedule(request.created_at_ms, self._on_request_created, request)
 
-    def _born(self, request: Request) -> None:
-        self.record.asked(request)
-        if self._open < MOST_OPEN:
-            self._try(request)
+    def _on_request_created(self, request: Request) -> None:
+        self.record.request_created(request)
+        if self._open_attempts < MAX_OPEN_ATTEMPTS:
+            self._start_attempt(request)
         else:
             self.cut_short = True
-            self.record.outcome(self.kernel.now, request, "unmade", 0.0)
+            self.record.attempt_ended(self.kernel.now, request, "unmade", 0.0)
         self._next_request()
 
-    def _try(self, request: Request) -> None:
+    def _start_attempt(self, request: Request) -> None:
         now = self.kernel.now
-        request.tries += 1
-        self._open += 1
-        self.record.tried(now, request)
-        sidecar = self._entry(request.zone)
-        state: list[Call | None] = [None]  # the call while this try waits; emptied by its end
-        ended = [False]
-
-        def over(outcome: str, retry_after_ms: float) -> None:
-            if ended[0]:
+        request.attempts += 1
+        self._open_attempts += 1
+        self.record.attempt_started(now, request)
+        sidecar = self._entry_sidecar(request.zone)
+        pending_request: list[SidecarRequest | None] = [None]  # the sidecar's request once it has arrived there
+        is_finished = [False]
+
+        def finish(outcome: str, retry_after_ms: float) -> None:
+            if is_finished[0]:
                 return
-            ended[0] = True
-            self._open -= 1
-            self._answered(request, outcome, retry_after_ms)
+            is_finished[0] = True
+            self._open_attempts -= 1
+            self._on_attempt_ended(request, outcome, retry_after_ms)
 
         def answer(verdict: str, retry_after_ms: float) -> None:
-            self.kernel.at(self.kernel.now + self.network.client_delay_ms(), over, verdict, retry_after_ms)
+            self.kernel.schedule(self.kernel.now + self.network.client_delay_ms(), finish, verdict, retry_after_ms)
 
         def arrive() -> None:
             if not sidecar.alive:
-                over("failed", 0.0)
+                finish("failed", 0.0)
                 return
-            state[0] = sidecar.take(
-                self.next_number(),
+            pending_request[0] = sidecar.accept_request(
+                self.next_id(),
                 request.cls,
                 request.account,
                 request.size,
@@ -134,256 +139,262 @@
                 request.budget_ms,
                 now + request.budget_ms,
                 answer,
-                request.tries > 1,
+                request.attempts > 1,
             )
 
         def give_up() -> None:
-            if not ended[0]:
-                if state[0] is not None:
-                    sidecar.depart(state[0])
-                over("timed out", 0.0)
+            if not is_finished[0]:
+                if pending_request[0] is not None:
+                    sidecar.on_client_disconnected(pending_request[0])
+                finish("timed out", 0.0)
 
-        self.kernel.at(now + self.network.client_delay_ms(), arrive)
-        self.kernel.late(now + request.budget_ms, give_up)
+        self.kernel.schedule(now + self.network.client_delay_ms(), arrive)
+        self.kernel.schedule_last(now + request.budget_ms, give_up)
 
-    def _answered(self, request: Request, outcome: str, retry_after_ms: float) -> None:
+    def _on_attempt_ended(self, request: Request, outcome: str, retry_after_ms: float) -> None:
         now = self.kernel.now
-        self.record.outcome(now, request, outcome, retry_after_ms)
+        self.record.attempt_ended(now, request, outcome, retry_after_ms)
         if outcome == "served":
             return
-        wait = self.clients.comes_back(request, outcome, retry_after_ms)
+        wait = self.clients.retry_delay_ms(request, outcome, retry_after_ms)
         if wait is not None:
-            self.kernel.at(now + wait, self._try, request)
+            self.kernel.schedule(now + wait, self._start_attempt, request)
 
-    def _entry(self, zone: int) -> Sidecar:
+    def _entry_sidecar(self, zone: int) -> Sidecar:
         return self.sidecars[(0, self.fleet.entry_rank(zone))]
 
     # Sidecars
 
-    def next_number(self) -> int:
-        self._count += 1
-        return self._count
+    def next_id(self) -> int:
+        """A number that is unique in this run, for a request or a job."""
+        self._last_id += 1
+        return self._last_id
 
     def _start_sidecar(self, key: tuple[int, int], zone: int, tier: int, rank: int, balancers: int) -> None:
         settings = settings_of(self.plan, tier, rank, balancers, zone)
         sidecar = self.sidecars[key] = Sidecar(self, key, zone, tier, settings, self.fleet.sidecar_seed(key))
         sidecar.start()
-        for banned_tier, name in sorted(self.banned):
-            if banned_tier == tier:
-                sidecar.ban(name, True)
+        for ejected_tier, name in sorted(self.ejected):
+            if ejected_tier == tier:
+                sidecar.set_ejected(name, True)
 
     def _start_inner(self, tier: int, site: Site) -> None:
-        """The sidecar of a provider, for its calls of the tier below."""
+        """Starts the sidecar beside a provider, which carries its requests to the tier below."""
         machine = site.machine
         self._start_sidecar(
             (tier + 1, machine.index), machine.zone, tier + 1, machine.index, len(self.fleet.sites[tier])
         )
 
     def find(self, tier: int, name: str) -> tuple[Site | None, Provider | None]:
+        """The site and the process of this name, stopped or not; None if no process ever had it."""
         return self._names.get(name, (None, None))
 
-    def one_way(self, zone: int, site: Site | None) -> float:
+    def delay_ms(self, zone: int, site: Site | None) -> float:
+        """The delay of one message from a zone to a site, in ms."""
         return self.network.delay_ms(zone, site.machine.zone if site is not None else zone)
 
-    def reaches(self, zone: int, site: Site) -> bool:
-        return not site.silent and self.network.reaches(zone, site.machine.zone)
+    def is_reachable(self, zone: int, site: Site) -> bool:
+        """Whether messages from a zone arrive at a site."""
+        return not site.silent and self.network.is_reachable(zone, site.machine.zone)
 
     # Attempts
 
-    def carry(self, sidecar: Sidecar, attempt: Attempt) -> None:
-        """The whole request is on its way."""
+    def transmit(self, sidecar: Sidecar, attempt: Attempt) -> None:
+        """Sends the complete request of an attempt to its provider."""
         site = attempt.site
         assert site is not None
-        self.record.sent(self.kernel.now, sidecar.tier, attempt.number, sidecar.zone != site.machine.zone)
-        if not self.reaches(sidecar.zone, site):
-            attempt.hushed = True
+        self.record.attempt_sent(self.kernel.now, sidecar.tier, attempt.number, sidecar.zone != site.machine.zone)
+        if not self.is_reachable(sidecar.zone, site):
+            attempt.lost_in_network = True
             return
-        self.kernel.at(self.kernel.now + self.one_way(sidecar.zone, site), self._arrive, sidecar, attempt)
+        self.kernel.schedule(self.kernel.now + self.delay_ms(sidecar.zone, site), self._arrive, sidecar, attempt)
 
     def _arrive(self, sidecar: Sidecar, attempt: Attempt) -> None:
-        now, process, site, call = self.kernel.now, attempt.process, attempt.site, attempt.call
+        now, process, site, request = self.kernel.now, attempt.process, attempt.site, attempt.request
         assert process is not None and site is not None
-        if attempt.over:  # its connection was closed behind it: the provider reads a request and then the end
+        if attempt.finished:  # closed already: the provider reads a request and then the end of the stream
             return
         if process.stopped:
-            self._back(sidecar, attempt, "reset")
+            self._send_response(sidecar, attempt, "reset")
             return
-        job = self.fleet.job(site.machine.tier, self.next_number(), call.cls, call.size, call.key, attempt.end)
-        attempt.ticket = job.ticket
+        job = self.fleet.job(
+            site.machine.tier, self.next_id(), request.cls, request.size, request.key, attempt.deadline_at_ms
+        )
+        attempt.job_id = job.job_id
         taken = process.offer(now, job)
-        if process.fallen:
-            self._fell(site)
-            self._back(sidecar, attempt, "reset")
+        if process.crashed:
+            self._on_crash(site)
+            self._send_response(sidecar, attempt, "reset")
         elif taken:
-            self._attempts[job.ticket] = (sidecar, attempt)
-            self.wake(site)
+            self._attempts[job.job_id] = (sidecar, attempt)
+            self.schedule_run(site)
         else:
-            self._back(sidecar, attempt, "refused")
+            self._send_response(sidecar, attempt, "refused")
 
-    def _fell(self, site: Site) -> None:
-        self.rules.fell(self.kernel.now, site.name)
+    def _on_crash(self, site: Site) -> None:
+        self.rules.provider_crashed(self.kernel.now, site.name)
         self.record.event(self.kernel.now, "fell", site.name)
-        self._see_to(self.fleet.fall(self.kernel.now, site))
+        self._handle_changes(self.fleet.crash(self.kernel.now, site))
 
-    def abandon(self, sidecar: Sidecar, attempt: Attempt) -> None:
-        """The sidecar closes the attempt's connection; the provider learns of it."""
+    def cancel_attempt(self, sidecar: Sidecar, attempt: Attempt) -> None:
+        """Closes the attempt's connection; the provider learns of it after the network delay."""
         site = attempt.site
-        if attempt.ticket and site is not None and attempt.ticket in self._attempts:
-            del self._attempts[attempt.ticket]
-            if self.reaches(sidecar.zone, site):
-                self.kernel.at(
-                    self.kernel.now + self.one_way(sidecar.zone, site),
-                    self._drop,
+        if attempt.job_id and site is not None and attempt.job_id in self._attempts:
+            del self._attempts[attempt.job_id]
+            if self.is_reachable(sidecar.zone, site):
+                self.kernel.schedule(
+                    self.kernel.now + self.delay_ms(sidecar.zone, site),
+                    self._cancel_job,
                     site,
                     attempt.process,
-                    attempt.ticket,
+                    attempt.job_id,
                 )
 
-    def _drop(self, site: Site, process: Provider, ticket: int) -> None:
+    def _cancel_job(self, site: Site, process: Provider, job_id: int) -> None:
         if process.stopped:
             return
-        self._effects(site, process.drop(self.kernel.now, ticket))
-        if not process.holds(ticket):
-            self._leave_below(ticket)
-        self.wake(site)
-
-    def _leave_below(self, ticket: int) -> None:
-        """The job is gone: so is the consumer of its lower call."""
-        below = self._below.pop(ticket, None)
-        if below is not None:
-            below[0].depart(below[1])
-
-    def _back(self, sidecar: Sidecar, attempt: Attempt, how: str) -> None:
-        """An answer, or the connection's reset, on its way to the sidecar."""
+        self._apply_effects(site, process.cancel(self.kernel.now, job_id))
+        if not process.has_job(job_id):
+            self._cancel_lower_request(job_id)
+        self.schedule_run(site)
+
+    def _cancel_lower_request(self, job_id: int) -> None:
+        """Disconnects the client of a job's lower-tier request, since the job has ended."""
+        lower_entry = self._lower_requests.pop(job_id, None)
+        if lower_entry is not None:
+            lower_entry[0].on_client_disconnected(lower_entry[1])
+
+    def _send_response(self, sidecar: Sidecar, attempt: Attempt, result: str) -> None:
+        """Sends a response, or the reset of the connection, to the sidecar."""
         site, process = attempt.site, attempt.process
         assert site is not None and process is not None
-        if not self.reaches(sidecar.zone, site):
-            attempt.hushed = True
+        if not self.is_reachable(sidecar.zone, site):
+            attempt.lost_in_network = True
             return
         report: tuple[float, float] | None = None
-        if how != "reset" and not process.stopped:
+        if result != "reset" and not process.stopped:
             shown = process.report(self.kernel.now)
             report = (shown.util, shown.qps) if process.spec.reports else None
-            if how in ("served", "error") and self.fleet.spoils(site):
-                how, report = "reset", None  # an answer that can't be read: the sidecar closes the connection
-        self.kernel.at(self.kernel.now + self.one_way(sidecar.zone, site), sidecar.ended, attempt, how, report)
+            if result in ("served", "error") and self.fleet.corrupts_response(site):
+                result, report = "reset", None  # an unreadable response: the sidecar closes the connection
+        self.kernel.schedule(
+            self.kernel.now + self.delay_ms(sidecar.zone, site), sidecar.on_response, attempt, result, report
+        )
 
     # Providers
 
-    def wake(self, site: Site) -> None:
-        """See to it that the process runs when it is due."""
+    def schedule_run(self, site: Site) -> None:
+        """Schedules a run of the process at its next event."""
         process = site.process
         if process is None:
             return
-        due = process.due()
-        if due < self._due.get(site, inf):
-            self._due[site] = due
-            self.kernel.at(due, self._run, site, due)
-
-    def _run(self, site: Site, due: float) -> None:
-        if self._due.get(site) != due:
-            return  # an earlier wake has taken its place
-        del self._due[site]
+        next_event_ms = process.next_event_ms()
+        if next_event_ms < self._next_run_ms.get(site, inf):
+            self._next_run_ms[site] = next_event_ms
+            self.kernel.schedule(next_event_ms, self._run_process, site, next_event_ms)
+
+    def _run_process(self, site: Site, next_event_ms: float) -> None:
+        if self._next_run_ms.get(site) != next_event_ms:
+            return  # superseded by an earlier run
+        del self._next_run_ms[site]
         process = site.process
         if process is not None and not process.stopped:
-            if process.due() <= self.kernel.now:
-                self._effects(site, process.run(self.kernel.now))
-            self.wake(site)
+            if process.next_event_ms() <= self.kernel.now:
+                self._apply_effects(site, process.run(self.kernel.now))
+            self.schedule_run(site)
 
-    def _effects(self, site: Site, effects: list[Effect]) -> None:
+    def _apply_effects(self, site: Site, effects: list[Effect]) -> None:
         for effect in effects:
             job = effect.job
-            if isinstance(effect, Done):
-                held = self._attempts.pop(job.ticket, None)
-                if held is not None:
-                    how = {End.SERVED: "served", End.ERROR: "error", End.EXPIRED: "refused"}[effect.end]
-                    self._back(held[0], held[1], how)
-            elif isinstance(effect, Below):
-                self._call_below(site, job)
-
-    def _call_below(self, site: Site, job: Job) -> None:
+            if isinstance(effect, JobFinished):
+                entry = self._attempts.pop(job.job_id, None)
+                if entry is not None:
+                    result = {JobEnd.SERVED: "served", JobEnd.ERROR: "error", JobEnd.EXPIRED: "refused"}[effect.end]
+                    self._send_response(entry[0], entry[1], result)
+            elif isinstance(effect, LowerTierRequest):
+                self._send_lower_request(site, job)
+
+    def _send_lower_request(self, site: Site, job: Job) -> None:
         machine = site.machine
         sidecar = self.sidecars[(machine.tier + 1, machine.index)]
         now = self.kernel.now
-        budget = self.fleet.budget_below(now, job)
-        number = self.next_number()
+        budget = self.fleet.lower_budget_ms(now, job)
+        number = self.next_id()
         process = site.process
-        ticket = job.ticket
+        job_id = job.job_id
 
         def answer(verdict: str, retry_after_ms: float) -> None:
-            self._below.pop(ticket, None)
-            self.kernel.at(self.kernel.now, self._resume, site, process, ticket, verdict)
-
-        key = self.fleet.key_below(job.cls, number)
-        size = self.fleet.size_below(job, machine.tier)
-        lower = sidecar.take(number, job.cls, 0, size, key, budget, now + budget, answer)
-        if not lower.closed:
-            self._below[ticket] = (sidecar, lower)
-            self.kernel.late(now + budget, self._give_up_below, site, process, ticket, lower)
-
-    def _give_up_below(self, site: Site, process: Provider, ticket: int, lower: Call) -> None:
-        held = self._below.get(ticket)
-        if held is not None and held[1] is lower:
-            del self._below[ticket]
-            held[0].depart(lower)
-            self._resume(site, process, ticket, "timed out")
-
-    def _resume(self, site: Site, process: Provider | None, ticket: int, verdict: str) -> None:
+            self._lower_requests.pop(job_id, None)
+            self.kernel.schedule(self.kernel.now, self._resume_job, site, process, job_id, verdict)
+
+        key = self.fleet.lower_request_key(job.cls, number)
+        size = self.fleet.lower_request_size(job, machine.tier)
+        lower_request = sidecar.accept_request(number, job.cls, 0, size, key, budget, now + budget, answer)
+        if not lower_request.closed:
+            self._lower_requests[job_id] = (sidecar, lower_request)
+            self.kernel.schedule_last(now + budget, self._lower_request_timed_out, site, process, job_id, lower_request)
+
+    def _lower_request_timed_out(self, site: Site, process: Provider, job_id: int, lower: SidecarRequest) -> None:
+        entry = self._lower_requests.get(job_id)
+        if entry is not None and entry[1] is lower:
+            del self._lower_requests[job_id]
+            entry[0].on_client_disconnected(lower)
+            self._resume_job(site, process, job_id, "timed out")
+
+    def _resume_job(self, site: Site, process: Provider | None, job_id: int, verdict: str) -> None:
         if process is not None and not process.stopped:
-            self._effects(site, process.resume(self.kernel.now, ticket, verdict == "served"))
-            self.wake(site)
+            self._apply_effects(site, process.resume(self.kernel.now, job_id, verdict == "served"))
+            self.schedule_run(site)
 
-    # Faults and the directory
+    # Faults and the directories
 
-    def _deed(self, deed: Deed) -> None:
-        if deed.kind in BY_HAND:
-            by_hand.carry_out(self, deed)
+    def _apply_fault(self, action: FaultAction) -> None:
+        if action.kind in BY_HAND:
+            by_hand.apply_operator_action(self, action)
             return
-        self._see_to(self.fleet.carry_out(self.kernel.now, deed))
-        if deed.kind not in ("directory", "surge", "hot", "cut"):
-            site = self.fleet.sites[deed.tier][deed.target]
-            self.wake(site)
-        self.directories.look(range(len(self.plan.tiers)))
+        self._handle_changes(self.fleet.apply(self.kernel.now, action))
+        if action.kind not in ("directory", "surge", "hot", "cut"):
+            site = self.fleet.sites[action.tier][action.target]
+            self.schedule_run(site)
+        self.directories.reschedule(range(len(self.plan.tiers)))
 
-    def _see_to(self, changes: list[Changed]) -> None:
+    def _handle_changes(self, changes: list[FleetChange]) -> None:
         now = self.kernel.now
         for changed in changes:
             site = changed.site
             tier = site.machine.tier
-            self.record.event(now, changed.what, site.name)
-            if changed.what == "stopped":
-                for ticket in changed.tickets:
-                    held = self._attempts.pop(ticket, None)
-                    if held is not None:
-                        self._back(held[0], held[1], "reset")
-                    self._below.pop(ticket, None)
+            self.record.event(now, changed.kind, site.name)
+            if changed.kind == "stopped":
+                for job_id in changed.job_ids:
+                    entry = self._attempts.pop(job_id, None)
+                    if entry is not None:
+                        self._send_response(entry[0], entry[1], "reset")
+                    self._lower_requests.pop(job_id, None)
                 inner = self.sidecars.get((tier + 1, site.machine.index)) if tier + 1 < len(self.plan.tiers) else None
                 if inner is not None:
-                    inner.die()
-                    self.fleet.directories[tier + 1].leave(inner.key)
-            elif changed.what == "started":
+                    inner.stop()
+                    self.fleet.directories[tier + 1].remove_watcher(inner.key)
+            elif changed.kind == "started":
                 assert site.process is not None
                 self._names[site.name] = (site, site.process)
                 if tier + 1 < len(self.plan.tiers):
                     self._start_inner(tier, site)
-            elif changed.what == "back":
-                # Connections that stood open through the silence are reset now.
+            elif changed.kind == "back":
+                # Connections that stayed open while the machine was silent are reset now.
                 for sidecar in self.sidecars.values():
                     if sidecar.tier == tier:
-                        for call in list(sidecar.calls.values()):
-                            for attempt in call.attempts:
-                                if attempt.hushed and attempt.site is site and not attempt.over:
-                                    self._back(sidecar, attempt, "reset")
-            self.directories.look([tier])
-
-    def ask(self, sidecar: Sidecar) -> None:
-        """A sidecar queries its tier's directory."""
-        self.directories.ask(sidecar)
+                        for request in list(sidecar.requests.values()):
+                            for attempt in request.attempts:
+                                if attempt.lost_in_network and attempt.site is site and not attempt.finished:
+                                    self._send_response(sidecar, attempt, "reset")
+            self.directories.reschedule([tier])
 
-    # Samples
+    def query_directory(self, sidecar: Sidecar) -> None:
+        """Queries the directory of the sidecar's tier."""
+        self.directories.query(sidecar)
 
     def _sample(self) -> None:
-        if self._over or self.kernel.now > self.plan.length_ms:
+        if self._ended or self.kernel.now > self.plan.length_ms:
             return
         self.record.sample(self.kernel.now, self.fleet)
-        self.kernel.at(self.kernel.now + SAMPLE_MS, self._sample)
+        self.kernel.schedule(self.kernel.now + SAMPLE_MS, self._sample)
--- a/tests/fleet/returning_clients.py
+++ b/tests/fleet/returning_clients.py
@@ -28,7 +28,7 @@
 from limenotch.lab.fleet.processes import NodeProcess
 from limenotch.lab.fleet.stage import Stage
 from limenotch.lab.model.clients import Request
-from limenotch.lab.model.faults import Deed
+from limenotch.lab.model.faults import FaultAction
 from limenotch.net import http1
 
 from .test_rules_processes import Operators
@@ -60,7 +60,7 @@
         setattr(self.providers, "request", request)  # noqa: B010 (it has no other way in)
 
     def _choose(self, request: Request) -> Pool | None:
-        first, count = self.fleet.entry_rank(request.zone) + request.tries - 1, len(self.drawing.nodes)
+        first, count = self.fleet.entry_rank(request.zone) + request.attempts - 1, len(self.drawing.nodes)
         for step in range(count):
             key = (0, (first + step) % count)
             if key in self._pools:
@@ -82,14 +82,16 @@
             wire = wire.replace(b"Host: lab\r\n", b"Host: lab\r\nX-Session: " + session.encode() + b"\r\n")
         final: asyncio.Future[http1.Message | None] = asyncio.get_running_loop().create_future()
         self.trial.next_goes_to(key_of)
-        self.trial.taken(self.clock(), name, spec.effect, spec.scope, spec.window_ms, self.clock() + BUDGET_MS)
+        self.trial.request_accepted(
+            self.clock(), name, spec.effect, spec.scope, spec.window_ms, self.clock() + BUDGET_MS
+        )
         self._pools[key_of].ask(wire, final.set_result)
         answer = await asyncio.wait_for(final, 10)
         verdict, _ = verdict_of(answer, name)
         if answer is None:
-            self.trial.lost(name)
+            self.trial.request_lost(name)
             return "lost", "", name
-        self.trial.answered(self.clock(), name, verdict)
+        self.trial.request_answered(self.clock(), name, verdict)
         return verdict, answer.body.partition(b" ")[2].decode(), name
 
 
@@ -224,7 +226,7 @@
         bench = self.bench
         for number, site in enumerate(bench.fleet.sites[0]):
             if site.name in providers:
-                bench._see_to(bench.fleet.carry_out(bench.clock(), Deed(bench.clock(), "drain", 0, number)))
+                bench._see_to(bench.fleet.apply(bench.clock(), FaultAction(bench.clock(), "drain", 0, number)))
         left = sum(not site.draining and site.name not in self.banned for site in bench.fleet.sites[0])
         await self.processes.until_all(
             lambda _, state: state["parts"]["bindings"]["providers"] == left, 20, f"{providers} drain", self.running
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -126,10 +126,10 @@
 
         try:
             outcome = await bench.perform(settled)
-            comers.repeats += sum(process.ledger.repeats for process in bench.fleet.every[0])
+            comers.repeats += sum(process.ledger.repeats for process in bench.fleet.all_processes[0])
             if not any(str(fault).startswith(("kill", "cut")) for _, fault in drawn.faults) and bindings is not None:
                 # What a sidecar has not told before its end, or could tell nobody, may run again.
-                assert not sum(process.ledger.double for process in bench.fleet.every[0])
+                assert not sum(process.ledger.double for process in bench.fleet.all_processes[0])
             return outcome
         finally:
             await bench.close()
@@ -208,7 +208,7 @@
     # So that what the other runs are judged by can fail.
     _, comers = play("\nnodes: a b c\n\nms     faults\n100    ask a twice\n2500\n", tmp_path, bindings=None)
     assert any(len(comers.bench.zones_of[f"k{number}"]) == 2 for number in range(8))
-    assert sum(process.ledger.double for process in comers.bench.fleet.every[0]) > 0
+    assert sum(process.ledger.double for process in comers.bench.fleet.all_processes[0]) > 0
 
 
 def test_a_connection_s_end_and_a_file_read_again_are_heard(tmp_path: Path) -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -252,39 +252,39 @@
 def test_who_was_stopped_owes_no_answer_and_everybody_else_does() -> None:
     trial = Trial()
     trial.next_goes_to("b")
-    trial.taken(0.0, "with b", "at_most_once", "all", 0.0, 100.0)
+    trial.request_accepted(0.0, "with b", "at_most_once", "all", 0.0, 100.0)
     trial.next_goes_to("a")
-    trial.taken(0.0, "with a", "idempotent", "all", 0.0, 100.0)
-    trial.told(5.0, "b", "p", "draining")
+    trial.request_accepted(0.0, "with a", "idempotent", "all", 0.0, 100.0)
+    trial.stage_reported(5.0, "b", "p", "draining")
     trial.paused(10.0, "b")
-    trial.told(20.0, "b", "q", "draining")
+    trial.stage_reported(20.0, "b", "q", "draining")
     for call in ("with a", "with b"):
-        trial.departed(100.0, call)
+        trial.client_disconnected(100.0, call)
     assert trial.counts[ONE_ANSWER] == trial.excused == 1
     trial.woke(1000.0, "b")
-    first = trial.sent(1001.0, "with b", "b", "q", 0)  # it was told of the drain just now
-    assert trial.kept is False and trial.counts[ONE_ANSWER] == 1 and trial.counts[DRAINS] == 0
-    trial.ended(1002.0, "with b", first, "refused", False)
-    trial.sent(1003.0, "with b", "b", "r", 0)
+    first = trial.attempt_sent(1001.0, "with b", "b", "q", 0)  # it was told of the drain just now
+    assert trial.all_hold is False and trial.counts[ONE_ANSWER] == 1 and trial.counts[DRAINS] == 0
+    trial.attempt_ended(1002.0, "with b", first, "refused", False)
+    trial.attempt_sent(1003.0, "with b", "b", "r", 0)
     assert trial.counts[REPEATS] == 0
-    trial.sent(1004.0, "with b", "b", "r", 0)  # the attempt before may have run
+    trial.attempt_sent(1004.0, "with b", "b", "r", 0)  # the attempt before may have run
     assert trial.counts[REPEATS] == 1
     trial.next_goes_to("b")
-    trial.taken(1500.0, "later", "idempotent", "all", 0.0, 1600.0)
-    trial.sent(1501.0, "later", "b", "q", 0)
+    trial.request_accepted(1500.0, "later", "idempotent", "all", 0.0, 1600.0)
+    trial.attempt_sent(1501.0, "later", "b", "q", 0)
     assert trial.counts[DRAINS] == 1
-    trial.departed(1600.0, "later")
+    trial.client_disconnected(1600.0, "later")
     assert trial.counts[ONE_ANSWER] == 2 and trial.excused == 1
 
 
 def test_an_attempt_that_the_loop_read_late_is_no_breach() -> None:
     trial = Trial()
     for call, late in (("a", 0.0), ("b", 30.0)):
-        trial.taken(0.0, call, "idempotent", "all", 0.0, 100.0)
-        trial.ended(5.0, call, trial.sent(1.0, call, "s", "p", 0), "answered", True)
-        trial.answered(6.0, call, "served")
+        trial.request_accepted(0.0, call, "idempotent", "all", 0.0, 100.0)
+        trial.attempt_ended(5.0, call, trial.attempt_sent(1.0, call, "s", "p", 0), "answered", True)
+        trial.request_answered(6.0, call, "served")
         trial.lag_ms = lambda late=late: late  # type: ignore[misc]
-        trial.sent(26.0, call, "s", "p", 0)
+        trial.attempt_sent(26.0, call, "s", "p", 0)
     assert trial.counts[ONE_ANSWER] == 1
 
 
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -314,7 +314,7 @@
     for at, text in faults:
         made.at(at, parse(text))
     for at, put in puts:
-        made.kernel.at(at, made.poke, "a", put)
+        made.kernel.schedule(at, made.poke, "a", put)
     made.run(until)
     return made
 
--- a/tests/lab/test_by_hand.py
+++ b/tests/lab/test_by_hand.py
@@ -22,13 +22,13 @@
 
 
 def test_a_sidecar_that_does_not_heed_a_ban_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    def deaf(self: Sidecar, name: str, out: bool) -> None:
-        if out:
-            self._banned.add(name)
-            self._tell_rules(name)
-            self._banned.discard(name)
+    def ignore_ejections(self: Sidecar, name: str, ejected: bool) -> None:
+        if ejected:
+            self._ejected.add(name)
+            self._report_stage(name)
+            self._ejected.discard(name)
 
-    monkeypatch.setattr(Sidecar, "ban", deaf)
+    monkeypatch.setattr(Sidecar, "set_ejected", ignore_ejections)
     assert not play(Job("bans", 1)).figures["rules"]["kept"]
 
 
--- a/tests/lab/test_directory.py
+++ b/tests/lab/test_directory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limenotch.lab.model.chance import Seeds
-from limenotch.lab.model.directory import Broken, Directory, DirectorySpec, Entry, Tell
+from limenotch.lab.model.directory import Directory, DirectorySpec, Entry, ListUpdate, WatchFailed
 
 SPEC = DirectorySpec(
     add_ms=(300, 300),
@@ -17,76 +17,78 @@
 )
 
 
-def made() -> Directory:
+def make_directory() -> Directory:
     directory = Directory(SPEC, Seeds(1).stream("d"))
     for name in "ab":
-        directory.known(Entry(name))
+        directory.add_initial(Entry(name))
     return directory
 
 
-def until(directory: Directory, end: float) -> list[tuple[float, Tell | Broken]]:
-    told = []
-    while (due := directory.due()) <= end:
-        told += [(due, each) for each in directory.run(due)]
-    return told
+def run_until(directory: Directory, end: float) -> list[tuple[float, ListUpdate | WatchFailed]]:
+    updates = []
+    while (next_event_ms := directory.next_event_ms()) <= end:
+        updates += [(next_event_ms, update) for update in directory.run(next_event_ms)]
+    return updates
 
 
 def test_each_kind_of_news_has_its_lag() -> None:
-    directory = made()
-    directory.ask(0.0, "s")
-    (first,) = until(directory, 400.0)
-    assert first == (400.0, Tell("s", True, (Entry("a"), Entry("b"))))
-    directory.happens(1000.0, Entry("a", "draining"))
-    directory.happens(1000.0, Entry("b", "gone"))
-    directory.happens(1000.0, Entry("c", "ready"))
-    directory.happens(1000.0, Entry("d", "gone"), silent=True)  # which it never knew
-    news = [(at, each.entries[0].name) for at, each in until(directory, 1e5) if isinstance(each, Tell)]
-    assert [name for _, name in news] == ["a", "c", "b"]
-    assert [1050 <= news[0][0] < 1150, 1300 <= news[1][0] < 1400, 3000 <= news[2][0] < 3100] == [True] * 3
+    directory = make_directory()
+    directory.query(0.0, "s")
+    (first,) = run_until(directory, 400.0)
+    assert first == (400.0, ListUpdate("s", True, (Entry("a"), Entry("b"))))
+    directory.schedule_change(1000.0, Entry("a", "draining"))
+    directory.schedule_change(1000.0, Entry("b", "gone"))
+    directory.schedule_change(1000.0, Entry("c", "ready"))
+    directory.schedule_change(1000.0, Entry("d", "gone"), silent=True)  # which it never knew
+    updates = [
+        (at_ms, update.entries[0].name) for at_ms, update in run_until(directory, 1e5) if isinstance(update, ListUpdate)
+    ]
+    assert [name for _, name in updates] == ["a", "c", "b"]
+    assert [1050 <= updates[0][0] < 1150, 1300 <= updates[1][0] < 1400, 3000 <= updates[2][0] < 3100] == [True] * 3
     assert sorted(directory.entries) == ["a", "c"] and directory.entries["a"].stage == "draining"
 
 
 def test_callers_are_served_in_turn_and_fail_when_they_wait_too_long() -> None:
-    directory = made()
+    directory = make_directory()
     for number in range(4):
-        directory.ask(0.0, number)
-    told = until(directory, 5000.0)
-    assert [(at, type(each), each.watcher) for at, each in told] == [
-        (400.0, Tell, 0),
-        (800.0, Tell, 1),
-        (1000.0, Broken, 2),
-        (1000.0, Broken, 3),
+        directory.query(0.0, number)
+    updates = run_until(directory, 5000.0)
+    assert [(at_ms, type(update), update.watcher) for at_ms, update in updates] == [
+        (400.0, ListUpdate, 0),
+        (800.0, ListUpdate, 1),
+        (1000.0, WatchFailed, 2),
+        (1000.0, WatchFailed, 3),
     ]
 
 
 def test_down_ends_watches_and_calls_and_news_come_after() -> None:
-    directory = made()
-    directory.ask(0.0, "s")
-    until(directory, 500.0)
-    directory.go_down(600.0, True)
-    assert until(directory, 600.0) == [(600.0, Broken("s"))]
-    directory.ask(700.0, "s")
-    assert until(directory, 700.0) == [(700.0, Broken("s"))]
-    directory.happens(800.0, Entry("a", "gone"))
-    assert until(directory, 5000.0) == []
-    directory.go_down(5000.0, False)
-    directory.ask(5000.0, "s")
-    ((at, told),) = until(directory, 6000.0)
-    assert at == 5400.0 and isinstance(told, Tell) and [entry.name for entry in told.entries] == ["b"]
+    directory = make_directory()
+    directory.query(0.0, "s")
+    run_until(directory, 500.0)
+    directory.set_down(600.0, True)
+    assert run_until(directory, 600.0) == [(600.0, WatchFailed("s"))]
+    directory.query(700.0, "s")
+    assert run_until(directory, 700.0) == [(700.0, WatchFailed("s"))]
+    directory.schedule_change(800.0, Entry("a", "gone"))
+    assert run_until(directory, 5000.0) == []
+    directory.set_down(5000.0, False)
+    directory.query(5000.0, "s")
+    ((at_ms, updates),) = run_until(directory, 6000.0)
+    assert at_ms == 5400.0 and isinstance(updates, ListUpdate) and [entry.name for entry in updates.entries] == ["b"]
 
 
 def test_it_forgets_the_living_and_finds_them_again() -> None:
-    directory = made()
-    directory.ask(0.0, "s")
-    until(directory, 500.0)
-    directory.forget(600.0, "a", 1000.0)
-    stages = [each.entries[0].stage for _, each in until(directory, 5000.0) if isinstance(each, Tell)]
+    directory = make_directory()
+    directory.query(0.0, "s")
+    run_until(directory, 500.0)
+    directory.forget_endpoint(600.0, "a", 1000.0)
+    stages = [update.entries[0].stage for _, update in run_until(directory, 5000.0) if isinstance(update, ListUpdate)]
     assert stages == ["gone", "ready"] and directory.entries["a"].stage == "ready"
 
 
 def test_news_of_a_start_that_a_drain_has_overtaken() -> None:
-    directory = made()
-    directory.happens(0.0, Entry("n", "ready", started_ms=1.0))
-    directory.happens(0.0, Entry("n", "draining", started_ms=1.0))
-    until(directory, 5000.0)
+    directory = make_directory()
+    directory.schedule_change(0.0, Entry("n", "ready", started_ms=1.0))
+    directory.schedule_change(0.0, Entry("n", "draining", started_ms=1.0))
+    run_until(directory, 5000.0)
     assert directory.entries["n"].stage == "draining"
--- a/tests/lab/test_emulate.py
+++ b/tests/lab/test_emulate.py
@@ -18,10 +18,10 @@
 from limenotch.lab.model.chance import Seeds
 from limenotch.lab.model.clients import Clients
 from limenotch.lab.model.directory import Directory, DirectorySpec, Entry
-from limenotch.lab.model.faults import Deed
+from limenotch.lab.model.faults import FaultAction
 from limenotch.lab.model.fleet import Fleet
 from limenotch.lab.model.network import Network
-from limenotch.lab.model.rules import Rules
+from limenotch.lab.model.rules import RuleChecker
 from limenotch.lab.record import Record
 from limenotch.net import http1
 from limenotch.net.discovery import json_stream
@@ -63,11 +63,11 @@
     return planning.plan(scenario.parse(text, "t"), seed)
 
 
-def parts(made: planning.Plan) -> tuple[Fleet, Clients, Record, Rules]:
+def parts(made: planning.Plan) -> tuple[Fleet, Clients, Record, RuleChecker]:
     seeds = Seeds(made.seed)
     network = Network(made.network, seeds)
     clients = Clients(made.clients, made.classes, made.accounts, 1, made.quota_per_s, seeds)
-    return Fleet(made, seeds, network, clients), clients, Record(made, []), Rules()
+    return Fleet(made, seeds, network, clients), clients, Record(made, []), RuleChecker()
 
 
 class Doors:
@@ -82,10 +82,10 @@
 
     async def ask(self, pool: Pool, name: str, work: float = 1.0) -> asyncio.Future[http1.Message | None]:
         answer: asyncio.Future[http1.Message | None] = asyncio.get_running_loop().create_future()
-        self.rules.taken(self.now, name, "idempotent", "all", 0, inf)
+        self.rules.request_accepted(self.now, name, "idempotent", "all", 0, inf)
         pool.ask(call_wire(self.plan, 0, None, name, "", 3000.0, work), answer.set_result)
         for _ in range(2000):
-            if self.rules._calls[name].attempts or answer.done():
+            if self.rules._open[name].attempts or answer.done():
                 break
             await asyncio.sleep(0)
         return answer
@@ -96,8 +96,8 @@
             if answer.done():
                 break
             # What is on its way through the kernel first; then the model's next event.
-            if turn % 50 == 49 and process is not None and process.due() < inf:
-                self.now = max(self.now, process.due())
+            if turn % 50 == 49 and process is not None and process.next_event_ms() < inf:
+                self.now = max(self.now, process.next_event_ms())
                 self.host._run(self.site)
             await asyncio.sleep(0)
         return await answer
@@ -115,15 +115,15 @@
         full = await doors.until(await doors.ask(pool, "full"))
         assert full is not None and full.status == 503 and full.fields[b"x-rejected"] == b"1"
         process = doors.site.process
-        assert process is not None and process.held == 6
-        for changed in doors.fleet.carry_out(doors.now, Deed(doors.now, "kill", 0, 0)):
-            doors.host.stopped(changed.site, changed.tickets)
+        assert process is not None and process.job_count == 6
+        for changed in doors.fleet.apply(doors.now, FaultAction(doors.now, "kill", 0, 0)):
+            doors.host.stopped(changed.site, changed.job_ids)
         assert [await answer for answer in held] == [None] * 6 and not doors.host._attempts
         refused: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         pool.ask(b"GET / HTTP/1.1\r\n\r\n", refused.set_result)
         assert await refused is None
         port = door.port
-        doors.fleet.carry_out(doors.now, Deed(doors.now, "start", 0, 0))
+        doors.fleet.apply(doors.now, FaultAction(doors.now, "start", 0, 0))
         await door.open()  # the same address, another process
         again = await doors.until(await doors.ask(pool, "again"))
         assert door.port == port and again is not None and again.body == b"again only-0-1"
@@ -140,22 +140,22 @@
         pool, process = Pool("127.0.0.1", door.port), doors.site.process
         assert process is not None
         await doors.ask(pool, "left", 1e6)
-        assert process.held == 1
+        assert process.job_count == 1
         pool.close()
-        while process.held:
+        while process.job_count:
             await asyncio.sleep(0)
         assert process.ledger.unspent > 0 and not doors.host._attempts
         pool = Pool("127.0.0.1", door.port)
-        doors.fleet.carry_out(doors.now, Deed(doors.now, "silent", 0, 0, 1.0))
+        doors.fleet.apply(doors.now, FaultAction(doors.now, "silent", 0, 0, 1.0))
         silent = await doors.ask(pool, "silent")
-        assert not silent.done() and process.held == 0
-        doors.fleet.carry_out(doors.now, Deed(doors.now, "silent", 0, 0, 0.0))
+        assert not silent.done() and process.job_count == 0
+        doors.fleet.apply(doors.now, FaultAction(doors.now, "silent", 0, 0, 0.0))
         doors.host.back(doors.site)
         assert await silent is None  # reset once the machine is there again
-        doors.site.spoil = 1.0
+        doors.site.corrupt_chance = 1.0
         spoilt = await doors.ask(pool, "spoilt")
         assert await doors.until(spoilt) is None and SPOILT.startswith(b"HTTP/1.1 2OO")
-        assert doors.rules.kept
+        assert doors.rules.all_hold
         pool.close()
         doors.host.close()
 
@@ -214,7 +214,7 @@
         directory = Directory(
             DirectorySpec(period_ms=0.0, spread_ms=0.0, call_ms=0.0, drain_ms=(5.0, 5.0)), Seeds(1).stream("d")
         )
-        directory.known(Entry("p-0-0"))
+        directory.add_initial(Entry("p-0-0"))
         told: list[str] = []
         hosted = DirectoryHost(
             [directory],
@@ -237,13 +237,13 @@
 
         first = await line()
         assert first["snapshot"] and first["endpoints"] == [{"name": "p-0-0", "s": "ready"}]
-        directory.happens(now[0], Entry("p-0-0", "draining"))
+        directory.schedule_change(now[0], Entry("p-0-0", "draining"))
         now[0] = 5.0
         hosted.tend(0)
         change = await line()
         assert not change["snapshot"] and change["endpoints"] == [{"name": "p-0-0", "s": "draining"}]
         assert told == ["ready", "draining"]
-        directory.go_down(now[0], True)
+        directory.set_down(now[0], True)
         hosted.tend(0)
         with pytest.raises(ConnectionError):
             assert await reader.read() == b""
--- a/tests/lab/test_provider.py
+++ b/tests/lab/test_provider.py
@@ -5,24 +5,26 @@
 import pytest
 
 from limenotch.lab.model.chance import Seeds
-from limenotch.lab.model.jobs import Below, Done, End, Job
-from limenotch.lab.model.keys import Group
+from limenotch.lab.model.jobs import Job, JobEnd, JobFinished, LowerTierRequest
+from limenotch.lab.model.keys import DeduplicationGroup
 from limenotch.lab.model.provider import Provider
 from limenotch.lab.model.provider_spec import ProviderSpec, Stops
 
 
-def make(spec: ProviderSpec, started: float = 0.0, group: Group | None = None, now: float = 0.0) -> Provider:
-    return Provider("p", spec, Seeds(1).stream("p"), group or Group(), now, started)
+def make(
+    spec: ProviderSpec, started: float = 0.0, group: DeduplicationGroup | None = None, now: float = 0.0
+) -> Provider:
+    return Provider("p", spec, Seeds(1).stream("p"), group or DeduplicationGroup(), now, started)
 
 
-def finish(provider: Provider, until: float = 1e12) -> list[tuple[float, Done | Below]]:
+def finish(provider: Provider, until_ms: float = 1e12) -> list[tuple[float, JobFinished | LowerTierRequest]]:
     ended = []
-    while (due := provider.due()) <= until:
-        ended += [(due, effect) for effect in provider.run(due)]
+    while (next_event_ms := provider.next_event_ms()) <= until_ms:
+        ended += [(next_event_ms, effect) for effect in provider.run(next_event_ms)]
     return ended
 
 
-def only(ended: list[tuple[float, Done | Below]]) -> float:
+def only(ended: list[tuple[float, JobFinished | LowerTierRequest]]) -> float:
     assert len(ended) == 1
     return ended[0][0]
 
@@ -40,8 +42,8 @@
 def test_work_warms_it_sooner() -> None:
     spec = ProviderSpec(cold_from=0.5, cold_ms=100_000.0, warm_work_ms=100.0, fall_multiple=1e9)
     cold = make(spec, started=1.0, now=1.0)
-    for ticket in range(4):
-        cold.offer(1.0, Job(ticket, [25.0]))
+    for job_id in range(4):
+        cold.offer(1.0, Job(job_id, [25.0]))
     at = [time for time, _ in finish(cold)]
     assert at[0] == pytest.approx(51.0, rel=0.01) and cold.warmth(at[-1]) == 1.0
     assert at[3] - at[2] < at[1] - at[0]
@@ -52,19 +54,23 @@
     spec = ProviderSpec(cores=2, speed=1.0, cold_from=0.25, cold_ms=1e9, fall_multiple=4, fall_ms=3000)
     cold = make(spec, started=1.0, now=1.0)
     each, sent = 10.0, 0.0
-    while sent < times * 2 * 0.25 * 3000 - each and not cold.fallen:
+    while sent < times * 2 * 0.25 * 3000 - each and not cold.crashed:
         cold.offer(1.0 + sent / 10, Job(int(sent), [each]))
         sent += each
-    assert cold.fallen is falls
+    assert cold.crashed is falls
     if falls:
-        assert not cold.connect(5000.0) and not cold.offer(5000.0, Job(10**9, [1.0])) and cold.due() == float("inf")
+        assert (
+            not cold.connect(5000.0)
+            and not cold.offer(5000.0, Job(10**9, [1.0]))
+            and cold.next_event_ms() == float("inf")
+        )
 
 
 def test_a_warm_provider_never_falls() -> None:
     warm = make(ProviderSpec(queue=10))
-    for ticket in range(1000):
-        warm.offer(1.0, Job(ticket, [1000.0]))
-    assert not warm.fallen and warm.ledger.turned_away == 1000 - 11
+    for job_id in range(1000):
+        warm.offer(1.0, Job(job_id, [1000.0]))
+    assert not warm.crashed and warm.ledger.turned_away == 1000 - 11
 
 
 def test_it_chokes_when_crowded_for_long_and_recovers_after_rest() -> None:
@@ -79,13 +85,13 @@
         choke_most_ms=1e9,
     )
     provider = make(spec)
-    for ticket in range(5):
-        provider.offer(0.0, Job(ticket, [1000.0]))
+    for job_id in range(5):
+        provider.offer(0.0, Job(job_id, [1000.0]))
     finish(provider, 999.0)
     assert not provider.choked
     finish(provider, 1001.0)
     assert provider.choked
-    last = [time for time, effect in finish(provider, 1e5) if isinstance(effect, Done)][-1]
+    last = [time for time, effect in finish(provider, 1e5) if isinstance(effect, JobFinished)][-1]
     assert last == pytest.approx(1000 + 4000 * 2) and not provider.choked  # rest began with the last one's end
     provider.offer(20_000.0, Job(9, [100.0]))
     assert only(finish(provider)) == pytest.approx(20_100.0)
@@ -94,8 +100,8 @@
 def test_choking_ends_by_itself_at_last() -> None:
     spec = ProviderSpec(cores=1, slots=10, choke_at=1, choke_over_ms=10, choke_slower=4, choke_most_ms=100)
     provider = make(spec)
-    for ticket in range(4):
-        provider.offer(0.0, Job(ticket, [1e6]))
+    for job_id in range(4):
+        provider.offer(0.0, Job(job_id, [1e6]))
     finish(provider, 109.0)
     assert provider.choked
     finish(provider, 111.0)
@@ -104,8 +110,8 @@
 
 def test_crowding_costs_speed() -> None:
     provider = make(ProviderSpec(cores=4, slots=4, crowd_at=2, crowd_loss=1.0))
-    for ticket in range(4):
-        provider.offer(0.0, Job(ticket, [100.0]))
+    for job_id in range(4):
+        provider.offer(0.0, Job(job_id, [100.0]))
     assert [round(time) for time, _ in finish(provider)] == [200] * 4  # 1 / (1 + (4 - 2) / 2)
 
 
@@ -121,9 +127,9 @@
     provider = make(ProviderSpec(stops=stops))
     provider.offer(0.0, Job(1, [100.0]))
     provider.offer(0.0, Job(2, [100.0]))
-    provider.drop(40.0, 1)
-    provider.drop(40.0, 2)
-    assert [not provider.holds(1), not provider.holds(2)] == [running, queued]
+    provider.cancel(40.0, 1)
+    provider.cancel(40.0, 2)
+    assert [not provider.has_job(1), not provider.has_job(2)] == [running, queued]
     finish(provider)
     done = 40.0 if running else 100.0 if queued else 200.0
     assert provider.ledger.wasted == pytest.approx(done) and provider.ledger.served == 0
@@ -135,15 +141,15 @@
     provider = make(ProviderSpec())
     provider.offer(0.0, Job(1, [100.0]))
     assert only(finish(provider)) == 100.0
-    assert provider.drop(100.0, 1) == [] and provider.ledger.served == 100.0 and provider.ledger.wasted == 0
+    assert provider.cancel(100.0, 1) == [] and provider.ledger.served == 100.0 and provider.ledger.wasted == 0
 
 
 def test_a_job_whose_time_is_over_when_its_turn_comes_never_runs() -> None:
     provider = make(ProviderSpec())
     provider.offer(0.0, Job(1, [100.0]))
-    provider.offer(0.0, Job(2, [100.0], end=99.0))
+    provider.offer(0.0, Job(2, [100.0], deadline_at_ms=99.0))
     ended = [effect for _, effect in finish(provider)]
-    assert [effect.end for effect in ended if isinstance(effect, Done)] == [End.SERVED, End.EXPIRED]
+    assert [effect.end for effect in ended if isinstance(effect, JobFinished)] == [JobEnd.SERVED, JobEnd.EXPIRED]
     assert provider.ledger.wasted == 0 and provider.ledger.unspent == 100.0
 
 
@@ -152,7 +158,7 @@
     provider.offer(0.0, Job(1, [10.0, 10.0]))
     provider.offer(0.0, Job(2, [5.0]))
     ended = finish(provider)
-    assert len(ended) == 1 and isinstance(ended[0][1], Below) and ended[0][0] == 10.0
+    assert len(ended) == 1 and isinstance(ended[0][1], LowerTierRequest) and ended[0][0] == 10.0
     assert provider.queued == 1 and provider.running == 0
     provider.resume(100.0, 1, served=True)
     assert [time for time, _ in finish(provider)] == [110.0, 115.0]
@@ -163,8 +169,8 @@
     provider.offer(0.0, Job(1, [10.0, 10.0]))
     finish(provider)
     provider.stop(50.0)
-    assert provider.tickets == [] and provider.ledger.wasted == 10.0 and provider.ledger.unspent == 10.0
-    assert provider.resume(60.0, 1, served=True) == [] and provider.due() == float("inf")
+    assert provider.job_ids == [] and provider.ledger.wasted == 10.0 and provider.ledger.unspent == 10.0
+    assert provider.resume(60.0, 1, served=True) == [] and provider.next_event_ms() == float("inf")
 
 
 def test_a_failed_lower_call_fails_the_job() -> None:
@@ -172,12 +178,12 @@
     provider.offer(0.0, Job(1, [10.0, 10.0]))
     finish(provider)
     (effect,) = provider.resume(50.0, 1, served=False)
-    assert isinstance(effect, Done) and effect.end is End.ERROR and provider.held == 0
+    assert isinstance(effect, JobFinished) and effect.end is JobEnd.ERROR and provider.job_count == 0
 
 
 def test_a_keyed_repeat_is_dropped_in_its_group_and_for_its_window() -> None:
-    everyone: dict[str, tuple[float, Group]] = {}
-    here, there = Group(everyone), Group(everyone)
+    all_keys: dict[str, tuple[float, DeduplicationGroup]] = {}
+    here, there = DeduplicationGroup(all_keys), DeduplicationGroup(all_keys)
     one, same, other = (make(ProviderSpec(), group=group) for group in (here, here, there))
     one.offer(0.0, Job(1, [100.0], key="k", window_ms=1000))
     finish(one)
@@ -212,11 +218,11 @@
 def test_faults_on_a_machine() -> None:
     provider = make(ProviderSpec())
     provider.offer(0.0, Job(1, [100.0]))
-    provider.strain(50.0, slow=5.0)
-    provider.strain(100.0, stalled=True)
-    assert provider.due() == float("inf")
-    provider.strain(200.0, stalled=False, slow=1.0, taken=0.5)
+    provider.set_interference(50.0, slowdown=5.0)
+    provider.set_interference(100.0, stalled=True)
+    assert provider.next_event_ms() == float("inf")
+    provider.set_interference(200.0, stalled=False, slowdown=1.0, neighbour_share=0.5)
     assert only(finish(provider)) == pytest.approx(200 + 40 * 2)
     provider.error_burst = 1.0
     provider.offer(500.0, Job(2, [1.0]))
-    assert [e.end for _, e in finish(provider) if isinstance(e, Done)] == [End.ERROR]
+    assert [e.end for _, e in finish(provider) if isinstance(e, JobFinished)] == [JobEnd.ERROR]
--- a/tests/lab/test_queueing.py
+++ b/tests/lab/test_queueing.py
@@ -13,8 +13,8 @@
 
 from limenotch.lab.model.chance import Chance, Seeds
 from limenotch.lab.model.clients import ClassSpec, draw_size
-from limenotch.lab.model.jobs import Done, End, Job
-from limenotch.lab.model.keys import Group
+from limenotch.lab.model.jobs import Job, JobEnd, JobFinished
+from limenotch.lab.model.keys import DeduplicationGroup
 from limenotch.lab.model.provider import Provider
 from limenotch.lab.model.provider_spec import ProviderSpec
 
@@ -27,23 +27,23 @@
     """Times in the system of those served, how many were turned away, and the provider after its last job."""
     seeds = Seeds(seed)
     gaps, sizes = seeds.stream("gaps"), seeds.stream("sizes")
-    provider = Provider("p", spec, seeds.stream("p"), Group(), 0.0)
+    provider = Provider("p", spec, seeds.stream("p"), DeduplicationGroup(), 0.0)
     now, took, lost = 0.0, [], 0
 
     def until(end: float) -> None:
-        while (due := provider.due()) <= end:
-            for effect in provider.run(due):
-                assert isinstance(effect, Done) and effect.end is End.SERVED
-                took.append(due - effect.job.came)
-            if due == inf:
+        while (next_event_ms := provider.next_event_ms()) <= end:
+            for effect in provider.run(next_event_ms):
+                assert isinstance(effect, JobFinished) and effect.end is JobEnd.SERVED
+                took.append(next_event_ms - effect.job.arrived_at_ms)
+            if next_event_ms == inf:
                 return
 
     for number in range(jobs):
         now += gaps.exponential() / rate
         until(now)
         lost += not provider.offer(now, Job(number, [mean * draw_size(size, sizes)]))
-    while provider.held:
-        until(provider.due())
+    while provider.job_count:
+        until(provider.next_event_ms())
     return took, lost, provider
 
 
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -12,7 +12,7 @@
 from limenotch.cli import main
 from limenotch.lab import planning, scenario
 from limenotch.lab.model.chance import Seeds
-from limenotch.lab.model.faults import Script
+from limenotch.lab.model.faults import FaultSchedule
 
 SMALL = """
 name = "small"
@@ -84,9 +84,9 @@
     for tier in range(len(plan.tiers)):
         settings = read_settings(planning.settings_of(plan, tier, 0, 4, 0))
         assert settings.tier_index == tier and len(settings.classes) == len(plan.classes)
-    script = Script(plan, Seeds(1))
-    assert len(script.bands) == len(loaded.fault)
-    assert [deed.at_ms for deed in script.deeds] == sorted(deed.at_ms for deed in script.deeds)
+    schedule = FaultSchedule(plan, Seeds(1))
+    assert len(schedule.intervals) == len(loaded.fault)
+    assert [action.at_ms for action in schedule.actions] == sorted(action.at_ms for action in schedule.actions)
 
 
 def test_what_a_seed_draws() -> None:
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -99,8 +99,8 @@
     for tier in result["tiers"]:
         assert tier["work"]["work_error"] < 1e-9 and tier["work"]["little_error"] < 1e-9
         assert tier["work"]["held_work"] == 0  # all is answered or dropped in the end
-    assert not made._attempts and not made._below and made.rules.open == 0
-    assert all(process.connections >= 0 for tier in made.fleet.every for process in tier)
+    assert not made._attempts and not made._lower_requests and made.rules.open_requests == 0
+    assert all(process.connections >= 0 for tier in made.fleet.all_processes for process in tier)
 
 
 def test_the_same_bytes_in_one_process_and_in_several(two: str, tmp_path: Path) -> None:
@@ -167,7 +167,7 @@
     asked = surge["windows"]["asked"]
     assert sum(asked[4:8]) > 2 * sum(asked[:4]) and surge["accounts"][1]["asked"] > 1.5 * surge["accounts"][0]["asked"]
     hot = world(TWO_TIERS + fault("hot_sidecar", size=0.9))
-    assert hot.record.result()["rules"]["kept"] and not hot.fleet.hot
+    assert hot.record.result()["rules"]["kept"] and not hot.fleet.hot_shares
     down = figures(TWO_TIERS + fault("directory_down") + fault("kill", at_s=5, victims=[0]))
     up = figures(TWO_TIERS + fault("kill", at_s=5, victims=[0]))
     assert down["directory_lines"] != up["directory_lines"] and down["rules"]["kept"]
@@ -188,9 +188,9 @@
 
 def test_an_answer_at_the_very_end_is_in_time() -> None:
     kernel, order = Kernel(), list[str]()
-    kernel.late(5.0, order.append, "deadline")
-    kernel.at(5.0, order.append, "answer")
-    kernel.at(4.0, kernel.at, 5.0, order.append, "asked later")
+    kernel.schedule_last(5.0, order.append, "deadline")
+    kernel.schedule(5.0, order.append, "answer")
+    kernel.schedule(4.0, kernel.schedule, 5.0, order.append, "asked later")
     kernel.run()
     assert order == ["answer", "asked later", "deadline"]
 
