--- a/limenotch/lab/model/clients.py
+++ b/limenotch/lab/model/clients.py
@@ -1,8 +1,8 @@
-"""Open-loop clients: they come whether or not the earlier ones were answered, and some come back.
+"""Open-loop clients: requests arrive whether or not earlier ones were answered, and some clients retry.
 
-The rate may swing as a wave; accounts surge; a trace may stand in for all of that. What a request is (class,
-account, size of its work, patience) is drawn when it is born, from the clients' own streams: the same seed brings
-the same requests whatever is decided about them.
+The rate may vary as a wave, and accounts may surge; a trace of requests may replace both. The properties of a request
+(class, account, size of its work, patience) are drawn when it is created, from the clients' own random streams: the
+same seed gives the same requests, whatever the sidecars decide about them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """A class of calls; `work_ms` is the whole chain's, of one yardstick core."""
+    """A class of requests; `work_ms` is the work of all tiers together, on one reference core."""
 
     name: str
     share: float
@@ -26,44 +26,53 @@
     window_ms: float = 0.0
     dist: str = "exp"  # exp, lognormal, fixed
     cv: float = 1.0
-    attempt_noise: float = 0.0  # standard deviation of the log of what differs between attempts
+    attempt_noise: float = (
+        0.0  # standard deviation of the logarithm of the factor by which the work of attempts differs
+    )
     aim_ms: float = 1000.0
     deadline_ms: float = 3000.0
     worth: float = 1.0
     late_worth: float = 0.0
-    carried: bool = True  # a call's size is that of its lower calls; else each draws its own
+    carried: bool = True  # lower-tier requests have the size of their request; otherwise each draws its own
 
 
 @dataclass(frozen=True, slots=True)
 class AccountSpec:
+    """An account (tenant)."""
+
     name: str
-    share: float  # of the traffic that the fleet's quota covers
-    usage: float = 1.0  # of its share, what it sends on an ordinary day
+    share: float  # of the fleet's quota
+    usage: float = 1.0  # the usual traffic, as a part of the share
 
 
 @dataclass(frozen=True, slots=True)
 class ClientSpec:
+    """The behaviour of all clients; pairs are ranges that are drawn from."""
+
     rate_per_s: float = 10.0
-    wave: float = 0.0  # the rate swings by this part of it
+    wave: float = 0.0  # amplitude of the wave, as a part of the rate
     wave_ms: float = 30_000.0
-    retries: int = 0  # most of a client
-    retry_share: float = 1.0  # of the clients that retry at all
+    retries: int = 0  # maximum of a client
+    retry_share: float = 1.0  # share of the clients that retry at all
     backoff_ms: tuple[float, float] = (100.0, 800.0)
     backoff_grows: bool = False
-    honour: float = 0.9  # of the clients that wait for Retry-After
-    patience: tuple[float, float] = (1.0, 1.0)  # part of the class's deadline that a try is waited for
+    honour: float = 0.9  # share of the clients that obey Retry-After
+    patience: tuple[float, float] = (
+        1.0,
+        1.0,
+    )  # how long a client waits for an attempt, as a part of the class's deadline
     zone_skew: float = 0.0
 
 
 @dataclass(slots=True)
 class Request:
-    """One wish of a client; its tries are calls of their own."""
+    """A request of a client; each of its attempts is a request of its own to a sidecar."""
 
     number: int
     created_at_ms: float
     cls: int
     account: int
-    size: float  # factor on the class's work
+    size: float  # factor of the work of its class
     budget_ms: float
     zone: int
     retries: int
@@ -76,6 +85,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceRow:
+    """A request of a trace."""
+
     at_ms: float
     cls: int
     account: int
@@ -83,7 +94,7 @@
 
 
 def draw_size(spec: ClassSpec, chance: Chance) -> float:
-    """With mean 1."""
+    """Draws a size, with mean 1."""
     if spec.dist == "fixed":
         return 1.0
     if spec.dist == "exp":
@@ -93,6 +104,8 @@
 
 
 class Clients:
+    """Creates the requests of a run."""
+
     def __init__(
         self,
         spec: ClientSpec,
@@ -103,7 +116,7 @@
         seeds: Seeds,
         trace: tuple[TraceRow, ...] | None = None,
     ) -> None:
-        """`quota_per_s` is what all accounts together may send at their worth."""
+        """`quota_per_s` is the rate that all accounts together may send within their quotas."""
         self.spec, self.classes, self.accounts = spec, classes, accounts
         self.quota_per_s = quota_per_s
         self._arrivals, self._properties = seeds.stream("clients", "gaps"), seeds.stream("clients", "what")
@@ -116,11 +129,14 @@
         weights = [1.0 + spec.zone_skew * (1.0 if z == 0 else 0.0) for z in range(zones)]
         self._zones = [w / sum(weights) for w in weights]
         self._shares = [c.share / sum(c.share for c in classes) for c in classes]
-        self._quota_tokens = [0.0] * len(self._usual_shares)  # of each account's quota, and since when
+        self._quota_tokens = [0.0] * len(
+            self._usual_shares
+        )  # by account, a token bucket; and the time of its last update
         self._quota_updated_ms = [0.0] * len(self._usual_shares)
         self.request_count = 0
 
     def rate_per_s(self, now: float) -> float:
+        """The present rate of new requests."""
         spec = self.spec
         wave = 1.0 + spec.wave * sin(2 * pi * (now / spec.wave_ms + self._phase)) if spec.wave else 1.0
         return (
@@ -133,7 +149,7 @@
         )
 
     def next(self, now: float) -> Request | None:
-        """The one after `now`, in order; None when a trace is at its end."""
+        """The next request after `now`; None at the end of a trace."""
         if self._trace is not None:
             row = next(self._trace, None)
             return None if row is None else self._request(max(row.at_ms, now), row.cls, row.account, row.size)
@@ -174,7 +190,7 @@
         return available
 
     def retry_delay_ms(self, request: Request, outcome: str, retry_after_ms: float) -> float | None:
-        """After how long the client tries again; None: never. `outcome` is not `served`."""
+        """The delay in ms until the client retries; None: it gives up. `outcome` is not `served`."""
         if request.attempts > request.retries:
             return None
         low, high = self.spec.backoff_ms
@@ -182,7 +198,7 @@
             2.0 ** (request.attempts - 1) if self.spec.backoff_grows else 1.0
         )
         if outcome == "rejected" and request.honours_retry_after and retry_after_ms > 0:
-            # Who is told when to come back spreads a little, as real clients do.
+            # Clients that obey Retry-After return over a short span, as real clients do.
             delay_ms = max(delay_ms, retry_after_ms * (1.0 + 0.2 * self._backoff.uniform()))
         return delay_ms
 
--- a/limenotch/lab/model/directory.py
+++ b/limenotch/lab/model/directory.py
@@ -1,8 +1,8 @@
-"""The directory of one tier: it lags, serves its callers in turn, goes down, and may forget.
+"""The directory (discovery service) of one tier: it lags, serves queries in turn, goes down, and loses entries.
 
-What happens to a provider becomes known here after a lag (`learns`), and is written to each watcher at that
-watcher's next period. A new watch is a call for the whole list: calls are served one after another, and one that
-has waited too long fails. When the directory is down, watches end and calls fail after their time.
+A change of a provider becomes known here after a lag and is written to each watcher at that watcher's next period. A
+watch starts with a query for the complete list. Queries are served one after another, and a query that would wait
+longer than the time-out fails. When the directory goes down, all watches end, and queries fail while it is down.
 """
 
 from __future__ import annotations
@@ -18,19 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectorySpec:
-    add_ms: tuple[float, float] = (250.0, 1600.0)  # until a provider that has started is listed
-    drain_ms: tuple[float, float] = (50.0, 300.0)  # until a drain that was announced is listed
+    """Lags and service times of a directory, in ms."""
+
+    add_ms: tuple[float, float] = (250.0, 1600.0)  # until a started provider is listed
+    drain_ms: tuple[float, float] = (50.0, 300.0)  # until an announced drain is listed
     notice_ms: tuple[float, float] = (1900.0, 4900.0)  # until a death is noticed
     silent_ms: tuple[float, float] = (6300.0, 13000.0)  # until a silent machine is noticed
-    period_ms: float = 500.0  # how often a watcher is written to
+    period_ms: float = 500.0  # interval between updates to a watcher
     spread_ms: float = 50.0
-    call_ms: float = 20.0  # work for one call of the whole list
+    call_ms: float = 20.0  # time to serve a query of the complete list
     timeout_ms: float = 2000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One line of the list."""
+    """An entry of the endpoint list."""
 
     name: str
     stage: str = "ready"  # ready, draining, gone
@@ -42,7 +44,7 @@
 
 
 class ListUpdate(NamedTuple):
-    """Written to a watcher now."""
+    """An update of the list that is written to a watcher: the complete list or changed entries."""
 
     watcher: Hashable
     complete: bool
@@ -50,7 +52,7 @@
 
 
 class WatchFailed(NamedTuple):
-    """The watch, or the call for it, has failed now."""
+    """The watch, or the query for it, has failed."""
 
     watcher: Hashable
 
@@ -58,28 +60,30 @@
 @dataclass(slots=True)
 class _Watch:
     phase_ms: float
-    next_change_index: int = -1  # the latest change it has; -1: not served yet
-    due_at_ms: float = inf  # when it is written to next
+    next_change_index: int = -1  # into the change log
+    due_at_ms: float = inf  # when the next update is written
 
 
 class Directory:
+    """A state machine; `run` must be called at the time that `next_event_ms` gives."""
+
     def __init__(self, spec: DirectorySpec, chance: Chance) -> None:
         self.spec, self._chance = spec, chance
-        self.entries: dict[str, Entry] = {}  # as known here, those gone left out
+        self.entries: dict[str, Entry] = {}  # as known here, without removed providers
         self.down = False
-        self._change_log: list[Entry] = []  # all of them, in the order known
+        self._change_log: list[Entry] = []  # all changes, in the order in which they became known
         self._watches: dict[Hashable, _Watch] = {}
         self._events: list[tuple[float, int, str, Any]] = []
         self._event_count = 0
         self._idle_at_ms = 0.0
 
     def add_initial(self, entry: Entry) -> None:
-        """Listed from the beginning."""
+        """Lists a provider from the beginning of the run."""
         self.entries[entry.name] = entry
         self._change_log.append(entry)
 
     def schedule_change(self, now: float, entry: Entry, silent: bool = False) -> None:
-        """A provider has changed; it becomes known after the lag for that kind of change."""
+        """A provider has changed; the change becomes known after the lag of its kind."""
         spec = self.spec
         lag_range_ms = {"ready": spec.add_ms, "draining": spec.drain_ms, "gone": spec.notice_ms}[entry.stage]
         if silent:
@@ -87,19 +91,20 @@
         self._schedule(now + self._chance.between(*lag_range_ms), "learn", entry)
 
     def forget_endpoint(self, now: float, name: str, duration_ms: float) -> None:
-        """It loses an entry that is alive, and finds it again."""
+        """Loses the entry of a running provider and lists it again after `duration_ms`."""
         entry = self.entries.get(name)
         if entry is not None:
             self._schedule(now, "learn", replace(entry, stage="gone"))
             self._schedule(now + duration_ms, "learn", entry)
 
     def set_down(self, now: float, down: bool) -> None:
+        """Takes the directory down, which ends all watches, or up again."""
         self.down = down
         if down:
             self._schedule(now, "end", None)
 
     def query(self, now: float, watcher: Hashable) -> None:
-        """A call for the whole list and all changes from then on."""
+        """A query for the complete list and for a watch of all later changes."""
         start_ms = max(now, self._idle_at_ms)
         if self.down or start_ms + self.spec.call_ms - now > self.spec.timeout_ms:
             self._schedule(now + self.spec.timeout_ms if not self.down else now, "fail", watcher)
@@ -108,12 +113,15 @@
         self._schedule(self._idle_at_ms, "serve", watcher)
 
     def remove_watcher(self, watcher: Hashable) -> None:
+        """Ends a watch without a message."""
         self._watches.pop(watcher, None)
 
     def next_event_ms(self) -> float:
+        """The time of the next event; inf if there is none."""
         return self._events[0][0] if self._events else inf
 
     def run(self, now: float) -> list[ListUpdate | WatchFailed]:
+        """Handles all events up to `now` and returns the messages to watchers."""
         updates: list[ListUpdate | WatchFailed] = []
         while self._events and self._events[0][0] <= now:
             due_at_ms, _, kind, subject = heappop(self._events)
@@ -141,7 +149,7 @@
         else:
             current = self.entries.get(entry.name)
             if current is not None and current.stage == "draining" and entry.started_ms == current.started_ms:
-                return  # news that were overtaken
+                return  # outdated: the drain of this process is known already
             self.entries[entry.name] = entry
         self._change_log.append(entry)
         for name, watch in self._watches.items():
--- a/limenotch/lab/model/faults.py
+++ b/limenotch/lab/model/faults.py
@@ -1,6 +1,6 @@
-"""The script of faults: what the scenario says, with victims drawn by the seed, as deeds in order of time.
+"""The schedule of faults: the scenario's faults as actions in order of time, with victims drawn by the seed.
 
-All is drawn before the run begins, so that what the sidecars decide changes nothing about what befalls them.
+All of it is drawn before the run begins, so the sidecars' decisions do not change which faults occur.
 """
 
 from __future__ import annotations
@@ -19,13 +19,14 @@
 
 
 class FaultAction(NamedTuple):
-    """One thing that happens. What `value` means is the kind's matter.
-
-    drain, stop, start, kill (value: ms until a new process starts, 0: never), silent (1 or 0), slow (times slower),
-    neighbour (part taken), stall (1 or 0), errors (chance), spoil (chance), forget (ms): of machine `target` of `tier`.
-    directory (1: down), surge (factor; account `target`), hot (part of all traffic; entry sidecar `target`),
-    cut (1 or 0; zones `target` and `other`): of the whole.
-    ban (1: out by hand, 0: back) of a machine; retune (attempts) of all sidecars; upgrade of entry sidecar `target`.
+    """One step of a fault. The meaning of `value` depends on the kind:
+
+    Of machine `target` of `tier`: drain, stop, start, kill (ms until a new process starts, 0: never), silent (1 or 0),
+    slow (factor), neighbour (share taken), stall (1 or 0), errors (chance), spoil (chance), forget (ms),
+    ban (1: ejected by an operator, 0: readmitted).
+    Of the whole deployment: directory (1: down), surge (factor; account `target`), hot (share of all traffic; entry
+    sidecar `target`), cut (1 or 0; zones `target` and `second_zone`).
+    retune (attempts) concerns all sidecars, upgrade entry sidecar `target`.
     """
 
     at_ms: float
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultInterval:
-    """A fault as a report draws it."""
+    """The duration of a fault, as a report draws it."""
 
     kind: str
     begin_ms: float
@@ -51,7 +52,7 @@
 
 
 class FaultSchedule:
-    """The deeds of a plan, in order."""
+    """The fault actions of a plan, in order of time."""
 
     def __init__(self, plan: Plan, seeds: Seeds) -> None:
         self._plan = plan
@@ -91,7 +92,7 @@
             count = max(round(_draw(fault.part, chance) * machines), 1)
         return chance.permutation(machines)[:count]
 
-    # One method a kind: from the begin on, for the length.
+    # One method for each kind of fault, which starts at `begin_ms` and lasts `length_ms`.
 
     def _deploy(
         self,
@@ -103,7 +104,7 @@
         tier: int,
         victims: list[int],
     ) -> Iterator[FaultAction]:
-        """In batches: drain, end, and start a new process on the machine, one batch after another."""
+        """Drains, stops and replaces the processes, one batch of machines after another."""
         machines = len(self._plan.tiers[tier].machines)
         drain_ms = _draw(fault.drain_s, chance) * 1000.0
         batch_size = max(round(_draw(fault.batch, chance) * machines), 1)
@@ -234,7 +235,7 @@
         tier: int,
         victims: list[int],
     ) -> Iterator[FaultAction]:
-        """One after another. A restart would give the machine's process a new name here, so there is none."""
+        """Ejects one machine after another. None restarts, since a restarted process has a new name here."""
         for number, machine in enumerate(victims):
             at_ms = begin_ms + number * length_ms
             yield FaultAction(at_ms, "ban", tier, machine, 1.0)
@@ -264,7 +265,7 @@
         tier: int,
         victims: list[int],
     ) -> Iterator[FaultAction]:
-        """All entries in turn."""
+        """Upgrades all entry sidecars in turn."""
         count = self._plan.scenario.sidecars.count
         for sidecar in range(count):
             yield FaultAction(begin_ms + length_ms * sidecar / count, "upgrade", target=sidecar)
@@ -292,7 +293,7 @@
         tier: int,
         victims: list[int],
     ) -> Iterator[FaultAction]:
-        # One service for all tiers.
+        # One discovery service serves all tiers.
         yield FaultAction(begin_ms, "directory", value=1.0)
         yield FaultAction(begin_ms + length_ms, "directory", value=0.0)
 
@@ -306,7 +307,7 @@
         off_value: float,
         on_value: float,
     ) -> Iterator[FaultAction]:
-        """Up to `on` within `rise`, and back as fast at the end."""
+        """Raises the value from `off_value` to `on_value` within `rise_ms`, and lowers it as fast at the end."""
         steps = max(int(rise_ms / RISE_STEP_MS), 1)
         for step in range(1, steps + 1):
             value = off_value + (on_value - off_value) * step / steps
@@ -359,7 +360,7 @@
         victims: list[int],
     ) -> Iterator[FaultAction]:
         zones = self._plan.network.zones
-        assert fault.zones is not None  # checked with the scenario
+        assert fault.zones is not None  # ensured by the check of the scenario
         first_zone, second_zone = zones.index(fault.zones[0]), zones.index(fault.zones[1])
         yield FaultAction(begin_ms, "cut", target=first_zone, second_zone=second_zone, value=1.0)
         yield FaultAction(begin_ms + length_ms, "cut", target=first_zone, second_zone=second_zone, value=0.0)
--- a/limenotch/lab/model/fleet.py
+++ b/limenotch/lab/model/fleet.py
@@ -1,6 +1,6 @@
-"""The fleet: machines and the processes on them, what groups know of keys, and a directory for each tier.
+"""The providers: machines and their processes, the idempotency keys of groups, and a directory for each tier.
 
-It carries out the deeds of the script. What a host has to do about connections it reads from the changes.
+Fault actions are applied here. The changes that are returned state what a host must do about connections.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from .directory import Directory, Entry
 from .faults import FaultAction
 from .jobs import Job
-from .keys import DeduplicationGroup
+from .keys import KeyGroup
 from .network import Network
 from .provider import Provider
 
@@ -22,14 +22,14 @@
 
 
 class Site:
-    """One machine now: its process, and what the machine itself suffers."""
+    """The present state of one machine: its process and its faults."""
 
     def __init__(self, machine: Machine, name: str) -> None:
         self.machine, self.tier_name = machine, name
         self.generation = -1
         self.process: Provider | None = None
         self.draining = False
-        self.silent = False  # nothing it sends arrives, nor does anything reach it
+        self.silent = False  # no message arrives from it or at it
         self.slowdown, self.neighbour_share, self.stalled, self.error_chance, self.corrupt_chance = (
             1.0,
             0.0,
@@ -40,17 +40,18 @@
 
     @property
     def name(self) -> str:
-        """Of its present process."""
+        """The name of the present process."""
         return f"{self.tier_name}-{self.machine.index}-{self.generation}"
 
     @property
     def is_running(self) -> bool:
+        """Whether a process runs on the machine."""
         return self.process is not None and not (self.process.stopped or self.process.crashed)
 
 
 class FleetChange(NamedTuple):
-    """What a host must see to: `started` a process, `stopped` one (connections are reset, the jobs are lost),
-    `drains`: it takes no new connections' work from now on, `hushed` or `back`: a silent machine."""
+    """A change that a host must handle: a process has `started` or `stopped` (connections are reset, the jobs in
+    `job_ids` are lost), it `drains`, or a machine has become silent (`hushed`) or reachable again (`back`)."""
 
     kind: str
     site: Site
@@ -58,16 +59,18 @@
 
 
 class Fleet:
+    """All machines of all tiers."""
+
     def __init__(self, plan: Plan, seeds: Seeds, network: Network, clients: Clients) -> None:
         self.plan, self._seeds, self.network, self.clients = plan, seeds, network, clients
         self.sites = [[Site(m, tier.name) for m in tier.machines] for tier in plan.tiers]
         self.directories = [
             Directory(plan.directory, seeds.stream("directory", number)) for number in range(len(plan.tiers))
         ]
-        self.hot_shares: dict[int, float] = {}  # entry sidecars, and the part of all traffic each is given
-        self._all_keys: dict[str, tuple[float, DeduplicationGroup]] = {}
-        self._groups: dict[tuple[int, str, int], DeduplicationGroup] = {}
-        self.all_processes: list[list[Provider]] = [[] for _ in plan.tiers]  # processes, those gone included
+        self.hot_shares: dict[int, float] = {}  # by entry sidecar: the share of all traffic that it gets
+        self._all_keys: dict[str, tuple[float, KeyGroup]] = {}
+        self._groups: dict[tuple[int, str, int], KeyGroup] = {}
+        self.all_processes: list[list[Provider]] = [[] for _ in plan.tiers]  # by tier, stopped processes included
         self._entry_choice = seeds.stream("front")
         self._work = [seeds.stream("work", tier) for tier in range(len(plan.tiers))]
         self._scope = next((c.scope for c in plan.classes if c.effect == "deduplicated"), "all")
@@ -77,7 +80,7 @@
                 self.directories[tier].add_initial(self.entry(site))
 
     def entry_rank(self, zone: int) -> int:
-        """The entry sidecar that the front gives a try of this zone to: a hot one, or one of the zone."""
+        """Draws the entry sidecar for an attempt of a client in this zone: a hot one, or one of the zone."""
         draw = self._entry_choice.uniform()
         for rank, share in self.hot_shares.items():
             draw -= share
@@ -88,18 +91,19 @@
         return ranks[self._entry_choice.index(len(ranks))]
 
     def sidecar_seed(self, key: tuple[int, int]) -> int:
-        """Of the sidecar that sends to tier `key[0]`; an inner one's is new with each process of its machine."""
+        """The seed of the sidecar that sends to tier `key[0]`; an inner sidecar gets a new seed with each process."""
         tier, number = key
         generation = 0 if tier == 0 else self.sites[tier - 1][number].generation
         return int(self._seeds.stream("sidecar", tier, number, generation).uniform() * 2**53)
 
     def group_of(self, machine: Machine) -> int:
-        """The number of the group that drops the repeats of one another."""
+        """The number of the group whose providers deduplicate requests together."""
         if self._scope == "zone":
             return machine.zone
         return machine.cell if self._scope == "cell" else 0
 
     def entry(self, site: Site, stage: str = "ready") -> Entry:
+        """The directory entry of the present process."""
         m = site.machine
         started = site.process.started_ms if site.process is not None else 0.0
         return Entry(site.name, stage, m.zone, m.kind, m.cell, m.weight, started)
@@ -108,7 +112,7 @@
         site.generation += 1
         site.draining = False
         m = site.machine
-        group = self._groups.setdefault((m.tier, self._scope, self.group_of(m)), DeduplicationGroup(self._all_keys))
+        group = self._groups.setdefault((m.tier, self._scope, self.group_of(m)), KeyGroup(self._all_keys))
         chance = self._seeds.stream("provider", m.tier, m.index, site.generation)
         site.process = Provider(site.name, m.spec, chance, group, now, started_ms)
         self.all_processes[m.tier].append(site.process)
@@ -116,7 +120,7 @@
         site.process.set_interference(now, site.slowdown, site.neighbour_share, site.stalled)
 
     def job(self, tier: int, job_id: int, cls: int, size: float, key: str, deadline_at_ms: float) -> Job:
-        """What an attempt at a call brings to a provider of this tier: its work, cut by the calls it makes below."""
+        """The job of an attempt at a provider of this tier; requests to the tier below cut its work into segments."""
         spec, chance = self.plan.classes[cls], self._work[tier]
         noise = spec.attempt_noise
         noise_factor = exp(noise * chance.normal() - noise * noise / 2) if noise else 1.0
@@ -126,7 +130,7 @@
         return Job(job_id, [work / (count + 1)] * (count + 1), deadline_at_ms, key, spec.window_ms, cls, size)
 
     def lower_budget_ms(self, now: float, job: Job) -> float:
-        """How long a job waits for an answer of the tier below, ms."""
+        """How long a job waits for a response of the tier below, in ms."""
         deadline_ms = self.plan.classes[job.cls].deadline_ms
         return (
             min(max(job.deadline_at_ms - now, 1.0), deadline_ms)
@@ -135,20 +139,20 @@
         )
 
     def lower_request_size(self, job: Job, tier: int) -> float:
-        """Of a lower call of a job of this tier."""
+        """The size of a lower-tier request of a job of this tier."""
         spec = self.plan.classes[job.cls]
         return job.size if spec.carried else draw_size(spec, self._work[tier])
 
     def lower_request_key(self, cls: int, number: int) -> str:
-        """A lower call is a call of its own, and so is its key."""
+        """The idempotency key of a lower-tier request, which is a request of its own."""
         return f"b{number}" if self.plan.classes[cls].effect == "deduplicated" else ""
 
     def corrupts_response(self, site: Site) -> bool:
-        """Whether the answer that its process gives now arrives spoilt."""
+        """Draws whether the present response of the process arrives corrupted."""
         return site.corrupt_chance > 0 and self._work[site.machine.tier].occurs(site.corrupt_chance)
 
     def crash(self, now: float, site: Site) -> list[FleetChange]:
-        """A process was pushed over: it is down, and the directory learns of it as of any death."""
+        """A process has crashed under load: it stops, and the directory notices it as any other death."""
         return self._stop_process(now, site, "stopped")
 
     def _stop_process(self, now: float, site: Site, kind: str) -> list[FleetChange]:
@@ -161,6 +165,7 @@
         return [FleetChange(kind, site, job_ids)]
 
     def apply(self, now: float, action: FaultAction) -> list[FleetChange]:
+        """Applies a fault action. Raises ValueError for an unknown kind."""
         if action.kind in ("directory", "surge", "hot", "cut"):
             self._apply_to_fleet(now, action)
             return []
--- a/limenotch/lab/model/jobs.py
+++ b/limenotch/lab/model/jobs.py
@@ -40,7 +40,7 @@
     size: float = 1.0  # of its request; requests to the tier below inherit it
     arrived_at_ms: float = 0.0
     work_ms: float = 0.0  # in all
-    remaining_ms: float = 0.0  # of `work_ms`, not yet done
+    left_ms: float = 0.0  # of `work_ms`, not yet done
     state: JobState = JobState.QUEUED
     finish_virtual_ms: float = 0.0  # on the provider's virtual clock
     will_fail: bool = False
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Sums of work in ms. `offered` equals refused + served + wasted + unspent + the work of present jobs (`held_work`)."""
+    """Sums of work in ms. `offered` is refused + served + wasted + unspent + the work of present jobs (`held_work`)."""
 
     offered: float = 0.0
     refused: float = 0.0
--- a/limenotch/lab/model/keys.py
+++ b/limenotch/lab/model/keys.py
@@ -5,10 +5,10 @@
 from collections import deque
 
 
-class DeduplicationGroup:
+class KeyGroup:
     """The keys that the providers of one group have served, each until the end of its window."""
 
-    def __init__(self, all_keys: dict[str, tuple[float, DeduplicationGroup]] | None = None) -> None:
+    def __init__(self, all_keys: dict[str, tuple[float, KeyGroup]] | None = None) -> None:
         self._expiry_by_key: dict[str, float] = {}
         self._expiries: deque[tuple[float, str]] = deque()
         self._all_keys = all_keys if all_keys is not None else {}
--- a/limenotch/lab/model/provider.py
+++ b/limenotch/lab/model/provider.py
@@ -1,25 +1,25 @@
-"""A provider: cores, slots and a waiting room; what makes it slow, and what makes it fall.
+"""A provider: cores, slots and a queue; what slows it down, and what crashes it.
 
-Theory. Jobs in work share the cores evenly (egalitarian processor sharing): with n jobs running, each advances at
-`min(1, cores / n)` of one core. One figure, the service that a job running since ever would have got (`_virtual`),
-serves them all: a job that needs w more ends when `_virtual` has grown by w. So a change of speed costs O(1) and
-a start or an end O(log n), whatever the number of jobs. With as many slots as cores nothing is ever shared, and the
-same machine is a first-come-first-served queue M/G/c/K, which is what the tests hold it against.
+Theory. Running jobs share the cores evenly (egalitarian processor sharing): with n jobs running, each advances at
+`min(1, cores / n)` of one core. A virtual clock (`_virtual_ms`) counts the service that a job running since the
+beginning would have received. A job that needs w more ends when the virtual clock has advanced by w. So a change of
+speed costs O(1), and a start or an end O(log n), for any number of jobs. With as many slots as cores no core is
+shared, and the provider is a first-come-first-served M/G/c/K queue, with whose theory the tests compare it.
 
-A job is a row of pieces of work with a call of the tier below between two of them; it keeps its slot meanwhile.
+A job is a sequence of segments of work with a request to the tier below between each two; it keeps its slot meanwhile.
 
-Speed, relative to the yardstick machine, is the product of:
+Speed, relative to the reference machine, is the product of:
 
 - `speed` of the kind;
-- warmth: `cold_from` at the start, growing evenly to 1 over `cold_ms`, or sooner by the work done (`warm_work_ms`);
-- crowding: beyond `crowd_at` jobs held, 1 / (1 + crowd_loss * (held - crowd_at) / crowd_at);
-- choking: 1 / `choke_slower` from the moment when more than `choke_at` jobs a core have been runnable for
-  `choke_over_ms`, until fewer than `choke_below` a core were for `choke_rest_ms`, or `choke_most_ms` have passed;
-- the connections held: 1 - full_tax * connections / cap;
-- what faults take: a slow machine, a neighbour, a stall.
-
-A cold provider that was sent more work within any `fall_ms` than `fall_multiple` times what it could do falls over
-and stays down.
+- warm-up: `cold_from` at the start, rising linearly to 1 over `cold_ms`, or earlier by work done (`warm_work_ms`);
+- crowding: beyond `crowd_at` jobs in slots, 1 / (1 + crowd_loss * (jobs - crowd_at) / crowd_at);
+- choking: 1 / `choke_slower`, from the time when more than `choke_at` jobs per core have been runnable for
+  `choke_over_ms` until fewer than `choke_below` per core were for `choke_rest_ms`, or `choke_most_ms` have passed;
+- open connections: 1 - full_tax * connections / cap;
+- faults: a slow machine, a neighbour on the machine, a stall.
+
+A provider in warm-up crashes, and stays down, if it was sent more work within any `fall_ms` than `fall_multiple`
+times its capacity.
 """
 
 from __future__ import annotations
@@ -31,36 +31,30 @@
 from .chance import Chance
 from .choking import Choking
 from .jobs import EPSILON, Effect, Job, JobEnd, JobFinished, JobState, Ledger, LowerTierRequest, Report
-from .keys import DeduplicationGroup
+from .keys import KeyGroup
 from .provider_spec import ProviderSpec, Stops
 
-WARMUP_UPDATE_MS = 100.0  # how often the speed of a warming provider is brought up to date while nothing else happens
+WARMUP_UPDATE_MS = 100.0  # interval of the updates of the speed during warm-up, without other events
 
 
 class Provider:
-    """One process on one machine. Told of times that never run back."""
+    """One process on one machine. Times are in ms and must not decrease."""
 
     def __init__(
-        self,
-        name: str,
-        spec: ProviderSpec,
-        chance: Chance,
-        group: DeduplicationGroup,
-        now: float,
-        started_ms: float = 0.0,
+        self, name: str, spec: ProviderSpec, chance: Chance, group: KeyGroup, now: float, started_ms: float = 0.0
     ) -> None:
-        """`started_ms` 0: it has been warm for long."""
+        """`started_ms` 0: the process finished its warm-up long ago."""
         self.name, self.spec, self.group, self._chance = name, spec, group, chance
         self.started_ms = started_ms
         self.ledger = Ledger()
         self.connections = 0
-        self.job_count = 0  # jobs here, in any state
+        self.job_count = 0  # in any state
         self.running = 0
         self.queue: deque[Job] = deque()
         self.queued = 0
         self.crashed = self.stopped = False
         self.slowdown, self.neighbour_share, self.stalled = 1.0, 0.0, False  # by faults
-        self.error_burst = 0.0  # by faults: chance of an error beside the kind's
+        self.error_burst = 0.0  # by faults: probability of an error, added to `error_rate`
         self._busy_slots = 0
         self._heap: list[tuple[float, int, Job]] = []
         self._jobs: dict[int, Job] = {}
@@ -69,19 +63,19 @@
         self._completed_work_ms = 0.0
         self._recent_work: deque[tuple[float, float]] = deque()
         self._recent_work_ms = 0.0
-        self.max_cold_load_ratio = 0.0  # while cold: the most it was sent, as a part of what makes it fall
+        self.max_cold_load_ratio = 0.0  # during warm-up: the maximum load, relative to the load that crashes it
         self._choking = Choking(spec)
-        self._current_report = self._visible_report = Report(0.0, 0.0, 0.0)
+        self._report = self._sent_report = Report(0.0, 0.0, 0.0)
         self._report_made_at_ms, self._next_report_ms = -inf, now + spec.report_ms * chance.uniform()
-        self._report_window = (now, 0.0, 0, 0.0)  # since, busy_ms, jobs, service_ms: of the report under way
+        self._report_window = (now, 0.0, 0, 0.0)  # start, busy_ms, jobs, service_ms: of the next report
         self._served_jobs = 0
         self._served_work_ms = 0.0
         self._update_speed(now)
 
-    # What it is like now
+    # Present state
 
     def warmth(self, now: float) -> float:
-        """Part of its capacity that it has now."""
+        """The present share of the full capacity, below 1 during warm-up."""
         if not self._warming_up:
             return 1.0
         spec = self.spec
@@ -96,6 +90,7 @@
 
     @property
     def choked(self) -> bool:
+        """Whether the process is slowed down by choking."""
         return self._choking.choked
 
     @property
@@ -104,30 +99,31 @@
 
     @property
     def job_ids(self) -> list[int]:
-        """Of the jobs held."""
+        """The ids of all present jobs."""
         return list(self._jobs)
 
     def has_job(self, job_id: int) -> bool:
+        """Whether the job is present, in any state."""
         return job_id in self._jobs
 
     def sojourn_ms(self, now: float) -> float:
-        """Time spent here by all jobs, those still here included: Little's law has it equal `held_ms`."""
+        """Time spent here by all jobs, including present ones; by Little's law it equals `held_ms`."""
         return self.ledger.sojourn_ms + sum(now - job.arrived_at_ms for job in self._jobs.values())
 
     @property
     def held_work(self) -> float:
-        """Work of the jobs held that is neither done nor given up; done work of theirs included."""
+        """The work of all present jobs, including the part that is done already."""
         return sum(job.work_ms for job in self._jobs.values())
 
     def report(self, now: float) -> Report:
-        """The load report that an answer given now carries: made some time ago, and a little noisy."""
+        """The load report that a response carries now: delayed and noisy."""
         self._advance(now)
         if now - self._report_made_at_ms >= self.spec.report_delay_ms:
-            self._visible_report = self._current_report
-        return self._visible_report
+            self._sent_report = self._report
+        return self._sent_report
 
     def next_event_ms(self) -> float:
-        """When `run` must be called next; inf if nothing is under way. Holds until anything is told."""
+        """The time of the next call of `run`; inf if nothing is in work. Valid until the next call of any method."""
         if self.crashed or self.stopped:
             return inf
         at_ms = inf
@@ -138,10 +134,10 @@
                 at_ms = min(at_ms, self._updated_at_ms + WARMUP_UPDATE_MS)
         return min(at_ms, self._choking.next_event_ms())
 
-    # What it is told
+    # Events from the host
 
     def connect(self, now: float) -> bool:
-        """A connection comes in; False if it holds as many as it can, or does not run."""
+        """Accepts a connection; False if all connections are in use or the process does not run."""
         if self.crashed or self.stopped or self.connections >= self.spec.connections:
             return False
         self._advance(now)
@@ -151,12 +147,13 @@
         return True
 
     def disconnect(self, now: float) -> None:
+        """Closes a connection."""
         self._advance(now)
         self.connections = max(self.connections - 1, 0)
         self._update_speed(now)
 
     def probe(self, now: float) -> bool:
-        """A probe is answered beside the queue and costs work; False if the process is not there."""
+        """Answers a probe outside the queue, which costs work; False if the process does not run."""
         if self.crashed or self.stopped:
             return False
         self._advance(now)
@@ -165,11 +162,11 @@
         return True
 
     def offer(self, now: float, job: Job) -> bool:
-        """A job came in, whole. False: turned away unseen, it never runs here. Look at `fallen` afterwards."""
+        """Accepts a complete job; False: it is rejected and never runs here. Check `crashed` afterwards."""
         self._advance(now)
         ledger = self.ledger
         job.arrived_at_ms, job.work_ms = now, sum(job.segments)
-        job.remaining_ms = job.work_ms
+        job.left_ms = job.work_ms
         ledger.offered += job.work_ms
         ledger.jobs += 1
         if self._warming_up and self._overloads_cold_process(now, job.work_ms):
@@ -183,11 +180,7 @@
             job.is_repeat = True
             ledger.repeats += 1
             ledger.unspent += job.work_ms - self.spec.repeat_ms
-            job.segments, job.work_ms, job.remaining_ms = (
-                [self.spec.repeat_ms],
-                self.spec.repeat_ms,
-                self.spec.repeat_ms,
-            )
+            job.segments, job.work_ms, job.left_ms = [self.spec.repeat_ms], self.spec.repeat_ms, self.spec.repeat_ms
         else:
             job.will_fail = self._chance.occurs(self.spec.error_rate + self.error_burst)
         self._jobs[job.job_id] = job
@@ -201,7 +194,7 @@
         return True
 
     def cancel(self, now: float, job_id: int) -> list[Effect]:
-        """The caller of a job is gone. Whether it stops is a matter of the site."""
+        """The client of a job has disconnected; `spec.stops` decides whether the job stops."""
         job = self._jobs.get(job_id)
         if job is None or self.crashed or self.stopped:
             return []
@@ -216,7 +209,7 @@
         return effects
 
     def resume(self, now: float, job_id: int, served: bool) -> list[Effect]:
-        """The tier below has answered a job's call, or not."""
+        """The lower-tier request of a job has ended; `served`: with a response."""
         job = self._jobs.get(job_id)
         if job is None or job.state is not JobState.WAITING_FOR_LOWER_TIER or self.crashed or self.stopped:
             return []
@@ -231,7 +224,7 @@
         return effects
 
     def run(self, now: float) -> list[Effect]:
-        """Do what is due."""
+        """Handles all events up to `now`."""
         effects: list[Effect] = []
         if self.crashed or self.stopped:
             return effects
@@ -242,8 +235,8 @@
             if job.state is not JobState.RUNNING:
                 continue
             self.running -= 1
-            job.state = JobState.WAITING_FOR_LOWER_TIER  # in a slot and not at work, also if it ends now
-            job.remaining_ms -= job.segments.pop(0)
+            job.state = JobState.WAITING_FOR_LOWER_TIER  # in a slot and not running, also if it ends now
+            job.left_ms -= job.segments.pop(0)
             if job.segments:
                 effects.append(LowerTierRequest(job))
             else:
@@ -259,7 +252,7 @@
         neighbour_share: float | None = None,
         stalled: bool | None = None,
     ) -> None:
-        """A fault begins or ends: `slow` times slower, a neighbour takes a part, nothing moves at all."""
+        """A fault begins or ends: slower by a factor, a share taken by a neighbour, or a stall; None: unchanged."""
         self._advance(now)
         self.slowdown = self.slowdown if slowdown is None else slowdown
         self.neighbour_share = self.neighbour_share if neighbour_share is None else neighbour_share
@@ -267,17 +260,17 @@
         self._update_speed(now)
 
     def stop(self, now: float) -> None:
-        """The process is gone: what it held is lost, with the connections."""
+        """Stops the process: its jobs and connections are lost."""
         if not self.stopped:
             self._advance(now)
             for job in list(self._jobs.values()):
                 self._remove_job(now, job, is_wasted=True)
             self.stopped, self.connections = True, 0
 
-    # Inside
+    # Internals
 
     def _add_extra_work(self, work_ms: float) -> None:
-        """Work beside the jobs: it puts all of them back, shared over the cores."""
+        """Adds work outside the jobs, which delays all of them, spread over the cores."""
         if work_ms > 0:
             self.ledger.excess += work_ms
             if self.running:
@@ -320,7 +313,7 @@
             self._start_job(job)
 
     def _finish_job(self, now: float, job: Job, end: JobEnd, effects: list[Effect]) -> None:
-        """A job that held a slot ends by itself."""
+        """Ends a job in a slot that was not cancelled."""
         served = end is JobEnd.SERVED and not job.abandoned
         first_run = end is JobEnd.SERVED and job.key and not job.is_repeat
         if first_run and not self.group.commit(now, job.key, job.window_ms):
@@ -332,26 +325,24 @@
         effects.append(JobFinished(job, end))
 
     def _remove_job(self, now: float, job: Job, is_wasted: bool, already_dequeued: bool = False) -> None:
-        """The one place where a job goes; its slot or its place in the waiting room is free again."""
+        """Removes a job and frees its slot or its place in the queue. Every job ends here."""
         if job.state is JobState.RUNNING:
             self.running -= 1
             self._busy_slots -= 1
-            job.remaining_ms = (
-                job.remaining_ms
-                - job.segments[0]
-                + min(max(job.finish_virtual_ms - self._virtual_ms, 0.0), job.segments[0])
+            job.left_ms = (
+                job.left_ms - job.segments[0] + min(max(job.finish_virtual_ms - self._virtual_ms, 0.0), job.segments[0])
             )
         elif job.state is JobState.QUEUED:
             self.queued -= 0 if already_dequeued else 1
-        else:  # in a slot, but not at work
+        else:  # in a slot, but not running
             self._busy_slots -= 1
         job.state = JobState.FINISHED
-        spent_ms, ledger = job.work_ms - job.remaining_ms, self.ledger
+        spent_ms, ledger = job.work_ms - job.left_ms, self.ledger
         if is_wasted:
             ledger.wasted += spent_ms
         else:
             ledger.served += spent_ms
-        ledger.unspent += job.remaining_ms
+        ledger.unspent += job.left_ms
         ledger.sojourn_ms += now - job.arrived_at_ms
         self._completed_work_ms += spent_ms
         self.job_count -= 1
@@ -362,7 +353,7 @@
             heappop(self._heap)
 
     def _advance(self, now: float) -> None:
-        """Bring the work done up to `now`; nothing has changed since the last time."""
+        """Accounts for the work done up to `now`; the speed has not changed since the last call."""
         span = now - self._updated_at_ms
         if span <= 0:
             return
@@ -378,20 +369,17 @@
         busy = self.ledger.busy_ms + min(self.running, spec.cores) * (at_ms - self._updated_at_ms)
         since, busy_then, served_then, service_then = self._report_window
         span, served = max(at_ms - since, 1e-9), self._served_jobs - served_then
-        latency = (self._served_work_ms - service_then) / served if served else self._current_report.latency_ms
-        # A machine shared with a neighbour is as busy as both make it.
+        latency = (self._served_work_ms - service_then) / served if served else self._report.latency_ms
+        # The load of the machine includes that of the neighbour.
         util = min((busy - busy_then) / span / spec.cores + self.neighbour_share, 1.0)
         noise = 1.0 + spec.report_noise * self._chance.normal() if spec.report_noise else 1.0
-        self._visible_report, self._current_report = (
-            self._current_report,
-            Report(max(util * noise, 0.0), served * 1000.0 / span, latency),
-        )
+        self._sent_report, self._report = self._report, Report(max(util * noise, 0.0), served * 1000.0 / span, latency)
         self._report_made_at_ms = at_ms
         self._report_window = (at_ms, busy, self._served_jobs, self._served_work_ms)
         self._next_report_ms = at_ms + spec.report_ms
 
     def _update_speed(self, now: float) -> None:
-        """The speed anew, after any change."""
+        """Computes the speed after a change."""
         spec = self.spec
         if spec.choke_slower > 1.0:
             self._choking.update(now, self.runnable)
--- a/tests/lab/test_provider.py
+++ b/tests/lab/test_provider.py
@@ -6,15 +6,13 @@
 
 from limenotch.lab.model.chance import Seeds
 from limenotch.lab.model.jobs import Job, JobEnd, JobFinished, LowerTierRequest
-from limenotch.lab.model.keys import DeduplicationGroup
+from limenotch.lab.model.keys import KeyGroup
 from limenotch.lab.model.provider import Provider
 from limenotch.lab.model.provider_spec import ProviderSpec, Stops
 
 
-def make(
-    spec: ProviderSpec, started: float = 0.0, group: DeduplicationGroup | None = None, now: float = 0.0
-) -> Provider:
-    return Provider("p", spec, Seeds(1).stream("p"), group or DeduplicationGroup(), now, started)
+def make(spec: ProviderSpec, started: float = 0.0, group: KeyGroup | None = None, now: float = 0.0) -> Provider:
+    return Provider("p", spec, Seeds(1).stream("p"), group or KeyGroup(), now, started)
 
 
 def finish(provider: Provider, until_ms: float = 1e12) -> list[tuple[float, JobFinished | LowerTierRequest]]:
@@ -182,8 +180,8 @@
 
 
 def test_a_keyed_repeat_is_dropped_in_its_group_and_for_its_window() -> None:
-    all_keys: dict[str, tuple[float, DeduplicationGroup]] = {}
-    here, there = DeduplicationGroup(all_keys), DeduplicationGroup(all_keys)
+    all_keys: dict[str, tuple[float, KeyGroup]] = {}
+    here, there = KeyGroup(all_keys), KeyGroup(all_keys)
     one, same, other = (make(ProviderSpec(), group=group) for group in (here, here, there))
     one.offer(0.0, Job(1, [100.0], key="k", window_ms=1000))
     finish(one)
--- a/tests/lab/test_queueing.py
+++ b/tests/lab/test_queueing.py
@@ -14,7 +14,7 @@
 from limenotch.lab.model.chance import Chance, Seeds
 from limenotch.lab.model.clients import ClassSpec, draw_size
 from limenotch.lab.model.jobs import Job, JobEnd, JobFinished
-from limenotch.lab.model.keys import DeduplicationGroup
+from limenotch.lab.model.keys import KeyGroup
 from limenotch.lab.model.provider import Provider
 from limenotch.lab.model.provider_spec import ProviderSpec
 
@@ -27,7 +27,7 @@
     """Times in the system of those served, how many were turned away, and the provider after its last job."""
     seeds = Seeds(seed)
     gaps, sizes = seeds.stream("gaps"), seeds.stream("sizes")
-    provider = Provider("p", spec, seeds.stream("p"), DeduplicationGroup(), 0.0)
+    provider = Provider("p", spec, seeds.stream("p"), KeyGroup(), 0.0)
     now, took, lost = 0.0, [], 0
 
     def until(end: float) -> None:
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -22,10 +22,10 @@
     assert rules.attempt_sent(1.0, 1, "s", "p", 0) == 0 and rules.attempt_sent(2.0, 1, "s", "q", 1) == 1
     rules.attempt_ended(5.0, 1, 0, "ok", True)
     rules.request_answered(5.0, 1, "served")
-    assert rules.open_requests == 1  # the loser is still out
+    assert rules.open == 1  # the loser is still out
     rules.attempt_ended(5.0, 1, 1, "cancelled", True)
     rules.run_ended(900.0)
-    assert rules.all_hold and rules.open_requests == 0
+    assert rules.all_hold and rules.open == 0
 
 
 def test_no_answer_two_answers_a_late_answer() -> None:
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -99,7 +99,7 @@
     for tier in result["tiers"]:
         assert tier["work"]["work_error"] < 1e-9 and tier["work"]["little_error"] < 1e-9
         assert tier["work"]["held_work"] == 0  # all is answered or dropped in the end
-    assert not made._attempts and not made._lower_requests and made.rules.open_requests == 0
+    assert not made._attempts and not made._lower_requests and made.rules.open == 0
     assert all(process.connections >= 0 for tier in made.fleet.all_processes for process in tier)
 
 
