--- a/limenotch/lab/emulate/host.py
+++ b/limenotch/lab/emulate/host.py
@@ -24,7 +24,7 @@
 from ..model.rules import Limits, RuleChecker
 from ..planning import Plan, settings_of
 from ..record import Record
-from ..scenario import BY_HAND
+from ..scenario import OPERATOR_FAULTS
 from ..tallies import histogram, quantiles
 from .directory import DirectoryHost, line_of
 from .load import SLACK_MS, Load, call_wire, verdict_of
@@ -68,7 +68,7 @@
     """Owns everything of a run; `close` is the one place where it is all given back."""
 
     def __init__(self, plan: Plan, folder: Path, load: bool = True) -> None:
-        hand = next((fault.kind for fault in plan.scenario.fault if fault.kind in BY_HAND), None)
+        hand = next((fault.kind for fault in plan.scenario.fault if fault.kind in OPERATOR_FAULTS), None)
         if hand is not None:
             raise FaultError(f"{plan.scenario.name}: {hand} is played in simulated time only: lab run")
         self.plan, self.folder, self._with_load = plan, folder, load
--- a/limenotch/lab/experiment.py
+++ b/limenotch/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Runs, one or many, on all cores: each is a scenario, a seed and a policy, and nothing else decides its figures."""
+"""Simulated runs, one or many, on all cores. A run's results depend only on its scenario, seed and policy."""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
+    """The input of one run."""
+
     scenario: str
     seed: int
     policy: str = "installed"
     timed: bool = False
-    over: str = ""  # TOML laid over the scenario
+    over: str = ""  # TOML that overrides values of the scenario
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """`figures` depend on the job alone; `cost` is of this machine and this time."""
+    """`figures` depend on the job alone; `cost` depends on the machine and its present load."""
 
     job: Job
     figures: dict[str, Any]
@@ -34,11 +36,11 @@
 
 
 def play(job: Job) -> Result:
-    """One run, in this process. Raises toml.FaultError for a scenario or policy that can't be used."""
+    """Does one run in this process. Raises toml.FaultError for an unusable scenario or policy."""
     plan = planning.plan(scenario.load(job.scenario, job.over), job.seed)
     world = World(plan, policy.load(job.policy), perf_counter if job.timed else None)
     began = process_time()
-    # A run allocates a lot and drops nearly all of it by reference: the collector's usual pace costs a fifth.
+    # A run allocates much, and reference counting frees nearly all of it: the default thresholds cost a fifth more.
     threshold = gc.get_threshold()
     gc.set_threshold(200_000, 20, 100)
     try:
@@ -63,7 +65,7 @@
 def play_all(
     jobs: Iterable[Job], processes: int | None = None, done: Callable[[Result], None] | None = None
 ) -> list[Result]:
-    """All of them, in the order given whatever the number of processes; `done` hears of each as it ends."""
+    """Does all runs; the results are in the order of the jobs. `done` is called as each run ends."""
     todo = list(jobs)
     if not todo:
         return []
@@ -75,7 +77,7 @@
             if done is not None:
                 done(results[-1])
         return results
-    # Spawned, not forked: no process starts with another's loaded policies or random state.
+    # Processes are spawned, so none starts with loaded policies or random state of its parent.
     with ProcessPoolExecutor(count, mp_context=multiprocessing.get_context("spawn")) as pool:
         futures = {pool.submit(play, job): number for number, job in enumerate(todo)}
         ended: dict[int, Result] = {}
--- a/limenotch/lab/model/clients.py
+++ b/limenotch/lab/model/clients.py
@@ -1,6 +1,6 @@
 """Open-loop clients: requests arrive whether or not earlier ones were answered, and some clients retry.
 
-The rate may vary as a wave, and accounts may surge; a trace of requests may replace both. The properties of a request
+The rate may swing as a wave, and accounts may surge; a trace of requests may replace both. The properties of a request
 (class, account, size of its work, patience) are drawn when it is created, from the clients' own random streams: the
 same seed gives the same requests, whatever the sidecars decide about them.
 """
--- a/limenotch/lab/model/directory.py
+++ b/limenotch/lab/model/directory.py
@@ -60,7 +60,7 @@
 @dataclass(slots=True)
 class _Watch:
     phase_ms: float
-    next_change_index: int = -1  # into the change log
+    next_change_index: int = -1  # into the change log; -1: no update written yet
     due_at_ms: float = inf  # when the next update is written
 
 
--- a/limenotch/lab/planning.py
+++ b/limenotch/lab/planning.py
@@ -1,4 +1,4 @@
-"""A scenario and a seed make a plan: every range drawn, and what each sidecar is told."""
+"""Makes a plan from a scenario and a seed: draws every range, and builds the settings of each sidecar."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .model.directory import DirectorySpec
 from .model.network import NetworkSpec
 from .model.provider_spec import ProviderSpec, Stops
-from .scenario import MOST_CALLS, Range, Scenario, read_trace
+from .scenario import MAX_REQUESTS, Range, Scenario, read_trace
 
 
 def _draw(value: Range, chance: Chance) -> float:
@@ -20,7 +20,7 @@
 
 
 class Machine(Struct, frozen=True):
-    """One machine of a tier: what its processes are like, whatever their number."""
+    """One machine of a tier; its successive processes share these properties."""
 
     tier: int
     index: int
@@ -32,6 +32,8 @@
 
 
 class TierPlan(Struct, frozen=True):
+    """A tier of the plan."""
+
     name: str
     work: float
     calls: float
@@ -42,11 +44,13 @@
 
     @property
     def capacity(self) -> float:
-        """ms of yardstick work a ms."""
+        """Capacity in ms of reference-core work per ms."""
         return sum(m.spec.cores * m.spec.speed for m in self.machines)
 
 
 class Plan(Struct, frozen=True):
+    """All drawn values of a run."""
+
     scenario: Scenario
     seed: int
     length_ms: float
@@ -56,39 +60,40 @@
     clients: ClientSpec
     network: NetworkSpec
     directory: DirectorySpec
-    rate_per_s: float  # what the fleet could carry at most
+    rate_per_s: float  # capacity of the fleet, in requests
     quota_per_s: float
     trace: tuple[TraceRow, ...] | None
 
     @property
     def first_rate(self) -> float:
+        """The rate of requests per second at the start, without wave and surges."""
         return self.clients.rate_per_s
 
 
 def _machines(scenario: Scenario, number: int, seeds: Seeds) -> tuple[Machine, ...]:
     tier = scenario.tier[number]
     draw = seeds.stream("tier", number)
-    whole = sum(kind.share for kind in tier.kind)
-    counts = [int(tier.providers * kind.share / whole) for kind in tier.kind]
+    total_share = sum(kind.share for kind in tier.kind)
+    counts = [int(tier.providers * kind.share / total_share) for kind in tier.kind]
     for extra in range(tier.providers - sum(counts)):
         counts[extra % len(counts)] += 1
     kinds = [kind for kind, count in enumerate(counts) for _ in range(count)]
     order = draw.permutation(len(kinds))
-    choke, report, conn = tier.choke, tier.report, tier.connections
-    usual = [_draw(kind.speed, draw) for kind in tier.kind]
+    choke, report, connections = tier.choke, tier.report, tier.connections
+    kind_speeds = [_draw(kind.speed, draw) for kind in tier.kind]
     machines = []
     zones = len(scenario.network.zones)
-    seen: dict[int, int] = {}
+    last_index_by_zone: dict[int, int] = {}
     for index in range(tier.providers):
         kind = tier.kind[kinds[order[index]]]
         zone = index % zones
-        within = seen[zone] = seen.get(zone, -1) + 1
+        index_in_zone = last_index_by_zone[zone] = last_index_by_zone.get(zone, -1) + 1
         cv = _draw(kind.speed_cv, draw)
-        speed = usual[kinds[order[index]]] * max(1.0 + cv * draw.normal(), 0.3)
+        speed = kind_speeds[kinds[order[index]]] * max(1.0 + cv * draw.normal(), 0.3)
         cold_ms = _draw(kind.cold_s, draw) * 1000.0
         cold_from = _draw(kind.cold_from, draw)
-        # Warmed by work: by half of what it can do in its cold time when fully used.
-        warm_work = kind.cores * speed * cold_ms * (1 + cold_from) / 4 if kind.warm_by == "work" else 0.0
+        # Warm-up by work ends after half of the work that a fully used provider does during `cold_ms`.
+        warm_work_ms = kind.cores * speed * cold_ms * (1 + cold_from) / 4 if kind.warm_by == "work" else 0.0
         spec = ProviderSpec(
             cores=kind.cores,
             speed=speed,
@@ -104,15 +109,15 @@
             choke_most_ms=_draw(choke.most_s, draw) * 1000.0,
             cold_from=cold_from,
             cold_ms=cold_ms,
-            warm_work_ms=warm_work,
+            warm_work_ms=warm_work_ms,
             fall_multiple=scenario.rules.fall_multiple,
             fall_ms=scenario.rules.fall_s * 1000.0,
             error_rate=_draw(kind.error_rate, draw),
             stops=Stops(kind.stops),
             drops_expired=kind.drops_expired,
-            handshake_ms=_draw(conn.handshake_us, draw) / 1000.0,
-            connections=max(round(kind.cores * _draw(conn.cap_per_core, draw)), 1),
-            full_tax=_draw(conn.full_tax, draw),
+            handshake_ms=_draw(connections.handshake_us, draw) / 1000.0,
+            connections=max(round(kind.cores * _draw(connections.cap_per_core, draw)), 1),
+            full_tax=_draw(connections.full_tax, draw),
             probe_ms=_draw(tier.probe_us, draw) / 1000.0,
             reports=report.sent,
             report_ms=_draw(report.period_ms, draw),
@@ -120,27 +125,27 @@
             report_noise=_draw(report.noise, draw),
         )
         weight = round(spec.cores * speed * draw.between(0.8, 1.25), 2) if tier.weights == "rough" else 1.0
-        cell = zone * 10_000 + within // tier.cell_size
+        cell = zone * 10_000 + index_in_zone // tier.cell_size
         machines.append(Machine(number, index, kinds[order[index]], zone, cell, weight, spec))
     return tuple(machines)
 
 
 def plan(scenario: Scenario, seed: int) -> Plan:
-    """Every range drawn by the seed. Raises toml.FaultError for a trace that can't be read."""
+    """Draws every range by the seed. Raises toml.FaultError for an unreadable trace or too many requests."""
     seeds = Seeds(seed)
     draw = seeds.stream("plan")
     tiers = []
     for number, tier in enumerate(scenario.tier):
-        conn = tier.connections
+        connections = tier.connections
         tiers.append(
             TierPlan(
                 tier.name,
                 tier.work,
                 _draw(tier.calls, draw) if number + 1 < len(scenario.tier) else 0.0,
                 _machines(scenario, number, seeds),
-                _draw(conn.handshake_rtts, draw),
-                _draw(conn.idle_s, draw) * 1000.0,
-                _draw(conn.connect_timeout_ms, draw),
+                _draw(connections.handshake_rtts, draw),
+                _draw(connections.idle_s, draw) * 1000.0,
+                _draw(connections.connect_timeout_ms, draw),
             )
         )
     classes = tuple(
@@ -164,46 +169,52 @@
     )
     accounts = tuple(AccountSpec(a.name, a.share, _draw(a.usage, draw)) for a in scenario.account)
     shares = sum(cls.share for cls in classes)
-    mean = sum(cls.share * cls.work_ms for cls in classes) / shares
-    # Calls a second of first tries that the tightest tier can do.
-    most, fan = float("inf"), 1.0
+    mean_work_ms = sum(cls.share * cls.work_ms for cls in classes) / shares
+    # Requests per second, without retries, that the tier with the least capacity can serve.
+    max_rate_per_s, lower_requests_per_request = float("inf"), 1.0
     for tier_plan in tiers:
-        most = min(most, tier_plan.capacity * 1000.0 / (mean * tier_plan.work * fan))
-        fan *= tier_plan.calls
-    source = scenario.clients
-    trace = read_trace(source.trace, scenario) if source.trace is not None else None
-    rate = _draw(source.rate_per_s, draw) if source.rate_per_s is not None else 0.0
-    if source.load is not None:
-        rate = _draw(source.load, draw) * most
-    if rate * scenario.length_s > MOST_CALLS:
-        raise toml.FaultError(f"{scenario.name}: clients: more than {MOST_CALLS} calls in all")
+        max_rate_per_s = min(
+            max_rate_per_s, tier_plan.capacity * 1000.0 / (mean_work_ms * tier_plan.work * lower_requests_per_request)
+        )
+        lower_requests_per_request *= tier_plan.calls
+    clients_table = scenario.clients
+    trace = read_trace(clients_table.trace, scenario) if clients_table.trace is not None else None
+    rate_per_s = _draw(clients_table.rate_per_s, draw) if clients_table.rate_per_s is not None else 0.0
+    if clients_table.load is not None:
+        rate_per_s = _draw(clients_table.load, draw) * max_rate_per_s
+    if rate_per_s * scenario.length_s > MAX_REQUESTS:
+        raise toml.FaultError(f"{scenario.name}: clients: more than {MAX_REQUESTS} requests in all")
     clients = ClientSpec(
-        rate,
-        _draw(source.wave, draw),
-        _draw(source.wave_s, draw) * 1000.0,
-        round(_draw(source.retries, draw)),
-        _draw(source.retry_share, draw),
-        source.backoff_ms,
-        source.backoff_grows,
-        _draw(source.honour, draw),
-        source.patience,
-        _draw(source.zone_skew, draw),
+        rate_per_s,
+        _draw(clients_table.wave, draw),
+        _draw(clients_table.wave_s, draw) * 1000.0,
+        round(_draw(clients_table.retries, draw)),
+        _draw(clients_table.retry_share, draw),
+        clients_table.backoff_ms,
+        clients_table.backoff_grows,
+        _draw(clients_table.honour, draw),
+        clients_table.patience,
+        _draw(clients_table.zone_skew, draw),
     )
-    net, where = scenario.network, scenario.directory
+    network_table, directory_table = scenario.network, scenario.directory
     network = NetworkSpec(
-        net.zones, _draw(net.same_ms, draw), net.cross_ms, _draw(net.client_ms, draw), _draw(net.jitter, draw)
+        network_table.zones,
+        _draw(network_table.same_ms, draw),
+        network_table.cross_ms,
+        _draw(network_table.client_ms, draw),
+        _draw(network_table.jitter, draw),
     )
     directory = DirectorySpec(
-        where.add_ms,
-        where.drain_ms,
-        where.notice_ms,
-        where.silent_ms,
-        _draw(where.period_ms, draw),
-        _draw(where.spread_ms, draw),
-        _draw(where.call_ms, draw),
-        _draw(where.timeout_ms, draw),
+        directory_table.add_ms,
+        directory_table.drain_ms,
+        directory_table.notice_ms,
+        directory_table.silent_ms,
+        _draw(directory_table.period_ms, draw),
+        _draw(directory_table.spread_ms, draw),
+        _draw(directory_table.call_ms, draw),
+        _draw(directory_table.timeout_ms, draw),
     )
-    quota = most * _draw(scenario.sidecars.quota_of_capacity, draw)
+    quota_per_s = max_rate_per_s * _draw(scenario.sidecars.quota_of_capacity, draw)
     return Plan(
         scenario,
         seed,
@@ -214,15 +225,15 @@
         clients,
         network,
         directory,
-        most,
-        quota,
+        max_rate_per_s,
+        quota_per_s,
         trace,
     )
 
 
 def settings_of(plan: Plan, tier: int, rank: int, balancers: int, zone: int) -> dict[str, Any]:
-    """What a sidecar in front of a tier is told, in the platform's own JSON form; both hosts give it out."""
-    scenario, below = plan.scenario, plan.tiers[tier]
+    """The settings of a sidecar in front of a tier, in the platform's JSON form, for simulator and emulator."""
+    scenario, tier_plan = plan.scenario, plan.tiers[tier]
     shares = sum(account.share for account in plan.accounts) or 1.0
     return {
         "classes": [
@@ -256,8 +267,8 @@
             "parallel_tries": scenario.sidecars.copies,
             "retry_after": scenario.sidecars.max_retry_after_ms > 0,
             "max_retry_after_ms": scenario.sidecars.max_retry_after_ms,
-            "conn_idle_ms": below.idle_ms,
-            "connect_timeout_ms": below.connect_timeout_ms,
+            "conn_idle_ms": tier_plan.idle_ms,
+            "connect_timeout_ms": tier_plan.connect_timeout_ms,
         },
         "costs": {"cross_zone": scenario.sidecars.crossing_cost},
         "rules": {
--- a/limenotch/lab/policy.py
+++ b/limenotch/lab/policy.py
@@ -1,7 +1,7 @@
-"""Decision modules to play: the one installed, another text of one of its files, or a git revision's.
+"""Loads decision modules: the installed one, one with another text of one of its files, or one of a git revision.
 
-A variant is a whole package beside the installed one, under a name of its own, so that several can be loaded in
-one process and none sees another's types.
+A variant is a complete package with its own name beside the installed one. So several variants can be loaded in one
+process, and none uses another's types.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 from ..toml import FaultError
 
 PACKAGE = Path(limenotch.balancing.__file__).parent
-FILE = "balancer.py"
+DEFAULT_FILE = "balancer.py"
 
 
-class Decider(Protocol):
-    """The decision module's public interface: an event in, actions out, in order."""
+class DecisionModule(Protocol):
+    """The decision module's public interface: `handle` takes an event and returns actions in order."""
 
     def handle(self, now_ms: float, event: Any) -> list[Any]: ...
 
 
 class Policy:
-    """A loaded decision module: its types, events and actions, and how to make an instance."""
+    """A loaded decision module: its types, events and actions, and its constructor."""
 
     def __init__(self, name: str, package: ModuleType) -> None:
         self.name = name
@@ -46,10 +46,11 @@
         self.read_settings: Callable[[dict[str, Any]], Any] = importlib.import_module(
             f"{package.__name__}.settings"
         ).read_settings
-        self._make: Callable[[Any, int], Decider] = package.Balancer
+        self._create: Callable[[Any, int], DecisionModule] = package.Balancer
 
-    def instance(self, settings: dict[str, Any], seed: int) -> Decider:
-        return self._make(self.read_settings(settings), seed)
+    def instance(self, settings: dict[str, Any], seed: int) -> DecisionModule:
+        """Creates an instance from settings in the platform's JSON form."""
+        return self._create(self.read_settings(settings), seed)
 
 
 _loaded: dict[str, Policy] = {}
@@ -62,23 +63,23 @@
 
 
 def _install(files: dict[str, bytes], name: str) -> Policy:
-    """As a package of its own, named by what it holds: the same text is loaded once."""
+    """Installs the files as a package named by their digest, so the same text is loaded once."""
     digest = sha256(b"".join(key.encode() + b"\0" + files[key] + b"\0" for key in sorted(files))).hexdigest()[:16]
     package = f"limenotch_policy_{digest}"
     if package not in sys.modules:
         folder = Path(tempfile.mkdtemp(dir=_folder()))
         try:
-            inner = folder / package
-            inner.mkdir()
+            package_folder = folder / package
+            package_folder.mkdir()
             for key, data in files.items():
-                (inner / key).write_bytes(data)
+                (package_folder / key).write_bytes(data)
             sys.path.insert(0, str(folder))
             try:
                 importlib.invalidate_caches()
                 module = importlib.import_module(package)
-                for part in ("types", "events", "actions", "settings"):
-                    importlib.import_module(f"{package}.{part}")
-            except Exception as error:  # a variant's text may do anything
+                for module_name in ("types", "events", "actions", "settings"):
+                    importlib.import_module(f"{package}.{module_name}")
+            except Exception as error:  # a variant's code may raise anything
                 raise FaultError(f"policy {name}: {type(error).__name__}: {error}") from error
             finally:
                 sys.path.remove(str(folder))
@@ -89,12 +90,12 @@
     return Policy(name, module)
 
 
-def _installed() -> dict[str, bytes]:
+def _read_installed() -> dict[str, bytes]:
     return {path.name: path.read_bytes() for path in PACKAGE.glob("*.py")}
 
 
-def _of_revision(revision: str) -> dict[str, bytes]:
-    """The package as a git revision of this repository has it."""
+def _read_revision(revision: str) -> dict[str, bytes]:
+    """The files of the package in a git revision of this repository."""
     command = ["git", "-C", str(PACKAGE.parent), "archive", revision, PACKAGE.name]
     try:
         done = subprocess.run(command, capture_output=True, check=False, timeout=60)
@@ -115,22 +116,22 @@
 def sources(spec: str) -> dict[str, bytes]:
     """The files of a variant: `installed`, `git:REVISION`, or the path of one of its files. Raises FaultError.
 
-    Such a file takes the place of the one of its name, or else of `balancer.py`.
-    Read once a process, so that a digest is always of the text that was loaded.
+    Such a file replaces the installed file of its name, or else `balancer.py`. The files are read once per process, so
+    a digest always belongs to the text that was loaded.
     """
     if spec == "installed":
-        return _installed()
+        return _read_installed()
     if spec.startswith("git:"):
-        return _of_revision(spec.removeprefix("git:"))
+        return _read_revision(spec.removeprefix("git:"))
     try:
-        files, path = _installed(), Path(spec)
-        return {**files, path.name if path.name in files else FILE: path.read_bytes()}
+        files, path = _read_installed(), Path(spec)
+        return {**files, path.name if path.name in files else DEFAULT_FILE: path.read_bytes()}
     except OSError as error:
         raise FaultError(f"policy {spec}: {error.strerror}") from None
 
 
 def load(spec: str) -> Policy:
-    """Raises FaultError. Loaded once a process."""
+    """Loads a variant, once per process. Raises FaultError."""
     if spec not in _loaded:
         if spec == "installed":
             _loaded[spec] = Policy(spec, limenotch.balancing)
@@ -140,6 +141,6 @@
 
 
 def digest(spec: str) -> str:
-    """Of a variant's text, so that a result says what it was made with."""
+    """The digest of a variant's text, which results carry."""
     files = sources(spec)
     return sha256(b"".join(key.encode() + b"\0" + files[key] for key in sorted(files))).hexdigest()[:12]
--- a/limenotch/lab/record.py
+++ b/limenotch/lab/record.py
@@ -1,8 +1,8 @@
-"""What a run leaves: figures that are the same for the same seed, on any machine and in any number of processes.
+"""The record of a run: results that are the same for the same seed, on any machine and with any number of processes.
 
-Latencies go into HDR histograms (1 us to 10 min, three digits). A request counts from its birth, with all of its
-client's tries: answered within the class's aim it earns its worth, later `late_worth` of it, else nothing. Traffic
-beyond its account's share is worth `over_share_worth` of that.
+Latencies go into HDR histograms (1 us to 10 min, three digits). The latency of a request counts from its creation and
+includes all attempts of its client. A request that is served within its class's latency objective earns its worth, a
+later one `late_worth` of it, any other nothing. Traffic beyond an account's quota is worth `over_share_worth` of that.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
     from .planning import Plan
 
 WINDOW_MS = 1000.0
-WORST_WINDOWS = 10  # seconds in a row: the worst stretch is one figure of the score
-MOST_SERIES = 150  # providers with a series of their own; beyond that a tier's quantiles stand for them
-MOST_EVENTS = 2000
+WORST_STRETCH_WINDOWS = 10  # consecutive seconds; the worst such stretch is part of the score
+MAX_SERIES = 150  # up to so many providers each has its series; with more, only the tiers' quantiles are recorded
+MAX_EVENTS = 2000
 
 OUTCOMES = ("served", "rejected", "failed", "timed out", "unmade")
 
@@ -34,7 +34,7 @@
 
 @dataclass
 class Series:
-    """Of one provider, a value a sample."""
+    """The state of one provider over time, one value per sample."""
 
     name: str
     kind: str
@@ -42,13 +42,15 @@
     runnable: list[int] = field(default_factory=list)
     held: list[int] = field(default_factory=list)
     util: list[float] = field(default_factory=list)
-    state: list[str] = field(default_factory=list)  # a letter a sample: see STATES
+    state: list[str] = field(default_factory=list)  # one letter of STATES per sample
 
 
 STATES = {"r": "ready", "c": "cold", "k": "choked", "d": "draining", "x": "down", "s": "silent", "t": "stalled"}
 
 
 class Record:
+    """Collects the events of one run."""
+
     def __init__(self, plan: Plan, intervals: list[FaultInterval]) -> None:
         self.plan, self.intervals = plan, intervals
         count = int(plan.length_ms / WINDOW_MS) + 1
@@ -57,14 +59,14 @@
         self.accounts = [Sums() for _ in plan.accounts]
         self.tiers = [TierSums() for _ in plan.tiers]
         self.latency = [histogram() for _ in plan.classes]
-        self.finals = dict.fromkeys(OUTCOMES, 0)  # of whole requests
+        self.finals = dict.fromkeys(OUTCOMES, 0)  # by the outcome of the last attempt of each request
         self.tries = self.retries = self.lines_told = 0
         self.events: list[tuple[float, str, str]] = []
         self.sampled_ms: list[float] = []
         self.spread: list[dict[str, list[float]]] = [{} for _ in plan.tiers]
         self.series: list[list[Series]] = []
-        whole = sum(len(tier.machines) for tier in plan.tiers)
-        if whole <= MOST_SERIES:
+        goodput = sum(len(tier.machines) for tier in plan.tiers)
+        if goodput <= MAX_SERIES:
             kinds = [[kind.name for kind in tier.kind] for tier in plan.scenario.tier]
             self.series = [
                 [
@@ -77,10 +79,10 @@
         self.rules: RuleChecker | None = None
         self.work: list[dict[str, float]] = []
         self.cut_short = False
-        self.machine: dict[str, Any] = {}  # of runs in real time
+        self.machine: dict[str, Any] = {}  # of emulated runs: measurements of this machine
         self.host: dict[str, Any] = {}
 
-    # What the host tells
+    # Events from the host
 
     def _window(self, at: float) -> Window:
         return self.windows[min(int(at / WINDOW_MS), len(self.windows) - 1)]
@@ -119,7 +121,7 @@
             window.copies += 1
 
     def attempt_ended(self, now: float, request: Request, outcome: str, retry_after_ms: float) -> None:
-        """One try's end. The request's own end is its last."""
+        """An attempt of a client has ended. The outcome of a request is that of its last attempt."""
         window = self._window(now)
         if request.outcomes:
             self.finals[request.outcomes[-1]] -= 1
@@ -154,11 +156,11 @@
         self.lines_told += lines
 
     def event(self, now: float, what: str, name: str) -> None:
-        if len(self.events) < MOST_EVENTS:
+        if len(self.events) < MAX_EVENTS:
             self.events.append((round(now, 3), what, name))
 
     def sample(self, now: float, fleet: Fleet) -> None:
-        """The state of every provider now."""
+        """Samples the state of every provider."""
         self.sampled_ms.append(round(now, 3))
         for tier, sites in enumerate(fleet.sites):
             loads: list[float] = []
@@ -169,7 +171,7 @@
                 runnable = held = 0
                 util = 0.0
                 if process is not None and site.is_running:
-                    process.report(now)  # brings its sums up to now
+                    process.report(now)  # updates its sums
                     key = (tier, site.machine.index)
                     before = self._busy.get(key)
                     busy = process.ledger.busy_ms
@@ -192,24 +194,24 @@
             loads.sort()
             utils.sort()
             for name, values in (("load", loads), ("util", utils)):
-                for part in (0.1, 0.5, 0.9, 1.0):
-                    at = min(int(part * len(values)), len(values) - 1)
-                    spread.setdefault(f"{name}_{part:g}", []).append(round(values[at], 3))
+                for quantile in (0.1, 0.5, 0.9, 1.0):
+                    at = min(int(quantile * len(values)), len(values) - 1)
+                    spread.setdefault(f"{name}_{quantile:g}", []).append(round(values[at], 3))
             for letter, count in states.items():
                 spread.setdefault(STATES[letter], []).append(count)
 
     def end(self, now: float, world: Any) -> None:
-        """The run is over: the rules' verdict and the providers' books."""
+        """The run has ended: takes over the checked rules and the balance of the providers' work."""
         self.rules = world.rules
         self.cut_short = world.cut_short
-        self.work = books(now, world.fleet)
+        self.work = work_balance(now, world.fleet)
 
-    # What it comes to
+    # Results
 
     def _worst_stretch(self) -> float:
         worst = 1.0
         windows = self.windows[:-1] if self.windows[-1].asked == 0 else self.windows
-        span = min(WORST_WINDOWS, len(windows))
+        span = min(WORST_STRETCH_WINDOWS, len(windows))
         for first in range(len(windows) - span + 1):
             stretch = windows[first : first + span]
             worth = sum(w.worth for w in stretch)
@@ -218,9 +220,9 @@
         return worst
 
     def result(self) -> dict[str, Any]:
-        """All figures, for JSON. Depends on the scenario, the seed and the policy alone."""
+        """All results, for JSON. They depend on the scenario, the seed and the policy alone."""
         worth, earned = sum(w.worth for w in self.windows), sum(w.earned for w in self.windows)
-        whole = earned / worth if worth else 1.0
+        goodput = earned / worth if worth else 1.0
         worst_class = min((c.service for c in self.classes if c.asked), default=1.0)
         worst_account = min((a.service for a in self.accounts if a.asked), default=worst_class)
         stretch = self._worst_stretch()
@@ -244,11 +246,11 @@
             "sidecars": self.plan.scenario.sidecars.count,
             "providers": [len(t.machines) for t in self.plan.tiers],
             "metrics": {
-                "goodput": round(whole, 5),
+                "goodput": round(goodput, 5),
                 "worst_10s": round(stretch, 5),
                 "worst_class": round(worst_class, 5),
                 "worst_account": round(worst_account, 5),
-                "score": round(0.5 * whole + 0.1 * stretch + 0.3 * worst_class + 0.1 * worst_account, 5),
+                "score": round(0.5 * goodput + 0.1 * stretch + 0.3 * worst_class + 0.1 * worst_account, 5),
                 "in_time": round(sum(c.in_time for c in self.classes) / max(asked, 1), 5),
                 "rejected": round(self.finals["rejected"] / max(asked, 1), 5),
                 "failed": round((self.finals["failed"] + self.finals["timed out"]) / max(asked, 1), 5),
@@ -323,7 +325,7 @@
 
 
 def state_of(site: Any, now: float) -> str:
-    """A letter of STATES."""
+    """The state of a site as a letter of STATES."""
     process = site.process
     if process is None or not site.is_running:
         return "x"
@@ -338,13 +340,13 @@
     return "c" if process.warmth(now) < 1.0 else "r"
 
 
-def books(now: float, fleet: Fleet) -> list[dict[str, float]]:
-    """Each tier's work and time, with what does not add up (`work_error`, `little_error`, as parts)."""
+def work_balance(now: float, fleet: Fleet) -> list[dict[str, float]]:
+    """Each tier's sums of work and time, and their relative errors (`work_error`, `little_error`)."""
     result = []
     for tier in range(len(fleet.sites)):
         sums = dict.fromkeys(("offered", "refused", "served", "wasted", "unspent", "excess", "held_work"), 0.0)
         counts = dict.fromkeys(("jobs", "turned_away", "repeats", "double"), 0)
-        held, sojourn, pushed = 0.0, 0.0, 0.0
+        held, sojourn, max_load_ratio = 0.0, 0.0, 0.0
         for process in fleet.all_processes[tier]:
             process.report(now)
             ledger = process.ledger
@@ -354,13 +356,13 @@
                 counts[name] += getattr(ledger, name)
             held += ledger.held_ms
             sojourn += process.sojourn_ms(now)
-            pushed = max(pushed, process.max_cold_load_ratio)
+            max_load_ratio = max(max_load_ratio, process.max_cold_load_ratio)
         accounted = sums["refused"] + sums["served"] + sums["wasted"] + sums["unspent"] + sums["held_work"]
         result.append(
             {
                 **{name: round(value, 3) for name, value in sums.items()},
                 **counts,
-                "pushed_most": round(pushed, 4),
+                "pushed_most": round(max_load_ratio, 4),
                 "held_ms": round(held, 3),
                 "sojourn_ms": round(sojourn, 3),
                 "work_error": float(f"{abs(sums['offered'] - accounted) / max(sums['offered'], 1.0):.1e}"),
--- a/limenotch/lab/scenario.py
+++ b/limenotch/lab/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: a fleet, its traffic and a script of faults, in TOML; the one place where they are read and checked.
+"""Scenarios: a fleet, its traffic and a schedule of faults, in TOML; they are read and checked only here.
 
-Where a number may differ from run to run, a pair `[low, high]` stands for it and the seed draws from between.
-Unknown keys are faults. A fault names the file, the line and the key.
+A number that may differ from run to run is given as a pair `[low, high]`, from which the seed draws.
+Unknown keys are errors. An error names the file, the line and the key.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from .model.clients import TraceRow
 
 Positive = Annotated[float, Meta(gt=0)]
-NotNegative = Annotated[float, Meta(ge=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
+NonNegative = Annotated[float, Meta(ge=0)]
+Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
 Range = float | tuple[float, float]  # one number, or low and high
 
-MOST_PROVIDERS = 20_000
-MOST_CALLS = 50_000_000  # first tries of a run
+MAX_PROVIDERS = 20_000
+MAX_REQUESTS = 50_000_000  # of a run, without retries
 FAULT_KINDS = Literal[
     "deploy",
     "slow",
@@ -44,11 +44,11 @@
     "retune",
     "upgrade",
 ]
-BY_HAND = ("ban", "retune", "upgrade")  # what operators do to sidecars; played in simulated time only
+OPERATOR_FAULTS = ("ban", "retune", "upgrade")  # actions of operators at sidecars; only in simulated time
 
 
 class Kind(Struct, frozen=True, forbid_unknown_fields=True):
-    """Machines of one kind. Slots and queue are for a core."""
+    """Machines of one kind; `slots` and `queue` are per core."""
 
     name: str
     share: Positive = 1.0
@@ -77,8 +77,8 @@
 
 
 class Report(Struct, frozen=True, forbid_unknown_fields=True):
-    sent: bool = True  # false: no answer carries one
-    fields: tuple[Literal["util", "qps"], ...] = ("util", "qps")  # others are not in it
+    sent: bool = True  # false: responses carry no load report
+    fields: tuple[Literal["util", "qps"], ...] = ("util", "qps")  # of the load report
     period_ms: Range = 500.0
     delay_ms: Range = 100.0
     noise: Range = 0.02
@@ -97,8 +97,8 @@
     name: str
     providers: Count
     kind: Annotated[tuple[Kind, ...], Meta(min_length=1)]
-    work: Positive = 1.0  # part of a class's work done here for each call
-    calls: Range = 1.0  # of the tier below for each call here, on average
+    work: Positive = 1.0  # share of a class's work that a request causes here
+    calls: Range = 1.0  # requests to the tier below for each request here, on average
     cell_size: Count = 6
     weights: Literal["none", "rough"] = "none"
     probe_us: Range = 0.0
@@ -115,13 +115,13 @@
     share: Range = 1.0
     effect: Literal["idempotent", "deduplicated", "at_most_once"] = "idempotent"
     scope: Literal["all", "zone", "cell"] = "all"
-    window_s: NotNegative = 0.0
+    window_s: NonNegative = 0.0
     dist: Literal["exp", "lognormal", "fixed"] = "exp"
     cv: Range = 1.0
     attempt_noise: Range = 0.0
-    worth: NotNegative = 1.0
-    late_worth: Part = 0.0
-    carried: bool = True  # a large call is large in every tier; else each tier's part is drawn by itself
+    worth: NonNegative = 1.0
+    late_worth: Share = 0.0
+    carried: bool = True  # a large request is large in every tier; otherwise each tier draws its own size
 
 
 class Account(Struct, frozen=True, forbid_unknown_fields=True):
@@ -131,7 +131,7 @@
 
 
 class Clients(Struct, frozen=True, forbid_unknown_fields=True):
-    load: Range | None = None  # part of what the tightest tier can do
+    load: Range | None = None  # share of the capacity of the tier with the least capacity
     rate_per_s: Range | None = None
     trace: str | None = None  # CSV: at_ms, class, account, size
     wave: Range = 0.0
@@ -165,42 +165,42 @@
 
 
 class Sidecars(Struct, frozen=True, forbid_unknown_fields=True):
-    """Those at the entry; each provider of a tier that calls another has one of its own besides."""
+    """The entry sidecars; each provider of a tier that calls another has a sidecar of its own as well."""
 
     count: Count = 4
     max_attempts: Count = 4
     copies: bool = True
     cancel: bool = True
-    max_retry_after_ms: NotNegative = 2000.0
-    list_by: Literal["ask", "push"] = "ask"  # whether the list comes only to those who ask
-    passes_deadline: bool = True  # a lower call carries the time that its caller has left
-    over_share_worth: Part = 0.05
+    max_retry_after_ms: NonNegative = 2000.0
+    list_by: Literal["ask", "push"] = "ask"  # ask: the directory sends the list only to watchers
+    passes_deadline: bool = True  # a lower-tier request carries the remaining time of its request
+    over_share_worth: Share = 0.05
     quota_of_capacity: Range = 0.8
-    crossing_cost: NotNegative = 0.015
+    crossing_cost: NonNegative = 0.015
 
 
 class RulesTable(Struct, frozen=True, forbid_unknown_fields=True):
-    drain_grace_ms: NotNegative = 250.0
+    drain_grace_ms: NonNegative = 250.0
     fall_multiple: Positive = 4.0
     fall_s: Positive = 3.0
-    start_capacity: Part = 0.12
-    cold_s: NotNegative = 24.0
+    start_capacity: Share = 0.12
+    cold_s: NonNegative = 24.0
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """What happens from `at_s` on for `length_s`; `size` is the kind's own measure."""
+    """A fault from `at_s` on for `length_s`; the meaning of `size` depends on the kind, see `FaultAction`."""
 
     kind: FAULT_KINDS
     at_s: Range
     length_s: Range = 0.0
-    tier: str | None = None  # default: the first
-    part: Range | None = None  # of the tier's machines
+    tier: str | None = None  # default: the first tier
+    part: Range | None = None  # share of the tier's machines
     count: Count | None = None
     victims: tuple[Annotated[int, Meta(ge=0)], ...] | None = None  # machines by number, from 0
     size: Range = 0.0
-    batch: Range = 0.1  # deploy: part of the tier at a time
-    drain_s: Range = 3.0  # deploy: from the drain's begin to the end of the process
-    on_s: Range = 0.0  # neighbour: on and off by turns of about this; 0: on all the time
+    batch: Range = 0.1  # deploy: share of the tier at a time
+    drain_s: Range = 3.0  # deploy: from the start of the drain to the end of the process
+    on_s: Range = 0.0  # neighbour: mean length of on and off periods; 0: on all the time
     account: str | None = None  # surge: default: drawn by the seed
     zones: tuple[str, str] | None = None  # cut_link
     rise_s: Range = 0.0  # surge, hot_sidecar
@@ -211,7 +211,7 @@
     tier: Annotated[tuple[Tier, ...], Meta(min_length=1, max_length=6)]
     cls: Annotated[tuple[Class, ...], Meta(min_length=1)] = msgspec.field(name="class")
     clients: Clients
-    extends: str | None = None  # a shipped scenario that this one is laid over
+    extends: str | None = None  # the shipped scenario whose values this one overrides
     look_for: str = ""
     length_s: Annotated[float, Meta(gt=0, le=3600)] = 60.0
     account: tuple[Account, ...] = ()
@@ -222,52 +222,52 @@
     fault: tuple[Fault, ...] = ()
 
 
-def _ranges(value: Any, path: str) -> Iterator[tuple[str, str]]:
-    """Pairs that are not from low to high."""
+def _invalid_ranges(value: Any, path: str) -> Iterator[tuple[str, str]]:
+    """Pairs that are not in the order low, high, and values that are not numbers, as path and message."""
     if isinstance(value, Struct):
         for key, encoded in zip(value.__struct_fields__, value.__struct_encode_fields__, strict=True):
-            yield from _ranges(getattr(value, key), f"{path}.{encoded}" if path else encoded)
+            yield from _invalid_ranges(getattr(value, key), f"{path}.{encoded}" if path else encoded)
     elif isinstance(value, tuple):
         if len(value) == 2 and all(isinstance(n, (int, float)) for n in value) and not path.endswith("victims"):
             if value[0] > value[1]:
                 yield path, "expected low and high, in this order"
         else:
             for number, inner in enumerate(value):
-                yield from _ranges(inner, f"{path}[{number}]")
+                yield from _invalid_ranges(inner, f"{path}[{number}]")
     elif isinstance(value, float) and value != value:
         yield path, "expected a number"
 
 
-# Which a range may not leave, by the key's name: a part, at least 1, above 0; all others are 0 or more.
-PARTS = frozenset({"cold_from", "error_rate", "part", "batch", "full_tax", "honour", "retry_share", "wave"})
-ABOVE_0 = frozenset(
+# Keys whose values must be at most 1, and keys whose values must be above 0; all others must be 0 or more.
+SHARE_KEYS = frozenset({"cold_from", "error_rate", "part", "batch", "full_tax", "honour", "retry_share", "wave"})
+POSITIVE_KEYS = frozenset(
     {"speed", "work_ms", "load", "rate_per_s", "cold_from", "batch", "wave_s", "period_ms", "cap_per_core"}
 )
 
 
-def _bounds(value: Any, path: str) -> Iterator[tuple[str, str]]:
+def _out_of_bounds(value: Any, path: str) -> Iterator[tuple[str, str]]:
     if isinstance(value, Struct):
         for key, encoded in zip(value.__struct_fields__, value.__struct_encode_fields__, strict=True):
-            yield from _bounds(getattr(value, key), f"{path}.{encoded}" if path else encoded)
+            yield from _out_of_bounds(getattr(value, key), f"{path}.{encoded}" if path else encoded)
         return
     if isinstance(value, tuple) and value and isinstance(value[0], Struct):
         for number, inner in enumerate(value):
-            yield from _bounds(inner, f"{path}[{number}]")
+            yield from _out_of_bounds(inner, f"{path}[{number}]")
         return
     numbers = [n for n in (value if isinstance(value, tuple) else (value,)) if isinstance(n, float)]
     key = path.rpartition(".")[2]
-    if key in ABOVE_0 and any(n <= 0 for n in numbers):
+    if key in POSITIVE_KEYS and any(n <= 0 for n in numbers):
         yield path, "expected a number above 0"
     elif any(n < 0 for n in numbers):
         yield path, "expected 0 or more"
-    elif key in PARTS and any(n > 1 for n in numbers):
+    elif key in SHARE_KEYS and any(n > 1 for n in numbers):
         yield path, "expected 1 at most"
 
 
-def _faults(scenario: Scenario) -> Iterator[tuple[str, str]]:
-    """What the types can't tell, as path and message."""
-    yield from _ranges(scenario, "")
-    yield from _bounds(scenario, "")
+def _errors(scenario: Scenario) -> Iterator[tuple[str, str]]:
+    """Errors that the types do not catch, as path and message."""
+    yield from _invalid_ranges(scenario, "")
+    yield from _out_of_bounds(scenario, "")
     for key, names in (
         ("tier", [tier.name for tier in scenario.tier]),
         ("class", [cls.name for cls in scenario.cls]),
@@ -276,8 +276,8 @@
         for number, name in enumerate(names):
             if name in names[:number]:
                 yield f"{key}[{number}].name", f"{name!r} is there twice"
-    if sum(tier.providers for tier in scenario.tier) > MOST_PROVIDERS:
-        yield "tier", f"more than {MOST_PROVIDERS} providers in all"
+    if sum(tier.providers for tier in scenario.tier) > MAX_PROVIDERS:
+        yield "tier", f"more than {MAX_PROVIDERS} providers in all"
     scopes = {cls.scope for cls in scenario.cls if cls.effect == "deduplicated"}
     for number, cls in enumerate(scenario.cls):
         if cls.effect == "deduplicated" and len(scopes) > 1 and cls.scope != scenario.cls[0].scope:
@@ -300,8 +300,8 @@
             yield f"{path}.account", f"{fault.account!r} is no account of this scenario"
         if fault.kind == "surge" and not scenario.account:
             yield f"{path}.kind", "a surge needs accounts"
-        known = fault.zones is not None and all(zone in scenario.network.zones for zone in fault.zones)
-        if fault.kind == "cut_link" and not known:
+        zones_exist = fault.zones is not None and all(zone in scenario.network.zones for zone in fault.zones)
+        if fault.kind == "cut_link" and not zones_exist:
             yield f"{path}.zones", "expected two zones of this scenario"
         sizes = fault.size if isinstance(fault.size, tuple) else (fault.size,)
         if fault.kind == "retune" and (min(sizes) < 1 or any(size != int(size) for size in sizes)):
@@ -312,20 +312,24 @@
             yield f"{path}.size", "expected a part, above 0 and at most 1"
 
 
-def parse(text: str, name: str, over: str = "") -> Scenario:
-    """Raises toml.FaultError, which names the key and the line. `over` is laid over the text, key by key."""
+def parse(text: str, name: str, overrides: str = "") -> Scenario:
+    """Parses a scenario. `overrides` replace single values of the text. Raises toml.FaultError with key and line."""
     base = toml.decode_table(text, name).get("extends")
     if base is None:
-        scenario = toml.decode_over(over, "change", text, name, Scenario) if over else toml.decode(text, name, Scenario)
+        scenario = (
+            toml.decode_over(overrides, "change", text, name, Scenario)
+            if overrides
+            else toml.decode(text, name, Scenario)
+        )
     else:
         if base not in shipped() or toml.decode_table(_shipped_text(base), base).get("extends") is not None:
             raise toml.fault(text, name, "extends", f"{base!r} is no shipped scenario that stands by itself")
-        under = _shipped_text(base)
-        scenario = toml.decode_over(text, name, under, f"{base}.toml", Scenario)
-        if over:
-            scenario = toml.decode_over(over, "change", text, name, Scenario, under)
-    for path, what in _faults(scenario):
-        raise toml.fault(text, name, path, what)
+        base_text = _shipped_text(base)
+        scenario = toml.decode_over(text, name, base_text, f"{base}.toml", Scenario)
+        if overrides:
+            scenario = toml.decode_over(overrides, "change", text, name, Scenario, base_text)
+    for path, message in _errors(scenario):
+        raise toml.fault(text, name, path, message)
     return scenario
 
 
@@ -334,25 +338,25 @@
 
 
 def shipped() -> list[str]:
-    """The names of the scenarios that come with the program."""
+    """The names of the shipped scenarios."""
     folder = resources.files(__package__) / "scenarios"
     return sorted(item.name.removesuffix(".toml") for item in folder.iterdir() if item.name.endswith(".toml"))
 
 
-def load(name: str, over: str = "") -> Scenario:
-    """A shipped scenario by its name, or a file by its path. Raises toml.FaultError."""
+def load(name: str, overrides: str = "") -> Scenario:
+    """Loads a shipped scenario by name, or a file by path. Raises toml.FaultError."""
     if name in shipped():
-        return parse(_shipped_text(name), f"{name}.toml", over)
+        return parse(_shipped_text(name), f"{name}.toml", overrides)
     path = Path(name)
     if not path.suffix:
         raise toml.FaultError(f"{name}: no such scenario; there are {', '.join(shipped())}, or a path to a .toml file")
-    return parse(toml.read(path), str(path), over)
+    return parse(toml.read(path), str(path), overrides)
 
 
-def load_for_load(name: str, over: list[str]) -> Scenario:
-    """As `load`; a rate among the changes takes the place of the scenario's load or trace. Raises toml.FaultError."""
-    scenario = load(name, "\n".join(line for line in over if not line.startswith("clients.rate_per_s")))
-    for line in over:
+def load_for_load(name: str, overrides: list[str]) -> Scenario:
+    """As `load`, but a rate among the overrides replaces the scenario's load or trace. Raises toml.FaultError."""
+    scenario = load(name, "\n".join(line for line in overrides if not line.startswith("clients.rate_per_s")))
+    for line in overrides:
         if line.startswith("clients.rate_per_s"):
             rate = float(line.partition("=")[2])
             clients = msgspec.structs.replace(scenario.clients, rate_per_s=rate, load=None, trace=None, wave=0.0)
@@ -361,24 +365,24 @@
 
 
 def read_trace(path: str, scenario: Scenario) -> tuple[TraceRow, ...]:
-    """Rows `at_ms,class,account,size`, in order of time; bursts of one instant are fine. Raises toml.FaultError."""
+    """Reads rows `at_ms,class,account,size` in order of time; equal times are allowed. Raises toml.FaultError."""
     classes = {cls.name: number for number, cls in enumerate(scenario.cls)}
     accounts = {account.name: number for number, account in enumerate(scenario.account)}
     rows: list[TraceRow] = []
-    last = 0.0
+    last_ms = 0.0
     try:
         with open(path, encoding="utf-8", newline="") as file:
             for number, row in enumerate(csv.DictReader(file), 2):
                 try:
-                    at, size = float(row["at_ms"]), float(row.get("size") or 1.0)
+                    at_ms, size = float(row["at_ms"]), float(row.get("size") or 1.0)
                     cls = classes[row["class"]]
                     account = accounts[row["account"]] if accounts else 0
                 except (KeyError, ValueError, TypeError) as error:
                     raise toml.FaultError(f"{path}:{number}: {error}") from None
-                if not (at >= last and 0 < size < 1e6):
+                if not (at_ms >= last_ms and 0 < size < 1e6):
                     raise toml.FaultError(f"{path}:{number}: expected times in order and a size above 0")
-                last = at
-                rows.append(TraceRow(at, cls, account, size))
+                last_ms = at_ms
+                rows.append(TraceRow(at_ms, cls, account, size))
     except (OSError, UnicodeDecodeError) as error:
         raise toml.FaultError(f"{path}: {error}") from None
     return tuple(rows)
--- a/limenotch/lab/simulate/world.py
+++ b/limenotch/lab/simulate/world.py
@@ -19,7 +19,7 @@
 from ..planning import Plan, settings_of
 from ..policy import Policy
 from ..record import Record
-from ..scenario import BY_HAND
+from ..scenario import OPERATOR_FAULTS
 from . import by_hand
 from .calls import Attempt, SidecarRequest
 from .directory_queries import DirectoryQueries
@@ -349,7 +349,7 @@
     # Faults and the directories
 
     def _apply_fault(self, action: FaultAction) -> None:
-        if action.kind in BY_HAND:
+        if action.kind in OPERATOR_FAULTS:
             by_hand.apply_operator_action(self, action)
             return
         self._handle_changes(self.fleet.apply(self.kernel.now, action))
--- a/limenotch/lab/tallies.py
+++ b/limenotch/lab/tallies.py
@@ -1,4 +1,4 @@
-"""What a run's record adds up: a window of time, a class or an account, a tier; and histograms of latencies."""
+"""Sums of a run's record, by time window, class, account and tier; and histograms of latencies."""
 
 from __future__ import annotations
 
@@ -6,26 +6,36 @@
 
 from hdrh.histogram import HdrHistogram
 
-HIGHEST_US = 600_000_000
+MAX_LATENCY_US = 600_000_000
 
 
 def histogram() -> HdrHistogram:
-    return HdrHistogram(1, HIGHEST_US, 3)
+    """A histogram of latencies in us, with three significant digits."""
+    return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
 def quantiles(hist: HdrHistogram) -> dict[str, float]:
-    """In ms."""
+    """Count, mean and quantiles of a histogram, in ms."""
     count = hist.get_total_count()
     if not count:
         return {"count": 0}
     result = {"count": count, "mean": round(hist.get_mean_value() / 1000.0, 3)}
-    for name, part in (("p50", 50.0), ("p90", 90.0), ("p95", 95.0), ("p99", 99.0), ("p99.9", 99.9), ("max", 100.0)):
-        result[name] = round(hist.get_value_at_percentile(part) / 1000.0, 3)
+    for name, percentile in (
+        ("p50", 50.0),
+        ("p90", 90.0),
+        ("p95", 95.0),
+        ("p99", 99.0),
+        ("p99.9", 99.9),
+        ("max", 100.0),
+    ):
+        result[name] = round(hist.get_value_at_percentile(percentile) / 1000.0, 3)
     return result
 
 
 @dataclass(slots=True)
 class Window:
+    """Sums of a time window; the fields are keys of the record."""
+
     asked: int = 0
     worth: float = 0.0
     earned: float = 0.0
@@ -41,7 +51,7 @@
 
 @dataclass(slots=True)
 class Sums:
-    """Of a class or an account."""
+    """Sums of a class or an account."""
 
     asked: int = 0
     worth: float = 0.0
@@ -51,11 +61,14 @@
 
     @property
     def service(self) -> float:
+        """The earned share of the worth; 1 without requests."""
         return self.earned / self.worth if self.worth > 0 else 1.0
 
 
 @dataclass(slots=True)
 class TierSums:
+    """Sums of a tier."""
+
     attempts: int = 0
-    again: int = 0  # second and later attempts of a call, copies included
+    again: int = 0  # second and later attempts of a request, including hedged attempts
     crossings: int = 0
