--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -10,7 +10,7 @@
 
 from limenotch.cli.lab.load import send
 from limenotch.lab import planning, scenario
-from limenotch.lab.emulate.wire import Served, listener
+from limenotch.lab.emulate.wire import ServerConnection, listener
 from limenotch.net import http1
 
 RATES = (200, 1000, 2000, 3000, 4000, 5000)
@@ -20,13 +20,13 @@
 def serve(pipe: Connection) -> None:
     """Answers every call at once with its id."""
 
-    def request(connection: Served, message: http1.Message) -> None:
+    def request(connection: ServerConnection, message: http1.Message) -> None:
         connection.answer(http1.write_response(200, [], message.fields[b"x-call-id"]))
 
     async def run() -> None:
         sock = listener()
         await asyncio.get_running_loop().create_server(
-            lambda: Served(request, lambda _: None, lambda _: True), sock=sock
+            lambda: ServerConnection(request, lambda _: None, lambda _: True), sock=sock
         )
         pipe.send(sock.getsockname()[1])
         await asyncio.sleep(len(RATES) * (SECONDS + 15))
--- a/limenotch/cli/lab/load.py
+++ b/limenotch/cli/lab/load.py
@@ -27,7 +27,7 @@
 
 from ...config import ConfigError, address
 from ...lab import planning, scenario
-from ...lab.emulate.load import SLACK_MS, Load
+from ...lab.emulate.load import SLACK_MS, LoadGenerator
 from ...lab.emulate.wire import Pool
 from ...lab.model.chance import Seeds
 from ...lab.model.clients import Clients, Request
@@ -71,7 +71,7 @@
         return pools[turn[0] % len(pools)]
 
     # Ids of this run alone: another run's calls may still be open at the sidecars.
-    load = Load(plan, clients, record, rules, clock, choose, f"l{plan.seed}-{int(began * 1000) % 10**9}-")
+    load = LoadGenerator(plan, clients, record, rules, clock, choose, f"l{plan.seed}-{int(began * 1000) % 10**9}-")
 
     async def progress() -> None:
         with console.status("") as status:
@@ -95,14 +95,14 @@
     rules.run_ended(clock())
     record.rules = rules
     late = histogram()
-    for value in load.late_us:
+    for value in load.lateness_us:
         late.record_value(max(value, 1))
     machine = {
         "sent_late_ms": quantiles(late),
         "cpu_s": round(process_time() - cpu, 3),
         "seconds": round(spent, 3),
         "connections": sum(pool.opened for pool in pools),
-        "foreign_answers": load.foreign,
+        "foreign_answers": load.foreign_responses,
     }
     return {**record.result(), "host": "load", "machine": machine}
 
--- a/limenotch/lab/emulate/directory.py
+++ b/limenotch/lab/emulate/directory.py
@@ -1,7 +1,7 @@
-"""The model's directory behind listeners: one a sidecar, so that it is known who is told what.
+"""The model's directory behind listeners: one listener per sidecar, so the host knows which sidecar gets which update.
 
-`GET /discovery/hosts?follow=1` is a watch: a chunked answer of JSON lines. What the model tells is written when the
-model says so; empty lines keep a quiet watch alive.
+`GET /discovery/hosts?follow=1` is a watch: a chunked response of JSON lines. An update is written when the model's
+directory sends it; empty lines are heartbeats of a watch without updates.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from ...net import http1
 from ..model.directory import Directory, Entry, ListUpdate, WatchFailed
-from .wire import Served, listener
+from .wire import ServerConnection, listener
 
 HEARTBEAT_S = 2.0
 STATUS = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
 
-Address = Callable[[tuple[int, int], str], str]  # sidecar and provider: where that sidecar finds it
+Address = Callable[[tuple[int, int], str], str]  # by sidecar and provider: the address at which that sidecar reaches it
 
 
 def line_of(entry: Entry, address: str, zones: tuple[str, ...], kinds: list[str], unix_ms: float) -> dict[str, Any]:
-    """One line of the list, in the platform's form. Times of starts are Unix ms, 0 for long ago."""
+    """An endpoint of the list in the platform's form. Start times are in Unix ms; 0 means long ago."""
     return {
         "name": entry.name,
         "address": address,
@@ -36,14 +36,16 @@
 
 
 class Watcher:
-    """The listener for one sidecar, and its watch if there is one."""
+    """The discovery listener of one sidecar, and its present watch, if any."""
 
-    def __init__(self, key: tuple[int, int], ask: Callable[[Watcher], None], left: Callable[[Watcher], None]) -> None:
-        self.key, self._ask, self._left = key, ask, left
-        self._watch: Served | None = None
-        self._begun = False
+    def __init__(
+        self, key: tuple[int, int], on_query: Callable[[Watcher], None], on_left: Callable[[Watcher], None]
+    ) -> None:
+        self.key, self._on_query, self._on_left = key, on_query, on_left
+        self._watch: ServerConnection | None = None
+        self._headers_sent = False
         self._server: asyncio.Server | None = None
-        self._beat: asyncio.TimerHandle | None = None
+        self._heartbeat: asyncio.TimerHandle | None = None
         self.port = 0
         self.version = 0
 
@@ -51,9 +53,11 @@
         sock = listener()
         self.port = sock.getsockname()[1]
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Served(self._request, self._gone, lambda _: True), sock=sock)
+        self._server = await loop.create_server(
+            lambda: ServerConnection(self._request, self._on_closed, lambda _: True), sock=sock
+        )
 
-    def _request(self, connection: Served, message: http1.Message) -> None:
+    def _request(self, connection: ServerConnection, message: http1.Message) -> None:
         path, _, query = message.target.partition(b"?")
         if path != b"/discovery/hosts":
             connection.answer(http1.write_response(404, [], b"", close=True), close=True)
@@ -63,50 +67,50 @@
             return
         if self._watch is not None:
             self._watch.end()
-        self._watch, self._begun = connection, False
-        self._ask(self)
+        self._watch, self._headers_sent = connection, False
+        self._on_query(self)
 
-    def _gone(self, connection: Served) -> None:
+    def _on_closed(self, connection: ServerConnection) -> None:
         if connection is self._watch:
             self._watch = None
-            self._stop_beat()
-            self._left(self)
+            self._stop_heartbeat()
+            self._on_left(self)
 
-    def tell(self, lines: list[dict[str, Any]], whole: bool) -> bool:
-        """Write to the watch; False if there is none."""
+    def write_update(self, lines: list[dict[str, Any]], complete: bool) -> bool:
+        """Writes an update to the watch; False if there is no watch."""
         if self._watch is None or self._watch.transport is None:
             return False
         self.version += 1
-        self._write(json.dumps({"index": self.version, "snapshot": whole, "endpoints": lines}).encode() + b"\n")
+        self._write(json.dumps({"index": self.version, "snapshot": complete, "endpoints": lines}).encode() + b"\n")
         return True
 
     def _write(self, data: bytes) -> None:
         if self._watch is None or self._watch.transport is None:
             return
-        if not self._begun:
-            self._begun = True
+        if not self._headers_sent:
+            self._headers_sent = True
             self._watch.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._watch.write(b"%x\r\n%b\r\n" % (len(data), data))
-        self._stop_beat()
-        self._beat = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._write, b"\n")
+        self._stop_heartbeat()
+        self._heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._write, b"\n")
 
-    def broken(self) -> None:
-        """The call or the watch has failed."""
+    def fail(self) -> None:
+        """Fails the query or the watch."""
         watch, self._watch = self._watch, None
-        self._stop_beat()
+        self._stop_heartbeat()
         if watch is not None:
-            if self._begun:
+            if self._headers_sent:
                 watch.end(hard=True)
             else:
                 watch.answer(http1.write_response(503, [], b"", close=True), close=True)
 
-    def _stop_beat(self) -> None:
-        if self._beat is not None:
-            self._beat.cancel()
-            self._beat = None
+    def _stop_heartbeat(self) -> None:
+        if self._heartbeat is not None:
+            self._heartbeat.cancel()
+            self._heartbeat = None
 
     def close(self) -> None:
-        self._stop_beat()
+        self._stop_heartbeat()
         if self._server is not None:
             self._server.close()
         if self._watch is not None:
@@ -114,36 +118,36 @@
 
 
 class DirectoryHost:
-    """The directories of all tiers, woken when they are due."""
+    """Runs the directories of all tiers, each at the time of its next event."""
 
     def __init__(
         self,
         directories: list[Directory],
         clock: Callable[[], float],
         lines: Callable[[tuple[int, int], tuple[Entry, ...]], list[dict[str, Any]]],
-        told: Callable[[tuple[int, int], ListUpdate], None],
+        update: Callable[[tuple[int, int], ListUpdate], None],
     ) -> None:
-        self._directories, self._clock, self._lines, self._told = directories, clock, lines, told
+        self._directories, self._clock, self._lines, self._on_update = directories, clock, lines, update
         self._watchers: dict[tuple[int, int], Watcher] = {}
         self._timers: list[asyncio.TimerHandle | None] = [None] * len(directories)
 
     async def watcher(self, key: tuple[int, int]) -> int:
-        """A listener for this sidecar, the same as long as the run lasts; its port."""
+        """The port of the listener of this sidecar, which stays the same for the whole run."""
         if key not in self._watchers:
-            watcher = Watcher(key, self._ask, self._left)
+            watcher = Watcher(key, self._on_query, self._on_left)
             await watcher.listen()
             self._watchers[key] = watcher
         return self._watchers[key].port
 
-    def _ask(self, watcher: Watcher) -> None:
+    def _on_query(self, watcher: Watcher) -> None:
         self._directories[watcher.key[0]].query(self._clock(), watcher.key)
-        self.tend(watcher.key[0])
+        self.reschedule(watcher.key[0])
 
-    def _left(self, watcher: Watcher) -> None:
+    def _on_left(self, watcher: Watcher) -> None:
         self._directories[watcher.key[0]].remove_watcher(watcher.key)
 
-    def tend(self, tier: int) -> None:
-        """See to it that the directory runs when it is due."""
+    def reschedule(self, tier: int) -> None:
+        """Schedules the directory for its next event."""
         timer = self._timers[tier]
         if timer is not None:
             timer.cancel()
@@ -154,15 +158,15 @@
             self._timers[tier] = asyncio.get_running_loop().call_later(wait, self._run, tier)
 
     def _run(self, tier: int) -> None:
-        for told in self._directories[tier].run(self._clock()):
-            watcher = self._watchers.get(told.watcher)  # type: ignore[call-overload]
+        for update in self._directories[tier].run(self._clock()):
+            watcher = self._watchers.get(update.watcher)  # type: ignore[call-overload]
             if watcher is None:
                 continue
-            if isinstance(told, WatchFailed):
-                watcher.broken()
-            elif watcher.tell(self._lines(watcher.key, told.entries), told.complete):
-                self._told(watcher.key, told)
-        self.tend(tier)
+            if isinstance(update, WatchFailed):
+                watcher.fail()
+            elif watcher.write_update(self._lines(watcher.key, update.entries), update.complete):
+                self._on_update(watcher.key, update)
+        self.reschedule(tier)
 
     def close(self) -> None:
         for timer in self._timers:
--- a/limenotch/lab/emulate/host.py
+++ b/limenotch/lab/emulate/host.py
@@ -1,4 +1,4 @@
-"""One rehearsal in real time: the fleet on sockets, its sidecars as processes, clients, faults, and the four rules."""
+"""A rehearsal in real time: providers on sockets, sidecars as processes, clients, faults, and the rules of a run."""
 
 from __future__ import annotations
 
@@ -27,50 +27,50 @@
 from ..scenario import OPERATOR_FAULTS
 from ..tallies import histogram, quantiles
 from .directory import DirectoryHost, line_of
-from .load import SLACK_MS, Load, call_wire, verdict_of
+from .load import SLACK_MS, LoadGenerator, encode_request, outcome_of_response
 from .providers import ProviderHost
 from .sidecars import SidecarError, SidecarProcess
-from .wire import Asking, Pool
+from .wire import ClientConnection, Pool
 
 SAMPLE_MS = 1000.0
-LAG_MS = 20.0
-MOST_LISTENERS = 6000
-MOST_SIDECARS = 200
-AT_ONCE = 8  # sidecars started together
+LAG_INTERVAL_MS = 20.0
+MAX_LISTENERS = 6000
+MAX_SIDECARS = 200
+SIDECARS_AT_ONCE = 8  # started concurrently
 
 
 class TooLargeError(Exception):
-    """The scenario needs more processes or listeners than one machine should hold."""
+    """The scenario needs more processes or listeners than the limits of one machine."""
 
 
-class Lag:
-    """How late the loop ran its timers: what this machine adds to every figure."""
+class LoopLag:
+    """Measures the delay of the event loop's timers, which this machine adds to every latency."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.values_us: list[int] = []
         self._clock, self._due = clock, 0.0
-        self._recent: deque[float] = deque(maxlen=int(1000.0 / LAG_MS))
+        self._recent: deque[float] = deque(maxlen=int(1000.0 / LAG_INTERVAL_MS))
 
     async def watch(self) -> None:
         while True:
-            self._due = self._clock() + LAG_MS
-            await asyncio.sleep(LAG_MS / 1000.0)
-            late = max(self._clock() - self._due, 0.0)
-            self.values_us.append(int(late * 1000.0))
-            self._recent.append(late)
+            self._due = self._clock() + LAG_INTERVAL_MS
+            await asyncio.sleep(LAG_INTERVAL_MS / 1000.0)
+            lateness_ms = max(self._clock() - self._due, 0.0)
+            self.values_us.append(int(lateness_ms * 1000.0))
+            self._recent.append(lateness_ms)
 
     def now_ms(self) -> float:
-        """The most that it was late within the last second, or is at this moment."""
+        """The maximum delay within the last second, including the present one."""
         return max(self._clock() - self._due if self._due else 0.0, max(self._recent, default=0.0), 0.0)
 
 
 class Rehearsal:
-    """Owns everything of a run; `close` is the one place where it is all given back."""
+    """Owns all resources of a run; `close` releases them."""
 
     def __init__(self, plan: Plan, folder: Path, load: bool = True) -> None:
-        hand = next((fault.kind for fault in plan.scenario.fault if fault.kind in OPERATOR_FAULTS), None)
-        if hand is not None:
-            raise FaultError(f"{plan.scenario.name}: {hand} is played in simulated time only: lab run")
+        operator_fault = next((fault.kind for fault in plan.scenario.fault if fault.kind in OPERATOR_FAULTS), None)
+        if operator_fault is not None:
+            raise FaultError(f"{plan.scenario.name}: {operator_fault} is played in simulated time only: lab run")
         self.plan, self.folder, self._with_load = plan, folder, load
         seeds = Seeds(plan.seed)
         network = Network(plan.network, seeds)
@@ -83,50 +83,50 @@
         self.record = Record(plan, self.schedule.intervals)
         self._began = monotonic()
         self._unix_ms = time() * 1000.0
-        self.providers = ProviderHost(self.fleet, self.rules, self.record, self.clock, self._call_below)
-        self.providers.fell = self._fell
-        self.directories = DirectoryHost(self.fleet.directories, self.clock, self._lines, self._told)
+        self.providers = ProviderHost(self.fleet, self.rules, self.record, self.clock, self._send_lower_request)
+        self.providers.on_crash = self._on_crash
+        self.directories = DirectoryHost(self.fleet.directories, self.clock, self._lines, self._on_list_update)
         self.sidecars: dict[tuple[int, int], SidecarProcess] = {}
         self._pools: dict[tuple[int, int], Pool] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._lag = Lag(self.clock)
+        self._lag = LoopLag(self.clock)
         self.rules.lag_ms = self._lag.now_ms
         self._lower = 0
-        self.load: Load | None = None
+        self.load: LoadGenerator | None = None
         self.cut_short = False
         self._known: dict[str, set[str]] = {}
         self.crashed: list[str] = []
 
     def clock(self) -> float:
-        """ms since the run's begin."""
+        """ms since the start of the run."""
         return (monotonic() - self._began) * 1000.0
 
-    # Set up
+    # Start
 
     def keys(self) -> list[tuple[tuple[int, int], int, int, int]]:
-        """Of all sidecars: key, zone, rank, and how many send to that tier."""
+        """For every sidecar: its key, zone and rank, and the number of sidecars that send to its tier."""
         count, zones = self.plan.scenario.sidecars.count, len(self.plan.network.zones)
         keys = [((0, rank), rank % zones, rank, count) for rank in range(count)]
         for tier, sites in enumerate(self.fleet.sites[:-1]):
             keys += [((tier + 1, s.machine.index), s.machine.zone, s.machine.index, len(sites)) for s in sites]
         return keys
 
-    async def start(self, said: Callable[[str], None] = lambda text: None) -> None:
-        """Listeners and sidecars, until all are ready. Raises TooLargeError, SidecarError."""
+    async def start(self, on_progress: Callable[[str], None] = lambda text: None) -> None:
+        """Starts listeners and sidecars and waits until all are ready. Raises TooLargeError, SidecarError."""
         keys = self.keys()
-        doors = sum(len(self.fleet.sites[key[0]]) for key, *_ in keys)
-        if len(keys) > MOST_SIDECARS or doors > MOST_LISTENERS:
+        listener_count = sum(len(self.fleet.sites[key[0]]) for key, *_ in keys)
+        if len(keys) > MAX_SIDECARS or listener_count > MAX_LISTENERS:
             raise TooLargeError(
-                f"{len(keys)} sidecars and {doors} listeners; at most {MOST_SIDECARS} and {MOST_LISTENERS} on sockets: "
-                "play it in simulated time, or make it smaller"
+                f"{len(keys)} sidecars and {listener_count} listeners, at most {MAX_SIDECARS} and {MAX_LISTENERS}: "
+                "too large for sockets; run it in simulated time, or make it smaller"
             )
-        said(f"{doors} listeners for {sum(len(sites) for sites in self.fleet.sites)} providers")
+        on_progress(f"{listener_count} listeners for {sum(len(sites) for sites in self.fleet.sites)} providers")
         for key, zone, _, _ in keys:
             for site in self.fleet.sites[key[0]]:
-                await self.providers.door(key, site, zone)
-        said(f"{len(keys)} sidecars")
-        for first in range(0, len(keys), AT_ONCE):
-            await asyncio.gather(*(self._start_sidecar(*each) for each in keys[first : first + AT_ONCE]))
+                await self.providers.site_listener(key, site, zone)
+        on_progress(f"{len(keys)} sidecars")
+        for first in range(0, len(keys), SIDECARS_AT_ONCE):
+            await asyncio.gather(*(self._start_sidecar(*each) for each in keys[first : first + SIDECARS_AT_ONCE]))
 
     async def _start_sidecar(self, key: tuple[int, int], zone: int, rank: int, balancers: int) -> None:
         tier, number = key
@@ -150,36 +150,38 @@
         lines = []
         for entry in entries:
             number = int(entry.name.rsplit("-", 2)[1])
-            address = self.providers.doors[key, number].address
+            address = self.providers.site_listeners[key, number].address
             lines.append(line_of(entry, address, self.plan.network.zones, kinds, self._unix_ms))
         return lines
 
-    def _told(self, key: tuple[int, int], told: ListUpdate) -> None:
+    def _on_list_update(self, key: tuple[int, int], update: ListUpdate) -> None:
         now = self.clock()
-        self.record.list_entries_sent(len(told.entries))
-        if told.complete:
+        self.record.list_entries_sent(len(update.entries))
+        if update.complete:
             held = self._known.get(str(key), set())
-            for name in sorted(held - {entry.name for entry in told.entries}):
+            for name in sorted(held - {entry.name for entry in update.entries}):
                 self.rules.stage_reported(now, key, name, "gone")
-            self._known[str(key)] = {entry.name for entry in told.entries}
-        for entry in told.entries:
+            self._known[str(key)] = {entry.name for entry in update.entries}
+        for entry in update.entries:
             self.rules.stage_reported(now, key, entry.name, entry.stage)
             self._known.setdefault(str(key), set()).add(entry.name)
 
     # The run
 
     async def run(self) -> Record:
-        """The day, from its first second to its last answer."""
+        """Runs the scenario from its start to the last response."""
         self._began, self._unix_ms = monotonic(), time() * 1000.0
         cpu = process_time()
         gc.collect()
-        gc.freeze()  # thousands of objects that stay: looking them through again and again stalls the loop
+        gc.freeze()  # thousands of long-lived objects: repeated collections over them would stall the loop
         loop = asyncio.get_running_loop()
         timers = [loop.call_later(action.at_ms / 1000.0, self._apply_fault, action) for action in self.schedule.actions]
         sampler, lag = loop.create_task(self._sample()), loop.create_task(self._lag.watch())
         try:
             if self._with_load:
-                self.load = Load(self.plan, self.clients, self.record, self.rules, self.clock, self._choose)
+                self.load = LoadGenerator(
+                    self.plan, self.clients, self.record, self.rules, self.clock, self._choose_pool
+                )
                 await self.load.run(self.plan.length_ms)
             rest = self.plan.length_ms - self.clock()
             if rest > 0:
@@ -197,101 +199,101 @@
         return self.record
 
     def _machine(self, cpu_s: float) -> dict[str, Any]:
-        lags, late = histogram(), histogram()
+        lags, lateness_ms = histogram(), histogram()
         for value in self._lag.values_us:
             lags.record_value(max(value, 1))
-        for value in self.load.late_us if self.load is not None else ():
-            late.record_value(max(value, 1))
+        for value in self.load.lateness_us if self.load is not None else ():
+            lateness_ms.record_value(max(value, 1))
         memory = sorted(s.memory_kb() for s in self.sidecars.values())
         return {
             "loop_late_ms": quantiles(lags),
-            "sent_late_ms": quantiles(late),
+            "sent_late_ms": quantiles(lateness_ms),
             "cpu_s": round(cpu_s, 2),
             "sidecar_memory_mb": round(memory[-1] / 1024, 1) if memory else 0.0,
             "sidecars": len(self.sidecars),
             "crashed": self.crashed,
-            "foreign_answers": self.load.foreign if self.load is not None else 0,
-            "requests_not_understood": self.providers.unknown,
+            "foreign_answers": self.load.foreign_responses if self.load is not None else 0,
+            "requests_not_understood": self.providers.unknown_requests,
         }
 
-    def _choose(self, request: Request) -> Pool | None:
+    def _choose_pool(self, request: Request) -> Pool | None:
         return self._pools.get((0, self.fleet.entry_rank(request.zone)))
 
     async def _sample(self) -> None:
-        at = 0.0
+        next_sample_ms = 0.0
         while True:
             self.record.sample(self.clock(), self.fleet)
-            at += SAMPLE_MS
-            await asyncio.sleep(max(at - self.clock(), 0.0) / 1000.0)
+            next_sample_ms += SAMPLE_MS
+            await asyncio.sleep(max(next_sample_ms - self.clock(), 0.0) / 1000.0)
 
-    # Calls of the tier below
+    # Requests to the tier below
 
-    def _call_below(self, site: Site, process: Provider, job: Job) -> Callable[[], None]:
+    def _send_lower_request(self, site: Site, process: Provider, job: Job) -> Callable[[], None]:
         machine, now = site.machine, self.clock()
         pool = self._pools.get((machine.tier + 1, machine.index))
         budget = self.fleet.lower_budget_ms(now, job)
         self._lower += 1
         name = f"b{self._lower}"
         spec = self.plan.classes[job.cls]
-        over = [False]
-        held: list[Asking] = []
+        is_finished = [False]
+        held: list[ClientConnection] = []
         self.rules.request_accepted(now, name, spec.effect, spec.scope, spec.window_ms, now + budget)
 
-        def answered(message: http1.Message | None) -> None:
-            if over[0]:
+        def on_response(message: http1.Message | None) -> None:
+            if is_finished[0]:
                 return
-            over[0] = True
+            is_finished[0] = True
             timer.cancel()
-            verdict, _ = verdict_of(message, name)
+            verdict, _ = outcome_of_response(message, name)
             if message is None:
                 self.rules.request_lost(name)
             else:
                 self.rules.request_answered(self.clock(), name, verdict)
             self.providers.resume(site, process, job.job_id, verdict == "served")
 
-        def leave(resumes: bool = False) -> None:
-            if over[0]:
+        def cancel(resumes_job: bool = False) -> None:
+            if is_finished[0]:
                 return
-            over[0] = True
+            is_finished[0] = True
             timer.cancel()
             self.rules.client_disconnected(self.clock(), name)
             for connection in held:
-                connection.drop()
-            if resumes:
+                connection.abandon()
+            if resumes_job:
                 self.providers.resume(site, process, job.job_id, False)
 
-        def began(connection: Asking) -> None:
+        def on_sent(connection: ClientConnection) -> None:
             held[:] = [connection]
-            if over[0]:
-                connection.drop()
+            if is_finished[0]:
+                connection.abandon()
 
         loop = asyncio.get_running_loop()
-        timer = loop.call_later((budget + SLACK_MS) / 1000.0, leave, True)
+        timer = loop.call_later((budget + SLACK_MS) / 1000.0, cancel, True)
         if pool is None:
-            loop.call_soon(answered, None)
+            loop.call_soon(on_response, None)
         else:
             key = self.fleet.lower_request_key(job.cls, self._lower)
             size = self.fleet.lower_request_size(job, machine.tier)
-            pool.ask(call_wire(self.plan, job.cls, 0, name, key, budget, size), answered, began)
-        return leave
+            pool.send(encode_request(self.plan, job.cls, 0, name, key, budget, size), on_response, on_sent)
+        return cancel
 
     # Faults
 
     def _apply_fault(self, action: FaultAction) -> None:
-        self._see_to(self.fleet.apply(self.clock(), action))
+        self._handle_changes(self.fleet.apply(self.clock(), action))
         if action.kind == "directory":
             for tier in range(len(self.plan.tiers)):
-                self.directories.tend(tier)
+                self.directories.reschedule(tier)
         elif action.kind not in ("surge", "hot", "cut"):
-            self.providers.wake(self.fleet.sites[action.tier][action.target])
-            self.directories.tend(action.tier)
+            self.providers.schedule_run(self.fleet.sites[action.tier][action.target])
+            self.directories.reschedule(action.tier)
 
-    def _fell(self, site: Site) -> None:
+    def _on_crash(self, site: Site) -> None:
         self.rules.provider_crashed(self.clock(), site.name)
         self.record.event(self.clock(), "fell", site.name)
-        self._see_to(self.fleet.crash(self.clock(), site))
+        self._handle_changes(self.fleet.crash(self.clock(), site))
 
-    def _see_to(self, changes: list[FleetChange]) -> None:
+    def _handle_changes(self, changes: list[FleetChange]) -> None:
         for changed in changes:
             site, tier = changed.site, changed.site.machine.tier
             self.record.event(self.clock(), changed.kind, site.name)
@@ -300,10 +302,10 @@
                 if tier + 1 < len(self.plan.tiers):
                     self._kill_inner((tier + 1, site.machine.index))
             elif changed.kind == "started":
-                self._background(self._open_again(site))
+                self._run_in_background(self._restart_machine(site))
             elif changed.kind == "back":
-                self.providers.back(site)
-            self.directories.tend(tier)
+                self.providers.reset_silent_connections(site)
+            self.directories.reschedule(tier)
 
     def _kill_inner(self, key: tuple[int, int]) -> None:
         pool = self._pools.pop(key, None)
@@ -315,29 +317,29 @@
             sidecar.end()
         self.rules.sidecar_stopped(key)
 
-    async def _open_again(self, site: Site) -> None:
-        """A new process on the machine: its own sidecar first, then its listeners."""
+    async def _restart_machine(self, site: Site) -> None:
+        """Starts a new process on the machine: first its sidecar, then its listeners."""
         machine = site.machine
         if machine.tier + 1 < len(self.plan.tiers):
             await self._start_sidecar(
                 (machine.tier + 1, machine.index), machine.zone, machine.index, len(self.fleet.sites[machine.tier])
             )
-        for door in self.providers.of_site(site):
-            await door.open()
+        for site_listener in self.providers.listeners_of(site):
+            await site_listener.open()
 
-    def _background(self, work: Any) -> None:
+    def _run_in_background(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
 
-        def over(ended: asyncio.Task[None]) -> None:
+        def forget_task(ended: asyncio.Task[None]) -> None:
             self._tasks.discard(ended)
             if not ended.cancelled() and ended.exception() is not None:
                 self.record.event(self.clock(), "not started", str(ended.exception())[:200])
 
-        task.add_done_callback(over)
+        task.add_done_callback(forget_task)
 
     async def close(self) -> None:
-        """End all that was started; sidecars by SIGTERM, as a planned end."""
+        """Ends all that was started; sidecars get SIGTERM, as in a planned stop."""
         if self.load is not None:
             self.load.stop()
         for task in list(self._tasks):
@@ -354,19 +356,19 @@
 
 
 async def rehearse(
-    plan: Plan, said: Callable[[str], None], watch: Callable[[Rehearsal], Any] | None = None
+    plan: Plan, on_progress: Callable[[str], None], watch: Callable[[Rehearsal], Any] | None = None
 ) -> dict[str, Any]:
-    """Play a plan on sockets; the figures, as of simulated time, with what the machine added.
+    """Runs a plan on sockets. Returns results as of a simulated run, with measurements of this machine.
 
-    Raises TooLargeError, SidecarError. `watch` gives a coroutine that runs beside it (a progress line).
+    Raises TooLargeError, SidecarError. `watch` returns a coroutine that runs during the rehearsal (a progress line).
     """
     with tempfile.TemporaryDirectory(prefix="limenotch-lab-") as folder:
         rehearsal = Rehearsal(plan, Path(folder))
-        beside: asyncio.Task[None] | None = None
+        watcher: asyncio.Task[None] | None = None
         try:
-            await rehearsal.start(said)
+            await rehearsal.start(on_progress)
             if watch is not None:
-                beside = asyncio.get_running_loop().create_task(watch(rehearsal))
+                watcher = asyncio.get_running_loop().create_task(watch(rehearsal))
             record = await rehearsal.run()
             return {
                 **record.result(),
@@ -377,8 +379,8 @@
                 "machine": record.machine,
             }
         finally:
-            if beside is not None:
-                beside.cancel()
+            if watcher is not None:
+                watcher.cancel()
             await rehearsal.close()
 
 
--- a/limenotch/lab/emulate/load.py
+++ b/limenotch/lab/emulate/load.py
@@ -1,7 +1,7 @@
-"""Open-loop clients over sockets: requests leave when they are meant to, whatever became of the earlier ones.
+"""Open-loop clients over sockets: requests are sent at their intended times, whatever the results of earlier ones.
 
-Latency counts from the intended time, so that a stall of the system, or of this tool, is in the figures of all who
-would have waited through it (no coordinated omission). Bounded in time and in calls; loopback only.
+Latency counts from the intended time, so a stall of the system, or of this tool, appears in the latencies of all
+requests that it delays (no coordinated omission). Runs are bounded in time and in requests; loopback only.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from ..model.rules import RuleChecker
 from ..planning import Plan
 from ..record import Record
-from .wire import Asking, Pool
+from .wire import ClientConnection, Pool
 
-SLACK_MS = 50.0  # every time limit on sockets is this much longer
-AHEAD_MS = 1.0  # a timer of the loop is no finer
+SLACK_MS = 50.0  # added to every time limit on sockets
+TIMER_RESOLUTION_MS = 1.0  # of the event loop's timers
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a progress line shows."""
+    """The counts of a progress line."""
 
     asked: int = 0
     open: int = 0
@@ -32,10 +32,10 @@
     failed: int = 0
 
 
-def call_wire(
-    plan: Plan, cls: int, account: int | None, name: str, key: str, budget_ms: float, size: float, again: bool = False
+def encode_request(
+    plan: Plan, cls: int, account: int | None, name: str, key: str, budget_ms: float, size: float, retry: bool = False
 ) -> bytes:
-    """A call as consumers send it. The work's size is carried in a header of the laboratory's own."""
+    """Encodes a request as clients send it. The size of its work is in the laboratory's header X-Lab-Size."""
     spec = plan.classes[cls]
     keyed = spec.effect != "idempotent"
     headers = [
@@ -47,15 +47,15 @@
     ]
     if plan.accounts:
         headers.append((b"X-Caller", plan.accounts[account or 0].name.encode()))
-    if again:
+    if retry:
         headers.append((b"X-Again", b"1"))
     if keyed:
         headers.append((b"Idempotency-Key", (key or name).encode()))
     return http1.write_request(b"POST" if keyed else b"GET", b"/api", headers, b"{}" if keyed else b"")
 
 
-def verdict_of(answer: http1.Message | None, name: str) -> tuple[str, float]:
-    """`served`, `rejected` or `failed`, and when to come back in ms. A 200 with another call's body is no service."""
+def outcome_of_response(answer: http1.Message | None, name: str) -> tuple[str, float]:
+    """`served`, `rejected` or `failed`, and Retry-After in ms. A 200 with another request's body counts as failed."""
     if answer is None:
         return "failed", 0.0
     if answer.status == 200:
@@ -68,8 +68,8 @@
     return "failed", 0.0
 
 
-class Load:
-    """Owns its pools and every try under way; `run` ends when all have their end."""
+class LoadGenerator:
+    """Sends the requests of all clients; `run` returns when every attempt has ended."""
 
     def __init__(
         self,
@@ -78,51 +78,55 @@
         record: Record,
         rules: RuleChecker,
         clock: Callable[[], float],
-        choose: Callable[[Request], Pool | None],
-        mark: str = "c",
+        choose_pool: Callable[[Request], Pool | None],
+        id_prefix: str = "c",
     ) -> None:
-        """`clock` in ms since the run's begin; `choose` gives the way to the sidecar that a try goes to."""
+        """`clock` is in ms since the start of the run; `choose_pool` gives the pool to the sidecar of an attempt."""
         self._plan, self._clients, self._record, self._rules = plan, clients, record, rules
-        self._clock, self._choose, self._mark = clock, choose, mark
-        self._open = 0
+        self._clock, self._choose_pool, self._id_prefix = clock, choose_pool, id_prefix
+        self._open_attempts = 0
         self._count = 0
-        self._quiet = asyncio.Event()
-        self._ended = False
+        self._all_ended = asyncio.Event()
+        self._arrivals_ended = False
         self._timers: set[asyncio.TimerHandle] = set()
         self.progress = Progress()
-        self.late_us: list[int] = []
-        self.foreign = 0  # answers with a 200 and another call's body
+        self.lateness_us: list[int] = []
+        self.foreign_responses = 0  # responses with status 200 and another request's body
 
     async def run(self, until_ms: float) -> None:
-        """All requests born before `until_ms`, and what becomes of them."""
+        """Sends all requests created before `until_ms` and waits for their ends."""
         request = self._clients.next(0.0)
         while request is not None and request.created_at_ms < until_ms:
             wait = request.created_at_ms - self._clock()
-            if wait > AHEAD_MS:
-                await asyncio.sleep((wait - AHEAD_MS / 2) / 1000.0)
+            if wait > TIMER_RESOLUTION_MS:
+                await asyncio.sleep((wait - TIMER_RESOLUTION_MS / 2) / 1000.0)
             now = self._clock()
-            while request is not None and request.created_at_ms <= now + AHEAD_MS and request.created_at_ms < until_ms:
+            while (
+                request is not None
+                and request.created_at_ms <= now + TIMER_RESOLUTION_MS
+                and request.created_at_ms < until_ms
+            ):
                 self._record.request_created(request)
                 self.progress.asked += 1
-                self._try(request, request.created_at_ms)
+                self._start_attempt(request, request.created_at_ms)
                 request = self._clients.next(request.created_at_ms)
             await asyncio.sleep(0)
-        self._ended = True
-        if self._open:
-            await self._quiet.wait()
+        self._arrivals_ended = True
+        if self._open_attempts:
+            await self._all_ended.wait()
 
     def stop(self) -> None:
-        """Give up all that is under way."""
+        """Cancels all timers and lets `run` return."""
         for timer in list(self._timers):
             timer.cancel()
-        self._quiet.set()
+        self._all_ended.set()
 
-    def _later(self, wait_ms: float, do: Callable[[], None]) -> asyncio.TimerHandle:
-        def due() -> None:
+    def _schedule(self, wait_ms: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
+        def fire() -> None:
             self._timers.discard(timer)
-            do()
+            callback()
 
-        timer = asyncio.get_running_loop().call_later(max(wait_ms, 0.0) / 1000.0, due)
+        timer = asyncio.get_running_loop().call_later(max(wait_ms, 0.0) / 1000.0, fire)
         self._timers.add(timer)
         return timer
 
@@ -130,63 +134,70 @@
         timer.cancel()
         self._timers.discard(timer)
 
-    def _try(self, request: Request, meant: float) -> None:
+    def _start_attempt(self, request: Request, intended_ms: float) -> None:
         now = self._clock()
-        late = max(now - meant, 0.0)
-        self.late_us.append(int(late * 1000.0))
+        lateness_ms = max(now - intended_ms, 0.0)
+        self.lateness_us.append(int(lateness_ms * 1000.0))
         request.attempts += 1
-        self._open += 1
-        self.progress.open = self._open
-        self._record.attempt_started(meant, request)
+        self._open_attempts += 1
+        self.progress.open = self._open_attempts
+        self._record.attempt_started(intended_ms, request)
         self._count += 1
-        name = f"{self._mark}{self._count}"
-        pool = self._choose(request)
+        name = f"{self._id_prefix}{self._count}"
+        pool = self._choose_pool(request)
         spec = self._plan.classes[request.cls]
-        end = meant + request.budget_ms
-        self._rules.request_accepted(now, name, spec.effect, spec.scope, spec.window_ms, end)
-        held: list[Asking] = []
-        over = [False]
+        deadline_at_ms = intended_ms + request.budget_ms
+        self._rules.request_accepted(now, name, spec.effect, spec.scope, spec.window_ms, deadline_at_ms)
+        connections: list[ClientConnection] = []
+        is_finished = [False]
 
-        def ended(outcome: str, retry_after_ms: float) -> None:
-            over[0] = True
+        def finish(outcome: str, retry_after_ms: float) -> None:
+            is_finished[0] = True
             self._cancel(timer)
-            self._answered(request, outcome, retry_after_ms)
+            self._on_attempt_ended(request, outcome, retry_after_ms)
 
-        def answered(message: http1.Message | None) -> None:
-            if over[0]:
+        def on_response(message: http1.Message | None) -> None:
+            if is_finished[0]:
                 return
-            verdict, retry_after_ms = verdict_of(message, name)
+            verdict, retry_after_ms = outcome_of_response(message, name)
             if message is None:
-                self._rules.request_lost(name)  # its connection broke: the client can't tell what became of it
+                self._rules.request_lost(name)  # its connection broke: the client does not know its outcome
             else:
                 self._rules.request_answered(self._clock(), name, verdict)
-                self.foreign += verdict == "failed" and message.status == 200
-            ended(verdict, retry_after_ms)
+                self.foreign_responses += verdict == "failed" and message.status == 200
+            finish(verdict, retry_after_ms)
 
         def give_up() -> None:
-            for connection in held:
-                connection.drop()
-            if not over[0]:
+            for connection in connections:
+                connection.abandon()
+            if not is_finished[0]:
                 self._rules.client_disconnected(self._clock(), name)
-                ended("timed out", 0.0)
+                finish("timed out", 0.0)
 
-        timer = self._later(end + SLACK_MS - now, give_up)
+        timer = self._schedule(deadline_at_ms + SLACK_MS - now, give_up)
         if pool is None:
-            asyncio.get_running_loop().call_soon(answered, None)
+            asyncio.get_running_loop().call_soon(on_response, None)
             return
-        left = max(end - now, 1.0)
-        wire = call_wire(
-            self._plan, request.cls, request.account, name, request.key, left, request.size, request.attempts > 1
+        remaining_ms = max(deadline_at_ms - now, 1.0)
+        wire = encode_request(
+            self._plan,
+            request.cls,
+            request.account,
+            name,
+            request.key,
+            remaining_ms,
+            request.size,
+            request.attempts > 1,
         )
 
-        def began(connection: Asking) -> None:
-            held[:] = [connection]
-            if over[0]:
-                connection.drop()
+        def on_sent(connection: ClientConnection) -> None:
+            connections[:] = [connection]
+            if is_finished[0]:
+                connection.abandon()
 
-        pool.ask(wire, answered, began)
+        pool.send(wire, on_response, on_sent)
 
-    def _answered(self, request: Request, outcome: str, retry_after_ms: float) -> None:
+    def _on_attempt_ended(self, request: Request, outcome: str, retry_after_ms: float) -> None:
         now = self._clock()
         self._record.attempt_ended(now, request, outcome, retry_after_ms)
         progress = self.progress
@@ -194,15 +205,15 @@
         progress.rejected += outcome == "rejected"
         progress.failed += outcome not in ("served", "rejected")
         wait = None if outcome == "served" else self._clients.retry_delay_ms(request, outcome, retry_after_ms)
-        self._open -= 1
-        progress.open = self._open
+        self._open_attempts -= 1
+        progress.open = self._open_attempts
         if wait is not None:
-            self._open += 1  # it is still to come
+            self._open_attempts += 1  # the retry, which starts later
 
-            def again() -> None:
-                self._open -= 1
-                self._try(request, now + wait)
+            def retry() -> None:
+                self._open_attempts -= 1
+                self._start_attempt(request, now + wait)
 
-            self._later(wait, again)
-        elif self._ended and not self._open:
-            self._quiet.set()
+            self._schedule(wait, retry)
+        elif self._arrivals_ended and not self._open_attempts:
+            self._all_ended.set()
--- a/limenotch/lab/emulate/sidecars.py
+++ b/limenotch/lab/emulate/sidecars.py
@@ -1,4 +1,4 @@
-"""Sidecars as processes: unchanged `limenotch serve`, one configuration file each, all ended with the rehearsal."""
+"""Sidecar processes of a rehearsal: unchanged `limenotch serve`, each with a configuration file of its own."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from random import SystemRandom
 from typing import Any
 
-START_S = 20.0  # a machine that is busy starting dozens of them
-AGAIN = 5  # ports tried, should somebody else take the one that was free
+START_S = 20.0  # a busy machine may start dozens of them at once
+MAX_PORT_ATTEMPTS = 5  # another program may take a port that was free
 STOP_S = 10.0
 
 
 class SidecarError(Exception):
-    """A sidecar could not be started; the text has what it said."""
+    """A sidecar could not be started; the text has the end of its log."""
 
 
-PORTS = range(12_000, 32_000)  # below those that kernels give to connections that go out
+PORTS = range(12_000, 32_000)  # below the ephemeral ports of kernels
 _ports = SystemRandom().sample(PORTS, len(PORTS))
 
 
 def free_port() -> int:
     """A port that is free now for streams and for datagrams, each time another one.
 
-    One of the kernel's choice may go to a connection before its owner listens, or while that one restarts.
+    The kernel could give an ephemeral port to a connection before its owner listens, or while the owner restarts.
     """
     while True:
         port = _ports.pop()
@@ -44,7 +44,7 @@
 
 
 class SidecarProcess:
-    """One process. Owned by the rehearsal; `end` is the one place where it is ended and waited for."""
+    """A sidecar process, owned by the rehearsal; `end` waits for its end."""
 
     def __init__(
         self,
@@ -74,21 +74,21 @@
     def log(self) -> Path:
         return self._folder / f"{self.name}.log"
 
-    def place(self) -> int:
-        """The port to listen on; asked again should somebody else have it by now."""
+    def choose_port(self) -> int:
+        """The port to listen on; called again if another program has taken the port since."""
         return free_port()
 
     def command(self) -> list[str]:
-        """Of the process, behind the interpreter."""
+        """The arguments of the interpreter."""
         return ["-m", "limenotch", "serve", "--log", self._log_form]
 
     def environment(self) -> dict[str, str]:
-        """What is set beside the configuration."""
+        """Further environment variables."""
         return {}
 
     def spawn(self) -> None:
-        """Start it on a port that is free now."""
-        self.port = self.place()
+        """Starts the process on a port that is free now."""
+        self.port = self.choose_port()
         self._config["listen"] = f"127.0.0.1:{self.port}"
         config = self._folder / f"{self.name}.json"
         config.write_text(json.dumps(self._config), encoding="utf-8")
@@ -97,7 +97,7 @@
         root = str(Path(__file__).resolve().parents[3])
         environ["PYTHONPATH"] = os.pathsep.join(part for part in (root, environ.get("PYTHONPATH")) if part)
         with self.log.open("ab") as log:
-            # A group of its own: Ctrl-C at the terminal is for the rehearsal, which then ends its sidecars.
+            # In its own process group, so Ctrl-C reaches only the rehearsal, which then ends its sidecars.
             self.process = subprocess.Popen(
                 [sys.executable, *self.command()],
                 env=environ,
@@ -108,22 +108,22 @@
             )
 
     async def ready(self) -> None:
-        """Until `GET /up` answers 200. Raises SidecarError."""
+        """Waits until `GET /up` answers 200. Raises SidecarError."""
         loop = asyncio.get_running_loop()
         end = loop.time() + START_S
-        tries = AGAIN
+        attempts_left = MAX_PORT_ATTEMPTS
         while loop.time() < end:
             assert self.process is not None
             code = self.process.poll()
             if code is not None:
-                tries -= 1
-                if code != 1 or not tries:
-                    raise SidecarError(f"sidecar {self.name} ended with {code}: {self._said()}")
-                self.spawn()  # the port was taken in between
+                attempts_left -= 1
+                if code != 1 or not attempts_left:
+                    raise SidecarError(f"sidecar {self.name} ended with {code}: {self._log_tail()}")
+                self.spawn()  # another program took the port
             elif await self._up():
                 return
             await asyncio.sleep(0.05)
-        raise SidecarError(f"sidecar {self.name} was not ready within {START_S:g} s: {self._said()}")
+        raise SidecarError(f"sidecar {self.name} was not ready within {START_S:g} s: {self._log_tail()}")
 
     async def _up(self) -> bool:
         try:
@@ -138,7 +138,7 @@
         finally:
             writer.close()
 
-    def _said(self) -> str:
+    def _log_tail(self) -> str:
         try:
             return self.log.read_text(errors="replace").strip()[-500:] or "nothing in its log"
         except OSError:
@@ -149,13 +149,13 @@
         return self.process is not None and self.process.poll() is not None and not self.expected_end
 
     def kill(self) -> None:
-        """As a machine that dies takes it along."""
+        """Kills the process, as the death of its machine does."""
         self.expected_end = True
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
 
     def memory_kb(self) -> int:
-        """Resident now; 0 if it is not there."""
+        """Resident memory in KiB; 0 if the process does not run."""
         try:
             with open(f"/proc/{self.process.pid if self.process else 0}/statm", encoding="ascii") as file:
                 return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") // 1024
@@ -168,7 +168,7 @@
             self.process.send_signal(signal.SIGTERM)
 
     def end(self) -> int | None:
-        """Wait for it, and no longer than STOP_S; its exit code."""
+        """Waits for the end of the process, which is killed after STOP_S; returns its exit code."""
         self.expected_end = True
         if self.process is None:
             return None
--- a/limenotch/lab/emulate/wire.py
+++ b/limenotch/lab/emulate/wire.py
@@ -1,7 +1,8 @@
 """HTTP/1.1 connections for the laboratory, with the parsers of `limenotch.net.http1`.
 
-asyncio protocols with callbacks, not streams and coroutines as in the program: the load tool and hundreds of emulated
-providers share one process, and a stream with two coroutines a request costs about three times as much.
+The connections are asyncio protocols with callbacks, not streams and coroutines as in the program: the load tool and
+hundreds of emulated providers share one process, and a stream with two coroutines per request costs about three times
+as much.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 
 from ...net import http1
 
-MOST_BACKLOG = 512
-MOST_UNREAD = 1 << 20  # bytes that wait for a peer that does not read, before its connection is reset
+LISTEN_BACKLOG = 512
+MAX_UNREAD_BYTES = 1 << 20  # unsent bytes after which the connection of a peer that does not read is reset
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close with RST: what a process that dies leaves behind."""
+    """Closes with RST, as the kernel does for a process that dies."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         with contextlib.suppress(OSError):
@@ -28,16 +29,16 @@
     transport.abort()
 
 
-class Served(asyncio.Protocol):
-    """One connection to a server of ours. One request at a time; `request` hears of each, `gone` of the end."""
+class ServerConnection(asyncio.Protocol):
+    """A server's connection. Calls `on_request` for one request at a time, and `on_closed` at the end."""
 
     def __init__(
         self,
-        request: Callable[[Served, http1.Message], None],
-        gone: Callable[[Served], None],
-        met: Callable[[Served], bool],
+        on_request: Callable[[ServerConnection, http1.Message], None],
+        on_closed: Callable[[ServerConnection], None],
+        on_connected: Callable[[ServerConnection], bool],
     ) -> None:
-        self._request, self._gone, self._met = request, gone, met
+        self._on_request, self._on_closed, self._on_connected = on_request, on_closed, on_connected
         self._parser = http1.RequestParser()
         self.transport: asyncio.Transport | None = None
         self.busy = False
@@ -47,7 +48,7 @@
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if not self._met(self):
+        if not self._on_connected(self):
             reset(self.transport)
 
     def data_received(self, data: bytes) -> None:
@@ -63,7 +64,7 @@
             if message is not None:
                 self.busy = True
                 self.count += 1
-                self._request(self, message)
+                self._on_request(self, message)
 
     def answer(self, wire: bytes, close: bool = False) -> None:
         if not self.write(wire):
@@ -76,10 +77,10 @@
             self.data_received(b"")
 
     def write(self, wire: bytes) -> bool:
-        """False if the connection is gone, or goes because its peer does not read."""
+        """Writes data; False if the connection is closed, or is reset now because its peer does not read."""
         if self.transport is None or self.transport.is_closing():
             return False
-        if self.transport.get_write_buffer_size() > MOST_UNREAD:
+        if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
             reset(self.transport)
             return False
         self.transport.write(wire)
@@ -91,18 +92,18 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
-        self._gone(self)
+        self._on_closed(self)
 
 
-class Asking(asyncio.Protocol):
-    """One connection of a client of ours; `done` gets the answer to the request under way, or None."""
+class ClientConnection(asyncio.Protocol):
+    """A client's connection. The callback of `send` gets the response, or None if there is none."""
 
-    def __init__(self, idle: Callable[[Asking], None], gone: Callable[[Asking], None]) -> None:
-        self._idle, self._gone = idle, gone
+    def __init__(self, idle: Callable[[ClientConnection], None], on_closed: Callable[[ClientConnection], None]) -> None:
+        self._idle, self._on_closed = idle, on_closed
         self._parser = http1.ResponseParser()
-        self._done: Callable[[http1.Message | None], None] | None = None
+        self._on_response: Callable[[http1.Message | None], None] | None = None
         self.transport: asyncio.Transport | None = None
-        self.used = 0
+        self.request_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -112,10 +113,10 @@
     def open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def ask(self, wire: bytes, done: Callable[[http1.Message | None], None]) -> None:
+    def send(self, wire: bytes, on_response: Callable[[http1.Message | None], None]) -> None:
         assert self.transport is not None
-        self._done = done
-        self.used += 1
+        self._on_response = on_response
+        self.request_count += 1
         self.transport.write(wire)
 
     def data_received(self, data: bytes) -> None:
@@ -127,122 +128,131 @@
             return
         if message is None:
             return
-        done, self._done = self._done, None
+        on_response, self._on_response = self._on_response, None
         if not message.keep_alive:
             self.close()
-        elif done is not None:
+        elif on_response is not None:
             self._idle(self)
-        if done is not None:
-            done(message)
+        if on_response is not None:
+            on_response(message)
 
     def close(self) -> None:
-        """Give up what is under way; its `done` hears nothing more."""
+        """Closes the connection; a pending callback gets None once it is closed."""
         if self.transport is not None:
             self.transport.close()
 
-    def drop(self) -> None:
-        self._done = None
+    def abandon(self) -> None:
+        """Closes the connection without a call of the pending callback."""
+        self._on_response = None
         self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
-        self._gone(self)
-        done, self._done = self._done, None
-        if done is not None:
-            done(None)
+        self._on_closed(self)
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None:
+            on_response(None)
 
 
 class Pool:
-    """Connections to one address: idle ones are used again, more are opened as needed, up to `most`."""
+    """Connections to one address: idle ones are reused, more are opened as needed, up to `max_connections`."""
 
-    def __init__(self, host: str, port: int, most: int = 1000) -> None:
-        self.host, self.port, self._most = host, port, most
-        self._idle: list[Asking] = []
-        self._all: set[Asking] = set()
+    def __init__(self, host: str, port: int, max_connections: int = 1000) -> None:
+        self.host, self.port, self._max_connections = host, port, max_connections
+        self._idle: list[ClientConnection] = []
+        self._connections: set[ClientConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self.opened = 0
         self.opening = 0
 
     @property
     def count(self) -> int:
-        return len(self._all)
+        return len(self._connections)
 
-    def ask(
-        self, wire: bytes, done: Callable[[http1.Message | None], None], began: Callable[[Asking], None] | None = None
+    def send(
+        self,
+        wire: bytes,
+        on_response: Callable[[http1.Message | None], None],
+        on_sent: Callable[[ClientConnection], None] | None = None,
     ) -> None:
-        """`done` is called once, with None if no answer came; `began` gets the connection once the request is out."""
+        """`on_response` is called once, with None without a response; `on_sent` gets the connection of the request."""
         while self._idle:
             connection = self._idle.pop()
             if connection.open:
-                if began is not None:
-                    began(connection)
-                connection.ask(wire, self._again(wire, done, began, connection.used))
+                if on_sent is not None:
+                    on_sent(connection)
+                connection.send(
+                    wire, self._retry_on_new_connection(wire, on_response, on_sent, connection.request_count)
+                )
                 return
-        if len(self._all) + self.opening >= self._most:
-            asyncio.get_running_loop().call_soon(done, None)
+        if len(self._connections) + self.opening >= self._max_connections:
+            asyncio.get_running_loop().call_soon(on_response, None)
             return
         self.opening += 1
-        task = asyncio.get_running_loop().create_task(self._open(wire, done, began))
+        task = asyncio.get_running_loop().create_task(self._open(wire, on_response, on_sent))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _again(
+    def _retry_on_new_connection(
         self,
         wire: bytes,
-        done: Callable[[http1.Message | None], None],
-        began: Callable[[Asking], None] | None,
-        used: int,
+        on_response: Callable[[http1.Message | None], None],
+        on_sent: Callable[[ClientConnection], None] | None,
+        request_count: int,
     ) -> Callable[[http1.Message | None], None]:
-        """A kept connection that ends without a byte may have crossed the request: once more on a new one."""
+        """Retries once on a new connection: an idle one that ends without a byte may have closed before the request."""
 
         def answered(message: http1.Message | None) -> None:
-            if message is None and used > 0:
+            if message is None and request_count > 0:
                 self.opening += 1
-                task = asyncio.get_running_loop().create_task(self._open(wire, done, began))
+                task = asyncio.get_running_loop().create_task(self._open(wire, on_response, on_sent))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             else:
-                done(message)
+                on_response(message)
 
         return answered
 
     async def _open(
-        self, wire: bytes, done: Callable[[http1.Message | None], None], began: Callable[[Asking], None] | None
+        self,
+        wire: bytes,
+        on_response: Callable[[http1.Message | None], None],
+        on_sent: Callable[[ClientConnection], None] | None,
     ) -> None:
         loop = asyncio.get_running_loop()
         try:
             _, connection = await loop.create_connection(
-                lambda: Asking(self._idle.append, self._all.discard), self.host, self.port
+                lambda: ClientConnection(self._idle.append, self._connections.discard), self.host, self.port
             )
         except OSError:
-            done(None)
+            on_response(None)
             return
         finally:
             self.opening -= 1
         self.opened += 1
-        self._all.add(connection)
-        if began is not None:
-            began(connection)
+        self._connections.add(connection)
+        if on_sent is not None:
+            on_sent(connection)
         if connection.open:
-            connection.ask(wire, done)
+            connection.send(wire, on_response)
         else:
-            done(None)
+            on_response(None)
 
     def close(self) -> None:
         for task in list(self._tasks):
             task.cancel()
-        for connection in list(self._all):
-            connection.drop()
+        for connection in list(self._connections):
+            connection.abandon()
         self._idle.clear()
 
 
 def listener(port: int = 0) -> socket.socket:
-    """On 127.0.0.1; port 0: the kernel's choice. Raises OSError if a given port is taken."""
+    """A listening socket on 127.0.0.1; with port 0 the kernel chooses. Raises OSError if the given port is taken."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(("127.0.0.1", port))
-        sock.listen(MOST_BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         sock.setblocking(False)
     except OSError:
         sock.close()
--- a/limenotch/lab/fleet/processes.py
+++ b/limenotch/lab/fleet/processes.py
@@ -112,7 +112,7 @@
         """Its process takes this name; two nodes may so have one."""
         self._config["name"] = name
 
-    def place(self) -> int:
+    def choose_port(self) -> int:
         return self.serving
 
     def command(self) -> list[str]:
--- a/limenotch/lab/fleet/stage.py
+++ b/limenotch/lab/fleet/stage.py
@@ -250,7 +250,7 @@
             await self._happen(fault)
             self.happened[number] = self.clock()
             if str(fault).startswith("start"):
-                self._background(self._started(number, str(fault).split()[1:]))
+                self._run_in_background(self._started(number, str(fault).split()[1:]))
 
     async def _started(self, number: int, names: list[str]) -> None:
         """A start has come when the nodes are ready: how long an interpreter takes to begin is the machine's."""
@@ -283,7 +283,7 @@
             self.trial.woke(self.clock(), key)
         elif word == "leave":
             node.terminate()
-            self._background(self._left(node))
+            self._run_in_background(self._left(node))
         else:
             await loop.run_in_executor(None, node.wipe if word == "wipe" else node.kill)
             self._drop_pool(key)
--- a/tests/fleet/returning_clients.py
+++ b/tests/fleet/returning_clients.py
@@ -22,9 +22,9 @@
 from collections.abc import Sequence
 from typing import Any
 
-from limenotch.lab.emulate.load import call_wire, verdict_of
-from limenotch.lab.emulate.providers import Door
-from limenotch.lab.emulate.wire import Pool, Served
+from limenotch.lab.emulate.load import encode_request, outcome_of_response
+from limenotch.lab.emulate.providers import SiteListener
+from limenotch.lab.emulate.wire import Pool, ServerConnection
 from limenotch.lab.fleet.processes import NodeProcess
 from limenotch.lab.fleet.stage import Stage
 from limenotch.lab.model.clients import Request
@@ -49,7 +49,7 @@
         self.attempts: dict[str, list[str]] = defaultdict(list)  # by call: providers
         host = self.providers.request
 
-        def request(door: Door, connection: Served, message: http1.Message) -> None:
+        def request(door: SiteListener, connection: ServerConnection, message: http1.Message) -> None:
             name = message.fields.get(b"x-call-id", b"").decode()
             key = message.fields.get(b"idempotency-key", b"").decode()
             self.attempts[name].append(door.site.name)
@@ -77,7 +77,7 @@
         """The verdict, by which provider, and the call's name. Judged by the rules for calls, as all others are."""
         number, key_of = len(self.attempts), self.keys_of[node]
         name, spec = f"t{number}-{self.clock():.3f}", self.plan.classes[cls]
-        wire = call_wire(self.plan, cls, None, name, key and OWN + key, BUDGET_MS, 1.0, again)
+        wire = encode_request(self.plan, cls, None, name, key and OWN + key, BUDGET_MS, 1.0, again)
         if session:
             wire = wire.replace(b"Host: lab\r\n", b"Host: lab\r\nX-Session: " + session.encode() + b"\r\n")
         final: asyncio.Future[http1.Message | None] = asyncio.get_running_loop().create_future()
@@ -85,9 +85,9 @@
         self.trial.request_accepted(
             self.clock(), name, spec.effect, spec.scope, spec.window_ms, self.clock() + BUDGET_MS
         )
-        self._pools[key_of].ask(wire, final.set_result)
+        self._pools[key_of].send(wire, final.set_result)
         answer = await asyncio.wait_for(final, 10)
-        verdict, _ = verdict_of(answer, name)
+        verdict, _ = outcome_of_response(answer, name)
         if answer is None:
             self.trial.request_lost(name)
             return "lost", "", name
@@ -226,7 +226,7 @@
         bench = self.bench
         for number, site in enumerate(bench.fleet.sites[0]):
             if site.name in providers:
-                bench._see_to(bench.fleet.apply(bench.clock(), FaultAction(bench.clock(), "drain", 0, number)))
+                bench._handle_changes(bench.fleet.apply(bench.clock(), FaultAction(bench.clock(), "drain", 0, number)))
         left = sum(not site.draining and site.name not in self.banned for site in bench.fleet.sites[0])
         await self.processes.until_all(
             lambda _, state: state["parts"]["bindings"]["providers"] == left, 20, f"{providers} drain", self.running
--- a/tests/fleet/test_stage.py
+++ b/tests/fleet/test_stage.py
@@ -113,7 +113,7 @@
 
         server = await asyncio.start_server(take, "127.0.0.1", 0)
         pool = stage._pools[0, 0] = Pool(*server.sockets[0].getsockname())
-        pool.ask(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", heard.append)
+        pool.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", heard.append)
         await taken.wait()
         stage._drop_pool((0, 0))
         assert (0, 0) not in stage._pools and not heard
--- a/tests/helpers/wallet_clients.py
+++ b/tests/helpers/wallet_clients.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from limenotch.lab.emulate.wire import Asking, Pool
+from limenotch.lab.emulate.wire import ClientConnection, Pool
 from limenotch.lab.fleet.processes import NodeProcess
 from limenotch.lab.fleet.stage import Stage
 from limenotch.lab.model.clients import Request
@@ -63,13 +63,16 @@
         self._pool, self._record_response = pool, record_response
 
     def ask(
-        self, wire: bytes, done: Callable[[http1.Message | None], None], began: Callable[[Asking], None] | None = None
+        self,
+        wire: bytes,
+        done: Callable[[http1.Message | None], None],
+        began: Callable[[ClientConnection], None] | None = None,
     ) -> None:
         def record_and_forward(message: http1.Message | None) -> None:
             self._record_response(message)
             done(message)
 
-        self._pool.ask(wire, record_and_forward, began)
+        self._pool.send(wire, record_and_forward, began)
 
 
 class PayingStage(Stage):
--- a/tests/lab/test_emulate.py
+++ b/tests/lab/test_emulate.py
@@ -12,9 +12,9 @@
 
 from limenotch.lab import planning, scenario
 from limenotch.lab.emulate.directory import DirectoryHost
-from limenotch.lab.emulate.load import Load, call_wire, verdict_of
-from limenotch.lab.emulate.providers import SPOILT, ProviderHost
-from limenotch.lab.emulate.wire import Pool, Served, listener
+from limenotch.lab.emulate.load import LoadGenerator, encode_request, outcome_of_response
+from limenotch.lab.emulate.providers import CORRUPT_RESPONSE, ProviderHost
+from limenotch.lab.emulate.wire import Pool, ServerConnection, listener
 from limenotch.lab.model.chance import Seeds
 from limenotch.lab.model.clients import Clients
 from limenotch.lab.model.directory import Directory, DirectorySpec, Entry
@@ -83,7 +83,7 @@
     async def ask(self, pool: Pool, name: str, work: float = 1.0) -> asyncio.Future[http1.Message | None]:
         answer: asyncio.Future[http1.Message | None] = asyncio.get_running_loop().create_future()
         self.rules.request_accepted(self.now, name, "idempotent", "all", 0, inf)
-        pool.ask(call_wire(self.plan, 0, None, name, "", 3000.0, work), answer.set_result)
+        pool.send(encode_request(self.plan, 0, None, name, "", 3000.0, work), answer.set_result)
         for _ in range(2000):
             if self.rules._open[name].attempts or answer.done():
                 break
@@ -106,7 +106,7 @@
 def test_a_door_answers_refuses_and_resets() -> None:
     async def case() -> None:
         doors = Doors()
-        door = await doors.host.door((0, 0), doors.site, 0)
+        door = await doors.host.site_listener((0, 0), doors.site, 0)
         pool = Pool("127.0.0.1", door.port)
         message = await doors.until(await doors.ask(pool, "a"))
         assert message is not None and (message.status, message.body) == (200, b"a only-0-0")
@@ -120,7 +120,7 @@
             doors.host.stopped(changed.site, changed.job_ids)
         assert [await answer for answer in held] == [None] * 6 and not doors.host._attempts
         refused: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        pool.ask(b"GET / HTTP/1.1\r\n\r\n", refused.set_result)
+        pool.send(b"GET / HTTP/1.1\r\n\r\n", refused.set_result)
         assert await refused is None
         port = door.port
         doors.fleet.apply(doors.now, FaultAction(doors.now, "start", 0, 0))
@@ -136,7 +136,7 @@
 def test_an_abandoned_call_ends_its_job_and_a_silent_machine_says_nothing() -> None:
     async def case() -> None:
         doors = Doors()
-        door = await doors.host.door((0, 0), doors.site, 0)
+        door = await doors.host.site_listener((0, 0), doors.site, 0)
         pool, process = Pool("127.0.0.1", door.port), doors.site.process
         assert process is not None
         await doors.ask(pool, "left", 1e6)
@@ -150,11 +150,11 @@
         silent = await doors.ask(pool, "silent")
         assert not silent.done() and process.job_count == 0
         doors.fleet.apply(doors.now, FaultAction(doors.now, "silent", 0, 0, 0.0))
-        doors.host.back(doors.site)
+        doors.host.reset_silent_connections(doors.site)
         assert await silent is None  # reset once the machine is there again
         doors.site.corrupt_chance = 1.0
         spoilt = await doors.ask(pool, "spoilt")
-        assert await doors.until(spoilt) is None and SPOILT.startswith(b"HTTP/1.1 2OO")
+        assert await doors.until(spoilt) is None and CORRUPT_RESPONSE.startswith(b"HTTP/1.1 2OO")
         assert doors.rules.all_hold
         pool.close()
         doors.host.close()
@@ -166,11 +166,11 @@
     async def case() -> None:
         ended = asyncio.Event()
 
-        def request(connection: Served, message: http1.Message) -> None:
+        def request(connection: ServerConnection, message: http1.Message) -> None:
             connection.answer(http1.write_response(200, [], b"x" * 100_000))
 
         server = await asyncio.get_running_loop().create_server(
-            lambda: Served(request, lambda _: ended.set(), lambda _: True), sock=listener()
+            lambda: ServerConnection(request, lambda _: ended.set(), lambda _: True), sock=listener()
         )
         with socket.create_connection(server.sockets[0].getsockname()) as peer:
             peer.setblocking(False)
@@ -191,7 +191,7 @@
 def test_a_request_that_no_client_sent() -> None:
     async def case() -> None:
         doors = Doors()
-        door = await doors.host.door((0, 0), doors.site, 0)
+        door = await doors.host.site_listener((0, 0), doors.site, 0)
         pool = Pool("127.0.0.1", door.port)
         for wire, status in (
             (b"GET /api HTTP/1.1\r\n\r\n", 404),
@@ -199,9 +199,9 @@
             (b"GET /alive HTTP/1.1\r\n\r\n", 200),
         ):
             answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-            pool.ask(wire, answer.set_result)
+            pool.send(wire, answer.set_result)
             assert (await answer).status == status
-        assert doors.host.unknown == 2
+        assert doors.host.unknown_requests == 2
         pool.close()
         doors.host.close()
 
@@ -239,12 +239,12 @@
         assert first["snapshot"] and first["endpoints"] == [{"name": "p-0-0", "s": "ready"}]
         directory.schedule_change(now[0], Entry("p-0-0", "draining"))
         now[0] = 5.0
-        hosted.tend(0)
+        hosted.reschedule(0)
         change = await line()
         assert not change["snapshot"] and change["endpoints"] == [{"name": "p-0-0", "s": "draining"}]
         assert told == ["ready", "draining"]
         directory.set_down(now[0], True)
-        hosted.tend(0)
+        hosted.reschedule(0)
         with pytest.raises(ConnectionError):
             assert await reader.read() == b""
             raise ConnectionResetError
@@ -262,10 +262,10 @@
     async def case() -> None:
         made = plan(ONE.replace("deadline_ms = 3000", "deadline_ms = 400").replace("aim_ms = 1000", "aim_ms = 100"))
         _, clients, record, rules = parts(made)
-        held: list[Served] = []
+        held: list[ServerConnection] = []
         seen = [0]
 
-        def request(connection: Served, message: http1.Message) -> None:
+        def request(connection: ServerConnection, message: http1.Message) -> None:
             seen[0] += 1
             if seen[0] % 4 == 1:
                 held.append(connection)  # never answered: the client that does not wait for ever gives up
@@ -276,17 +276,17 @@
                 connection.answer(http1.write_response(200, [], body))
 
         server = await asyncio.get_running_loop().create_server(
-            lambda: Served(request, lambda _: None, lambda _: True), sock=listener()
+            lambda: ServerConnection(request, lambda _: None, lambda _: True), sock=listener()
         )
         pool = Pool("127.0.0.1", server.sockets[0].getsockname()[1])
         loop = asyncio.get_running_loop()
         began = loop.time()
-        load = Load(made, clients, record, rules, lambda: (loop.time() - began) * 1000.0, lambda _: pool)
+        load = LoadGenerator(made, clients, record, rules, lambda: (loop.time() - began) * 1000.0, lambda _: pool)
         await load.run(500.0)
         asked = load.progress.asked
         assert asked == seen[0] > 8 and record.finals["timed out"] == (asked + 3) // 4
         assert record.finals["rejected"] == (asked + 2) // 4 and record.finals["served"] == (asked + 1) // 4
-        assert load.foreign == asked // 4 == record.finals["failed"]
+        assert load.foreign_responses == asked // 4 == record.finals["failed"]
         # Those that had no answer by their end are seen as what they are.
         assert rules.counts["one final answer in time"] == record.finals["timed out"]
         pool.close()
@@ -299,8 +299,8 @@
     def answer(status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> http1.Message:
         return http1.Message(list(headers), dict(headers), status=status, body=body)
 
-    assert verdict_of(answer(200, b"c1 p"), "c1") == ("served", 0.0)
-    assert verdict_of(answer(200, b"c11 p"), "c1") == ("failed", 0.0)
-    assert verdict_of(answer(503, b"", (b"retry-after", b"1.5")), "c1") == ("rejected", 1500.0)
-    assert verdict_of(answer(429, b"", (b"retry-after", b"x")), "c1") == ("rejected", 0.0)
-    assert verdict_of(answer(504), "c1") == verdict_of(None, "c1") == ("failed", 0.0)
+    assert outcome_of_response(answer(200, b"c1 p"), "c1") == ("served", 0.0)
+    assert outcome_of_response(answer(200, b"c11 p"), "c1") == ("failed", 0.0)
+    assert outcome_of_response(answer(503, b"", (b"retry-after", b"1.5")), "c1") == ("rejected", 1500.0)
+    assert outcome_of_response(answer(429, b"", (b"retry-after", b"x")), "c1") == ("rejected", 0.0)
+    assert outcome_of_response(answer(504), "c1") == outcome_of_response(None, "c1") == ("failed", 0.0)
--- a/tests/lab/test_emulate_days.py
+++ b/tests/lab/test_emulate_days.py
@@ -68,7 +68,7 @@
     rehearsal = Rehearsal(planning.plan(scenario.load("thousand"), 1), tmp_path)
     with pytest.raises(TooLargeError, match="650 sidecars"):
         asyncio.run(rehearsal.start())
-    assert not rehearsal.sidecars and host.MOST_SIDECARS < 650
+    assert not rehearsal.sidecars and host.MAX_SIDECARS < 650
     assert main(["lab", "rehearse", "thousand", "--quiet"]) == 2
 
 
