--- a/benchmarks/matrix.py
+++ b/benchmarks/matrix.py
@@ -17,13 +17,13 @@
 from limenotch.lab import matrix
 
 
-def one(job: tuple[matrix.Cell, int, str]) -> tuple[matrix.Broken | None, int]:
+def one(job: tuple[matrix.Cell, int, str]) -> tuple[matrix.BrokenRules | None, int]:
     cell, seed, spec = job
     return matrix.check(cell, seed, spec=spec)
 
 
 def main(count: int, seed: int, spec: str) -> int:
-    chosen = [*matrix.covering(seed), *matrix.drawn(seed, count)]
+    chosen = [*matrix.covering(seed), *matrix.drawn_cells(seed, count)]
     began = perf_counter()
     with ProcessPoolExecutor(os.cpu_count(), mp_context=multiprocessing.get_context("spawn")) as pool:
         results = list(pool.map(one, [(cell, n, spec) for n, cell in enumerate(chosen)], chunksize=16))
@@ -36,7 +36,7 @@
     for rule, cells in rules.most_common():
         print(f"  {rule}: {cells} cells")
     for found in broken[:5]:
-        print(matrix.told(found))
+        print(matrix.describe(found))
     return 1 if broken else 0
 
 
--- a/limenotch/lab/compare.py
+++ b/limenotch/lab/compare.py
@@ -1,8 +1,8 @@
-"""Variants against each other: the same scenarios and seeds, differences paired by seed, and what can be said of them.
+"""Compares variants on the same scenarios and seeds: differences paired by seed, with intervals and verdicts.
 
-The difference of a metric is a mean over pairs; its interval is a bootstrap's (SciPy, percentiles, a fixed seed).
-A verdict is given where the whole interval lies on one side of zero. With ten metrics at 95% one in two comparisons of
-equal variants shows one such interval by chance, so the verdict on the whole rests on `score` and the rules alone.
+The difference of a metric is a mean over pairs; its interval comes from a bootstrap (SciPy, percentiles, fixed seed).
+A verdict is given if the interval does not include zero. With ten metrics at 95%, one in two comparisons of equal
+variants shows such an interval by chance, so the verdict of a comparison depends only on `score` and the rules.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from . import policy
 from .experiment import Job, Result, play_all
 
-# Which way is better; those that only tell how something was had are left out of verdicts (0).
+# 1: higher is better, -1: lower is better, 0: no verdict, since the metric only describes how a result came about.
 METRICS = {
     "score": 1,
     "in_time": 1,
@@ -42,7 +42,7 @@
     "cold_push": 0,
     "rules_broken": -1,
 }
-# Those that tables and pages show.
+# The metrics in tables and pages.
 SHOWN = (
     "score",
     "in_time",
@@ -60,7 +60,7 @@
 )
 CONFIDENCE = 0.95
 RESAMPLES = 4000
-FEWEST = 4  # pairs below which no verdict is given: the bootstrap of three values knows nothing of their spread
+MIN_PAIRS = 4  # with fewer pairs no verdict is given: a bootstrap of three values says nothing about their spread
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Of one metric, variant less the first: mean, interval, and verdict: better, worse, can't tell, same."""
+    """The difference of one metric, variant minus first; the verdict is better, worse, can't tell or same."""
 
     metric: str
     first: float
@@ -94,33 +94,35 @@
 
 
 def difference(metric: str, pairs: Sequence[tuple[float, float]]) -> Difference:
-    one, two = (np.array([pair[side] for pair in pairs], dtype=float) for side in (0, 1))
-    apart = two - one
-    mean = float(apart.mean())
+    first_values, other_values = (np.array([pair[side] for pair in pairs], dtype=float) for side in (0, 1))
+    difference_by_pair = other_values - first_values
+    mean = float(difference_by_pair.mean())
     low = high = mean
-    if len(pairs) >= 2 and float(np.ptp(apart)) > 0:
-        found = bootstrap(
-            (apart,),
+    if len(pairs) >= 2 and float(np.ptp(difference_by_pair)) > 0:
+        interval = bootstrap(
+            (difference_by_pair,),
             np.mean,
             confidence_level=CONFIDENCE,
             n_resamples=RESAMPLES,
             method="percentile",
             rng=np.random.default_rng(1),
         )
-        low, high = float(found.confidence_interval.low), float(found.confidence_interval.high)
+        low, high = float(interval.confidence_interval.low), float(interval.confidence_interval.high)
     direction = METRICS[metric]
-    if not apart.any():
+    if not difference_by_pair.any():
         verdict = "same"
-    elif len(pairs) < FEWEST or low <= 0 <= high or not direction:
+    elif len(pairs) < MIN_PAIRS or low <= 0 <= high or not direction:
         verdict = "can't tell" if direction else ""
     else:
         verdict = "better" if mean * direction > 0 else "worse"
-    return Difference(metric, float(one.mean()), float(two.mean()), mean, low, high, len(pairs), verdict)
+    return Difference(
+        metric, float(first_values.mean()), float(other_values.mean()), mean, low, high, len(pairs), verdict
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Of one scenario and one variant with the first variant."""
+    """The comparison of a variant with the first one on one scenario."""
 
     scenario: str
     first: str
@@ -130,14 +132,14 @@
 
     @property
     def verdict(self) -> str:
-        by = {each.metric: each for each in self.differences}
-        if by["rules_broken"].mean > 0:
+        by_metric = {each.metric: each for each in self.differences}
+        if by_metric["rules_broken"].mean > 0:
             return "worse: breaks rules"
-        return by["score"].verdict
+        return by_metric["score"].verdict
 
 
 def compare(variants: Sequence[Variant], runs: dict[tuple[str, str, int], dict[str, Any]]) -> list[Comparison]:
-    """`runs`: the figures by variant, scenario and seed. Seeds that one side lacks are left out."""
+    """Compares `runs`, results by variant, scenario and seed. Seeds that are missing on one side are left out."""
     first = variants[0].name
     comparisons = []
     for name in dict.fromkeys(key[1] for key in runs):
@@ -164,9 +166,9 @@
 
 
 class Store:
-    """Runs on disk, one file each, whole or not there: what an interrupted comparison has done is not done again.
+    """Stores runs on disk, one complete file each, so an interrupted comparison can be resumed.
 
-    A file is taken for a run only if it was made of the same scenario text, change and policy text.
+    A file is used for a run only if its scenario text, change, policy text and seed are the same.
     """
 
     def __init__(self, folder: Path | None) -> None:
@@ -180,31 +182,33 @@
     def _path(self, job: Job) -> Path | None:
         if self.folder is None:
             return None
-        made_of = "\0".join((job.scenario, _text_of(job.scenario), job.over, policy.digest(job.policy), str(job.seed)))
+        identity = "\0".join(
+            (job.scenario, _scenario_text(job.scenario), job.over, policy.digest(job.policy), str(job.seed))
+        )
         name = Path(job.scenario).stem
-        return self.folder / f"{name}-{job.seed}-{sha256(made_of.encode()).hexdigest()[:16]}.json"
+        return self.folder / f"{name}-{job.seed}-{sha256(identity.encode()).hexdigest()[:16]}.json"
 
     def load(self, job: Job) -> dict[str, Any] | None:
         path = self._path(job)
         try:
-            held = json.loads(path.read_text(encoding="utf-8")) if path is not None else None
+            stored = json.loads(path.read_text(encoding="utf-8")) if path is not None else None
         except (OSError, ValueError):
             return None
-        return held if isinstance(held, dict) and "metrics" in held else None
+        return stored if isinstance(stored, dict) and "metrics" in stored else None
 
     def save(self, result: Result) -> None:
         path = self._path(result.job)
         if path is not None:
-            part = path.with_suffix(f".{os.getpid()}.part")
-            part.write_text(json.dumps(result.figures), encoding="utf-8")
-            part.replace(path)
+            partial_path = path.with_suffix(f".{os.getpid()}.part")
+            partial_path.write_text(json.dumps(result.figures), encoding="utf-8")
+            partial_path.replace(path)
 
 
-def _text_of(scenario: str) -> str:
+def _scenario_text(scenario: str) -> str:
     try:
         return Path(scenario).read_text(encoding="utf-8")
     except OSError:
-        from . import __file__ as package  # a shipped one: its text and its base's
+        from . import __file__ as package  # a shipped scenario: the texts of all of them, as it may extend another
 
         folder = Path(package).parent / "scenarios"
         return "".join(path.read_text(encoding="utf-8") for path in sorted(folder.glob("*.toml")))
@@ -219,8 +223,8 @@
     resume: bool,
     done: Callable[[int, int], None] | None = None,
 ) -> tuple[dict[tuple[str, str, int], dict[str, Any]], bool]:
-    """The figures by variant, scenario and seed; and whether all are there (not after Ctrl-C)."""
-    # By seed first: what an interruption leaves is whole pairs.
+    """Returns results by variant, scenario and seed, and whether they are complete (not after Ctrl-C)."""
+    # Ordered by seed, so an interruption leaves complete pairs.
     jobs = {
         (variant.name, name, seed): Job(name, seed, variant.policy, over=variant.over)
         for seed in seeds
@@ -230,24 +234,24 @@
     runs: dict[tuple[str, str, int], dict[str, Any]] = {}
     if resume:
         for key, job in jobs.items():
-            held = store.load(job)
-            if held is not None:
-                runs[key] = held
+            stored = store.load(job)
+            if stored is not None:
+                runs[key] = stored
     todo = {key: job for key, job in jobs.items() if key not in runs}
     keys: dict[Job, list[tuple[str, str, int]]] = {}
-    for key, job in todo.items():  # two variants may be the same
+    for key, job in todo.items():  # two variants may be equal
         keys.setdefault(job, []).append(key)
 
-    def heard(result: Result) -> None:
+    def on_result(result: Result) -> None:
         store.save(result)
         for key in keys[result.job]:
             runs[key] = result.figures
         if done is not None:
             done(len(runs), len(jobs))
 
-    whole = True
+    complete = True
     try:
-        play_all(keys, processes, heard)
+        play_all(keys, processes, on_result)
     except KeyboardInterrupt:
-        whole = False
-    return {key: runs[key] for key in jobs if key in runs}, whole
+        complete = False
+    return {key: runs[key] for key in jobs if key in runs}, complete
--- a/limenotch/lab/matrix.py
+++ b/limenotch/lab/matrix.py
@@ -1,8 +1,8 @@
-"""The matrix of what settings may forbid or vary, as short days in simulated time with faults and all rules checked.
+"""The matrix of settings that installations may vary or forbid: short simulated runs with faults and all rules checked.
 
-No permission is to be trusted because one deployment has it. Each axis below is something that the settings of
-some installation may say; a *cell* is one value of each. There are 368,640 cells: a run takes a sample in which every
-pair of values of different axes occurs together (a covering array, greedily made), and drawn cells beside it.
+A permission that holds in one deployment may be missing in another. Each axis below is a setting of some installation;
+a *cell* is one value of each axis. There are 368,640 cells. A run takes a sample in which every pair of values of
+different axes occurs together (a greedy covering array), and further random cells.
 """
 
 from __future__ import annotations
@@ -26,8 +26,18 @@
     "cancel": (True, False),
     "advice": (True, False),
     "attempts": (1, 2, 3, 4, 5, 6),
-    "effect": ("idempotent", "all", "zone", "cell", "at_most_once"),  # of the class with most calls; the middle: keyed
-    "beside": ("idempotent", "keyed", "at_most_once"),  # of the other class; keyed: in the same groups as the first
+    "effect": (
+        "idempotent",
+        "all",
+        "zone",
+        "cell",
+        "at_most_once",
+    ),  # of the class with most requests; all, zone and cell: deduplicated in that scope
+    "beside": (
+        "idempotent",
+        "keyed",
+        "at_most_once",
+    ),  # of the other class; keyed: deduplicated in the scope of the first
     "report": (("util", "qps"), ("util",), ("qps",), ()),
     "zones": (1, 2, 3, 4),
     "list": ("ask", "push"),
@@ -36,9 +46,9 @@
     "trouble": ("silent", "deploy", "errors", "hand"),
 }
 NAMES = tuple(AXES)
-TRIES = 40  # cells drawn for each that a covering array takes
+CANDIDATES = 40  # drawn for each cell of a covering array
 LENGTH_S = 4.0
-TROUBLES: dict[str, tuple[dict[str, Any], ...]] = {
+FAULTS_BY_TROUBLE: dict[str, tuple[dict[str, Any], ...]] = {
     "silent": (
         {"kind": "silent", "at_s": 1.0, "length_s": 2.0, "count": 2},
         {"kind": "slow", "at_s": 2.5, "length_s": 1.5, "count": 1, "size": 8.0},
@@ -74,7 +84,7 @@
         return " ".join(f"{name}={value!r}" for name, value in zip(NAMES, self.values, strict=True))
 
 
-class Broken(NamedTuple):
+class BrokenRules(NamedTuple):
     cell: Cell
     seed: int
     counts: dict[str, int]
@@ -82,42 +92,44 @@
 
 
 def pairs() -> set[tuple[str, int, str, int]]:
-    """All pairs of values of two axes, by their places."""
+    """All pairs of values of two axes, by the positions of the values."""
     return {
-        (one, i, two, j)
-        for one, two in combinations(NAMES, 2)
-        for i, j in product(range(len(AXES[one])), range(len(AXES[two])))
+        (first_axis, i, second_axis, j)
+        for first_axis, second_axis in combinations(NAMES, 2)
+        for i, j in product(range(len(AXES[first_axis])), range(len(AXES[second_axis])))
     }
 
 
 def covering(seed: int) -> list[Cell]:
-    """Cells in which all pairs occur: of some drawn, always the one that brings most pairs still missing."""
+    """Cells in which all pairs occur. Each is the one of several random cells that has most of the missing pairs."""
     random, missing, cells = Random(seed), pairs(), []
     while missing:
-        tries = [_through(random, sorted(missing)[random.randrange(len(missing))]) for _ in range(TRIES)]
-        best = max(tries, key=lambda places: len(_pairs_of(places) & missing))
+        candidates = [
+            _draw_with_pair(random, sorted(missing)[random.randrange(len(missing))]) for _ in range(CANDIDATES)
+        ]
+        best = max(candidates, key=lambda positions: len(_pairs_of(positions) & missing))
         missing -= _pairs_of(best)
         cells.append(_cell(best))
     return cells
 
 
-def drawn(seed: int, count: int) -> Iterator[Cell]:
+def drawn_cells(seed: int, count: int) -> Iterator[Cell]:
     random = Random(seed)
     for _ in range(count):
         yield _cell(tuple(random.randrange(len(values)) for values in AXES.values()))
 
 
-def _through(random: Random, pair: tuple[str, int, str, int]) -> tuple[int, ...]:
+def _draw_with_pair(random: Random, pair: tuple[str, int, str, int]) -> tuple[int, ...]:
     fixed = {pair[0]: pair[1], pair[2]: pair[3]}
     return tuple(fixed.get(name, random.randrange(len(AXES[name]))) for name in NAMES)
 
 
-def _pairs_of(places: tuple[int, ...]) -> set[tuple[str, int, str, int]]:
-    return {(NAMES[a], places[a], NAMES[b], places[b]) for a, b in combinations(range(len(NAMES)), 2)}
+def _pairs_of(positions: tuple[int, ...]) -> set[tuple[str, int, str, int]]:
+    return {(NAMES[a], positions[a], NAMES[b], positions[b]) for a, b in combinations(range(len(NAMES)), 2)}
 
 
-def _cell(places: tuple[int, ...]) -> Cell:
-    return Cell(tuple(AXES[name][place] for name, place in zip(NAMES, places, strict=True)))
+def _cell(positions: tuple[int, ...]) -> Cell:
+    return Cell(tuple(AXES[name][position] for name, position in zip(NAMES, positions, strict=True)))
 
 
 SCOPES = ("all", "zone", "cell")
@@ -130,7 +142,7 @@
 
 
 def scenario_of(cell: Cell, length_s: float = LENGTH_S) -> Scenario:
-    """A short day: a few providers near the edge of what they can do, so that queues and time-outs occur."""
+    """A short scenario with a few providers near their capacity, so that queues and time-outs occur."""
     names = [f"z{number}" for number in range(cell["zones"])]
     scope = cell["effect"] if cell["effect"] in SCOPES else "zone"
     kind = {
@@ -153,7 +165,7 @@
         "choke": {"at": 5, "over_s": 1.0, "slower": 3.0, "rest_s": 1.0, "below": 0.4, "most_s": 4.0},
         "connections": {"handshake_us": 2000, "connect_timeout_ms": 60, "idle_s": 2},
     }
-    made = {
+    tables = {
         "name": "cell",
         "length_s": length_s,
         "tier": [{**tier, "name": f"t{number}"} for number in range(cell["tiers"])],
@@ -204,24 +216,24 @@
             "list_by": cell["list"],
         },
         "rules": {"drain_grace_ms": 250, "fall_multiple": 4, "fall_s": 1.5, "start_capacity": 0.3, "cold_s": 2.0},
-        "fault": list(TROUBLES[cell["trouble"]]),
+        "fault": list(FAULTS_BY_TROUBLE[cell["trouble"]]),
     }
-    return msgspec.convert(made, Scenario)
+    return msgspec.convert(tables, Scenario)
 
 
-def check(cell: Cell, seed: int, length_s: float = LENGTH_S, spec: str = "installed") -> tuple[Broken | None, int]:
-    """Play one cell; what broke, if anything, and how many calls there were."""
+def check(cell: Cell, seed: int, length_s: float = LENGTH_S, spec: str = "installed") -> tuple[BrokenRules | None, int]:
+    """Runs one cell; returns the broken rules, if any, and the number of attempts."""
     world = World(plan(scenario_of(cell, length_s), seed), policy.load(spec))
     record = world.run()
     calls = sum(tier["attempts"] for tier in record.result()["tiers"])
     if world.rules.all_hold:
         return None, calls
     counts = {rule: count for rule, count in world.rules.counts.items() if count}
-    return Broken(cell, seed, counts, world.rules.violations[0]), calls
+    return BrokenRules(cell, seed, counts, world.rules.violations[0]), calls
 
 
-def told(broken: Broken) -> str:
-    """For a person: the cell, what broke, and the history of the first call that broke it."""
+def describe(broken: BrokenRules) -> str:
+    """A text with the cell, the broken rules, and the history of the first request that broke one."""
     first = broken.first
     head = [
         f"seed {broken.seed}: {broken.cell}",
--- a/limenotch/lab/report/__init__.py
+++ b/limenotch/lab/report/__init__.py
@@ -1,7 +1,7 @@
-"""Reports: one self-contained HTML page a run or a comparison, the same plots as PNG, made of the JSON figures alone.
+"""Reports: a self-contained HTML page per run or comparison, and its plots as PNG, made from the JSON results alone.
 
-`plots.py` draws (Matplotlib), `page.py` lays out (Jinja2). Pages hold no links and no scripts; they are read on a
-phone the morning after.
+`plots.py` draws (Matplotlib), `page.py` lays out (Jinja2). Pages contain no links and no scripts, and are
+readable on a phone.
 """
 
 from .page import write_comparison, write_run
--- a/limenotch/lab/report/page.py
+++ b/limenotch/lab/report/page.py
@@ -1,4 +1,4 @@
-"""Pages of runs and comparisons: figures in, one HTML file out, and the plots beside it as PNG where asked for."""
+"""Writes the page of a run or a comparison as one HTML file, and its plots as PNG on request."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from ..compare import SHOWN, Comparison, Variant
 from . import plots
 
-MOST_EVENTS = 40
+MAX_EVENTS = 40
 
 
 def _environment() -> Environment:
-    made = Environment(
+    environment = Environment(
         loader=PackageLoader("limenotch.lab.report", "."),
         autoescape=True,
         undefined=StrictUndefined,
         trim_blocks=True,
         lstrip_blocks=True,
     )
-    made.filters["percent"] = lambda value: f"{value:.1%}"
-    made.filters["ms"] = lambda value: f"{value:,.0f}"
-    made.filters["three"] = lambda value: f"{value:.3f}"
-    return made
+    environment.filters["percent"] = lambda value: f"{value:.1%}"
+    environment.filters["ms"] = lambda value: f"{value:,.0f}"
+    environment.filters["three"] = lambda value: f"{value:.3f}"
+    return environment
 
 
 def _write(path: Path, text: str) -> None:
@@ -37,10 +37,10 @@
 
 
 def write_run(path: Path | None, run: dict[str, Any], png: Path | None = None) -> None:
-    """The page of one run; with `png`, a folder, its plots as images too. Raises FaultError."""
+    """Writes the page of a run to `path`, and its plots into the folder `png`, if given. Raises FaultError."""
     figures = plots.of_run(run)
     try:
-        drawn = [(name, plots.svg(figure)) for name, figure in figures]
+        images = [(name, plots.svg(figure)) for name, figure in figures]
         if png is not None:
             try:
                 png.mkdir(parents=True, exist_ok=True)
@@ -52,7 +52,7 @@
         plots.done(figures)
     if path is None:
         return
-    text = _environment().get_template("run.html").render(run=run, plots=drawn, most_events=MOST_EVENTS)
+    text = _environment().get_template("run.html").render(run=run, plots=images, most_events=MAX_EVENTS)
     _write(path, text)
 
 
@@ -63,7 +63,7 @@
     runs: dict[tuple[str, str, int], dict[str, Any]],
     whole: bool,
 ) -> None:
-    """The page of a comparison. Raises FaultError."""
+    """Writes the page of a comparison. Raises FaultError."""
     parts = []
     for each in comparisons:
         scores = [
@@ -76,10 +76,10 @@
         ]
         figures = plots.of_comparison(each, scores, SHOWN)
         try:
-            drawn = [(name, plots.svg(figure)) for name, figure in figures]
+            images = [(name, plots.svg(figure)) for name, figure in figures]
         finally:
             plots.done(figures)
         shown = [found for found in each.differences if found.metric in SHOWN]
-        parts.append({"comparison": each, "plots": drawn, "shown": shown})
+        parts.append({"comparison": each, "plots": images, "shown": shown})
     text = _environment().get_template("comparison.html").render(variants=variants, parts=parts, whole=whole)
     _write(path, text)
--- a/limenotch/lab/report/plots.py
+++ b/limenotch/lab/report/plots.py
@@ -1,4 +1,4 @@
-"""The plots of a run or a comparison, from their figures. Each is a Matplotlib figure as wide as a phone's page."""
+"""The plots of a run or a comparison, from its results. Each is a Matplotlib figure as wide as a phone's page."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     "ytick.major.width": 0.6,
     "figure.dpi": 110,
 }
-# Colours that hold apart for the colour-blind (Okabe and Ito).
+# Colours that the colour-blind can distinguish (Okabe and Ito).
 BLUE, ORANGE, GREEN, RED, PURPLE, SKY, GREY = (
     "#0072b2",
     "#e69f00",
@@ -58,7 +58,7 @@
 
 
 def _bands(axes: Axes, run: dict[str, Any], named: bool = False) -> None:
-    """Faults on the time axis, each kind in its colour; `named` writes them above the plot, in rows."""
+    """Draws faults on the time axis, each kind in its colour; `named` adds their names above the plot, in rows."""
     ends: list[float] = []
     length = run["length_ms"] / 1000.0
     for number, band in enumerate(sorted(run["faults"], key=lambda b: b["begin_ms"])):
@@ -82,7 +82,7 @@
 
 
 def _smooth(values: Sequence[float], over: int = 3) -> Any:
-    """A running mean, so that single seconds of few calls do not hide the course."""
+    """A running mean, so that single seconds with few requests do not hide the trend."""
     kernel = np.ones(min(over, len(values)))
     whole = np.convolve(np.asarray(values, dtype=float), kernel, "same")
     return whole / np.convolve(np.ones(len(values)), kernel, "same")
@@ -93,7 +93,7 @@
 
 
 def goodput(run: dict[str, Any]) -> Figure:
-    """Worth asked for and worth earned, a second."""
+    """Plots the requested and the earned worth per second."""
     figure, axes = _figure(2.3)
     count = _seconds(run)
     at = np.arange(count) + 0.5
@@ -109,7 +109,7 @@
 
 
 def outcomes(run: dict[str, Any]) -> Figure:
-    """How tries ended, a second, stacked."""
+    """Plots the outcomes of client attempts per second, stacked."""
     figure, axes = _figure(2.1)
     count = _seconds(run)
     windows, at = run["windows"], np.arange(count) + 0.5
@@ -130,7 +130,7 @@
 
 
 def again(run: dict[str, Any]) -> Figure:
-    """Clients' retries and the sidecars' own second attempts."""
+    """Plots the clients' retries and the sidecars' further attempts."""
     figure, axes = _figure(1.8)
     count = _seconds(run)
     windows, at = run["windows"], np.arange(count) + 0.5
@@ -143,7 +143,7 @@
 
 
 def latency(run: dict[str, Any]) -> Figure:
-    """From a request's birth to its answer, by class."""
+    """Plots the latency from the creation of a request to its response, by class."""
     figure, axes = _figure(2.1)
     parts = np.concatenate([np.linspace(0, 90, 46), 100 - np.logspace(1, -2, 40)])
     for number, cls in enumerate(run["classes"]):
@@ -160,7 +160,7 @@
 
 
 def fleet(run: dict[str, Any], tier: int) -> Figure:
-    """A row a provider: how busy it was, and its state where that is not plain ready."""
+    """Plots one row per provider: its utilization, and its state where that is not ready."""
     rows = run["samples"]["tiers"][tier]["providers"]
     order = sorted(range(len(rows)), key=lambda n: (rows[n]["kind"], n))
     count = _seconds(run) + 1
@@ -173,7 +173,7 @@
             if states[at] in STATE_COLOURS:
                 seen.add(states[at])
                 base = np.array(to_rgb(STATE_COLOURS[states[at]]))
-                # A cold or choked box may be idle or full: the fuller, the stronger its colour.
+                # A provider in warm-up or choked may be idle or full: the fuller, the stronger its colour.
                 image[row, at] = 1 - (1 - base) * (0.45 + 0.55 * utils[at]) if states[at] in "ck" else base
             else:
                 image[row, at] = greys(utils[at])[:3]
@@ -192,7 +192,7 @@
 
 
 def spread(run: dict[str, Any], tier: int) -> Figure:
-    """Load over the providers of a tier: median, nine tenths, all; and how many were not plain ready."""
+    """Plots the load of a tier's providers (median, 90%, maximum) and the number of providers that are not ready."""
     data = run["samples"]["tiers"][tier]["spread"]
     at = np.array(run["samples"]["at_ms"]) / 1000.0
     figure, (axes, below) = pyplot.subplots(
@@ -215,7 +215,7 @@
 
 
 def differences(comparison: Any, shown: Sequence[str]) -> Figure:
-    """Each metric's difference with its interval, as a part of the first variant's value."""
+    """Plots each metric's difference with its interval, relative to the first variant's value."""
     left_out = ("rules_broken", "cold_push")
     found = [each for each in comparison.differences if each.metric in shown and each.metric not in left_out]
     figure, axes = _figure(0.7 + 0.21 * len(found))
@@ -236,7 +236,7 @@
 
 
 def pairs(comparison: Any, scores: Sequence[tuple[int, float, float]]) -> Figure:
-    """The score of each seed under both variants."""
+    """Plots the score of each seed under both variants."""
     figure, axes = _figure(2.1)
     for _, one, two in scores:
         axes.plot(
@@ -275,7 +275,7 @@
 
 
 def svg(figure: Figure) -> str:
-    """For the inside of a page; the same figure gives the same text."""
+    """The SVG text for a page; the same figure gives the same text."""
     with matplotlib.rc_context(STYLE):  # type: ignore[arg-type]
         out = io.StringIO()
         figure.savefig(out, format="svg", metadata={"Date": None})
@@ -290,6 +290,6 @@
 
 
 def done(figures: Sequence[tuple[str, Figure]]) -> None:
-    """Matplotlib keeps every figure until it is told not to."""
+    """Closes the figures, which Matplotlib stores until then."""
     for _, figure in figures:
         pyplot.close(figure)
--- a/limenotch/lab/tables.py
+++ b/limenotch/lab/tables.py
@@ -1,4 +1,4 @@
-"""What a terminal shows of runs."""
+"""Tables of runs and comparisons for the terminal."""
 
 from __future__ import annotations
 
--- a/limenotch/lab/timeline.py
+++ b/limenotch/lab/timeline.py
@@ -1,7 +1,7 @@
-"""What a fleet of sidecars did, counted over all of their logs: a line a second beside a script of faults.
+"""Counts of the events in the logs of all sidecars of a fleet, one row per second.
 
-Reads the JSON lines that `serve --log json` writes at level `debug`, one file a sidecar. A time in seconds may stand
-before each line, as some collectors put it there; else the line's own time counts, from the earliest one on.
+Reads the JSON lines that `serve --log json` writes at level `debug`, one file per sidecar. A time in seconds may stand
+before each line, as some collectors add it; otherwise the line's timestamp counts, relative to the earliest one.
 Lines that are not such JSON are counted and skipped.
 """
 
@@ -16,24 +16,24 @@
 from pathlib import Path
 from typing import Any
 
-AGES_S = (1.0, 3.0, 6.0, 12.0, 24.0)  # bounds of how long ago a provider had started when it was sent to
+AGE_BOUNDS_S = (1.0, 3.0, 6.0, 12.0, 24.0)  # bounds of the age of a provider when an attempt is sent to it
 
 
 @dataclass
 class Second:
-    """Counts of one second, over all sidecars of one layer."""
+    """The counts of one second, over all sidecars of one layer."""
 
     counts: Counter[str] = field(default_factory=Counter)
     ages: Counter[str] = field(default_factory=Counter)
     providers: Counter[str] = field(default_factory=Counter)
     limits: list[float] = field(default_factory=list)
-    outs: list[float] = field(default_factory=list)
+    in_flight: list[float] = field(default_factory=list)
     spent_ms: list[float] = field(default_factory=list)
 
 
 @dataclass
 class Timeline:
-    """By layer and second. `skipped` counts lines that could not be read."""
+    """The counts by layer and second. `skipped` counts unreadable lines."""
 
     layers: dict[int, dict[int, Second]] = field(default_factory=lambda: defaultdict(lambda: defaultdict(Second)))
     sidecars: Counter[int] = field(default_factory=Counter)
@@ -41,20 +41,20 @@
 
 
 def _age(seconds: float) -> str:
-    """Name of the span that an age lies in; providers that started long ago are `warm`."""
-    return next((f"<{bound:g}s" for bound in AGES_S if seconds < bound), "warm")
+    """The name of the span that contains an age; providers that started long ago are `warm`."""
+    return next((f"<{bound:g}s" for bound in AGE_BOUNDS_S if seconds < bound), "warm")
 
 
 def lines_of(lines: Iterable[str]) -> Iterator[tuple[float, float, dict[str, Any]] | None]:
-    """Of each line: the seconds before it (or its own time), its own Unix time, its fields; None if unread."""
+    """Yields for each line the time before it (or its timestamp), its timestamp and its fields; None if unreadable."""
     for line in lines:
         if not line.strip():
             continue
-        before, brace, rest = line.partition("{")
+        prefix, brace, rest = line.partition("{")
         try:
             event = json.loads(brace + rest)
-            own = datetime.fromisoformat(event["timestamp"]).timestamp()
-            yield (float(before) if before.strip() else own), own, event
+            logged_at = datetime.fromisoformat(event["timestamp"]).timestamp()
+            yield (float(prefix) if prefix.strip() else logged_at), logged_at, event
         except (ValueError, KeyError, TypeError):
             yield None
 
@@ -66,32 +66,32 @@
     for path in files:
         layer = 0
         with open(path, encoding="utf-8", errors="replace") as file:
-            for found in lines_of(file):
-                if found is None:
+            for parsed_line in lines_of(file):
+                if parsed_line is None:
                     timeline.skipped += 1
                     continue
-                at, own, event = found
+                at_s, logged_at, event = parsed_line
                 if event.get("event") == "listening" and isinstance(event.get("layer"), int):
                     layer = event["layer"]
-                parsed.append((at, own, event, layer))
+                parsed.append((at_s, logged_at, event, layer))
         timeline.sidecars[layer] += 1
-    # Seconds that stand before the lines count from the day's begin; Unix times from the earliest line.
+    # Times before the lines count from the start of the run; Unix times count from the earliest line.
     start = 0.0 if parsed and parsed[0][0] < 1e8 else min((p[0] for p in parsed), default=0.0)
     starts: dict[str, set[float]] = defaultdict(set)
     for _, _, event, _ in parsed:
         if event.get("event") == "told":
-            with suppress(KeyError, TypeError, ValueError):  # counted below, where it is skipped
+            with suppress(KeyError, TypeError, ValueError):  # counted as skipped below
                 for name, _status, since_ms, *_ in event["entries"]:
                     starts[name].add(since_ms / 1000.0)
-    for at, own, event, layer in parsed:
+    for at_s, logged_at, event, layer in parsed:
         try:
-            _count(timeline.layers[layer][int(at - start)], own, event, starts)
+            _count(timeline.layers[layer][int(at_s - start)], logged_at, event, starts)
         except (KeyError, TypeError, ValueError):
             timeline.skipped += 1
     return timeline
 
 
-def _count(second: Second, own: float, event: dict[str, Any], starts: dict[str, set[float]]) -> None:
+def _count(second: Second, logged_at: float, event: dict[str, Any], starts: dict[str, set[float]]) -> None:
     name = event.get("event")
     if name == "taken":
         second.counts["taken"] += 1
@@ -101,16 +101,16 @@
         second.counts["invoked"] += 1
         second.counts[str(event["ending"])] += 1
         second.counts["further"] += further
-        sent = own - spent_ms / 1000.0
-        begun = max((start for start in starts[provider] if start <= sent), default=0.0)  # one may restart
-        second.ages[_age(sent - begun)] += 1  # 0 stands for long ago
+        sent = logged_at - spent_ms / 1000.0
+        started_at = max((start for start in starts[provider] if start <= sent), default=0.0)  # a provider may restart
+        second.ages[_age(sent - started_at)] += 1  # 0 means long ago
         second.providers[provider] += 1
         second.spent_ms.append(spent_ms)
     elif name == "final":
-        limit, out = float(event["limit"]), float(event["out"])
+        limit, in_flight = float(event["limit"]), float(event["out"])
         second.counts["final " + event["verdict"]] += 1
         second.limits.append(limit)
-        second.outs.append(out)
+        second.in_flight.append(in_flight)
     elif name == "told":
         second.counts["list lines"] += len(event["entries"])
     elif name == "directory: asked":
@@ -131,25 +131,25 @@
     "watches",
     "list lines",
 )
-SPANS = (*(f"<{bound:g}s" for bound in AGES_S), "warm")
+AGE_SPANS = (*(f"<{bound:g}s" for bound in AGE_BOUNDS_S), "warm")
 
 
 def figures(timeline: Timeline, layer: int) -> list[dict[str, float]]:
-    """A dict a second: counts by their names in the log, means of limit and calls out, invoker calls by the provider's
-    age, `most` to one provider and how many providers were `used`; times in ms.
+    """A dict per second: counts by their names in the log, means of the limit and of attempts in flight, attempts by
+    the provider's age, `most` to one provider and the number of `used` providers; times in ms.
     """
     rows = []
     for number, second in sorted(timeline.layers[layer].items()):
         spent = sorted(second.spent_ms)
-        limit, out = (sum(v) / len(v) if v else 0.0 for v in (second.limits, second.outs))
+        limit, in_flight = (sum(v) / len(v) if v else 0.0 for v in (second.limits, second.in_flight))
         rows.append(
             {
                 "s": number,
                 **{c.replace("final ", ""): second.counts[c] for c in COLUMNS},
                 "limit": round(limit, 1),
-                "out": round(out, 1),
+                "out": round(in_flight, 1),
                 "p50 ms": round(spent[len(spent) // 2]) if spent else 0,
-                **{span: second.ages[span] for span in SPANS},
+                **{span: second.ages[span] for span in AGE_SPANS},
                 "most": max(second.providers.values(), default=0),
                 "used": len(second.providers),
             }
@@ -158,7 +158,7 @@
 
 
 def table(timeline: Timeline, layer: int) -> str:
-    """`figures` as text, one line a second."""
+    """The result of `figures` as text, one line per second."""
     rows = figures(timeline, layer)
     if not rows:
         return "nothing was logged"
--- a/tests/lab/test_matrix.py
+++ b/tests/lab/test_matrix.py
@@ -12,18 +12,18 @@
 import pytest
 
 from limenotch.lab import matrix, policy
-from limenotch.lab.matrix import AXES, NAMES, Broken, Cell
+from limenotch.lab.matrix import AXES, NAMES, BrokenRules, Cell
 from limenotch.lab.model.rules import ALLOWED
 
 DRAWN = 262  # beside those that cover all pairs: 300 in all
 
 
 def cells() -> list[tuple[Cell, int]]:
-    chosen = [*matrix.covering(1), *matrix.drawn(2, DRAWN)]
+    chosen = [*matrix.covering(1), *matrix.drawn_cells(2, DRAWN)]
     return [(cell, seed) for seed, cell in enumerate(chosen)]
 
 
-def one(job: tuple[Cell, int]) -> tuple[Broken | None, int]:
+def one(job: tuple[Cell, int]) -> tuple[BrokenRules | None, int]:
     return matrix.check(*job)
 
 
@@ -39,7 +39,7 @@
     with ProcessPoolExecutor(min(os.cpu_count() or 1, 8), mp_context=context) as pool:
         results = list(pool.map(one, jobs, chunksize=8))
     broken = [found for found, _ in results if found is not None]
-    assert not broken, "\n" + "\n".join(matrix.told(found) for found in broken[:3])
+    assert not broken, "\n" + "\n".join(matrix.describe(found) for found in broken[:3])
     assert min(calls for _, calls in results) > 30, "a cell in which nothing happens checks nothing"
 
 
@@ -62,6 +62,6 @@
         found, _ = matrix.check(cell, seed)
         if found is not None:
             assert set(found.counts) == {ALLOWED}
-            assert str(cell) in matrix.told(found)
+            assert str(cell) in matrix.describe(found)
             return
     raise AssertionError(f"{axis}: not found in {len(forbidding[:12])} cells")
