--- a/limenotch/cli/lab/load.py
+++ b/limenotch/cli/lab/load.py
@@ -27,11 +27,11 @@
 
 from ...config import ConfigError, address
 from ...lab import planning, scenario
-from ...lab.emulate.load import SLACK_MS, Load
+from ...lab.emulate.load import SLACK_MS, LoadGenerator
 from ...lab.emulate.wire import Pool
 from ...lab.model.chance import Seeds
 from ...lab.model.clients import Clients, Request
-from ...lab.model.rules import Limits, Rules
+from ...lab.model.rules import Limits, RuleChecker
 from ...lab.planning import Plan
 from ...lab.record import Record
 from ...lab.tallies import histogram, quantiles
@@ -62,7 +62,7 @@
     clients = Clients(
         plan.clients, plan.classes, plan.accounts, len(plan.network.zones), plan.quota_per_s, seeds, plan.trace
     )
-    record, rules = Record(plan, []), Rules(Limits(slack_ms=SLACK_MS))
+    record, rules = Record(plan, []), RuleChecker(Limits(slack_ms=SLACK_MS))
     pools = [Pool(host, port, connections) for host, port in addresses]
     started_at, cpu_started = monotonic(), process_time()
     calls_chosen = [0]
@@ -75,7 +75,7 @@
         return pools[calls_chosen[0] % len(pools)]
 
     # The ids are unique to this run, as calls of another run may still be open at the sidecars.
-    load = Load(plan, clients, record, rules, clock, choose, f"l{plan.seed}-{int(started_at * 1000) % 10**9}-")
+    load = LoadGenerator(plan, clients, record, rules, clock, choose, f"l{plan.seed}-{int(started_at * 1000) % 10**9}-")
 
     async def show_progress() -> None:
         with console.status("") as status:
@@ -96,17 +96,17 @@
         load.stop()
         for pool in pools:
             pool.close()
-    rules.quiet(clock())
+    rules.run_ended(clock())
     record.rules = rules
     delays_us = histogram()
-    for delay_us in load.late_us:
+    for delay_us in load.lateness_us:
         delays_us.record_value(max(delay_us, 1))
     machine = {
         "sent_late_ms": quantiles(delays_us),
         "cpu_s": round(process_time() - cpu_started, 3),
         "seconds": round(spent_s, 3),
         "connections": sum(pool.opened for pool in pools),
-        "foreign_answers": load.foreign,
+        "foreign_answers": load.foreign_responses,
     }
     return {**record.result(), "host": "load", "machine": machine}
 
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -140,7 +140,7 @@
         self.checker.process_started(self.world.now, name, process_epoch)
         recorded = RecordedComponent(self, name, bindings)
         hub = ComponentHub([("mb.", members), (PREFIX, recorded)], members)
-        self.world.kernel.at(self.world.now, self._send_settings, name)
+        self.world.kernel.schedule(self.world.now, self._send_settings, name)
         return NodeComponents(hub, members, bindings)
 
     def _send_settings(self, name: str) -> None:
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -110,7 +110,7 @@
         run.endpoints[name] = ENDPOINTS[name]
     for node in run.names:
         if run.world.alive(node):
-            run.world.kernel.at(
+            run.world.kernel.schedule(
                 run.world.now + random.uniform(0, 30), run.notify, node, AvailableEndpoints(dict(run.endpoints))
             )
 
@@ -144,7 +144,7 @@
         run.fault(f"start {name}")
     elif kind == "pause" and world.alive(name):
         run.fault(f"pause {name}")
-        world.kernel.at(world.now + random.choice((50, 150, 400, 4000)), _wake, run, name)
+        world.kernel.schedule(world.now + random.choice((50, 150, 400, 4000)), _wake, run, name)
     elif kind == "wake" and world.alive(name):
         run.fault(f"wake {name}")
     elif kind == "cut":
--- a/limenotch/lab/fleet/stage.py
+++ b/limenotch/lab/fleet/stage.py
@@ -176,7 +176,7 @@
         key = self.keys_of[node.name]
         if node.starts and self._clock_back_s:
             self._wish(node.name, clock_s=self._wishes.get(node.name, Wish()).clock_s - self._clock_back_s)
-        self.trial.forget(key)
+        self.trial.sidecar_stopped(key)
         entries = tuple(self.fleet.directories[0].entries.values())
         node.know({"index": 0, "snapshot": True, "endpoints": self._lines(key, entries)})
         spawning = asyncio.get_running_loop().run_in_executor(None, node.spawn)  # a fork holds the loop up
@@ -216,7 +216,7 @@
             await asyncio.gather(*self._tasks, return_exceptions=True)
         finally:
             playing.cancel()
-        self.trial.quiet(self.clock())
+        self.trial.run_ended(self.clock())
         begun = self._began * 1000.0
         seen = [(each.at_ms - begun, each.node, each.text) for each in self.processes.seen()]
         difference = self._compare(seen, self.happened) if self._compare is not None else None
@@ -250,7 +250,7 @@
             await self._happen(fault)
             self.happened[number] = self.clock()
             if str(fault).startswith("start"):
-                self._background(self._started(number, str(fault).split()[1:]))
+                self._run_in_background(self._started(number, str(fault).split()[1:]))
 
     async def _started(self, number: int, names: list[str]) -> None:
         """A start has come when the nodes are ready: how long an interpreter takes to begin is the machine's."""
@@ -283,7 +283,7 @@
             self.trial.woke(self.clock(), key)
         elif word == "leave":
             node.terminate()
-            self._background(self._left(node))
+            self._run_in_background(self._left(node))
         else:
             await loop.run_in_executor(None, node.wipe if word == "wipe" else node.kill)
             self._drop_pool(key)
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -126,10 +126,10 @@
 
         try:
             outcome = await bench.perform(wait_until_joined)
-            clients.repeats += sum(process.ledger.repeats for process in bench.fleet.every[0])
+            clients.repeats += sum(process.ledger.repeats for process in bench.fleet.all_processes[0])
             if not any(str(fault).startswith(("kill", "cut")) for _, fault in timeline.faults) and bindings is not None:
                 # With a kill or a partition, keys whose updates did not reach the other sidecars may run again.
-                assert not sum(process.ledger.double for process in bench.fleet.every[0])
+                assert not sum(process.ledger.double for process in bench.fleet.all_processes[0])
             return outcome
         finally:
             await bench.close()
@@ -208,7 +208,7 @@
     # Shows that the check of the other tests can fail.
     _, clients = play("\nnodes: a b c\n\nms     faults\n100    ask a twice\n2500\n", tmp_path, bindings=None)
     assert any(len(clients.bench.zones_of[f"k{number}"]) == 2 for number in range(8))
-    assert sum(process.ledger.double for process in clients.bench.fleet.every[0]) > 0
+    assert sum(process.ledger.double for process in clients.bench.fleet.all_processes[0]) > 0
 
 
 def test_closed_connections_and_reloaded_settings_are_applied(tmp_path: Path) -> None:
@@ -236,7 +236,7 @@
 
 async def until(sidecar: Sidecar, **expected: Any) -> None:
     while True:
-        found = (await sidecar.told())["parts"]["bindings"]
+        found = (await sidecar.status())["parts"]["bindings"]
         if {key: found[key] for key in expected} == expected:
             return
         await asyncio.sleep(0.02)
