--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -1,4 +1,4 @@
-"""Discovery moves to another address: which word counts until the new one has told its list."""
+"""Discovery moves to another address: updates from the old one are used until the new one has sent its list."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 @pytest.mark.parametrize("turns", range(6))
-def test_a_line_of_the_old_address_counts_until_the_new_one_has_told_its_list(turns: int) -> None:
-    """The move comes so many turns of the loop after the line is in the kernel: unread, read, or just looked at.
+def test_a_change_from_the_old_address_is_used_until_the_new_one_has_sent_its_list(turns: int) -> None:
+    """The move follows so many turns of the event loop after the change is in the kernel: unread, read or processed.
 
-    What discovery has written counts as told; to close over it would lose it.
+    A change that discovery has written counts as sent; closing the connection with unread bytes would lose it.
     """
 
     async def body(peer: Discovery, held: Held) -> None:
@@ -50,8 +50,8 @@
     case(body, silence_s=3.0)
 
 
-def test_of_moves_in_a_row_the_latest_list_counts() -> None:
-    """A call that a later move leaves behind may bring its list first; what is older than that counts no more."""
+def test_after_consecutive_moves_the_latest_list_counts() -> None:
+    """A query that a later move has retired may receive its list first; older watches are closed then."""
 
     async def body(peer: Discovery, held: Held) -> None:
         first = await peer.calls.get()
@@ -68,7 +68,7 @@
         first.send(chunk(listing(8, "late", whole=False)))
         await first.ended()
         last = await third.calls.get()
-        assert time.monotonic() - began >= 0.5 * schedule.MOVE_SETTLE_S  # put together one list, not three
+        assert time.monotonic() - began >= 0.5 * schedule.MOVE_SETTLE_S  # consecutive moves share a query
         last.send(CHUNKED, chunk(listing(1, "c")))
         assert await held.heard.get() == (["c"], True)
         await call.ended()
@@ -78,21 +78,21 @@
     case(body, silence_s=3.0)
 
 
-def test_an_old_address_that_falls_silent_is_given_up() -> None:
+def test_the_watch_of_an_old_address_that_falls_silent_is_closed() -> None:
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         call.send(CHUNKED, chunk(listing(7, "a")))
         await held.heard.get()
-        with socket.socket() as jammed:  # a connection comes up, and nothing else
-            jammed.bind(("127.0.0.1", 0))
-            jammed.listen()
-            held.directory.move(jammed.getsockname())
+        with socket.socket() as silent:  # connections are established, but nothing is sent on them
+            silent.bind(("127.0.0.1", 0))
+            silent.listen()
+            held.directory.move(silent.getsockname())
             await call.ended()
 
     case(body)
 
 
-def test_no_more_than_a_few_old_addresses_are_followed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_a_few_old_addresses_are_watched(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(schedule, "MOVE_SETTLE_S", 0.05)
 
     async def body(peer: Discovery, held: Held) -> None:
@@ -104,14 +104,14 @@
             other = Discovery()
             held.directory.move(await other.begin())
             calls.append(await other.calls.get())
-        await calls[1].ended()  # the oldest that has told nothing
+        await calls[1].ended()  # the oldest that has sent no list
         calls[0].send(chunk(listing(8, "b", whole=False)))
         assert await held.heard.get() == (["b"], False)
 
     case(body, silence_s=3.0)
 
 
-def test_a_move_to_an_address_asked_before_begins_anew() -> None:
+def test_a_move_back_to_an_earlier_address_starts_a_new_query() -> None:
     async def body(peer: Discovery, held: Held) -> None:
         first = await peer.calls.get()
         first.send(CHUNKED, chunk(listing(7, "a")))
@@ -122,7 +122,7 @@
         held.directory.move(at_second)
         held.directory.move(at_third)  # at once
         call = await third.calls.get()
-        held.directory.move(at_second)  # and while the call is out
+        held.directory.move(at_second)  # and during the query
         held.directory.move(peer_at)
         again = await peer.calls.get()
         assert again.target == b"/discovery/hosts?follow=1" and held.directory.position()[0] == old
@@ -130,18 +130,18 @@
         assert await held.heard.get() == (["b"], True) and held.broken.empty()
         await call.ended()
         await first.ended()
-        assert second.calls.qsize() == 1  # by the first move; the third was one of a row
+        assert second.calls.qsize() == 1  # after the first move; the query after the third one was delayed
 
     case(body, silence_s=3.0)
 
 
-def test_a_move_to_a_dead_address_and_back_is_answered_at_once() -> None:
+def test_after_a_move_to_an_unreachable_address_and_back_there_is_a_query_at_once() -> None:
     async def body(peer: Discovery, held: Held) -> None:
         at = (await peer.calls.get()).writer.get_extra_info("sockname")
         with socket.socket() as dead:
-            dead.bind(("127.0.0.1", 0))  # bound and not listening: refused
+            dead.bind(("127.0.0.1", 0))  # bound but not listening: connections are refused
             held.directory.move(dead.getsockname())
-            for _ in range(20):  # a refusal or more; how many does not matter
+            for _ in range(20):  # for one refused connection or more; their number does not matter
                 await asyncio.sleep(0)
             begun = time.monotonic()
             held.directory.move(at)
@@ -151,14 +151,14 @@
     case(body, silence_s=3.0)
 
 
-def test_for_how_long_nothing_was_heard_is_told_until_the_line_that_is_told() -> None:
-    """By it a fresh endpoint is told from one that was there before; half a list is no word yet."""
+def test_the_silence_before_an_update_lasts_until_that_update_is_complete() -> None:
+    """The silence tells a new endpoint from one that existed before; an incomplete list does not end it."""
 
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         assert held.directory.silence_ms() == math.inf
-        begun, rest = listing(7, "a")[:10], listing(7, "a")[10:]
-        call.send(CHUNKED, chunk(begun))
+        start, rest = listing(7, "a")[:10], listing(7, "a")[10:]
+        call.send(CHUNKED, chunk(start))
         await asyncio.sleep(PAUSE_S)
         assert held.directory.silence_ms() == math.inf
         call.send(chunk(rest))
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -1,4 +1,4 @@
-"""The terms on discovery, each crossing forced on loopback: what ends, hangs, trickles or crosses, and descriptors."""
+"""The client of discovery on loopback: responses that end, hang, trickle or are invalid, and lack of descriptors."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     "rest",
     [
         b'{"index": 8, "endp',  # a list that never ends, on one line
-        b'{\n"index":\n8,\n',  # the same over several lines
-        None,  # the size line of a chunk
+        b'{\n"index":\n8,\n',  # a list that never ends, on several lines
+        None,  # the size line of a chunk that never ends
     ],
     ids=["line", "lines", "size"],
 )
 @pytest.mark.parametrize("listed", [True, False])
-def test_bytes_that_trickle_and_make_no_list_are_silence(rest: bytes | None, listed: bool) -> None:
-    # Guards against a watch that every single byte keeps alive while it tells nothing.
+def test_trickling_bytes_that_complete_no_list_count_as_silence(rest: bytes | None, listed: bool) -> None:
+    # Single bytes must not keep a watch alive that sends no list.
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         call.send(CHUNKED, chunk(listing(7, "a")) if listed else b"")
@@ -54,8 +54,8 @@
 
 
 @pytest.mark.parametrize("listed", [True, False])
-def test_a_list_that_is_not_understood_is_asked_for_again(listed: bool) -> None:
-    # Guards against skipping it: what it told would be missing for as long as the watch lives.
+def test_a_list_that_is_not_json_is_requested_again(listed: bool) -> None:
+    # If it were skipped, its changes would be missing until the end of the watch.
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         call.send(CHUNKED, chunk(listing(7, "a")))
@@ -66,9 +66,10 @@
             call.send(CHUNKED)
         call.send(chunk(b'{"index":8,"endpoints":oops}\n'))
         again = await peer.calls.get()
-        # By version where that has worked; what fails as a call's first word would fail as the next one's, too.
+        # The changes since the last version if the watch has received a list; otherwise the same document might be
+        # invalid again, so a complete list is requested.
         assert again.target == b"/discovery/hosts?follow=1" + (b"&since=7" if listed else b"")
-        again.send(CHUNKED, chunk(listing(5, "b")))  # whole and of an older index: it counts
+        again.send(CHUNKED, chunk(listing(5, "b")))  # a complete list is used although its index is older
         assert await held.heard.get() == (["b"], True)
 
     case(body, silence_s=30.0)
@@ -80,7 +81,7 @@
 @pytest.mark.parametrize(
     ("names", "head", "framed"),
     [
-        (["a"], b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", lambda body: body),  # up to its end
+        (["a"], b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", lambda body: body),  # up to the end of the connection
         (["a"], b"HTTP/1.0 200 OK\r\n\r\n", lambda body: body),
         (["a"], b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", lambda body: body),
         (["a"], b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKED, chunk),
@@ -90,14 +91,14 @@
     ],
     ids=["close", "http10", "length", "interim", "bytes", "big chunk", "big length"],
 )
-def test_an_answer_of_any_form_is_a_list(names: list[str], head: bytes, framed: Callable[[bytes], bytes]) -> None:
+def test_a_list_is_received_with_any_framing(names: list[str], head: bytes, framed: Callable[[bytes], bytes]) -> None:
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         listed = listing(7, *names)
         call.send(head % len(listed) if b"%d" in head else head, framed(listed))
         assert await held.heard.get() == (names, True)
         call.writer.close()
-        await held.broken.get()  # its end is told, and the list goes on from there
+        await held.broken.get()  # its end is reported, and the next query continues from its version
         assert (await peer.calls.get()).target.endswith(b"since=7")
 
     case(body, silence_s=3.0)
@@ -107,14 +108,14 @@
     "answer",
     [
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-        b"HTTP/1.1 500 Oops\r\nContent-Length: 80\r\n\r\n" + listing(9, "x"),  # a list, even, under an error
+        b"HTTP/1.1 500 Oops\r\nContent-Length: 80\r\n\r\n" + listing(9, "x"),  # an error with a list as its body
         b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(listing(9, "x")),
         b"nonsense\r\n\r\n",
         b"",
     ],
     ids=["empty", "list", "chunked", "nonsense", "nothing"],
 )
-def test_an_error_with_a_body_tells_nothing_and_is_followed_by_another_call(answer: bytes) -> None:
+def test_an_error_response_is_not_used_and_is_followed_by_another_query(answer: bytes) -> None:
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
         call.send(answer)
@@ -127,7 +128,7 @@
     case(body, silence_s=3.0)
 
 
-def test_a_connection_that_never_comes_up_is_given_up_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_that_is_not_established_is_replaced_by_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
     async def whole() -> None:
@@ -136,7 +137,7 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
             at = listener.getsockname()
-            with socket.create_connection(at):  # the queue is full: further ones are not answered at all
+            with socket.create_connection(at):  # the queue is full: further connections are not established
                 directory = DiscoveryClient(at, lambda *_: None, lambda: broken.put_nowait(None))
                 directory.watch()
                 await broken.get()
@@ -144,7 +145,7 @@
             listener.accept()[0].close()
             listener.setblocking(False)
             loop = asyncio.get_running_loop()
-            for _ in range(3):  # those given up may have come up meanwhile
+            for _ in range(3):  # connections that were given up may have been established meanwhile
                 sock, _ = await loop.sock_accept(listener)
                 asked = await loop.sock_recv(sock, 1000)
                 sock.close()
@@ -156,13 +157,13 @@
     run(whole())
 
 
-def test_a_call_that_hangs_is_given_up_and_made_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery was down when it came, say, and has no memory of it."""
+def test_a_query_that_hangs_is_retired_and_sent_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """For instance, discovery was restarted after it had received the query."""
     monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
     async def body(peer: Discovery, held: Held) -> None:
         first = await peer.calls.get()
-        first.send(CHUNKED, chunk(b"\n"))  # an empty line is no list
+        first.send(CHUNKED, chunk(b"\n"))  # an empty line is not a list
         (await peer.calls.get()).send(CHUNKED, chunk(listing(1, "a")))
         assert await held.heard.get() == (["a"], True) and held.broken.qsize() == 1
         await first.ended()
@@ -170,10 +171,10 @@
     case(body, silence_s=30.0)
 
 
-def test_a_call_that_was_left_behind_is_followed_if_its_list_comes_before_the_next_call(
+def test_a_retired_query_becomes_current_again_if_its_list_is_received_before_the_next_query(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards a jammed discovery against a call more from each caller that it has just answered.
+    # Otherwise each sidecar would send a congested discovery one more query right after it has got its list.
     monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
     async def body(peer: Discovery, held: Held) -> None:
@@ -185,15 +186,15 @@
         assert peer.calls.empty() and held.directory.position()[1:3] == (1, True)
         call.send(chunk(listing(2, "b", whole=False)))
         assert await held.heard.get() == (["b"], False)
-        call.writer.close()  # its end is an end as any other's
+        call.writer.close()  # its end is handled as that of any watch
         await held.broken.get()
         assert (await peer.calls.get()).target == b"/discovery/hosts?follow=1&since=2"
 
     case(body, silence_s=3.0)
 
 
-def test_bytes_that_have_come_count_before_a_time_that_is_over() -> None:
-    """The process stood still for longer than the silence that ends a watch, and the line was there in time."""
+def test_bytes_received_in_time_are_processed_before_a_timer_that_has_expired() -> None:
+    """The process was paused for longer than the silence that ends a watch, but the list had arrived in time."""
 
     async def body(peer: Discovery, held: Held) -> None:
         call = await peer.calls.get()
@@ -207,11 +208,11 @@
     case(body)
 
 
-def test_a_watch_that_ends_at_once_is_no_second_call() -> None:
+def test_a_watch_that_ends_at_once_causes_no_additional_query() -> None:
     async def body(peer: Discovery, held: Held) -> None:
         for index in range(1, 4):
             call = await peer.calls.get()
-            held.directory.watch()  # the module asks in its own time, too
+            held.directory.watch()  # the load balancer may request the watch at any time
             call.send(CHUNKED, chunk(listing(index, "a")), b"0\r\n\r\n")
             await call.ended()
             held.directory.watch()
@@ -221,8 +222,8 @@
     case(body, silence_s=3.0)
 
 
-def test_who_hears_of_a_failure_and_fails_does_not_end_the_asking() -> None:
-    # Guards against a fault in the module's wait: it ended the task that watches, and nobody asked again.
+def test_an_exception_in_the_callback_for_failures_does_not_end_the_queries() -> None:
+    # An exception in the load balancer's backoff once ended the task of the watch, and no query followed.
     async def whole() -> None:
         peer = Discovery()
 
@@ -238,8 +239,8 @@
     run(whole())
 
 
-def test_what_a_whole_list_does_not_name_is_gone_while_an_attempt_connects() -> None:
-    """As if it were listed as terminated: nothing is written to it, though it still answers."""
+def test_nothing_is_sent_to_an_endpoint_that_a_complete_list_omits_while_an_attempt_connects() -> None:
+    """As if it were listed as terminated, although it still accepts connections."""
 
     async def whole() -> None:
         calls, seen = Heard(), asyncio.Queue[bytes]()
@@ -251,7 +252,7 @@
         pool = EndpointPool(calls, unlimited(), 9000.0, 9000.0)
         pool.apply_list([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
         pool.start(invoker_call(time.monotonic() + 20))
-        await asyncio.sleep(0)  # the task runs up to its wait for the connection
+        await asyncio.sleep(0)  # the attempt's task runs until it waits for the connection
         pool.apply_list([DiscoveredEndpoint("b", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE)], True)
         assert await calls.endings.get() is AttemptEnding.NOT_SENT and await seen.get() == b""
         assert not pool.knows("a")
@@ -259,8 +260,8 @@
     run(whole())
 
 
-def test_a_descriptor_is_kept_for_discovery() -> None:
-    """All others are in use when a call is to begin; the listener's queue needs none."""
+def test_a_descriptor_is_reserved_for_discovery() -> None:
+    """All other descriptors are in use when a query starts; connections in the listener's queue need none."""
 
     async def whole() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""From SIGTERM to the end of the process: what is owed at each stage, and that it is paid before SIGKILL may come."""
+"""Graceful shutdown: what happens to connections and requests at each step, and that it ends before SIGKILL."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
 from .helpers.processes import run, with_sidecar
 
-PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only leaving ends anything
+LONG_TIMEOUTS = Tuning(request_s=60.0, idle_s=60.0)  # so that only a shutdown ends connections
 BIG = DELIVER.replace(
     b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * MAX_BUFFERED_BODY_BYTES)
 ) + bytes(3 * MAX_BUFFERED_BODY_BYTES)
-OF_OLD_S = 1.8  # keep_s: connections were served on for so long, whatever the deadlines
+KEEP_S = 1.8  # connections were once kept for so long, whatever the deadlines
 
 
 def deadlines(seconds: float) -> dict[str, Any]:
-    """The tests' settings with these deadlines."""
+    """The settings of the tests, with this deadline for all classes."""
     limits = {"target_ms": seconds * 500.0, "hard_limit_ms": seconds * 1000.0}
     classes = [{**cls, **limits} for cls in json.loads(json.dumps(SETTINGS["classes"]))]
     return {**SETTINGS, "classes": classes}
@@ -55,22 +55,22 @@
 
 
 @given(st.floats(0.001, 3600.0), st.floats(0.001, 3600.0), st.floats(0.0, 3600.0), st.booleans())
-def test_whatever_the_settings_all_is_over_before_the_kill(
-    longest: float, accept: float, more: float, handed_on: bool
+def test_the_shutdown_ends_before_the_kill_whatever_the_settings(
+    longest: float, accept: float, more: float, handed_over: bool
 ) -> None:
     counted = min(longest, MAX_KILL_DELAY_S)
-    times = schedule(longest, accept, accept + more, handed_on)
+    times = schedule(longest, accept, accept + more, handed_over)
     assert 0.0 <= times.accept_s <= times.close_s < times.answer_s < times.end_s < counted + KILL_GRACE_S
-    assert times.answer_s - times.close_s >= counted / 2 - 1e-9  # an honest chance for who comes last
-    assert times.wait_s >= longest + times.end_s  # calls taken before, and answers that have begun
-    if not handed_on:
+    assert times.answer_s - times.close_s >= counted / 2 - 1e-9  # enough time for the last request
+    assert times.wait_s >= longest + times.end_s  # requests accepted before, and responses that have begun
+    if not handed_over:
         assert times.accept_s >= min(accept, 0.5) - 1e-9  # new connections keep arriving for 0.4 s
 
 
-def test_short_deadlines_all_connections_end_in_order_before_the_kill() -> None:
-    # Guards what SIGKILL finds: the stages were fixed times, beyond the kill where deadlines are under a second.
-    # One client sends on while its connection stays open, one rests, one never closes, one has sent half a request,
-    # one waits for an endpoint that hangs.
+def test_with_short_deadlines_all_connections_end_in_order_before_the_kill() -> None:
+    # The steps once had fixed times, after SIGKILL if deadlines were under a second. One client sends requests until
+    # its connection ends, one is idle, one never closes its connection, one has sent half a request, and one waits for
+    # an endpoint that hangs.
     async def case() -> None:
         hanging, seen = asyncio.Event(), list[bytes]()
 
@@ -86,7 +86,7 @@
             writer.close()
 
         async def sends_on(port: int) -> int:
-            """How many were answered. An end may cross the last one: then it was not sent on."""
+            """How many requests were sent. The last may cross the end of the connection: then it is not forwarded."""
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             parser, number, keep = http1.ResponseParser(), 0, True
             while keep:
@@ -97,7 +97,7 @@
                     assert not any(b"Id: s%d\r\n" % number in request for request in seen)
                     break
                 parser.feed(data)
-                keep = (await answer_from(reader, parser)).keep_alive  # fails where it does not come whole
+                keep = (await answer_from(reader, parser)).keep_alive  # fails if the response is not complete
             assert await reader.read() == b""
             writer.close()
             return number
@@ -124,26 +124,26 @@
                 except OSError:
                     break
                 await asyncio.sleep(0)
-            assert monotonic() - began < OF_OLD_S
+            assert monotonic() - began < KEEP_S
             ended.append(began)
             staying[1].close()
 
         ended: list[float] = []
-        tuning, more = Settings(clients=PATIENT), {"settings": deadlines(0.3)}
+        tuning, more = Settings(clients=LONG_TIMEOUTS), {"settings": deadlines(0.3)}
         await with_sidecar(handle, use, ends=True, tuning=tuning, more=more)
-        assert monotonic() - ended[0] < OF_OLD_S
+        assert monotonic() - ended[0] < KEEP_S
         assert not any(b"Id: half" in request for request in seen)
 
     run(case())
 
 
-def test_an_answer_that_has_begun_is_not_cut_off_by_our_own_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Whether SIGKILL comes is not ours to say; a process that ends by itself loses what it has not answered.
+def test_a_response_that_has_begun_is_completed_before_the_process_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+    # SIGKILL may or may not follow; a process that ended on its own would truncate the response in any case.
     left, leave = list[bool](), ClientListener.shut_down
 
     async def leaves(self: ClientListener, *given: Any) -> None:
         await leave(self, *given)
-        left.append(True)  # the program ends
+        left.append(True)  # the program would end now
 
     async def case() -> None:
         monkeypatch.setattr(ClientListener, "shut_down", leaves)
@@ -177,57 +177,57 @@
     run(case())
 
 
-def test_sigterm_twice_and_nothing_open_ends_once_the_last_connections_have_arrived() -> None:
+def test_an_idle_process_ends_after_the_time_for_last_connections_also_after_a_second_sigterm() -> None:
     async def case() -> None:
         began: list[float] = []
 
         async def use(port: int) -> None:
             began.append(monotonic())
             os.kill(os.getpid(), signal.SIGTERM)
-            assert (await ask(port, LOOK)).status == 200  # one that comes late
+            assert (await ask(port, LOOK)).status == 200  # on a connection opened after SIGTERM
             os.kill(os.getpid(), signal.SIGTERM)
 
         await with_sidecar(answering(whole(200))[0], use, ends=True)
-        assert monotonic() - began[0] < OF_OLD_S
+        assert monotonic() - began[0] < KEEP_S
 
     run(case())
 
 
 @pytest.mark.parametrize(("sent", "answers"), [(UP, 1), (UP * 3, 3)], ids=["one", "more has come"])
-def test_while_closing_the_last_answer_to_what_has_come_says_so(sent: bytes, answers: int) -> None:
-    # Guards the end: who only asks whether we are ready kept its connection up to the kill.
+def test_while_draining_the_last_response_announces_the_end_of_the_connection(sent: bytes, answers: int) -> None:
+    # A client that sent only readiness checks once kept its connection until SIGKILL.
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         connections.all.draining = True
         sock.sendall(sent)
-        said = await received(sock)
-        assert said.count(b"HTTP/1.1 200 ") == answers and said.count(b"Connection: close") == 1
+        data = await received(sock)
+        assert data.count(b"HTTP/1.1 200 ") == answers and data.count(b"Connection: close") == 1
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
-def test_a_connection_whose_answer_was_worded_before_closing_began_ends_after_it() -> None:
+def test_a_connection_whose_response_was_composed_before_the_drain_ends_after_it() -> None:
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
-        written = consumer._write
+        write_response = consumer._write
 
         async def write(response: bytes) -> None:
-            await written(response)
+            await write_response(response)
             connections.all.draining = True
 
         consumer._write = write  # type: ignore[method-assign]
         sock.sendall(UP)
-        said = await received(sock)
-        assert said.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in said
+        data = await received(sock)
+        assert data.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in data
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
 @pytest.mark.parametrize("part", [b"GET /ap", DELIVER[:-1], BIG[:-1]], ids=["head", "body", "long body"])
-def test_a_request_that_is_not_whole_at_the_end_is_turned_off(part: bytes) -> None:
-    # A long one has its call open: no endpoint has had its last byte, and none gets it.
+def test_a_request_that_is_incomplete_at_the_end_is_rejected(part: bytes) -> None:
+    # A long request is open already: no endpoint has received its last byte, and none will.
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         await asyncio.to_thread(sock.sendall, part)
@@ -242,10 +242,10 @@
         await leaving
         assert connections.budget.used == 0
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
-def test_connections_that_linger_do_not_hold_up_the_end() -> None:
+def test_lingering_connections_do_not_delay_the_end() -> None:
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         times = schedule(20.0, 0.5, 1.8)
@@ -254,11 +254,11 @@
         assert await received(sock) == b""
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
-def test_deadlines_that_change_while_leaving_change_no_time() -> None:
-    # SIGKILL counts from what was in force at SIGTERM.
+def test_deadlines_that_change_during_a_shutdown_do_not_change_its_schedule() -> None:
+    # The time of SIGKILL depends on the settings at SIGTERM.
     async def use(connections: Connections) -> None:
         leaving = asyncio.create_task(connections.all.shut_down())
         await asyncio.sleep(0)
@@ -269,18 +269,20 @@
             assert connections.calls.last_deadline == last
         leaving.cancel()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
 @pytest.mark.parametrize(
     ("effect", "status", "runs"), [("idempotent", 200, 2), ("deduplicated", 200, 2), ("at_most_once", 502, 1)]
 )
-def test_what_is_under_way_at_sigterm_goes_again_only_as_its_class_allows(effect: str, status: int, runs: int) -> None:
-    # Guards once-only work in the one moment in which a process ends and an endpoint hangs up.
+def test_a_request_in_flight_at_sigterm_is_retried_only_if_its_class_allows(
+    effect: str, status: int, runs: int
+) -> None:
+    # A request that may run only once must not be repeated if its endpoint resets the connection during a shutdown.
     classes = [{**SETTINGS["classes"][1], "effect": effect}]  # type: ignore[index]
 
     async def case() -> None:
-        first, told = asyncio.Event(), asyncio.Event()
+        first, terminated = asyncio.Event(), asyncio.Event()
         seen = 0
 
         async def handle(reader: Reader, writer: Writer) -> None:
@@ -289,7 +291,7 @@
             seen += 1
             if seen == 1:
                 first.set()
-                await told.wait()
+                await terminated.wait()
                 writer.transport.abort()
             else:
                 writer.write(whole(200))
@@ -301,10 +303,10 @@
             writer.write(DELIVER)
             await first.wait()
             os.kill(os.getpid(), signal.SIGTERM)
-            told.set()
+            terminated.set()
             parser = http1.ResponseParser()
             assert (await answer_from(reader, parser)).status == status
-            assert await reader.read() == b""  # the one answer, and the end in order
+            assert await reader.read() == b""  # only one response, and an orderly end
             writer.close()
 
         await with_sidecar(handle, use, ends=True, more={"settings": {**SETTINGS, "classes": classes}})
