--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -12,7 +12,7 @@
 from .helpers.connections import UP, Connections, received, until, with_connections
 from .helpers.http_peers import LOOK, SETTINGS, answering, ask, whole
 from .helpers.processes import run, with_sidecar
-from .test_client_endings import PATIENT
+from .test_client_endings import LONG_TIMEOUTS
 
 
 def test_a_connection_accepted_and_gone_at_once_costs_nobody_anything() -> None:
@@ -55,7 +55,7 @@
             assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 503 ")  # no listener: not ready
             sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
 def test_without_a_descriptor_the_queue_waits_and_the_loop_does_not_spin() -> None:
@@ -87,7 +87,7 @@
         assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
 @pytest.mark.parametrize("encoding", ["utf-8", "latin-1"])
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""A client that closes its connection has gone: it is noticed at every stage, and nothing begins after it."""
+"""A client that disconnects is noticed at every stage of its request, and no attempt starts after that."""
 
 from __future__ import annotations
 
@@ -30,55 +30,55 @@
     "a request and a half": NEXT + b"GET /ha",
     "much": bytes(MAX_READ_AHEAD_BYTES // 2),
 }
-FEW = pytest.mark.parametrize("more", BYTES.values(), ids=BYTES)
-MORE = pytest.mark.parametrize("more", [*BYTES.values(), bytes(4 * MAX_READ_AHEAD_BYTES)], ids=[*BYTES, "a flood"])
-SOON_S = 20.0  # far from what it takes; a program that does not notice waits for the calls' end
+BUFFERED_BYTES = pytest.mark.parametrize("more", BYTES.values(), ids=BYTES)
+ANY_BYTES = pytest.mark.parametrize("more", [*BYTES.values(), bytes(4 * MAX_READ_AHEAD_BYTES)], ids=[*BYTES, "a flood"])
+TIMEOUT_S = 20.0  # much longer than needed; without noticing, the program would wait until the requests end
 
 
 async def sent(writer: Writer) -> None:
-    """All of it is in the kernel."""
+    """Waits until all that was written is in the kernel."""
     while writer.transport.get_write_buffer_size():
         await asyncio.sleep(0)
 
 
-async def soon(wait: Awaitable[Any]) -> None:
-    await asyncio.wait_for(wait, SOON_S)
+async def within_timeout(wait: Awaitable[Any]) -> None:
+    await asyncio.wait_for(wait, TIMEOUT_S)
 
 
-class Held:
-    """An endpoint that reads requests, answers none and notes which connections ended."""
+class HangingEndpoint:
+    """An endpoint that reads requests, answers none, and records the requests whose connections ended."""
 
-    def __init__(self, whole_: int = 0) -> None:
+    def __init__(self, body_bytes: int = 0) -> None:
         self.arrived: asyncio.Queue[bytes] = asyncio.Queue()
-        self.left: asyncio.Queue[bytes] = asyncio.Queue()
-        self._whole = whole_
+        self.ended: asyncio.Queue[bytes] = asyncio.Queue()
+        self._body_bytes = body_bytes
 
     async def handle(self, reader: Reader, writer: Writer) -> None:
         request = await reader.readuntil(b"\r\n\r\n")
-        if self._whole:
-            await reader.readexactly(self._whole)
+        if self._body_bytes:
+            await reader.readexactly(self._body_bytes)
         self.arrived.put_nowait(request)
         while await reader.read(65536):
             pass
-        self.left.put_nowait(request)
+        self.ended.put_nowait(request)
         writer.close()
 
 
-@MORE
+@ANY_BYTES
 @pytest.mark.parametrize(("wire", "body"), [(LOOK, 0), (LONG, 3 * MAX_BUFFERED_BODY_BYTES)], ids=["short", "long"])
-def test_gone_while_an_attempt_is_out_ends_it(wire: bytes, body: int, more: bytes) -> None:
-    # Guards against attempts for nobody: with more bytes behind its request, a client's end once went unnoticed.
+def test_a_disconnect_ends_an_attempt_in_flight(wire: bytes, body: int, more: bytes) -> None:
+    # A client's disconnect was not noticed once if there were more bytes after its request.
     async def case() -> None:
-        endpoint = Held(body)
+        endpoint = HangingEndpoint(body)
 
         async def use(port: int) -> None:
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(wire)
             await endpoint.arrived.get()
             writer.write(more)
-            await soon(sent(writer))
+            await within_timeout(sent(writer))
             writer.close()
-            await soon(endpoint.left.get())
+            await within_timeout(endpoint.ended.get())
             assert endpoint.arrived.empty()
 
         await with_sidecar(endpoint.handle, use)
@@ -93,8 +93,8 @@
     return json.dumps({"index": index, "snapshot": True, "endpoints": entries}).encode() + b"\n"
 
 
-class Releasing:
-    """Discovery whose watch brings endpoints that may serve when the test says so."""
+class DelayedDiscovery:
+    """Discovery that lists endpoints as in service once the test sets `release`."""
 
     def __init__(self) -> None:
         self.address: str = ""
@@ -115,15 +115,15 @@
         await asyncio.sleep(0)
 
 
-@MORE
-def test_gone_while_its_call_waits_for_the_first_attempt(more: bytes) -> None:
+@ANY_BYTES
+def test_a_disconnect_before_the_first_attempt_ends_the_request(more: bytes) -> None:
     async def case() -> None:
         handler, seen = answering(whole(200))
         endpoint = await asyncio.start_server(handler, "127.0.0.1", 0)
-        releasing, admin = Releasing(), free_port()
-        releasing.address = "127.0.0.1:%d" % endpoint.sockets[0].getsockname()[1]  # noqa: UP031
-        discovery = await asyncio.start_server(releasing.handle, "127.0.0.1", 0)
-        known = json.loads(listing(releasing.address, "terminating", 3))
+        delayed, admin = DelayedDiscovery(), free_port()
+        delayed.address = "127.0.0.1:%d" % endpoint.sockets[0].getsockname()[1]  # noqa: UP031
+        discovery = await asyncio.start_server(delayed.handle, "127.0.0.1", 0)
+        known = json.loads(listing(delayed.address, "terminating", 3))
         config = {
             "admin_addr": f"127.0.0.1:{admin}",
             "known": known,
@@ -133,11 +133,11 @@
         async def use(port: int) -> None:
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(LOOK + more)
-            await soon(sent(writer))
+            await within_timeout(sent(writer))
             writer.close()
             staying = asyncio.create_task(ask(port, LOOK.replace(b"Id: 1", b"Id: 7")))
-            await soon(departed(admin))
-            releasing.release.set()
+            await within_timeout(departed(admin))
+            delayed.release.set()
             assert (await staying).status == 200
             assert [request.fields[b"x-call-id"] for request in seen] == [b"7"]
 
@@ -148,9 +148,9 @@
     run(case())
 
 
-@FEW
-def test_gone_between_attempts(more: bytes) -> None:
-    # The first attempt fails when the client's end is already there: no second one may begin.
+@BUFFERED_BYTES
+def test_after_a_disconnect_there_is_no_second_attempt(more: bytes) -> None:
+    # The first attempt fails after the client's disconnect has reached the kernel.
     async def case() -> None:
         ids: asyncio.Queue[bytes] = asyncio.Queue()
         fail = asyncio.Event()
@@ -171,8 +171,8 @@
             writer.write(LOOK)
             await ids.get()
             writer.write(more)
-            await soon(sent(writer))
-            writer.transport.get_extra_info("socket").shutdown(1)  # its end lies in the sidecar's kernel from here on
+            await within_timeout(sent(writer))
+            writer.transport.get_extra_info("socket").shutdown(1)  # from now on the end is in the sidecar's kernel
             fail.set()
             assert (await ask(port, LOOK.replace(b"Id: 1", b"Id: 7"))).status == 200
             assert b"Id: 7\r\n" in await ids.get() and ids.empty()
@@ -183,7 +183,7 @@
     run(case())
 
 
-def test_gone_before_its_request_is_read_takes_no_call() -> None:
+def test_a_disconnect_before_the_request_is_read_accepts_no_request() -> None:
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         sock.sendall(LOOK)
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize("part", [LOOK[:20], DELIVER[:-1], LONG[:-1]], ids=["head", "body", "long body"])
-def test_gone_within_its_request(part: bytes) -> None:
+def test_a_disconnect_within_a_request_releases_its_memory(part: bytes) -> None:
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         await asyncio.to_thread(sock.sendall, part)
@@ -206,8 +206,8 @@
     run(with_connections(use))
 
 
-def test_gone_is_known_before_timers_that_are_due_then() -> None:
-    # Guards against an attempt that a timer begins in the very turn of the loop that reads the client's end.
+def test_a_disconnect_is_known_before_timers_of_the_same_turn_run() -> None:
+    # A timer must not start an attempt in the turn of the event loop that reads the client's disconnect.
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(LOOK)
@@ -217,13 +217,13 @@
         await asyncio.sleep(0)
         sock.close()
         asyncio.get_running_loop().call_later(0.001, lambda: seen.set_result(call.client_has_disconnected))
-        time.sleep(0.02)  # the loop is late: the end and the timer come in one turn
+        time.sleep(0.02)  # blocks the event loop, so that the disconnect and the timer are due in one turn
         assert await seen
 
     run(with_connections(use))
 
 
-def test_memory_of_a_long_request_comes_back_when_its_client_goes() -> None:
+def test_the_memory_of_a_long_request_is_released_when_its_client_disconnects() -> None:
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         await asyncio.to_thread(sock.sendall, LONG)
@@ -252,7 +252,7 @@
     run(with_sidecar(handler, use))
 
 
-def test_a_flood_behind_a_request_costs_memory_up_to_a_bound_and_the_connection() -> None:
+def test_a_flood_after_a_request_uses_limited_memory_and_ends_the_connection() -> None:
     async def case() -> None:
         arrived, release = asyncio.Event(), asyncio.Event()
 
@@ -267,9 +267,9 @@
             writer.write(LOOK)
             await arrived.wait()
             writer.write(bytes(32 * MAX_READ_AHEAD_BYTES))
-            await soon(sent(writer))
+            await within_timeout(sent(writer))
             release.set()
-            answer = await reader.read()  # up to the end, which is no reset
+            answer = await reader.read()  # up to the end of the connection, which is not a reset
             assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in answer
             writer.close()
 
@@ -278,15 +278,15 @@
     run(case())
 
 
-def test_an_end_that_only_the_kernel_knows_stops_an_attempt() -> None:
-    # Guards against a loop that was busy: what it has not read yet is asked of the kernel right before the first byte.
+def test_a_disconnect_that_only_the_kernel_has_noticed_prevents_an_attempt() -> None:
+    # A busy event loop may not have read the disconnect: the kernel is asked right before the first byte is sent.
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         sock.sendall(LOOK)
         await until(lambda: connections.taken() == 1)
         (call,) = connections.calls.open.values()
         assert call.client_connected()
-        sock.close()  # in the kernel at once; this loop has not turned since
+        sock.close()  # known to the kernel at once, but not yet to the event loop
         assert not call.client_connected() and not call.client_has_disconnected
         await until(lambda: call.client_has_disconnected)
         assert not call.client_connected()
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -1,4 +1,4 @@
-"""Every way to end a client's connection, at the instant at which something of the client's crosses it."""
+"""Each way in which the sidecar ends a client's connection, while bytes that the client sends cross the end."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, ask
 from .helpers.processes import run, with_sidecar
 
-PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only the test ends anything
+LONG_TIMEOUTS = Tuning(request_s=60.0, idle_s=60.0)  # so that only the test ends connections
 BIG = DELIVER.replace(
     b"Content-Length: 3\r\n\r\ndoc", b"Content-Length: %d\r\n\r\n" % (3 * MAX_BUFFERED_BODY_BYTES)
 ) + bytes(3 * MAX_BUFFERED_BODY_BYTES)
 
 
-def timer(connections: Connections, consumer: ClientConnection) -> None:
+def timeout(connections: Connections, consumer: ClientConnection) -> None:
     consumer._handle_timeout()
 
 
@@ -32,7 +32,7 @@
     connections.all._drop_idle()
 
 
-def leaving(connections: Connections, consumer: ClientConnection) -> None:
+def shutdown(connections: Connections, consumer: ClientConnection) -> None:
     consumer.end_if_idle()
 
 
@@ -41,19 +41,19 @@
 
 
 def read(consumer: ClientConnection) -> None:
-    """As the loop does in the turn in which a timer is due as well: nobody has heard of the bytes yet."""
+    """Reads as the event loop does before a timer that is due in the same turn: the bytes are not processed yet."""
     consumer.stream._handle_events(consumer.stream.socket, IOLoop.READ)
 
 
 @pytest.mark.parametrize("used", [False, True], ids=["new", "used"])
 @pytest.mark.parametrize("where", [in_kernel, read])
-@pytest.mark.parametrize("end", [timer, eviction, leaving])
-def test_a_request_that_has_come_is_served_whoever_ends_idle_connections(
+@pytest.mark.parametrize("end", [timeout, eviction, shutdown])
+def test_a_request_that_has_arrived_is_served_although_idle_connections_end(
     end: Callable[[Connections, ClientConnection], None],
     where: Callable[[ClientConnection], None],
     used: bool,
 ) -> None:
-    # Guards requests read and not answered: a timer is run before whoever waits for the bytes of the same turn.
+    # A timer runs before the task that waits for bytes read in the same turn: the request was read but not answered.
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         if used:
@@ -66,23 +66,23 @@
         assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
-@pytest.mark.parametrize("end", [timer, leaving])
-def test_a_resting_client_sees_an_end_and_what_it_sends_then_is_not_taken(
+@pytest.mark.parametrize("end", [timeout, shutdown])
+def test_an_idle_client_sees_the_end_and_requests_that_it_sends_then_are_not_accepted(
     end: Callable[[Connections, ClientConnection], None],
 ) -> None:
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         end(connections, consumer)
         sock.sendall(LOOK * 100)
-        assert await received(sock) == b""  # neither an answer nor a reset
+        assert await received(sock) == b""  # neither a response nor a reset
         sock.close()
         await until(lambda: not connections.all._open)
         assert connections.taken() == 0 and connections.sockets.clients.used == 0
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
 @pytest.mark.parametrize(
@@ -94,12 +94,12 @@
     ],
     ids=["unread then", "later", "much later"],
 )
-def test_a_request_that_does_not_end_is_told_so_though_more_of_it_comes(
+def test_a_request_that_does_not_end_is_rejected_although_more_of_it_arrives(
     part: bytes,
     crossing: bytes,
     behind: bytes,
 ) -> None:
-    # Guards the answer: closed at once, over bytes that were not read, the connection was reset.
+    # If the connection were closed at once, with unread bytes, it would be reset and the response lost.
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(part)
@@ -111,11 +111,11 @@
         sock.close()
         assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
 @pytest.mark.parametrize("late", [b"\r\n\r\n", b"c"], ids=["head", "body"])
-def test_a_request_whose_last_bytes_came_with_its_time_is_served(late: bytes) -> None:
+def test_a_request_whose_last_bytes_arrive_just_before_its_timeout_is_served(late: bytes) -> None:
     async def use(connections: Connections) -> None:
         with_body = UP.replace(b"GET", b"POST").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\ndoc")
         wire = with_body if late == b"c" else UP
@@ -127,7 +127,7 @@
         assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
 CLOSING = b"\r\nConnection: close\r\n\r\n"
@@ -146,8 +146,8 @@
     ],
     ids=["asked to close", "HTTP/1.0", "400", "400 to a long one", "405", "413", "431"],
 )
-def test_a_last_answer_is_had_though_more_is_sent(wire: bytes, status: int) -> None:
-    # Guards the answer: a close over unread bytes resets the connection, and the answer may be dropped unread.
+def test_the_last_response_is_received_although_more_is_sent(wire: bytes, status: int) -> None:
+    # Closing a connection with unread bytes resets it, and the client may lose the response.
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(wire + UP * 3000)  # more than one read
@@ -156,10 +156,10 @@
         sock.close()
         await until(lambda: not connections.all._open)
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
-def test_a_client_that_stays_after_our_end_holds_its_descriptor_for_a_bounded_time(
+def test_a_client_that_does_not_close_after_our_end_uses_its_descriptor_for_a_limited_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(module, "LINGER_S", 0.05)
@@ -172,10 +172,10 @@
             await asyncio.sleep(0.01)
         silent.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
-def test_at_the_limit_those_that_linger_go_first_then_those_that_never_asked() -> None:
+def test_at_the_limit_lingering_connections_are_evicted_first_then_those_without_a_request() -> None:
     async def use(connections: Connections) -> None:
         working, work = await connections.client()
         working.sendall(UP)
@@ -195,11 +195,11 @@
         for sock in (working, silent, lingering):
             sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_nobody_out() -> None:
-    # Neither one that has worked before, nor a new one that asks at once, nor one with a request in the kernel.
+def test_idle_clients_that_use_up_the_descriptors_do_not_prevent_requests() -> None:
+    # Neither those on a connection that was used before, nor those on new connections.
     async def use(connections: Connections) -> None:
         limit = connections.sockets.clients.limit
         working, work = await connections.client()
@@ -216,12 +216,12 @@
         for sock in (working, *idle):
             sock.close()
 
-    run(with_connections(use, PATIENT, limit=64))
+    run(with_connections(use, LONG_TIMEOUTS, limit=64))
 
 
-@pytest.mark.parametrize(("version", "told"), [(b"HTTP/1.1", True), (b"HTTP/1.0", False)])
-def test_a_word_is_awaited_and_then_nothing_comes(version: bytes, told: bool) -> None:
-    # RFC 9110 10.1.1: of HTTP/1.0 the expectation is not looked at.
+@pytest.mark.parametrize(("version", "continued"), [(b"HTTP/1.1", True), (b"HTTP/1.0", False)])
+def test_a_client_that_expects_100_continue_and_sends_no_body_is_rejected(version: bytes, continued: bool) -> None:
+    # RFC 9110 10.1.1: the expectation is ignored in requests of HTTP/1.0.
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         head = DELIVER[:-3].replace(b"HTTP/1.1", version).replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n")
@@ -230,13 +230,13 @@
         consumer._handle_timeout()
         answer = await received(sock)
         sock.close()
-        assert answer.startswith(http1.CONTINUE + b"HTTP/1.1 408 " if told else b"HTTP/1.1 408 ")
+        assert answer.startswith(http1.CONTINUE + b"HTTP/1.1 408 " if continued else b"HTTP/1.1 408 ")
 
     run(with_connections(use, Tuning(request_s=60.0, body_s=60.0)))
 
 
-def test_a_fault_of_ours_is_told_and_its_call_ends_first() -> None:
-    # Guards the one final answer: attempts must not begin after it, while the client still reads it.
+def test_after_an_internal_error_the_request_ends_before_the_client_gets_its_response() -> None:
+    # No attempt may start after the final response, while the client still reads it.
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(LOOK)
@@ -247,19 +247,19 @@
         assert answer.startswith(b"HTTP/1.1 502 ") and not connections.calls.open
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
 @pytest.mark.parametrize(
     "framing", [b"Content-Length: %d\r\n" % (4 * MAX_BUFFERED_BODY_BYTES), b""], ids=["length", "until the end"]
 )
 @pytest.mark.parametrize("minor", [0, 1])
-def test_a_fault_of_ours_within_an_answer_adds_nothing_to_it(
+def test_an_internal_error_within_a_response_adds_nothing_to_it(
     framing: bytes,
     minor: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against bytes that no endpoint made: the words for our fault would be taken for a part of the body.
+    # The text of our error would be taken for a part of the endpoint's body.
     async def faulty(self: BodyPipe) -> bytes:
         raise RuntimeError("a fault")
 
@@ -281,8 +281,8 @@
     run(with_sidecar(handle, use))
 
 
-def test_a_fault_of_ours_in_an_upload_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards the call: nobody filled its pipe any more, and it stayed open to its deadline.
+def test_an_internal_error_in_an_upload_is_answered_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The request stayed open until its deadline once, as nothing more was put into its pipe.
     async def faulty(self: BodyPipe, piece: bytes) -> None:
         raise RuntimeError("a fault")
 
@@ -295,19 +295,19 @@
         assert not connections.calls.open and connections.budget.used == 0
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
 
 
-def test_an_answer_that_is_still_being_written_is_not_cut_off() -> None:
+def test_a_connection_with_a_partly_written_response_is_not_ended_as_idle() -> None:
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         size = 32 * 1024 * 1024
         consumer.stream.write(bytes(size))
         assert consumer.stream.writing() and not consumer.end_if_idle()
-        got = asyncio.create_task(received(sock))
+        reading = asyncio.create_task(received(sock))
         await until(lambda: not consumer.stream.writing(), turns=None)
         assert consumer.end_if_idle()
-        assert len(await got) == size
+        assert len(await reading) == size
         sock.close()
 
-    run(with_connections(use, PATIENT))
+    run(with_connections(use, LONG_TIMEOUTS))
