--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -26,13 +26,13 @@
 from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, answer_from, ask, renamed, whole
 from .helpers.processes import free_port, run, with_sidecar
 from .test_admin_server import CLASSES, conserved
-from .test_streamed_responses import BODY, OK, POST, in_chunks, read_all
+from .test_streamed_responses import BODY, OK, POST, encode_chunked, read_response
 
 
 def long_request(framing: str) -> bytes:
     if framing == "length":
         return POST + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY
-    return POST + b"Transfer-Encoding: chunked\r\n\r\n" + in_chunks(BODY, 30_000, b";a=b", b"X-T: 1\r\n")
+    return POST + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunked(BODY, 30_000, b";a=b", b"X-T: 1\r\n")
 
 
 def reading(answer: bytes, got: list[bytes]) -> Handler:
@@ -171,7 +171,7 @@
 
     async def one(port: int, number: int) -> None:
         wire = long_request("length" if number % 2 else "chunked").replace(b"Id: 1", b"Id: %d" % number)
-        head, body, complete = await read_all(port, wire)
+        head, body, complete = await read_response(port, wire)
         assert head is not None and head.status == 200 and body == BODY and complete
 
     async def use(port: int) -> None:
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -1,4 +1,4 @@
-"""Long bodies: the parser's pieces, pipes, and the whole sidecar with bodies beyond what it holds."""
+"""Long bodies: the parser's pieces, pipes, and the complete sidecar with bodies longer than it buffers."""
 
 from __future__ import annotations
 
@@ -30,38 +30,38 @@
 POST = LOOK.replace(b"GET", b"POST").replace(b"look", b"deliver").replace(b"\r\n\r\n", b"\r\nIdempotency-Key: k\r\n")
 
 
-def in_chunks(body: bytes, size: int, extension: bytes = b"", trailers: bytes = b"") -> bytes:
-    parts = [body[at : at + size] for at in range(0, len(body), size)]
-    wire = b"".join(b"%X%b\r\n%b\r\n" % (len(part), extension, part) for part in parts)
+def encode_chunked(body: bytes, size: int, extension: bytes = b"", trailers: bytes = b"") -> bytes:
+    pieces = [body[start : start + size] for start in range(0, len(body), size)]
+    wire = b"".join(b"%X%b\r\n%b\r\n" % (len(piece), extension, piece) for piece in pieces)
     return wire + b"0%b\r\n%b\r\n" % (extension, trailers)
 
 
 # The parser
 
-FRAMED = st.sampled_from(["length", "chunked", "extensions and trailers", "until the end"])
+FRAMING_NAMES = st.sampled_from(["length", "chunked", "extensions and trailers", "until the end"])
 
 
-@given(st.binary(max_size=400), FRAMED, st.lists(st.integers(1, 60), max_size=30), st.integers(1, 90))
-def test_any_cut_gives_the_same_pieces(body: bytes, framing: str, cuts: list[int], size: int) -> None:
+@given(st.binary(max_size=400), FRAMING_NAMES, st.lists(st.integers(1, 60), max_size=30), st.integers(1, 90))
+def test_a_body_is_parsed_in_pieces_of_any_size(body: bytes, framing: str, cuts: list[int], size: int) -> None:
     head = b"HTTP/1.1 200 OK\r\nX-A: b\r\n"
     if framing == "length":
         wire = head + b"Content-Length: %d\r\n\r\n" % len(body) + body
     elif framing == "until the end":
         wire = head + b"\r\n" + body
     else:
-        spare = (b' ;a="b;c"', b"X-T: 1\r\nX-U: 2\r\n") if framing != "chunked" else (b"", b"")
-        wire = head + b"Transfer-Encoding: chunked\r\n\r\n" + in_chunks(body, size, *spare)
+        extension_and_trailers = (b' ;a="b;c"', b"X-T: 1\r\nX-U: 2\r\n") if framing != "chunked" else (b"", b"")
+        wire = head + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunked(body, size, *extension_and_trailers)
     wire = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + wire
-    parser, got, at = http1.ResponseParser(), bytearray(), 0
+    parser, received, position = http1.ResponseParser(), bytearray(), 0
     for cut in [*cuts, len(wire)]:
-        parser.feed(wire[at : at + cut])
-        at += cut
+        parser.feed(wire[position : position + cut])
+        position += cut
         message = parser.head()
         if message is not None:
             assert message.status == 200 and message.fields[b"x-a"] == b"b"
             assert message.length == (len(body) if framing == "length" else None)
-            got += parser.pieces()
-    assert bytes(got) == body
+            received += parser.pieces()
+    assert bytes(received) == body
     assert parser.complete is (framing != "until the end") and parser.ends_with_connection is (
         framing == "until the end"
     )
@@ -73,7 +73,7 @@
 # Pipes
 
 
-def test_a_pipe_holds_a_bounded_part_and_gives_it_in_order() -> None:
+def test_a_pipe_buffers_a_limited_number_of_bytes_and_keeps_their_order() -> None:
     async def case() -> None:
         budget = BufferBudget(10 * MAX_PIPE_BYTES)
         pipe = BodyPipe(budget)
@@ -94,7 +94,7 @@
     run(case())
 
 
-def test_no_pipe_stands_still_though_the_others_hold_the_whole_budget() -> None:
+def test_each_pipe_makes_progress_although_another_one_uses_up_the_budget() -> None:
     async def case() -> None:
         budget = BufferBudget(READ_BYTES)
         greedy, modest = BodyPipe(budget), BodyPipe(budget)
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("waiting", ["put", "get"])
-def test_either_end_hears_that_the_other_is_gone(waiting: str) -> None:
+def test_breaking_a_pipe_off_raises_at_both_ends(waiting: str) -> None:
     async def case() -> None:
         pipe = BodyPipe(BufferBudget(0))
         side = asyncio.create_task(pipe.put(b"x") if waiting == "put" else pipe.get())
@@ -123,34 +123,34 @@
         pipe.break_off()
         with pytest.raises(PipeBrokenError):
             await side
-        for late in (pipe.put(b"y"), pipe.get()):
+        for later_call in (pipe.put(b"y"), pipe.get()):
             with pytest.raises(PipeBrokenError):
-                await late
+                await later_call
 
     run(case())
 
 
-# Answers
+# Responses
 
 
-def says(*words: bytes) -> Handler:
-    """A provider that sends these, one after another, to each request, and hangs up."""
+def responds(*pieces: bytes) -> Handler:
+    """An endpoint that sends these pieces, one after another, in response to a request, and closes the connection."""
 
     async def handle(reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        for word in words:
-            writer.write(word)
+        for piece in pieces:
+            writer.write(piece)
             await writer.drain()
         writer.close()
 
     return handle
 
 
-async def read_all(port: int, wire: bytes) -> tuple[http1.Message | None, bytes, bool]:
-    """Head, body and whether the body came whole, on one connection to its end."""
+async def read_response(port: int, wire: bytes) -> tuple[http1.Message | None, bytes, bool]:
+    """The head and the body of the response on a connection of its own, and whether the body was complete."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(wire)
-    parser, got, head = http1.ResponseParser(http1.MAX_STREAMED_BODY_BYTES), bytearray(), None
+    parser, body, head = http1.ResponseParser(http1.MAX_STREAMED_BODY_BYTES), bytearray(), None
     ended = False
     while not parser.complete and not ended:
         try:
@@ -161,15 +161,15 @@
         parser.feed(data)
         head = parser.head()
         if head is not None:
-            got += parser.pieces()
+            body += parser.pieces()
     writer.close()
-    return head, bytes(got), parser.complete or (ended and head is not None and parser.ends_with_connection)
+    return head, bytes(body), parser.complete or (ended and head is not None and parser.ends_with_connection)
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
 FRAMINGS = {
     "length": OK + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY,
-    "chunked": OK + b"Transfer-Encoding: chunked\r\n\r\n" + in_chunks(BODY, 50_000, b";x=y", b"X-T: 1\r\n"),
+    "chunked": OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunked(BODY, 50_000, b";x=y", b"X-T: 1\r\n"),
     "until the end": b"HTTP/1.0 200 OK\r\n\r\n" + BODY,
     "interim": b"HTTP/1.1 100 Continue\r\n\r\n" + OK + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY,
 }
@@ -177,26 +177,26 @@
 
 @pytest.mark.parametrize("minor", [0, 1])
 @pytest.mark.parametrize("framing", FRAMINGS)
-def test_a_long_answer_comes_unchanged(framing: str, minor: int) -> None:
+def test_a_long_response_is_forwarded_unchanged(framing: str, minor: int) -> None:
     async def use(port: int) -> None:
-        head, body, complete = await read_all(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
+        head, body, complete = await read_response(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
         assert head is not None and head.status == 200 and complete
         assert hashlib.sha256(body).digest() == hashlib.sha256(BODY).digest()
         assert minor or b"transfer-encoding" not in head.fields
 
-    run(with_sidecar(says(FRAMINGS[framing]), use))
+    run(with_sidecar(responds(FRAMINGS[framing]), use))
 
 
-def test_a_long_answer_in_small_pieces_is_passed_on_before_its_end() -> None:
-    # Guards the time of its first bytes: held to the end, it would be late.
+def test_a_long_response_in_small_pieces_is_forwarded_before_its_end() -> None:
+    # Buffered up to its end, its first bytes would be late.
     async def case() -> None:
         last = asyncio.Event()
 
         async def slow(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(OK + b"Content-Length: %d\r\n\r\n" % len(BODY))
-            for at in range(0, MAX_BUFFERED_BODY_BYTES + 2000, 1000):
-                writer.write(BODY[at : at + 1000])
+            for start in range(0, MAX_BUFFERED_BODY_BYTES + 2000, 1000):
+                writer.write(BODY[start : start + 1000])
                 await writer.drain()
             await last.wait()
             writer.write(BODY[MAX_BUFFERED_BODY_BYTES + 2000 - (MAX_BUFFERED_BODY_BYTES + 2000) % 1000 + 1000 :])
@@ -218,18 +218,18 @@
 
 @pytest.mark.parametrize("minor", [0, 1])
 @pytest.mark.parametrize("framing", ["length", "chunked"])
-def test_a_long_answer_that_breaks_off_shows(framing: str, minor: int) -> None:
+def test_the_client_notices_a_truncated_long_response(framing: str, minor: int) -> None:
     admin = free_port()
 
     async def use(port: int) -> None:
-        head, body, complete = await read_all(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
-        # A reset may reach the consumer before it has read the head; it then has nothing that passes for an answer.
+        head, body, complete = await read_response(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
+        # A reset may reach the client before it has read the head; then it has received no response at all.
         assert not complete and len(body) < len(BODY)
-        figures = await conserved(admin)
-        assert figures["lb.transactions.look.errored"][0] == 1 and figures["lb.current"][0] == 0
-        assert figures["lb.sends"][0] == 1  # the winner was fixed: nobody else was asked
+        metrics = await conserved(admin)
+        assert metrics["lb.transactions.look.errored"][0] == 1 and metrics["lb.current"][0] == 0
+        assert metrics["lb.sends"][0] == 1  # no other attempt can follow once a response is being forwarded
 
-    handler = says(FRAMINGS[framing][: len(BODY) // 2])
+    handler = responds(FRAMINGS[framing][: len(BODY) // 2])
     run(with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"}))
 
 
@@ -242,7 +242,7 @@
     ],
     ids=["ends early", "3 GB", "no chunk"],
 )
-def test_what_is_spoilt_within_what_is_held_is_had_elsewhere(sent: bytes) -> None:
+def test_a_response_that_is_invalid_within_its_buffered_part_is_requested_from_another_endpoint(sent: bytes) -> None:
     handler, seen = answering(sent, whole(200))
 
     async def use(port: int) -> None:
@@ -253,21 +253,21 @@
     assert len(seen) == 2
 
 
-def test_a_consumer_that_goes_away_within_an_answer_ends_it_at_the_provider() -> None:
+def test_a_client_that_disconnects_within_a_response_ends_it_at_the_endpoint() -> None:
     admin = free_port()
 
     async def case() -> None:
-        gone = asyncio.Event()
+        ended = asyncio.Event()
 
         async def endless(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(OK + b"Transfer-Encoding: chunked\r\n\r\n")
             try:
                 for _ in range(100_000):
-                    writer.write(in_chunks(BODY[:9000], 9000)[:-5])
+                    writer.write(encode_chunked(BODY[:9000], 9000)[:-5])
                     await writer.drain()
             except ConnectionError:
-                gone.set()
+                ended.set()
 
         async def use(port: int) -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -275,7 +275,7 @@
             await reader.readexactly(100_000)
             assert (await conserved(admin))["lb.current"][0] == 1
             writer.close()
-            await gone.wait()
+            await ended.wait()
             while (await conserved(admin))["lb.current"][0]:
                 pass
 
@@ -284,9 +284,9 @@
     run(case())
 
 
-def test_a_consumer_that_does_not_read_holds_no_provider_for_ever() -> None:
+def test_a_client_that_does_not_read_occupies_an_endpoint_for_a_limited_time() -> None:
     async def case() -> None:
-        gone = asyncio.Event()
+        ended = asyncio.Event()
 
         async def long(reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -294,12 +294,12 @@
             try:
                 await writer.drain()
             except ConnectionError:
-                gone.set()
+                ended.set()
 
         async def use(port: int) -> None:
             _, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
             writer.write(LOOK)
-            await gone.wait()
+            await ended.wait()
             writer.close()
 
         await with_sidecar(long, use, tuning=Settings(clients=ConsumerTuning(write_s=0.2)))
@@ -307,15 +307,15 @@
     run(case())
 
 
-def test_operators_are_answered_while_long_answers_are_under_way() -> None:
-    # Eight answers of 20 MB; an operator who had to wait for them would be answered once or twice.
-    admin, long = free_port(), 20_000_000
+def test_operators_get_responses_while_long_responses_are_forwarded() -> None:
+    # Eight responses of 20 MB; an operator who had to wait for them would get one or two responses.
+    admin, body_bytes = free_port(), 20_000_000
     answered = 0
 
     async def handler(reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(OK + b"Content-Length: %d\r\n\r\n" % long)
-        for _ in range(long // 100_000):
+        writer.write(OK + b"Content-Length: %d\r\n\r\n" % body_bytes)
+        for _ in range(body_bytes // 100_000):
             writer.write(bytes(100_000))
             await writer.drain()
         writer.close()
@@ -323,12 +323,12 @@
     async def use(port: int) -> None:
         nonlocal answered
         wires = [LOOK.replace(b"Id: 1", b"Id: %d" % number) for number in range(8)]
-        reading = [asyncio.create_task(read_all(port, wire)) for wire in wires]
+        reading = [asyncio.create_task(read_response(port, wire)) for wire in wires]
         while not all(task.done() for task in reading):
             await conserved(admin)
             assert (await ask(admin, GET_HEALTH)).status == 200
             answered += 1
-        assert all(task.result()[2] and len(task.result()[1]) == long for task in reading)
+        assert all(task.result()[2] and len(task.result()[1]) == body_bytes for task in reading)
 
     run(with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"}))
     assert answered > 3
