--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -1,4 +1,4 @@
-"""Long requests on their way from a client to an endpoint, and the calls that go out once."""
+"""Long requests, streamed from a client to an endpoint, whose bodies can be sent only once."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     return POST + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunked(BODY, 30_000, b";a=b", b"X-T: 1\r\n")
 
 
-def reading(answer: bytes, got: list[bytes]) -> Handler:
-    """A provider that notes the bodies that it gets whole, and answers each so."""
+def responds_to_complete(answer: bytes, received: list[bytes]) -> Handler:
+    """An endpoint that records the complete bodies that it receives, and sends `answer` in response to each."""
 
     async def handle(reader: Reader, writer: Writer) -> None:
         parser, body = http1.RequestParser(http1.MAX_STREAMED_BODY_BYTES), bytearray()
@@ -46,7 +46,7 @@
                 continue
             body += parser.pieces()
             if parser.complete:
-                got.append(bytes(body))
+                received.append(bytes(body))
                 body.clear()
                 parser.next()
                 writer.write(answer)
@@ -56,8 +56,8 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
-def test_a_long_request_comes_unchanged_and_its_connection_serves_on(framing: str) -> None:
-    got: list[bytes] = []
+def test_a_long_request_is_forwarded_unchanged_and_its_connection_is_reused(framing: str) -> None:
+    received: list[bytes] = []
 
     async def use(port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -68,13 +68,13 @@
             assert (answer.status, answer.keep_alive) == (200, True)
         writer.close()
 
-    run(with_sidecar(reading(whole(200), got), use))
-    assert got == [BODY, BODY]
+    run(with_sidecar(responds_to_complete(whole(200), received), use))
+    assert received == [BODY, BODY]
 
 
-def test_a_long_request_whose_first_provider_refuses_goes_to_another() -> None:
-    # Nothing of it was used: it can still go out, once.
-    got: list[bytes] = []
+def test_a_long_request_whose_first_endpoint_rejects_connections_is_sent_to_another() -> None:
+    # No byte of its body was read from the pipe: it can still be sent, once.
+    received: list[bytes] = []
 
     async def use(port: int) -> None:
         for number in range(4):
@@ -82,21 +82,21 @@
             assert (await ask(port, wire)).status == 200
 
     async def case() -> None:
-        server = await asyncio.start_server(reading(whole(200), got), "127.0.0.1", 0)
+        server = await asyncio.start_server(responds_to_complete(whole(200), received), "127.0.0.1", 0)
         at = server.sockets[0].getsockname()[1]
         listed = [
             {"name": name, "address": f"127.0.0.1:{port}", "zone": "a", "status": "in_service"}
             for name, port in (("a", free_port()), ("b", at))
         ]
         known = {"index": 3, "snapshot": True, "endpoints": listed}
-        await with_sidecar(reading(whole(200), got), use, more={"known": known})
+        await with_sidecar(responds_to_complete(whole(200), received), use, more={"known": known})
 
     run(case())
-    assert got == [BODY] * 4
+    assert received == [BODY] * 4
 
 
-async def after_a_part(port: int, then: Callable[[Writer], None]) -> http1.Message:
-    """Half of a long request, then whatever `then` does; the answer."""
+async def send_half(port: int, then: Callable[[Writer], None]) -> http1.Message:
+    """Sends half of a long request, calls `then`, and returns the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     wire = long_request("chunked")
     writer.write(wire[: len(wire) // 2])
@@ -111,8 +111,8 @@
     [(whole(503, (b"X-Rejected", b"1")), 503), (whole(500), 502), (b"", 503), (whole(200), 200)],
     ids=["rejected", "500", "hangs up", "200"],
 )
-def test_an_answer_may_come_before_the_request_is_whole(answer: bytes, status: int) -> None:
-    # Only what is marked as rejected, or breaks before the last byte was written, says that it never ran.
+def test_a_response_may_arrive_before_the_request_is_complete(answer: bytes, status: int) -> None:
+    # A request has not run only if the response is marked as rejected, or the connection breaks before its last byte.
     async def early(reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(MAX_BUFFERED_BODY_BYTES + 1000)
@@ -122,34 +122,38 @@
             writer.close()
 
     async def use(port: int) -> None:
-        got = await after_a_part(port, lambda writer: None)
-        assert (got.status, got.keep_alive) == (status, False)
+        response = await send_half(port, lambda writer: None)
+        assert (response.status, response.keep_alive) == (status, False)
 
     run(with_sidecar(early, use))
 
 
 @pytest.mark.parametrize("broken", ["chunk", "hangs up", "slow"])
-def test_a_request_that_never_ends_well_never_reaches_a_provider_whole(broken: str) -> None:
-    got: list[bytes] = []
+def test_an_incomplete_or_invalid_request_never_reaches_an_endpoint_completely(broken: str) -> None:
+    received: list[bytes] = []
     admin = free_port()
 
     async def use(port: int) -> None:
         if broken == "hangs up":
             with pytest.raises(AssertionError):
-                await after_a_part(port, lambda writer: writer.write_eof())
+                await send_half(port, lambda writer: writer.write_eof())
         else:
-            word = b"\r\nzz\r\n" if broken == "chunk" else b""
-            answer = await after_a_part(port, lambda writer: writer.write(word + b"q" * 40_000 * bool(word)))
+            chunk_size = b"\r\nzz\r\n" if broken == "chunk" else b""
+            answer = await send_half(port, lambda writer: writer.write(chunk_size + b"q" * 40_000 * bool(chunk_size)))
             assert answer.status == (400 if broken == "chunk" else 408)
         while (await conserved(admin))["lb.current"][0]:
             pass
 
     tuning = Settings(clients=ConsumerTuning(body_s=0.2))
-    run(with_sidecar(reading(whole(200), got), use, tuning=tuning, more={"admin_addr": f"127.0.0.1:{admin}"}))
-    assert not got
+    run(
+        with_sidecar(
+            responds_to_complete(whole(200), received), use, tuning=tuning, more={"admin_addr": f"127.0.0.1:{admin}"}
+        )
+    )
+    assert not received
 
 
-def test_a_provider_that_stops_reading_a_long_request_is_given_up() -> None:
+def test_an_attempt_whose_endpoint_stops_reading_a_long_request_is_ended() -> None:
     async def stuck(reader: Reader, writer: Writer) -> None:
         await asyncio.sleep(3600)
 
@@ -164,69 +168,69 @@
     run(with_sidecar(stuck, use, tuning=Settings(endpoints=ProviderTuning(stall_s=0.2))))
 
 
-def test_many_long_bodies_at_once_in_a_budget_of_next_to_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_many_long_bodies_are_streamed_at_once_with_a_tiny_memory_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("limenotch.wiring.buffer_limit", lambda *_: 1000)
-    got: list[bytes] = []
+    received: list[bytes] = []
     long = OK + b"Content-Length: %d\r\n\r\n" % len(BODY) + BODY
 
-    async def one(port: int, number: int) -> None:
+    async def send_request(port: int, number: int) -> None:
         wire = long_request("length" if number % 2 else "chunked").replace(b"Id: 1", b"Id: %d" % number)
         head, body, complete = await read_response(port, wire)
         assert head is not None and head.status == 200 and body == BODY and complete
 
     async def use(port: int) -> None:
-        await asyncio.gather(*(one(port, number) for number in range(8)))
+        await asyncio.gather(*(send_request(port, number) for number in range(8)))
 
-    run(with_sidecar(reading(long, got), use))
-    assert got == [BODY] * 8
+    run(with_sidecar(responds_to_complete(long, received), use))
+    assert received == [BODY] * 8
 
 
-# The module
+# The load balancer's decisions
 
 
-def test_a_call_that_goes_out_once_is_load_from_its_last_byte_on() -> None:
-    # Guards the entry: calls under way for seconds at the pace of their clients once passed for a jam, and a quarter
-    # of all calls was refused.
+def test_a_streamed_request_counts_as_load_from_its_last_byte_on() -> None:
+    # Requests that took seconds to upload, at the rate of their clients, once counted as overload, and a quarter of all
+    # requests was rejected.
     balancer = Balancer(BalancerSettings(classes=CLASSES), seed=3)
     balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("a"), Endpoint("b"))))
-    acts = balancer.handle(1.0, RequestArrived("1", 0, 900, single_use_body=True))
-    (send,) = [act for act in acts if isinstance(act, SendAttempt)]  # and no copy
+    actions = balancer.handle(1.0, RequestArrived("1", 0, 900, single_use_body=True))
+    (send,) = [action for action in actions if isinstance(action, SendAttempt)]  # no hedged attempt
     server = balancer.registry.endpoints[send.endpoint]
     assert (balancer.in_flight, server.in_flight) == (0, 0)
     balancer.handle(5000.0, UploadFinished("1", 900))
     assert (balancer.in_flight, server.in_flight) == (1, 1)
-    # Its class's 400 ms to be on time begin then.
+    # The latency objective of its class, 400 ms, starts with the last byte.
     balancer.handle(5300.0, AttemptFinished("1", send.endpoint, 0, 300.0, Outcome.OK, True))
     assert (balancer.in_flight, server.in_flight, server.failures) == (0, 0, 0.0) and server.successes == 1.0
-    balancer.handle(5301.0, UploadFinished("1", 900))  # late word of a call that is over
+    balancer.handle(5301.0, UploadFinished("1", 900))  # delayed, after the end of the request
     assert balancer.in_flight == 0
 
 
-@pytest.mark.parametrize(("spent", "again"), [(False, True), (True, False)])
-def test_a_call_that_goes_out_once_may_go_elsewhere_while_nothing_of_it_is_spent(spent: bool, again: bool) -> None:
+@pytest.mark.parametrize(("consumed", "retried"), [(False, True), (True, False)])
+def test_a_streamed_request_is_retried_only_if_none_of_its_body_was_consumed(consumed: bool, retried: bool) -> None:
     balancer = Balancer(BalancerSettings(classes=CLASSES), seed=3)
     balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("a"), Endpoint("b"))))
-    acts = balancer.handle(1.0, RequestArrived("1", 0, 900, single_use_body=True))
-    (send,) = [act for act in acts if isinstance(act, SendAttempt)]  # and no copy
-    failed = AttemptFinished("1", send.endpoint, 0, 1.0, Outcome.CONNECT_FAILED, body_consumed=spent)
-    acts = balancer.handle(2.0, failed)
-    assert any(isinstance(act, SendAttempt) for act in acts) is again
-    assert any(isinstance(act, RejectRequest) for act in acts) is not again
+    actions = balancer.handle(1.0, RequestArrived("1", 0, 900, single_use_body=True))
+    (send,) = [action for action in actions if isinstance(action, SendAttempt)]  # no hedged attempt
+    failed = AttemptFinished("1", send.endpoint, 0, 1.0, Outcome.CONNECT_FAILED, body_consumed=consumed)
+    actions = balancer.handle(2.0, failed)
+    assert any(isinstance(action, SendAttempt) for action in actions) is retried
+    assert any(isinstance(action, RejectRequest) for action in actions) is not retried
     assert balancer.in_flight == 0
 
 
-def test_a_loser_that_ends_after_the_winner_began_cuts_nothing_off() -> None:
-    # Guards long answers: the end of the second copy once cancelled the first, which was being passed on.
+def test_the_end_of_a_losing_hedged_attempt_does_not_cancel_the_winner() -> None:
+    # The end of the second attempt once cancelled the first one, whose long response was being forwarded.
     async def case() -> None:
         calls = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10)
         finals: list[FinalResponse] = []
         abandoned: list[int] = []
 
         class Fake:
-            def start(self, invoker_call: Attempt) -> None: ...
+            def start(self, attempt: Attempt) -> None: ...
 
-            def cancel(self, invoker_call: Attempt) -> None:
-                abandoned.append(invoker_call.number)
+            def cancel(self, attempt: Attempt) -> None:
+                abandoned.append(attempt.number)
 
         calls.attempt_runner = Fake()
         calls.execute(
@@ -248,15 +252,15 @@
     run(case())
 
 
-def test_a_request_whole_while_the_program_leaves_is_over_before_it_may_be_killed() -> None:
-    # Guards long uploads at an upgrade: their time begins with the last byte, which may be late in the leaving.
+def test_a_request_whose_upload_ends_during_a_shutdown_ends_before_the_kill() -> None:
+    # The time budget of a long upload starts with its last byte, which may arrive late in the shutdown.
     async def case() -> None:
         calls, finals = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10), list[FinalResponse]()
 
         class Fake:
-            def start(self, invoker_call: Attempt) -> None: ...
+            def start(self, attempt: Attempt) -> None: ...
 
-            def cancel(self, invoker_call: Attempt) -> None: ...
+            def cancel(self, attempt: Attempt) -> None: ...
 
         calls.attempt_runner = Fake()
         calls.execute(
@@ -265,7 +269,7 @@
             )
         )
         call = calls.accept(b"1", None, "look", "acme", 20000.0, finals.append, body_pipe=BodyPipe(BufferBudget(1)))
-        calls.last_deadline = monotonic() + 1.0  # SIGTERM came meanwhile
+        calls.last_deadline = monotonic() + 1.0  # as after SIGTERM
         calls.upload_finished(call.attempts[0])
         assert call.deadline == call.attempts[0].deadline == calls.last_deadline
 
