--- a/limenotch/fleet/affinity/repair.py
+++ b/limenotch/fleet/affinity/repair.py
@@ -175,12 +175,12 @@
             self._subrange = 0
             self._ranges.popleft()
         pages = [missing_there[at : at + MAX_PAGE_ROWS] for at in range(0, len(missing_there), MAX_PAGE_ROWS)]
-        out = [build_replicas(table, process_epoch, 0, wanted, now, self.in_flight_ms) for wanted in pages]
-        out = [each for each in out if each.rows]
-        sent = sum(len(each.rows) for each in out)
+        replies = [build_replicas(table, process_epoch, 0, wanted, now, self.in_flight_ms) for wanted in pages]
+        replies = [each for each in replies if each.rows]
+        sent = sum(len(each.rows) for each in replies)
         self.repaired_rows += sent
         self._charge_rate(now, len(packed) + ROW_BYTES * sent)
-        return out
+        return replies
 
     def replicas_applied(self, now: float, rows: int) -> None:
         self._expected = None
--- a/limenotch/fleet/affinity/table.py
+++ b/limenotch/fleet/affinity/table.py
@@ -282,16 +282,17 @@
         it is not stored as a new row, and does not refresh a row that is younger without it, as it may be a use at this
         member that has come back.
         """
-        rows, spans = self.rows, self.lifetimes
+        rows, lifetimes = self.rows, self.lifetimes
         self.counter = max(self.counter, version, stamp)
         flags &= REPLICATED_FLAGS
         last_seen_ms, created_ms = min(last_seen_ms, now), min(created_ms, now)
-        is_over = now >= min(
-            last_seen_ms + spans.idle_ms[flags & (KIND | STATE)], created_ms + spans.max_lifetime_ms[flags & KIND]
+        is_expired = now >= min(
+            last_seen_ms + lifetimes.idle_ms[flags & (KIND | STATE)],
+            created_ms + lifetimes.max_lifetime_ms[flags & KIND],
         )
         row = rows.find(key)
         if row == NIL or rows.flags[row] & TOMBSTONE:
-            if is_over or now + uncertainty_ms >= last_seen_ms + spans.idle_ms[flags & (KIND | STATE)]:
+            if is_expired or now + uncertainty_ms >= last_seen_ms + lifetimes.idle_ms[flags & (KIND | STATE)]:
                 return False
             if (
                 row != NIL
@@ -322,7 +323,7 @@
         )
         same_generation = generation == rows.generation[row]
         if comparison > 0:
-            if is_over:
+            if is_expired:
                 return False
             old_expired = now >= self.expires_at_ms(row)
             self._replace(
@@ -339,7 +340,7 @@
                 same_generation,
                 old_expired,
             )
-        elif same_generation or not is_over:
+        elif same_generation or not is_expired:
             old_flags = rows.flags[row]
             new_flags = old_flags | (flags & CHARGED if same_generation else 0)
             if comparison < 0 and not old_flags & STATE and flags & STATE:
--- a/limenotch/fleet/affinity/values.py
+++ b/limenotch/fleet/affinity/values.py
@@ -4,11 +4,11 @@
 after its endpoint was removed), the higher first. Then the lower version wins: the first to bind. A version is the
 author's Lamport counter with the author's name, so that no two values have the same.
 
-known \\ received  opening    open       closing    lingering
-    opening       opening    open       closing    lingering
-    open          open       open       closing    lingering
-    closing       closing    closing    closing    lingering
-    lingering     lingering  lingering  lingering  lingering
+    known \\ received  opening    open       closing    lingering
+    opening           opening    open       closing    lingering
+    open              open       open       closing    lingering
+    closing           closing    closing    closing    lingering
+    lingering         lingering  lingering  lingering  lingering
 
 The table applies to one value, for received and for local uses alike: a state never goes back, except in a new
 generation. Of two values the winner keeps its state; but an opening winner becomes open if the other value was past
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -89,13 +89,13 @@
         self.run, self.name, self.component = run, name, component
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        checker, at = self.run.checker, self.run.world.now
+        checker, true_time = self.run.checker, self.run.world.now
         if isinstance(event, Fenced):
-            checker.fenced(at, self.name)
+            checker.fenced(true_time, self.name)
         elif isinstance(event, MemberChanged):
-            checker.member_changed(at, self.name, event.name, event.state, event.process_epoch)
+            checker.member_changed(true_time, self.name, event.name, event.state, event.process_epoch)
         elif isinstance(event, AvailableEndpoints):
-            checker.endpoints_changed(at, self.name, event.available)
+            checker.endpoints_changed(true_time, self.name, event.available)
         return self.component.handle(now, event)
 
 
--- a/tests/fleet/test_affinity_core.py
+++ b/tests/fleet/test_affinity_core.py
@@ -169,7 +169,7 @@
 
 def test_messages_of_an_earlier_process_epoch_are_dropped() -> None:
     fleet = joined_fleet()
-    out = []
+    actions = []
     fleet.record_use("c", b"k")
     for _ in range(10):
         fleet.run(10)
@@ -181,7 +181,7 @@
     fleet.world.start("c")
     fleet.run(2000)
     for name in "ab":
-        out += fleet.bindings_of(name).handle(fleet.now(name), MessageReceived(address("c"), "c", batch))
+        actions += fleet.bindings_of(name).handle(fleet.now(name), MessageReceived(address("c"), "c", batch))
     assert fleet.bound_endpoints(b"late") == [None] * 3
     assert fleet.table("a").counts["of a life that is over"] == 1
 
@@ -218,8 +218,8 @@
     fleet = joined_fleet("ab")
     for number in range(3000):
         fleet.record_use("a", b"%d" % number)
-    out = fleet.bindings_of("a").handle(fleet.now("a"), ShutdownStarted())
-    messages_sent = [act.message for act in out if isinstance(act, SendToMember)]
+    actions = fleet.bindings_of("a").handle(fleet.now("a"), ShutdownStarted())
+    messages_sent = [act.message for act in actions if isinstance(act, SendToMember)]
     assert sum(len(batch.rows) for batch in messages_sent if isinstance(batch, LastSeenUpdate)) == 3000
 
 
--- a/tests/fleet/test_affinity_join.py
+++ b/tests/fleet/test_affinity_join.py
@@ -206,9 +206,11 @@
     new = bindings.context.peers.get("z")
     assert new is not None
     assert new.has_gap and new.known_counter == 2
-    out = bindings.handle(1300.0, TimerFired(1))
+    actions = bindings.handle(1300.0, TimerFired(1))
     requests = [
-        act.message for act in out if isinstance(act, SendToMember) and isinstance(act.message, messages.PageRequest)
+        act.message
+        for act in actions
+        if isinstance(act, SendToMember) and isinstance(act.message, messages.PageRequest)
     ]
     assert [request.floor for request in requests] == [2]
 
@@ -259,9 +261,9 @@
 
 def test_the_first_page_lists_the_known_members() -> None:
     fleet = complete(Fleet("ab"))
-    out = fleet.bindings_of("a").handle(
+    actions = fleet.bindings_of("a").handle(
         fleet.now("a"), MessageReceived(address("b"), "b", messages.PageRequest(1, 3, -1, MAX_COUNTER, b"\xff" * 16))
     )
-    (page,) = [act.message for act in out if isinstance(act, SendToMember)]
+    (page,) = [act.message for act in actions if isinstance(act, SendToMember)]
     assert isinstance(page, messages.Page) and page.last
     assert {known.name for known in page.known_members} == {"a", "b"}
--- a/tests/fleet/test_affinity_last_seen.py
+++ b/tests/fleet/test_affinity_last_seen.py
@@ -154,8 +154,8 @@
     bindings = single_member()
     bindings.handle(2000.0, MemberChanged("z", "alive", address("z"), 0, 1))
     old = make_update(b"k", 1000.0, 1000.0)
-    out = bindings.handle(9000.0, MessageReceived(address("z"), "z", old))
-    assert [type(act.message) for act in out if isinstance(act, SendToMember)] == [messages.Ping]
+    actions = bindings.handle(9000.0, MessageReceived(address("z"), "z", old))
+    assert [type(act.message) for act in actions if isinstance(act, SendToMember)] == [messages.Ping]
     assert bindings.table.find(9000.0, SESSION, b"k") is None
     bindings.handle(9002.0, MessageReceived(address("z"), "z", messages.Pong(1, 9000.0, 9001.0)))
     assert bindings.table.find(9002.0, SESSION, b"k") is None
--- a/tests/fleet/test_affinity_program.py
+++ b/tests/fleet/test_affinity_program.py
@@ -31,7 +31,7 @@
 
 
 def test_a_key_is_bound_before_its_first_byte_and_repeats_stay_in_that_zone() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness()
         zones = set()
         for number in range(12):
@@ -52,11 +52,11 @@
         assert zones == {"east", "west"} and sidecar.count("repeats") == 72 and sidecar.count("keyed") == 84
         assert not sidecar.adapter._request_bindings and not sidecar.adapter._key_attempts
 
-    run(case)
+    run(run_case)
 
 
 def test_keys_are_separate_by_tenant_and_class_and_only_deduplicated_classes_bind() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness()
         await sidecar.send_served(key=b"k")
         assert sidecar.key_binding("keyed", "bolt", b"k") is None and sidecar.key_binding("other", "acme", b"k") is None
@@ -70,11 +70,11 @@
         assert sidecar.count("keyed") == 3
         assert composite_key(b"ab", b"c", b"") != composite_key(b"a", b"bc", b"") != composite_key(b"a", b"b", b"c")
 
-    run(case)
+    run(run_case)
 
 
 def test_a_repeat_is_rejected_if_no_endpoint_can_deduplicate_it() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness()
         served_by = await sidecar.send_served(key=b"k")
         zone = NEAR if served_by in NEAR else FAR
@@ -87,11 +87,11 @@
         sidecar.list(zone[:1], complete=False)
         assert await sidecar.send_served(key=b"k", is_retry=True) == zone[0]
 
-    run(case)
+    run(run_case)
 
 
 def test_a_repeat_after_its_class_window_is_rejected_though_the_key_is_still_bound() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness()
         await sidecar.send_served(class_name="other", key=b"k")
         sidecar.skew += 1900.0
@@ -102,12 +102,12 @@
             sidecar.attempts
         ) == attempt_count
 
-    run(case)
+    run(run_case)
 
 
 @pytest.mark.parametrize("ending", [each for each in AttemptEnding if each is not SERVED])
 def test_only_an_attempt_that_never_ran_unbinds_the_key(ending: AttemptEnding) -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness()
         sidecar.send(key=b"k")
         sidecar.request_manager.client_disconnected(sidecar.last_request)  # its attempt is still in flight
@@ -117,11 +117,11 @@
         assert not sidecar.adapter._request_bindings and not sidecar.adapter._key_attempts
         assert sidecar.count("undone") == (ending in NEVER_RAN)
 
-    run(case)
+    run(run_case)
 
 
 def test_a_rejected_key_is_bound_anew_where_its_next_attempt_goes() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness()
         moved = 0
         for number in range(20):
@@ -138,11 +138,11 @@
             assert (await final).verdict is Verdict.SERVED and len(sidecar.attempts) == attempt_count
         assert moved and sidecar.count("undone") == 20
 
-    run(case)
+    run(run_case)
 
 
 def test_a_key_stays_bound_while_another_request_is_in_flight_may_have_run_or_bound_it() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness()
         for other in (None, AttemptEnding.TIMED_OUT):
             key = b"%r" % other
@@ -169,11 +169,11 @@
         assert sidecar.key_binding("keyed", "acme", b"before") is not None
         assert not sidecar.adapter._request_bindings and not sidecar.adapter._key_attempts
 
-    run(case)
+    run(run_case)
 
 
 def test_a_marked_repeat_of_an_unknown_key_is_rejected_while_the_table_is_incomplete() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness(complete=False)
         assert sidecar.adapter.status()["state"] == "joining"
         final = await sidecar.send(key=b"k", is_retry=True)
@@ -188,11 +188,11 @@
         await sidecar.send_served(class_name="free", is_retry=True)
         assert not sidecar.adapter._request_bindings and not sidecar.adapter._key_attempts
 
-    run(case)
+    run(run_case)
 
 
 def test_a_full_table_rejects_no_request() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness(BindingsSettings(most=16, most_opening=1.0))
         for number in range(20):
             await sidecar.send_served(key=b"%d" % number)
@@ -202,20 +202,20 @@
             and sidecar.key_binding("keyed", "acme", b"19") is None
         )
 
-    run(case)
+    run(run_case)
 
 
 def test_keys_are_not_bound_if_disabled() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness(BindingsSettings(keys=False), complete=False)
         await sidecar.send_served(key=b"k", is_retry=True)
         assert sidecar.adapter.status()["held"] == 0 and sidecar.count("keyed") == 0
 
-    run(case)
+    run(run_case)
 
 
 def test_bindings_and_settings_from_before_the_start_are_retained() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness(BindingsSettings(session="x-session"), started=False)
         served_by = await sidecar.send_served(key=b"k", fields={"x-session": "s"})
         sidecar.send(key=b"free")
@@ -232,11 +232,11 @@
         sidecar.skew += 8000.0  # the class's window of 9 s applies, not the 2 s that the settings have for opening
         assert sidecar.key_binding("keyed", "acme", b"k") is not None
 
-    run(case)
+    run(run_case)
 
 
 def test_windows_follow_the_configured_classes() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness()
         longer = {**SETTINGS, "classes": [*CLASSES[:1], {**CLASSES[1], "window_ms": 30_000.0}, *CLASSES[3:]]}
         sidecar.adapter.configuration_applied(config(longer))
@@ -248,14 +248,14 @@
         sidecar.skew += 13_000.0  # includes the allowance for clock drift
         assert sidecar.key_binding("keyed", "acme", b"k") is None
 
-    run(case)
+    run(run_case)
 
 
 # Sessions and connections
 
 
 def test_a_session_stays_until_its_endpoint_is_unavailable_then_moves_once() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness(BindingsSettings(session="X-Session"))
         for reason in ("drains", "leaves", "banned"):
             name = {"x-session": reason}
@@ -283,11 +283,11 @@
             # The first endpoint is back: the session does not move again.
             assert await sidecar.send_served(class_name="free", fields=name) == next_endpoint
 
-    run(case)
+    run(run_case)
 
 
 def test_a_connection_stays_with_its_endpoint_and_closes_with_its_end() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness(BindingsSettings(connections=True))
         served_by = await sidecar.send_served(class_name="free", connection="1.2.3.4:5")
         assert {await sidecar.send_served(class_name="free", connection="1.2.3.4:5") for _ in range(15)} == {served_by}
@@ -299,11 +299,11 @@
         assert len(seen) > 1  # the first of them is a new connection from the same address
         sidecar.adapter.connection_closed("unknown")
 
-    run(case)
+    run(run_case)
 
 
 def test_key_precedes_session_and_session_precedes_connection() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness(BindingsSettings(session="x-session", connections=True))
         first_endpoint = await sidecar.send_served(class_name="free", connection="o", fields={"x-session": "s"})
         other_endpoint = next(
@@ -320,11 +320,11 @@
         assert await sidecar.send_served(class_name="free", connection="o", fields={"x-session": "t"}) == other_endpoint
         assert await sidecar.send_served(class_name="free", connection="o") == first_endpoint
 
-    run(case)
+    run(run_case)
 
 
 def test_a_streamed_response_binds_while_its_attempt_continues() -> None:
-    async def case() -> None:
+    async def run_case() -> None:
         sidecar = SidecarHarness(BindingsSettings(session="x-session"))
         final = sidecar.send(key=b"k", fields={"x-session": "s"})
         attempt = sidecar.attempts[-1]
@@ -337,7 +337,7 @@
         assert not sidecar.adapter._request_bindings and not sidecar.adapter._key_attempts
         assert sidecar.key_binding("keyed", "acme", b"k") is not None
 
-    run(case)
+    run(run_case)
 
 
 # Settings
