--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -50,7 +50,7 @@
             self.due_at_ms = run.world.now + idle * random.choice((0.5, 1.5, 4.0))
 
 
-def fault_run(seed: int, span_ms: float = 6000.0, tuning: Tuning = FAST, clients: int = 12) -> Run:
+def fault_run(seed: int, span_ms: float = 6000.0, tuning: Tuning = FAST, client_count: int = 12) -> Run:
     """Clocks drift apart by up to the configured bound: each is off by a little less than half of it."""
     random = Random(f"{seed} bindings")
     names = list("abcdef"[: random.choice((3, 3, 4, 5))])
@@ -69,10 +69,10 @@
     run.fault(f"delay 1..{delay}")
     run.fault(f"double {random.choice((0, 0, 10))}%")
     run.fault(f"reorder {random.choice((0, 0, 10))}%")
-    clients_ = [ReturningClient(random, number) for number in range(clients)]
+    clients = [ReturningClient(random, number) for number in range(client_count)]
     begin, fault_chance = run.world.now, random.choice((0.0, 0.03, 0.08))  # in each step
     while run.world.now < begin + span_ms:
-        _step(run, clients_, run.world.now + SWEEP_MS)
+        _step(run, clients, run.world.now + SWEEP_MS)
         if random.random() < fault_chance:
             _inject_random_fault(run, random)
         if random.random() < 0.01:
@@ -81,7 +81,7 @@
     guarantees = run.checker.guarantees
     until_ms = max(run.world.now, run.checker.lossy_until) + guarantees.convergence_ms + 2500
     while run.world.now < until_ms:
-        _step(run, clients_, run.world.now + SWEEP_MS)
+        _step(run, clients, run.world.now + SWEEP_MS)
     # No client sends any more: all bindings must be removed.
     longest_idle_ms = max(guarantees.idle_ms(key[0], state) for key in run.keys for state in State)
     run.run(run.world.now + longest_idle_ms * 1.2 + 500)
@@ -93,7 +93,8 @@
 
 def _step(run: Run, clients: list[ReturningClient], until_ms: float) -> None:
     for client in sorted(
-        (client_ for client_ in clients if client_.due_at_ms < until_ms), key=lambda client_: client_.due_at_ms
+        (candidate for candidate in clients if candidate.due_at_ms < until_ms),
+        key=lambda candidate: candidate.due_at_ms,
     ):
         run.world.run(max(run.world.now, client.due_at_ms))
         client.send_request(run)
