--- a/limenotch/balancing/settings.py
+++ b/limenotch/balancing/settings.py
@@ -79,7 +79,7 @@
         raise ValueError("classes: expected a list")
     classes = [_traffic_class(entry, f"classes[{number}]") for number, entry in enumerate(listed)]
     if len({cls.name for cls in classes}) < len(classes):
-        raise ValueError("classes: two classes with the same name")
+        raise ValueError("classes: two of one name")
     return tuple(classes)
 
 
--- a/limenotch/net/client_connection.py
+++ b/limenotch/net/client_connection.py
@@ -90,7 +90,7 @@
             return
         uploading = self._uploading
         if self._final is None or uploading:
-            self.reader.fail(http1.MalformedError(503, "the sidecar is shutting down"))
+            self.reader.fail(http1.MalformedError(503, "the sidecar is ending"))
         if self._request is not None and uploading:
             self._request.payload.rest.break_off()
 
--- a/limenotch/net/http1.py
+++ b/limenotch/net/http1.py
@@ -146,7 +146,7 @@
             del self.buffer[:2]
         # Checked before the head is complete, as its end may never come.
         if self.buffer != b"\r" and not self._may_start(bytes(self.buffer[:START_BYTES])):
-            raise MalformedError(400, "not a message of HTTP/1")
+            raise MalformedError(400, "no message of HTTP/1")
         end = self.buffer.find(b"\r\n\r\n", max(self._searched_bytes - 3, 0))
         if end < 0:
             self._searched_bytes = len(self.buffer)
@@ -202,7 +202,7 @@
         length = message.fields.get(b"content-length")
         if coding is not None:
             if length is not None or coding.lower() != b"chunked":
-                raise MalformedError(400, "unsupported framing")
+                raise MalformedError(400, "framing not understood")
             return Body(True, None, self.max_body_bytes)
         if length is None:
             return Body(False, default, self.max_body_bytes)
@@ -238,7 +238,7 @@
     def _framing(self, message: Message) -> Body:
         # The field has no defined meaning in HTTP/1.0 (RFC 9112, 6.1).
         if message.minor == 0 and b"transfer-encoding" in message.fields:
-            raise MalformedError(400, "Transfer-Encoding in HTTP/1.0")
+            raise MalformedError(400, "chunks in HTTP/1.0")
         return self._shared_framing(message, 0)
 
 
--- a/limenotch/net/http1_body.py
+++ b/limenotch/net/http1_body.py
@@ -75,7 +75,7 @@
         """Processes a line of the chunked coding (RFC 9112, 7.1)."""
         if self.state == "mark":
             if line:
-                raise MalformedError(400, "chunk not followed by a line end")
+                raise MalformedError(400, "chunk without its end")
             self.state = "size"
         elif self.state == "size":
             match = CHUNK_SIZE.fullmatch(line)
