--- a/limenotch/lab/fleet/stage.py
+++ b/limenotch/lab/fleet/stage.py
@@ -299,7 +299,7 @@
         self._wishes[name] = self._wishes.get(name, Wish())._replace(**changes)
         ask_for(self._faults_of(self.processes.nodes[name]), self._wishes[name])
 
-    def _choose(self, request: Request) -> Pool | None:
+    def _choose_pool(self, request: Request) -> Pool | None:
         """The zone's own entry sidecar, or the next that is there."""
         first, count = self.fleet.entry_rank(request.zone), len(self.drawing.nodes)
         for step in range(count):
--- a/tests/fleet/returning_clients.py
+++ b/tests/fleet/returning_clients.py
@@ -59,7 +59,7 @@
 
         setattr(self.providers, "request", request)  # noqa: B010 (it has no other way in)
 
-    def _choose(self, request: Request) -> Pool | None:
+    def _choose_pool(self, request: Request) -> Pool | None:
         first, count = self.fleet.entry_rank(request.zone) + request.attempts - 1, len(self.drawing.nodes)
         for step in range(count):
             key = (0, (first + step) % count)
--- a/tests/helpers/wallet_clients.py
+++ b/tests/helpers/wallet_clients.py
@@ -62,7 +62,7 @@
     def __init__(self, pool: Pool, record_response: Callable[[http1.Message | None], None]) -> None:
         self._pool, self._record_response = pool, record_response
 
-    def ask(
+    def send(
         self,
         wire: bytes,
         done: Callable[[http1.Message | None], None],
@@ -87,8 +87,8 @@
         self.readings, self.empty_readings, self.broken = [], [], list[str]()
         self._reader = asyncio.get_running_loop().create_task(self._read_wallets())
 
-    def _choose(self, request: Request) -> Pool | None:
-        pool = super()._choose(request)
+    def _choose_pool(self, request: Request) -> Pool | None:
+        pool = super()._choose_pool(request)
         if pool is None:
             return None
         self.answers = getattr(self, "answers", [])
--- a/tests/lab/test_by_hand.py
+++ b/tests/lab/test_by_hand.py
@@ -1,4 +1,4 @@
-"""What operators do to sidecars, in simulated time: bans, retuning, replaced processes; the rules hold throughout."""
+"""Actions of operators in simulated time: ejections, changed settings, replaced processes; the rules always hold."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_directory.py
+++ b/tests/lab/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory's model: it lags, serves its callers in turn, goes down, and forgets."""
+"""The model of the directory: it lags, serves queries in turn, goes down, and loses entries."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return updates
 
 
-def test_each_kind_of_news_has_its_lag() -> None:
+def test_each_kind_of_change_has_its_lag() -> None:
     directory = make_directory()
     directory.query(0.0, "s")
     (first,) = run_until(directory, 400.0)
@@ -39,7 +39,7 @@
     directory.schedule_change(1000.0, Entry("a", "draining"))
     directory.schedule_change(1000.0, Entry("b", "gone"))
     directory.schedule_change(1000.0, Entry("c", "ready"))
-    directory.schedule_change(1000.0, Entry("d", "gone"), silent=True)  # which it never knew
+    directory.schedule_change(1000.0, Entry("d", "gone"), silent=True)  # it was never listed
     updates = [
         (at_ms, update.entries[0].name) for at_ms, update in run_until(directory, 1e5) if isinstance(update, ListUpdate)
     ]
@@ -48,7 +48,7 @@
     assert sorted(directory.entries) == ["a", "c"] and directory.entries["a"].stage == "draining"
 
 
-def test_callers_are_served_in_turn_and_fail_when_they_wait_too_long() -> None:
+def test_queries_are_served_in_turn_and_fail_when_they_wait_too_long() -> None:
     directory = make_directory()
     for number in range(4):
         directory.query(0.0, number)
@@ -61,7 +61,7 @@
     ]
 
 
-def test_down_ends_watches_and_calls_and_news_come_after() -> None:
+def test_going_down_ends_watches_and_queries_and_later_changes_are_learned() -> None:
     directory = make_directory()
     directory.query(0.0, "s")
     run_until(directory, 500.0)
@@ -77,7 +77,7 @@
     assert at_ms == 5400.0 and isinstance(updates, ListUpdate) and [entry.name for entry in updates.entries] == ["b"]
 
 
-def test_it_forgets_the_living_and_finds_them_again() -> None:
+def test_a_lost_entry_of_a_running_provider_returns() -> None:
     directory = make_directory()
     directory.query(0.0, "s")
     run_until(directory, 500.0)
@@ -86,7 +86,7 @@
     assert stages == ["gone", "ready"] and directory.entries["a"].stage == "ready"
 
 
-def test_news_of_a_start_that_a_drain_has_overtaken() -> None:
+def test_a_start_that_becomes_known_after_the_drain_is_ignored() -> None:
     directory = make_directory()
     directory.schedule_change(0.0, Entry("n", "ready", started_ms=1.0))
     directory.schedule_change(0.0, Entry("n", "draining", started_ms=1.0))
--- a/tests/lab/test_emulate.py
+++ b/tests/lab/test_emulate.py
@@ -1,4 +1,4 @@
-"""The socket host: the directory, providers' doors, real sidecars under a short day, and the tools' manners."""
+"""The emulator: the directory, the providers' listeners, connections, and the load generator."""
 
 from __future__ import annotations
 
@@ -63,24 +63,24 @@
     return planning.plan(scenario.parse(text, "t"), seed)
 
 
-def parts(made: planning.Plan) -> tuple[Fleet, Clients, Record, RuleChecker]:
+def make_components(made: planning.Plan) -> tuple[Fleet, Clients, Record, RuleChecker]:
     seeds = Seeds(made.seed)
     network = Network(made.network, seeds)
     clients = Clients(made.clients, made.classes, made.accounts, 1, made.quota_per_s, seeds)
     return Fleet(made, seeds, network, clients), clients, Record(made, []), RuleChecker()
 
 
-class Doors:
-    """A provider host on a clock that the test moves; timers of the model are run by `until`."""
+class EmulatedProviders:
+    """A provider host on a clock that the test moves; `wait_for` runs the timers of the model."""
 
     def __init__(self, text: str = ONE) -> None:
         self.plan = plan(text)
         self.now = 1.0
-        self.fleet, _, record, self.rules = parts(self.plan)
+        self.fleet, _, record, self.rules = make_components(self.plan)
         self.host = ProviderHost(self.fleet, self.rules, record, lambda: self.now, lambda *_: lambda: None)
         self.site = self.fleet.sites[0][0]
 
-    async def ask(self, pool: Pool, name: str, work: float = 1.0) -> asyncio.Future[http1.Message | None]:
+    async def send_request(self, pool: Pool, name: str, work: float = 1.0) -> asyncio.Future[http1.Message | None]:
         answer: asyncio.Future[http1.Message | None] = asyncio.get_running_loop().create_future()
         self.rules.request_accepted(self.now, name, "idempotent", "all", 0, inf)
         pool.send(encode_request(self.plan, 0, None, name, "", 3000.0, work), answer.set_result)
@@ -90,12 +90,12 @@
             await asyncio.sleep(0)
         return answer
 
-    async def until(self, answer: asyncio.Future[http1.Message | None]) -> http1.Message | None:
+    async def wait_for(self, answer: asyncio.Future[http1.Message | None]) -> http1.Message | None:
         for turn in range(20_000):
             process = self.site.process
             if answer.done():
                 break
-            # What is on its way through the kernel first; then the model's next event.
+            # First the messages in the kernel's socket buffers, then the model's next event.
             if turn % 50 == 49 and process is not None and process.next_event_ms() < inf:
                 self.now = max(self.now, process.next_event_ms())
                 self.host._run(self.site)
@@ -103,61 +103,61 @@
         return await answer
 
 
-def test_a_door_answers_refuses_and_resets() -> None:
+def test_a_provider_answers_rejects_and_resets() -> None:
     async def case() -> None:
-        doors = Doors()
-        door = await doors.host.site_listener((0, 0), doors.site, 0)
-        pool = Pool("127.0.0.1", door.port)
-        message = await doors.until(await doors.ask(pool, "a"))
+        providers = EmulatedProviders()
+        site_listener = await providers.host.site_listener((0, 0), providers.site, 0)
+        pool = Pool("127.0.0.1", site_listener.port)
+        message = await providers.wait_for(await providers.send_request(pool, "a"))
         assert message is not None and (message.status, message.body) == (200, b"a only-0-0")
         assert message.fields[b"x-load-report"].startswith(b"TEXT util=")
-        held = [await doors.ask(pool, f"h{n}", 1e6) for n in range(6)]  # four slots, two waiting
-        full = await doors.until(await doors.ask(pool, "full"))
+        held = [await providers.send_request(pool, f"h{n}", 1e6) for n in range(6)]  # four slots, two waiting
+        full = await providers.wait_for(await providers.send_request(pool, "full"))
         assert full is not None and full.status == 503 and full.fields[b"x-rejected"] == b"1"
-        process = doors.site.process
+        process = providers.site.process
         assert process is not None and process.job_count == 6
-        for changed in doors.fleet.apply(doors.now, FaultAction(doors.now, "kill", 0, 0)):
-            doors.host.stopped(changed.site, changed.job_ids)
-        assert [await answer for answer in held] == [None] * 6 and not doors.host._attempts
+        for changed in providers.fleet.apply(providers.now, FaultAction(providers.now, "kill", 0, 0)):
+            providers.host.stopped(changed.site, changed.job_ids)
+        assert [await answer for answer in held] == [None] * 6 and not providers.host._attempts
         refused: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         pool.send(b"GET / HTTP/1.1\r\n\r\n", refused.set_result)
         assert await refused is None
-        port = door.port
-        doors.fleet.apply(doors.now, FaultAction(doors.now, "start", 0, 0))
-        await door.open()  # the same address, another process
-        again = await doors.until(await doors.ask(pool, "again"))
-        assert door.port == port and again is not None and again.body == b"again only-0-1"
+        port = site_listener.port
+        providers.fleet.apply(providers.now, FaultAction(providers.now, "start", 0, 0))
+        await site_listener.open()  # the same address with another process
+        again = await providers.wait_for(await providers.send_request(pool, "again"))
+        assert site_listener.port == port and again is not None and again.body == b"again only-0-1"
         pool.close()
-        doors.host.close()
+        providers.host.close()
 
     run(case())
 
 
 def test_an_abandoned_call_ends_its_job_and_a_silent_machine_says_nothing() -> None:
     async def case() -> None:
-        doors = Doors()
-        door = await doors.host.site_listener((0, 0), doors.site, 0)
-        pool, process = Pool("127.0.0.1", door.port), doors.site.process
+        providers = EmulatedProviders()
+        site_listener = await providers.host.site_listener((0, 0), providers.site, 0)
+        pool, process = Pool("127.0.0.1", site_listener.port), providers.site.process
         assert process is not None
-        await doors.ask(pool, "left", 1e6)
+        await providers.send_request(pool, "left", 1e6)
         assert process.job_count == 1
         pool.close()
         while process.job_count:
             await asyncio.sleep(0)
-        assert process.ledger.unspent > 0 and not doors.host._attempts
-        pool = Pool("127.0.0.1", door.port)
-        doors.fleet.apply(doors.now, FaultAction(doors.now, "silent", 0, 0, 1.0))
-        silent = await doors.ask(pool, "silent")
+        assert process.ledger.unspent > 0 and not providers.host._attempts
+        pool = Pool("127.0.0.1", site_listener.port)
+        providers.fleet.apply(providers.now, FaultAction(providers.now, "silent", 0, 0, 1.0))
+        silent = await providers.send_request(pool, "silent")
         assert not silent.done() and process.job_count == 0
-        doors.fleet.apply(doors.now, FaultAction(doors.now, "silent", 0, 0, 0.0))
-        doors.host.reset_silent_connections(doors.site)
-        assert await silent is None  # reset once the machine is there again
-        doors.site.corrupt_chance = 1.0
-        spoilt = await doors.ask(pool, "spoilt")
-        assert await doors.until(spoilt) is None and CORRUPT_RESPONSE.startswith(b"HTTP/1.1 2OO")
-        assert doors.rules.all_hold
+        providers.fleet.apply(providers.now, FaultAction(providers.now, "silent", 0, 0, 0.0))
+        providers.host.reset_silent_connections(providers.site)
+        assert await silent is None  # reset once the machine is reachable again
+        providers.site.corrupt_chance = 1.0
+        spoilt = await providers.send_request(pool, "spoilt")
+        assert await providers.wait_for(spoilt) is None and CORRUPT_RESPONSE.startswith(b"HTTP/1.1 2OO")
+        assert providers.rules.all_hold
         pool.close()
-        doors.host.close()
+        providers.host.close()
 
     run(case())
 
@@ -188,11 +188,11 @@
     run(case())
 
 
-def test_a_request_that_no_client_sent() -> None:
+def test_requests_of_unknown_form_are_answered_with_an_error() -> None:
     async def case() -> None:
-        doors = Doors()
-        door = await doors.host.site_listener((0, 0), doors.site, 0)
-        pool = Pool("127.0.0.1", door.port)
+        providers = EmulatedProviders()
+        site_listener = await providers.host.site_listener((0, 0), providers.site, 0)
+        pool = Pool("127.0.0.1", site_listener.port)
         for wire, status in (
             (b"GET /api HTTP/1.1\r\n\r\n", 404),
             (b"GET /api HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n", 400),
@@ -201,9 +201,9 @@
             answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
             pool.send(wire, answer.set_result)
             assert (await answer).status == status
-        assert doors.host.unknown_requests == 2
+        assert providers.host.unknown_requests == 2
         pool.close()
-        doors.host.close()
+        providers.host.close()
 
     run(case())
 
@@ -257,18 +257,18 @@
 
 
 def test_the_load_tool_counts_from_the_intended_time_and_gives_up() -> None:
-    """A server that holds its first answers back: later requests leave in time all the same."""
+    """With a server that does not answer some requests, later requests are sent in time all the same."""
 
     async def case() -> None:
         made = plan(ONE.replace("deadline_ms = 3000", "deadline_ms = 400").replace("aim_ms = 1000", "aim_ms = 100"))
-        _, clients, record, rules = parts(made)
+        _, clients, record, rules = make_components(made)
         held: list[ServerConnection] = []
         seen = [0]
 
         def request(connection: ServerConnection, message: http1.Message) -> None:
             seen[0] += 1
             if seen[0] % 4 == 1:
-                held.append(connection)  # never answered: the client that does not wait for ever gives up
+                held.append(connection)  # never answered: the client gives up at its deadline
             elif seen[0] % 4 == 2:
                 connection.answer(http1.write_response(503, [(b"Retry-After", b"0.5")]))
             else:
@@ -287,7 +287,7 @@
         assert asked == seen[0] > 8 and record.finals["timed out"] == (asked + 3) // 4
         assert record.finals["rejected"] == (asked + 2) // 4 and record.finals["served"] == (asked + 1) // 4
         assert load.foreign_responses == asked // 4 == record.finals["failed"]
-        # Those that had no answer by their end are seen as what they are.
+        # Requests without a response by their deadline are counted as violations.
         assert rules.counts["one final answer in time"] == record.finals["timed out"]
         pool.close()
         server.close()
@@ -295,7 +295,7 @@
     run(case())
 
 
-def test_verdicts() -> None:
+def test_outcomes_of_responses() -> None:
     def answer(status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> http1.Message:
         return http1.Message(list(headers), dict(headers), status=status, body=body)
 
--- a/tests/lab/test_emulate_days.py
+++ b/tests/lab/test_emulate_days.py
@@ -1,4 +1,4 @@
-"""Short days on loopback sockets with real sidecars, and how they end."""
+"""Short runs on loopback sockets with real sidecars, and their ends."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def test_a_short_day_with_real_sidecars(tmp_path: Path) -> None:
-    """Three seconds of two tiers with a death in them: every call is answered, the rules are kept, all is ended."""
+    """Three seconds of two tiers with a killed provider: requests are answered, the rules hold, all processes end."""
     low = '[[tier]]\nname = "low"\nproviders = 2\n[[tier.kind]]\nname = "l"\nslots = 4\n'
     text = ONE.replace("length_s = 2", "length_s = 3").replace("[[class]]", low + "[[class]]", 1)
     text += '[[fault]]\nkind = "kill"\nat_s = 1\nlength_s = 0.2\nvictims = [0]\n'
--- a/tests/lab/test_matrix.py
+++ b/tests/lab/test_matrix.py
@@ -1,4 +1,4 @@
-"""What settings may forbid or vary, in every pair and in drawn cells: no rule may break in any."""
+"""The settings matrix: no rule is broken in any pair of values and in random cells."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert min(calls for _, calls in results) > 30, "a cell in which nothing happens checks nothing"
 
 
-# The module is told that it may do what the settings, and so the rules, forbid: as if it did not ask them.
+# Injected bugs: the decision module ignores a setting, and so does what the settings, and thus the rules, forbid.
 PLANTED: dict[str, Callable[[Any], Any]] = {
     "copies": lambda told: replace(told, may_hedge=True),
     "cancel": lambda told: replace(told, may_cancel=True),
--- a/tests/lab/test_provider.py
+++ b/tests/lab/test_provider.py
@@ -1,4 +1,4 @@
-"""What a provider does beside queueing: warmth, falling over, choking, keys, cancelling, reports, connections."""
+"""The provider's model beyond queueing: warm-up, crashes, choking, keys, cancelling, load reports, connections."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
     return ended[0][0]
 
 
-def test_a_cold_provider_is_as_slow_as_it_is_cold_and_warms_by_time() -> None:
+def test_a_provider_in_warm_up_is_slow_and_speeds_up_with_time() -> None:
     spec = ProviderSpec(cold_from=0.2, cold_ms=10_000.0)
     cold = make(spec, started=1000.0, now=1000.0)
     assert [cold.warmth(at) for at in (1000.0, 6000.0, 11_000.0)] == pytest.approx([0.2, 0.6, 1.0])
     cold = make(spec, started=1000.0, now=1000.0)
     assert cold.offer(1000.0, Job(1, [100.0]))
-    # 0.2 t + 0.4 t^2 / 10,000 = 100 has t = 458 ms; its speed is brought up to date each 100 ms.
+    # 0.2 t + 0.4 t^2 / 10,000 = 100 has t = 458 ms; its speed is updated every 100 ms.
     assert 1000 + 458 < only(finish(cold)) < 1000 + 480
 
 
-def test_work_warms_it_sooner() -> None:
+def test_work_shortens_the_warm_up() -> None:
     spec = ProviderSpec(cold_from=0.5, cold_ms=100_000.0, warm_work_ms=100.0, fall_multiple=1e9)
     cold = make(spec, started=1.0, now=1.0)
     for job_id in range(4):
@@ -47,16 +47,16 @@
     assert at[3] - at[2] < at[1] - at[0]
 
 
-@pytest.mark.parametrize(("times", "falls"), [(3.9, False), (4.1, True)])
-def test_a_cold_provider_falls_over_when_sent_too_much(times: float, falls: bool) -> None:
+@pytest.mark.parametrize(("times", "crashes"), [(3.9, False), (4.1, True)])
+def test_a_provider_in_warm_up_crashes_under_too_much_work(times: float, crashes: bool) -> None:
     spec = ProviderSpec(cores=2, speed=1.0, cold_from=0.25, cold_ms=1e9, fall_multiple=4, fall_ms=3000)
     cold = make(spec, started=1.0, now=1.0)
     each, sent = 10.0, 0.0
     while sent < times * 2 * 0.25 * 3000 - each and not cold.crashed:
         cold.offer(1.0 + sent / 10, Job(int(sent), [each]))
         sent += each
-    assert cold.crashed is falls
-    if falls:
+    assert cold.crashed is crashes
+    if crashes:
         assert (
             not cold.connect(5000.0)
             and not cold.offer(5000.0, Job(10**9, [1.0]))
@@ -64,14 +64,14 @@
         )
 
 
-def test_a_warm_provider_never_falls() -> None:
+def test_a_warm_provider_never_crashes() -> None:
     warm = make(ProviderSpec(queue=10))
     for job_id in range(1000):
         warm.offer(1.0, Job(job_id, [1000.0]))
     assert not warm.crashed and warm.ledger.turned_away == 1000 - 11
 
 
-def test_it_chokes_when_crowded_for_long_and_recovers_after_rest() -> None:
+def test_a_provider_chokes_after_long_crowding_and_recovers_with_few_jobs() -> None:
     spec = ProviderSpec(
         cores=1,
         slots=10,
@@ -90,7 +90,7 @@
     finish(provider, 1001.0)
     assert provider.choked
     last = [time for time, effect in finish(provider, 1e5) if isinstance(effect, JobFinished)][-1]
-    assert last == pytest.approx(1000 + 4000 * 2) and not provider.choked  # rest began with the last one's end
+    assert last == pytest.approx(1000 + 4000 * 2) and not provider.choked  # recovery began with the end of the last job
     provider.offer(20_000.0, Job(9, [100.0]))
     assert only(finish(provider)) == pytest.approx(20_100.0)
 
@@ -121,7 +121,7 @@
         (Stops.NONE, False, False),
     ],
 )
-def test_which_dropped_jobs_stop(stops: Stops, running: bool, queued: bool) -> None:
+def test_which_cancelled_jobs_stop(stops: Stops, running: bool, queued: bool) -> None:
     provider = make(ProviderSpec(stops=stops))
     provider.offer(0.0, Job(1, [100.0]))
     provider.offer(0.0, Job(2, [100.0]))
@@ -142,7 +142,7 @@
     assert provider.cancel(100.0, 1) == [] and provider.ledger.served == 100.0 and provider.ledger.wasted == 0
 
 
-def test_a_job_whose_time_is_over_when_its_turn_comes_never_runs() -> None:
+def test_a_job_whose_deadline_passed_in_the_queue_never_runs() -> None:
     provider = make(ProviderSpec())
     provider.offer(0.0, Job(1, [100.0]))
     provider.offer(0.0, Job(2, [100.0], deadline_at_ms=99.0))
@@ -162,7 +162,7 @@
     assert [time for time, _ in finish(provider)] == [110.0, 115.0]
 
 
-def test_a_job_dies_with_its_process_while_its_lower_call_is_out() -> None:
+def test_a_job_waiting_for_the_lower_tier_is_lost_with_its_process() -> None:
     provider = make(ProviderSpec())
     provider.offer(0.0, Job(1, [10.0, 10.0]))
     finish(provider)
@@ -171,7 +171,7 @@
     assert provider.resume(60.0, 1, served=True) == [] and provider.next_event_ms() == float("inf")
 
 
-def test_a_failed_lower_call_fails_the_job() -> None:
+def test_a_failed_lower_tier_request_fails_the_job() -> None:
     provider = make(ProviderSpec())
     provider.offer(0.0, Job(1, [10.0, 10.0]))
     finish(provider)
@@ -189,7 +189,7 @@
     assert only(finish(same)) == pytest.approx(200.5) and same.ledger.repeats == 1
     other.offer(300.0, Job(3, [100.0], key="k", window_ms=1000))
     finish(other)
-    assert other.ledger.double == 1  # another group knew nothing of it
+    assert other.ledger.double == 1  # the other group did not know the key
     same.offer(1200.0, Job(4, [100.0], key="k", window_ms=1000))
     assert only(finish(same)) == pytest.approx(1300.0) and same.ledger.repeats == 1  # forgotten by then
 
--- a/tests/lab/test_queueing.py
+++ b/tests/lab/test_queueing.py
@@ -24,7 +24,7 @@
 def simulate(
     spec: ProviderSpec, rate: float, mean: float, size: ClassSpec, jobs: int = JOBS, seed: int = 1
 ) -> tuple[list[float], int, Provider]:
-    """Times in the system of those served, how many were turned away, and the provider after its last job."""
+    """Times in the system of served jobs, the number of rejected ones, and the provider after its last job."""
     seeds = Seeds(seed)
     gaps, sizes = seeds.stream("gaps"), seeds.stream("sizes")
     provider = Provider("p", spec, seeds.stream("p"), KeyGroup(), 0.0)
--- a/tests/lab/test_timeline.py
+++ b/tests/lab/test_timeline.py
@@ -1,4 +1,4 @@
-"""The reader of a fleet's logs: what it counts, and that nothing in a log stops it."""
+"""The reader of a fleet's logs: its counts, and that no content of a log stops it."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -1,4 +1,4 @@
-"""Whole runs in simulated time: the same figures every time, faults that do what they say, broken rules seen."""
+"""Complete simulated runs: results are reproducible, faults take effect, and broken rules are found."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
     assert result["requests"]["asked"] > 200 and made.kernel.pending == 0
     for tier in result["tiers"]:
         assert tier["work"]["work_error"] < 1e-9 and tier["work"]["little_error"] < 1e-9
-        assert tier["work"]["held_work"] == 0  # all is answered or dropped in the end
+        assert tier["work"]["held_work"] == 0  # every request is answered or dropped in the end
     assert not made._attempts and not made._lower_requests and made.rules.open == 0
     assert all(process.connections >= 0 for tier in made.fleet.all_processes for process in tier)
 
@@ -176,7 +176,7 @@
 
 
 def test_a_retry_that_arrives_after_its_first_try_was_served() -> None:
-    """Impatient clients come again while the first try is still at work: each request earns its worth once."""
+    """Impatient clients retry while the first attempt is still running: each request earns its worth once."""
     text = TWO_TIERS.replace("retries = 1", "retries = 2\npatience = [0.05, 0.06]\nbackoff_ms = [1, 2]")
     result = figures(text.replace("load = 0.4", "load = 0.9"))
     requests = result["requests"]
@@ -196,7 +196,7 @@
 
 
 PLANTED = {
-    # The module's text, with a fault planted in one place each: file, what stands there, what shall.
+    # Faults injected into the decision module: file, text to replace, replacement.
     ONE_ANSWER: (
         "balancer.py",
         "            actions.append(FailRequest(request.name))",
