--- a/benchmarks/affinity_cost.py
+++ b/benchmarks/affinity_cost.py
@@ -111,7 +111,7 @@
         bindings = state["parts"].get("bindings", {"state": "whole"})
         return len(state["members"]) == len(names) and bindings["state"] == "whole"
 
-    await processes.until_all(together, 30, "all are together", names)
+    await processes.wait_until_all(together, 30, "all are together", names)
 
 
 async def measure(folder: Path, calls: int) -> None:
@@ -132,7 +132,7 @@
                         spent["another"].append((cpu_ms(processes.nodes["on2"]) - before) / TURN * 1000.0)
             on, off, another = (statistics.median(spent[name][2:]) for name in ("on", "off", "another"))
             print(f"| {kind} | {on:.1f} | {off:.1f} | {on / off:.3f} | {another:.1f} |", flush=True)
-        state = await processes.nodes["on"].state()
+        state = await processes.nodes["on"].fleet_status()
         print(json.dumps({"held": state["parts"]["bindings"]["held"] if state else None}))
     server.close()
 
--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -20,7 +20,7 @@
 def started_group(voters: int, seed: int, learners: int = 0, tuning: Tuning | None = None) -> Run:
     names = [f"n{number}" for number in range(voters + learners)]
     run = Run(names, tuple(names[:voters]), seed, tuning=tuning or Tuning(), drift_ppm=200.0)
-    run.world.fault(faults.parse("delay 0.2..1.5"))
+    run.world.apply_fault(faults.parse("delay 0.2..1.5"))
     run.run_until(lambda: run.leader() is not None, 10_000)
     run.world.run(run.world.now + 3000)
     return run
@@ -63,7 +63,7 @@
     def watch(at: float, node: str, what: object) -> None:
         writes[0] += node == leader and type(what).__name__ == "Store"
 
-    run.world.watch = watch
+    run.world.observer = watch
     for _ in range(groups):
         proposed_ms, before = run.world.now, len(run.acknowledgement_ms)
         for _ in range(group_size):
--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -66,13 +66,13 @@
         world = World(names, partial(hub_of, names), 1)
         world.run(SETTLE_MS / 2)
         for name in names:
-            world.poke(
+            world.deliver_event(
                 name, ComponentEvent("li.", event_of("whole 5 " + " ".join(f"p{number}" for number in range(20))))
             )
         world.run(SETTLE_MS)
         before = {name: spent(world, name) for name in names}
         world.run(SETTLE_MS + given.seconds * 1000.0)
-        leads = [seen.node for seen in world.seen if seen.text.startswith("leads ")][-1]
+        leads = [seen.node for seen in world.observed_lines if seen.text.startswith("leads ")][-1]
         for layer in LAYERS:
             now = {name: spent(world, name)[layer] for name in names}
             many = sum(now[name][0] - before[name][layer][0] for name in names) / count / given.seconds
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -2,8 +2,9 @@
 
     python -m benchmarks.fleet_processes [KILLS [MEMBERS]]
 
-The same tuning for both, `drills.membership(drills.PACE)`; one run a kill, with consumers calling. In simulated time
-the instant of the kill is moved through a period, as it falls anywhere on processes. Both are given in periods.
+The same tuning for both, `drills.membership_settings(drills.TIME_SCALE)`; one run a kill, with consumers calling. In
+simulated time the instant of the kill is moved through a period, as it falls anywhere on processes. Both are given in
+periods.
 
 Interval: the medians differ by no more than MEDIAN periods, and no kill on processes is known to all sooner than the
 soonest in simulated time less EDGE, nor later than the latest plus LATE: probes of processes wait for timers that
@@ -23,9 +24,9 @@
 from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.membership import Tuning
 from limenotch.lab.fleet import drills
-from limenotch.lab.fleet.drawing import read
+from limenotch.lab.fleet.drawing import parse_timeline
 from limenotch.lab.fleet.faults import parse
-from limenotch.lab.fleet.members import maker
+from limenotch.lab.fleet.members import component_factory
 from limenotch.lab.fleet.world import World
 
 MEDIAN, EDGE, LATE = 0.35, 0.25, 0.75  # periods
@@ -36,18 +37,19 @@
 
 def simulated(kills: int, members: int) -> list[float]:
     """Periods from each kill to the last that holds it dead."""
-    tuning = msgspec.convert(drills.membership(drills.PACE), Tuning)
+    tuning = msgspec.convert(drills.membership_settings(drills.TIME_SCALE), Tuning)
     names = [f"n{number}" for number in range(members)]
     found = []
     for number in range(kills):
-        world = World(names, maker(names[:2], tuning), number)
+        world = World(names, component_factory(names[:2], tuning), number)
         at = SETTLED_MS + tuning.period_ms * number / kills
-        world.kernel.at(at, world.fault, parse(f"kill {names[-1]}"))
+        world.kernel.at(at, world.apply_fault, parse(f"kill {names[-1]}"))
         world.run(at + 10 * tuning.period_ms)
         deaths = {
             change.node: change.at_ms
-            for change in world.changes
-            if isinstance(change.what, MemberChanged) and (change.what.name, change.what.state) == (names[-1], "dead")
+            for change in world.observed_changes
+            if isinstance(change.action, MemberChanged)
+            and (change.action.name, change.action.state) == (names[-1], "dead")
         }
         assert len(deaths) == members - 1, f"seed {number}: {sorted(deaths)}"
         found.append((max(deaths.values()) - at) / tuning.period_ms)
@@ -56,20 +58,20 @@
 
 def on_processes(kills: int, members: int) -> tuple[list[float], int]:
     """The same, of `kills` runs; and how many were left out."""
-    drawn = read(drills.death_and_return(members, 1).split("8000")[0] + "8000\n")
+    drawn = parse_timeline(drills.death_and_return(members, 1).split("8000")[0] + "8000\n")
     last = str(drawn.faults[0][1]).split()[1]
-    period = 1000.0 * drills.PACE
+    period = 1000.0 * drills.TIME_SCALE
     found: list[float] = []
     out = 0
     while len(found) < kills and out <= 2 * kills:
         with tempfile.TemporaryDirectory() as folder:
-            outcome = asyncio.run(drills.play(drawn, Path(folder), rate=20.0, seed=1 + len(found)))
-        deaths = {node: at for at, node, text in outcome.seen if text == f"{last} dead"}
-        if outcome.late_ms > LATE_MS:
+            outcome = asyncio.run(drills.run_on_processes(drawn, Path(folder), rate=20.0, seed=1 + len(found)))
+        deaths = {node: at for at, node, text in outcome.observed_lines if text == f"{last} dead"}
+        if outcome.max_timer_delay_ms > LATE_MS:
             out += 1
             continue
         assert len(deaths) == members - 1 and not outcome.violations, outcome
-        found.append((max(deaths.values()) - outcome.happened[0]) / period)
+        found.append((max(deaths.values()) - outcome.fault_times_ms[0]) / period)
     return found, out
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,7 +21,7 @@
 
 from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.membership import Membership, Tuning
-from limenotch.lab.fleet.faults import Chance
+from limenotch.lab.fleet.faults import DatagramFault
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
 
@@ -52,7 +52,7 @@
         before = [(node.traffic.bytes, node.traffic.messages) for node in world.nodes.values()]
         world.run(LOSS_MS)
         spent = [(node.traffic.bytes, node.traffic.messages) for node in world.nodes.values()]
-        world.fault(Chance("loss", loss))
+        world.apply_fault(DatagramFault("loss", loss))
         victim, sleeper = names[seed % count], names[(seed + 1) % count]
         kill = KILL_MS + tuning.period_ms * (seed % 10) / 10
         world.run(kill)
@@ -70,7 +70,9 @@
 
     def _judge(self, world: World, victim: str, sleeper: str, kill: float, tuning: Tuning) -> None:
         deaths: list[Any] = [
-            change for change in world.changes if isinstance(change.what, MemberChanged) and change.what.state == "dead"
+            change
+            for change in world.observed_changes
+            if isinstance(change.action, MemberChanged) and change.action.state == "dead"
         ]
         known = {
             change.node: change.at_ms
@@ -81,9 +83,9 @@
         self.first.append((min(known.values(), default=float("inf")) - kill) / tuning.period_ms)
         self.everybody.append((max(known.values(), default=float("inf")) - kill) / tuning.period_ms)
         suspected = {
-            (change.what.name, change.what.incarnation)
-            for change in world.changes
-            if isinstance(change.what, MemberChanged) and change.what.state == "suspect"
+            (change.action.name, change.action.incarnation)
+            for change in world.observed_changes
+            if isinstance(change.action, MemberChanged) and change.action.state == "suspect"
         }
         self.suspected += sum(name not in (victim, sleeper) for name, _ in suspected)
         others = {change.what.name for change in deaths if change.what.name != victim or change.at_ms < kill}
--- a/benchmarks/replicated_notes.py
+++ b/benchmarks/replicated_notes.py
@@ -91,7 +91,7 @@
 
         processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, endpoint_list, toml))
     await processes.start()
-    await processes.until_all(
+    await processes.wait_until_all(
         lambda name, state: state["parts"]["agreement"].get("leader") == names[0], 30, "one leads"
     )
     return processes
@@ -100,7 +100,7 @@
 async def store_note(node: NodeProcess, ident: str) -> float:
     """Stores a note; returns the latency in ms."""
     began = perf_counter()
-    answer = await node.ask(f"/fleet/promises/{ident}", "POST", b"words of a promise, of some fifty bytes or so.")
+    answer = await node.request(f"/fleet/promises/{ident}", "POST", b"words of a promise, of some fifty bytes or so.")
     if answer is None or answer[0] != 200:
         raise RuntimeError(f"{ident}: {answer}")
     return (perf_counter() - began) * 1000.0
--- a/benchmarks/wallet_cost.py
+++ b/benchmarks/wallet_cost.py
@@ -112,16 +112,16 @@
     for name in ("paying", "fleet", "alone"):
         processes.add(NodeProcess(name, folder, SETTINGS, free_port(), 1, listed_endpoints, toml))
     await processes.start()
-    await processes.until_all(
+    await processes.wait_until_all(
         lambda name, state: state["parts"]["agreement"].get("leader") == name, 30, "each leads", ["paying", "fleet"]
     )
     paying = processes.nodes["paying"]
 
     async def credit_added() -> bool:
-        answer = await paying.ask("/fleet/wallets/acme", "POST", json.dumps({"id": "i", "add": CREDIT}).encode())
+        answer = await paying.request("/fleet/wallets/acme", "POST", json.dumps({"id": "i", "add": CREDIT}).encode())
         return answer is not None and answer[0] == 200
 
-    await processes.until(credit_added, 30, "credit")
+    await processes.wait_until(credit_added, 30, "credit")
 
     return processes
 
@@ -137,7 +137,7 @@
             return False
         return True
 
-    await processes.until(warm, 30, "calls are served")
+    await processes.wait_until(warm, 30, "calls are served")
     return await turn(node, TURN) * 1000.0
 
 
--- a/limenotch/cli/lab/fleet.py
+++ b/limenotch/cli/lab/fleet.py
@@ -31,12 +31,12 @@
 
 from ...lab.emulate.host import SidecarError, TooLargeError
 from ...lab.fleet import drawing, drills
-from ...lab.fleet.comparing import within
-from ...lab.fleet.drawing import FAULTS, Scenario
-from ...lab.fleet.members import make_for, part_of
+from ...lab.fleet.comparing import compare_within_window
+from ...lab.fleet.drawing import FAULTS, ExpectedTimeline
+from ...lab.fleet.members import component_factory_for, membership_on
 from ...lab.fleet.processes import NotReachedError
 from ...lab.fleet.relay import RelayError
-from ...lab.fleet.scenario import play as simulate
+from ...lab.fleet.scenario import simulate
 from ...lab.fleet.stage import Outcome, Stage
 from ...toml import FaultError
 from ..arguments import whole_number
@@ -49,12 +49,13 @@
 class Live:
     """Prints rows of the drawing's columns as they come, in order of time."""
 
-    def __init__(self, drawn: Scenario, console: Console) -> None:
+    def __init__(self, drawn: ExpectedTimeline, console: Console) -> None:
         self._drawn, self._console = drawn, console
         longest = [
-            max((note.text for note in drawn.notes if note.node == name), key=len, default="") for name in drawn.columns
+            max((note.text for note in drawn.entries if note.node == name), key=len, default="")
+            for name in drawn.columns
         ]
-        self._wide = drawing.widths(drawn, [longest])
+        self._wide = drawing.column_widths(drawn, [longest])
         self._told: set[tuple[str, float, str]] = set()
         self._faults = 0  # printed
 
@@ -62,7 +63,7 @@
         self._print("ms", {title: title for title in (*self._drawn.columns, FAULTS)})
 
     def row(self, at: float, title: str, text: str) -> None:
-        if title != FAULTS and (title not in self._drawn.columns or not self._drawn.shows(text)):
+        if title != FAULTS and (title not in self._drawn.columns or not self._drawn.is_compared(text)):
             return
         if (title, at, text) not in self._told:
             self._told.add((title, at, text))
@@ -70,19 +71,19 @@
 
     def _print(self, first: str, cells: dict[str, str]) -> None:
         texts = [cells.get(title, "") for title in (*self._drawn.columns, FAULTS)]
-        self._console.print(drawing.line(first, texts, self._wide), markup=False, soft_wrap=True)
+        self._console.print(drawing.format_row(first, texts, self._wide), markup=False, soft_wrap=True)
 
     async def watch(self, stage: Stage) -> None:
         self.heading()
         while True:
             await asyncio.sleep(LOOK_S)
-            if stage.began_ms is not None:
+            if stage.timeline_start_ms is not None:
                 self.rows(stage, stage.clock() - LATE_MS)
 
     def rows(self, stage: Stage, until: float) -> None:
-        begun = stage.began_ms or 0.0
-        rows = [(seen.at_ms - begun, seen.node, seen.text) for seen in stage.processes.seen()]
-        for came, (_, fault) in list(zip(stage.begun, stage.drawing.faults, strict=True))[self._faults :]:
+        begun = stage.timeline_start_ms or 0.0
+        rows = [(seen.at_ms - begun, seen.node, seen.text) for seen in stage.processes.observed_lines()]
+        for came, (_, fault) in list(zip(stage.applied_ms, stage.timeline.faults, strict=True))[self._faults :]:
             if 0.0 < came <= until:
                 rows.append((came, FAULTS, str(fault)))
                 self._faults += 1
@@ -107,7 +108,7 @@
     console.print(table)
 
 
-async def on_processes(drawn: Scenario, console: Console) -> Outcome:
+async def on_processes(drawn: ExpectedTimeline, console: Console) -> Outcome:
     live = Live(drawn, console)
 
     async def after(stage: Stage) -> None:
@@ -117,37 +118,47 @@
         async def sure() -> bool:
             nodes = [node for node in stage.processes.nodes.values() if node.alive]
             states.update(
-                zip([node.name for node in nodes], await asyncio.gather(*(node.state() for node in nodes)), strict=True)
+                zip(
+                    [node.name for node in nodes],
+                    await asyncio.gather(*(node.fleet_status() for node in nodes)),
+                    strict=True,
+                )
             )
             return not any(
                 member["state"] == "suspect" for state in states.values() if state for member in state["members"]
             )
 
         with contextlib.suppress(NotReachedError):  # this process, which carries all they say, was busy at the end
-            await stage.processes.until(sure, SURE_S, "nobody is suspect")
+            await stage.processes.wait_until(sure, SURE_S, "nobody is suspect")
         members(console, {name: state["members"] if state is not None else None for name, state in states.items()})
 
     with tempfile.TemporaryDirectory(prefix="limenotch-lab-") as folder:
-        console.print(f"starting {len(drawn.nodes) - len(drawn.later)} sidecars, a directory, 6 providers, consumers")
-        return await drills.play(drawn, Path(folder), watch=live.watch, after=after)
+        console.print(
+            f"starting {len(drawn.nodes) - len(drawn.started_later)} sidecars, a directory, 6 providers, consumers"
+        )
+        return await drills.run_on_processes(drawn, Path(folder), watch=live.watch, after=after)
 
 
-def simulated(drawn: Scenario, own: bool, console: Console) -> int:
-    outcome = simulate(drawn, make_for(drawn))
+def simulated(drawn: ExpectedTimeline, own: bool, console: Console) -> int:
+    outcome = simulate(drawn, component_factory_for(drawn))
     live = Live(drawn, console)
     live.heading()
-    for at, titles in drawing.rows(drawn, outcome.seen):
+    for at, titles in drawing.table_rows(drawn, outcome.observed):
         for title, text in zip((*drawn.columns, FAULTS), titles, strict=True):
             if text:
                 live.row(at, title, text)
     world, held = outcome.world, dict[str, list[dict[str, Any]] | None]()
     for name in drawn.nodes:
-        found = part_of(world, name)
+        found = membership_on(world, name)
         if found is not None:
             held[name] = [{"name": seen.name, "state": seen.state.value} for seen in found.members()]
     members(console, held)
-    seen = [(float(note.at_ms), note.node, note.text) for note in outcome.seen if note.at_ms >= drawn.first_fault]
-    difference = outcome.difference if own else within(drawn.quicker(1.0, float(drawn.first_fault)), seen)
+    seen = [
+        (float(note.at_ms), note.node, note.text) for note in outcome.observed if note.at_ms >= drawn.first_fault_ms
+    ]
+    difference = (
+        outcome.difference if own else compare_within_window(drawn.rescaled(1.0, float(drawn.first_fault_ms)), seen)
+    )
     return verdict(difference, [], console)
 
 
@@ -164,11 +175,11 @@
     path = given["<drawing>"]
     try:
         if path is not None:
-            drawn = drawing.read(Path(path).read_text(encoding="utf-8"), Path(path).name)
+            drawn = drawing.parse_timeline(Path(path).read_text(encoding="utf-8"), Path(path).name)
         else:
             count, seed = whole_number(given, "--members", 3), whole_number(given, "--seed", 0)
-            drawn = drawing.read(drills.death_and_return(count, seed), "fleet")
-        if given["--simulated"] or (not given["--processes"] and "window" not in drawn.head):
+            drawn = drawing.parse_timeline(drills.death_and_return(count, seed), "fleet")
+        if given["--simulated"] or (not given["--processes"] and "window" not in drawn.header):
             return simulated(drawn, path is not None, console)
         outcome = asyncio.run(on_processes(drawn, console))
     except OSError as error:
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -25,9 +25,9 @@
 from limenotch.fleet.interfaces import Started
 from limenotch.fleet.membership import Membership
 from limenotch.lab.fleet.bindings_run import PREFIX, SECRET
-from limenotch.lab.fleet.drawing import Scenario
-from limenotch.lab.fleet.scenario import Outcome, check, play
-from limenotch.lab.fleet.world import Seen, World, address
+from limenotch.lab.fleet.drawing import ExpectedTimeline
+from limenotch.lab.fleet.scenario import Outcome, check, simulate
+from limenotch.lab.fleet.world import ObservedLine, World, address
 from limenotch.store.records import StoredLog
 
 AGES = Ages(opening=400, open=1000, closing=300, lingering=200, longest=20_000)
@@ -74,7 +74,7 @@
 class Prober:
     """Asks all nodes, and notes what has changed since it asked them last."""
 
-    def __init__(self, scenario: Scenario) -> None:
+    def __init__(self, scenario: ExpectedTimeline) -> None:
         named = (re.fullmatch(r"(?:see|undo) (\w+)( .*)?", getattr(fault, "words", "")) for _, fault in scenario.faults)
         self.keys = sorted({found[1] for found in named if found})
         self.scenario = scenario
@@ -87,34 +87,34 @@
 
     def probe(self, world: World) -> None:
         for name, node in world.nodes.items():
-            if node.part is not None and not node.paused:
+            if node.component is not None and not node.paused:
                 self.look(world, name)
         self.begin(world)
 
     def look(self, world: World, name: str) -> None:
         node = world.nodes[name]
         part, last = self.last.get(name, (None, {}))
-        if part is not node.part:
+        if part is not node.component:
             last = {}
         now: dict[str, str] = {}
-        clock = max(node.now, node.clock(world.now))
+        clock = max(node.now, node.monotonic_ms(world.now))
         for key in self.keys:
-            bound = self._find(node.part.bindings, clock, key)
+            bound = self._find(node.component.bindings, clock, key)
             now[key] = f"{key} {bound.provider}" if bound is not None else f"{key} none"
             if bound is None and key not in last:
                 last[key] = now[key]
-        figures = node.part.bindings.table.status()
+        figures = node.component.bindings.table.status()
         now["changes"] = f"{figures['held']} {figures['graves']}"
         for group, most in self.groups.items():
             now[group] = last.get(group, f"0 of {group}")
             if now["changes"] != last.get("changes") or group not in last:
-                found = (self._find(node.part.bindings, clock, f"{group}{number}") for number in range(most))
+                found = (self._find(node.component.bindings, clock, f"{group}{number}") for number in range(most))
                 now[group] = f"{sum(bound is not None for bound in found)} of {group}"
                 last.setdefault(group, f"0 of {group}")
         for key, text in now.items():
             if last.get(key) != text and key != "changes":
-                world.seen.append(Seen(world.now, name, text))
-        self.last[name] = (node.part, now)
+                world.observed_lines.append(ObservedLine(world.now, name, text))
+        self.last[name] = (node.component, now)
 
     def _find(self, bindings: Bindings, clock: float, key: str) -> Bound | None:
         return bindings.table.find(clock, kind_of(key), key.encode())
@@ -129,15 +129,15 @@
             there.pop(about[0], None)
             if word == "back":
                 there[about[0]] = THERE[about[0]]
-            world.poke(name, ComponentEvent(PREFIX, Providers(dict(there))))
+            world.deliver_event(name, ComponentEvent(PREFIX, Providers(dict(there))))
             return
-        if node.part is None or node.paused:
+        if node.component is None or node.paused:
             return
-        table, clock = node.part.bindings.table, max(node.now, node.clock(world.now))
+        table, clock = node.component.bindings.table, max(node.now, node.monotonic_ms(world.now))
         if word == "see":
             state = State[about[2].upper()] if len(about) > 2 else State.OPEN
             if not table.see(clock, kind_of(about[0]), about[0].encode(), about[1], state):
-                world.seen.append(Seen(world.now, name, f"{about[0]} refused"))
+                world.observed_lines.append(ObservedLine(world.now, name, f"{about[0]} refused"))
         elif word == "undo":
             table.undo(clock, kind_of(about[0]), about[0].encode())
         elif word in GROUPS:
@@ -148,18 +148,18 @@
             )
             self.groups[group] = int(about[0])
             if refused:
-                world.seen.append(Seen(world.now, name, f"{refused} of {group} refused"))
+                world.observed_lines.append(ObservedLine(world.now, name, f"{refused} of {group} refused"))
         else:
             raise ValueError(f"ask {name} {words}: no such words")
         self.look(world, name)
 
 
-def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
+def outcome(scenario: ExpectedTimeline, exact: bool = True) -> Outcome:
     """AssertionError where it did not come out, if `exact`."""
     tuning = replace(
         TUNING,
-        most=int(scenario.figure("most", TUNING.most)),
-        most_opening=scenario.figure("opening", TUNING.most_opening),
+        most=int(scenario.number("most", TUNING.most)),
+        most_opening=scenario.number("opening", TUNING.most_opening),
     )
     prober = Prober(scenario)
     seeds = [address(name) for name in scenario.nodes[:2]]
@@ -168,4 +168,4 @@
         members = Membership(name, address(name), process_epoch, seeds, MEMBERS, seed)
         return Told(members, Bindings(name, process_epoch, SECRET, tuning, seed))
 
-    return (check if exact else play)(scenario, make, prober.ask, prober.begin)
+    return (check if exact else simulate)(scenario, make, prober.ask, prober.begin)
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -146,7 +146,7 @@
         self.tell(name, Providers(dict(self.there)))
 
     def _ended(self, name: str, bindings: Bindings, why: str, mark: bytes) -> None:
-        part = self.world.part(name)
+        part = self.world.component(name)
         key = self._hashes.get(mark)
         if key == self._seeing and why == "over":
             return  # over by its age, and seen again before it could be forgotten: nobody finds it missing
@@ -154,16 +154,16 @@
             self.checker.dropped(self.world.now, name, key, why)
 
     def tell(self, name: str, event: Any) -> None:
-        self.world.poke(name, ComponentEvent(PREFIX, event))
+        self.world.deliver_event(name, ComponentEvent(PREFIX, event))
 
     def bindings(self, name: str) -> Bindings | None:
         """None if no process runs there that could be asked now."""
         node = self.world.nodes[name]
-        return node.part.bindings if node.part is not None and not node.paused else None
+        return node.component.bindings if node.component is not None and not node.paused else None
 
     def clock(self, name: str) -> float:
         node = self.world.nodes[name]
-        node.now = max(node.now, node.clock(self.world.now))
+        node.now = max(node.now, node.monotonic_ms(self.world.now))
         return node.now
 
     # Consumers
@@ -207,21 +207,21 @@
     # Time and faults
 
     def fault(self, text: str) -> None:
-        self.world.fault(faults.parse(text))
+        self.world.apply_fault(faults.parse(text))
         self.looked()
 
     def looked(self) -> None:
         """Tells the checker which ways nothing passes, or not in time."""
-        weather, names = self.world.weather, self.names
-        ways = {way for way in weather.cuts | set(weather.slow) if way[0] != way[1]}
+        weather, names = self.world.conditions, self.names
+        ways = {way for way in weather.blocked_links | set(weather.extra_delays_ms) if way[0] != way[1]}
         for out in weather.muted | weather.paused | weather.dead:
             ways |= {(out, name) for name in names if name != out}
         for out in weather.paused | weather.dead:
             ways |= {(name, out) for name in names if name != out}
         now = self.world.now
         self.checker.impaired(now, ways)
-        self.checker.slow_ms = max([self.checker.slow_ms, *weather.slow.values()])
-        lossy = weather.overall["loss"] > 0 or any(weather.chances["loss"].values())
+        self.checker.slow_ms = max([self.checker.slow_ms, *weather.extra_delays_ms.values()])
+        lossy = weather.default_shares["loss"] > 0 or any(weather.link_shares["loss"].values())
         if lossy:
             self.checker.lossy_until = inf
         elif self.checker.lossy_until == inf:
@@ -254,7 +254,7 @@
 
     def _one(self) -> bool:
         for name in self.names:
-            part = self.world.part(name)
+            part = self.world.component(name)
             if part is None or part.membership.size() != len(self.names) or not part.bindings.table.whole:
                 return False
         return True
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -59,7 +59,7 @@
         tuning=tuning,
         delay_ms=max(1.0, delay),
         drift_ppm=tuning.drift * 0.49e6,
-        wake=random.choice(("timers", "heard")),
+        wake_order=random.choice(("timers", "heard")),
     )
     run.joined()
     run.looked()
--- a/limenotch/lab/fleet/disk.py
+++ b/limenotch/lab/fleet/disk.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from limenotch.fleet.interfaces import Stored, StoreFailed
-from limenotch.lab.fleet.faults import Disk
+from limenotch.lab.fleet.faults import DiskState
 from limenotch.lab.simulate.kernel import Kernel
 from limenotch.store.records import StoredLog
 
@@ -25,7 +25,7 @@
 
     def __init__(self, kernel: Kernel, answer: Callable[[Any], None], fsync_ms: float, seed: str) -> None:
         self.content = StoredLog(entries=[])
-        self.state = Disk("", "ok")
+        self.state = DiskState("", "ok")
         self.fsyncs = 0
         self._kernel = kernel
         self._answer = answer
@@ -56,7 +56,7 @@
 
     def _write(self) -> None:
         self._writing, self._pending = self._pending, []
-        span_ms = self.state.ms if self.state.state == "slow" else self._fsync_ms
+        span_ms = self.state.write_ms if self.state.state == "slow" else self._fsync_ms
         self._kernel.at(self._kernel.now + span_ms, self._written, self._crashes)
 
     def _written(self, crash: int) -> None:
--- a/limenotch/lab/fleet/drills.py
+++ b/limenotch/lab/fleet/drills.py
@@ -1,11 +1,13 @@
-"""Drawings of membership on processes: the same files as in simulated time, with `window` in the head.
+"""Runs expected timelines of membership on processes: the files of simulated time that have `window` in the header.
 
-Processes are tuned to a shorter period than the 1000 ms that the files are drawn for, and a file is played in that
-share of its time (`pace: 0.4` in the head, PACE if not said). It begins LEAD_MS before its first fault; what is drawn
-before that must have come, each note once, in any order, and the run waits until all hold all alive.
+The processes have a shorter period than the 1000 ms of the files, and a timeline is run in that share of its time
+(`pace: 0.4` in the header, default TIME_SCALE). It begins LEAD_MS before its first fault. The lines expected before
+that fault have to be logged at least once, in any order, before time 0; the run waits until all members consider all
+alive.
 
-A busy machine makes doubts: a suspicion that is not drawn and is refuted counts for nothing (`firm`). A death, a fence
-or a twin that is not drawn always counts, up to the end: such drawings end in a calm.
+A busy machine causes false suspicions: the comparison ignores a suspicion that is not expected and is refuted
+(`without_refuted_suspicions`). An unexpected death, fence or twin is always a difference, up to the end: such timelines
+end with a quiet time.
 """
 
 from __future__ import annotations
@@ -16,21 +18,21 @@
 from typing import Any
 
 from .. import planning, scenario
-from .comparing import within
-from .drawing import Scenario, plain
+from .comparing import compare_within_window
+from .drawing import ExpectedTimeline, normalize
 from .members import seeds_of, twins_of
 from .processes import NotReachedError, Processes
-from .stage import Fleet, Outcome, Seen, Stage, together
-from .weather import Weather
+from .stage import ObservedLine, Outcome, SettingsText, Stage, relayed_fleet_settings
+from .weather import NetworkConditions
 
-PACE = 0.4
+TIME_SCALE = 0.4
 LEAD_MS = 200.0
-TIMEOUT_MS = 90.0  # not in the file's share: a timer of a busy machine is late by as much whatever the period is
-SETTLED_S = 20.0
-MOST_MEMBERS = 9
-TRIES = 3
-LATE_MS = 60.0  # less than TIMEOUT_MS
-KEY = "a key for this run, of 16 bytes or more"
+TIMEOUT_MS = 90.0  # not scaled: the delay of timers on a busy machine does not depend on the period
+READY_TIMEOUT_S = 20.0
+MAX_MEMBERS = 9
+MAX_ATTEMPTS = 3
+BUSY_TIMER_DELAY_MS = 60.0  # less than TIMEOUT_MS
+FLEET_KEY = "a key for this run, of 16 bytes or more"
 
 TRAFFIC = """
 name = "fleet"
@@ -74,103 +76,123 @@
 
 
 def death_and_return(members: int, seed: int) -> str:
-    """The drawing that is played if none is given: the last of the members is killed and comes back.
+    """Returns the default timeline: the last of the members is killed and restarted.
 
-    Raises ValueError for fewer than 3 or more than MOST_MEMBERS.
+    Raises ValueError for fewer than 3 or more than MAX_MEMBERS members.
     """
-    if not 3 <= members <= MOST_MEMBERS:
-        raise ValueError(f"members: {members} is not within 3 and {MOST_MEMBERS}")
+    if not 3 <= members <= MAX_MEMBERS:
+        raise ValueError(f"members: {members} is not between 3 and {MAX_MEMBERS}")
     names = [chr(ord("a") + number) for number in range(members)]
-    last, others = names[-1], names[:-1]
-    wide = 18
+    last, peers = names[-1], names[:-1]
+    column_width = 18
     rows = [
         ("ms", [*names, "faults"]),
         ("3000", ["" for _ in names] + [f"kill {last}"]),
-        ("5450", [f"{last} dead"] * len(others)),
+        ("5450", [f"{last} dead"] * len(peers)),
         ("8000", ["" for _ in names] + [f"start {last}"]),
-        ("8003", [f"{last} alive"] * len(others)),
+        ("8003", [f"{last} alive"] * len(peers)),
     ]
     rows += [
-        ("8003", [""] * len(others) + [f"{'& ' if number else ''}{name} alive"])  # in whatever order it hears them
-        for number, name in enumerate(others)
+        ("8003", [""] * len(peers) + [f"{'& ' if number else ''}{name} alive"])  # in any order
+        for number, name in enumerate(peers)
     ]
     rows.append(("10000", []))
-    drawn = "\n".join(at.ljust(8) + "".join(cell.ljust(wide) for cell in cells).rstrip() for at, cells in rows)
-    return f"window: 2000\nseed: {seed}\nshow: dead alive\n\n{drawn}\n"
-
-
-def pace_of(drawn: Scenario) -> float:
-    return drawn.figure("pace", PACE)
-
-
-def membership(pace: float) -> dict[str, float]:
-    """The table of settings for a file played in this share of its time."""
-    return {"period_ms": 1000.0 * pace, "timeout_ms": min(120.0, TIMEOUT_MS), "gossip_ms": 60.0 * pace}
-
-
-def firm(drawn: Scenario, seen: Iterable[Seen]) -> list[Seen]:
-    """What is looked at of what was seen, but for doubts that are not drawn and were refuted or are open at the end."""
-    found = [one for one in seen if one[1] in drawn.columns]
-    for node in drawn.columns:
-        own = [one for one in found if one[1] == node]
-        for about in {one[2].split()[1] for one in own if one[2].startswith("suspects ")}:
-            wanted = [note.text for note in drawn.notes if note.node == node and note.text in _about(about)]
-            gone = _doubts(drawn, about, [one for one in own if plain(one[2]) in _about(about)], wanted)
-            found = [one for one in found if one not in gone]
-    return [one for one in found if drawn.shows(one[2])]
-
-
-def _doubts(drawn: Scenario, about: str, told: list[Seen], wanted: list[str]) -> list[Seen]:
-    """Of what one node told of one member, in order: what counts for nothing."""
-    doubt, ended = f"suspects {about}", f"{about} alive"
-    gone: list[Seen] = []
-    place = want = 0
-    while place < len(told):
-        text, after = plain(told[place][2]), [plain(one[2]) for one in told[place + 1 : place + 2]]
-        due = wanted[want] if want < len(wanted) else ""
-        open_still = not after and told[place][0] > drawn.ends - drawn.window
-        if text == doubt != due and (after == [ended] or open_still):
-            # Where its end is drawn for itself, as of a new life, only the doubt goes.
-            count = 1 if due == ended else 2
-            gone += told[place : place + count]
-            place += count
+    timeline = "\n".join(
+        at.ljust(8) + "".join(cell.ljust(column_width) for cell in cells).rstrip() for at, cells in rows
+    )
+    return f"window: 2000\nseed: {seed}\nshow: dead alive\n\n{timeline}\n"
+
+
+def time_scale_of(timeline: ExpectedTimeline) -> float:
+    """Returns the share of the file's time in which the timeline runs on processes."""
+    return timeline.number("pace", TIME_SCALE)
+
+
+def membership_settings(time_scale: float) -> dict[str, float]:
+    """Returns the membership settings for a timeline that runs in this share of its time."""
+    return {"period_ms": 1000.0 * time_scale, "timeout_ms": min(120.0, TIMEOUT_MS), "gossip_ms": 60.0 * time_scale}
+
+
+def without_refuted_suspicions(timeline: ExpectedTimeline, observed: Iterable[ObservedLine]) -> list[ObservedLine]:
+    """Returns the compared lines without unexpected suspicions that were refuted or are open at the end."""
+    found = [line for line in observed if line[1] in timeline.columns]
+    for node in timeline.columns:
+        node_lines = [line for line in found if line[1] == node]
+        for about in {line[2].split()[1] for line in node_lines if line[2].startswith("suspects ")}:
+            expected = [
+                note.text for note in timeline.entries if note.node == node and note.text in _texts_about(about)
+            ]
+            ignored = _refuted_suspicions(
+                timeline, about, [line for line in node_lines if normalize(line[2]) in _texts_about(about)], expected
+            )
+            found = [line for line in found if line not in ignored]
+    return [line for line in found if timeline.is_compared(line[2])]
+
+
+def _refuted_suspicions(
+    timeline: ExpectedTimeline, about: str, lines: list[ObservedLine], expected: list[str]
+) -> list[ObservedLine]:
+    """Returns the lines to ignore among those of one node about one member, in order."""
+    suspicion, refutation = f"suspects {about}", f"{about} alive"
+    ignored: list[ObservedLine] = []
+    index = expected_index = 0
+    while index < len(lines):
+        text, after = normalize(lines[index][2]), [normalize(line[2]) for line in lines[index + 1 : index + 2]]
+        next_expected = expected[expected_index] if expected_index < len(expected) else ""
+        is_open = not after and lines[index][0] > timeline.end_ms - timeline.window_ms
+        if text == suspicion != next_expected and (after == [refutation] or is_open):
+            # If the line that ends the suspicion is expected, as for a new process, only the suspicion is ignored.
+            count = 1 if next_expected == refutation else 2
+            ignored += lines[index : index + count]
+            index += count
         else:
-            want += drawn.shows(text)
-            place += 1
-    return gone
+            expected_index += timeline.is_compared(text)
+            index += 1
+    return ignored
 
 
-def _about(name: str) -> tuple[str, ...]:
+def _texts_about(name: str) -> tuple[str, ...]:
     return (f"suspects {name}", f"{name} alive", f"{name} dead", f"{name} left")
 
 
-def compared(drawn: Scenario, played: Scenario) -> Callable[[list[Seen], list[float]], str | None]:
-    """`drawn`: the file; `played`: as it is played. Both sides, where they differ."""
+def comparison_of(
+    timeline: ExpectedTimeline, rescaled: ExpectedTimeline
+) -> Callable[[list[ObservedLine], list[float]], str | None]:
+    """Returns the comparison of a run. `timeline` is of the file, `rescaled` of the processes."""
 
-    def compare(seen: list[Seen], happened: list[float]) -> str | None:
-        after = [one for one in firm(played, [one for one in seen if one[0] >= 0.0])]
-        return _missing(drawn, seen) or within(played, after, happened, grace=0.0)
+    def compare(observed: list[ObservedLine], fault_times_ms: list[float]) -> str | None:
+        after = [line for line in without_refuted_suspicions(rescaled, [line for line in observed if line[0] >= 0.0])]
+        return _missing(timeline, observed) or compare_within_window(rescaled, after, fault_times_ms, grace_ms=0.0)
 
     return compare
 
 
-def _missing(drawn: Scenario, seen: list[Seen]) -> str | None:
-    """Of what stands before the first fault, which is waited for: what did not come before the run began."""
-    came = {(node, plain(text)) for at, node, text in seen if at < 0.0}
-    missing = [f"{note.node}: {note.text!r}" for note in drawn.before if (note.node, note.text) not in came]
-    return f"{drawn.name}: before the first fault did not come: {', '.join(missing)}" if missing else None
+def _missing(timeline: ExpectedTimeline, observed: list[ObservedLine]) -> str | None:
+    """Returns a text with the entries before the first fault that were not logged before time 0, or None."""
+    logged = {(node, normalize(text)) for at, node, text in observed if at < 0.0}
+    missing = [
+        f"{note.node}: {note.text!r}" for note in timeline.entries_before_faults if (note.node, note.text) not in logged
+    ]
+    return f"{timeline.name}: not logged before the first fault: {', '.join(missing)}" if missing else None
 
 
-def fleet_of(drawn: Scenario, key_file: Path, pace: float) -> Fleet:
-    return together(drawn.nodes, key_file, seeds=seeds_of(drawn), twins=twins_of(drawn), membership=membership(pace))
+def fleet_settings_of(timeline: ExpectedTimeline, key_file: Path, time_scale: float) -> SettingsText:
+    """Returns the settings of the nodes."""
+    return relayed_fleet_settings(
+        timeline.nodes,
+        key_file,
+        seeds=seeds_of(timeline),
+        twins=twins_of(timeline),
+        membership=membership_settings(time_scale),
+    )
 
 
-def _alive(count: int) -> Callable[[str, dict[str, Any]], bool]:
+def _sees_alive(count: int) -> Callable[[str, dict[str, Any]], bool]:
     return lambda name, state: count == sum(member["state"] == "alive" for member in state["members"])
 
 
-async def play(
-    drawn: Scenario,
+async def run_on_processes(
+    timeline: ExpectedTimeline,
     folder: Path,
     *,
     rate: float = 60.0,
@@ -178,65 +200,67 @@
     watch: Callable[[Stage], Coroutine[Any, Any, None]] | None = None,
     after: Callable[[Stage], Coroutine[Any, Any, None]] | None = None,
 ) -> Outcome:
-    """One run on processes, all of them ended whatever happens: before it returns, raises or is cancelled.
+    """Runs the timeline on processes, and ends all processes before it returns, raises or is cancelled.
 
-    `watch` runs beside it, from its first process on; `after` at its end, while its processes are there.
+    `watch` runs concurrently from the first process on; `after` runs at the end, before the processes end.
 
-    Raises SidecarError, RelayError, NotReachedError, and ValueError on a drawing that can't be played so.
+    Raises SidecarError, RelayError, NotReachedError, and ValueError on a timeline that cannot run on processes.
     """
-    pace = pace_of(drawn)
-    played = drawn.quicker(pace, LEAD_MS)
-    text = TRAFFIC.format(length_s=played.ends / 1000.0, count=len(drawn.nodes), rate=rate)
+    time_scale = time_scale_of(timeline)
+    rescaled = timeline.rescaled(time_scale, LEAD_MS)
+    text = TRAFFIC.format(length_s=rescaled.end_ms / 1000.0, count=len(timeline.nodes), rate=rate)
     key_file = folder / "key"
-    key_file.write_text(KEY, encoding="ascii")
-    same = drawn.head.get("lives") == "same"
+    key_file.write_text(FLEET_KEY, encoding="ascii")
+    same_epochs = timeline.header.get("lives") == "same"
 
-    async def settled(processes: Processes) -> None:
-        there = [name for name in drawn.nodes if name not in drawn.later]
-        await processes.until_all(_alive(len(there)), SETTLED_S, "all are alive to all", there)
+    async def wait_until_ready(processes: Processes) -> None:
+        running = [name for name in timeline.nodes if name not in timeline.started_later]
+        await processes.wait_until_all(
+            _sees_alive(len(running)), READY_TIMEOUT_S, "all members consider all alive", running
+        )
 
     stage = Stage(
         planning.plan(scenario.parse(text, "drill"), seed),
         folder,
-        played,
-        Weather(drawn.seed),
-        fleet=fleet_of(drawn, key_file, pace),
-        compare=compared(drawn, played),
-        spoils=same or _spoils(drawn),
-        names=twins_of(drawn),
-        clock_back_s=3600.0 if same else 0.0,
+        rescaled,
+        NetworkConditions(timeline.seed),
+        fleet_settings=fleet_settings_of(timeline, key_file, time_scale),
+        compare=comparison_of(timeline, rescaled),
+        faulty_disks=same_epochs or _needs_faulty_disks(timeline),
+        process_names=twins_of(timeline),
+        clock_back_s=3600.0 if same_epochs else 0.0,
     )
-    beside = asyncio.get_running_loop().create_task(watch(stage)) if watch is not None else None
+    watching = asyncio.get_running_loop().create_task(watch(stage)) if watch is not None else None
     try:
-        outcome = await stage.perform(settled)
+        outcome = await stage.run_timeline(wait_until_ready)
         if after is not None:
             await after(stage)
         return outcome
     finally:
-        if beside is not None:
-            beside.cancel()
+        if watching is not None:
+            watching.cancel()
         await stage.close()
 
 
-async def tried(drawn: Scenario, folder: Path, tries: int = TRIES) -> Outcome:
-    """As `play`. A run that did not come out while the host's own timers were late by LATE_MS is played again.
+async def run_with_retries(timeline: ExpectedTimeline, folder: Path, max_attempts: int = MAX_ATTEMPTS) -> Outcome:
+    """As `run_on_processes`, but repeats a failed run if the host's own timers were late by BUSY_TIMER_DELAY_MS.
 
-    Such a machine holds everybody up for longer than the spans of the drawing, so the run says nothing of the program.
-    On a machine that keeps time the first verdict stands, whatever it is; so does the last.
+    Such a machine delays all processes by more than the timeline's tolerances, so the run does not show a fault of the
+    program. On a machine whose timers are on time the first result counts; the last result always counts.
     """
-    for number in range(tries):
-        place = folder / str(number)
-        place.mkdir()
+    for number in range(max_attempts):
+        attempt_folder = folder / str(number)
+        attempt_folder.mkdir()
         try:
-            outcome = await play(drawn, place)
+            outcome = await run_on_processes(timeline, attempt_folder)
         except NotReachedError:
-            if number == tries - 1:
+            if number == max_attempts - 1:
                 raise
-            continue  # before the drawing began: somebody else has taken a port that was free, or nothing gets time
-        if outcome.well or outcome.late_ms < LATE_MS or number == tries - 1:
+            continue  # before time 0: another process took a free port, or the machine is overloaded
+        if outcome.succeeded or outcome.max_timer_delay_ms < BUSY_TIMER_DELAY_MS or number == max_attempts - 1:
             return outcome
-    raise ValueError("no tries")
+    raise ValueError("no attempts")
 
 
-def _spoils(drawn: Scenario) -> bool:
-    return any(str(fault).split()[0] in ("disk", "clock") for _, fault in drawn.faults)
+def _needs_faulty_disks(timeline: ExpectedTimeline) -> bool:
+    return any(str(fault).split()[0] in ("disk", "clock") for _, fault in timeline.faults)
--- a/limenotch/lab/fleet/explore.py
+++ b/limenotch/lab/fleet/explore.py
@@ -31,7 +31,7 @@
     Stored,
     TimerFired,
 )
-from limenotch.lab.fleet.world import Make, address
+from limenotch.lab.fleet.world import ComponentFactory, address
 from limenotch.store.records import StoredLog
 
 _ENCODER = Encoder()
@@ -121,7 +121,7 @@
     def __init__(
         self,
         nodes: Sequence[str],
-        make: Make,
+        make: ComponentFactory,
         digest: Callable[[Any], Hashable],
         check: Callable[[View], str | None],
         bounds: Bounds = DEFAULT_BOUNDS,
--- a/limenotch/lab/fleet/explore_log.py
+++ b/limenotch/lab/fleet/explore_log.py
@@ -15,7 +15,7 @@
 from limenotch.fleet.consensus.states import Role
 from limenotch.fleet.interfaces import LogLine, SendToMember, SetTimer, Store
 from limenotch.lab.fleet.explore import View
-from limenotch.lab.fleet.world import Make
+from limenotch.lab.fleet.world import ComponentFactory
 from limenotch.store.records import LogEntry, StoredLog, TermVote
 
 TUNING = consensus.Tuning(
@@ -74,7 +74,7 @@
     }
 
 
-def component_maker(names: Sequence[str]) -> Make:
+def component_maker(names: Sequence[str]) -> ComponentFactory:
     """The function that makes a member at each start of its process."""
 
     def make(name: str, seed: int, process_epoch: int, stored_log: StoredLog) -> Member:
--- a/limenotch/lab/fleet/faulty.py
+++ b/limenotch/lab/fleet/faulty.py
@@ -1,9 +1,9 @@
-"""A disk that fails, put under a node's store by wrapping its files; driven from outside by a small text file.
+"""Simulates disk faults of a node by wrapping the files of its store; a small text file sets the faults from outside.
 
-The file of wishes is written whole (`ask_for`) and looked at before each operation, by one `stat` where it has not
-changed. Its words, one a line: `disk ok`, `disk full`, `disk slow 300` (ms for each sync and replace), `disk torn`,
-`disk read-only`, and `clock +3600` (seconds that the wall clock is set apart, see `node`). A full or torn disk takes
-the first half of what is written and then fails, which is what a real one may do and what a store has to bear.
+`write_process_faults` replaces the file atomically. Each operation checks it first, with one `stat` if it has not
+changed. Its lines: `disk ok`, `disk full`, `disk slow 300` (ms of each sync and replace), `disk torn`, `disk
+read-only`, and `clock +3600` (offset of the wall clock in seconds, see `node`). A full or torn disk stores the first
+half of a write and then fails: a real disk may do the same, and a store has to tolerate it.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from time import sleep
 from typing import NamedTuple, Protocol
 
-STATES = ("ok", "full", "slow", "torn", "read-only")
-NAME = "faults"  # of the file, beside the folder of the data
-MOST_SLOW_MS = 60_000.0
+DISK_STATES = ("ok", "full", "slow", "torn", "read-only")
+FAULTS_FILE_NAME = "faults"  # file name, beside the data folder
+MAX_SLOW_MS = 60_000.0
 
 
 class Files(Protocol):
-    """Of one flat folder. Every operation raises OSError; what it has then done is not known."""
+    """The files of one flat folder. Every operation may raise OSError; its effect is then unknown."""
 
     def open_append(self, name: str) -> int: ...
 
@@ -42,100 +42,105 @@
     def truncate(self, name: str, size: int) -> None: ...
 
 
-class Wish(NamedTuple):
-    state: str = "ok"  # of STATES
+class ProcessFaults(NamedTuple):
+    """The faults of one process: the state of its disk, and the offset of its wall clock."""
+
+    state: str = "ok"  # one of DISK_STATES
     slow_ms: float = 0.0
-    clock_s: float = 0.0
+    clock_offset_s: float = 0.0
 
 
-def read_wish(text: str) -> Wish:
-    """Raises ValueError with the line that can't be read."""
-    wish = Wish()
+def parse_process_faults(text: str) -> ProcessFaults:
+    """Parses the text of the file. Raises ValueError with the invalid line."""
+    faults = ProcessFaults()
     for line in text.splitlines():
         words = line.split()
         if words[:1] == ["clock"] and len(words) == 2:
-            wish = wish._replace(clock_s=float(words[1]))
-        elif words[:2] == ["disk", "slow"] and len(words) == 3 and 0 <= float(words[2]) <= MOST_SLOW_MS:
-            wish = wish._replace(state="slow", slow_ms=float(words[2]))
-        elif words[:1] == ["disk"] and len(words) == 2 and words[1] in STATES and words[1] != "slow":
-            wish = wish._replace(state=words[1], slow_ms=0.0)
+            faults = faults._replace(clock_offset_s=float(words[1]))
+        elif words[:2] == ["disk", "slow"] and len(words) == 3 and 0 <= float(words[2]) <= MAX_SLOW_MS:
+            faults = faults._replace(state="slow", slow_ms=float(words[2]))
+        elif words[:1] == ["disk"] and len(words) == 2 and words[1] in DISK_STATES and words[1] != "slow":
+            faults = faults._replace(state=words[1], slow_ms=0.0)
         elif words:
-            raise ValueError(f"no wish: {line!r}")
-    return wish
+            raise ValueError(f"invalid fault line: {line!r}")
+    return faults
 
 
-def ask_for(path: Path, wish: Wish) -> None:
-    """From outside the process: in force with its next operation."""
-    disk = f"disk slow {wish.slow_ms:g}" if wish.state == "slow" else f"disk {wish.state}"
-    aside = path.with_name(path.name + ".new")
-    aside.write_text(f"{disk}\nclock {wish.clock_s:+g}\n", encoding="ascii")
-    os.replace(aside, path)  # never half of it
+def write_process_faults(path: Path, faults: ProcessFaults) -> None:
+    """Writes the file, from outside the process: in force from its next operation on."""
+    disk = f"disk slow {faults.slow_ms:g}" if faults.state == "slow" else f"disk {faults.state}"
+    temporary = path.with_name(path.name + ".new")
+    temporary.write_text(f"{disk}\nclock {faults.clock_offset_s:+g}\n", encoding="ascii")
+    os.replace(temporary, path)  # atomic
 
 
-class Wishes:
-    """The file as this process sees it. No file: all is well."""
+class FaultsFile:
+    """The faults file as read by this process. Without the file there are no faults."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._known: tuple[int, int] | None = None
-        self._wish = Wish()
+        self._file_version: tuple[int, int] | None = None
+        self._faults = ProcessFaults()
 
-    def now(self) -> Wish:
-        """Raises ValueError on a file that can't be read as wishes: a test must not go on as if all were well."""
+    def current(self) -> ProcessFaults:
+        """Returns the current faults. Raises ValueError on an invalid file: a test must not run without its faults."""
         try:
-            there = self._path.stat()
+            stat = self._path.stat()
         except FileNotFoundError:
-            self._known, self._wish = None, Wish()
-            return self._wish
-        known = (there.st_ino, there.st_mtime_ns)
-        if known != self._known:
-            self._wish = read_wish(self._path.read_text(encoding="ascii"))
-            self._known = known
-        return self._wish
+            self._file_version, self._faults = None, ProcessFaults()
+            return self._faults
+        file_version = (stat.st_ino, stat.st_mtime_ns)
+        if file_version != self._file_version:
+            self._faults = parse_process_faults(self._path.read_text(encoding="ascii"))
+            self._file_version = file_version
+        return self._faults
 
 
 class FaultyFiles:
-    """Files as given, but for what is wished. `wait` is called with ms, in the thread of the store's."""
+    """Wraps files and adds the current faults. Calls `wait` with ms, in the thread of the store."""
 
     def __init__(
-        self, files: Files, wishes: Callable[[], Wish], wait: Callable[[float], None] = lambda ms: sleep(ms / 1000.0)
+        self,
+        files: Files,
+        current_faults: Callable[[], ProcessFaults],
+        wait: Callable[[float], None] = lambda ms: sleep(ms / 1000.0),
     ) -> None:
-        self._files, self._wishes, self._wait = files, wishes, wait
-        self.failed: dict[str, int] = dict.fromkeys(STATES[1:], 0)  # operations that met it
-
-    def _meet(self, slows: bool = False) -> str:
-        """What an operation that changes the disk meets. Raises EROFS itself; the rest is the operation's."""
-        wish = self._wishes()
-        if wish.state == "read-only":
-            self.failed["read-only"] += 1
+        self._files, self._current_faults, self._wait = files, current_faults, wait
+        self.fault_counts: dict[str, int] = dict.fromkeys(DISK_STATES[1:], 0)  # number of operations by fault
+
+    def _check_fault(self, can_be_slow: bool = False) -> str:
+        """Returns the disk state for a changing operation. Raises EROFS; the operation itself raises other errors."""
+        faults = self._current_faults()
+        if faults.state == "read-only":
+            self.fault_counts["read-only"] += 1
             raise OSError(errno.EROFS, os.strerror(errno.EROFS))
-        if wish.state == "slow" and slows:
-            self.failed["slow"] += 1
-            self._wait(wish.slow_ms)
-        return wish.state
+        if faults.state == "slow" and can_be_slow:
+            self.fault_counts["slow"] += 1
+            self._wait(faults.slow_ms)
+        return faults.state
 
-    def _fail(self, state: str) -> None:
+    def _raise_disk_error(self, state: str) -> None:
         if state in ("full", "torn"):
-            self.failed[state] += 1
-            number = errno.ENOSPC if state == "full" else errno.EIO
-            raise OSError(number, os.strerror(number))
+            self.fault_counts[state] += 1
+            error_number = errno.ENOSPC if state == "full" else errno.EIO
+            raise OSError(error_number, os.strerror(error_number))
 
     def open_append(self, name: str) -> int:
-        self._meet()
+        self._check_fault()
         return self._files.open_append(name)
 
     def write(self, handle: int, data: bytes) -> None:
-        state = self._meet()
+        state = self._check_fault()
         if state in ("full", "torn"):
             self._files.write(handle, data[: len(data) // 2])
-        self._fail(state)
+        self._raise_disk_error(state)
         self._files.write(handle, data)
 
     def sync(self, handle: int) -> None:
-        """A full disk syncs what it has; a torn one does not say what of it is there."""
-        state = self._meet(slows=True)
+        """Succeeds on a full disk; fails on a torn disk, which may or may not have stored the data."""
+        state = self._check_fault(can_be_slow=True)
         if state == "torn":
-            self._fail(state)
+            self._raise_disk_error(state)
         self._files.sync(handle)
 
     def close(self, handle: int) -> None:
@@ -145,28 +150,28 @@
         return self._files.read(name)
 
     def replace(self, name: str, data: bytes) -> None:
-        """Whole or not at all: what fails leaves the old."""
-        self._fail(self._meet(slows=True))
+        """Replaces atomically: a failure leaves the old content."""
+        self._raise_disk_error(self._check_fault(can_be_slow=True))
         self._files.replace(name, data)
 
     def remove(self, name: str) -> None:
-        """Goes on a full disk: its bytes are what is wanted back."""
-        state = self._meet()
+        """Succeeds on a full disk, as removal frees space."""
+        state = self._check_fault()
         if state == "torn":
-            self._fail(state)
+            self._raise_disk_error(state)
         self._files.remove(name)
 
     def names(self) -> list[str]:
         return self._files.names()
 
     def truncate(self, name: str, size: int) -> None:
-        state = self._meet(slows=True)
+        state = self._check_fault(can_be_slow=True)
         if state == "torn":
-            self._fail(state)
+            self._raise_disk_error(state)
         self._files.truncate(name, size)
 
     def release(self) -> None:
-        """Where the real files hold their folder, it is let go."""
+        """Releases the folder if the wrapped files lock it."""
         release = getattr(self._files, "release", None)
         if release is not None:
             release()
--- a/limenotch/lab/fleet/lists_drawings.py
+++ b/limenotch/lab/fleet/lists_drawings.py
@@ -21,9 +21,9 @@
     PeerDrainsChanged,
 )
 from limenotch.fleet.rules.endpoint_lists import EndpointLists
-from limenotch.lab.fleet.drawing import Scenario
+from limenotch.lab.fleet.drawing import ExpectedTimeline
 from limenotch.lab.fleet.rules_run import LOG_TUNING
-from limenotch.lab.fleet.scenario import Outcome, check, play
+from limenotch.lab.fleet.scenario import Outcome, check, simulate
 from limenotch.lab.fleet.world import World, address
 from limenotch.store.records import StoredLog
 
@@ -53,7 +53,7 @@
 
 
 def ask(world: World, node: str, text: str) -> None:
-    world.poke(node, ComponentEvent(PREFIX, event_of(text)))
+    world.deliver_event(node, ComponentEvent(PREFIX, event_of(text)))
 
 
 class ListsRun:
@@ -92,6 +92,6 @@
         return hub
 
 
-def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
+def outcome(scenario: ExpectedTimeline, exact: bool = True) -> Outcome:
     """Play the scenario. If `exact`, AssertionError where it did not come out as expected."""
-    return (check if exact else play)(scenario, ListsRun(tuple(scenario.nodes)).make, ask)
+    return (check if exact else simulate)(scenario, ListsRun(tuple(scenario.nodes)).make, ask)
--- a/limenotch/lab/fleet/log_drawings.py
+++ b/limenotch/lab/fleet/log_drawings.py
@@ -13,8 +13,8 @@
 from limenotch.fleet import consensus
 from limenotch.fleet.consensus import api
 from limenotch.fleet.interfaces import LogLine
-from limenotch.lab.fleet.drawing import Scenario
-from limenotch.lab.fleet.scenario import Outcome, check, play
+from limenotch.lab.fleet.drawing import ExpectedTimeline
+from limenotch.lab.fleet.scenario import Outcome, check, simulate
 from limenotch.lab.fleet.world import World
 from limenotch.store.records import StoredLog
 
@@ -55,7 +55,7 @@
 
 def ask(world: World, node: str, words: str) -> None:
     """Carries out `ask NODE WORDS` of a timeline."""
-    component = world.part(node)
+    component = world.component(node)
     if component is None:
         return
     first_ticket = len(component.words_by_ticket) + 1
@@ -64,18 +64,18 @@
         add = next((change[1:] for change in changes if change.startswith("+")), "")
         remove = next((change[1:] for change in changes if change.startswith("-")), "")
         component.words_by_ticket[first_ticket] = words
-        world.poke(node, api.ChangeVoters(first_ticket, add, remove))
+        world.deliver_event(node, api.ChangeVoters(first_ticket, add, remove))
         return
     for number in range(BULK_PROPOSALS if words == "many" else 1):
         component.words_by_ticket[first_ticket + number] = "" if words == "many" else words
-        world.poke(node, api.Propose(first_ticket + number, b"x", f"{words}{number}"))
+        world.deliver_event(node, api.Propose(first_ticket + number, b"x", f"{words}{number}"))
 
 
-def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
+def outcome(scenario: ExpectedTimeline, exact: bool = True) -> Outcome:
     """Plays the scenario; its first three nodes are the voters. With `exact`, AssertionError on any difference."""
     voters = scenario.nodes[:3]
 
     def make(name: str, seed: int, process_epoch: int, stored_log: StoredLog) -> LoggingConsensus:
         return LoggingConsensus(name, tuple(voters), seed, stored_log)
 
-    return (check if exact else play)(scenario, make, ask)
+    return (check if exact else simulate)(scenario, make, ask)
--- a/limenotch/lab/fleet/log_run.py
+++ b/limenotch/lab/fleet/log_run.py
@@ -121,19 +121,19 @@
         """Proposes an entry at a node; returns the ticket."""
         self.ticket += 1
         self.proposed_at_ms[self.ticket] = self.world.now
-        self.world.poke(name, api.Propose(self.ticket, data, proposal_id or f"p{self.ticket}"))
+        self.world.deliver_event(name, api.Propose(self.ticket, data, proposal_id or f"p{self.ticket}"))
         return self.ticket
 
     def read(self, name: str) -> int:
         """Requests a read at a node; returns the ticket."""
         self.ticket += 1
-        self.world.poke(name, api.ReadIndex(self.ticket))
+        self.world.deliver_event(name, api.ReadIndex(self.ticket))
         return self.ticket
 
     def change(self, name: str, add: str = "", remove: str = "") -> int:
         """Requests a change of the voters at a node; returns the ticket."""
         self.ticket += 1
-        self.world.poke(name, api.ChangeVoters(self.ticket, add, remove))
+        self.world.deliver_event(name, api.ChangeVoters(self.ticket, add, remove))
         return self.ticket
 
     def leader(self) -> str | None:
@@ -147,7 +147,7 @@
 
     def consensus_of(self, name: str) -> Any:
         """The Consensus object of a node; None while its process is down."""
-        component = self.world.part(name)
+        component = self.world.component(name)
         return component.consensus if component is not None else None
 
     def run_until(self, condition: Callable[[], bool], timeout_ms: float, step_ms: float = 10.0) -> float:
@@ -172,9 +172,9 @@
     def end_faults(self) -> None:
         """Ends all faults and starts or wakes all processes."""
         for text in ("heal", "loss 0%", "double 0%", "delay 1..1"):
-            self.world.fault(faults.parse(text))
+            self.world.apply_fault(faults.parse(text))
         for name, node in self.world.nodes.items():
-            self.world.fault(faults.parse(f"disk {name} ok"))
+            self.world.apply_fault(faults.parse(f"disk {name} ok"))
             if not self.world.alive(name):
                 self.world.start(name)
             elif node.paused:
@@ -191,7 +191,7 @@
             if leader is not None and self.world.now - proposed_at_ms[0] >= 500:
                 proposed_at_ms[0] = self.world.now
                 self.propose(leader, proposal_id)
-            return all(proposal_id in self.world.part(name).table.values() for name in self.names)
+            return all(proposal_id in self.world.component(name).table.values() for name in self.names)
 
         self.run_until(everywhere, timeout_ms)
         self.world.run(self.world.now + 2 * self.tuning.learner_ms)
@@ -206,15 +206,15 @@
     random = Random(f"{seed} storm")
     voter_count = random.choice((3, 3, 5))
     names = list("abcdefg"[: voter_count + random.choice((0, 1, 2))])
-    run = Run(names, tuple(names[:voter_count]), seed, drift_ppm=5000.0, wake=random.choice(("timers", "heard")))
+    run = Run(names, tuple(names[:voter_count]), seed, drift_ppm=5000.0, wake_order=random.choice(("timers", "heard")))
     run.run_until(lambda: run.leader() is not None, 10_000)
     world = run.world
     if prepare is not None:
         prepare(run)
     began_ms = world.now
-    world.fault(faults.parse(f"loss {random.choice((0, 0, 5, 20))}%"))
-    world.fault(faults.parse(f"delay 1..{random.choice((1, 5, 40))}"))
-    world.fault(faults.parse(f"double {random.choice((0, 10))}%"))
+    world.apply_fault(faults.parse(f"loss {random.choice((0, 0, 5, 20))}%"))
+    world.apply_fault(faults.parse(f"delay 1..{random.choice((1, 5, 40))}"))
+    world.apply_fault(faults.parse(f"double {random.choice((0, 10))}%"))
     # Either a disk is lost or voters change: a change may leave two voters, of which none may lose its disk.
     wiped = changes = random.random() < 0.5
     repeated_ids: list[str] = []
@@ -275,16 +275,16 @@
     elif kind in ("pause", "wake") and world.alive(name):
         getattr(world, kind)(name)
     elif kind == "cut":
-        world.fault(faults.parse(f"cut {name} | {' '.join(other_nodes)}"))
+        world.apply_fault(faults.parse(f"cut {name} | {' '.join(other_nodes)}"))
     elif kind == "one way":
         joined_names = " ".join(other_nodes)
-        world.fault(faults.parse(random.choice((f"cut {name} > {joined_names}", f"cut {joined_names} > {name}"))))
+        world.apply_fault(faults.parse(random.choice((f"cut {name} > {joined_names}", f"cut {joined_names} > {name}"))))
     elif kind == "heal":
-        world.fault(faults.parse("heal"))
+        world.apply_fault(faults.parse("heal"))
     elif kind == "disk":
-        world.fault(faults.parse(f"disk {name} {random.choice(('full', 'torn', 'slow 150', 'read-only'))}"))
+        world.apply_fault(faults.parse(f"disk {name} {random.choice(('full', 'torn', 'slow 150', 'read-only'))}"))
     elif kind == "disk ok":
-        world.fault(faults.parse(f"disk {name} ok"))
+        world.apply_fault(faults.parse(f"disk {name} ok"))
     elif kind == "all":
         for each in run.names:
             if world.alive(each):
--- a/limenotch/lab/fleet/members.py
+++ b/limenotch/lab/fleet/members.py
@@ -1,7 +1,7 @@
-"""Memberships in simulated time, as a drawing's head wants them: under which name each runs, and what it starts from.
+"""Membership components in simulated time, as configured by the header of an expected timeline.
 
-Of the head: `seeds` (`a b` if not said), `twins` (`c2=c`: the node c2 runs under the name c) and `lives`: `grow` gives
-each process of a node the next number, `same` always 1, as a clock does that was set back.
+Header keys: `seeds` (default `a b`), `twins` (`c2=c`: node c2 runs under the name c) and `lives`: `grow` gives each
+process of a node the next process epoch, `same` always 1, as after the clock was set back.
 """
 
 from __future__ import annotations
@@ -12,56 +12,62 @@
 from ...fleet.interfaces import MessageReceived
 from ...fleet.membership import Membership, Tuning
 from ...store.records import StoredLog
-from .drawing import Scenario
-from .world import Make, World, address
+from .drawing import ExpectedTimeline
+from .world import ComponentFactory, World, address
 
 TUNING = Tuning()
 
 
-class Named:
-    """A part on a node of another name: two processes may have one name, two nodes may not."""
+class NamedMember:
+    """A component on a node of another name: two processes may have the same name, two nodes may not."""
 
-    def __init__(self, part: Membership, names: Mapping[str, str]) -> None:
-        self.part, self.names = part, names
+    def __init__(self, component: Membership, process_names: Mapping[str, str]) -> None:
+        self.component, self.process_names = component, process_names
 
     def handle(self, now: float, event: Any) -> list[Any]:
+        """Handles an event, with the sender's node name replaced by its process name."""
         if isinstance(event, MessageReceived):
-            event = event._replace(sender=self.names.get(event.sender, event.sender))
-        return self.part.handle(now, event)
+            event = event._replace(sender=self.process_names.get(event.sender, event.sender))
+        return self.component.handle(now, event)
 
 
-def maker(
+def component_factory(
     seeds: Iterable[str] = ("a", "b"),
     tuning: Tuning = TUNING,
-    names: Mapping[str, str] | None = None,
+    process_names: Mapping[str, str] | None = None,
     process_epochs: str = "grow",
-) -> Make:
-    known, named = [address(seed) for seed in seeds], dict(names or {})
+) -> ComponentFactory:
+    """Returns a factory of membership components. `process_names`: by node; `process_epochs`: `grow` or `same`."""
+    seed_addresses, names = [address(seed) for seed in seeds], dict(process_names or {})
 
-    def make(name: str, seed: int, process_epoch: int, held: StoredLog) -> Named:
+    def make_component(name: str, seed: int, process_epoch: int, stored: StoredLog) -> NamedMember:
         process_epoch = 1 if process_epochs == "same" else process_epoch
-        return Named(Membership(named.get(name, name), address(name), process_epoch, known, tuning, seed), named)
+        return NamedMember(
+            Membership(names.get(name, name), address(name), process_epoch, seed_addresses, tuning, seed), names
+        )
 
-    return make
+    return make_component
 
 
-def seeds_of(scenario: Scenario) -> list[str]:
-    return scenario.head.get("seeds", "a b").split()
+def seeds_of(timeline: ExpectedTimeline) -> list[str]:
+    """Returns the names of the seeds."""
+    return timeline.header.get("seeds", "a b").split()
 
 
-def twins_of(scenario: Scenario) -> dict[str, str]:
-    """Nodes that run under another's name."""
+def twins_of(timeline: ExpectedTimeline) -> dict[str, str]:
+    """Returns the process names of the nodes that run under another node's name. Raises ValueError."""
     try:
-        return dict(pair.split("=") for pair in scenario.head.get("twins", "").split())
+        return dict(pair.split("=") for pair in timeline.header.get("twins", "").split())
     except ValueError:
-        raise ValueError(f"{scenario.name}: twins: expected such as c2=c") from None
+        raise ValueError(f"{timeline.name}: twins: expected such as c2=c") from None
 
 
-def make_for(scenario: Scenario, tuning: Tuning = TUNING) -> Make:
-    return maker(seeds_of(scenario), tuning, twins_of(scenario), scenario.head.get("lives", "grow"))
+def component_factory_for(timeline: ExpectedTimeline, tuning: Tuning = TUNING) -> ComponentFactory:
+    """Returns the factory that the header of a timeline configures."""
+    return component_factory(seeds_of(timeline), tuning, twins_of(timeline), timeline.header.get("lives", "grow"))
 
 
-def part_of(world: World, node: str) -> Membership | None:
-    """None if it does not run."""
-    found = world.part(node)
-    return found.part if isinstance(found, Named) else None
+def membership_on(world: World, node: str) -> Membership | None:
+    """Returns the membership that runs on a node; None if no process runs."""
+    component = world.component(node)
+    return component.component if isinstance(component, NamedMember) else None
--- a/limenotch/lab/fleet/node.py
+++ b/limenotch/lab/fleet/node.py
@@ -1,9 +1,9 @@
-"""`python -m limenotch.lab.fleet.node serve ...`: the program on a disk and a wall clock that tests can spoil.
+"""`python -m limenotch.lab.fleet.node serve ...`: the program with disk and wall-clock faults, for tests.
 
-Installs `faulty.FaultyFiles` over the files of the store, and a wall clock set apart by what is wished, then runs the
-program unchanged. The disk follows the file `faults` beside the store's folder; the clock follows the one that
-LIMENOTCH_LAB_FAULTS names, as no folder is known before the start. Only for the laboratory: `limenotch serve` knows
-nothing of it.
+The module wraps the files of the store in `faulty.FaultyFiles`, offsets the wall clock, and then runs the unchanged
+program. The file `faults` beside the store's folder controls the disk. The file that LIMENOTCH_LAB_FAULTS names
+controls the clock, as the folder is not known before the start. Only the laboratory uses this module; `limenotch serve`
+does not.
 """
 
 from __future__ import annotations
@@ -15,36 +15,37 @@
 from pathlib import Path
 from typing import Any
 
-from .faulty import NAME, FaultyFiles, Wishes
+from .faulty import FAULTS_FILE_NAME, FaultsFile, FaultyFiles
 
-FAULTS = "LIMENOTCH_LAB_FAULTS"
+FAULTS_VARIABLE = "LIMENOTCH_LAB_FAULTS"
 
 
-def set_apart(wishes: Wishes) -> None:
-    """`time.time` and `time.time_ns` of this process, for who looks them up from now on; `datetime` is left alone."""
+def offset_wall_clock(faults_file: FaultsFile) -> None:
+    """Offsets `time.time` and `time.time_ns` of this process for later lookups; `datetime` is not changed."""
     real, real_ns = time.time, time.time_ns
-    time.time = lambda: real() + wishes.now().clock_s
-    time.time_ns = lambda: real_ns() + int(wishes.now().clock_s * 1e9)
+    time.time = lambda: real() + faults_file.current().clock_offset_s
+    time.time_ns = lambda: real_ns() + int(faults_file.current().clock_offset_s * 1e9)
 
 
-def spoil_disks(files: Any) -> None:
-    """Every store opened from now on stands on a disk that may fail. `files`: the module that has `RealFiles`.
+def install_faulty_disks(files: Any) -> None:
+    """Adds disk faults to every store that is opened from now on. `files` is the module that defines `RealFiles`.
 
-    To be called before any other module has taken that name from it.
+    Has to be called before any other module imports that name.
     """
     real = files.RealFiles
 
-    def opened(folder: Path) -> FaultyFiles:
-        return FaultyFiles(real(folder), Wishes(folder.parent / NAME).now)
+    def open_files(folder: Path) -> FaultyFiles:
+        return FaultyFiles(real(folder), FaultsFile(folder.parent / FAULTS_FILE_NAME).current)
 
-    files.RealFiles = opened
+    files.RealFiles = open_files
 
 
 def main(arguments: list[str]) -> int:
-    faults = os.environ.get(FAULTS)
-    if faults:
-        set_apart(Wishes(Path(faults)))
-    spoil_disks(import_module("limenotch.store.files"))
+    """Runs the program with these arguments under the faults; returns its exit code."""
+    faults_path = os.environ.get(FAULTS_VARIABLE)
+    if faults_path:
+        offset_wall_clock(FaultsFile(Path(faults_path)))
+    install_faulty_disks(import_module("limenotch.store.files"))
     from ...cli import main as program
 
     return program(arguments)
--- a/limenotch/lab/fleet/relay.py
+++ b/limenotch/lab/fleet/relay.py
@@ -1,22 +1,22 @@
 """A relay between each ordered pair of members, UDP and TCP on loopback: the network of a test, with its faults.
 
-Addresses. Members are numbered from 1 in order of their names. For each ordered pair (b -> a) there is a *door* at
-`127.64.<b>.<a>:port`, one datagram socket and one listener: it is where b, and b alone, finds a. What comes in at that
-door leaves for a's own address *from* the door of the reverse direction, `127.64.<a>.<b>`: so a sees as source the
-address where a finds b, and its answer goes through the relay of (a -> b). A stream's source has that host and a port
-of its own. No process learns another's own address, as long as its list of addresses is `Relay.addresses(name)`
-(`[fleet.addresses]`, which goes before what others advertise of themselves). All of 127.0.0.0/8 is loopback on Linux;
-elsewhere the relay can't bind.
-
-What befalls a message is the plan's say, asked once for each message in the order of its ordered pair: a plan that
-draws by a seed and a count for each pair (`weather.Weather` does) loses the same datagrams whatever the wall time does.
-A datagram may be lost, late, doubled and out of order. A stream keeps its order: bytes "lost" come RESEND_MS later, as
-a kernel would send them again; while the pair is cut nothing passes, neither bytes nor an end nor a reset, and nothing
-is told to either side. Two things differ from a network: a cut pair's connection attempt is accepted and says nothing,
-and a stream is asked about by the pieces in which the kernel gives it, so its lateness hangs on wall time.
-
-Times are ms. Everything held is bounded: datagrams by count (more are dropped and counted), streams by bytes (more are
-not read, as TCP's window would have it).
+Addresses: members are numbered from 1 in order of their names. Each ordered pair (b -> a) has a *door* at
+`127.64.<b>.<a>:port`, a datagram socket and a listener, where only b reaches a. The relay forwards what arrives at that
+door to a's own address, *from* the door of the reverse direction, `127.64.<a>.<b>`: a sees as source the address at
+which it reaches b, so its answers pass through the relay of (a -> b). A stream's source has that host and a port of its
+own. No process learns the own address of another as long as its list of addresses is `Relay.addresses(name)`
+(`[fleet.addresses]`, which takes precedence over advertised addresses). All of 127.0.0.0/8 is loopback on Linux; on
+other systems the relay cannot bind.
+
+Faults: the plan decides about each message, in the order of its ordered pair. A plan whose decisions follow from a seed
+and a count per pair, as those of `weather.NetworkConditions` do, loses the same datagrams at any wall time. Datagrams
+are lost, delayed, duplicated and reordered. A stream preserves its order: "lost" bytes arrive RETRANSMIT_TIMEOUT_MS
+later, as after a retransmission by a kernel. During a partition no bytes, end or reset of a stream pass, and neither
+side receives an error. Two things differ from a network: a connection attempt during a partition is accepted and then
+stays silent, and the plan decides about a stream per piece as read from the kernel, so its delays depend on wall time.
+
+Times are ms. All queues are bounded: datagrams by count (the relay drops and counts further ones), streams by bytes
+(the relay stops reading, as with a full TCP window).
 """
 
 from __future__ import annotations
@@ -31,58 +31,58 @@
 from ...fleet.interfaces import Address, Carrier
 from .splice import Splice
 
-NET = 64  # second byte of the doors' addresses
-MOST_MEMBERS = 250
-MOST_HELD = 512  # datagrams on their way through one door
-PORT_TRIES = 20
+LOOPBACK_NET = 64  # second byte of the addresses of the doors
+MAX_MEMBERS = 250
+MAX_DELAYED_DATAGRAMS = 512  # delayed datagrams per door
+MAX_BIND_ATTEMPTS = 20
 
 
-class Plan(Protocol):
-    """`weather.Weather` is one."""
+class FaultPlan(Protocol):
+    """The faults that the relay carries out; implemented by `weather.NetworkConditions`."""
 
-    def fate(self, now_ms: float, frm: str, to: str, carrier: Carrier) -> list[float]:
-        """The delays in ms of the copies that arrive; none: the message is lost."""
+    def arrival_delays_ms(self, now_ms: float, sender: str, receiver: str, carrier: Carrier) -> list[float]:
+        """Returns the delay of each copy that arrives; empty: the message is lost."""
         ...
 
-    def is_cut(self, frm: str, to: str) -> bool:
-        """Whether nothing at all passes in this direction now."""
+    def is_partitioned(self, sender: str, receiver: str) -> bool:
+        """Whether no message passes in this direction now."""
         ...
 
 
 class RelayError(Exception):
-    """No door could be opened; the text says which."""
+    """A door could not be opened; the text names it."""
 
 
 @dataclass(slots=True)
-class Passed:
-    """What one ordered pair's door saw."""
+class DoorCounts:
+    """Traffic counts of a door."""
 
-    datagrams: int = 0  # that came in
-    lost: int = 0  # by the plan, cuts included
-    doubled: int = 0
-    over: int = 0  # dropped as MOST_HELD were on their way
+    datagrams: int = 0  # received
+    lost: int = 0  # dropped by the plan, including partitions
+    duplicated: int = 0
+    dropped: int = 0  # dropped because MAX_DELAYED_DATAGRAMS were queued
     connections: int = 0
-    sent_bytes: int = 0  # that went on, both carriers
+    sent_bytes: int = 0  # forwarded, datagrams and streams
 
 
 class Door(asyncio.DatagramProtocol):
-    """Where `frm` finds `to`. Owned by the relay."""
+    """The address at which `sender` reaches `receiver`. Owned by the relay."""
 
-    def __init__(self, relay: Relay, frm: str, to: str, host: str) -> None:
-        self._relay, self.frm, self.to, self.host = relay, frm, to, host
+    def __init__(self, relay: Relay, sender: str, receiver: str, host: str) -> None:
+        self._relay, self.sender, self.receiver, self.host = relay, sender, receiver, host
         self.port = 0
-        self.passed = Passed()
+        self.counts = DoorCounts()
         self.splices: set[Splice] = set()
-        self.slow: float | None = None  # bytes a second
-        self._free_at = 0.0  # when a slow link has sent all that is before
-        self._held: set[asyncio.TimerHandle] = set()
+        self.bytes_per_s: float | None = None  # bytes per second; None: unlimited
+        self._free_at_ms = 0.0  # when a slow link has sent all earlier bytes
+        self._delayed: set[asyncio.TimerHandle] = set()
         self._udp: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Both sockets at one port of the kernel's choice. Raises RelayError."""
+        """Binds both sockets to one port, which the kernel chooses. Raises RelayError."""
         loop = asyncio.get_running_loop()
-        for _ in range(PORT_TRIES):
+        for _ in range(MAX_BIND_ATTEMPTS):
             stream, datagram = (socket.socket(socket.AF_INET, kind) for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM))
             try:
                 stream.bind((self.host, 0))
@@ -91,7 +91,7 @@
             except OSError as error:
                 stream.close()
                 datagram.close()
-                why = error
+                failure = error
                 continue
             self.port = stream.getsockname()[1]
             stream.setblocking(False)
@@ -100,64 +100,68 @@
             transport, _ = await loop.create_datagram_endpoint(lambda: self, sock=datagram)
             self._udp = transport
             return
-        raise RelayError(f"no door at {self.host} for {self.frm} to {self.to}: {why}")
+        raise RelayError(f"cannot bind {self.host} as the door from {self.sender} to {self.receiver}: {failure}")
 
-    def busy_until(self, now: float, size: int) -> float:
-        """When a slow link has sent these bytes; at once on any other."""
-        if self.slow is None:
-            return now
-        self._free_at = max(self._free_at, now) + size / self.slow * 1000.0
-        return self._free_at
+    def sent_at_ms(self, now_ms: float, size: int) -> float:
+        """Returns when the link has sent these bytes: `now_ms` if its rate is not limited."""
+        if self.bytes_per_s is None:
+            return now_ms
+        self._free_at_ms = max(self._free_at_ms, now_ms) + size / self.bytes_per_s * 1000.0
+        return self._free_at_ms
 
     # Datagrams
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        relay, passed = self._relay, self.passed
-        passed.datagrams += 1
-        now = relay.clock()
-        copies = [] if relay.cut(self.frm, self.to) else relay.plan.fate(now, self.frm, self.to, Carrier.DATAGRAM)
-        if not copies:
-            passed.lost += 1
+        relay, counts = self._relay, self.counts
+        counts.datagrams += 1
+        now_ms = relay.clock()
+        delays_ms = (
+            []
+            if relay.is_partitioned(self.sender, self.receiver)
+            else relay.plan.arrival_delays_ms(now_ms, self.sender, self.receiver, Carrier.DATAGRAM)
+        )
+        if not delays_ms:
+            counts.lost += 1
             return
-        passed.doubled += len(copies) - 1
-        for delay in copies:
-            wait = self.busy_until(now, len(data)) - now + delay
-            if wait <= 0.0:
+        counts.duplicated += len(delays_ms) - 1
+        for delay in delays_ms:
+            wait_ms = self.sent_at_ms(now_ms, len(data)) - now_ms + delay
+            if wait_ms <= 0.0:
                 self._send(data)
-            elif len(self._held) >= MOST_HELD:
-                passed.over += 1
+            elif len(self._delayed) >= MAX_DELAYED_DATAGRAMS:
+                counts.dropped += 1
             else:
-                self._later(wait, data)
+                self._send_later(wait_ms, data)
 
-    def _later(self, wait: float, data: bytes) -> None:
-        def due() -> None:
-            self._held.discard(timer)
+    def _send_later(self, wait_ms: float, data: bytes) -> None:
+        def send_due() -> None:
+            self._delayed.discard(timer)
             self._send(data)
 
-        timer = asyncio.get_running_loop().call_later(wait / 1000.0, due)
-        self._held.add(timer)
+        timer = asyncio.get_running_loop().call_later(wait_ms / 1000.0, send_due)
+        self._delayed.add(timer)
 
     def _send(self, data: bytes) -> None:
-        back = self._relay.door(self.to, self.frm)
-        if back._udp is not None and not back._udp.is_closing():
-            self.passed.sent_bytes += len(data)
-            back._udp.sendto(data, self._relay.members[self.to])
+        reverse_door = self._relay.door(self.receiver, self.sender)
+        if reverse_door._udp is not None and not reverse_door._udp.is_closing():
+            self.counts.sent_bytes += len(data)
+            reverse_door._udp.sendto(data, self._relay.members[self.receiver])
 
     def error_received(self, exc: Exception) -> None:
-        """The member that it went to is not there: UDP's sender hears nothing of that here."""
+        """Ignores that the receiving member is not there: the sender of a datagram receives no error."""
 
     # Streams
 
     def _accept(self) -> asyncio.Protocol:
-        self.passed.connections += 1
-        splice = Splice(self, self._relay.door(self.to, self.frm), self._relay)
+        self.counts.connections += 1
+        splice = Splice(self, self._relay.door(self.receiver, self.sender), self._relay)
         self.splices.add(splice)
         return splice.near
 
     def close(self) -> None:
-        for timer in self._held:
+        for timer in self._delayed:
             timer.cancel()
-        self._held.clear()
+        self._delayed.clear()
         if self._udp is not None:
             self._udp.abort()
         if self._server is not None:
@@ -167,26 +171,30 @@
 
 
 class Relay:
-    """Owns all doors between the members; `close` gives everything back."""
-
-    def __init__(self, members: Mapping[str, Address], plan: Plan, clock: Callable[[], float] | None = None) -> None:
-        """`members`: each one's own address. `clock` in ms, default: since now."""
-        if len(members) > MOST_MEMBERS:
-            raise ValueError(f"{len(members)} members, at most {MOST_MEMBERS}")
-        began = monotonic()
+    """Owns all doors between the members; `close` releases everything."""
+
+    def __init__(
+        self, members: Mapping[str, Address], plan: FaultPlan, clock: Callable[[], float] | None = None
+    ) -> None:
+        """`members`: their own addresses. `clock`: in ms, by default since now. Raises ValueError on too many."""
+        if len(members) > MAX_MEMBERS:
+            raise ValueError(f"{len(members)} members, at most {MAX_MEMBERS}")
+        started_s = monotonic()
         self.members = dict(members)
         self.plan = plan
-        self.clock = clock or (lambda: (monotonic() - began) * 1000.0)
+        self.clock = clock or (lambda: (monotonic() - started_s) * 1000.0)
         numbers = {name: number for number, name in enumerate(sorted(members), 1)}
         self.doors = {
-            (frm, to): Door(self, frm, to, f"127.{NET}.{numbers[frm]}.{numbers[to]}")
-            for frm in members
-            for to in members
-            if frm != to
+            (sender, receiver): Door(
+                self, sender, receiver, f"127.{LOOPBACK_NET}.{numbers[sender]}.{numbers[receiver]}"
+            )
+            for sender in members
+            for receiver in members
+            if sender != receiver
         }
 
     async def open(self) -> None:
-        """Raises RelayError, with everything given back."""
+        """Opens all doors. Raises RelayError after it has closed the open ones."""
         try:
             for door in self.doors.values():
                 await door.open()
@@ -194,34 +202,38 @@
             self.close()
             raise
 
-    def door(self, frm: str, to: str) -> Door:
-        return self.doors[frm, to]
+    def door(self, sender: str, receiver: str) -> Door:
+        """Returns the door of an ordered pair."""
+        return self.doors[sender, receiver]
 
     def addresses(self, name: str) -> dict[str, str]:
-        """Of all others, where this member finds them: `host:port` by name."""
-        return {to: f"{door.host}:{door.port}" for (frm, to), door in self.doors.items() if frm == name}
+        """Returns the addresses at which this member reaches its peers: `host:port` by name."""
+        return {
+            receiver: f"{door.host}:{door.port}" for (sender, receiver), door in self.doors.items() if sender == name
+        }
 
-    def cut(self, frm: str, to: str) -> bool:
-        return self.plan.is_cut(frm, to)
+    def is_partitioned(self, sender: str, receiver: str) -> bool:
+        """Whether the plan lets no message pass in this direction now."""
+        return self.plan.is_partitioned(sender, receiver)
 
-    def slow(self, frm: str, to: str, bytes_per_s: float | None) -> None:
-        """Hold one direction to a rate, or, with None, no longer."""
+    def limit_rate(self, sender: str, receiver: str, bytes_per_s: float | None) -> None:
+        """Limits the rate of one direction; None ends the limit. Raises ValueError on a rate that is not positive."""
         if bytes_per_s is not None and bytes_per_s <= 0:
             raise ValueError("bytes_per_s: expected more than 0")
-        self.doors[frm, to].slow = bytes_per_s
+        self.doors[sender, receiver].bytes_per_s = bytes_per_s
 
-    def reset(self, one: str, other: str) -> int:
-        """Break all streams between the two, whoever opened them, as a box between that forgets them; how many."""
-        splices = [splice for pair in ((one, other), (other, one)) for splice in self.doors[pair].splices]
+    def reset(self, member: str, peer: str) -> int:
+        """Resets all streams between two members, as a middlebox that loses its state; returns their number."""
+        splices = [splice for pair in ((member, peer), (peer, member)) for splice in self.doors[pair].splices]
         for splice in splices:
             splice.reset()
         return len(splices)
 
-    def changed(self) -> None:
-        """The plan has changed: streams that were held look again at once, not at their next look."""
+    def plan_changed(self) -> None:
+        """Makes blocked streams check for the end of a partition now, after a change of the plan."""
         for door in self.doors.values():
             for splice in list(door.splices):
-                splice.look()
+                splice.check_partition()
 
     def close(self) -> None:
         for door in self.doors.values():
--- a/limenotch/lab/fleet/rules_drawings.py
+++ b/limenotch/lab/fleet/rules_drawings.py
@@ -12,9 +12,9 @@
 from limenotch.fleet.interfaces import Fenced
 from limenotch.fleet.rules import Tuning, api
 from limenotch.fleet.rules.document import Document
-from limenotch.lab.fleet.drawing import Scenario
+from limenotch.lab.fleet.drawing import ExpectedTimeline
 from limenotch.lab.fleet.rules_run import RulesRun, settings_check
-from limenotch.lab.fleet.scenario import Outcome, check, play
+from limenotch.lab.fleet.scenario import Outcome, check, simulate
 from limenotch.lab.fleet.world import World
 
 TUNING = Tuning(lease_ms=900, drift=0.02, grace_ms=50, check_ms=300, ask_ms=3000)
@@ -53,16 +53,16 @@
 def ask(world: World, node: str, words: str) -> None:
     name, _, value = words.partition(" ")
     if name == "fenced":
-        world.poke(node, Fenced())
+        world.deliver_event(node, Fenced())
         return
     ticket = int(world.now)
     operation, document = _operator_request(name, value)
-    world.poke(node, api.OperatorRequest(ticket, operation, document))
+    world.deliver_event(node, api.OperatorRequest(ticket, operation, document))
 
 
-def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
+def outcome(scenario: ExpectedTimeline, exact: bool = True) -> Outcome:
     """Play the scenario. If `exact`, AssertionError where it did not come out as expected."""
-    old_voter = scenario.head.get("objects")
+    old_voter = scenario.header.get("objects")
     run = RulesRun(
         scenario.nodes,
         tuple(scenario.nodes[:3]),
@@ -70,4 +70,4 @@
         tuning=TUNING,
         checks={old_voter: _check_of_old_program} if old_voter else {},
     )
-    return (check if exact else play)(scenario, run.make, ask)
+    return (check if exact else simulate)(scenario, run.make, ask)
--- a/limenotch/lab/fleet/rules_run.py
+++ b/limenotch/lab/fleet/rules_run.py
@@ -149,7 +149,7 @@
         if isinstance(action, (api.RulesInForce, api.RestrictedRules)):
             if run.has_world:
                 node = run.world.nodes[self.name]
-                run.checker.rules_reported(run.world.now, self.name, action, node.ahead, node.rate)
+                run.checker.rules_reported(run.world.now, self.name, action, node.clock_offset_ms, node.clock_rate)
         elif isinstance(action, api.OperatorResponse):
             if run.has_world:
                 run.answers.append((run.world.now, self.name, action))
@@ -194,20 +194,20 @@
         return RulesMember(self, name, seed, process_epoch, stored)
 
     def component(self, name: str) -> Rules | None:
-        member = self.world.part(name)
+        member = self.world.component(name)
         return member.rules_component if member is not None else None
 
     def ask(self, name: str, operation: str, **document: Any) -> int:
         """An operator's request at a member; returns its ticket."""
         self.ticket += 1
-        self.world.poke(name, api.OperatorRequest(self.ticket, operation, document, f"ask{self.ticket}"))
+        self.world.deliver_event(name, api.OperatorRequest(self.ticket, operation, document, f"ask{self.ticket}"))
         return self.ticket
 
     def answer(self, ticket: int) -> api.OperatorResponse | None:
         return next((answer for _, _, answer in self.answers if answer.ticket == ticket), None)
 
     def _clock(self, name: str) -> float:
-        return self.world.nodes[name].clock(self.world.now)
+        return self.world.nodes[name].monotonic_ms(self.world.now)
 
     def kill(self, name: str) -> None:
         self.world.kill(name)
@@ -274,12 +274,12 @@
         seed,
         tuning=tuning,
         drift_ppm=tuning.drift * 0.49e6,
-        wake=random.choice(("timers", "heard")),
+        wake_order=random.choice(("timers", "heard")),
     )
     world = run.world
     run.converge()
-    world.fault(faults.parse(f"loss {random.choice((0, 0, 5, 20))}%"))
-    world.fault(faults.parse(f"delay 1..{random.choice((1, 5, 40))}"))
+    world.apply_fault(faults.parse(f"loss {random.choice((0, 0, 5, 20))}%"))
+    world.apply_fault(faults.parse(f"delay 1..{random.choice((1, 5, 40))}"))
     begin_ms = world.now
     while world.now < begin_ms + span_ms:
         world.run(world.now + random.choice((5, 20, 60, 150)))
@@ -327,20 +327,20 @@
     elif kind in ("pause", "wake") and world.alive(name):
         getattr(world, kind)(name)
     elif kind == "cut":
-        world.fault(faults.parse(f"cut {name} | {others}"))
+        world.apply_fault(faults.parse(f"cut {name} | {others}"))
     elif kind == "one way":
-        world.fault(faults.parse(random.choice((f"cut {name} > {others}", f"cut {others} > {name}"))))
+        world.apply_fault(faults.parse(random.choice((f"cut {name} > {others}", f"cut {others} > {name}"))))
     elif kind == "heal":
-        world.fault(faults.parse("heal"))
+        world.apply_fault(faults.parse("heal"))
     elif kind == "fence" and world.alive(name):
-        world.poke(name, Fenced())
+        world.deliver_event(name, Fenced())
 
 
 def end_faults(run: RulesRun) -> None:
     """Remove all network faults, and start and wake all members."""
     world = run.world
     for text in ("heal", "loss 0%", "delay 1..1"):
-        world.fault(faults.parse(text))
+        world.apply_fault(faults.parse(text))
     for name, node in world.nodes.items():
         if not world.alive(name):
             world.start(name)
--- a/limenotch/lab/fleet/scenario.py
+++ b/limenotch/lab/fleet/scenario.py
@@ -1,7 +1,7 @@
-"""Runs a drawing in simulated time and says whether it came out, exactly.
+"""Runs an expected timeline in simulated time and compares the observed log lines with it exactly.
 
-Of the head, beside `nodes`, `seed`, `show`, `later`, `until` and `window`, the world takes `drift` (ppm; 0 if not
-said, so that rows stand at round times), `delay` and `fsync` (ms). Other keys are for whoever makes the parts.
+Besides `nodes`, `seed`, `show`, `later`, `until` and `window`, the header keys `drift` (ppm, default 0, so that rows
+have round times), `delay` and `fsync` (ms) configure the world. Other keys are for the caller's component factory.
 """
 
 from __future__ import annotations
@@ -11,77 +11,82 @@
 from pathlib import Path
 from typing import Any
 
-from limenotch.lab.fleet.comparing import exact
-from limenotch.lab.fleet.drawing import Drawn, Scenario, draw, read
-from limenotch.lab.fleet.faults import Ask, Fault
-from limenotch.lab.fleet.world import Make, World
+from limenotch.lab.fleet.comparing import compare_exactly
+from limenotch.lab.fleet.drawing import ExpectedTimeline, TimelineEntry, format_timeline, parse_timeline
+from limenotch.lab.fleet.faults import Fault, ScriptedRequest
+from limenotch.lab.fleet.world import ComponentFactory, World
 
-Asked = Callable[[World, str, str], None]  # the world, the node, the words of `ask`
-HEAD = frozenset({"nodes", "seed", "show", "later", "until", "window", "drift", "delay", "fsync"})
+RequestHandler = Callable[[World, str, str], None]  # the world, the node, the words of `ask`
+HEADER_KEYS = frozenset({"nodes", "seed", "show", "later", "until", "window", "drift", "delay", "fsync"})
 
 
 @dataclass(frozen=True)
 class Outcome:
-    scenario: Scenario
+    """The result of a run in simulated time."""
+
+    timeline: ExpectedTimeline
     world: World
-    seen: list[Drawn]  # what the drawing is about
-    difference: str | None  # None: it came out
+    observed: list[TimelineEntry]  # the compared log lines
+    difference: str | None  # None: they match
 
-    def drawn_anew(self) -> str:
-        """The file as it would have come out."""
-        return draw(self.scenario, self.seen)
+    def format_observed(self) -> str:
+        """Formats the file with the observed log lines instead of the expected ones."""
+        return format_timeline(self.timeline, self.observed)
 
 
-def load(path: Path) -> Scenario:
-    return read(path.read_text(encoding="utf-8"), path.name)
+def load(path: Path) -> ExpectedTimeline:
+    """Parses a file. Raises ValueError or OSError."""
+    return parse_timeline(path.read_text(encoding="utf-8"), path.name)
 
 
-def play(
-    scenario: Scenario,
-    make: Make,
-    ask: Asked | None = None,
+def simulate(
+    timeline: ExpectedTimeline,
+    make_component: ComponentFactory,
+    handle_request: RequestHandler | None = None,
     prepare: Callable[[World], None] | None = None,
     **settings: Any,
 ) -> Outcome:
-    """`settings` are World's and go before the head's. ValueError if the drawing asks and `ask` is not given.
+    """Runs the timeline. `settings` are arguments of World and take precedence over the header.
 
-    `prepare(world)` is called before anything happens in it.
+    `prepare(world)` is called before the run. Raises ValueError if the timeline has `ask` and there is no handler.
     """
-    usual = {
-        "drift_ppm": scenario.figure("drift", 0.0),
-        "delay_ms": scenario.figure("delay", 1.0),
-        "fsync_ms": scenario.figure("fsync", 2.0),
+    defaults = {
+        "drift_ppm": timeline.number("drift", 0.0),
+        "delay_ms": timeline.number("delay", 1.0),
+        "fsync_ms": timeline.number("fsync", 2.0),
     }
-    world = World(scenario.nodes, make, scenario.seed, later=scenario.later, **{**usual, **settings})
+    world = World(
+        timeline.nodes, make_component, timeline.seed, started_later=timeline.started_later, **{**defaults, **settings}
+    )
     if prepare is not None:
         prepare(world)
-    for at, fault in scenario.faults:
-        if isinstance(fault, Ask) and ask is None:
-            raise ValueError(f"{scenario.name}: {str(fault)!r}: nobody answers `ask` here")
-        world.kernel.at(float(at), _happen, world, fault, ask)
-    # A note at 999.7 stands in the row of 1000, one at 1000.5 does not.
-    world.run(scenario.ends + 0.4999)
-    seen = [(note.at_ms, note.node, note.text) for note in world.seen]
-    return Outcome(scenario, world, scenario.looked_at(seen), exact(scenario, seen))
+    for at_ms, fault in timeline.faults:
+        if isinstance(fault, ScriptedRequest) and handle_request is None:
+            raise ValueError(f"{timeline.name}: {str(fault)!r}: no handler for `ask`")
+        world.kernel.at(float(at_ms), _apply_fault, world, fault, handle_request)
+    # A log line at 999.7 is in the row of 1000, a line at 1000.5 is not.
+    world.run(timeline.end_ms + 0.4999)
+    observed = [(line.at_ms, line.node, line.text) for line in world.observed_lines]
+    return Outcome(timeline, world, timeline.compared_entries(observed), compare_exactly(timeline, observed))
 
 
 def check(
-    scenario: Scenario,
-    make: Make,
-    ask: Asked | None = None,
+    timeline: ExpectedTimeline,
+    make_component: ComponentFactory,
+    handle_request: RequestHandler | None = None,
     prepare: Callable[[World], None] | None = None,
     **settings: Any,
 ) -> Outcome:
-    """As `play`; AssertionError with both side by side, and the drawing anew, if it did not come out."""
-    outcome = play(scenario, make, ask, prepare, **settings)
+    """As `simulate`. Raises AssertionError on a difference, with both sides and the file as observed."""
+    outcome = simulate(timeline, make_component, handle_request, prepare, **settings)
     if outcome.difference is not None:
-        raise AssertionError(f"{outcome.difference}\n\nSeen, drawn anew:\n\n{outcome.drawn_anew()}")
+        raise AssertionError(f"{outcome.difference}\n\nThe file as observed:\n\n{outcome.format_observed()}")
     return outcome
 
 
-def _happen(world: World, fault: Fault, ask: Asked | None) -> None:
-    if isinstance(fault, Ask):
-        if ask is not None:
-            ask(world, fault.node, fault.words)
+def _apply_fault(world: World, fault: Fault, handle_request: RequestHandler | None) -> None:
+    if isinstance(fault, ScriptedRequest):
+        if handle_request is not None:
+            handle_request(world, fault.node, fault.words)
     else:
-        world.fault(fault)
+        world.apply_fault(fault)
--- a/limenotch/lab/fleet/streams.py
+++ b/limenotch/lab/fleet/streams.py
@@ -1,8 +1,9 @@
-"""Kept connections in simulated time: one each way between two nodes, in order while it lasts.
+"""Persistent connections in simulated time: one per direction between two nodes, which delivers messages in order.
 
-It opens with the first message and ends with the process at either end; what is in it then is lost and its sender is
-not told. Under a cut it is silent and keeps what it is given; after the heal all of that arrives in order, unless the
-cut lasted longer than `patience` ms since the first message that waits: then it is given up, with all in it.
+A connection opens with its first message and ends with the process at either end; the messages that are then in flight
+are lost, and their sender receives no notice. During a partition the connection queues its messages. They arrive in
+order after the partition heals, unless `stream_timeout_ms` have passed since the first queued message: then the
+connection breaks, and all its messages are lost.
 """
 
 from __future__ import annotations
@@ -11,96 +12,100 @@
 from typing import Any
 
 from limenotch.fleet.interfaces import Carrier
-from limenotch.lab.fleet.weather import Weather
+from limenotch.lab.fleet.weather import NetworkConditions
 from limenotch.lab.simulate.kernel import Kernel
 
-MOST_WAITING = 1024  # messages that one stream keeps under a cut; later ones are dropped
+MAX_QUEUED_MESSAGES = 1024  # messages that a stream queues during a partition; later ones are dropped
 
 
 class _Stream:
-    __slots__ = ("frm", "to", "last", "opened", "waiting")
+    __slots__ = ("sender", "receiver", "last_arrival_ms", "connection", "queued")
 
-    def __init__(self, frm: str, to: Any) -> None:
-        self.frm = frm
-        self.to = to
-        self.last = 0.0  # when the latest message given to it arrives
-        self.opened = 0  # which connection it is on: what was given to an earlier one does not arrive
-        self.waiting: list[Any] = []
+    def __init__(self, sender: str, receiver: Any) -> None:
+        self.sender = sender
+        self.receiver = receiver
+        self.last_arrival_ms = 0.0  # arrival time of its latest message
+        self.connection = 0  # number of its connection: messages of an earlier connection do not arrive
+        self.queued: list[Any] = []
 
 
 class Streams:
-    """`arrive(node, heard)` is called in order; `count(why)` for each message dropped. `to` has a `name`."""
+    """All streams. Calls `deliver(node, message)` in order and `count(reason)` per dropped message."""
 
     def __init__(
         self,
         kernel: Kernel,
-        weather: Weather,
-        arrive: Callable[[Any, Any], None],
+        conditions: NetworkConditions,
+        deliver: Callable[[Any, Any], None],
         count: Callable[[str], None],
-        patience: float,
+        stream_timeout_ms: float,
     ) -> None:
         self._kernel = kernel
-        self._weather = weather
-        self._arrive = arrive
+        self._conditions = conditions
+        self._deliver_to = deliver
         self._count = count
-        self._patience = patience
+        self._stream_timeout_ms = stream_timeout_ms
         self._streams: dict[tuple[str, str], _Stream] = {}
-        self._of: dict[str, list[_Stream]] = {}  # by either end
+        self._by_node: dict[str, list[_Stream]] = {}  # by either end
 
-    def send(self, frm: str, to: Any, heard: Any) -> None:
-        key = (frm, to.name)
+    def send(self, sender: str, receiver: Any, received: Any) -> None:
+        key = (sender, receiver.name)
         stream = self._streams.get(key)
         if stream is None:
-            stream = self._streams[key] = _Stream(frm, to)
-            self._of.setdefault(frm, []).append(stream)
-            self._of.setdefault(to.name, []).append(stream)
-        if stream.waiting:
-            self._keep(stream, heard)
+            stream = self._streams[key] = _Stream(sender, receiver)
+            self._by_node.setdefault(sender, []).append(stream)
+            self._by_node.setdefault(receiver.name, []).append(stream)
+        if stream.queued:
+            self._queue(stream, received)
         else:
-            self._give(stream, heard)
+            self._transmit(stream, received)
 
     def heal(self) -> None:
         for stream in list(self._streams.values()):
-            if stream.waiting and not self._weather.is_cut(stream.frm, stream.to.name):
-                waiting, stream.waiting = stream.waiting, []
-                for heard in waiting:
-                    self._give(stream, heard)
+            if stream.queued and not self._conditions.is_partitioned(stream.sender, stream.receiver.name):
+                queued, stream.queued = stream.queued, []
+                for received in queued:
+                    self._transmit(stream, received)
 
     def end(self, name: str, *, in_order: bool = False) -> None:
-        """The process of that name has ended, and its connections with it; `in_order`: what it said still arrives."""
-        for stream in self._of.get(name, ()):
-            if not in_order or stream.frm != name:
+        """Breaks the connections of an ended process; with `in_order`, the messages that it sent still arrive."""
+        for stream in self._by_node.get(name, ()):
+            if not in_order or stream.sender != name:
                 self._break(stream)
 
-    def _give(self, stream: _Stream, heard: Any) -> None:
-        now, to = self._kernel.now, stream.to
-        fate = self._weather.fate(now, stream.frm, to.name, Carrier.STREAM) if stream.frm != to.name else [0.0]
-        if not fate:
-            self._kernel.at(now + self._patience, self._give_up, stream, stream.opened, heard)
-            self._keep(stream, heard)
+    def _transmit(self, stream: _Stream, received: Any) -> None:
+        now, receiver = self._kernel.now, stream.receiver
+        delays_ms = (
+            self._conditions.arrival_delays_ms(now, stream.sender, receiver.name, Carrier.STREAM)
+            if stream.sender != receiver.name
+            else [0.0]
+        )
+        if not delays_ms:
+            self._kernel.at(now + self._stream_timeout_ms, self._time_out, stream, stream.connection, received)
+            self._queue(stream, received)
             return
-        stream.last = max(stream.last, now + fate[0])
-        self._kernel.at(stream.last, self._deliver, stream, stream.opened, heard)
+        stream.last_arrival_ms = max(stream.last_arrival_ms, now + delays_ms[0])
+        self._kernel.at(stream.last_arrival_ms, self._deliver, stream, stream.connection, received)
 
-    def _keep(self, stream: _Stream, heard: Any) -> None:
-        if len(stream.waiting) < MOST_WAITING:
-            stream.waiting.append(heard)
+    def _queue(self, stream: _Stream, received: Any) -> None:
+        if len(stream.queued) < MAX_QUEUED_MESSAGES:
+            stream.queued.append(received)
         else:
             self._count("stream full")
 
-    def _deliver(self, stream: _Stream, opened: int, heard: Any) -> None:
-        if opened != stream.opened:
+    def _deliver(self, stream: _Stream, connection: int, received: Any) -> None:
+        if connection != stream.connection:
             self._count("stream broken")
         else:
-            self._arrive(stream.to, heard)
+            self._deliver_to(stream.receiver, received)
 
-    def _give_up(self, stream: _Stream, opened: int, first: Any) -> None:
-        if opened == stream.opened and stream.waiting and stream.waiting[0] is first:
+    def _time_out(self, stream: _Stream, connection: int, first: Any) -> None:
+        if connection == stream.connection and stream.queued and stream.queued[0] is first:
             self._break(stream)
 
     def _break(self, stream: _Stream) -> None:
-        stream.opened += 1
-        stream.last = 0.0
-        for _ in stream.waiting:
+        stream.connection += 1
+        stream.last_arrival_ms = 0.0
+        for _ in stream.queued:
             self._count("stream broken")
-        stream.waiting = []
+        stream.queued = []
--- a/limenotch/lab/fleet/trial.py
+++ b/limenotch/lab/fleet/trial.py
@@ -1,11 +1,11 @@
-"""The four rules where sidecars are stopped and killed by faults: what is then owed, and what still is not allowed.
-
-- A call that was with a sidecar at some moment of its stop is owed no answer. It stays known: an attempt that the
-  sidecar makes after it woke is no breach by itself (it read the call before it read that its consumer had left), but
-  a second one must still be allowed by the call's class.
-- A stopped sidecar is told of a drain when it wakes.
-- A call is known for OVER_MS after its end, and what the host's loop was late by is not held against an attempt.
-- Calls of one that is killed are owed nothing; `Rules.lost` is told by the consumer, whose connection breaks.
+"""The four rules for requests where faults pause and kill sidecars: which responses are required, what is forbidden.
+
+- A request that a sidecar had during a pause needs no response. The checker retains it: an attempt that the sidecar
+  makes after its pause is no violation by itself (the sidecar read the request before it read that its client had
+  disconnected), but the class of the request has to allow a second one.
+- A paused sidecar is considered notified of a drain when it resumes.
+- A request is known for ENDED_REQUEST_RETENTION_MS after its end, plus the delay of the host's event loop.
+- Requests at a killed sidecar need no response; the client, whose connection breaks, calls `Rules.lost`.
 """
 
 from __future__ import annotations
@@ -15,41 +15,46 @@
 
 from ..model.rules import Allowed, Limits, Rules
 
-OVER_MS = 2000.0
+ENDED_REQUEST_RETENTION_MS = 2000.0
 
 
-class Trial(Rules):
-    """Memory follows the calls of a run that were excused, which are few and short."""
+class RulesUnderFaults(Rules):
+    """The rules under faults. Memory grows with the number of excused requests in a run, which are few and small."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         super().__init__(limits)
         self.excused = 0
-        self._next: Hashable | None = None
-        self._via: dict[Hashable, tuple[Hashable, float]] = {}  # call: its sidecar, and when it was taken
-        self._paused: dict[Hashable, float] = {}  # sidecar: since when
-        self._woke: dict[Hashable, float] = {}  # sidecar: when it last did
-        self._kept: dict[Hashable, Any] = {}  # excused calls, with their attempts
-        self._over: dict[Hashable, tuple[float, Any]] = {}  # calls by their end, the oldest first
-
-    def next_goes_to(self, sidecar: Hashable) -> None:
-        """The call that is taken next is this sidecar's."""
-        self._next = sidecar
-
-    def paused(self, now: float, sidecar: Hashable) -> None:
-        self._paused.setdefault(sidecar, now)
-
-    def woke(self, now: float, sidecar: Hashable) -> None:
-        since = self._paused.pop(sidecar, None)
-        if since is None:
+        self._next_sidecar: Hashable | None = None
+        self._sidecar_of: dict[Hashable, tuple[Hashable, float]] = {}  # request: its sidecar, and when it was accepted
+        self._paused_since: dict[Hashable, float] = {}  # sidecar: start of its pause
+        self._resumed_at: dict[Hashable, float] = {}  # sidecar: end of its latest pause
+        self._excused_requests: dict[Hashable, Any] = {}  # with their attempts
+        self._ended_requests: dict[
+            Hashable, tuple[float, Any]
+        ] = {}  # requests with the times of their ends, oldest first
+
+    def assign_next_request(self, sidecar: Hashable) -> None:
+        """Assigns the next accepted request to this sidecar."""
+        self._next_sidecar = sidecar
+
+    def sidecar_paused(self, now: float, sidecar: Hashable) -> None:
+        """Starts the pause of a sidecar."""
+        self._paused_since.setdefault(sidecar, now)
+
+    def sidecar_resumed(self, now: float, sidecar: Hashable) -> None:
+        """Ends the pause of a sidecar. Drain notices from shortly before or during the pause count from now."""
+        paused_at = self._paused_since.pop(sidecar, None)
+        if paused_at is None:
             return
-        self._woke[sidecar] = now
-        for key, at in self._told.items():
-            if key[0] == sidecar and at >= since - self.limits.grace_ms:
+        self._resumed_at[sidecar] = now
+        for key, told_at in self._told.items():
+            if key[0] == sidecar and told_at >= paused_at - self.limits.grace_ms:
                 self._told[key] = now
 
-    def died(self, sidecar: Hashable) -> None:
-        self._paused.pop(sidecar, None)
-        self._woke.pop(sidecar, None)
+    def sidecar_ended(self, sidecar: Hashable) -> None:
+        """Forgets the state of a sidecar that has ended."""
+        self._paused_since.pop(sidecar, None)
+        self._resumed_at.pop(sidecar, None)
         self.forget(sidecar)
 
     def taken(
@@ -63,55 +68,57 @@
         allowed: Allowed | None = None,
     ) -> None:
         super().taken(now, call, effect, scope, window_ms, end, allowed)
-        if self._next is not None:
-            self._via[call] = (self._next, now)
-            self._next = None
+        if self._next_sidecar is not None:
+            self._sidecar_of[call] = (self._next_sidecar, now)
+            self._next_sidecar = None
 
     def sent(self, now: float, call: Hashable, sidecar: Hashable, provider: str, group: int) -> int:
-        if call not in self._calls and call in self._kept:
-            self._past[call] = self._kept[call]
+        if call not in self._calls and call in self._excused_requests:
+            self._past[call] = self._excused_requests[call]
         elif call not in self._calls and call not in self._past:
-            ended, held = self._over.get(call, (0.0, None))
-            if held is not None and now - ended <= self.limits.slack_ms + self.lag_ms():
-                self._past[call] = held
+            ended, request = self._ended_requests.get(call, (0.0, None))
+            if request is not None and now - ended <= self.limits.slack_ms + self.lag_ms():
+                self._past[call] = request
         return super().sent(now, call, sidecar, provider, group)
 
     def ended(self, now: float, call: Hashable, attempt: int, outcome: str, ran: bool) -> None:
-        kept = self._kept.get(call)
-        if call not in self._calls and kept is not None and attempt < len(kept.attempts):
-            kept.attempts[attempt].over, kept.attempts[attempt].ran = True, ran
+        request = self._excused_requests.get(call)
+        if call not in self._calls and request is not None and attempt < len(request.attempts):
+            request.attempts[attempt].over, request.attempts[attempt].ran = True, ran
         super().ended(now, call, attempt, outcome, ran)
 
     def answered(self, now: float, call: Hashable, verdict: str) -> None:
-        held = self._calls.get(call)
-        if held is not None and self._was_stopped(call):
-            held.left = True  # late or not, it came
+        request = self._calls.get(call)
+        if request is not None and self._was_paused(call):
+            request.left = True  # the response arrived, late or not
         super().answered(now, call, verdict)
-        self._via.pop(call, None)
+        self._sidecar_of.pop(call, None)
 
     def departed(self, now: float, call: Hashable) -> None:
-        held = self._calls.get(call)
-        if held is None or held.answered or not self._was_stopped(call):
+        request = self._calls.get(call)
+        if request is None or request.answered or not self._was_paused(call):
             super().departed(now, call)
         else:
-            held.note(now, "its consumer left; its sidecar had been stopped")
-            held.left = held.answered = True
-            self._kept[call] = held
+            request.note(now, "its client disconnected; its sidecar had been paused")
+            request.left = request.answered = True
+            self._excused_requests[call] = request
             self.excused += 1
-            self._drop(now, call, held)
-        self._via.pop(call, None)
+            self._drop(now, call, request)
+        self._sidecar_of.pop(call, None)
 
     def lost(self, call: Hashable) -> None:
         super().lost(call)
-        self._via.pop(call, None)
+        self._sidecar_of.pop(call, None)
 
-    def _drop(self, now: float, call: Hashable, held: Any) -> None:
-        super()._drop(now, call, held)
+    def _drop(self, now: float, call: Hashable, request: Any) -> None:
+        super()._drop(now, call, request)
         if call not in self._calls:
-            self._over[call] = (now, held)
-            while self._over and next(iter(self._over.values()))[0] < now - OVER_MS:
-                del self._over[next(iter(self._over))]
-
-    def _was_stopped(self, call: Hashable) -> bool:
-        sidecar, taken = self._via.get(call, (None, 0.0))
-        return sidecar in self._paused or self._woke.get(sidecar, -1.0) >= taken
+            self._ended_requests[call] = (now, request)
+            while (
+                self._ended_requests and next(iter(self._ended_requests.values()))[0] < now - ENDED_REQUEST_RETENTION_MS
+            ):
+                del self._ended_requests[next(iter(self._ended_requests))]
+
+    def _was_paused(self, call: Hashable) -> bool:
+        sidecar, accepted_at = self._sidecar_of.get(call, (None, 0.0))
+        return sidecar in self._paused_since or self._resumed_at.get(sidecar, -1.0) >= accepted_at
--- a/limenotch/lab/fleet/wallet_drawings.py
+++ b/limenotch/lab/fleet/wallet_drawings.py
@@ -20,9 +20,9 @@
 from limenotch.fleet import consensus
 from limenotch.fleet.membership import Tuning as MembershipTuning
 from limenotch.fleet.wallet.tuning import Tuning
-from limenotch.lab.fleet.comparing import exact
-from limenotch.lab.fleet.drawing import Scenario
-from limenotch.lab.fleet.faults import Ask, Fault
+from limenotch.lab.fleet.comparing import compare_exactly
+from limenotch.lab.fleet.drawing import ExpectedTimeline
+from limenotch.lab.fleet.faults import Fault, ScriptedRequest
 from limenotch.lab.fleet.scenario import Outcome
 from limenotch.lab.fleet.wallet_run import ClientRequest, RequestBurst, Run
 
@@ -48,13 +48,13 @@
 MEMBERSHIP_TUNING = MembershipTuning(period_ms=300, timeout_ms=60, gossip_ms=20)
 
 
-def create_run(scenario: Scenario) -> Run:
+def create_run(scenario: ExpectedTimeline) -> Run:
     """The simulated fleet with the settings in the timeline's head."""
     changes: dict[str, Any] = {}
-    if "advance" in scenario.head:
-        changes.update(without_lease="advance", advance=int(scenario.figure("advance", 0)))
-    changes["least_slice"] = int(scenario.figure("least", TUNING.least_slice))
-    changes["slice_ms"] = scenario.figure("span", TUNING.slice_ms)
+    if "advance" in scenario.header:
+        changes.update(without_lease="advance", advance=int(scenario.number("advance", 0)))
+    changes["least_slice"] = int(scenario.number("least", TUNING.least_slice))
+    changes["slice_ms"] = scenario.number("span", TUNING.slice_ms)
     tuning = msgspec.structs.replace(TUNING, **changes)
     return Run(
         scenario.nodes, tuple(scenario.nodes[:3]), tuning, log_tuning=LOG_TUNING, member_tuning=MEMBERSHIP_TUNING
@@ -72,7 +72,7 @@
     elif word == "at_once":
         count, duration_ms = int(rest[0]), float(rest[1])
         run.request_count += count
-        run.world.poke(
+        run.world.deliver_event(
             node,
             RequestBurst(
                 tuple(
@@ -86,29 +86,29 @@
 
 
 def _apply_fault(run: Run, fault: Fault) -> None:
-    if isinstance(fault, Ask):
+    if isinstance(fault, ScriptedRequest):
         _handle_ask(run, fault.node, fault.words)
     else:
         run.fault(str(fault))
 
 
-def outcome(scenario: Scenario, judge: bool = True) -> Outcome:
+def outcome(scenario: ExpectedTimeline, judge: bool = True) -> Outcome:
     """Runs the timeline. AssertionError if it differs from what is expected and `judge` is set, or if the checker finds
     a fault.
     """
     run = create_run(scenario)
     run.begin(
         scenario.seed,
-        later=scenario.later,
-        drift_ppm=scenario.figure("drift", 0.0),
-        delay_ms=scenario.figure("delay", 1.0),
-        fsync_ms=scenario.figure("fsync", 2.0),
+        started_later=scenario.started_later,
+        drift_ppm=scenario.number("drift", 0.0),
+        delay_ms=scenario.number("delay", 1.0),
+        fsync_ms=scenario.number("fsync", 2.0),
     )
     for at_ms, fault in scenario.faults:
         run.world.kernel.at(float(at_ms), _apply_fault, run, fault)
-    run.world.run(scenario.ends + 0.4999)
-    seen = [(note.at_ms, note.node, note.text) for note in run.world.seen]
-    result = Outcome(scenario, run.world, scenario.looked_at(seen), exact(scenario, seen))
+    run.world.run(scenario.end_ms + 0.4999)
+    seen = [(note.at_ms, note.node, note.text) for note in run.world.observed_lines]
+    result = Outcome(scenario, run.world, scenario.compared_entries(seen), compare_exactly(scenario, seen))
     if judge and result.difference is not None:
-        raise AssertionError(f"{result.difference}\n\nThe timeline as it occurred:\n\n{result.drawn_anew()}")
+        raise AssertionError(f"{result.difference}\n\nThe timeline as it occurred:\n\n{result.format_observed()}")
     return result
--- a/limenotch/lab/fleet/wallet_run.py
+++ b/limenotch/lab/fleet/wallet_run.py
@@ -248,7 +248,7 @@
         return self.world.now
 
     def later(self, delay_ms: float, name: str, event: Any) -> None:
-        self.world.kernel.at(self.world.now + delay_ms, self.world.poke, name, event)
+        self.world.kernel.at(self.world.now + delay_ms, self.world.deliver_event, name, event)
 
     # Operators
 
@@ -258,7 +258,7 @@
         self.operator_requests[request.ticket] = request
         if action == "add":
             self.checker.credit_requested(tenant, credit_id, amount)
-        self.world.poke(name, request)
+        self.world.deliver_event(name, request)
         return request.ticket
 
     def responded(self, response: api.OperatorResponse) -> None:
@@ -293,7 +293,7 @@
         self, name: str, tenant: str, request_class: str = "plain", duration_ms: float = 20.0, served: bool = True
     ) -> None:
         self.request_count += 1
-        self.world.poke(name, ClientRequest(self.request_count, tenant, request_class, duration_ms, served))
+        self.world.deliver_event(name, ClientRequest(self.request_count, tenant, request_class, duration_ms, served))
 
     def send_stream(
         self,
@@ -343,7 +343,7 @@
 
     def fault(self, text: str) -> None:
         """Applies a fault, in the words of faults.py, and notifies the checker."""
-        self.world.fault(faults.parse(text))
+        self.world.apply_fault(faults.parse(text))
         words = text.split()
         if words[0] in ("kill", "wipe", "leave"):
             for name in words[1:]:
@@ -363,7 +363,7 @@
         leading = [
             (member.agreement.term, name)
             for name in self.names
-            if (member := self.world.part(name)) is not None and member.agreement.leader == name
+            if (member := self.world.component(name)) is not None and member.agreement.leader == name
         ]
         return max(leading)[1] if leading else None
 
@@ -380,7 +380,7 @@
         """Runs until all members follow a leader and know each other."""
 
         def ready() -> bool:
-            members = [self.world.part(name) for name in self.names]
+            members = [self.world.component(name) for name in self.names]
             return all(
                 member is not None
                 and member.agreement.leader is not None
--- a/limenotch/lab/fleet/wallet_storm.py
+++ b/limenotch/lab/fleet/wallet_storm.py
@@ -28,7 +28,7 @@
     if random.random() < 0.25:
         tuning = msgspec.structs.replace(tuning, without_lease="advance", advance=random.choice((3, 20)))
     run = Run(names, tuple(names[:voters]), tuning)
-    run.begin(seed, drift_ppm=tuning.drift * 0.49e6, wake=random.choice(("timers", "heard")))
+    run.begin(seed, drift_ppm=tuning.drift * 0.49e6, wake_order=random.choice(("timers", "heard")))
     run.wait_for_leader()
     ids: list[tuple[str, str, int]] = []
     for tenant in TENANTS:
@@ -69,7 +69,7 @@
     random = Random(f"{seed} aside")
     names = list("abcdef")
     run = Run(names, tuple("abcde"), tuning)
-    run.begin(seed, drift_ppm=tuning.drift * 0.49e6, wake=random.choice(("timers", "heard")))
+    run.begin(seed, drift_ppm=tuning.drift * 0.49e6, wake_order=random.choice(("timers", "heard")))
     run.wait_for_leader()
     run.add_credit("t1", 100_000, "x")
     run.send_stream("f", "t1", 250.0, random, duration_ms=5.0)
--- a/limenotch/lab/fleet/weather.py
+++ b/limenotch/lab/fleet/weather.py
@@ -1,7 +1,8 @@
-"""All faults in force now, and what becomes of each message under them. No I/O, no clock; chance is a seed.
+"""The faults in force now, and the delivery or loss of each message under them.
 
-Every way (one node to another, by one carrier) has chances of its own, so what happens on it does not hang on
-what the others send: relays in several processes and the simulated world come to like fates from one plan and seed.
+The module does no I/O and reads no clock; its random numbers follow from a seed. Every directed link (one node to
+another, by one carrier) has a random sequence of its own, so the traffic of other links does not change its outcomes:
+relays in several processes and the simulated world derive the same outcomes from one schedule and one seed.
 """
 
 from __future__ import annotations
@@ -10,160 +11,187 @@
 from zlib import crc32
 
 from limenotch.fleet.interfaces import Carrier
-from limenotch.lab.fleet.faults import Ask, Chance, Clock, Cut, Delay, Disk, Doing, Fault, Heal, Slow, Way
-
-HELD_BACK_MS = 50.0  # of a datagram that `reorder` meets: those sent less than this after it pass it
-TRY_AGAIN_MS = 200.0  # a stream's lost segment: wait for the next try, then twice that, ... (RFC 6298; Linux's least)
-MOST_TRIES = 6
+from limenotch.lab.fleet.faults import (
+    ClockStep,
+    DatagramFault,
+    Delay,
+    DirectedLinks,
+    DiskState,
+    ExtraDelay,
+    Fault,
+    Heal,
+    NodeAction,
+    Partition,
+    ScriptedRequest,
+)
+
+REORDER_DELAY_MS = 50.0  # extra delay of a datagram under `reorder`: those sent less than this after it overtake it
+RETRANSMIT_TIMEOUT_MS = 200.0  # first retransmission of a lost segment, then doubled (RFC 6298; Linux's minimum)
+MAX_RETRANSMISSIONS = 6
 _MASK = (1 << 64) - 1
 
 
-class Weather:
-    """`plan` is faults by time: those due act before the next question (`advance`). Without one, call `apply`."""
+class NetworkConditions:
+    """The faults in force. Those of `schedule`, (ms, fault) pairs, act when `now_ms` reaches their time.
+
+    Without a schedule, the owner calls `apply`. `delay_ms` is the range of a message's delay.
+    """
 
     def __init__(
-        self, seed: int = 0, plan: Iterable[tuple[float, Fault]] = (), *, delay: tuple[float, float] = (0.0, 0.0)
+        self, seed: int = 0, schedule: Iterable[tuple[float, Fault]] = (), *, delay_ms: tuple[float, float] = (0.0, 0.0)
     ) -> None:
         self.seed = seed
-        self.usual = delay
-        self.plan = sorted(plan, key=lambda one: one[0])
-        self.done = 0  # of the plan
-        self.cuts: set[tuple[str, str]] = set()  # ways
+        self.default_delay_ms = delay_ms
+        self.schedule = sorted(schedule, key=lambda entry: entry[0])
+        self.applied_count = 0  # number of schedule entries
+        self.blocked_links: set[tuple[str, str]] = set()  # (sender, receiver)
         self.muted: set[str] = set()
         self.paused: set[str] = set()
         self.dead: set[str] = set()
-        self.disks: dict[str, Disk] = {}
-        self.clocks: dict[str, float] = {}  # name: all steps of its wall clock, ms
-        self.slow: dict[tuple[str, str], float] = {}
-        self.delays: dict[tuple[str, str], tuple[float, float]] = {}
-        self.overall: dict[str, float] = {"loss": 0.0, "double": 0.0, "reorder": 0.0}  # shares, 0 to 1
-        self.chances: dict[str, dict[tuple[str, str], float]] = {"loss": {}, "double": {}, "reorder": {}}
-        self._dice: dict[tuple[str, str, Carrier], int] = {}
-        self._calm = True  # nothing in force that a message could meet: one delay for all
-        self._look()
-
-    def advance(self, now: float) -> list[Fault]:
-        """Lets all of the plan that is due by `now` act; gives what did, for whoever must also kill or pause."""
-        acted = []
-        while self.done < len(self.plan) and self.plan[self.done][0] <= now:
-            acted.append(self.plan[self.done][1])
-            self.done += 1
-            self.apply(acted[-1])
-        return acted
+        self.disks: dict[str, DiskState] = {}
+        self.clock_steps_ms: dict[str, float] = {}  # name: sum of the steps of its wall clock
+        self.extra_delays_ms: dict[tuple[str, str], float] = {}
+        self.link_delays_ms: dict[tuple[str, str], tuple[float, float]] = {}
+        self.default_shares: dict[str, float] = {
+            "loss": 0.0,
+            "double": 0.0,
+            "reorder": 0.0,
+        }  # from 0 to 1, for links without a share of their own
+        self.link_shares: dict[str, dict[tuple[str, str], float]] = {"loss": {}, "double": {}, "reorder": {}}
+        self._random_states: dict[tuple[str, str, Carrier], int] = {}
+        self._constant_delay = True  # no fault affects messages: all have one constant delay
+        self._update_constant_delay()
+
+    def apply_due(self, now_ms: float) -> list[Fault]:
+        """Applies the scheduled faults that are due by `now_ms` and returns them.
+
+        The caller kills or pauses the processes that they name.
+        """
+        applied = []
+        while self.applied_count < len(self.schedule) and self.schedule[self.applied_count][0] <= now_ms:
+            applied.append(self.schedule[self.applied_count][1])
+            self.applied_count += 1
+            self.apply(applied[-1])
+        return applied
 
     def apply(self, fault: Fault) -> None:
-        if isinstance(fault, Cut):
-            for number, side in enumerate(fault.sides):
-                for other in fault.sides[number + 1 :]:
-                    for one in side:
-                        for two in other:
-                            self.cuts.add((one, two))
+        """Puts the fault in force now. Raises TypeError if it is not a fault."""
+        if isinstance(fault, Partition):
+            for index, side in enumerate(fault.sides):
+                for other_side in fault.sides[index + 1 :]:
+                    for member in side:
+                        for other_member in other_side:
+                            self.blocked_links.add((member, other_member))
                             if not fault.one_way:
-                                self.cuts.add((two, one))
+                                self.blocked_links.add((other_member, member))
         elif isinstance(fault, Heal):
-            self.cuts.clear()
+            self.blocked_links.clear()
             self.muted.clear()
-            self.slow.clear()
-        elif isinstance(fault, Chance):
+            self.extra_delays_ms.clear()
+        elif isinstance(fault, DatagramFault):
             share = fault.percent / 100
-            if fault.way is None:
-                self.overall[fault.kind] = share
-                self.chances[fault.kind].clear()
+            if fault.links is None:
+                self.default_shares[fault.kind] = share
+                self.link_shares[fault.kind].clear()
             else:
-                self.chances[fault.kind].update(dict.fromkeys(_links(fault.way), share))
+                self.link_shares[fault.kind].update(dict.fromkeys(_link_pairs(fault.links), share))
         elif isinstance(fault, Delay):
-            if fault.way is None:
-                self.usual = (fault.low, fault.high)
-                self.delays.clear()
+            if fault.links is None:
+                self.default_delay_ms = (fault.low_ms, fault.high_ms)
+                self.link_delays_ms.clear()
             else:
-                self.delays.update(dict.fromkeys(_links(fault.way), (fault.low, fault.high)))
-        elif isinstance(fault, Slow):
-            self.slow.update(dict.fromkeys(_links(fault.way), fault.ms))
-        elif isinstance(fault, Doing):
-            self._doing(fault)
-        elif isinstance(fault, Disk):
+                self.link_delays_ms.update(dict.fromkeys(_link_pairs(fault.links), (fault.low_ms, fault.high_ms)))
+        elif isinstance(fault, ExtraDelay):
+            self.extra_delays_ms.update(dict.fromkeys(_link_pairs(fault.links), fault.extra_ms))
+        elif isinstance(fault, NodeAction):
+            self._apply_node_action(fault)
+        elif isinstance(fault, DiskState):
             self.disks[fault.node] = fault
-        elif isinstance(fault, Clock):
-            self.clocks[fault.node] = self.clocks.get(fault.node, 0.0) + fault.step_ms
-        elif not isinstance(fault, Ask):
-            raise TypeError(f"no fault: {fault!r}")
-        self._look()
-
-    def is_cut(self, frm: str, to: str) -> bool:
-        return frm in self.muted or (frm, to) in self.cuts
-
-    def fate(self, now: float, frm: str, to: str, carrier: Carrier = Carrier.DATAGRAM) -> list[float]:
-        """ms until it arrives: none if it is lost, two if doubled.
-
-        A stream loses and doubles nothing: loss makes it late. None there means: cut, for the host to keep until it
-        heals. Who is paused or dead does not matter here; the host knows when it arrives.
+        elif isinstance(fault, ClockStep):
+            self.clock_steps_ms[fault.node] = self.clock_steps_ms.get(fault.node, 0.0) + fault.step_ms
+        elif not isinstance(fault, ScriptedRequest):
+            raise TypeError(f"not a fault: {fault!r}")
+        self._update_constant_delay()
+
+    def is_partitioned(self, sender: str, receiver: str) -> bool:
+        """Whether no message passes from `sender` to `receiver` now."""
+        return sender in self.muted or (sender, receiver) in self.blocked_links
+
+    def arrival_delays_ms(
+        self, now_ms: float, sender: str, receiver: str, carrier: Carrier = Carrier.DATAGRAM
+    ) -> list[float]:
+        """Returns the delay of each copy of a message that arrives: empty if it is lost, two if duplicated.
+
+        A stream neither loses nor duplicates messages: loss delays them. An empty list for a stream means that the link
+        is partitioned, and the host keeps the message until the partition heals. Paused and dead receivers are ignored
+        here; the host checks them on arrival.
         """
-        if self.done < len(self.plan):
-            self.advance(now)
-        if self._calm:
-            return [self.usual[0]]
-        way = (frm, to)
-        if frm in self.muted or way in self.cuts:
+        if self.applied_count < len(self.schedule):
+            self.apply_due(now_ms)
+        if self._constant_delay:
+            return [self.default_delay_ms[0]]
+        link = (sender, receiver)
+        if sender in self.muted or link in self.blocked_links:
             return []
-        key = (frm, to, carrier)
-        loss = self.chances["loss"].get(way, self.overall["loss"])
-        delay = self._delay(way, key)
+        key = (sender, receiver, carrier)
+        loss = self.link_shares["loss"].get(link, self.default_shares["loss"])
+        delay_ms = self._random_delay_ms(link, key)
         if carrier is Carrier.STREAM:
             if loss:
-                wait = TRY_AGAIN_MS
-                for _ in range(MOST_TRIES):
-                    if self._chance(key) >= loss:
+                timeout_ms = RETRANSMIT_TIMEOUT_MS
+                for _ in range(MAX_RETRANSMISSIONS):
+                    if self._random_share(key) >= loss:
                         break
-                    delay += wait
-                    wait *= 2
-            return [delay]
-        if loss and self._chance(key) < loss:
+                    delay_ms += timeout_ms
+                    timeout_ms *= 2
+            return [delay_ms]
+        if loss and self._random_share(key) < loss:
             return []
-        share = self.chances["reorder"].get(way, self.overall["reorder"])
-        if share and self._chance(key) < share:
-            delay += HELD_BACK_MS
-        share = self.chances["double"].get(way, self.overall["double"])
-        if share and self._chance(key) < share:
-            return [delay, self._delay(way, key)]
-        return [delay]
-
-    def _delay(self, way: tuple[str, str], key: tuple[str, str, Carrier]) -> float:
-        low, high = self.delays.get(way, self.usual)
-        delay = low if low == high else low + (high - low) * self._chance(key)
-        return delay + self.slow[way] if way in self.slow else delay
-
-    def _chance(self, key: tuple[str, str, Carrier]) -> float:
-        """From 0 to below 1: SplitMix64 (Steele, Lea, Flood 2014), a state a way. `Random` takes 2.5 kB for each."""
-        state = self._dice.get(key)
+        share = self.link_shares["reorder"].get(link, self.default_shares["reorder"])
+        if share and self._random_share(key) < share:
+            delay_ms += REORDER_DELAY_MS
+        share = self.link_shares["double"].get(link, self.default_shares["double"])
+        if share and self._random_share(key) < share:
+            return [delay_ms, self._random_delay_ms(link, key)]
+        return [delay_ms]
+
+    def _random_delay_ms(self, link: tuple[str, str], key: tuple[str, str, Carrier]) -> float:
+        low_ms, high_ms = self.link_delays_ms.get(link, self.default_delay_ms)
+        delay_ms = low_ms if low_ms == high_ms else low_ms + (high_ms - low_ms) * self._random_share(key)
+        return delay_ms + self.extra_delays_ms[link] if link in self.extra_delays_ms else delay_ms
+
+    def _random_share(self, key: tuple[str, str, Carrier]) -> float:
+        """SplitMix64 (Steele, Lea, Flood 2014) in [0, 1), one state per link; a `Random` would take 2.5 kB each."""
+        state = self._random_states.get(key)
         if state is None:
             text = f"{self.seed} {key[0]} > {key[1]} {key[2].value}".encode()
             state = crc32(text) << 32 | crc32(text[::-1])
-        state = self._dice[key] = (state + 0x9E3779B97F4A7C15) & _MASK
+        state = self._random_states[key] = (state + 0x9E3779B97F4A7C15) & _MASK
         mixed = ((state ^ (state >> 30)) * 0xBF58476D1CE4E5B9) & _MASK
         mixed = ((mixed ^ (mixed >> 27)) * 0x94D049BB133111EB) & _MASK
         return ((mixed ^ (mixed >> 31)) >> 11) / (1 << 53)
 
-    def _doing(self, fault: Doing) -> None:
+    def _apply_node_action(self, fault: NodeAction) -> None:
         for node in fault.nodes:
-            if fault.what == "pause":
+            if fault.action == "pause":
                 if node not in self.dead:
                     self.paused.add(node)
-            elif fault.what == "wake":
+            elif fault.action == "wake":
                 self.paused.discard(node)
-            elif fault.what == "mute":
+            elif fault.action == "mute":
                 self.muted.add(node)
-            elif fault.what == "start":
+            elif fault.action == "start":
                 self.dead.discard(node)
             else:
                 self.dead.add(node)
                 self.paused.discard(node)
 
-    def _look(self) -> None:
-        chancy = any(self.overall.values()) or any(self.chances.values())
-        self._calm = not (self.cuts or self.muted or self.slow or self.delays or chancy) and (
-            self.usual[0] == self.usual[1]
-        )
+    def _update_constant_delay(self) -> None:
+        has_datagram_faults = any(self.default_shares.values()) or any(self.link_shares.values())
+        self._constant_delay = not (
+            self.blocked_links or self.muted or self.extra_delays_ms or self.link_delays_ms or has_datagram_faults
+        ) and (self.default_delay_ms[0] == self.default_delay_ms[1])
 
 
-def _links(way: Way) -> list[tuple[str, str]]:
-    return [(frm, to) for frm in way.frm for to in way.to]
+def _link_pairs(links: DirectedLinks) -> list[tuple[str, str]]:
+    return [(sender, receiver) for sender in links.senders for receiver in links.receivers]
--- a/tests/fleet/affinity_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -81,9 +81,9 @@
         mute: str = "",
         **weather: Any,
     ) -> None:
-        """`mute`: of `later`, held alive all the same."""
+        """`mute`: of `started_later`, held alive all the same."""
         self.names, self.tuning = list(names), tuning
-        self.there = set(self.names) - set(weather.get("later", "")) | set(mute)
+        self.there = set(self.names) - set(weather.get("started_later", "")) | set(mute)
         self.process_epochs: dict[str, int] = {}
         self._real = real
         self.world = World(self.names, self._make, seed, **weather)
@@ -93,7 +93,7 @@
         return Hubbed(self, name, seed, process_epoch) if self._real else Told(self, name, process_epoch)
 
     def of(self, name: str) -> Bindings:
-        part: Bindings = self.world.part(name).bindings
+        part: Bindings = self.world.component(name).bindings
         return part
 
     def table(self, name: str) -> Shared:
@@ -101,7 +101,7 @@
 
     def now(self, name: str) -> float:
         node = self.world.nodes[name]
-        return max(node.now, node.clock(self.world.now))
+        return max(node.now, node.monotonic_ms(self.world.now))
 
     def run(self, span: float) -> None:
         self.world.run(self.world.now + span)
@@ -109,7 +109,7 @@
     def say(self, event: Any, *names: str) -> None:
         for name in names or self.names:
             if self.world.alive(name):
-                self.world.poke(name, ComponentEvent("bi.", event) if self._real else event)
+                self.world.deliver_event(name, ComponentEvent("bi.", event) if self._real else event)
 
     def changed(self, who: str, state: str, process_epoch: int, *names: str) -> None:
         self.there.add(who)
--- a/tests/fleet/members.py
+++ b/tests/fleet/members.py
@@ -6,14 +6,14 @@
 
 from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.membership import Membership, State
-from limenotch.lab.fleet.members import TUNING, maker
+from limenotch.lab.fleet.members import TUNING, component_factory
 from limenotch.lab.fleet.world import World
 
-__all__ = ["TUNING", "all_alive", "deaths", "held", "maker", "part"]
+__all__ = ["TUNING", "all_alive", "component_factory", "deaths", "held", "part"]
 
 
 def part(world: World, node: str) -> Membership:
-    found = world.part(node).part
+    found = world.component(node).part
     assert isinstance(found, Membership)
     return found
 
@@ -24,9 +24,9 @@
 
 def deaths(world: World, since: float = 0.0) -> set[str]:
     return {
-        change.what.name
-        for change in world.changes
-        if isinstance(change.what, MemberChanged) and change.what.state == "dead" and change.at_ms >= since
+        change.action.name
+        for change in world.observed_changes
+        if isinstance(change.action, MemberChanged) and change.action.state == "dead" and change.at_ms >= since
     }
 
 
--- a/tests/fleet/returning_clients.py
+++ b/tests/fleet/returning_clients.py
@@ -60,11 +60,11 @@
         setattr(self.providers, "request", request)  # noqa: B010 (it has no other way in)
 
     def _choose(self, request: Request) -> Pool | None:
-        first, count = self.fleet.entry_rank(request.zone) + request.tries - 1, len(self.drawing.nodes)
+        first, count = self.fleet.entry_rank(request.zone) + request.tries - 1, len(self.timeline.nodes)
         for step in range(count):
             key = (0, (first + step) % count)
             if key in self._pools:
-                self.trial.next_goes_to(key)
+                self.call_rules.assign_next_request(key)
                 return self._pools[key]
         return None
 
@@ -81,15 +81,15 @@
         if session:
             wire = wire.replace(b"Host: lab\r\n", b"Host: lab\r\nX-Session: " + session.encode() + b"\r\n")
         final: asyncio.Future[http1.Message | None] = asyncio.get_running_loop().create_future()
-        self.trial.next_goes_to(key_of)
-        self.trial.taken(self.clock(), name, spec.effect, spec.scope, spec.window_ms, self.clock() + BUDGET_MS)
+        self.call_rules.assign_next_request(key_of)
+        self.call_rules.taken(self.clock(), name, spec.effect, spec.scope, spec.window_ms, self.clock() + BUDGET_MS)
         self._pools[key_of].ask(wire, final.set_result)
         answer = await asyncio.wait_for(final, 10)
         verdict, _ = verdict_of(answer, name)
         if answer is None:
-            self.trial.lost(name)
+            self.call_rules.lost(name)
             return "lost", "", name
-        self.trial.answered(self.clock(), name, verdict)
+        self.call_rules.answered(self.clock(), name, verdict)
         return verdict, answer.body.partition(b" ")[2].decode(), name
 
 
@@ -133,7 +133,7 @@
             verdict, _, call = await self.bench.call(name, KEYED, what, again=True)
             assert (verdict, self.bench.attempts.get(call)) == ("rejected", None), (words, verdict)
         elif word == "whole":
-            await self.processes.until_all(
+            await self.processes.wait_until_all(
                 lambda _, state: state["parts"]["bindings"]["state"] == "whole", 20, words, [name]
             )
         elif word == "twice":
@@ -177,7 +177,7 @@
         state = await self.figures(node)
         told = state["told"] + (2 if state["to_tell"] else 0)  # the word under way, and the one after it
         nodes = self.processes.nodes
-        members = (await nodes[node].state() or {})["members"]
+        members = (await nodes[node].fleet_status() or {})["members"]
         alive = [
             member["name"]
             for member in members
@@ -191,10 +191,10 @@
             others = [await self.figures(other) for other in alive]
             return all(other.get("heard", {}).get(node, -1) >= min(told, own["told"]) for other in others)
 
-        await self.processes.until(holds, 10, f"what {node} told is known at {alive}")
+        await self.processes.wait_until(holds, 10, f"what {node} told is known at {alive}")
 
     async def figures(self, node: str) -> dict[str, Any]:
-        state = await self.processes.nodes[node].state()
+        state = await self.processes.nodes[node].fleet_status()
         return dict(state["parts"]["bindings"]) if state is not None else {}
 
     async def same(self, node: str, session: str) -> None:
@@ -226,7 +226,7 @@
             if site.name in providers:
                 bench._see_to(bench.fleet.carry_out(bench.clock(), Deed(bench.clock(), "drain", 0, number)))
         left = sum(not site.draining and site.name not in self.banned for site in bench.fleet.sites[0])
-        await self.processes.until_all(
+        await self.processes.wait_until_all(
             lambda _, state: state["parts"]["bindings"]["providers"] == left, 20, f"{providers} drain", self.running
         )
 
@@ -243,14 +243,14 @@
         status, said = await self.request(node, "ban", {"upstream": self.homes[session]}, f"ban {session}")
         assert status == 200, said
         agreed = self.bench.clock()
-        await self.processes.until_all(
+        await self.processes.wait_until_all(
             lambda name, state: state["parts"]["bindings"]["providers"] < before[name], 5, "out at all", self.running
         )
         took = self.bench.clock() - agreed
         assert took <= ENDS_MS + self.bench._lag.now_ms(), took
 
     async def alone(self, node: str, count: str) -> None:
-        await self.processes.until_all(
+        await self.processes.wait_until_all(
             lambda _, state: sum(member["state"] == "alive" for member in state["members"]) == int(count),
             20,
             f"{count} are alive",
--- a/tests/fleet/test_affinity_core.py
+++ b/tests/fleet/test_affinity_core.py
@@ -24,7 +24,7 @@
 
 
 def fault(fleet: Fleet, text: str) -> None:
-    fleet.world.fault(faults.parse(text))
+    fleet.world.apply_fault(faults.parse(text))
 
 
 def gone_at(fleet: Fleet, key: bytes, most: float, kind: Kind = Kind.SESSION) -> list[float]:
@@ -73,7 +73,7 @@
     death = death_ms(TUNING, 3)
     times = gone_at(fleet, b"k", death)
     assert times
-    assert any(seen.text == "c dead" for seen in fleet.world.seen)
+    assert any(seen.text == "c dead" for seen in fleet.world.observed_lines)
 
 
 def test_a_pause_revives_nothing_and_loses_nothing() -> None:
@@ -87,7 +87,7 @@
     assert fleet.who(b"old")[:2] == [None, None]
     fault(fleet, "wake c")
     fleet.run(3000)
-    assert any(seen.text == "fenced" for seen in fleet.world.seen)
+    assert any(seen.text == "fenced" for seen in fleet.world.observed_lines)
     assert fleet.who(b"old") == [None] * 3
     assert fleet.who(b"new") == ["p1"] * 3
     assert fleet.same()
--- a/tests/fleet/test_affinity_join.py
+++ b/tests/fleet/test_affinity_join.py
@@ -20,7 +20,7 @@
 
 
 def notes(fleet: Fleet, *words: str) -> list[tuple[str, str]]:
-    return [(seen.node, seen.text) for seen in fleet.world.seen if seen.text.split()[0] in words]
+    return [(seen.node, seen.text) for seen in fleet.world.observed_lines if seen.text.split()[0] in words]
 
 
 def settled(fleet: Fleet) -> Fleet:
@@ -37,7 +37,7 @@
 
 
 def test_a_newcomer_has_the_table_newest_first_within_its_rate() -> None:
-    fleet = settled(Fleet("abc", tuning=LONG, later="c"))
+    fleet = settled(Fleet("abc", tuning=LONG, started_later="c"))
     many = 10_000
     for number in range(many):
         fleet.see("a", b"%d" % number)
@@ -55,14 +55,16 @@
         assert got[0] or not got[1]
         assert fleet.world.now < 10_000
     assert got == [True, True]
-    whole = next(seen.at_ms for seen in fleet.world.seen if seen.node == "c" and seen.text == "whole")
-    joins = next(seen.at_ms for seen in fleet.world.seen if seen.node == "c" and seen.text == "joins bindings")
+    whole = next(seen.at_ms for seen in fleet.world.observed_lines if seen.node == "c" and seen.text == "whole")
+    joins = next(
+        seen.at_ms for seen in fleet.world.observed_lines if seen.node == "c" and seen.text == "joins bindings"
+    )
     assert least * 0.9 < whole - joins < least * 1.2 + 200
     assert fleet.same()
 
 
 def test_a_server_that_falls_under_way_is_replaced() -> None:
-    fleet = settled(Fleet("abcd", tuning=LONG, later="d"))
+    fleet = settled(Fleet("abcd", tuning=LONG, started_later="d"))
     for number in range(5000):
         fleet.see("a", b"%d" % number)
     fleet.run(1000)
@@ -84,7 +86,7 @@
     """The fall of a batch between two that come: no cover counts till it is there."""
     fleet = settled(Fleet("abc", tuning=LONG))
     lost: list[messages.Sights] = []
-    real = fleet.world._carry
+    real = fleet.world._send_message
 
     def carry(node, to, message, carrier):  # type: ignore[no-untyped-def]
         if isinstance(message, messages.Sights) and node.name == "a" and to.name == "b" and not lost:
@@ -92,7 +94,7 @@
         else:
             real(node, to, message, carrier)
 
-    fleet.world._carry = carry  # type: ignore[method-assign]
+    fleet.world._send_message = carry  # type: ignore[method-assign]
     fleet.see("a", b"k")
     fleet.run(120)
     assert lost
@@ -106,7 +108,7 @@
 
 def test_one_that_is_held_alive_and_not_heard_is_heard_through_another() -> None:
     fleet = settled(Fleet("abc"))
-    fleet.world.fault(faults.parse("cut a > b"))
+    fleet.world.apply_fault(faults.parse("cut a > b"))
     for _ in range(30):
         fleet.see("a", b"k")
         fleet.run(200)
@@ -118,7 +120,7 @@
 
 def test_a_member_without_bindings_blocks_nothing_for_long() -> None:
     """An older program: it is a member, and never says a word of them."""
-    fleet = Fleet("abc", later="c", mute="c", tuning=msgspec.structs.replace(QUICK, grave_ms=3000.0))
+    fleet = Fleet("abc", started_later="c", mute="c", tuning=msgspec.structs.replace(QUICK, grave_ms=3000.0))
     fleet.run(500)
     assert fleet.table("a").whole is False  # it may know what nobody else does
     fleet.see("a", b"k")
@@ -227,7 +229,7 @@
     fleet = settled(Fleet("ab"))
     fleet.see("a", b"k")
     fleet.run(100)
-    fleet.world.poke("a", MessageReceived(address("b"), "b", message))
+    fleet.world.deliver_event("a", MessageReceived(address("b"), "b", message))
     fleet.run(2000)
     assert fleet.who(b"k") == ["p1", "p1"]
     assert fleet.table("a").counter < MOST_COUNT
@@ -236,7 +238,7 @@
 
 
 def test_pages_that_go_round_in_circles_are_given_up() -> None:
-    fleet = settled(Fleet("ab", tuning=LONG, later="b"))
+    fleet = settled(Fleet("ab", tuning=LONG, started_later="b"))
     fleet.world.start("b")
     fleet.changed("b", "alive", 1, "a")
     fleet.run(1000)
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -16,7 +16,7 @@
 from limenotch.lab.emulate.sidecars import SidecarError
 from limenotch.lab.fleet import drawing, weather
 from limenotch.lab.fleet.processes import NotReachedError, Processes
-from limenotch.lab.fleet.stage import Outcome, together
+from limenotch.lab.fleet.stage import Outcome, relayed_fleet_settings
 from limenotch.net import http1
 from tests.helpers.http_peers import LOOK, answer_from
 
@@ -88,8 +88,8 @@
 
 
 def played(text: str, folder: Path, rules: bool, bindings: dict[str, Any] | None) -> tuple[Outcome, Comers]:
-    drawn = drawing.read(text)
-    traffic = TRAFFIC.format(length_s=drawn.ends / 1000.0, count=len(drawn.nodes))
+    drawn = drawing.parse_timeline(text)
+    traffic = TRAFFIC.format(length_s=drawn.end_ms / 1000.0, count=len(drawn.nodes))
     plan = planning.plan(scenario.parse(traffic, "bindings"), 3)
     key = folder / "key"
     key.write_text("a key for tests, of 16 bytes or more")
@@ -97,14 +97,14 @@
     tables: Any = {"membership": MEMBERSHIP, "agreement": AGREEMENT}
     if bindings is not None:
         tables["bindings"] = bindings
-    fleet = together(drawn.nodes, key, tuple("abc") if rules else (), **tables)
+    fleet = relayed_fleet_settings(drawn.nodes, key, tuple("abc") if rules else (), **tables)
 
     async def case() -> Outcome:
         bench = Bench(
             plan,
             folder,
             drawn,
-            weather.Weather(drawn.seed),
+            weather.NetworkConditions(drawn.seed),
             ask=comers.execute,
             fleet=lambda stage, node: fleet(stage, node) + (RULES_TABLE if rules else ""),
         )
@@ -120,12 +120,12 @@
                 )
 
             try:
-                await processes.until_all(holds, 12, "all are together")
+                await processes.wait_until_all(holds, 12, "all are together")
             except NotReachedError as error:
                 raise TogetherError(str(error)) from None
 
         try:
-            outcome = await bench.perform(settled)
+            outcome = await bench.run_timeline(settled)
             comers.repeats += sum(process.ledger.repeats for process in bench.fleet.every[0])
             if not any(str(fault).startswith(("kill", "cut")) for _, fault in drawn.faults) and bindings is not None:
                 # What a sidecar has not told before its end, or could tell nobody, may run again.
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -198,13 +198,13 @@
     run.run_until(lambda: run.leader() == "a", 3000)
     actions: list[Any] = []
     run.action_observer = lambda name, action: actions.append(action)
-    run.world.fault(faults.parse("disk a full"))
+    run.world.apply_fault(faults.parse("disk a full"))
     run.propose("a")
     run.world.run(run.world.now + 50)
     assert [action for action in actions if isinstance(action, OutcomeUnknown)]
     run.propose("a")
     assert actions[-1].why == "disk full"
-    run.world.fault(faults.parse("disk a ok"))
+    run.world.apply_fault(faults.parse("disk a ok"))
     run.run_until(lambda: run.leader() == "a", 3000)
     run.check_convergence()
     assert run.checker.violations == []
--- a/tests/fleet/test_drawing.py
+++ b/tests/fleet/test_drawing.py
@@ -10,24 +10,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limenotch.lab.fleet.comparing import exact, within
-from limenotch.lab.fleet.drawing import Drawn, Scenario, draw, expand, read
+from limenotch.lab.fleet.comparing import compare_exactly, compare_within_window
+from limenotch.lab.fleet.drawing import ExpectedTimeline, TimelineEntry, expand_names, format_timeline, parse_timeline
 from limenotch.lab.fleet.faults import (
-    Ask,
-    Chance,
-    Clock,
-    Cut,
+    ClockStep,
+    DatagramFault,
     Delay,
-    Disk,
-    Doing,
+    DirectedLinks,
+    DiskState,
+    ExtraDelay,
     Fault,
     Heal,
-    Slow,
-    Way,
+    NodeAction,
+    Partition,
+    ScriptedRequest,
     parse,
-    parse_all,
+    parse_cell,
 )
-from limenotch.lab.fleet.scenario import check, load, play
+from limenotch.lab.fleet.scenario import check, load, simulate
 from limenotch.lab.fleet.world import World
 
 from .fake_parts import listeners
@@ -53,22 +53,24 @@
 def faults(draw: st.DrawFn) -> Fault:
     some = draw(names)
     middle = draw(st.integers(1, len(some) - 1))
-    way = Way(tuple(some[:middle]), tuple(some[middle:]))
+    way = DirectedLinks(tuple(some[:middle]), tuple(some[middle:]))
     perhaps = draw(st.sampled_from([None, way]))
     low, high = sorted([draw(figures), draw(figures)])
     disk = draw(st.sampled_from(["ok", "full", "slow", "torn", "read-only"]))
     every: list[Fault] = [
-        Cut((way.frm, way.to)),
-        Cut((way.frm, way.to), one_way=True),
-        Cut(tuple((one,) for one in some)),
+        Partition((way.senders, way.receivers)),
+        Partition((way.senders, way.receivers), one_way=True),
+        Partition(tuple((one,) for one in some)),
         Heal(),
-        Chance(draw(st.sampled_from(["loss", "double", "reorder"])), draw(st.integers(0, 100_000)) / 1000, perhaps),
+        DatagramFault(
+            draw(st.sampled_from(["loss", "double", "reorder"])), draw(st.integers(0, 100_000)) / 1000, perhaps
+        ),
         Delay(low, high, perhaps),
-        Slow(way, high),
-        Disk(some[0], disk, high if disk == "slow" else 0.0),
-        Doing(draw(st.sampled_from(["pause", "wake", "kill", "start", "wipe", "leave", "mute"])), tuple(some)),
-        Clock(some[0], draw(st.integers(-(10**8), 10**8)) * 1.0),
-        Ask(some[0], "rules 5 propose"),
+        ExtraDelay(way, high),
+        DiskState(some[0], disk, high if disk == "slow" else 0.0),
+        NodeAction(draw(st.sampled_from(["pause", "wake", "kill", "start", "wipe", "leave", "mute"])), tuple(some)),
+        ClockStep(some[0], draw(st.integers(-(10**8), 10**8)) * 1.0),
+        ScriptedRequest(some[0], "rules 5 propose"),
     ]
     return draw(st.sampled_from(every))
 
@@ -104,18 +106,22 @@
 def test_notes_bound_come_in_either_order(
     moved: dict[str, list[tuple[int, str]]], exactly: bool, with_window: bool
 ) -> None:
-    scenario = read(EITHER)
+    scenario = parse_timeline(EITHER)
     notes = {"a": [(200, "x"), (200, "y"), (200, "z")], "b": [(300, "x"), (400, "y"), (400, "z")], **moved}
     seen = sorted(((float(at), node, text) for node, own in notes.items() for at, text in own), key=lambda one: one[0])
-    assert (exact(scenario, seen) is None) == exactly and (within(scenario, seen) is None) == with_window
-    assert read(draw(scenario, scenario.notes)) == scenario
-    assert [note.either for note in read(draw(scenario, scenario.looked_at(seen))).notes].count(True) == 2 or moved
+    assert (compare_exactly(scenario, seen) is None) == exactly and (
+        compare_within_window(scenario, seen) is None
+    ) == with_window
+    assert parse_timeline(format_timeline(scenario, scenario.entries)) == scenario
+    assert [
+        note.any_order for note in parse_timeline(format_timeline(scenario, scenario.compared_entries(seen))).entries
+    ].count(True) == 2 or moved
 
 
 @pytest.mark.parametrize("cell", ["& x", "x, & y", "x &", "x & & y"])
 def test_a_sign_that_binds_nothing_is_refused(cell: str) -> None:
-    with pytest.raises(ValueError, match="stands between"):
-        read(f"nodes: a\n\nms   a\n3    {cell}\n")
+    with pytest.raises(ValueError, match="has to be between"):
+        parse_timeline(f"nodes: a\n\nms   a\n3    {cell}\n")
 
 
 @given(faults())
@@ -126,30 +132,30 @@
 @settings(max_examples=50)
 @given(st.lists(faults(), min_size=1, max_size=4))
 def test_several_in_one_cell(some: list[Fault]) -> None:
-    assert parse_all(", ".join(map(str, some))) == some
+    assert parse_cell(", ".join(map(str, some))) == some
 
 
 @pytest.mark.parametrize(
     ("text", "words"),
     [
-        ("cat a | b", "'cat' is none"),
+        ("cat a | b", "'cat' is not one of"),
         ("cut a b", "'a b' has no"),
-        ("cut a > a", "both sides"),
-        ("cut a | ", "name is missing"),
+        ("cut a > a", "on both sides"),
+        ("cut a | ", "node name is missing"),
         ("cut a | b | a", "twice"),
-        ("loss 20", "'20' is no share"),
+        ("loss 20", "'20' is not a percentage"),
         ("loss 120%", "'120%'"),
         ("delay 40..5", "'40..5'"),
-        ("slow a > b", "no number of ms"),
-        ("disk a fulll", "'fulll' is none"),
-        ("disk a full 3", "'3' after 'full'"),
-        ("clock a 3600s", "'3600s' is no step"),
-        ("ask a", "ask what"),
+        ("slow a > b", "not a number of ms"),
+        ("disk a fulll", "'fulll' is not one of"),
+        ("disk a full 3", "'3' is unexpected after 'full'"),
+        ("clock a 3600s", "'3600s' is not a clock step"),
+        ("ask a", "words of the request are missing"),
         ("kill", "missing"),
-        ("heal a", "'a' is too much"),
-        ("pause 1a", "'1a' is no name"),
-        ("cut a > b | c", "either"),
-        ("disk a slow x", "'x' is no number"),
+        ("heal a", "'a' is unexpected"),
+        ("pause 1a", "'1a' is not a node name"),
+        ("cut a > b | c", "either `|` or `>`"),
+        ("disk a slow x", "'x' is not a number"),
     ],
 )
 def test_faults_refused_name_the_words(text: str, words: str) -> None:
@@ -159,57 +165,57 @@
 
 
 def test_a_drawing_is_read() -> None:
-    scenario = read(TEXT)
+    scenario = parse_timeline(TEXT)
     assert scenario.nodes == scenario.columns == ("a", "b", "c")
-    assert scenario.notes == (
-        Drawn(1300, "a", "suspects c"),
-        Drawn(1300, "b", "suspects c"),
-        Drawn(2001, "a", "c back"),
-        Drawn(2001, "b", "c back"),
+    assert scenario.entries == (
+        TimelineEntry(1300, "a", "suspects c"),
+        TimelineEntry(1300, "b", "suspects c"),
+        TimelineEntry(2001, "a", "c back"),
+        TimelineEntry(2001, "b", "c back"),
     )
     assert [(at, str(fault)) for at, fault in scenario.faults] == [(1000, "kill c"), (2000, "start c")]
-    assert scenario.ends == 2001 and scenario.seed == 1
+    assert scenario.end_ms == 2001 and scenario.seed == 1
 
 
 def test_a_cell_belongs_to_the_heading_last_before_it() -> None:
-    scenario = read("ms    a       b       faults\n0        x    y, z\n0              w      heal\n")
-    assert [(note.node, note.text) for note in scenario.notes] == [("a", "x"), ("b", "y"), ("b", "z"), ("b", "w")]
+    scenario = parse_timeline("ms    a       b       faults\n0        x    y, z\n0              w      heal\n")
+    assert [(note.node, note.text) for note in scenario.entries] == [("a", "x"), ("b", "y"), ("b", "z"), ("b", "w")]
     assert [str(fault) for _, fault in scenario.faults] == ["heal"]
 
 
 @pytest.mark.parametrize(
     ("text", "words"),
     [
-        ("nodes: a\n", "no heading"),
+        ("nodes: a\n", "missing a heading"),
         ("nodes a\nms a\n", "'nodes a'"),
         ("ms  a\n0\tx\n", "a tab"),
         ("ms    a       b\n0     long note here\n", "runs into the column of b"),
         ("ms  a\n5\n4\n", "4 after 5"),
-        ("ms    a\nx     y\n", "'x' is no time"),
-        ("ms    a\n      y\n", "'y' is no time"),
+        ("ms    a\nx     y\n", "'x' is not a time"),
+        ("ms    a\n      y\n", "'y' is not a time"),
         ("nodes: a\nms    a    b\n", "'b'"),
-        ("ms    a    faults\n0          kill b\n", "'b' is none of the nodes"),
+        ("ms    a    faults\n0          kill b\n", "'b' is not one of the nodes"),
         ("ms   a   faults\n0        kil a\n", "'kil'"),
-        ("show: dead\nms    a\n0     back\n", "'back' is drawn at 0"),
+        ("show: dead\nms    a\n0     back\n", "'back' at 0 for a has no word"),
         ("ms    faults    a\n", "last column"),
-        ("nodes: n1..n0\nms   n1\n", "no range"),
-        ("seed: x\nms   a\n", "'x' is no number"),
-        ("a: 1\na: 2\nms  a\n", "twice"),
+        ("nodes: n1..n0\nms   n1\n", "not a range"),
+        ("seed: x\nms   a\n", "'x' is not a number"),
+        ("a: 1\na: 2\nms  a\n", "duplicate key 'a'"),
         ("until: 5\nms    a\n9     x\n", "after `until`"),
     ],
 )
 def test_drawings_refused_name_the_words(text: str, words: str) -> None:
     with pytest.raises(ValueError, match="drawing") as error:
-        read(text)
+        parse_timeline(text)
     assert words in str(error.value)
 
 
 def test_ranges_of_names() -> None:
-    assert expand("a n8..n11 b") == ("a", "n8", "n9", "n10", "n11", "b")
+    assert expand_names("a n8..n11 b") == ("a", "n8", "n9", "n10", "n11", "b")
 
 
-def seen_of(scenario: Scenario) -> list[tuple[float, str, str]]:
-    return [(float(note.at_ms), note.node, note.text) for note in scenario.notes]
+def seen_of(scenario: ExpectedTimeline) -> list[tuple[float, str, str]]:
+    return [(float(note.at_ms), note.node, note.text) for note in scenario.entries]
 
 
 texts = st.sampled_from(["suspects b", "b dead", "leads 4", "narrow"])
@@ -220,24 +226,26 @@
 @given(notes, st.lists(st.tuples(st.integers(0, 50), faults()), max_size=3))
 def test_what_is_drawn_anew_is_read_as_it_was(some: list[tuple[int, str, str]], what: list[tuple[int, Fault]]) -> None:
     head = "nodes: a b c n12 east-1\nuntil: 60\n\nms    a     b     c     faults\n"
-    empty = read(head)
-    scenario = Scenario(
-        empty.head,
+    empty = parse_timeline(head)
+    scenario = ExpectedTimeline(
+        empty.header,
         empty.nodes,
         empty.columns,
-        tuple(empty.looked_at(some)),
+        tuple(empty.compared_entries(some)),
         tuple(sorted(what, key=lambda one: one[0])),
         60,
         "drawing",
     )
-    assert read(draw(scenario, scenario.notes)) == scenario
-    assert exact(scenario, some) is None
+    assert parse_timeline(format_timeline(scenario, scenario.entries)) == scenario
+    assert compare_exactly(scenario, some) is None
 
 
 @given(notes, st.data())
 def test_one_row_moved_missing_or_more_is_found(some: list[tuple[int, str, str]], data: st.DataObject) -> None:
-    empty = read("nodes: a b c\nuntil: 100\n\nms    a     b     c\n")
-    scenario = Scenario(empty.head, empty.nodes, empty.columns, tuple(empty.looked_at(some)), (), 100, "drawing")
+    empty = parse_timeline("nodes: a b c\nuntil: 100\n\nms    a     b     c\n")
+    scenario = ExpectedTimeline(
+        empty.header, empty.nodes, empty.columns, tuple(empty.compared_entries(some)), (), 100, "drawing"
+    )
     which = data.draw(st.integers(0, len(some) - 1))
     at, node, text = some[which]
     moved = [*some[:which], (at + data.draw(st.integers(1, 40)), node, text), *some[which + 1 :]]
@@ -245,7 +253,7 @@
     more = [*some, (data.draw(st.integers(0, 100)), node, "more")]
     changed = [*some[:which], (at, node, "other"), *some[which + 1 :]]
     for other in (moved, missing, more, changed):
-        difference = exact(scenario, other)
+        difference = compare_exactly(scenario, other)
         assert difference is not None
         marked = [line for line in difference.splitlines() if line.startswith(">")]
         assert len(marked) == 1
@@ -259,53 +267,60 @@
         )
         left, _, right = marked[0][8:].split("|")
         assert left.strip() != right.strip()
-    assert within(scenario, missing, window=1000) is not None
-    assert within(scenario, changed, window=1000) is not None
-    assert within(scenario, sorted(some, key=lambda one: one[0]), window=0) is None
+    assert compare_within_window(scenario, missing, window_ms=1000) is not None
+    assert compare_within_window(scenario, changed, window_ms=1000) is not None
+    assert compare_within_window(scenario, sorted(some, key=lambda one: one[0]), window_ms=0) is None
 
 
 def test_a_window_lets_nodes_change_places_but_not_a_nodes_own_order() -> None:
-    scenario = read(
+    scenario = parse_timeline(
         "window: 100\nuntil: 3000\nms    a      b      faults\n1000  x\n1050         y\n1080  z\n"
         "2000                kill a\n2500         w\n"
     )
-    assert within(scenario, [(1060, "b", "y"), (1090, "a", "x"), (1100, "a", "z"), (2500, "b", "w")]) is None
-    swapped = within(scenario, [(1000, "a", "z"), (1050, "b", "y"), (1080, "a", "x"), (2500, "b", "w")])
-    assert swapped is not None and "a: 'z' at 1000 where 'x' is drawn" in swapped
-    late = within(scenario, [(1101, "a", "x"), (1050, "b", "y"), (1180, "a", "z"), (2500, "b", "w")])
+    assert (
+        compare_within_window(scenario, [(1060, "b", "y"), (1090, "a", "x"), (1100, "a", "z"), (2500, "b", "w")])
+        is None
+    )
+    swapped = compare_within_window(scenario, [(1000, "a", "z"), (1050, "b", "y"), (1080, "a", "x"), (2500, "b", "w")])
+    assert swapped is not None and "a: 'z' at 1000 where 'x' is expected" in swapped
+    late = compare_within_window(scenario, [(1101, "a", "x"), (1050, "b", "y"), (1180, "a", "z"), (2500, "b", "w")])
     assert late is not None and "101 ms from 1000" in late
-    more = within(scenario, [(1000, "a", "x"), (1050, "b", "y"), (1080, "a", "z"), (2500, "b", "w"), (2600, "b", "v")])
-    assert more is not None and "'v' at 2600 is not drawn" in more
+    more = compare_within_window(
+        scenario, [(1000, "a", "x"), (1050, "b", "y"), (1080, "a", "z"), (2500, "b", "w"), (2600, "b", "v")]
+    )
+    assert more is not None and "'v' at 2600 is not expected" in more
 
 
 def test_a_window_is_counted_from_the_fault_as_it_happened() -> None:
-    scenario = read("nodes: a b\nwindow: 50\nms    a      faults\n1000         kill b\n1300  dead\n")
-    assert within(scenario, [(1700, "a", "dead")], [1400.0]) is None
-    assert within(scenario, [(1300, "a", "dead")], [1400.0]) is not None
-    assert within(scenario, [(1700, "a", "dead")]) is not None
+    scenario = parse_timeline("nodes: a b\nwindow: 50\nms    a      faults\n1000         kill b\n1300  dead\n")
+    assert compare_within_window(scenario, [(1700, "a", "dead")], [1400.0]) is None
+    assert compare_within_window(scenario, [(1300, "a", "dead")], [1400.0]) is not None
+    assert compare_within_window(scenario, [(1700, "a", "dead")]) is not None
 
 
 def test_what_show_leaves_out_counts_for_nothing() -> None:
-    scenario = read(TEXT)
-    assert exact(scenario, [*seen_of(scenario), (1100.0, "a", "leads 4"), (1100.0, "z", "suspects a")]) is None
+    scenario = parse_timeline(TEXT)
+    assert (
+        compare_exactly(scenario, [*seen_of(scenario), (1100.0, "a", "leads 4"), (1100.0, "z", "suspects a")]) is None
+    )
 
 
 def test_a_scenario_comes_out_in_simulated_time(tmp_path: Path) -> None:
     file = tmp_path / "falls.txt"
     file.write_text(TEXT, encoding="utf-8")
     outcome = check(load(file), listeners("a", "b", "c"))
-    assert read(outcome.drawn_anew()).notes == outcome.scenario.notes
-    wrong = play(read(TEXT.replace("1300", "1301"), "falls"), listeners("a", "b", "c"))
+    assert parse_timeline(outcome.format_observed()).entries == outcome.timeline.entries
+    wrong = simulate(parse_timeline(TEXT.replace("1300", "1301"), "falls"), listeners("a", "b", "c"))
     assert wrong.difference is not None
     assert "> 1300" in wrong.difference and "falls" in wrong.difference
-    with pytest.raises(AssertionError, match="drawn anew"):
-        check(read(TEXT.replace("start c", "heal   ")), listeners("a", "b", "c"))
+    with pytest.raises(AssertionError, match="file as observed"):
+        check(parse_timeline(TEXT.replace("start c", "heal   ")), listeners("a", "b", "c"))
 
 
 def test_the_page_holds_what_it_says() -> None:
     page = (Path(__file__).parents[2] / "docs" / "fleet" / "lab.md").read_text(encoding="utf-8")
     block = page.split("## How to write a drawing\n\n")[1].split("\n\n- ")[0]
-    check(read(dedent(block), "the page"), listeners("a", "b", "c"))
+    check(parse_timeline(dedent(block), "the page"), listeners("a", "b", "c"))
     table = page.split("| words | meaning | simulated |\n| --- | --- | --- |\n")[1].split("\n\n")[0]
     first = [re.split(r" \| ", row)[0].replace("\\|", "|") for row in table.splitlines()]
     words = [word for cell in first for word in re.findall(r"`(.*?)`", cell)]
@@ -314,13 +329,13 @@
 
 
 def test_asking_in_a_scenario() -> None:
-    scenario = read(
+    scenario = parse_timeline(
         "nodes: a b\nshow: hello\nms    a               b      faults\n10    hello there            ask a hello there\n"
     )
 
     def ask(world: World, node: str, words: str) -> None:
-        world.poke(node, words)
+        world.deliver_event(node, words)
 
     check(scenario, listeners("a", "b"), ask)
-    with pytest.raises(ValueError, match="nobody answers"):
-        play(scenario, listeners("a", "b"))
+    with pytest.raises(ValueError, match="no handler for"):
+        simulate(scenario, listeners("a", "b"))
--- a/tests/fleet/test_endpoint_lists_storms.py
+++ b/tests/fleet/test_endpoint_lists_storms.py
@@ -25,13 +25,13 @@
     run = ListsRun(("a", "b", "c", "d"))
     world = World(run.nodes, run.make, seed, drift_ppm=1000.0)
     world.run(1500)
-    world.fault(faults.parse(f"loss {random.choice((0, 5, 15))}%"))
+    world.apply_fault(faults.parse(f"loss {random.choice((0, 5, 15))}%"))
     stages, index, live = dict.fromkeys("uvw", ""), 100, dict.fromkeys(run.nodes, True)
     left_out: dict[str, set[str]] = {node: set() for node in run.nodes}  # endpoints that the directory leaves out, too
 
     def send_complete_list(node: str, delay_ms: float = 0.0) -> None:
         text = f"whole {index} " + " ".join(stage + name for name, stage in stages.items() if stage != "~")
-        requested_at_ms = world.nodes[node].clock(world.now)
+        requested_at_ms = world.nodes[node].monotonic_ms(world.now)
         if delay_ms:  # a change that the node misses happens before the list arrives, and reaches it only with the list
             live[node] = False
             ask(world, node, "silent")
@@ -42,11 +42,11 @@
             pass_time(delay_ms / 2)
             if not world.alive(node):
                 return
-            world.poke(node, ComponentEvent("li.", requested(text, requested_at_ms)))
+            world.deliver_event(node, ComponentEvent("li.", requested(text, requested_at_ms)))
             pass_time(10)
             send_complete_list(node)
             return
-        world.poke(node, ComponentEvent("li.", requested(text, requested_at_ms)))
+        world.deliver_event(node, ComponentEvent("li.", requested(text, requested_at_ms)))
         live[node] = True
 
     def endpoints_left_out(node: str) -> set[str]:
@@ -114,7 +114,7 @@
             for peer in run.nodes:
                 live[peer] = False
                 ask(world, peer, "silent")
-    world.fault(faults.parse("loss 0%"))
+    world.apply_fault(faults.parse("loss 0%"))
     for node in run.nodes:
         if not world.alive(node):
             world.start(node)
--- a/tests/fleet/test_lab_fleet.py
+++ b/tests/fleet/test_lab_fleet.py
@@ -14,7 +14,7 @@
 
 from limenotch.cli.lab import fleet
 from limenotch.lab.fleet import drawing, drills
-from limenotch.lab.fleet.processes import Seen
+from limenotch.lab.fleet.processes import ObservedLine
 
 from ..helpers.processes import LIMIT_S, ROOT
 from .test_processes import children
@@ -23,7 +23,7 @@
 
 
 def test_a_fleet_of_three_loses_one_and_gets_it_back(capsys: pytest.CaptureFixture[str]) -> None:
-    for _ in range(drills.TRIES):  # a machine too busy to keep time is no finding; see drills.tried
+    for _ in range(drills.MAX_ATTEMPTS):  # a machine too busy to keep time is no finding; see drills.run_with_retries
         code = fleet.command(["lab", "fleet", "--seed", "2"])
         said = capsys.readouterr().out
         if code == 0:
@@ -38,18 +38,22 @@
 class Played:
     """A stage that has played a drawing of a death and a return: `c` was ready 250 ms after its start was begun."""
 
-    def __init__(self, drawn: drawing.Scenario) -> None:
-        self.drawing, self.began_ms = drawn, 0.0
-        self.begun, self.happened = [200.0, 2200.0], [200.0, 2450.0]
+    def __init__(self, drawn: drawing.ExpectedTimeline) -> None:
+        self.timeline, self.timeline_start_ms = drawn, 0.0
+        self.applied_ms, self.fault_times_ms = [200.0, 2200.0], [200.0, 2450.0]
         self.processes = self
 
-    def seen(self) -> list[Seen]:
-        return [Seen(1250.0, "a", "c dead", {}), Seen(2400.0, "c", "a alive", {}), Seen(2420.0, "a", "c alive", {})]
+    def observed_lines(self) -> list[ObservedLine]:
+        return [
+            ObservedLine(1250.0, "a", "c dead", {}),
+            ObservedLine(2400.0, "c", "a alive", {}),
+            ObservedLine(2420.0, "a", "c alive", {}),
+        ]
 
 
 @pytest.mark.parametrize("looked", [(5000.0,), (2210.0, 5000.0), (2410.0, 5000.0)])
 def test_a_start_is_shown_where_it_was_begun_whenever_its_process_was_ready(looked: tuple[float, ...]) -> None:
-    drawn = drawing.read(drills.death_and_return(3, 1), "fleet")
+    drawn = drawing.parse_timeline(drills.death_and_return(3, 1), "fleet")
     console = Console(highlight=False, file=io.StringIO(), width=200)
     live = fleet.Live(drawn, console)
     for until in looked:
--- a/tests/fleet/test_log_processes.py
+++ b/tests/fleet/test_log_processes.py
@@ -18,7 +18,7 @@
 from limenotch.lab import planning, scenario
 from limenotch.lab.fleet import drawing, weather
 from limenotch.lab.fleet.processes import NodeProcess, Processes
-from limenotch.lab.fleet.stage import Outcome, Stage, together
+from limenotch.lab.fleet.stage import Outcome, Stage, relayed_fleet_settings
 from tests.helpers.log_operators import Operators, call
 
 from .test_processes import TRAFFIC
@@ -41,12 +41,12 @@
         self.outcome, self.operators, self.states = outcome, operators, states
 
     def log_lines(self, node: str) -> list[str]:
-        return [text for at, name, text in self.outcome.seen if name == node and at >= 0]
+        return [text for at, name, text in self.outcome.observed_lines if name == node and at >= 0]
 
 
 def play(text: str, folder: Path, voters: str = "abc", without_folder: str = "") -> PlayedRun:
-    timeline = drawing.read(text)
-    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {timeline.ends / 1000.0}")
+    timeline = drawing.parse_timeline(text)
+    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {timeline.end_ms / 1000.0}")
     traffic = traffic.replace("count = 3", f"count = {len(timeline.nodes)}")
     plan = planning.plan(scenario.parse(traffic, "log"), 3)
     key = folder / "key"
@@ -56,25 +56,35 @@
         async def ask(node: NodeProcess, words: str) -> None:
             await carry_out(operators, node, words)
 
-        with_folder = together(timeline.nodes, key, tuple(voters), membership=MEMBERSHIP, agreement=AGREEMENT)
+        with_folder = relayed_fleet_settings(
+            timeline.nodes, key, tuple(voters), membership=MEMBERSHIP, agreement=AGREEMENT
+        )
 
         def fleet(stage: Stage, node: NodeProcess) -> str:
             lines = with_folder(stage, node).splitlines(keepends=True)
             return "".join(line for line in lines if node.name not in without_folder or not line.startswith("folder"))
 
-        stage = Stage(plan, folder, timeline, weather.Weather(timeline.seed), ask=ask, spoils=True, fleet=fleet)
+        stage = Stage(
+            plan,
+            folder,
+            timeline,
+            weather.NetworkConditions(timeline.seed),
+            handle_request=ask,
+            faulty_disks=True,
+            fleet_settings=fleet,
+        )
         operators = Operators(stage.processes)
 
         async def leader_elected(processes: Processes) -> None:
-            running_nodes = [name for name in timeline.nodes if name not in timeline.later]
-            await processes.until_all(lambda name, state: leader(state) == "a", 20, "a leads", running_nodes)
+            running_nodes = [name for name in timeline.nodes if name not in timeline.started_later]
+            await processes.wait_until_all(lambda name, state: leader(state) == "a", 20, "a leads", running_nodes)
             operators.begin(timeline.nodes)
 
         try:
-            outcome = await stage.perform(leader_elected)
+            outcome = await stage.run_timeline(leader_elected)
             await operators.end()
             await operators.check(timeline.nodes)
-            states = {name: await node.state() or {} for name, node in stage.processes.nodes.items()}
+            states = {name: await node.fleet_status() or {} for name, node in stage.processes.nodes.items()}
             return PlayedRun(outcome, operators, states)
         finally:
             await operators.end()
@@ -105,7 +115,9 @@
         response = await operators.read(node.name, argument)
         assert (response.status, response.body) == (200, f"why {argument}".encode()), response
     elif command == "leads":
-        await operators.processes.until_all(lambda name, state: leader(state) is not None, 15, "a leader", [node.name])
+        await operators.processes.wait_until_all(
+            lambda name, state: leader(state) is not None, 15, "a leader", [node.name]
+        )
     elif command == "tear":
         last = max(node.data.glob("log-*"))
         with last.open("ab") as file:
@@ -120,7 +132,7 @@
             voters = state["parts"]["agreement"]["voters"]
             return added in voters and removed not in voters
 
-        await operators.processes.until_all(votes, 15, f"{added} votes", [node.name])
+        await operators.processes.wait_until_all(votes, 15, f"{added} votes", [node.name])
     else:
         raise AssertionError(words)
 
--- a/tests/fleet/test_membership_drawings.py
+++ b/tests/fleet/test_membership_drawings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limenotch.lab.fleet.members import make_for
+from limenotch.lab.fleet.members import component_factory_for
 from limenotch.lab.fleet.scenario import check, load
 
 DRAWINGS = sorted((Path(__file__).parent / "drawings" / "membership").glob("*.txt"))
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("path", DRAWINGS, ids=lambda path: path.stem)
 def test_drawing(path: Path) -> None:
     scenario = load(path)
-    check(scenario, make_for(scenario))
+    check(scenario, component_factory_for(scenario))
 
 
 def test_there_are_drawings() -> None:
--- a/tests/fleet/test_membership_processes.py
+++ b/tests/fleet/test_membership_processes.py
@@ -15,19 +15,21 @@
 import pytest
 
 from limenotch.lab.fleet import drills
-from limenotch.lab.fleet.drawing import read
+from limenotch.lab.fleet.drawing import parse_timeline
 from limenotch.lab.fleet.scenario import load
 from limenotch.lab.fleet.stage import Outcome
 
 FOLDER = Path(__file__).parent / "drawings" / "membership"
-PLAYED = [path for path in sorted(FOLDER.glob("*.txt")) if "window" in load(path).head]
+PLAYED = [path for path in sorted(FOLDER.glob("*.txt")) if "window" in load(path).header]
 AT_A_TIME = 2
 LIMIT_S = 90.0
 
 
 def perform(path: Path, folder: Path) -> Outcome:
-    outcome = asyncio.run(asyncio.wait_for(drills.tried(load(path), folder), LIMIT_S))
-    if load(path).head.get("lives") == "same":  # the process that came back had its clock set back, and so a lower life
+    outcome = asyncio.run(asyncio.wait_for(drills.run_with_retries(load(path), folder), LIMIT_S))
+    if (
+        load(path).header.get("lives") == "same"
+    ):  # the process that came back had its clock set back, and so a lower life
         told = [json.loads(line) for line in next(folder.glob("*/c/c.log")).read_text().splitlines()]
         first, second = [line["life"] for line in told if line["event"] == "joined"]
         assert second == first + 1, (first, second)
@@ -54,14 +56,14 @@
 @pytest.mark.parametrize("path", PLAYED, ids=lambda path: path.stem)
 def test_drawing_on_processes(path: Path, outcomes: dict[str, Future[Outcome]]) -> None:
     outcome = outcomes[path.stem].result(LIMIT_S * len(PLAYED)).check()
-    assert outcome.calls["served"] > 20 * outcome.ran_s  # of 60 a second, some at nodes that are stopped
+    assert outcome.calls["served"] > 20 * outcome.duration_s  # of 60 a second, some at nodes that are stopped
 
 
 def test_what_is_played() -> None:
     assert {len(load(path).nodes) for path in PLAYED} >= {3, 4, 5, 9} and len(PLAYED) >= 12
 
 
-DOUBTED = read(
+DOUBTED = parse_timeline(
     """
 window: 300
 nodes: a b c
@@ -90,23 +92,23 @@
 )
 def test_doubts_that_were_refuted_count_for_nothing_and_deaths_do(seen: str, left: str) -> None:
     told = [(float(at), "a", text) for at, text in enumerate(seen.split(", "))]
-    assert [text for _, _, text in drills.firm(DOUBTED, told)] == left.split(", ")
+    assert [text for _, _, text in drills.without_refuted_suspicions(DOUBTED, told)] == left.split(", ")
 
 
 def test_a_drawing_is_played_quicker_and_begins_before_its_first_fault() -> None:
-    played = DOUBTED.quicker(0.5, 200.0)
-    assert [(note.at_ms, note.text) for note in played.notes] == [(300, "suspects c"), (600, "c alive")]
-    assert [(at, str(fault)) for at, fault in played.faults] == [(200, "pause c")] and played.ends == 1150
+    played = DOUBTED.rescaled(0.5, 200.0)
+    assert [(note.at_ms, note.text) for note in played.entries] == [(300, "suspects c"), (600, "c alive")]
+    assert [(at, str(fault)) for at, fault in played.faults] == [(200, "pause c")] and played.end_ms == 1150
 
 
 def test_a_failing_row_shows_both_drawings() -> None:
-    played = DOUBTED.quicker(0.5, 200.0)
-    compare = drills.compared(DOUBTED, played)
+    played = DOUBTED.rescaled(0.5, 200.0)
+    compare = drills.comparison_of(DOUBTED, played)
     told = compare([(300.0, "a", "suspects c"), (650.0, "b", "c dead")], [200.0])
-    assert told is not None and "c alive' did not come" in told and "| pause c" in told and "c dead" in told
+    assert told is not None and "c alive' was not logged" in told and "| pause c" in told and "c dead" in told
     calm = [(300.0, "a", "suspects c"), (600.0, "a", "c alive")]
     assert compare(calm, [200.0]) is None
-    told = compare([*calm, (played.ends - 1.0, "b", "c dead")], [200.0])
-    assert told is not None and "b: 'c dead' at 1149 is not drawn" in told
-    late = read("nodes: a\n\nms   a      faults\n3    joined\n9           heal\n", "late")
-    assert "'joined'" in (drills.compared(late, late.quicker(1.0, 0.0))([], []) or "")
+    told = compare([*calm, (played.end_ms - 1.0, "b", "c dead")], [200.0])
+    assert told is not None and "b: 'c dead' at 1149 is not expected" in told
+    late = parse_timeline("nodes: a\n\nms   a      faults\n3    joined\n9           heal\n", "late")
+    assert "'joined'" in (drills.comparison_of(late, late.rescaled(1.0, 0.0))([], []) or "")
