--- a/tests/fleet/test_membership_runs.py
+++ b/tests/fleet/test_membership_runs.py
@@ -23,7 +23,7 @@
 from limenotch.lab.fleet.faults import parse
 from limenotch.lab.fleet.world import World
 
-from .members import all_alive, deaths, held, maker, part
+from .members import all_alive, component_factory, deaths, held, part
 
 PERIOD = Tuning().period_ms
 
@@ -86,7 +86,9 @@
     random = Random(seed)
     nodes = names(random.randint(3, 6))
     history: History = []
-    world = World(nodes, maker(), seed, wake=random.choice(["timers", "heard"]), watch=recorded(history))
+    world = World(
+        nodes, component_factory(), seed, wake_order=random.choice(["timers", "heard"]), observer=recorded(history)
+    )
     world.run(3000.0)
     for _ in range(8):
         one, two = random.sample(nodes, 2)
@@ -107,10 +109,10 @@
             ]
         )
         if not (what.startswith("start") and world.alive(one)):
-            world.fault(parse(what))
+            world.apply_fault(parse(what))
         world.run(world.now + random.uniform(100.0, 4000.0))
     for fault in ["heal", "loss 0%", "double 0%", *[f"wake {node}" for node in nodes]]:
-        world.fault(parse(fault))
+        world.apply_fault(parse(fault))
     for node in nodes:
         if not world.alive(node):
             world.start(node)
@@ -123,9 +125,9 @@
 def lossy(seed: int, count: int = 5, loss: int = 20) -> str | None:
     """Loss, and one member paused for two periods: nobody who ran is declared dead."""
     nodes = names(count)
-    world = World(nodes, maker(nodes[:2]), seed)
+    world = World(nodes, component_factory(nodes[:2]), seed)
     world.run(3000.0)
-    world.fault(parse(f"loss {loss}%"))
+    world.apply_fault(parse(f"loss {loss}%"))
     world.run(5000.0)
     sleeper = nodes[seed % count]
     world.pause(sleeper)
@@ -139,9 +141,9 @@
 def killed(seed: int, count: int = 9, loss: int = 10) -> str | None:
     """A death is known to all within three periods."""
     nodes = names(count)
-    world = World(nodes, maker(nodes[:2]), seed)
+    world = World(nodes, component_factory(nodes[:2]), seed)
     world.run(3000.0)
-    world.fault(parse(f"loss {loss}%"))
+    world.apply_fault(parse(f"loss {loss}%"))
     world.run(5000.0 + seed * 37 % 1000)
     victim = nodes[seed % count]
     world.kill(victim)
@@ -153,11 +155,11 @@
 def halves(seed: int) -> str | None:
     """Cut in two for longer than a suspicion, and healed by nobody's hand; all who were declared dead were fenced."""
     nodes, history = names(6), History()
-    world = World(nodes, maker(), seed, watch=recorded(history))
+    world = World(nodes, component_factory(), seed, observer=recorded(history))
     world.run(3000.0)
-    world.fault(parse("cut a b c | d e f"))
+    world.apply_fault(parse("cut a b c | d e f"))
     world.run(25_000.0)  # longer than a stream is kept: what is in one would tell after the heal
-    world.fault(parse("heal"))
+    world.apply_fault(parse("heal"))
     world.run(40_000.0)
     if not all_alive(world, nodes):
         return "not all hold all alive"
@@ -168,13 +170,13 @@
 
 def stopped(seed: int) -> str | None:
     """All are stopped while they suspect one who is well: what they saw before counts for nothing when they wake."""
-    world = World("abcd", maker(), seed)
+    world = World("abcd", component_factory(), seed)
     world.run(3000.0 + seed * 37 % 1000)
-    world.fault(parse("cut a b c | d"))
+    world.apply_fault(parse("cut a b c | d"))
     world.run(world.now + 1200)
-    world.fault(parse("pause a b c d"))
+    world.apply_fault(parse("pause a b c d"))
     world.run(world.now + 10_000)
-    world.fault(parse("heal"))
+    world.apply_fault(parse("heal"))
     for node in "abcd":
         world.wake(node)
     world.run(world.now + 5000)
@@ -183,11 +185,11 @@
 
 def one_link(seed: int) -> str | None:
     """Two who don't hear each other at all are probed through the others: nobody is suspected."""
-    world = World("abcd", maker(), seed)
+    world = World("abcd", component_factory(), seed)
     world.run(3000.0)
-    world.fault(parse("cut a | b"))
+    world.apply_fault(parse("cut a | b"))
     world.run(9000.0)
-    suspected = {seen.text for seen in world.seen if seen.text.startswith("suspects")}
+    suspected = {seen.text for seen in world.observed_lines if seen.text.startswith("suspects")}
     return f"seen: {sorted(suspected)}" if suspected else None
 
 
@@ -208,7 +210,7 @@
 
 def test_sixty_four_join_at_once_through_two_seeds() -> None:
     nodes = names(64)
-    world = World(nodes, maker(nodes[:2]), 1)
+    world = World(nodes, component_factory(nodes[:2]), 1)
     world.run(1500.0)
     assert all(part(world, node).size() == 64 for node in nodes)
     assert not deaths(world)
@@ -216,7 +218,7 @@
 
 def test_all_restart_at_once_with_their_clocks_set_back() -> None:
     nodes = names(5)
-    world = World(nodes, maker(process_epochs="same"), 1)
+    world = World(nodes, component_factory(process_epochs="same"), 1)
     world.run(3000.0)
     for node in nodes[1:]:
         world.kill(node)
@@ -229,25 +231,25 @@
 def test_two_of_one_name_that_meet_after_a_cut() -> None:
     """Started on both sides; one keeps the name, the other is fenced and stays out."""
     nodes = ["a", "b", "c", "c2"]
-    world = World(nodes, maker(names={"c2": "c"}), 1, later=["c2"])
+    world = World(nodes, component_factory(process_names={"c2": "c"}), 1, started_later=["c2"])
     world.run(3000.0)
-    world.fault(parse("cut a c | b c2"))
+    world.apply_fault(parse("cut a c | b c2"))
     world.start("c2")
     world.run(12_000.0)
     assert part(world, "c").inside and part(world, "c2").inside
-    world.fault(parse("heal"))
+    world.apply_fault(parse("heal"))
     world.run(25_000.0)
     assert part(world, "c").inside != part(world, "c2").inside
-    assert any(isinstance(change.what, Fenced) and change.node in ("c", "c2") for change in world.changes)
+    assert any(isinstance(change.action, Fenced) and change.node in ("c", "c2") for change in world.observed_changes)
     out = "c" if part(world, "c2").inside else "c2"
-    assert [seen.text for seen in world.seen if seen.node == out][-1] != "joined"
+    assert [seen.text for seen in world.observed_lines if seen.node == out][-1] != "joined"
     assert held(world, "a")["c"] is held(world, "b")["c"] is State.ALIVE
 
 
 def test_the_same_seed_gives_the_same_history() -> None:
     def run() -> str:
-        world = World(names(5), maker(), 7)
-        world.fault(parse("loss 20%"))
+        world = World(names(5), component_factory(), 7)
+        world.apply_fault(parse("loss 20%"))
         world.run(8000.0)
         return world.digest()
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -18,10 +18,16 @@
 from limenotch.lab import planning, scenario
 from limenotch.lab.fleet import drills
 from limenotch.lab.fleet import node as node_module
-from limenotch.lab.fleet.faulty import FaultyFiles, Wish, Wishes, ask_for, read_wish
-from limenotch.lab.fleet.processes import NodeProcess, NotReachedError, Processes, Seen, Tail, fleet_table
+from limenotch.lab.fleet.faulty import (
+    FaultsFile,
+    FaultyFiles,
+    ProcessFaults,
+    parse_process_faults,
+    write_process_faults,
+)
+from limenotch.lab.fleet.processes import LogTail, NodeProcess, NotReachedError, ObservedLine, Processes, fleet_table
 from limenotch.lab.fleet.stage import Outcome, Stage
-from limenotch.lab.fleet.trial import Trial
+from limenotch.lab.fleet.trial import RulesUnderFaults
 from limenotch.lab.model.rules import DRAINS, ONE_ANSWER, REPEATS
 from limenotch.toml import decode_table
 
@@ -73,31 +79,31 @@
             a, b = (processes.add(Toy(name, tmp_path)) for name in "ab")
             before = time.monotonic() * 1000
             await processes.start()
-            await processes.until_all(lambda name, state: state == {"lives": 0, "name": name}, 10, "first lives")
-            await processes.until_seen("life", "ab", 10)
-            seen = processes.seen()
+            await processes.wait_until_all(lambda name, state: state == {"lives": 0, "name": name}, 10, "first lives")
+            await processes.wait_until_logged("life", "ab", 10)
+            seen = processes.observed_lines()
             assert [(s.text, s.fields) for s in seen] == [("life", {"number": 0})] * 2
             assert before < seen[0].at_ms <= seen[1].at_ms < time.monotonic() * 1000
-            assert {s.node for s in seen} == {"a", "b"} and a.tail.foreign == 1
+            assert {s.node for s in seen} == {"a", "b"} and a.tail.invalid_lines == 1
             ports = a.port, a.admin
             a.pause()
             assert stopped(a) and a.paused
             a.wake()
-            await processes.until(lambda: not stopped(a), 10, "a goes on")
+            await processes.wait_until(lambda: not stopped(a), 10, "a goes on")
             a.kill()
-            assert not a.alive and await a.state() is None and not a.crashed
+            assert not a.alive and await a.fleet_status() is None and not a.crashed
             await processes.start("a")
             assert (a.port, a.admin) == ports
-            await processes.until_all(lambda name, state: state["lives"] == (name == "a"), 10, "a's second life")
+            await processes.wait_until_all(lambda name, state: state["lives"] == (name == "a"), 10, "a's second life")
             a.pause()
             a.wipe()
             assert not a.data.exists() and not a.alive
             await processes.start("a")
-            await processes.until_all(lambda name, state: state["lives"] == 0, 10, "it knows nothing of before")
-            with pytest.raises(RuntimeError, match="a is there already"):
+            await processes.wait_until_all(lambda name, state: state["lives"] == 0, 10, "it knows nothing of before")
+            with pytest.raises(RuntimeError, match="a is already running"):
                 a.spawn()
-            with pytest.raises(NotReachedError, match='not reached: pigs fly.*"lives": 0'):
-                await processes.until_all(lambda name, state: False, 0.05, "pigs fly")
+            with pytest.raises(NotReachedError, match='not reached within 0.05 s: pigs fly.*"lives": 0'):
+                await processes.wait_until_all(lambda name, state: False, 0.05, "pigs fly")
             b.pause()
             raise KeyError("whatever happened in the block")
 
@@ -119,10 +125,10 @@
 
 def test_a_note_in_two_pieces_and_lines_that_are_none(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    tail = Tail("n", path)
+    tail = LogTail("n", path)
     assert tail.read() == []
     whole = json.dumps({"event": "b dead", "fleet": True, "mono_ms": 5, "sidecar": "n", "level": "info", "after": 3})
-    seen = Seen(5.0, "n", "b dead", {"after": 3})
+    seen = ObservedLine(5.0, "n", "b dead", {"after": 3})
     with path.open("w") as log:
         for piece, expected in (
             (whole[:20], []),
@@ -133,7 +139,7 @@
             log.write(piece)
             log.flush()
             assert tail.read() == expected
-    assert tail.foreign == 3
+    assert tail.invalid_lines == 3
 
 
 def test_the_table_is_toml() -> None:
@@ -187,7 +193,7 @@
 
 def test_a_disk_is_full_torn_read_only_and_slow_as_wished(tmp_path: Path) -> None:
     module = SimpleNamespace(RealFiles=Folder)
-    node_module.spoil_disks(module)
+    node_module.install_faulty_disks(module)
     files = module.RealFiles(tmp_path / "data")
     assert isinstance(files, FaultyFiles)
     waited: list[float] = []
@@ -202,16 +208,16 @@
             do(*about)
         assert caught.value.errno == number
 
-    ask_for(wishes, Wish("full"))
+    write_process_faults(wishes, ProcessFaults("full"))
     fails(errno.ENOSPC, files.write, handle, b"full")
     fails(errno.ENOSPC, files.replace, "log", b"")
     files.sync(handle)
-    ask_for(wishes, Wish("torn"))
+    write_process_faults(wishes, ProcessFaults("torn"))
     fails(errno.EIO, files.write, handle, b"torn")
     fails(errno.EIO, files.sync, handle)
     fails(errno.EIO, files.truncate, "log", 0)
     assert files.read("log") == b"one.futo"
-    ask_for(wishes, Wish("read-only"))
+    write_process_faults(wishes, ProcessFaults("read-only"))
     for do, about in (
         (files.open_append, ("log",)),
         (files.write, (handle, b"x")),
@@ -222,10 +228,10 @@
     ):
         fails(errno.EROFS, do, *about)
     assert files.names() == ["log"] and not waited
-    ask_for(wishes, Wish("slow", 300.0))
+    write_process_faults(wishes, ProcessFaults("slow", 300.0))
     files.write(handle, b"!")
     files.sync(handle)
-    assert waited == [300.0] and files.failed == {"full": 2, "slow": 1, "torn": 3, "read-only": 6}
+    assert waited == [300.0] and files.fault_counts == {"full": 2, "slow": 1, "torn": 3, "read-only": 6}
     wishes.unlink()
     files.truncate("log", 4)
     files.close(handle)
@@ -233,16 +239,16 @@
     assert files.names() == [] and len(waited) == 1
     for text in ("disk", "disk slow", "disk slow -1", "disk slow 1e9", "disk wet", "clock", "clock ten", "moon full"):
         with pytest.raises(ValueError):
-            read_wish(text)
+            parse_process_faults(text)
 
 
 def test_a_wall_clock_is_set_apart(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("time", "time_ns"):
         monkeypatch.setattr(time, name, getattr(time, name))
     real = time.time
-    node_module.set_apart(Wishes(tmp_path / "faults"))
+    node_module.offset_wall_clock(FaultsFile(tmp_path / "faults"))
     assert abs(time.time() - real()) < 60
-    ask_for(tmp_path / "faults", Wish(clock_s=-3600.0))
+    write_process_faults(tmp_path / "faults", ProcessFaults(clock_offset_s=-3600.0))
     assert -3660 < time.time() - real() < -3540 and -3660 < time.time_ns() / 1e9 - real() < -3540
 
 
@@ -250,18 +256,18 @@
 
 
 def test_who_was_stopped_owes_no_answer_and_everybody_else_does() -> None:
-    trial = Trial()
-    trial.next_goes_to("b")
+    trial = RulesUnderFaults()
+    trial.assign_next_request("b")
     trial.taken(0.0, "with b", "at_most_once", "all", 0.0, 100.0)
-    trial.next_goes_to("a")
+    trial.assign_next_request("a")
     trial.taken(0.0, "with a", "idempotent", "all", 0.0, 100.0)
     trial.told(5.0, "b", "p", "draining")
-    trial.paused(10.0, "b")
+    trial.sidecar_paused(10.0, "b")
     trial.told(20.0, "b", "q", "draining")
     for call in ("with a", "with b"):
         trial.departed(100.0, call)
     assert trial.counts[ONE_ANSWER] == trial.excused == 1
-    trial.woke(1000.0, "b")
+    trial.sidecar_resumed(1000.0, "b")
     first = trial.sent(1001.0, "with b", "b", "q", 0)  # it was told of the drain just now
     assert trial.kept is False and trial.counts[ONE_ANSWER] == 1 and trial.counts[DRAINS] == 0
     trial.ended(1002.0, "with b", first, "refused", False)
@@ -269,7 +275,7 @@
     assert trial.counts[REPEATS] == 0
     trial.sent(1004.0, "with b", "b", "r", 0)  # the attempt before may have run
     assert trial.counts[REPEATS] == 1
-    trial.next_goes_to("b")
+    trial.assign_next_request("b")
     trial.taken(1500.0, "later", "idempotent", "all", 0.0, 1600.0)
     trial.sent(1501.0, "later", "b", "q", 0)
     assert trial.counts[DRAINS] == 1
@@ -278,7 +284,7 @@
 
 
 def test_an_attempt_that_the_loop_read_late_is_no_breach() -> None:
-    trial = Trial()
+    trial = RulesUnderFaults()
     for call, late in (("a", 0.0), ("b", 30.0)):
         trial.taken(0.0, call, "idempotent", "all", 0.0, 100.0)
         trial.ended(5.0, call, trial.sent(1.0, call, "s", "p", 0), "answered", True)
@@ -294,8 +300,8 @@
 class Drawn(NamedTuple):
     nodes: tuple[str, ...]
     faults: tuple[tuple[int, str], ...]
-    ends: int = 3000
-    later: tuple[str, ...] = ()
+    end_ms: int = 3000
+    started_later: tuple[str, ...] = ()
 
 
 class Fair:
@@ -307,10 +313,10 @@
     def apply(self, fault: Any) -> None:
         self.told.append(str(fault))
 
-    def fate(self, now_ms: float, frm: str, to: str, carrier: Carrier) -> list[float]:
+    def arrival_delays_ms(self, now_ms: float, sender: str, receiver: str, carrier: Carrier) -> list[float]:
         return [0.0]
 
-    def is_cut(self, frm: str, to: str) -> bool:
+    def is_partitioned(self, sender: str, receiver: str) -> bool:
         return False
 
 
@@ -322,13 +328,13 @@
     async def case() -> Outcome:
         stage = Stage(plan, tmp_path, Drawn(("a", "b", "c"), faults), weather)
         try:
-            return await stage.perform()
+            return await stage.run_timeline()
         finally:
             await stage.close()
 
     outcome = asyncio.run(asyncio.wait_for(case(), 60)).check()
     assert weather.told == [fault for _, fault in faults] and not children()
-    assert all(came >= at for came, (at, _) in zip(outcome.happened, faults, strict=True))
+    assert all(came >= at for came, (at, _) in zip(outcome.fault_times_ms, faults, strict=True))
     # Those that were with b when it was killed broke off; none was left waiting.
     # c was stopped for a second, with a third of the calls, each waited for 600 ms.
     assert 5 < outcome.excused < 40 and outcome.calls["timed out"] == outcome.excused
@@ -341,6 +347,6 @@
     plan = planning.plan(scenario.parse(TRAFFIC, "stage"), 3)
     with pytest.raises(ValueError, match="3 entry sidecars for 1"):
         Stage(plan, tmp_path, Drawn(("a",), ()), Fair())
-    for fault, says in (("ask a x", "nobody answers"), ("disk a full", "no disk that fails")):
+    for fault, says in (("ask a x", "no handler for"), ("disk a full", "without faulty disks")):
         with pytest.raises(ValueError, match=says):
             Stage(plan, tmp_path, Drawn(("a", "b", "c"), ((1, fault),)), Fair())
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -14,7 +14,7 @@
 from limenotch.lab.emulate.wire import reset
 from limenotch.lab.fleet import relay as relay_module
 from limenotch.lab.fleet.relay import Relay
-from limenotch.lab.fleet.splice import MOST_BYTES
+from limenotch.lab.fleet.splice import MAX_QUEUED_BYTES
 
 A, B = ("a", "b"), ("b", "a")  # ways
 MOST_READ = 256 * 1024  # that asyncio reads at once
@@ -36,19 +36,19 @@
         self.by_count: Callable[[int], list[float]] | None = None
         self.asked = 0
 
-    def fate(self, now_ms: float, frm: str, to: str, carrier: Carrier) -> list[float]:
+    def arrival_delays_ms(self, now_ms: float, sender: str, receiver: str, carrier: Carrier) -> list[float]:
         self.asked += 1
         if self.by_count is not None:
             return self.by_count(self.asked)
-        key = (frm, to, carrier)
+        key = (sender, receiver, carrier)
         self.counts[key] = self.counts.get(key, 0) + 1
         drawn = Random(f"{self.seed} {key} {self.counts[key]}")
         lost, twice, late = drawn.random(), drawn.random(), drawn.random()
         low, high = self.delay
         return [] if lost < self.loss else [low + late * (high - low)] * (2 if twice < self.double else 1)
 
-    def is_cut(self, frm: str, to: str) -> bool:
-        return (frm, to) in self.cuts
+    def is_partitioned(self, sender: str, receiver: str) -> bool:
+        return (sender, receiver) in self.cuts
 
 
 class Mouth(asyncio.DatagramProtocol):
@@ -140,7 +140,7 @@
             toys.here[1].write(b"more")
             toys.here[1].write_eof()
             assert await toys.there[0].read() == b"more"
-            passed = toys.relay.door("a", "b").passed
+            passed = toys.relay.door("a", "b").counts
             assert (passed.datagrams, passed.lost, passed.connections, passed.sent_bytes) == (1, 0, 1, 5 + 3 + 4)
 
     run(case())
@@ -154,12 +154,12 @@
         door = toys.relay.door("a", "b")
         for number in range(count):
             toys.send(b"%d" % number)
-            while door.passed.datagrams <= number:
+            while door.counts.datagrams <= number:
                 await asyncio.sleep(0)
-        copies = count - door.passed.lost + door.passed.doubled
+        copies = count - door.counts.lost + door.counts.duplicated
         for _ in range(copies):
             heard.append((await toys.mouths["b"].heard.get())[0])
-        return heard, door.passed.doubled
+        return heard, door.counts.duplicated
 
 
 def test_the_same_seed_loses_the_same_datagrams() -> None:
@@ -183,14 +183,14 @@
             heard = [(await toys.mouths["b"].heard.get())[0] for _ in range(2)]
             assert heard == [b"second", b"first"]
             assert asyncio.get_running_loop().time() - began > 0.05
-            monkeypatch.setattr(relay_module, "MOST_HELD", 5)
+            monkeypatch.setattr(relay_module, "MAX_DELAYED_DATAGRAMS", 5)
             plan.by_count = lambda count: [20.0]
             for _ in range(9):
                 toys.send(b"x")
             door = toys.relay.door("a", "b")
-            while door.passed.datagrams < 11:
+            while door.counts.datagrams < 11:
                 await asyncio.sleep(0)
-            assert door.passed.over == 4
+            assert door.counts.dropped == 4
             for _ in range(5):
                 await toys.mouths["b"].heard.get()
 
@@ -204,13 +204,13 @@
             plan.cuts.add(B)
             toys.send(b"one")
             assert (await toys.mouths["b"].heard.get())[0] == b"one"
-            back = toys.relay.door("b", "a").passed
+            back = toys.relay.door("b", "a").counts
             while back.datagrams < 1:
                 await asyncio.sleep(0)
             assert back.lost == 1 and toys.mouths["a"].heard.empty()
             plan.cuts = {A}
             toys.send(b"two")
-            while toys.relay.door("a", "b").passed.lost < 1:
+            while toys.relay.door("a", "b").counts.lost < 1:
                 await asyncio.sleep(0)
             plan.cuts.clear()
             toys.send(b"three")
@@ -248,7 +248,7 @@
             assert await toys.here[0].readexactly(13) == b"the other way"
             assert not toys.there[0].at_eof()
             plan.cuts = set()
-            toys.relay.changed()
+            toys.relay.plan_changed()
             assert await toys.there[0].read() == b"held"
 
     run(case())
@@ -298,7 +298,7 @@
     async def case() -> None:
         async with Toys(Chosen()) as toys:
             await toys.stream()
-            toys.relay.slow("a", "b", 100_000.0)
+            toys.relay.limit_rate("a", "b", 100_000.0)
             began = asyncio.get_running_loop().time()
             toys.here[1].write(b"x" * 20_000)
             await toys.there[0].readexactly(20_000)
@@ -306,15 +306,15 @@
             assert took > 0.19, took
             toys.there[1].write(b"y" * 200_000)  # the other way is not slow
             await toys.here[0].readexactly(200_000)
-            toys.relay.slow("a", "b", 1.0)
+            toys.relay.limit_rate("a", "b", 1.0)
             toys.here[1].write(b"z" * (8 << 20))
             (splice,) = toys.relay.door("a", "b").splices
             near = splice.near.transport
             assert near is not None and splice.near.pump is not None
             while near.is_reading():
                 await asyncio.sleep(0)
-            assert MOST_BYTES < splice.near.pump.held <= MOST_BYTES + MOST_READ
+            assert MAX_QUEUED_BYTES < splice.near.pump.queued_bytes <= MAX_QUEUED_BYTES + MOST_READ
             with pytest.raises(ValueError, match="more than 0"):
-                toys.relay.slow("a", "b", 0.0)
+                toys.relay.limit_rate("a", "b", 0.0)
 
     run(case())
--- a/tests/fleet/test_rules_core.py
+++ b/tests/fleet/test_rules_core.py
@@ -51,7 +51,7 @@
     ticket = run.ask("d", "propose", change=attempts(2))
     assert outcome(run, ticket) == (True, "")
     assert "version 2 won" in outcome(run, run.ask("b", "propose", change=attempts(4), base=1))[1]
-    run.world.poke("d", api.OperatorRequest(99, "propose", {"change": attempts(2)}, f"ask{ticket}"))
+    run.world.deliver_event("d", api.OperatorRequest(99, "propose", {"change": attempts(2)}, f"ask{ticket}"))
     assert run.answers[-1][2] == api.OperatorResponse(99, True, "", 2)
     assert outcome(run, run.ask("b", "diff", one=1, two=2)) == (True, "settings.permissions.max_attempts narrows")
     assert outcome(run, run.ask("b", "back", to=77))[1].startswith("version 77")
@@ -59,14 +59,14 @@
 
 def test_a_fenced_sidecar_releases_its_lease_at_once() -> None:
     run = started_run()
-    run.world.poke("d", Fenced())
+    run.world.deliver_event("d", Fenced())
     assert run.checker.reports["d"][-1].until_ms < 0
     run.converge()
 
 
 def test_a_quorum_of_voters_must_check_a_change() -> None:
     run = started_run()
-    run.world.fault(faults.parse("cut b c | a d"))
+    run.world.apply_fault(faults.parse("cut b c | a d"))
     leader = run.leader()
     assert leader is not None
     ok, reason = outcome(run, run.ask(leader, "propose", change=attempts(2)), 4000)
@@ -75,14 +75,14 @@
 
 def test_an_ejection_without_a_quorum_applies_where_it_was_received() -> None:
     run = started_run()
-    run.world.fault(faults.parse("cut a | b | c d"))
+    run.world.apply_fault(faults.parse("cut a | b | c d"))
     run.world.run(run.world.now + 2000)
     assert outcome(run, run.ask("c", "ban", upstream="u1"), 4000)[1].startswith("told, not agreed")
     for name, ejected in (("c", True), ("d", True), ("a", False)):
         component = run.component(name)
         assert component is not None
         assert component.rules.restricted().get(("bans", "u1"), (False, 0.0))[0] is ejected
-    run.world.fault(faults.parse("heal"))
+    run.world.apply_fault(faults.parse("heal"))
     run.converge()
     assert max(run.checker.versions) == 2
 
@@ -98,7 +98,7 @@
         for _ in range(24):
             run.world.run(run.world.now + 500)
             for name in "abcd":
-                run.world.poke(name, api.RequestsCounted(50, unsuccessful if name == "b" else 0))
+                run.world.deliver_event(name, api.RequestsCounted(50, unsuccessful if name == "b" else 0))
         assert component.rules.trial is None
         assert component.rules.newest == newest
 
@@ -156,21 +156,21 @@
     run.converge()
     run.kill("d")
     run.world.run(run.world.now + 1000)
-    run.world.fault(faults.parse("cut a | b | c | d"))
+    run.world.apply_fault(faults.parse("cut a | b | c | d"))
     run.world.run(run.world.now + 2000)
     for number in range(20):
         run.ask("b", "ban", upstream=f"u{number}")
     run.world.run(run.world.now + 100)
-    run.world.fault(faults.parse("heal"))
-    run.world.fault(faults.parse("cut a | b c d"))
-    run.world.fault(faults.parse("cut c | a b d"))  # no quorum: nothing can be agreed on
+    run.world.apply_fault(faults.parse("heal"))
+    run.world.apply_fault(faults.parse("cut a | b c d"))
+    run.world.apply_fault(faults.parse("cut c | a b d"))  # no quorum: nothing can be agreed on
     run.world.start("d")
     run.world.run(run.world.now + 10)
     component = run.component("d")
-    assert component is not None and not component.lease.is_valid(run.world.nodes["d"].clock(run.world.now))
+    assert component is not None and not component.lease.is_valid(run.world.nodes["d"].monotonic_ms(run.world.now))
     assert set(component.rules.pending_ejections) == {f"u{number}" for number in range(20)}
     assert all(component.rules.restricted()[("bans", name)][0] for name in component.rules.pending_ejections)
-    run.world.fault(faults.parse("heal"))
+    run.world.apply_fault(faults.parse("heal"))
     run.converge()
     run.world.run(run.world.now + 3000)  # a few at a time are put into the log
     assert all(each is not None and not each.rules.pending_ejections for each in map(run.component, "abcd"))
--- a/tests/fleet/test_rules_processes.py
+++ b/tests/fleet/test_rules_processes.py
@@ -16,7 +16,7 @@
 from limenotch.lab import planning, scenario
 from limenotch.lab.fleet import drawing, weather
 from limenotch.lab.fleet.processes import NodeProcess, Processes
-from limenotch.lab.fleet.stage import Outcome, Stage, together
+from limenotch.lab.fleet.stage import Outcome, Stage, relayed_fleet_settings
 from limenotch.lab.model.rules import COLD
 from tests.helpers.log_operators import call
 
@@ -77,12 +77,12 @@
         elif command == "out":
             await self.wait_left_out(int(arguments[0]))
         elif command == "led":
-            await self.processes.until_all(lambda name, state: leader(state) is None, 15, words, [node.name])
+            await self.processes.wait_until_all(lambda name, state: leader(state) is None, 15, words, [node.name])
         else:
             await self.wait_until(lambda state: state["state"] == command, words, [node.name])
 
     async def propose_two(self, node: NodeProcess, first: int, second: int) -> None:
-        state = await node.state()
+        state = await node.fleet_status()
         assert state is not None
         base = state["parts"]["rules"]["newest"]
         peer = self.processes.nodes[self.running[(self.running.index(node.name) + 1) % len(self.running)]]
@@ -98,7 +98,7 @@
         assert loser["text"].startswith(f"version {base + 1} won"), responses
 
     async def wait_until(self, condition: Any, what: str, nodes: list[str] | None = None) -> None:
-        await self.processes.until_all(
+        await self.processes.wait_until_all(
             lambda name, state: bool(condition(state["parts"].get("rules", {}))), 15, what, nodes or self.running
         )
 
@@ -123,8 +123,8 @@
 def play(
     text: str, folder: Path, faults: str = "", endpoint_keys: str = ""
 ) -> tuple[Outcome, dict[str, dict[str, Any]]]:
-    timeline = drawing.read(text)
-    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {timeline.ends / 1000.0}")
+    timeline = drawing.parse_timeline(text)
+    traffic = TRAFFIC.replace("length_s = 3", f"length_s = {timeline.end_ms / 1000.0}")
     traffic = traffic.replace("count = 3", f"count = {len(timeline.nodes)}")
     traffic = traffic.replace("queue = 4\n", f"queue = 4\n{endpoint_keys}")
     plan = planning.plan(scenario.parse(traffic + faults, "rules"), 3)
@@ -133,25 +133,27 @@
     operators = Operators()
 
     async def case() -> tuple[Outcome, dict[str, dict[str, Any]]]:
-        fleet_settings = together(timeline.nodes, key_file, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT)
+        fleet_settings = relayed_fleet_settings(
+            timeline.nodes, key_file, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT
+        )
         stage = Stage(
             plan,
             folder,
             timeline,
-            weather.Weather(timeline.seed),
-            ask=operators.execute,
-            spoils=True,
-            fleet=lambda stage, node: fleet_settings(stage, node) + RULES_TABLE,
+            weather.NetworkConditions(timeline.seed),
+            handle_request=operators.execute,
+            faulty_disks=True,
+            fleet_settings=lambda stage, node: fleet_settings(stage, node) + RULES_TABLE,
         )
         operators.stage = stage
-        operators.running = [name for name in timeline.nodes if name not in timeline.later]
+        operators.running = [name for name in timeline.nodes if name not in timeline.started_later]
 
         async def leases_held(processes: Processes) -> None:
             await operators.wait_until(lambda state: state.get("state") == "leased", "all hold leases")
 
         try:
-            outcome = await stage.perform(leases_held)
-            states = {name: await node.state() or {} for name, node in stage.processes.nodes.items()}
+            outcome = await stage.run_timeline(leases_held)
+            states = {name: await node.fleet_status() or {} for name, node in stage.processes.nodes.items()}
             return outcome, states
         finally:
             await stage.close()
@@ -163,7 +165,7 @@
 
 
 def log_lines(outcome: Outcome, node: str) -> list[str]:
-    return [text for at_ms, name, text in outcome.seen if name == node and at_ms >= 0]
+    return [text for at_ms, name, text in outcome.observed_lines if name == node and at_ms >= 0]
 
 
 def test_a_change_and_an_ejection_reach_all_whichever_sidecar_gets_them(tmp_path: Path) -> None:
--- a/tests/fleet/test_stage.py
+++ b/tests/fleet/test_stage.py
@@ -10,45 +10,49 @@
 from limenotch.lab.emulate.wire import Pool
 from limenotch.lab.fleet import comparing, drawing, drills, weather
 from limenotch.lab.fleet.processes import Processes
-from limenotch.lab.fleet.stage import Outcome, Stage, together
+from limenotch.lab.fleet.stage import Outcome, Stage, relayed_fleet_settings
 
 from .test_processes import TRAFFIC
 
 MEMBERSHIP = {"period_ms": 400.0, "timeout_ms": 120.0}
 
 
-def perform(text: str, folder: Path, spoils: bool = False, tries: int = drills.TRIES) -> Outcome:
-    drawn = drawing.read(text)
-    plan = planning.plan(scenario.parse(TRAFFIC.replace("length_s = 3", f"length_s = {drawn.ends / 1000.0}"), "t"), 3)
-    texts = {note.text for note in drawn.notes}  # a busy machine may bring others: doubts that are refuted
+def perform(text: str, folder: Path, spoils: bool = False, tries: int = drills.MAX_ATTEMPTS) -> Outcome:
+    drawn = drawing.parse_timeline(text)
+    plan = planning.plan(scenario.parse(TRAFFIC.replace("length_s = 3", f"length_s = {drawn.end_ms / 1000.0}"), "t"), 3)
+    texts = {note.text for note in drawn.entries}  # a busy machine may bring others: doubts that are refuted
     key = folder / "key"
     key.write_text("a key for tests, of 16 bytes or more")
 
     def alive(name: str, state: dict[str, Any]) -> bool:
-        there = len(drawn.nodes) - len(drawn.later)
+        there = len(drawn.nodes) - len(drawn.started_later)
         return bool(there == sum(member["state"] == "alive" for member in state["members"]))
 
     async def settled(processes: Processes) -> None:
-        there = [name for name in drawn.nodes if name not in drawn.later]
-        await processes.until_all(alive, 15, "all are alive to all", there)
+        there = [name for name in drawn.nodes if name not in drawn.started_later]
+        await processes.wait_until_all(alive, 15, "all are alive to all", there)
 
     async def case() -> Outcome:
         stage = Stage(
             plan,
             folder,
             drawn,
-            weather.Weather(drawn.seed),
-            fleet=together(drawn.nodes, key, membership=MEMBERSHIP),
-            spoils=spoils,
-            compare=lambda seen, came: comparing.within(drawn, [n for n in seen if n[0] >= 0 and n[2] in texts], came),
+            weather.NetworkConditions(drawn.seed),
+            fleet_settings=relayed_fleet_settings(drawn.nodes, key, membership=MEMBERSHIP),
+            faulty_disks=spoils,
+            compare=lambda seen, came: comparing.compare_within_window(
+                drawn, [n for n in seen if n[0] >= 0 and n[2] in texts], came
+            ),
         )
         try:
-            return await stage.perform(settled)
+            return await stage.run_timeline(settled)
         finally:
             await stage.close()
 
     outcome = asyncio.run(asyncio.wait_for(case(), 60))
-    if not outcome.well and outcome.late_ms >= drills.LATE_MS and tries > 1:  # see drills.tried
+    if (
+        not outcome.succeeded and outcome.max_timer_delay_ms >= drills.BUSY_TIMER_DELAY_MS and tries > 1
+    ):  # see drills.run_with_retries
         again = folder / "again"
         again.mkdir()
         return perform(text, again, spoils, tries - 1)
@@ -73,7 +77,7 @@
 """,
         tmp_path,
     )
-    assert outcome.passed["a", "b"].lost > 0 < outcome.passed["b", "a"].lost and outcome.calls["served"] > 150
+    assert outcome.door_counts["a", "b"].lost > 0 < outcome.door_counts["b", "a"].lost and outcome.calls["served"] > 150
 
 
 def test_a_node_cut_off_with_its_clock_set_back(tmp_path: Path) -> None:
@@ -94,12 +98,14 @@
         spoils=True,
     )
     assert [path.read_text() for path in sorted(tmp_path.rglob("c/faults"))][0] == "disk ok\nclock -3600\n"
-    assert outcome.calls["served"] > 100 and outcome.passed["c", "a"].lost > 0
+    assert outcome.calls["served"] > 100 and outcome.door_counts["c", "a"].lost > 0
 
 
 def test_who_calls_a_node_that_is_killed_hears_of_it_and_later_calls_find_the_new_one(tmp_path: Path) -> None:
     plan = planning.plan(scenario.parse(TRAFFIC, "t"), 3)
-    stage = Stage(plan, tmp_path, drawing.read("nodes: a b c\n\nms  faults\n0\n"), weather.Weather(1))
+    stage = Stage(
+        plan, tmp_path, drawing.parse_timeline("nodes: a b c\n\nms  faults\n0\n"), weather.NetworkConditions(1)
+    )
     heard: list[object] = []
 
     async def case() -> None:
--- a/tests/fleet/test_store_thread.py
+++ b/tests/fleet/test_store_thread.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from limenotch.lab.fleet.faulty import NAME, FaultyFiles, Wish, Wishes, ask_for
+from limenotch.lab.fleet.faulty import FAULTS_FILE_NAME, FaultsFile, FaultyFiles, ProcessFaults, write_process_faults
 from limenotch.store.files import Files, RealFiles, StoreError
 from limenotch.store.log import Store
 from limenotch.store.records import StoredLog, TermVote
@@ -55,14 +55,14 @@
 def test_failing_disk_is_reported_with_its_reason_and_the_store_resumes(
     state: str, reason: str, tmp_path: Path
 ) -> None:
-    wishes = tmp_path / NAME
-    files = FaultyFiles(RealFiles(tmp_path / "data"), Wishes(wishes).now)
+    wishes = tmp_path / FAULTS_FILE_NAME
+    files = FaultyFiles(RealFiles(tmp_path / "data"), FaultsFile(wishes).current)
     harness = opened(files)
-    ask_for(wishes, Wish(state))
+    write_process_faults(wishes, ProcessFaults(state))
     harness.submit(2)
     harness.run_until(lambda: len(harness.results) == 2)
-    assert harness.results == [(1, None), (2, reason)] and files.failed[state] >= 1
-    ask_for(wishes, Wish())
+    assert harness.results == [(1, None), (2, reason)] and files.fault_counts[state] >= 1
+    write_process_faults(wishes, ProcessFaults())
     harness.submit(2)
     harness.run_until(lambda: len(harness.results) == 3)
     assert harness.results[-1] == (2, None) and harness.thread.close(WAIT_S)
@@ -71,19 +71,19 @@
 
 
 def test_slow_disk_is_reported_and_loses_nothing(tmp_path: Path) -> None:
-    wishes, waited = tmp_path / NAME, list[float]()
-    files = FaultyFiles(RealFiles(tmp_path / "data"), Wishes(wishes).now, waited.append)
+    wishes, waited = tmp_path / FAULTS_FILE_NAME, list[float]()
+    files = FaultyFiles(RealFiles(tmp_path / "data"), FaultsFile(wishes).current, waited.append)
     harness = opened(files, slow_s=0.0)
     harness.drain()
     harness.thread._fast_batches, harness.slow[:] = 100, []
-    ask_for(wishes, Wish("slow", 300.0))
+    write_process_faults(wishes, ProcessFaults("slow", 300.0))
     harness.submit(2)
     harness.run_until(lambda: (2, None) in harness.results and bool(harness.slow))
-    assert waited and set(waited) == {300.0} and files.failed["slow"] == len(waited)
-    ask_for(wishes, Wish())
+    assert waited and set(waited) == {300.0} and files.fault_counts["slow"] == len(waited)
+    write_process_faults(wishes, ProcessFaults())
     harness.submit(3)
     harness.run_until(lambda: (3, None) in harness.results)
-    assert files.failed["slow"] == len(waited) and harness.thread.close(WAIT_S)
+    assert files.fault_counts["slow"] == len(waited) and harness.thread.close(WAIT_S)
     files.release()
     assert Store(RealFiles(tmp_path / "data")).open().last_index == 3
 
--- a/tests/fleet/test_wallet_processes.py
+++ b/tests/fleet/test_wallet_processes.py
@@ -22,7 +22,7 @@
 from limenotch.lab import planning, scenario
 from limenotch.lab.fleet import drawing, weather
 from limenotch.lab.fleet.processes import NodeProcess, NotReachedError, Processes
-from limenotch.lab.fleet.stage import Outcome, together
+from limenotch.lab.fleet.stage import Outcome, relayed_fleet_settings
 from tests.helpers.wallet_clients import COST, ClientResponse, PayingStage, Reading
 
 from .test_log_processes import AGREEMENT, MEMBERSHIP, leader
@@ -56,10 +56,10 @@
 
     def fault_at_ms(self, number: int) -> float:
         """Time of the fault with that number in the timeline."""
-        return self.outcome.happened[number]
+        return self.outcome.fault_times_ms[number]
 
     def log_texts(self, node: str) -> list[str]:
-        return [text for at_ms, name, text in self.outcome.seen if name == node and at_ms >= 0]
+        return [text for at_ms, name, text in self.outcome.observed_lines if name == node and at_ms >= 0]
 
     def statuses(self, tenant: str, node: str, since_ms: float, until_ms: float = 1e12) -> set[int | None]:
         return {response.status for response in self.stage.answered(tenant, node, since_ms, until_ms)}
@@ -110,11 +110,11 @@
             self.stage.empty_readings.append(wallet)
         elif word == "spends":
             since_ms = self.stage.clock()
-            await self.stage.processes.until(
+            await self.stage.processes.wait_until(
                 lambda: bool(self.stage.served(arguments[0], node.name, since_ms)), 15, words
             )
         else:
-            await self.stage.processes.until_all(is_leased, 15, words, [node.name])
+            await self.stage.processes.wait_until_all(is_leased, 15, words, [node.name])
 
 
 def is_leased(name: str, state: dict[str, Any]) -> bool:
@@ -147,9 +147,9 @@
 async def _complete_run(
     text: str, folder: Path, late_timers_ms: list[float], error_rate: float, overrides: dict[str, Any]
 ) -> CompletedRun:
-    timeline = drawing.read(text)
+    timeline = drawing.parse_timeline(text)
     traffic = (
-        TRAFFIC.replace("length_s = 3", f"length_s = {timeline.ends / 1000.0}")
+        TRAFFIC.replace("length_s = 3", f"length_s = {timeline.end_ms / 1000.0}")
         .replace("rate_per_s = 60", "rate_per_s = 150")
         .replace('name = "k"', f'name = "k"\nerror_rate = {error_rate}')
     )
@@ -159,34 +159,36 @@
     operator = TimelineOperator()
     table = {**WALLET, **overrides}
     costs = "\n[fleet.wallet.cost]\n" + "".join(f"{name} = {units}\n" for name, units in COST.items())
-    fleet = together(timeline.nodes, key, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT, wallet=table)
+    fleet = relayed_fleet_settings(
+        timeline.nodes, key, tuple("abc"), membership=MEMBERSHIP, agreement=AGREEMENT, wallet=table
+    )
     stage = operator.stage = PayingStage(
         planning.plan(scenario.parse(traffic, "wallet"), 3),
         folder,
         timeline,
-        weather.Weather(timeline.seed),
-        ask=operator.handle_ask,
-        spoils=True,
-        fleet=lambda stage, node: fleet(stage, node) + costs,
+        weather.NetworkConditions(timeline.seed),
+        handle_request=operator.handle_ask,
+        faulty_disks=True,
+        fleet_settings=lambda stage, node: fleet(stage, node) + costs,
     )
 
     async def start(processes: Processes) -> None:
-        await processes.until_all(
+        await processes.wait_until_all(
             lambda name, state: leader(state) == "a" and is_leased(name, state), 20, "a leads, all have leases"
         )
         assert (await stage.add(processes.nodes["a"], "bob", BOB_CREDIT, "bob"))[0] == 200
         stage.begin()
 
     try:
-        outcome = await stage.perform(start)
+        outcome = await stage.run_timeline(start)
         ends = await stage.audit(len(timeline.nodes) * table.get("advance", 0))
-        states = {name: await node.state() or {} for name, node in stage.processes.nodes.items()}
+        states = {name: await node.fleet_status() or {} for name, node in stage.processes.nodes.items()}
         outcome.check()
         assert len(stage.served("cid")) > 50 and len(stage.served("bob")) > 50
         assert not any(state["off"] for state in states.values() if state)
         return CompletedRun(stage, outcome, ends, states)
     finally:
-        late_timers_ms.append(stage.late_ms if stage.began_ms is not None else inf)
+        late_timers_ms.append(stage.late_ms if stage.timeline_start_ms is not None else inf)
         for node in stage.processes.nodes.values():
             node.kill()  # their shutdown is not part of the test
         await stage.close()
@@ -261,7 +263,7 @@
         assert (end.credit, end.spent, end.left, end.held) == (230, 230, 0, 0)
         returned = [
             (seen.node, seen.text.split()[0], seen.fields["of"])
-            for seen in stage.processes.seen()
+            for seen in stage.processes.observed_lines()
             if seen.text.split()[:2] in (["back", "ann"], ["lost", "ann"])
         ]
         assert {("a", "back", "b"), ("a", "back", "c")} <= set(returned) and not [
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -21,8 +21,8 @@
     TimerFired,
 )
 from limenotch.lab.fleet.faults import parse
-from limenotch.lab.fleet.weather import Weather
-from limenotch.lab.fleet.world import MOST_BUFFERED, World, address
+from limenotch.lab.fleet.weather import NetworkConditions
+from limenotch.lab.fleet.world import MAX_BUFFERED_DATAGRAMS, World, address
 from limenotch.store.records import StoredLog
 
 from .fake_parts import Beat, Keeper, Listener, Put, listeners
@@ -35,23 +35,23 @@
 ) -> World:
     made = World(NODES, listeners(*NODES, carrier=carrier), seed, **{"drift_ppm": 0.0, **more})
     for at, text in faults:
-        made.at(at, parse(text))
+        made.schedule_fault(at, parse(text))
     made.run(until)
     return made
 
 
 def said(made: World) -> list[tuple[float, str, str]]:
-    return [(round(note.at_ms, 6), note.node, note.text) for note in made.seen]
+    return [(round(note.at_ms, 6), note.node, note.text) for note in made.observed_lines]
 
 
 def numbers(made: World, at: str, frm: str) -> list[int]:
-    part: Listener = made.part(at)
+    part: Listener = made.component(at)
     return [number for sender, number in part.numbers if sender == frm]
 
 
 def test_nobody_is_suspected_in_calm() -> None:
     made = world()
-    assert not made.seen and not made.counts
+    assert not made.observed_lines and not made.counts
     assert numbers(made, "a", "b") == list(range(1, 51))
     traffic = made.nodes["a"].traffic
     assert traffic.by_tag == {"toy.beat": [traffic.messages, traffic.bytes]} and traffic.messages == 102
@@ -96,16 +96,16 @@
         (2000.5, "a", "b back"),
         (2000.5, "a", "c back"),
     ]
-    part: Listener = made.part("a")
+    part: Listener = made.component("a")
     assert max(part.late) == pytest.approx(900.5) and part.late[-1] == max(part.late)
-    first = world((1000.5, "pause a"), (2000.5, "wake a"), until=2050, wake="heard")
+    first = world((1000.5, "pause a"), (2000.5, "wake a"), until=2050, wake_order="heard")
     assert [one for one in said(first) if one[1] == "a"] == []
 
 
 def test_the_buffer_of_a_paused_node_is_bounded() -> None:
     made = world((1000, "pause a"), (20_000, "wake a"), until=20_000)
-    assert made.counts["buffer full"] == 2 * 190 - MOST_BUFFERED
-    assert made.nodes["a"].buffered == 0
+    assert made.counts["buffer full"] == 2 * 190 - MAX_BUFFERED_DATAGRAMS
+    assert made.nodes["a"].buffered_datagrams == 0
 
 
 def test_timers_fire_in_the_order_they_were_due_and_never_early() -> None:
@@ -124,7 +124,7 @@
         fired.clear()
         made = World("a", lambda *_: Timers(), drift_ppm=200)
         for at, text in faults:
-            made.at(at, parse(text))
+            made.schedule_fault(at, parse(text))
         made.run(500)
         assert fired == [1, 4, 3, 2, 0]
 
@@ -142,7 +142,7 @@
 
     made = World("abc", lambda *_: Timers(), drift_ppm=200_000)
     for node in made.nodes.values():
-        node.ahead = 0.0  # a clock that starts far on hides that digit, and so does one that runs nearly true
+        node.clock_offset_ms = 0.0  # a clock that starts far on hides that digit, and so does one that runs nearly true
     made.run(5000)
     assert not early
 
@@ -157,17 +157,17 @@
 
     made = World(NODES, make, drift_ppm=0)
     for at, text in ((1000, "kill c"), (2000, "start c")):
-        made.at(at, parse(text))
+        made.schedule_fault(at, parse(text))
     made.run(1500)
-    assert not made.alive("c") and made.part("c") is None and made.counts["no process"] > 0
+    assert not made.alive("c") and made.component("c") is None and made.counts["no process"] > 0
     made.run(3000)
     assert [process_epoch for process_epoch, _ in starts] == [1, 2] and starts[0][1] != starts[1][1]
-    assert made.part("c").beats == 11
+    assert made.component("c").beats == 11
     for at, text in ((3050, "kill c"), (3060, "start c")):
-        made.at(at, parse(text))
+        made.schedule_fault(at, parse(text))
     made.run(3300)
-    assert made.part("c").beats == 3  # the timer that the life before had set for 3100 is none of its own
-    with pytest.raises(ValueError, match="runs already"):
+    assert made.component("c").beats == 3  # the timer that the life before had set for 3100 is none of its own
+    with pytest.raises(ValueError, match="already running"):
         made.start("c")
 
 
@@ -179,7 +179,7 @@
             return super().handle(now, event)
 
     made = World(NODES, lambda name, *_: Parting(name, tuple(one for one in NODES if one != name)), drift_ppm=0)
-    made.at(1000, parse("leave c"))
+    made.schedule_fault(1000, parse("leave c"))
     made.run(1100)
     assert said(made) == [(1000, "c", "leaves")] and not made.alive("c")
     assert numbers(made, "a", "c")[-1] == 999
@@ -195,7 +195,7 @@
 
 
 def test_a_stream_cut_for_longer_than_its_patience_loses_what_it_held() -> None:
-    made = world((1050, "cut a > b"), (2990, "heal"), carrier=Carrier.STREAM, patience_ms=1000, until=4000)
+    made = world((1050, "cut a > b"), (2990, "heal"), carrier=Carrier.STREAM, stream_timeout_ms=1000, until=4000)
     heard = numbers(made, "b", "a")
     # Those of 1100 to 2000 were given up at 2100; the beat of then opened the next connection, which the heal found.
     missing = [number for number in range(1, heard[-1]) if number not in heard]
@@ -247,48 +247,48 @@
 
 def test_monotonic_clocks_drift_apart_and_bear_a_step_of_the_wall_clock() -> None:
     made = world((1000, "clock a -3600s"), until=100_000, drift_ppm=200)
-    rates = [made.nodes[name].rate for name in NODES]
+    rates = [made.nodes[name].clock_rate for name in NODES]
     assert len(set(rates)) == 3 and all(abs(rate - 1) <= 200e-6 for rate in rates)
-    assert made.wall("a") - made.wall("b") == pytest.approx(-3_600_000, abs=40.1)
-    assert not made.seen
+    assert made.wall_clock_ms("a") - made.wall_clock_ms("b") == pytest.approx(-3_600_000, abs=40.1)
+    assert not made.observed_lines
 
 
 def test_shares_of_loss_and_doubles_are_as_asked_and_each_way_has_its_own_chances() -> None:
-    weather = Weather(3)
+    weather = NetworkConditions(3)
     for text in ("loss 20%", "double 10%", "delay 5..40", "loss 0% b > a"):
         weather.apply(parse(text))
-    fates = [weather.fate(0.0, "a", "b") for _ in range(20_000)]
+    fates = [weather.arrival_delays_ms(0.0, "a", "b") for _ in range(20_000)]
     assert sum(not fate for fate in fates) / 20_000 == pytest.approx(0.2, abs=0.01)
     assert sum(len(fate) == 2 for fate in fates) / 16_000 == pytest.approx(0.1, abs=0.01)
     assert all(5 <= delay <= 40 for fate in fates for delay in fate)
-    other = Weather(3)
+    other = NetworkConditions(3)
     for text in ("loss 20%", "double 10%", "delay 5..40", "loss 0% b > a"):
         other.apply(parse(text))
     mixed = []
     for _ in range(20_000):
-        assert other.fate(0.0, "b", "a")
-        mixed.append(other.fate(0.0, "a", "b"))
+        assert other.arrival_delays_ms(0.0, "b", "a")
+        mixed.append(other.arrival_delays_ms(0.0, "a", "b"))
     assert mixed == fates
 
 
 def test_a_plan_acts_when_it_is_due() -> None:
-    weather = Weather(0, [(100.0, parse("cut a > b")), (200.0, parse("heal"))])
-    passes = [bool(weather.fate(now, "a", "b")) for now in (0.0, 99.9, 100.0, 199.9, 200.0)]
+    weather = NetworkConditions(0, [(100.0, parse("cut a > b")), (200.0, parse("heal"))])
+    passes = [bool(weather.arrival_delays_ms(now, "a", "b")) for now in (0.0, 99.9, 100.0, 199.9, 200.0)]
     assert passes == [True, True, False, False, True]
 
 
 def test_what_no_node_can_do_is_refused() -> None:
     made = world(until=10)
-    with pytest.raises(ValueError, match="no node 'z'"):
-        made.fault(parse("kill z"))
-    with pytest.raises(ValueError, match="later"):
-        World("ab", listeners("a", "b"), later="c")
+    with pytest.raises(ValueError, match="unknown node 'z'"):
+        made.apply_fault(parse("kill z"))
+    with pytest.raises(ValueError, match="started_later"):
+        World("ab", listeners("a", "b"), started_later="c")
 
     class Wrong:
         def handle(self, now: float, event: Any) -> list[Any]:
             return ["what"]
 
-    with pytest.raises(TypeError, match="no action"):
+    with pytest.raises(TypeError, match="unknown action"):
         World("a", lambda *_: Wrong()).run(1)
 
 
@@ -312,9 +312,9 @@
 def keeper(*faults: tuple[float, str], puts: list[tuple[float, Put]], until: float = 1000, seed: int = 0) -> World:
     made = World("a", lambda name, seed, process_epoch, held: Keeper(held), seed, fsync_ms=10)
     for at, text in faults:
-        made.at(at, parse(text))
+        made.schedule_fault(at, parse(text))
     for at, put in puts:
-        made.kernel.at(at, made.poke, "a", put)
+        made.kernel.at(at, made.deliver_event, "a", put)
     made.run(until)
     return made
 
@@ -338,25 +338,27 @@
         until=at + 0.4,
         seed=seed,
     )
-    part: Keeper = made.part("a")
+    part: Keeper = made.component("a")
     kept = [event.ticket for event in part.answers if isinstance(event, Stored)]
     asked = part.last
     ends = {ticket: part.batches.get(ticket + 1, asked + 1) - 1 for ticket in part.batches}
     promised = max((ends[ticket] for ticket in kept), default=0)
     made.run(at + 50.5)
-    assert promised <= made.part("a").held.last_index <= asked
-    assert [entry.index for entry in made.part("a").held.entries] == list(range(1, made.part("a").held.last_index + 1))
+    assert promised <= made.component("a").held.last_index <= asked
+    assert [entry.index for entry in made.component("a").held.entries] == list(
+        range(1, made.component("a").held.last_index + 1)
+    )
 
 
 def test_a_write_under_way_is_torn_at_any_record_by_a_kill_and_wiped_with_its_disk() -> None:
     ends = {
         keeper((15.0, "kill a"), (20.0, "start a"), puts=[(0.0, Put(2)), (12.0, Put(3))], seed=seed)
-        .part("a")
+        .component("a")
         .held.last_index
         for seed in range(40)
     }
     assert ends == {2, 3, 4, 5}
-    assert keeper((15.0, "wipe a"), (20.0, "start a"), puts=[(0.0, Put(2))]).part("a").held.last_index == 0
+    assert keeper((15.0, "wipe a"), (20.0, "start a"), puts=[(0.0, Put(2))]).component("a").held.last_index == 0
 
 
 @pytest.mark.parametrize("state", ["full", "read-only", "torn"])
@@ -366,7 +368,7 @@
         (100.0, "disk a ok"),
         puts=[(0.0, Put()), (30.0, Put(3)), (35.0, Put()), (120.0, Put(2))],
     )
-    answers = made.part("a").answers
+    answers = made.component("a").answers
     assert answers == [Stored(1), StoreFailed(2, state), StoreFailed(3, state), Stored(4)]
     assert made.nodes["a"].disk.content.last_index == 3
     during = {
--- a/tests/helpers/wallet_clients.py
+++ b/tests/helpers/wallet_clients.py
@@ -124,7 +124,7 @@
                 if node.alive and not node.paused:
                     for tenant in ("ann", "bob"):
                         reading = await self.wallet(node, tenant)
-                        if reading is not None and self.began_ms is not None:
+                        if reading is not None and self.timeline_start_ms is not None:
                             self.readings.append(reading)
                 await asyncio.sleep(READING_INTERVAL_S)
 
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from limenotch.lab.fleet.faulty import Wish, ask_for
-from limenotch.lab.fleet.node import FAULTS
+from limenotch.lab.fleet.faulty import ProcessFaults, write_process_faults
+from limenotch.lab.fleet.node import FAULTS_VARIABLE
 
 from .helpers.discovery_service import DiscoveryService
 from .helpers.http_peers import LOOK, SETTINGS, ask, renamed
@@ -60,11 +60,11 @@
             assert (await ask(port, renamed(LOOK))).status == 200
             await asyncio.sleep(0.01)
 
-    ask_for(faults_path, Wish(clock_s=offset_at_start_s))
+    write_process_faults(faults_path, ProcessFaults(clock_offset_s=offset_at_start_s))
     try:
-        await processes.serve(config, module="limenotch.lab.fleet.node", more={FAULTS: str(faults_path)})
+        await processes.serve(config, module="limenotch.lab.fleet.node", more={FAULTS_VARIABLE: str(faults_path)})
         await client()
-        ask_for(faults_path, Wish(clock_s=later_offset_s))
+        write_process_faults(faults_path, ProcessFaults(clock_offset_s=later_offset_s))
         discovery.tell({**started, "since_ms": round((time.time() + list_offset_s) * 1000.0)})
         await asyncio.sleep(0.1)
         await asyncio.gather(*(client() for _ in range(CLIENTS)))
