--- a/limenotch/lab/fleet/processes.py
+++ b/limenotch/lab/fleet/processes.py
@@ -322,6 +322,6 @@
             lines += [
                 "",
                 f"[fleet.{key}]",
-                *(f"{json.dumps(name)} = {json.dumps(value)}" for name, value in table.items()),
+                *(f"{json.dumps(name)} = {json.dumps(entry)}" for name, entry in table.items()),
             ]
     return "\n".join(lines) + "\n"
--- a/limenotch/lab/fleet/world.py
+++ b/limenotch/lab/fleet/world.py
@@ -248,15 +248,15 @@
 
     def digest(self) -> str:
         """Returns a hash of all messages, log lines and drops with their times, and of the final disks."""
-        digest = blake2b(digest_size=16)
+        hasher = blake2b(digest_size=16)
         for at, node, text, fields in self.observed_lines:
-            digest.update(repr((at, node, text, sorted(fields.items()))).encode())
+            hasher.update(repr((at, node, text, sorted(fields.items()))).encode())
         for change in self.observed_changes:
-            digest.update(repr(change).encode())
-        digest.update(repr((self._history, sorted(self.counts.items()), self.kernel.events)).encode())
+            hasher.update(repr(change).encode())
+        hasher.update(repr((self._history, sorted(self.counts.items()), self.kernel.events)).encode())
         for host in self.nodes.values():
-            digest.update(repr((host.name, host.process_epoch, host.traffic.bytes, host.disk.content)).encode())
-        return digest.hexdigest()
+            hasher.update(repr((host.name, host.process_epoch, host.traffic.bytes, host.disk.content)).encode())
+        return hasher.hexdigest()
 
     def _apply_node_action(self, node: SimulatedNode, action: str) -> None:
         if action == "start":
--- a/tests/fleet/returning_clients.py
+++ b/tests/fleet/returning_clients.py
@@ -1,18 +1,19 @@
-"""Consumers of a stage that come back, through other sidecars, and judge where their calls went.
+"""Clients of a stage that return through other sidecars, and check which endpoint served their requests.
 
-Each `ask` of a drawing is a consumer's at that node, judged by its answer and by what reached the providers:
+Each `ask` of a timeline is a request of a client at that node, checked by its response and by the requests that reached
+the endpoints:
 
-| words | what |
+| words | meaning |
 | --- | --- |
-| `key K`, `session S` | a call that is served, and known at all others when the next word comes |
+| `key K`, `session S` | a request that is served, and known at all peers before the next step |
 | `again K` | marked as a repeat: served in the zone of the first |
-| `refused K` | marked as a repeat: rejected, and sent nowhere |
-| `same S`, `moved S` | calls of that session: all by the provider of before, or by one other |
-| `apart K`, `apart S` | the same key or session bound on the other side of a cut |
-| `agree K`, `agree S` | asked of all until all answers come from one zone or provider, and so once more |
-| `drain S`, `drop K`, `ban S` | its provider drains; all of its zone do; it is out by the rules, soon at all |
-| `twice` | eight keys, each asked here first and then at `b` |
-| `alone N`, `whole` | N members are alive to it; its table is whole |
+| `refused K` | marked as a repeat: rejected, and sent to no endpoint |
+| `same S`, `moved S` | requests of that session: all served by its previous endpoint, or by a different one |
+| `apart K`, `apart S` | the same key or session bound on the other side of a partition |
+| `agree K`, `agree S` | repeated at all nodes until one zone or endpoint serves all, and once more |
+| `drain S`, `drop K`, `ban S` | its endpoint drains; all of its zone do; an operator ejects it, soon at all nodes |
+| `twice` | eight keys, each sent first at `a` and then as a repeat at `b` |
+| `alone N`, `whole` | N members are alive according to the node; its table is complete |
 """
 
 from __future__ import annotations
@@ -35,29 +36,29 @@
 
 FREE, KEYED = 0, 1
 BUDGET_MS = 600.0
-OWN = "of ours "  # before keys, as those of the traffic are numbered too
-TRIES = 12  # of a call that a provider fails, as some do
-ENDS_MS = 250.0  # within which bindings of a provider that is out have ended at all
+KEY_PREFIX = "of ours "  # prefix that separates these keys from those of the traffic
+MAX_ATTEMPTS = 12  # attempts, as endpoints fail some requests
+UNBIND_TIMEOUT_MS = 250.0  # within which all nodes end the bindings of an ejected endpoint
 
 
-class Bench(Stage):
-    """Knows which keys reached which zones; consumers of its traffic come back through the next sidecar."""
+class RecordingStage(Stage):
+    """Records which keys reached which zones; retries of its traffic go through the next sidecar."""
 
-    def __init__(self, *about: Any, **more: Any) -> None:
-        super().__init__(*about, **more)
+    def __init__(self, *arguments: Any, **options: Any) -> None:
+        super().__init__(*arguments, **options)
         self.zones_of: dict[str, set[int]] = defaultdict(set)  # by key
-        self.attempts: dict[str, list[str]] = defaultdict(list)  # by call: providers
-        host = self.providers.request
+        self.attempts: dict[str, list[str]] = defaultdict(list)  # by request: endpoints
+        handle_request = self.providers.request
 
         def request(door: Door, connection: Served, message: http1.Message) -> None:
             name = message.fields.get(b"x-call-id", b"").decode()
             key = message.fields.get(b"idempotency-key", b"").decode()
             self.attempts[name].append(door.site.name)
-            if key.startswith(OWN):
-                self.zones_of[key.removeprefix(OWN)].add(door.site.machine.zone)
-            host(door, connection, message)
+            if key.startswith(KEY_PREFIX):
+                self.zones_of[key.removeprefix(KEY_PREFIX)].add(door.site.machine.zone)
+            handle_request(door, connection, message)
 
-        setattr(self.providers, "request", request)  # noqa: B010 (it has no other way in)
+        setattr(self.providers, "request", request)  # noqa: B010 (ProviderHost has no hook for it)
 
     def _choose(self, request: Request) -> Pool | None:
         first, count = self.fleet.entry_rank(request.zone) + request.tries - 1, len(self.timeline.nodes)
@@ -71,18 +72,20 @@
     def zone_of(self, provider: str) -> int:
         return next(site.machine.zone for site in self.fleet.sites[0] if site.name == provider)
 
-    async def call(
-        self, node: str, cls: int, key: str = "", session: str = "", again: bool = False
+    async def send_request(
+        self, node: str, request_class: int, key: str = "", session: str = "", is_repeat: bool = False
     ) -> tuple[str, str, str]:
-        """The verdict, by which provider, and the call's name. Judged by the rules for calls, as all others are."""
+        """Sends a request, which the rules check too. Returns its verdict, its endpoint and its name."""
         number, key_of = len(self.attempts), self.keys_of[node]
-        name, spec = f"t{number}-{self.clock():.3f}", self.plan.classes[cls]
-        wire = call_wire(self.plan, cls, None, name, key and OWN + key, BUDGET_MS, 1.0, again)
+        name, class_spec = f"t{number}-{self.clock():.3f}", self.plan.classes[request_class]
+        wire = call_wire(self.plan, request_class, None, name, key and KEY_PREFIX + key, BUDGET_MS, 1.0, is_repeat)
         if session:
             wire = wire.replace(b"Host: lab\r\n", b"Host: lab\r\nX-Session: " + session.encode() + b"\r\n")
         final: asyncio.Future[http1.Message | None] = asyncio.get_running_loop().create_future()
         self.call_rules.assign_next_request(key_of)
-        self.call_rules.taken(self.clock(), name, spec.effect, spec.scope, spec.window_ms, self.clock() + BUDGET_MS)
+        self.call_rules.taken(
+            self.clock(), name, class_spec.effect, class_spec.scope, class_spec.window_ms, self.clock() + BUDGET_MS
+        )
         self._pools[key_of].ask(wire, final.set_result)
         answer = await asyncio.wait_for(final, 10)
         verdict, _ = verdict_of(answer, name)
@@ -93,89 +96,89 @@
         return verdict, answer.body.partition(b" ")[2].decode(), name
 
 
-class Comers(Operators):
-    """Consumers that come back, and operators."""
+class ReturningClients(Operators):
+    """Returning clients, and operators."""
 
-    stage: Bench | None
+    stage: RecordingStage | None
 
     def __init__(self) -> None:
         super().__init__()
-        self.zones: dict[str, int] = {}  # where a key belongs
-        self.homes: dict[str, str] = {}  # by session: its provider
-        self.banned: set[str] = set()
+        self.zones: dict[str, int] = {}  # by key
+        self.session_endpoints: dict[str, str] = {}  # endpoint by session
+        self.ejected: set[str] = set()
         self.repeats = 0
 
     @property
-    def bench(self) -> Bench:
+    def recorder(self) -> RecordingStage:
         assert self.stage is not None
         return self.stage
 
     async def execute(self, node: NodeProcess, words: str) -> None:
         word, *rest = words.split()
-        do = {
-            "same": self.same,
-            "moved": self.moved,
-            "agree": self.agree,
-            "drain": self.drain,
-            "drop": self.drop,
-            "alone": self.alone,
+        handler = {
+            "same": self.expect_same_endpoint,
+            "moved": self.expect_moved,
+            "agree": self.wait_for_agreement,
+            "drain": self.drain_session_endpoint,
+            "drop": self.drain_zone,
+            "alone": self.wait_for_alive_count,
         }.get(word)
-        name, what = node.name, rest[0] if rest else ""
-        if do is not None:
-            await do(name, what)
+        name, subject = node.name, rest[0] if rest else ""
+        if handler is not None:
+            await handler(name, subject)
         elif word in ("key", "session", "apart"):
-            await self.first(name, word, what)
+            await self.bind_first(name, word, subject)
         elif word == "again":
-            zone = await self.keyed(name, what, True)
-            assert zone == self.zones[what], (words, name, self.bench.zones_of[what])
+            zone = await self.send_keyed(name, subject, True)
+            assert zone == self.zones[subject], (words, name, self.recorder.zones_of[subject])
             self.repeats += 1
         elif word == "refused":
-            verdict, _, call = await self.bench.call(name, KEYED, what, again=True)
-            assert (verdict, self.bench.attempts.get(call)) == ("rejected", None), (words, verdict)
+            verdict, _, request_name = await self.recorder.send_request(name, KEYED, subject, is_repeat=True)
+            assert (verdict, self.recorder.attempts.get(request_name)) == ("rejected", None), (words, verdict)
         elif word == "whole":
             await self.processes.wait_until_all(
                 lambda _, state: state["parts"]["bindings"]["state"] == "whole", 20, words, [name]
             )
         elif word == "twice":
             for number in range(8):
-                await self.keyed("a", f"k{number}")
-                await self.keyed("b", f"k{number}", True)
+                await self.send_keyed("a", f"k{number}")
+                await self.send_keyed("b", f"k{number}", True)
         elif word == "ban":
-            await self.ban_of(node, what)
+            await self.eject_session_endpoint(node, subject)
         else:
             await super().execute(node, words)
 
-    # Calls
+    # Requests
 
-    async def keyed(self, node: str, key: str, again: bool = False) -> int:
-        """The zone that served it. Providers fail some: a consumer comes back with the same key."""
-        for number in range(TRIES):
-            verdict, by, _ = await self.bench.call(node, KEYED, key, again=again or number > 0)
+    async def send_keyed(self, node: str, key: str, is_repeat: bool = False) -> int:
+        """Returns the zone that served the key. Endpoints fail some requests: the client retries with the same key."""
+        for number in range(MAX_ATTEMPTS):
+            verdict, endpoint, _ = await self.recorder.send_request(node, KEYED, key, is_repeat=is_repeat or number > 0)
             if verdict == "served":
-                return self.bench.zone_of(by)
+                return self.recorder.zone_of(endpoint)
         raise AssertionError(f"{key} at {node}: never served")
 
-    async def of_session(self, node: str, session: str) -> str:
-        for _ in range(TRIES):
-            verdict, by, call = await self.bench.call(node, FREE, session=session)
-            if verdict == "served" and self.bench.attempts[call] == [by]:  # else the first of them was failed
-                return by
+    async def send_in_session(self, node: str, session: str) -> str:
+        for _ in range(MAX_ATTEMPTS):
+            verdict, endpoint, request_name = await self.recorder.send_request(node, FREE, session=session)
+            if verdict == "served" and self.recorder.attempts[request_name] == [endpoint]:  # no earlier attempt failed
+                return endpoint
         raise AssertionError(f"{session} at {node}: never served")
 
-    async def first(self, node: str, word: str, what: str) -> None:
+    async def bind_first(self, node: str, word: str, subject: str) -> None:
         if word == "apart":
-            await (self.keyed(node, what) if what.startswith("k") else self.of_session(node, what))
+            await (self.send_keyed(node, subject) if subject.startswith("k") else self.send_in_session(node, subject))
             return
         if word == "key":
-            self.zones[what] = await self.keyed(node, what)
+            self.zones[subject] = await self.send_keyed(node, subject)
         else:
-            self.homes[what] = await self.of_session(node, what)
-        await self.known(node)
+            self.session_endpoints[subject] = await self.send_in_session(node, subject)
+        await self.wait_until_known(node)
 
-    async def known(self, node: str) -> None:
-        """Until all whom it reaches have heard what it has seen so far."""
-        state = await self.figures(node)
-        told = state["told"] + (2 if state["to_tell"] else 0)  # the word under way, and the one after it
+    async def wait_until_known(self, node: str) -> None:
+        """Waits until all members that the node reaches have received its updates."""
+        state = await self.binding_status(node)
+        update_number = state["told"] + (2 if state["to_tell"] else 0)  # the update in flight, and the next one
         nodes = self.processes.nodes
         members = (await nodes[node].fleet_status() or {})["members"]
         alive = [
@@ -185,71 +188,81 @@
         ]
 
         async def holds() -> bool:
-            own = await self.figures(node)
-            if own["told"] < told and own["to_tell"]:
+            status = await self.binding_status(node)
+            if status["told"] < update_number and status["to_tell"]:
                 return False
-            others = [await self.figures(other) for other in alive]
-            return all(other.get("heard", {}).get(node, -1) >= min(told, own["told"]) for other in others)
+            peer_statuses = [await self.binding_status(peer) for peer in alive]
+            return all(
+                peer.get("heard", {}).get(node, -1) >= min(update_number, status["told"]) for peer in peer_statuses
+            )
 
-        await self.processes.wait_until(holds, 10, f"what {node} told is known at {alive}")
+        await self.processes.wait_until(holds, 10, f"the updates of {node} are known at {alive}")
 
-    async def figures(self, node: str) -> dict[str, Any]:
+    async def binding_status(self, node: str) -> dict[str, Any]:
         state = await self.processes.nodes[node].fleet_status()
         return dict(state["parts"]["bindings"]) if state is not None else {}
 
-    async def same(self, node: str, session: str) -> None:
-        found = {await self.of_session(node, session) for _ in range(4)}
-        assert found == {self.homes[session]}, (node, session, found, self.homes[session])
+    async def expect_same_endpoint(self, node: str, session: str) -> None:
+        found = {await self.send_in_session(node, session) for _ in range(4)}
+        assert found == {self.session_endpoints[session]}, (node, session, found, self.session_endpoints[session])
 
-    async def moved(self, node: str, session: str) -> None:
-        by = await self.of_session(node, session)
-        assert by != self.homes[session], (node, session, by)
-        self.homes[session] = by
-        await self.known(node)
+    async def expect_moved(self, node: str, session: str) -> None:
+        endpoint = await self.send_in_session(node, session)
+        assert endpoint != self.session_endpoints[session], (node, session, endpoint)
+        self.session_endpoints[session] = endpoint
+        await self.wait_until_known(node)
 
-    async def agree(self, _: str, what: str) -> None:
-        async def answers() -> set[Any]:
-            if what.startswith("k"):
-                return {await self.keyed(name, what, True) for name in self.running}
-            return {await self.of_session(name, what) for name in self.running}
+    async def wait_for_agreement(self, _: str, subject: str) -> None:
+        async def serving_targets() -> set[Any]:
+            if subject.startswith("k"):
+                return {await self.send_keyed(name, subject, True) for name in self.running}
+            return {await self.send_in_session(name, subject) for name in self.running}
 
         async with asyncio.timeout(20):
-            while len(found := await answers()) != 1:
+            while len(found := await serving_targets()) != 1:
                 pass
-        assert await answers() == found
+        assert await serving_targets() == found
 
-    # What befalls providers and members
+    # Faults of endpoints and members
 
-    async def out_of(self, providers: Sequence[str]) -> None:
-        bench = self.bench
-        for number, site in enumerate(bench.fleet.sites[0]):
+    async def drain_endpoints(self, providers: Sequence[str]) -> None:
+        recorder = self.recorder
+        for number, site in enumerate(recorder.fleet.sites[0]):
             if site.name in providers:
-                bench._see_to(bench.fleet.carry_out(bench.clock(), Deed(bench.clock(), "drain", 0, number)))
-        left = sum(not site.draining and site.name not in self.banned for site in bench.fleet.sites[0])
+                recorder._see_to(recorder.fleet.carry_out(recorder.clock(), Deed(recorder.clock(), "drain", 0, number)))
+        remaining = sum(not site.draining and site.name not in self.ejected for site in recorder.fleet.sites[0])
         await self.processes.wait_until_all(
-            lambda _, state: state["parts"]["bindings"]["providers"] == left, 20, f"{providers} drain", self.running
+            lambda _, state: state["parts"]["bindings"]["providers"] == remaining,
+            20,
+            f"{providers} drain",
+            self.running,
         )
 
-    async def drain(self, _: str, session: str) -> None:
-        await self.out_of([self.homes[session]])
+    async def drain_session_endpoint(self, _: str, session: str) -> None:
+        await self.drain_endpoints([self.session_endpoints[session]])
 
-    async def drop(self, _: str, key: str) -> None:
-        sites = self.bench.fleet.sites[0]
-        await self.out_of([site.name for site in sites if site.machine.zone == self.zones[key]])
+    async def drain_zone(self, _: str, key: str) -> None:
+        sites = self.recorder.fleet.sites[0]
+        await self.drain_endpoints([site.name for site in sites if site.machine.zone == self.zones[key]])
 
-    async def ban_of(self, node: NodeProcess, session: str) -> None:
-        self.banned.add(self.homes[session])
-        before = {name: (await self.figures(name))["providers"] for name in self.running}
-        status, said = await self.request(node, "ban", {"upstream": self.homes[session]}, f"ban {session}")
-        assert status == 200, said
-        agreed = self.bench.clock()
+    async def eject_session_endpoint(self, node: NodeProcess, session: str) -> None:
+        self.ejected.add(self.session_endpoints[session])
+        before = {name: (await self.binding_status(name))["providers"] for name in self.running}
+        status, response = await self.request(
+            node, "ban", {"upstream": self.session_endpoints[session]}, f"ban {session}"
+        )
+        assert status == 200, response
+        agreed_at_ms = self.recorder.clock()
         await self.processes.wait_until_all(
-            lambda name, state: state["parts"]["bindings"]["providers"] < before[name], 5, "out at all", self.running
+            lambda name, state: state["parts"]["bindings"]["providers"] < before[name],
+            5,
+            "ejected at all nodes",
+            self.running,
         )
-        took = self.bench.clock() - agreed
-        assert took <= ENDS_MS + self.bench._lag.now_ms(), took
+        duration_ms = self.recorder.clock() - agreed_at_ms
+        assert duration_ms <= UNBIND_TIMEOUT_MS + self.recorder._lag.now_ms(), duration_ms
 
-    async def alone(self, node: str, count: str) -> None:
+    async def wait_for_alive_count(self, node: str, count: str) -> None:
         await self.processes.wait_until_all(
             lambda _, state: sum(member["state"] == "alive" for member in state["members"]) == int(count),
             20,
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -20,7 +20,7 @@
 from limenotch.net import http1
 from tests.helpers.http_peers import LOOK, answer_from
 
-from .returning_clients import Bench, Comers
+from .returning_clients import RecordingStage, ReturningClients
 from .test_fleet_off import Sidecar, serving
 from .test_log_processes import AGREEMENT, MEMBERSHIP
 from .test_rules_processes import RULES_TABLE
@@ -77,7 +77,7 @@
 
 def play(
     text: str, folder: Path, rules: bool = False, bindings: dict[str, Any] | None = BINDINGS
-) -> tuple[Outcome, Comers]:
+) -> tuple[Outcome, ReturningClients]:
     """Once more where they did not find each other before the drawing began: a port that was free may be taken."""
     for number in range(3):
         place = folder / str(number)
@@ -87,20 +87,20 @@
     raise AssertionError("not together, three times")
 
 
-def played(text: str, folder: Path, rules: bool, bindings: dict[str, Any] | None) -> tuple[Outcome, Comers]:
+def played(text: str, folder: Path, rules: bool, bindings: dict[str, Any] | None) -> tuple[Outcome, ReturningClients]:
     drawn = drawing.parse_timeline(text)
     traffic = TRAFFIC.format(length_s=drawn.end_ms / 1000.0, count=len(drawn.nodes))
     plan = planning.plan(scenario.parse(traffic, "bindings"), 3)
     key = folder / "key"
     key.write_text("a key for tests, of 16 bytes or more")
-    comers = Comers()
+    comers = ReturningClients()
     tables: Any = {"membership": MEMBERSHIP, "agreement": AGREEMENT}
     if bindings is not None:
         tables["bindings"] = bindings
     fleet = relayed_fleet_settings(drawn.nodes, key, tuple("abc") if rules else (), **tables)
 
     async def case() -> Outcome:
-        bench = Bench(
+        bench = RecordingStage(
             plan,
             folder,
             drawn,
@@ -167,7 +167,7 @@
         rules=True,
     )
     for key in ("k1", "k2", "k3"):
-        assert comers.bench.zones_of[key] == {comers.zones[key]}
+        assert comers.recorder.zones_of[key] == {comers.zones[key]}
     assert comers.repeats > 10
 
 
@@ -201,14 +201,14 @@
         tmp_path,
     )
     for key in ("k1", "k2", "k3", "k4", "k5", "k6"):
-        assert comers.bench.zones_of[key] == {comers.zones[key]}, key
+        assert comers.recorder.zones_of[key] == {comers.zones[key]}, key
 
 
 def test_the_same_consumers_find_their_keys_run_twice_without_bindings(tmp_path: Path) -> None:
     # So that what the other runs are judged by can fail.
     _, comers = play("\nnodes: a b c\n\nms     faults\n100    ask a twice\n2500\n", tmp_path, bindings=None)
-    assert any(len(comers.bench.zones_of[f"k{number}"]) == 2 for number in range(8))
-    assert sum(process.ledger.double for process in comers.bench.fleet.every[0]) > 0
+    assert any(len(comers.recorder.zones_of[f"k{number}"]) == 2 for number in range(8))
+    assert sum(process.ledger.double for process in comers.recorder.fleet.every[0]) > 0
 
 
 def test_a_connection_s_end_and_a_file_read_again_are_heard(tmp_path: Path) -> None:
--- a/tests/fleet/test_stage.py
+++ b/tests/fleet/test_stage.py
@@ -1,4 +1,4 @@
-"""The whole program as a fleet on the stage: drawings as partial orders, and the rules for calls, of the same runs."""
+"""The program as a fleet of processes: timelines as partial orders, and the rules for requests, in the same runs."""
 
 from __future__ import annotations
 
@@ -17,50 +17,52 @@
 MEMBERSHIP = {"period_ms": 400.0, "timeout_ms": 120.0}
 
 
-def perform(text: str, folder: Path, spoils: bool = False, tries: int = drills.MAX_ATTEMPTS) -> Outcome:
-    drawn = drawing.parse_timeline(text)
-    plan = planning.plan(scenario.parse(TRAFFIC.replace("length_s = 3", f"length_s = {drawn.end_ms / 1000.0}"), "t"), 3)
-    texts = {note.text for note in drawn.entries}  # a busy machine may bring others: doubts that are refuted
-    key = folder / "key"
-    key.write_text("a key for tests, of 16 bytes or more")
+def run_stage(text: str, folder: Path, spoils: bool = False, attempts: int = drills.MAX_ATTEMPTS) -> Outcome:
+    timeline = drawing.parse_timeline(text)
+    plan = planning.plan(
+        scenario.parse(TRAFFIC.replace("length_s = 3", f"length_s = {timeline.end_ms / 1000.0}"), "t"), 3
+    )
+    expected_texts = {note.text for note in timeline.entries}  # a busy machine may add suspicions that are refuted
+    key_file = folder / "key"
+    key_file.write_text("a key for tests, of 16 bytes or more")
 
-    def alive(name: str, state: dict[str, Any]) -> bool:
-        there = len(drawn.nodes) - len(drawn.started_later)
-        return bool(there == sum(member["state"] == "alive" for member in state["members"]))
+    def sees_all_alive(name: str, state: dict[str, Any]) -> bool:
+        running = len(timeline.nodes) - len(timeline.started_later)
+        return bool(running == sum(member["state"] == "alive" for member in state["members"]))
 
-    async def settled(processes: Processes) -> None:
-        there = [name for name in drawn.nodes if name not in drawn.started_later]
-        await processes.wait_until_all(alive, 15, "all are alive to all", there)
+    async def wait_until_ready(processes: Processes) -> None:
+        running = [name for name in timeline.nodes if name not in timeline.started_later]
+        await processes.wait_until_all(sees_all_alive, 15, "all members consider all alive", running)
 
     async def case() -> Outcome:
         stage = Stage(
             plan,
             folder,
-            drawn,
-            weather.NetworkConditions(drawn.seed),
-            fleet_settings=relayed_fleet_settings(drawn.nodes, key, membership=MEMBERSHIP),
+            timeline,
+            weather.NetworkConditions(timeline.seed),
+            fleet_settings=relayed_fleet_settings(timeline.nodes, key_file, membership=MEMBERSHIP),
             faulty_disks=spoils,
-            compare=lambda seen, came: comparing.compare_within_window(
-                drawn, [n for n in seen if n[0] >= 0 and n[2] in texts], came
+            compare=lambda seen, fault_times_ms: comparing.compare_within_window(
+                timeline, [line for line in seen if line[0] >= 0 and line[2] in expected_texts], fault_times_ms
             ),
         )
         try:
-            return await stage.run_timeline(settled)
+            return await stage.run_timeline(wait_until_ready)
         finally:
             await stage.close()
 
     outcome = asyncio.run(asyncio.wait_for(case(), 60))
     if (
-        not outcome.succeeded and outcome.max_timer_delay_ms >= drills.BUSY_TIMER_DELAY_MS and tries > 1
+        not outcome.succeeded and outcome.max_timer_delay_ms >= drills.BUSY_TIMER_DELAY_MS and attempts > 1
     ):  # see drills.run_with_retries
-        again = folder / "again"
-        again.mkdir()
-        return perform(text, again, spoils, tries - 1)
+        retry_folder = folder / "again"
+        retry_folder.mkdir()
+        return run_stage(text, retry_folder, spoils, attempts - 1)
     return outcome.check()
 
 
-def test_a_death_and_the_same_node_back_while_datagrams_are_lost(tmp_path: Path) -> None:
-    outcome = perform(
+def test_a_death_and_a_restart_under_datagram_loss(tmp_path: Path) -> None:
+    outcome = run_stage(
         """
 seed: 4
 window: 1400
@@ -80,8 +82,8 @@
     assert outcome.door_counts["a", "b"].lost > 0 < outcome.door_counts["b", "a"].lost and outcome.calls["served"] > 150
 
 
-def test_a_node_cut_off_with_its_clock_set_back(tmp_path: Path) -> None:
-    outcome = perform(
+def test_a_partitioned_node_whose_clock_was_set_back(tmp_path: Path) -> None:
+    outcome = run_stage(
         """
 seed: 4
 nodes: a b c
@@ -101,35 +103,35 @@
     assert outcome.calls["served"] > 100 and outcome.door_counts["c", "a"].lost > 0
 
 
-def test_who_calls_a_node_that_is_killed_hears_of_it_and_later_calls_find_the_new_one(tmp_path: Path) -> None:
+def test_requests_at_a_killed_node_fail_and_its_pool_is_dropped(tmp_path: Path) -> None:
     plan = planning.plan(scenario.parse(TRAFFIC, "t"), 3)
     stage = Stage(
         plan, tmp_path, drawing.parse_timeline("nodes: a b c\n\nms  faults\n0\n"), weather.NetworkConditions(1)
     )
-    heard: list[object] = []
+    responses: list[object] = []
 
     async def case() -> None:
-        taken = asyncio.Event()
+        request_received = asyncio.Event()
         writers: list[asyncio.StreamWriter] = []
 
-        async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def receive_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writers.append(writer)
-            taken.set()
+            request_received.set()
 
-        server = await asyncio.start_server(take, "127.0.0.1", 0)
+        server = await asyncio.start_server(receive_request, "127.0.0.1", 0)
         pool = stage._pools[0, 0] = Pool(*server.sockets[0].getsockname())
-        pool.ask(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", heard.append)
-        await taken.wait()
+        pool.ask(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", responses.append)
+        await request_received.wait()
         stage._drop_pool((0, 0))
-        assert (0, 0) not in stage._pools and not heard
-        writers[0].transport.abort()  # as the kernel does for who is killed
+        assert (0, 0) not in stage._pools and not responses
+        writers[0].transport.abort()  # as the kernel does for a killed process
         async with asyncio.timeout(10):
-            while not heard:
+            while not responses:
                 await asyncio.sleep(0)
         server.close()
         assert pool.count == 0
         await stage.close()
 
     asyncio.run(case())
-    assert heard == [None]
+    assert responses == [None]
