--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -1,4 +1,4 @@
-"""How near cold endpoints come to falling under the sum of many balancers, by circumstance, over many seeds.
+"""The summed load of many balancers on endpoints in slow start, against their limit, by scenario and over seeds.
 
 python -m benchmarks.cold_fleet [--seeds K] [--processes N] [NAME...]
 """
@@ -16,21 +16,21 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("names", nargs="*", help="circumstances; all without it")
+    parser.add_argument("names", nargs="*", help="circumstances, by default all")
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--processes", type=int, default=4)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     print("| circumstance | seeds | worst sum / allowed | median | over | in time |")
     print("| --- | --- | --- | --- | --- | --- |")
-    with Pool(given.processes) as pool:
-        for case in CIRCUMSTANCES:
-            if given.names and case.name not in given.names:
+    with Pool(arguments.processes) as pool:
+        for circumstance in CIRCUMSTANCES:
+            if arguments.names and circumstance.name not in arguments.names:
                 continue
-            results = pool.map(partial(simulate, case), range(given.seeds))
-            worst = [result.worst for result in results]
+            results = pool.map(partial(simulate, circumstance), range(arguments.seeds))
+            worst_ratios = [result.worst for result in results]
             print(
-                f"| {case.name} | {given.seeds} | {max(worst):.2f} | {median(worst):.2f} | "
-                f"{sum(one > 1 for one in worst)} | {mean(result.served for result in results):.3f} |",
+                f"| {circumstance.name} | {arguments.seeds} | {max(worst_ratios):.2f} | {median(worst_ratios):.2f} | "
+                f"{sum(ratio > 1 for ratio in worst_ratios)} | {mean(result.served for result in results):.3f} |",
                 flush=True,
             )
 
--- a/benchmarks/constants.py
+++ b/benchmarks/constants.py
@@ -1,11 +1,11 @@
-"""Half and double of each constant of the decisions: what the score loses or gains on three shapes of deployment.
+"""Measures how the score changes with each balancing constant halved and doubled, on three kinds of deployment.
 
     python -m benchmarks.constants [--seeds K] [--processes N] [--scenarios S... --] [NAME...]
 
-Each constant is set to half and to double of its value in every file of the decisions that reads it, and the same
-seeded days are played in simulated time with it and without. One row a constant: the mean difference of the score on
-each scenario, half / double, in thousandths. A difference under the scenario's noise, told in the last row, says
-nothing.
+Each constant is set to half and to double its value in every balancing module that reads it, and the same seeds run in
+simulated time with and without the change. The output has one row per constant: the mean difference of the score in
+each scenario, half / double, in thousandths. Differences below the noise of the scenario (last row) are not
+significant.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
     "MIN_WINDOW_SAMPLES",
     "MIN_SUBSET_SIZE",
     "LOCAL_CANDIDATE_INTERVAL",
-}  # their half is rounded
+}  # half their value is rounded
 
 
 def constants() -> dict[str, float]:
-    """By `file.NAME`, every number that a file of the decisions sets at its top."""
+    """Returns every number that a balancing module assigns at its top level, by `file.NAME`."""
     found: dict[str, float] = {}
     for file in FILES:
         text = Path(limenotch.balancing.__path__[0], f"{file}.py").read_text()
@@ -62,23 +62,23 @@
 
 @contextmanager
 def altered(name: str, value: float) -> Iterator[None]:
-    """The constant `file.NAME` at another value, wherever it was imported to."""
-    file, bare = name.split(".")
-    own = importlib.import_module(f"limenotch.balancing.{file}")
-    was = getattr(own, bare)
+    """Sets the constant `file.NAME` to another value in all modules that import it, and restores it."""
+    file, constant = name.split(".")
+    module_of_constant = importlib.import_module(f"limenotch.balancing.{file}")
+    original = getattr(module_of_constant, constant)
     modules = [
         importlib.import_module(f"limenotch.balancing.{m.name}")
         for m in pkgutil.iter_modules(limenotch.balancing.__path__)
         if m.name != "simulator_adapter"
     ]
-    touched = [m for m in modules if getattr(m, bare, None) is was]
-    for module in touched:
-        setattr(module, bare, value)
+    changed_modules = [m for m in modules if getattr(m, constant, None) is original]
+    for module in changed_modules:
+        setattr(module, constant, value)
     try:
         yield
     finally:
-        for module in touched:
-            setattr(module, bare, was)
+        for module in changed_modules:
+            setattr(module, constant, original)
 
 
 def score(name: str, value: float, scenario: str, seed: int) -> float:
@@ -92,40 +92,52 @@
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--processes", type=int)
     parser.add_argument("--scenarios", nargs="+", default=list(SCENARIOS))
-    asked = parser.parse_args()
+    arguments = parser.parse_args()
     known = constants()
-    some = {n: v for n, v in known.items() if not asked.names or n in asked.names or n.split(".")[1] in asked.names}
+    selected = {
+        n: v
+        for n, v in known.items()
+        if not arguments.names or n in arguments.names or n.split(".")[1] in arguments.names
+    }
     first = next(iter(known))
-    jobs = [(first, known[first], scenario, seed) for scenario in asked.scenarios for seed in range(1, asked.seeds + 1)]
-    for name, value in some.items():
-        whole = name.split(".")[1] in INTEGER_CONSTANTS
-        for other in (value / 2, value * 2):
+    jobs = [
+        (first, known[first], scenario, seed)
+        for scenario in arguments.scenarios
+        for seed in range(1, arguments.seeds + 1)
+    ]
+    for name, value in selected.items():
+        is_integer = name.split(".")[1] in INTEGER_CONSTANTS
+        for changed_value in (value / 2, value * 2):
             jobs += [
-                (name, round(other) if whole else other, scenario, seed)
-                for scenario in asked.scenarios
-                for seed in range(1, asked.seeds + 1)
+                (name, round(changed_value) if is_integer else changed_value, scenario, seed)
+                for scenario in arguments.scenarios
+                for seed in range(1, arguments.seeds + 1)
             ]
-    with ProcessPoolExecutor(asked.processes, mp_context=get_context("spawn")) as pool:
+    with ProcessPoolExecutor(arguments.processes, mp_context=get_context("spawn")) as pool:
         scores = dict(zip(jobs, pool.map(score, *zip(*jobs, strict=True), chunksize=4), strict=True))
 
     def differences(name: str, value: float, scenario: str) -> list[float]:
         return [
             scores[name, value, scenario, seed] - scores[first, known[first], scenario, seed]
-            for seed in range(1, asked.seeds + 1)
+            for seed in range(1, arguments.seeds + 1)
         ]
 
-    heads = [Path(s).stem for s in asked.scenarios]
-    print("| constant | value | " + " | ".join(heads) + " |\n| --- | --- |" + " --- |" * len(heads))
-    spread: dict[str, list[float]] = {scenario: [] for scenario in asked.scenarios}
-    for name, value in some.items():
-        whole = name.split(".")[1] in INTEGER_CONSTANTS
+    headings = [Path(s).stem for s in arguments.scenarios]
+    print("| constant | value | " + " | ".join(headings) + " |\n| --- | --- |" + " --- |" * len(headings))
+    standard_errors: dict[str, list[float]] = {scenario: [] for scenario in arguments.scenarios}
+    for name, value in selected.items():
+        is_integer = name.split(".")[1] in INTEGER_CONSTANTS
         cells = []
-        for scenario in asked.scenarios:
-            pairs = [differences(name, round(v) if whole else v, scenario) for v in (value / 2, value * 2)]
-            spread[scenario] += [stdev(p) / asked.seeds**0.5 for p in pairs if asked.seeds > 1]
+        for scenario in arguments.scenarios:
+            pairs = [differences(name, round(v) if is_integer else v, scenario) for v in (value / 2, value * 2)]
+            standard_errors[scenario] += [stdev(p) / arguments.seeds**0.5 for p in pairs if arguments.seeds > 1]
             cells.append(" / ".join(f"{1000 * mean(p):+.0f}" for p in pairs))
         print(f"| {name} | {value:g} | " + " | ".join(cells) + " |")
-    print("| standard error, mean | | " + " | ".join(f"{1000 * mean(s or [0]):.0f}" for s in spread.values()) + " |")
+    print(
+        "| standard error, mean | | "
+        + " | ".join(f"{1000 * mean(s or [0]):.0f}" for s in standard_errors.values())
+        + " |"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -1,4 +1,4 @@
-"""The load tool against a server that does nothing: calls a second and core, and the time that it adds by itself."""
+"""The load tool against a server that responds at once: requests per second and core, and the latency that it adds."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def serve(pipe: Connection) -> None:
-    """Answers every call at once with its id."""
+    """Responds to every request at once with its id."""
 
     def request(connection: Served, message: http1.Message) -> None:
         connection.answer(http1.write_response(200, [], message.fields[b"x-call-id"]))
 
     async def run() -> None:
-        sock = listener()
+        listen_socket = listener()
         await asyncio.get_running_loop().create_server(
-            lambda: Served(request, lambda _: None, lambda _: True), sock=sock
+            lambda: Served(request, lambda _: None, lambda _: True), sock=listen_socket
         )
-        pipe.send(sock.getsockname()[1])
+        pipe.send(listen_socket.getsockname()[1])
         await asyncio.sleep(len(RATES) * (SECONDS + 15))
 
     asyncio.run(run())
@@ -36,21 +36,27 @@
 
 if __name__ == "__main__":
     context = multiprocessing.get_context("spawn")
-    here, there = context.Pipe()
-    server = context.Process(target=serve, args=(there,))
+    parent_pipe, child_pipe = context.Pipe()
+    server = context.Process(target=serve, args=(child_pipe,))
     server.start()
-    port = here.recv()
+    port = parent_pipe.recv()
     try:
         for rate in RATES:
-            over = [f"length_s = {SECONDS}", "fault = []", f"clients.rate_per_s = {rate}"]
-            chosen = scenario.load_for_load("demo", over)
-            figures = asyncio.run(send(planning.plan(chosen, 1), [("127.0.0.1", port)], 500, Console(quiet=True)))
-            machine, late, tries = figures["machine"], figures["machine"]["sent_late_ms"], figures["requests"]["tries"]
+            overrides = [f"length_s = {SECONDS}", "fault = []", f"clients.rate_per_s = {rate}"]
+            load_scenario = scenario.load_for_load("demo", overrides)
+            results = asyncio.run(
+                send(planning.plan(load_scenario, 1), [("127.0.0.1", port)], 500, Console(quiet=True))
+            )
+            machine, send_delay_ms, attempts = (
+                results["machine"],
+                results["machine"]["sent_late_ms"],
+                results["requests"]["tries"],
+            )
             print(
-                f"asked {rate:5} a second: {tries / machine['seconds']:6.0f} made, "
-                f"{machine['cpu_s'] / tries * 1e6:4.0f} us of CPU a call; "
-                f"sent late {late['p50']:.2f} ms p50, {late['p99']:.2f} ms p99; answered after "
-                f"{figures['metrics']['p50_ms']:.2f} ms p50, {figures['metrics']['p99_ms']:.2f} ms p99"
+                f"requested {rate:5} per second: {attempts / machine['seconds']:6.0f} sent, "
+                f"{machine['cpu_s'] / attempts * 1e6:4.0f} us of CPU per request; "
+                f"sent late {send_delay_ms['p50']:.2f} ms p50, {send_delay_ms['p99']:.2f} ms p99; responses after "
+                f"{results['metrics']['p50_ms']:.2f} ms p50, {results['metrics']['p99_ms']:.2f} ms p99"
             )
     finally:
         server.terminate()
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies through one process: MB a second of its core and its peak memory, beside the cost of a short call."""
+"""Long bodies through one process: MB per second of its core and its peak memory, and the cost of a short request."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from limenotch.net import http1
 
 BODY = bytes(32_000_000)
-AT_ONCE = 8
-SHORT = 3000
+PARALLEL_REQUESTS = 8
+SHORT_REQUESTS = 3000
 SETTINGS = {
     "classes": [{"name": "send", "effect": "idempotent", "target_ms": 20000.0, "hard_limit_ms": 60000.0}],
     "permissions": {"cancel": True, "max_attempts": 2},
 }
 
 
-async def provider(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answers with as many bytes as the request's path says."""
+async def serve_endpoint(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Responds with the number of bytes that the request's path names."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         while head := await reader.readuntil(b"\r\n\r\n"):
             length = int(head.lower().partition(b"content-length: ")[2].split(b"\r")[0] or b"0")
@@ -32,12 +32,12 @@
                 length -= len(await reader.read(min(length, 262_144)))
             size = int(head.split(b" ")[1].rpartition(b"/")[2])
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-            for at in range(0, size, 262_144):
-                writer.write(BODY[at : min(at + 262_144, size)])
+            for offset in range(0, size, 262_144):
+                writer.write(BODY[offset : min(offset + 262_144, size)])
                 await writer.drain()
 
 
-async def call(port: int, name: int, up: int, down: int) -> None:
+async def send_request(port: int, name: int, request_bytes: int, response_bytes: int) -> None:
     headers = [
         (b"Host", b"s"),
         (b"X-Call-Id", b"%d" % name),
@@ -46,20 +46,20 @@
         (b"Connection", b"close"),
     ]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(http1.request_head(b"POST", b"/%d" % down, headers, up))
-    for at in range(0, up, 262_144):
-        writer.write(BODY[at : min(at + 262_144, up)])
+    writer.write(http1.request_head(b"POST", b"/%d" % response_bytes, headers, request_bytes))
+    for offset in range(0, request_bytes, 262_144):
+        writer.write(BODY[offset : min(offset + 262_144, request_bytes)])
         await writer.drain()
     assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-    got = 0
+    received_bytes = 0
     while data := await reader.read(262_144):
-        got += len(data)
-    assert got == down, (got, down)
+        received_bytes += len(data)
+    assert received_bytes == response_bytes, (received_bytes, response_bytes)
     writer.close()
 
 
-def used(pid: int) -> tuple[float, float]:
-    """Seconds of CPU, and the most memory so far in MB."""
+def cpu_and_memory(pid: int) -> tuple[float, float]:
+    """Returns CPU seconds and the peak memory so far in MB."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     with open(f"/proc/{pid}/status", encoding="ascii") as file:
@@ -68,12 +68,12 @@
 
 
 async def main() -> None:
-    server = await asyncio.start_server(provider, "127.0.0.1", 0, limit=262_144)
+    server = await asyncio.start_server(serve_endpoint, "127.0.0.1", 0, limit=262_144)
     port = free_port()
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "config.json"
-        at = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        known = {"index": 1, "endpoints": [{"name": "a", "address": at, "status": "in_service"}]}
+        address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        known = {"index": 1, "endpoints": [{"name": "a", "address": address, "status": "in_service"}]}
         path.write_text(
             json.dumps(
                 {
@@ -95,23 +95,32 @@
         )
         while True:
             with contextlib.suppress(OSError, AssertionError, asyncio.IncompleteReadError):
-                await call(port, 0, 0, 1)
+                await send_request(port, 0, 0, 1)
                 break
             await asyncio.sleep(0.05)
-        cpu, memory = used(process.pid)
-        for number in range(SHORT):
-            await call(port, number, 0, 100)
-        after, _ = used(process.pid)
-        print(f"short calls, a connection each: {(after - cpu) / SHORT * 1e6:.0f} us of CPU a call; {memory:.0f} MB")
-        long = len(BODY)
-        for words, up, down in (("answers", 0, long), ("requests", long, 100), ("both ways", long, long)):
-            cpu, began = used(process.pid)[0], monotonic()
-            await asyncio.gather(*(call(port, number, up, down) for number in range(AT_ONCE)))
-            whole = AT_ONCE * (up + down) / 1e6
-            after, memory = used(process.pid)
+        cpu_before_s, memory = cpu_and_memory(process.pid)
+        for number in range(SHORT_REQUESTS):
+            await send_request(port, number, 0, 100)
+        cpu_after_s, _ = cpu_and_memory(process.pid)
+        print(
+            f"short requests, one per connection: {(cpu_after_s - cpu_before_s) / SHORT_REQUESTS * 1e6:.0f} us of CPU each; "
+            f"{memory:.0f} MB"
+        )
+        body_bytes = len(BODY)
+        for description, request_bytes, response_bytes in (
+            ("responses", 0, body_bytes),
+            ("requests", body_bytes, 100),
+            ("both ways", body_bytes, body_bytes),
+        ):
+            cpu_before_s, started_s = cpu_and_memory(process.pid)[0], monotonic()
+            await asyncio.gather(
+                *(send_request(port, number, request_bytes, response_bytes) for number in range(PARALLEL_REQUESTS))
+            )
+            total_mb = PARALLEL_REQUESTS * (request_bytes + response_bytes) / 1e6
+            cpu_after_s, memory = cpu_and_memory(process.pid)
             print(
-                f"{AT_ONCE} long {words} at once: {whole / (monotonic() - began):.0f} MB a second, "
-                f"{whole / (after - cpu):.0f} MB a second of CPU, at most {memory:.0f} MB of memory so far"
+                f"{PARALLEL_REQUESTS} long {description} in parallel: {total_mb / (monotonic() - started_s):.0f} MB/s, "
+                f"{total_mb / (cpu_after_s - cpu_before_s):.0f} MB per CPU second, peak memory {memory:.0f} MB so far"
             )
         process.kill()
         await process.wait()
--- a/benchmarks/matrix.py
+++ b/benchmarks/matrix.py
@@ -1,4 +1,4 @@
-"""Thousands of cells of the settings' matrix, on all cores: which rules break where.
+"""Runs thousands of combinations of settings on all cores and reports which rules each violates.
 
 Usage: python -m benchmarks.matrix [CELLS] [SEED] [POLICY]
 
@@ -17,26 +17,28 @@
 from limenotch.lab import matrix
 
 
-def one(job: tuple[matrix.Cell, int, str]) -> tuple[matrix.Broken | None, int]:
+def check_cell(job: tuple[matrix.Cell, int, str]) -> tuple[matrix.Broken | None, int]:
     cell, seed, spec = job
     return matrix.check(cell, seed, spec=spec)
 
 
 def main(count: int, seed: int, spec: str) -> int:
-    chosen = [*matrix.covering(seed), *matrix.drawn(seed, count)]
-    began = perf_counter()
+    cells = [*matrix.covering(seed), *matrix.drawn(seed, count)]
+    started_s = perf_counter()
     with ProcessPoolExecutor(os.cpu_count(), mp_context=multiprocessing.get_context("spawn")) as pool:
-        results = list(pool.map(one, [(cell, n, spec) for n, cell in enumerate(chosen)], chunksize=16))
-    broken = [found for found, _ in results if found is not None]
+        results = list(
+            pool.map(check_cell, [(cell, cell_seed, spec) for cell_seed, cell in enumerate(cells)], chunksize=16)
+        )
+    broken = [violation for violation, _ in results if violation is not None]
     print(
-        f"{len(chosen)} cells, {sum(calls for _, calls in results)} attempts, {perf_counter() - began:.0f} s, "
-        f"{len(broken)} cells with a broken rule"
+        f"{len(cells)} cells, {sum(calls for _, calls in results)} attempts, {perf_counter() - started_s:.0f} s, "
+        f"{len(broken)} cells with a violated rule"
     )
-    rules = Counter(rule for found in broken for rule in found.counts)
-    for rule, cells in rules.most_common():
-        print(f"  {rule}: {cells} cells")
-    for found in broken[:5]:
-        print(matrix.told(found))
+    rules = Counter(rule for violation in broken for rule in violation.counts)
+    for rule, cell_count in rules.most_common():
+        print(f"  {rule}: {cell_count} cells")
+    for violation in broken[:5]:
+        print(matrix.told(violation))
     return 1 if broken else 0
 
 
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -1,4 +1,4 @@
-"""The present decisions at many sizes: one tier, one load, one slow box in ten for a third of the run."""
+"""The current balancing at many sizes: one tier, one load, one slow endpoint in ten for a third of the run."""
 
 from __future__ import annotations
 
@@ -72,14 +72,16 @@
         results = play_all(jobs)
     print("load  providers  sidecars  in time  rejected  again  wasted  p50 ms  p99 ms  us of decisions a call")
     for group in dict.fromkeys(names):
-        found = [result for name, result in zip(names, results, strict=True) if name == group]
+        group_results = [result for name, result in zip(names, results, strict=True) if name == group]
         means = {
-            key: sum(r.figures["metrics"][key] for r in found) / len(found)
+            key: sum(r.figures["metrics"][key] for r in group_results) / len(group_results)
             for key in ("in_time", "rejected", "again", "wasted_work", "p50_ms", "p99_ms")
         }
-        spent = sum(r.cost["deciding_s"] for r in found) / sum(r.cost["calls"] for r in found) * 1e6
+        decision_us = (
+            sum(r.cost["deciding_s"] for r in group_results) / sum(r.cost["calls"] for r in group_results) * 1e6
+        )
         print(
             f"{group[0]:4.1f}  {group[1]:9}  {group[2]:8}  {means['in_time']:7.1%}  {means['rejected']:8.1%}  "
             f"{means['again']:5.1%}  {means['wasted_work']:6.1%}  {means['p50_ms']:6.0f}  {means['p99_ms']:6.0f}  "
-            f"{spent:6.0f}"
+            f"{decision_us:6.0f}"
         )
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,6 +1,7 @@
-"""Soak: `python -m benchmarks.soak --seeds 1..50`: drawn faults against real processes, a line for each seed.
+"""Soak: `python -m benchmarks.soak --seeds 1..50`: random faults on real processes, one output line per seed.
 
-Exits 1 when a rule is broken; the seed's plan is printed with what broke. Some 15 s a seed, four side by side.
+Exits with 1 if a rule is violated, and prints the seed's plan with the violations. About 15 s per seed, four in
+parallel.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from tests.helpers.soak import Plan, Run, Seen, faults
 
 
-def play(seed: int) -> tuple[int, Plan, Seen]:
+def run_seed(seed: int) -> tuple[int, Plan, Seen]:
     with tempfile.TemporaryDirectory() as folder:
         run = Run(seed, Path(folder))
         return seed, run.plan, asyncio.run(run.play())
@@ -24,21 +25,24 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1..50", help="first..last")
-    parser.add_argument("--beside", type=int, default=4, help="seeds played side by side")
+    parser.add_argument("--beside", type=int, default=4, help="number of seeds in parallel")
     arguments = parser.parse_args()
     first, _, last = arguments.seeds.partition("..")
-    broken = played = 0
-    with get_context("spawn").Pool(arguments.beside) as pool:  # each worker draws its own ports
-        for seed, plan, seen in pool.imap_unordered(play, range(int(first), int(last or first) + 1)):
-            found, played = faults(seen), played + 1
-            broken += bool(found)
-            print(f"seed {seed}: {seen.sent} sent, {seen.answered} answered, {seen.cut} crossed, {len(found)} faults")
-            for fault in found[:5]:
+    failed_seeds = completed_seeds = 0
+    with get_context("spawn").Pool(arguments.beside) as pool:  # each worker chooses its own ports
+        for seed, plan, observed in pool.imap_unordered(run_seed, range(int(first), int(last or first) + 1)):
+            violations, completed_seeds = faults(observed), completed_seeds + 1
+            failed_seeds += bool(violations)
+            print(
+                f"seed {seed}: {observed.sent} sent, {observed.answered} answered, {observed.cut} crossed, "
+                f"{len(violations)} faults"
+            )
+            for fault in violations[:5]:
                 print(f"  {fault}")
-            if found:
+            if violations:
                 print(f"  {plan}")
-    print(f"{played} seeds, {broken} with a broken rule")
-    return 1 if broken else 0
+    print(f"{completed_seeds} seeds, {failed_seeds} with a violated rule")
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_drawing.py
+++ b/tests/fleet/test_drawing.py
@@ -289,7 +289,7 @@
         assert left.strip() != right.strip()
     assert compare_within_window(timeline, missing, window_ms=1000) is not None
     assert compare_within_window(timeline, changed, window_ms=1000) is not None
-    assert compare_within_window(timeline, sorted(chosen, key=lambda line: line[0]), window_ms=0) is None
+    assert compare_within_window(timeline, sorted(chosen, key=lambda entry: entry[0]), window_ms=0) is None
 
 
 def test_a_window_allows_another_order_of_nodes_but_not_of_one_nodes_lines() -> None:
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -234,7 +234,7 @@
             members.streams.append(late)
             members.here[1].write(b"held")
             reset_connection(members.there[1])
-            (splice,) = [splice for splice in members.relay.door("a", "b").splices if splice.far.transport is not None]
+            (splice,) = [found for found in members.relay.door("a", "b").splices if found.far.transport is not None]
             while splice.far.transport is not None:
                 await asyncio.sleep(0)
             assert splice.near.transport is not None and not members.here[0].at_eof() and members.accepted.empty()
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -306,9 +306,6 @@
     assert world.counts == {"no such address": 2}
 
 
-# Disks
-
-
 def run_keeper(*faults: tuple[float, str], puts: list[tuple[float, Put]], until: float = 1000, seed: int = 0) -> World:
     world = World("a", lambda name, seed, process_epoch, stored_log: Keeper(stored_log), seed, fsync_ms=10)
     for at, text in faults:
@@ -327,9 +324,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 200), st.integers(1, 4)), max_size=8), st.integers(0, 220), st.integers(0, 50))
 def test_confirmed_records_survive_a_kill_and_a_prefix_of_the_others_does(
-    puts: list[tuple[int, int]],
-    at: int,
-    seed: int,
+    puts: list[tuple[int, int]], at: int, seed: int
 ) -> None:
     world = run_keeper(
         (at + 0.5, "kill a"),
