--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -103,8 +103,8 @@
             await send_request(port, number, 0, 100)
         cpu_after_s, _ = cpu_and_memory(process.pid)
         print(
-            f"short requests, one per connection: {(cpu_after_s - cpu_before_s) / SHORT_REQUESTS * 1e6:.0f} us of CPU each; "
-            f"{memory:.0f} MB"
+            f"short requests, one per connection: {(cpu_after_s - cpu_before_s) / SHORT_REQUESTS * 1e6:.0f} us of CPU "
+            f"each; {memory:.0f} MB"
         )
         body_bytes = len(BODY)
         for description, request_bytes, response_bytes in (
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -70,7 +70,7 @@
                         jobs.append(Job(str(path), seed, timed=True))
                         names.append((load, providers, sidecars))
         results = play_all(jobs)
-    print("load  providers  sidecars  in time  rejected  again  wasted  p50 ms  p99 ms  us of decisions a call")
+    print("load  providers  sidecars  in time  rejected  again  wasted  p50 ms  p99 ms  us of decisions per request")
     for group in dict.fromkeys(names):
         group_results = [result for name, result in zip(names, results, strict=True) if name == group]
         means = {
--- a/limenotch/lab/fleet/__init__.py
+++ b/limenotch/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many sidecars at once: simulated time with faults, and drawings of what is to be seen. See docs/fleet/lab.md."""
+"""Tests of a whole fleet: simulated time, faults, and expected timelines of log lines. See docs/fleet/lab.md."""
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -105,8 +105,8 @@
             folder,
             drawn,
             weather.NetworkConditions(drawn.seed),
-            ask=comers.execute,
-            fleet=lambda stage, node: fleet(stage, node) + (RULES_TABLE if rules else ""),
+            handle_request=comers.execute,
+            fleet_settings=lambda stage, node: fleet(stage, node) + (RULES_TABLE if rules else ""),
         )
         comers.stage, comers.running = bench, list(drawn.nodes)
 
--- a/tests/fleet/test_stage.py
+++ b/tests/fleet/test_stage.py
@@ -17,7 +17,7 @@
 MEMBERSHIP = {"period_ms": 400.0, "timeout_ms": 120.0}
 
 
-def run_stage(text: str, folder: Path, spoils: bool = False, attempts: int = drills.MAX_ATTEMPTS) -> Outcome:
+def run_stage(text: str, folder: Path, faulty_disks: bool = False, attempts: int = drills.MAX_ATTEMPTS) -> Outcome:
     timeline = drawing.parse_timeline(text)
     plan = planning.plan(
         scenario.parse(TRAFFIC.replace("length_s = 3", f"length_s = {timeline.end_ms / 1000.0}"), "t"), 3
@@ -41,9 +41,9 @@
             timeline,
             weather.NetworkConditions(timeline.seed),
             fleet_settings=relayed_fleet_settings(timeline.nodes, key_file, membership=MEMBERSHIP),
-            faulty_disks=spoils,
-            compare=lambda seen, fault_times_ms: comparing.compare_within_window(
-                timeline, [line for line in seen if line[0] >= 0 and line[2] in expected_texts], fault_times_ms
+            faulty_disks=faulty_disks,
+            compare=lambda observed, fault_times_ms: comparing.compare_within_window(
+                timeline, [line for line in observed if line[0] >= 0 and line[2] in expected_texts], fault_times_ms
             ),
         )
         try:
@@ -57,7 +57,7 @@
     ):  # see drills.run_with_retries
         retry_folder = folder / "again"
         retry_folder.mkdir()
-        return run_stage(text, retry_folder, spoils, attempts - 1)
+        return run_stage(text, retry_folder, faulty_disks, attempts - 1)
     return outcome.check()
 
 
@@ -97,7 +97,7 @@
 3000
 """,
         tmp_path,
-        spoils=True,
+        faulty_disks=True,
     )
     assert [path.read_text() for path in sorted(tmp_path.rglob("c/faults"))][0] == "disk ok\nclock -3600\n"
     assert outcome.calls["served"] > 100 and outcome.door_counts["c", "a"].lost > 0
