--- a/limenotch/lab/fleet/comparing.py
+++ b/limenotch/lab/fleet/comparing.py
@@ -152,7 +152,7 @@
         ).rstrip()
 
     titles = list(timeline.columns)
-    output = [f"{timeline.name}: expected (left) and observed (right) differ; the first different row is marked >"]
+    output = [f"{timeline.name}: expected (left) and observed (right) differ; the first row that differs is marked >"]
     if reason:
         output.append(reason)
     output.append(format_both("  ms", titles, "faults", titles))
