--- a/tests/fleet/members.py
+++ b/tests/fleet/members.py
@@ -13,7 +13,7 @@
 
 
 def part(world: World, node: str) -> Membership:
-    found = world.component(node).part
+    found = world.component(node).component
     assert isinstance(found, Membership)
     return found
 
