--- a/benchmarks/fleet_bytes.py
+++ b/benchmarks/fleet_bytes.py
@@ -66,13 +66,13 @@
         world = World(names, partial(make_hub, names), 1)
         world.run(JOIN_MS / 2)
         for name in names:
-            world.poke(
+            world.deliver_event(
                 name, ComponentEvent("li.", event_of("whole 5 " + " ".join(f"p{number}" for number in range(20))))
             )
         world.run(JOIN_MS)
         before = {name: traffic_by_prefix(world, name) for name in names}
         world.run(JOIN_MS + arguments.seconds * 1000.0)
-        leader_name = [seen.node for seen in world.seen if seen.text.startswith("leads ")][-1]
+        leader_name = [seen.node for seen in world.observed_lines if seen.text.startswith("leads ")][-1]
         for prefix in PREFIXES:
             now = {name: traffic_by_prefix(world, name)[prefix] for name in names}
             messages = sum(now[name][0] - before[name][prefix][0] for name in names) / count / arguments.seconds
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -23,9 +23,9 @@
 from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.membership import Tuning
 from limenotch.lab.fleet import drills
-from limenotch.lab.fleet.drawing import read
+from limenotch.lab.fleet.drawing import parse_timeline
 from limenotch.lab.fleet.faults import parse
-from limenotch.lab.fleet.members import maker
+from limenotch.lab.fleet.members import component_factory
 from limenotch.lab.fleet.world import World
 
 MAX_MEDIAN_DIFFERENCE, MAX_EARLIER, MAX_LATER = 0.35, 0.25, 0.75  # periods
@@ -36,18 +36,19 @@
 
 def simulated(kills: int, members: int) -> list[float]:
     """Periods from each kill until the last member considers it dead."""
-    tuning = msgspec.convert(drills.membership(drills.PACE), Tuning)
+    tuning = msgspec.convert(drills.membership_settings(drills.TIME_SCALE), Tuning)
     names = [f"n{number}" for number in range(members)]
     periods = []
     for number in range(kills):
-        world = World(names, maker(names[:2], tuning), number)
+        world = World(names, component_factory(names[:2], tuning), number)
         at_ms = START_MS + tuning.period_ms * number / kills
-        world.kernel.schedule(at_ms, world.fault, parse(f"kill {names[-1]}"))
+        world.kernel.schedule(at_ms, world.apply_fault, parse(f"kill {names[-1]}"))
         world.run(at_ms + 10 * tuning.period_ms)
         deaths = {
             change.node: change.at_ms
-            for change in world.changes
-            if isinstance(change.what, MemberChanged) and (change.what.name, change.what.state) == (names[-1], "dead")
+            for change in world.observed_changes
+            if isinstance(change.action, MemberChanged)
+            and (change.action.name, change.action.state) == (names[-1], "dead")
         }
         assert len(deaths) == members - 1, f"seed {number}: {sorted(deaths)}"
         periods.append((max(deaths.values()) - at_ms) / tuning.period_ms)
@@ -56,20 +57,20 @@
 
 def on_processes(kills: int, members: int) -> tuple[list[float], int]:
     """The same for `kills` runs of processes; and how many runs were excluded."""
-    timeline = read(drills.death_and_return(members, 1).split("8000")[0] + "8000\n")
+    timeline = parse_timeline(drills.death_and_return(members, 1).split("8000")[0] + "8000\n")
     killed = str(timeline.faults[0][1]).split()[1]
-    period = 1000.0 * drills.PACE
+    period = 1000.0 * drills.TIME_SCALE
     periods: list[float] = []
     excluded = 0
     while len(periods) < kills and excluded <= 2 * kills:
         with tempfile.TemporaryDirectory() as folder:
-            outcome = asyncio.run(drills.play(timeline, Path(folder), rate=20.0, seed=1 + len(periods)))
-        deaths = {node: at_ms for at_ms, node, text in outcome.seen if text == f"{killed} dead"}
-        if outcome.late_ms > MAX_TIMER_DELAY_MS:
+            outcome = asyncio.run(drills.run_on_processes(timeline, Path(folder), rate=20.0, seed=1 + len(periods)))
+        deaths = {node: at_ms for at_ms, node, text in outcome.observed_lines if text == f"{killed} dead"}
+        if outcome.max_timer_delay_ms > MAX_TIMER_DELAY_MS:
             excluded += 1
             continue
         assert len(deaths) == members - 1 and not outcome.violations, outcome
-        periods.append((max(deaths.values()) - outcome.happened[0]) / period)
+        periods.append((max(deaths.values()) - outcome.fault_times_ms[0]) / period)
     return periods, excluded
 
 
--- a/limenotch/cli/lab/fleet.py
+++ b/limenotch/cli/lab/fleet.py
@@ -31,12 +31,12 @@
 
 from ...lab.emulate.host import SidecarError, TooLargeError
 from ...lab.fleet import drawing, drills
-from ...lab.fleet.comparing import within
-from ...lab.fleet.drawing import FAULTS, Scenario
-from ...lab.fleet.members import make_for, part_of
+from ...lab.fleet.comparing import compare_within_window
+from ...lab.fleet.drawing import FAULTS, ExpectedTimeline
+from ...lab.fleet.members import component_factory_for, membership_on
 from ...lab.fleet.processes import NotReachedError
 from ...lab.fleet.relay import RelayError
-from ...lab.fleet.scenario import play as simulate
+from ...lab.fleet.scenario import simulate
 from ...lab.fleet.stage import Outcome, Stage
 from ...toml import FaultError
 from ..arguments import whole_number
@@ -49,12 +49,13 @@
 class LiveTable:
     """Prints rows in the columns of the expected timeline as they come, in order of time."""
 
-    def __init__(self, drawn: Scenario, console: Console) -> None:
+    def __init__(self, drawn: ExpectedTimeline, console: Console) -> None:
         self._drawn, self._console = drawn, console
         longest = [
-            max((note.text for note in drawn.notes if note.node == name), key=len, default="") for name in drawn.columns
+            max((note.text for note in drawn.entries if note.node == name), key=len, default="")
+            for name in drawn.columns
         ]
-        self._widths = drawing.widths(drawn, [longest])
+        self._widths = drawing.column_widths(drawn, [longest])
         self._printed: set[tuple[str, float, str]] = set()
         self._faults = 0  # printed so far
 
@@ -64,7 +65,7 @@
 
     def print_row(self, at_ms: float, title: str, text: str) -> None:
         """Prints `text` in the column `title`, unless it was printed before or the timeline does not show it."""
-        if title != FAULTS and (title not in self._drawn.columns or not self._drawn.shows(text)):
+        if title != FAULTS and (title not in self._drawn.columns or not self._drawn.is_compared(text)):
             return
         if (title, at_ms, text) not in self._printed:
             self._printed.add((title, at_ms, text))
@@ -72,21 +73,23 @@
 
     def _print(self, first: str, cells: dict[str, str]) -> None:
         texts = [cells.get(title, "") for title in (*self._drawn.columns, FAULTS)]
-        self._console.print(drawing.line(first, texts, self._widths), markup=False, soft_wrap=True)
+        self._console.print(drawing.format_row(first, texts, self._widths), markup=False, soft_wrap=True)
 
     async def watch(self, stage: Stage) -> None:
         """Prints the heading, then new rows of a running stage until it is cancelled."""
         self.print_heading()
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
-            if stage.began_ms is not None:
+            if stage.timeline_start_ms is not None:
                 self.print_rows(stage, stage.clock() - ROW_DELAY_MS)
 
     def print_rows(self, stage: Stage, until_ms: float) -> None:
         """Prints the rows up to `until_ms` of the stage's clock that have not been printed."""
-        stage_began_ms = stage.began_ms or 0.0
-        rows = [(seen.at_ms - stage_began_ms, seen.node, seen.text) for seen in stage.processes.seen()]
-        for fault_began_ms, (_, fault) in list(zip(stage.begun, stage.drawing.faults, strict=True))[self._faults :]:
+        stage_began_ms = stage.timeline_start_ms or 0.0
+        rows = [(seen.at_ms - stage_began_ms, seen.node, seen.text) for seen in stage.processes.observed_lines()]
+        for fault_began_ms, (_, fault) in list(zip(stage.applied_ms, stage.timeline.faults, strict=True))[
+            self._faults :
+        ]:
             if 0.0 < fault_began_ms <= until_ms:
                 rows.append((fault_began_ms, FAULTS, str(fault)))
                 self._faults += 1
@@ -114,7 +117,7 @@
     console.print(table)
 
 
-async def run_on_processes(drawn: Scenario, console: Console) -> Outcome:
+async def run_on_processes(drawn: ExpectedTimeline, console: Console) -> Outcome:
     """Plays the expected timeline on real processes, and prints what happens."""
     live = LiveTable(drawn, console)
 
@@ -125,43 +128,53 @@
         async def no_suspects() -> bool:
             nodes = [node for node in stage.processes.nodes.values() if node.alive]
             states.update(
-                zip([node.name for node in nodes], await asyncio.gather(*(node.state() for node in nodes)), strict=True)
+                zip(
+                    [node.name for node in nodes],
+                    await asyncio.gather(*(node.fleet_status() for node in nodes)),
+                    strict=True,
+                )
             )
             return not any(
                 member["state"] == "suspect" for state in states.values() if state for member in state["members"]
             )
 
         with contextlib.suppress(NotReachedError):  # this process, which relays all their messages, may be too busy
-            await stage.processes.until(no_suspects, SUSPICIONS_TIMEOUT_S, "nobody is suspect")
+            await stage.processes.wait_until(no_suspects, SUSPICIONS_TIMEOUT_S, "nobody is suspect")
         print_members(
             console, {name: state["members"] if state is not None else None for name, state in states.items()}
         )
 
     with tempfile.TemporaryDirectory(prefix="limenotch-lab-") as folder:
-        console.print(f"starting {len(drawn.nodes) - len(drawn.later)} sidecars, a directory, 6 providers, consumers")
-        return await drills.play(drawn, Path(folder), watch=live.watch, after=after)
+        console.print(
+            f"starting {len(drawn.nodes) - len(drawn.started_later)} sidecars, a directory, 6 providers, consumers"
+        )
+        return await drills.run_on_processes(drawn, Path(folder), watch=live.watch, after=after)
 
 
-def run_simulated(drawn: Scenario, own: bool, console: Console) -> int:
+def run_simulated(drawn: ExpectedTimeline, own: bool, console: Console) -> int:
     """Plays the expected timeline in simulated time, prints what happens, and returns the exit code.
 
     `own`: the timeline is the user's, and what happens has to equal it to the millisecond.
     """
-    outcome = simulate(drawn, make_for(drawn))
+    outcome = simulate(drawn, component_factory_for(drawn))
     live = LiveTable(drawn, console)
     live.print_heading()
-    for at_ms, cells in drawing.rows(drawn, outcome.seen):
+    for at_ms, cells in drawing.table_rows(drawn, outcome.observed):
         for title, text in zip((*drawn.columns, FAULTS), cells, strict=True):
             if text:
                 live.print_row(at_ms, title, text)
     world, members_by_node = outcome.world, dict[str, list[dict[str, Any]] | None]()
     for name in drawn.nodes:
-        membership = part_of(world, name)
+        membership = membership_on(world, name)
         if membership is not None:
             members_by_node[name] = [{"name": seen.name, "state": seen.state.value} for seen in membership.members()]
     print_members(console, members_by_node)
-    seen = [(float(note.at_ms), note.node, note.text) for note in outcome.seen if note.at_ms >= drawn.first_fault]
-    difference = outcome.difference if own else within(drawn.quicker(1.0, float(drawn.first_fault)), seen)
+    seen = [
+        (float(note.at_ms), note.node, note.text) for note in outcome.observed if note.at_ms >= drawn.first_fault_ms
+    ]
+    difference = (
+        outcome.difference if own else compare_within_window(drawn.rescaled(1.0, float(drawn.first_fault_ms)), seen)
+    )
     return print_verdict(difference, [], console)
 
 
@@ -180,11 +193,11 @@
     path = options["<drawing>"]
     try:
         if path is not None:
-            drawn = drawing.read(Path(path).read_text(encoding="utf-8"), Path(path).name)
+            drawn = drawing.parse_timeline(Path(path).read_text(encoding="utf-8"), Path(path).name)
         else:
             count, seed = whole_number(options, "--members", 3), whole_number(options, "--seed", 0)
-            drawn = drawing.read(drills.death_and_return(count, seed), "fleet")
-        if options["--simulated"] or (not options["--processes"] and "window" not in drawn.head):
+            drawn = drawing.parse_timeline(drills.death_and_return(count, seed), "fleet")
+        if options["--simulated"] or (not options["--processes"] and "window" not in drawn.header):
             return run_simulated(drawn, path is not None, console)
         outcome = asyncio.run(run_on_processes(drawn, console))
     except OSError as error:
--- a/limenotch/lab/fleet/bindings_drawings.py
+++ b/limenotch/lab/fleet/bindings_drawings.py
@@ -25,9 +25,9 @@
 from limenotch.fleet.interfaces import Started
 from limenotch.fleet.membership import Membership
 from limenotch.lab.fleet.bindings_run import PREFIX, SECRET
-from limenotch.lab.fleet.drawing import Scenario
-from limenotch.lab.fleet.scenario import Outcome, check, play
-from limenotch.lab.fleet.world import Seen, World, address
+from limenotch.lab.fleet.drawing import ExpectedTimeline
+from limenotch.lab.fleet.scenario import Outcome, check, simulate
+from limenotch.lab.fleet.world import ObservedLine, World, address
 from limenotch.store.records import StoredLog
 
 AGES = Ages(opening=400, open=1000, closing=300, lingering=200, longest=20_000)
@@ -74,7 +74,7 @@
 class Prober:
     """Probes all nodes, and records what has changed since the last probe."""
 
-    def __init__(self, scenario: Scenario) -> None:
+    def __init__(self, scenario: ExpectedTimeline) -> None:
         named = (re.fullmatch(r"(?:see|undo) (\w+)( .*)?", getattr(fault, "words", "")) for _, fault in scenario.faults)
         self.keys = sorted({found[1] for found in named if found})
         self.scenario = scenario
@@ -87,34 +87,34 @@
 
     def probe(self, world: World) -> None:
         for name, node in world.nodes.items():
-            if node.part is not None and not node.paused:
+            if node.component is not None and not node.paused:
                 self.probe_node(world, name)
         self.begin(world)
 
     def probe_node(self, world: World, name: str) -> None:
         node = world.nodes[name]
         last_component, last = self.last.get(name, (None, {}))
-        if last_component is not node.part:
+        if last_component is not node.component:
             last = {}
         current: dict[str, str] = {}
-        now_ms = max(node.now, node.clock(world.now))
+        now_ms = max(node.now, node.monotonic_ms(world.now))
         for key in self.keys:
-            bound = self._find(node.part.bindings, now_ms, key)
+            bound = self._find(node.component.bindings, now_ms, key)
             current[key] = f"{key} {bound.endpoint}" if bound is not None else f"{key} none"
             if bound is None and key not in last:
                 last[key] = current[key]
-        status = node.part.bindings.table.status()
+        status = node.component.bindings.table.status()
         current["changes"] = f"{status['held']} {status['graves']}"
         for group, count in self.groups.items():
             current[group] = last.get(group, f"0 of {group}")
             if current["changes"] != last.get("changes") or group not in last:
-                found = (self._find(node.part.bindings, now_ms, f"{group}{number}") for number in range(count))
+                found = (self._find(node.component.bindings, now_ms, f"{group}{number}") for number in range(count))
                 current[group] = f"{sum(bound is not None for bound in found)} of {group}"
                 last.setdefault(group, f"0 of {group}")
         for key, text in current.items():
             if last.get(key) != text and key != "changes":
-                world.seen.append(Seen(world.now, name, text))
-        self.last[name] = (node.part, current)
+                world.observed_lines.append(ObservedLine(world.now, name, text))
+        self.last[name] = (node.component, current)
 
     def _find(self, bindings: Bindings, now_ms: float, key: str) -> Binding | None:
         return bindings.table.find(now_ms, kind_of(key), key.encode())
@@ -129,15 +129,15 @@
             endpoints.pop(arguments[0], None)
             if command == "back":
                 endpoints[arguments[0]] = ENDPOINTS[arguments[0]]
-            world.poke(name, ComponentEvent(PREFIX, AvailableEndpoints(dict(endpoints))))
+            world.deliver_event(name, ComponentEvent(PREFIX, AvailableEndpoints(dict(endpoints))))
             return
-        if node.part is None or node.paused:
+        if node.component is None or node.paused:
             return
-        table, now_ms = node.part.bindings.table, max(node.now, node.clock(world.now))
+        table, now_ms = node.component.bindings.table, max(node.now, node.monotonic_ms(world.now))
         if command == "see":
             state = State[arguments[2].upper()] if len(arguments) > 2 else State.OPEN
             if not table.record_use(now_ms, kind_of(arguments[0]), arguments[0].encode(), arguments[1], state):
-                world.seen.append(Seen(world.now, name, f"{arguments[0]} refused"))
+                world.observed_lines.append(ObservedLine(world.now, name, f"{arguments[0]} refused"))
         elif command == "undo":
             table.undo(now_ms, kind_of(arguments[0]), arguments[0].encode())
         elif command in GROUPS:
@@ -148,18 +148,18 @@
             )
             self.groups[group] = int(arguments[0])
             if rejected:
-                world.seen.append(Seen(world.now, name, f"{rejected} of {group} refused"))
+                world.observed_lines.append(ObservedLine(world.now, name, f"{rejected} of {group} refused"))
         else:
             raise ValueError(f"ask {name} {words}: unknown command")
         self.probe_node(world, name)
 
 
-def outcome(scenario: Scenario, exact: bool = True) -> Outcome:
+def outcome(scenario: ExpectedTimeline, exact: bool = True) -> Outcome:
     """Plays the scenario. With `exact`, raises AssertionError if it differs from the expected timeline."""
     tuning = replace(
         TUNING,
-        most=int(scenario.figure("most", TUNING.most)),
-        most_opening=scenario.figure("opening", TUNING.most_opening),
+        most=int(scenario.number("most", TUNING.most)),
+        most_opening=scenario.number("opening", TUNING.most_opening),
     )
     prober = Prober(scenario)
     seeds = [address(name) for name in scenario.nodes[:2]]
@@ -168,4 +168,4 @@
         members = Membership(name, address(name), process_epoch, seeds, MEMBERSHIP_TUNING, seed)
         return ConfiguredNode(members, Bindings(name, process_epoch, SECRET, tuning, seed))
 
-    return (check if exact else play)(scenario, make, prober.run_command, prober.begin)
+    return (check if exact else simulate)(scenario, make, prober.run_command, prober.begin)
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -148,7 +148,7 @@
         self.notify(name, AvailableEndpoints(dict(self.endpoints)))
 
     def _row_ended(self, name: str, bindings: Bindings, reason: str, key_hash: bytes) -> None:
-        components = self.world.part(name)
+        components = self.world.component(name)
         key = self._keys_by_hash.get(key_hash)
         if key == self._key_in_use and reason == "over":
             return  # expired, and used again before it was removed: no lookup misses it
@@ -156,16 +156,16 @@
             self.checker.row_ended(self.world.now, name, key, reason)
 
     def notify(self, name: str, event: Any) -> None:
-        self.world.poke(name, ComponentEvent(PREFIX, event))
+        self.world.deliver_event(name, ComponentEvent(PREFIX, event))
 
     def bindings(self, name: str) -> Bindings | None:
         """The node's component; None if no process is running there."""
         node = self.world.nodes[name]
-        return node.part.bindings if node.part is not None and not node.paused else None
+        return node.component.bindings if node.component is not None and not node.paused else None
 
     def local_time(self, name: str) -> float:
         node = self.world.nodes[name]
-        node.now = max(node.now, node.clock(self.world.now))
+        node.now = max(node.now, node.monotonic_ms(self.world.now))
         return node.now
 
     # Clients
@@ -209,21 +209,25 @@
     # Time and faults
 
     def fault(self, text: str) -> None:
-        self.world.fault(faults.parse(text))
+        self.world.apply_fault(faults.parse(text))
         self.report_impairments()
 
     def report_impairments(self) -> None:
         """Reports to the checker which links lose or delay messages."""
-        network_conditions, names = self.world.weather, self.names
-        links = {link for link in network_conditions.cuts | set(network_conditions.slow) if link[0] != link[1]}
+        network_conditions, names = self.world.conditions, self.names
+        links = {
+            link
+            for link in network_conditions.blocked_links | set(network_conditions.extra_delays_ms)
+            if link[0] != link[1]
+        }
         for unreachable in network_conditions.muted | network_conditions.paused | network_conditions.dead:
             links |= {(unreachable, name) for name in names if name != unreachable}
         for unreachable in network_conditions.paused | network_conditions.dead:
             links |= {(name, unreachable) for name in names if name != unreachable}
         now = self.world.now
         self.checker.links_impaired(now, links)
-        self.checker.slowest_link_ms = max([self.checker.slowest_link_ms, *network_conditions.slow.values()])
-        lossy = network_conditions.overall["loss"] > 0 or any(network_conditions.chances["loss"].values())
+        self.checker.slowest_link_ms = max([self.checker.slowest_link_ms, *network_conditions.extra_delays_ms.values()])
+        lossy = network_conditions.default_shares["loss"] > 0 or any(network_conditions.link_shares["loss"].values())
         if lossy:
             self.checker.lossy_until = inf
         elif self.checker.lossy_until == inf:
@@ -256,7 +260,7 @@
 
     def _all_joined(self) -> bool:
         for name in self.names:
-            components = self.world.part(name)
+            components = self.world.component(name)
             if (
                 components is None
                 or components.membership.size() != len(self.names)
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -61,7 +61,7 @@
         tuning=tuning,
         delay_ms=max(1.0, delay),
         drift_ppm=tuning.drift * 0.49e6,
-        wake=random.choice(("timers", "heard")),
+        wake_order=random.choice(("timers", "heard")),
     )
     run.wait_until_joined()
     run.report_impairments()
--- a/tests/fleet/affinity_worlds.py
+++ b/tests/fleet/affinity_worlds.py
@@ -83,7 +83,7 @@
     ) -> None:
         """`later` (a world option): members that start later; `silent`: those of them that are held alive already."""
         self.names, self.tuning = list(names), tuning
-        self.listed_members = set(self.names) - set(world_options.get("later", "")) | set(silent)
+        self.listed_members = set(self.names) - set(world_options.get("started_later", "")) | set(silent)
         self.process_epochs: dict[str, int] = {}
         self._real_membership = real_membership
         self.world = World(self.names, self._make, seed, **world_options)
@@ -97,7 +97,7 @@
         )
 
     def bindings_of(self, name: str) -> Bindings:
-        bindings: Bindings = self.world.part(name).bindings
+        bindings: Bindings = self.world.component(name).bindings
         return bindings
 
     def table(self, name: str) -> AffinityTable:
@@ -105,7 +105,7 @@
 
     def now(self, name: str) -> float:
         node = self.world.nodes[name]
-        return max(node.now, node.clock(self.world.now))
+        return max(node.now, node.monotonic_ms(self.world.now))
 
     def run(self, span_ms: float) -> None:
         self.world.run(self.world.now + span_ms)
@@ -113,7 +113,7 @@
     def send_event(self, event: Any, *names: str) -> None:
         for name in names or self.names:
             if self.world.alive(name):
-                self.world.poke(name, ComponentEvent("bi.", event) if self._real_membership else event)
+                self.world.deliver_event(name, ComponentEvent("bi.", event) if self._real_membership else event)
 
     def member_changed(self, member: str, state: str, process_epoch: int, *names: str) -> None:
         self.listed_members.add(member)
--- a/tests/fleet/members.py
+++ b/tests/fleet/members.py
@@ -6,14 +6,14 @@
 
 from limenotch.fleet.interfaces import MemberChanged
 from limenotch.fleet.membership import Membership, State
-from limenotch.lab.fleet.members import TUNING, maker
+from limenotch.lab.fleet.members import TUNING, component_factory
 from limenotch.lab.fleet.world import World
 
-__all__ = ["TUNING", "all_alive", "deaths", "maker", "membership_of", "states_of"]
+__all__ = ["TUNING", "all_alive", "component_factory", "membership_of", "states_of"]
 
 
 def membership_of(world: World, node: str) -> Membership:
-    found = world.part(node).part
+    found = world.component(node).component
     assert isinstance(found, Membership)
     return found
 
@@ -24,9 +24,9 @@
 
 def deaths(world: World, since_ms: float = 0.0) -> set[str]:
     return {
-        change.what.name
-        for change in world.changes
-        if isinstance(change.what, MemberChanged) and change.what.state == "dead" and change.at_ms >= since_ms
+        change.action.name
+        for change in world.observed_changes
+        if isinstance(change.action, MemberChanged) and change.action.state == "dead" and change.at_ms >= since_ms
     }
 
 
--- a/tests/fleet/test_affinity_join.py
+++ b/tests/fleet/test_affinity_join.py
@@ -20,7 +20,7 @@
 
 
 def log_texts(fleet: Fleet, *words: str) -> list[tuple[str, str]]:
-    return [(seen.node, seen.text) for seen in fleet.world.seen if seen.text.split()[0] in words]
+    return [(seen.node, seen.text) for seen in fleet.world.observed_lines if seen.text.split()[0] in words]
 
 
 def complete(fleet: Fleet) -> Fleet:
@@ -37,7 +37,7 @@
 
 
 def test_a_joining_member_fetches_the_table_newest_first_within_the_rate() -> None:
-    fleet = complete(Fleet("abc", tuning=LONG, later="c"))
+    fleet = complete(Fleet("abc", tuning=LONG, started_later="c"))
     count = 10_000
     for number in range(count):
         fleet.record_use("a", b"%d" % number)
@@ -55,14 +55,16 @@
         assert found[0] or not found[1]
         assert fleet.world.now < 10_000
     assert found == [True, True]
-    complete_at = next(seen.at_ms for seen in fleet.world.seen if seen.node == "c" and seen.text == "whole")
-    joins_at = next(seen.at_ms for seen in fleet.world.seen if seen.node == "c" and seen.text == "joins bindings")
+    complete_at = next(seen.at_ms for seen in fleet.world.observed_lines if seen.node == "c" and seen.text == "whole")
+    joins_at = next(
+        seen.at_ms for seen in fleet.world.observed_lines if seen.node == "c" and seen.text == "joins bindings"
+    )
     assert min_ms * 0.9 < complete_at - joins_at < min_ms * 1.2 + 200
     assert fleet.is_converged()
 
 
 def test_a_serving_peer_that_dies_during_the_transfer_is_replaced() -> None:
-    fleet = complete(Fleet("abcd", tuning=LONG, later="d"))
+    fleet = complete(Fleet("abcd", tuning=LONG, started_later="d"))
     for number in range(5000):
         fleet.record_use("a", b"%d" % number)
     fleet.run(1000)
@@ -84,7 +86,7 @@
     """A message is lost between two that arrive: the watermark does not advance until it has been fetched."""
     fleet = complete(Fleet("abc", tuning=LONG))
     lost_updates: list[messages.LastSeenUpdate] = []
-    real_carry = fleet.world._carry
+    real_carry = fleet.world._send_message
 
     def carry(node, to, message, carrier):  # type: ignore[no-untyped-def]
         if isinstance(message, messages.LastSeenUpdate) and node.name == "a" and to.name == "b" and not lost_updates:
@@ -92,7 +94,7 @@
         else:
             real_carry(node, to, message, carrier)
 
-    fleet.world._carry = carry  # type: ignore[method-assign]
+    fleet.world._send_message = carry  # type: ignore[method-assign]
     fleet.record_use("a", b"k")
     fleet.run(120)
     assert lost_updates
@@ -106,7 +108,7 @@
 
 def test_updates_of_an_unreachable_live_peer_come_through_another() -> None:
     fleet = complete(Fleet("abc"))
-    fleet.world.fault(faults.parse("cut a > b"))
+    fleet.world.apply_fault(faults.parse("cut a > b"))
     for _ in range(30):
         fleet.record_use("a", b"k")
         fleet.run(200)
@@ -118,7 +120,7 @@
 
 def test_a_member_without_the_component_blocks_removal_only_for_a_while() -> None:
     """As with an older version, which is a member and never sends a message of the component."""
-    fleet = Fleet("abc", later="c", silent="c", tuning=msgspec.structs.replace(FAST, grave_ms=3000.0))
+    fleet = Fleet("abc", started_later="c", silent="c", tuning=msgspec.structs.replace(FAST, grave_ms=3000.0))
     fleet.run(500)
     assert fleet.table("a").complete is False  # c may have bindings that no other member knows
     fleet.record_use("a", b"k")
@@ -236,7 +238,7 @@
     fleet = complete(Fleet("ab"))
     fleet.record_use("a", b"k")
     fleet.run(100)
-    fleet.world.poke("a", MessageReceived(address("b"), "b", message))
+    fleet.world.deliver_event("a", MessageReceived(address("b"), "b", message))
     fleet.run(2000)
     assert fleet.bound_endpoints(b"k") == ["p1", "p1"]
     assert fleet.table("a").counter < MAX_COUNTER
@@ -245,7 +247,7 @@
 
 
 def test_a_fetch_whose_pages_do_not_progress_is_given_up() -> None:
-    fleet = complete(Fleet("ab", tuning=LONG, later="b"))
+    fleet = complete(Fleet("ab", tuning=LONG, started_later="b"))
     fleet.world.start("b")
     fleet.member_changed("b", "alive", 1, "a")
     fleet.run(1000)
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -16,11 +16,11 @@
 from limenotch.lab.emulate.sidecars import SidecarError
 from limenotch.lab.fleet import drawing, weather
 from limenotch.lab.fleet.processes import NotReachedError, Processes
-from limenotch.lab.fleet.stage import Outcome, together
+from limenotch.lab.fleet.stage import Outcome, relayed_fleet_settings
 from limenotch.net import http1
 from tests.helpers.http_peers import LOOK, answer_from
 
-from .returning_clients import Bench, Comers
+from .returning_clients import RecordingStage, ReturningClients
 from .test_fleet_off import Sidecar, serving
 from .test_log_processes import AGREEMENT, MEMBERSHIP
 from .test_rules_processes import RULES_TABLE
@@ -77,7 +77,7 @@
 
 def play(
     text: str, folder: Path, rules: bool = False, bindings: dict[str, Any] | None = BINDINGS
-) -> tuple[Outcome, Comers]:
+) -> tuple[Outcome, ReturningClients]:
     """Plays the timeline, in up to three tries if the processes do not join: a free port may be taken meanwhile."""
     for number in range(3):
         subfolder = folder / str(number)
@@ -87,26 +87,28 @@
     raise AssertionError("the processes did not join in three tries")
 
 
-def play_once(text: str, folder: Path, rules: bool, bindings: dict[str, Any] | None) -> tuple[Outcome, Comers]:
-    timeline = drawing.read(text)
-    scenario_text = SCENARIO.format(length_s=timeline.ends / 1000.0, count=len(timeline.nodes))
+def play_once(
+    text: str, folder: Path, rules: bool, bindings: dict[str, Any] | None
+) -> tuple[Outcome, ReturningClients]:
+    timeline = drawing.parse_timeline(text)
+    scenario_text = SCENARIO.format(length_s=timeline.end_ms / 1000.0, count=len(timeline.nodes))
     plan = planning.plan(scenario.parse(scenario_text, "bindings"), 3)
     key = folder / "key"
     key.write_text("a key for tests, of 16 bytes or more")
-    clients = Comers()
+    clients = ReturningClients()
     sections: Any = {"membership": MEMBERSHIP, "agreement": AGREEMENT}
     if bindings is not None:
         sections["bindings"] = bindings
-    fleet = together(timeline.nodes, key, tuple("abc") if rules else (), **sections)
+    fleet = relayed_fleet_settings(timeline.nodes, key, tuple("abc") if rules else (), **sections)
 
     async def run_case() -> Outcome:
-        bench = Bench(
+        bench = RecordingStage(
             plan,
             folder,
             timeline,
-            weather.Weather(timeline.seed),
-            ask=clients.execute,
-            fleet=lambda stage, node: fleet(stage, node) + (RULES_TABLE if rules else ""),
+            weather.NetworkConditions(timeline.seed),
+            handle_request=clients.execute,
+            fleet_settings=lambda stage, node: fleet(stage, node) + (RULES_TABLE if rules else ""),
         )
         clients.stage, clients.running = bench, list(timeline.nodes)
 
@@ -120,12 +122,12 @@
                 )
 
             try:
-                await processes.until_all(is_joined, 12, "all are together")
+                await processes.wait_until_all(is_joined, 12, "all are together")
             except NotReachedError as error:
                 raise NotJoinedError(str(error)) from None
 
         try:
-            outcome = await bench.perform(wait_until_joined)
+            outcome = await bench.run_timeline(wait_until_joined)
             clients.repeats += sum(process.ledger.repeats for process in bench.fleet.all_processes[0])
             if not any(str(fault).startswith(("kill", "cut")) for _, fault in timeline.faults) and bindings is not None:
                 # With a kill or a partition, keys whose updates did not reach the other sidecars may run again.
@@ -167,7 +169,7 @@
         rules=True,
     )
     for key in ("k1", "k2", "k3"):
-        assert clients.bench.zones_of[key] == {clients.zones[key]}
+        assert clients.recorder.zones_of[key] == {clients.zones[key]}
     assert clients.repeats > 10
 
 
@@ -201,14 +203,14 @@
         tmp_path,
     )
     for key in ("k1", "k2", "k3", "k4", "k5", "k6"):
-        assert clients.bench.zones_of[key] == {clients.zones[key]}, key
+        assert clients.recorder.zones_of[key] == {clients.zones[key]}, key
 
 
 def test_keys_run_twice_without_bindings(tmp_path: Path) -> None:
     # Shows that the check of the other tests can fail.
     _, clients = play("\nnodes: a b c\n\nms     faults\n100    ask a twice\n2500\n", tmp_path, bindings=None)
-    assert any(len(clients.bench.zones_of[f"k{number}"]) == 2 for number in range(8))
-    assert sum(process.ledger.double for process in clients.bench.fleet.all_processes[0]) > 0
+    assert any(len(clients.recorder.zones_of[f"k{number}"]) == 2 for number in range(8))
+    assert sum(process.ledger.double for process in clients.recorder.fleet.all_processes[0]) > 0
 
 
 def test_closed_connections_and_reloaded_settings_are_applied(tmp_path: Path) -> None:
--- a/tests/fleet/test_membership_drawings.py
+++ b/tests/fleet/test_membership_drawings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limenotch.lab.fleet.members import make_for
+from limenotch.lab.fleet.members import component_factory_for
 from limenotch.lab.fleet.scenario import check, load
 
 TIMELINES = sorted((Path(__file__).parent / "drawings" / "membership").glob("*.txt"))
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("path", TIMELINES, ids=lambda path: path.stem)
 def test_timeline(path: Path) -> None:
     scenario = load(path)
-    check(scenario, make_for(scenario))
+    check(scenario, component_factory_for(scenario))
 
 
 def test_timelines_exist() -> None:
--- a/tests/fleet/test_membership_processes.py
+++ b/tests/fleet/test_membership_processes.py
@@ -15,19 +15,19 @@
 import pytest
 
 from limenotch.lab.fleet import drills
-from limenotch.lab.fleet.drawing import read
+from limenotch.lab.fleet.drawing import parse_timeline
 from limenotch.lab.fleet.scenario import load
 from limenotch.lab.fleet.stage import Outcome
 
 FOLDER = Path(__file__).parent / "drawings" / "membership"
-TIMELINES = [path for path in sorted(FOLDER.glob("*.txt")) if "window" in load(path).head]
+TIMELINES = [path for path in sorted(FOLDER.glob("*.txt")) if "window" in load(path).header]
 PARALLEL_RUNS = 2
 LIMIT_S = 90.0
 
 
 def perform(path: Path, folder: Path) -> Outcome:
-    outcome = asyncio.run(asyncio.wait_for(drills.tried(load(path), folder), LIMIT_S))
-    if load(path).head.get("lives") == "same":  # the process came back with its clock set back, so with a lower epoch
+    outcome = asyncio.run(asyncio.wait_for(drills.run_with_retries(load(path), folder), LIMIT_S))
+    if load(path).header.get("lives") == "same":  # the process came back with its clock set back, so with a lower epoch
         lines = [json.loads(line) for line in next(folder.glob("*/c/c.log")).read_text().splitlines()]
         first, second = [line["life"] for line in lines if line["event"] == "joined"]
         assert second == first + 1, (first, second)
@@ -54,14 +54,14 @@
 @pytest.mark.parametrize("path", TIMELINES, ids=lambda path: path.stem)
 def test_timeline_on_processes(path: Path, outcomes: dict[str, Future[Outcome]]) -> None:
     outcome = outcomes[path.stem].result(LIMIT_S * len(TIMELINES)).check()
-    assert outcome.calls["served"] > 20 * outcome.ran_s  # of 60 a second; some go to stopped nodes
+    assert outcome.calls["served"] > 20 * outcome.duration_s  # of 60 a second; some go to stopped nodes
 
 
 def test_timelines_cover_several_sizes() -> None:
     assert {len(load(path).nodes) for path in TIMELINES} >= {3, 4, 5, 9} and len(TIMELINES) >= 12
 
 
-SUSPECTED = read(
+SUSPECTED = parse_timeline(
     """
 window: 300
 nodes: a b c
@@ -90,23 +90,23 @@
 )
 def test_refuted_suspicions_are_removed_and_deaths_kept(seen: str, left: str) -> None:
     lines = [(float(at), "a", text) for at, text in enumerate(seen.split(", "))]
-    assert [text for _, _, text in drills.firm(SUSPECTED, lines)] == left.split(", ")
+    assert [text for _, _, text in drills.without_refuted_suspicions(SUSPECTED, lines)] == left.split(", ")
 
 
 def test_a_timeline_is_scaled_and_starts_before_its_first_fault() -> None:
-    played = SUSPECTED.quicker(0.5, 200.0)
-    assert [(note.at_ms, note.text) for note in played.notes] == [(300, "suspects c"), (600, "c alive")]
-    assert [(at, str(fault)) for at, fault in played.faults] == [(200, "pause c")] and played.ends == 1150
+    played = SUSPECTED.rescaled(0.5, 200.0)
+    assert [(note.at_ms, note.text) for note in played.entries] == [(300, "suspects c"), (600, "c alive")]
+    assert [(at, str(fault)) for at, fault in played.faults] == [(200, "pause c")] and played.end_ms == 1150
 
 
 def test_a_failing_row_shows_both_timelines() -> None:
-    played = SUSPECTED.quicker(0.5, 200.0)
-    compare = drills.compared(SUSPECTED, played)
+    played = SUSPECTED.rescaled(0.5, 200.0)
+    compare = drills.comparison_of(SUSPECTED, played)
     report = compare([(300.0, "a", "suspects c"), (650.0, "b", "c dead")], [200.0])
-    assert report is not None and "c alive' did not come" in report and "| pause c" in report and "c dead" in report
+    assert report is not None and "c alive' was not logged" in report and "| pause c" in report and "c dead" in report
     calm = [(300.0, "a", "suspects c"), (600.0, "a", "c alive")]
     assert compare(calm, [200.0]) is None
-    report = compare([*calm, (played.ends - 1.0, "b", "c dead")], [200.0])
-    assert report is not None and "b: 'c dead' at 1149 is not drawn" in report
-    late = read("nodes: a\n\nms   a      faults\n3    joined\n9           heal\n", "late")
-    assert "'joined'" in (drills.compared(late, late.quicker(1.0, 0.0))([], []) or "")
+    report = compare([*calm, (played.end_ms - 1.0, "b", "c dead")], [200.0])
+    assert report is not None and "b: 'c dead' at 1149 is not expected" in report
+    late = parse_timeline("nodes: a\n\nms   a      faults\n3    joined\n9           heal\n", "late")
+    assert "'joined'" in (drills.comparison_of(late, late.rescaled(1.0, 0.0))([], []) or "")
