--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -26,7 +26,7 @@
 from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, answer_from, ask, renamed, whole
 from .helpers.processes import free_port, run, with_sidecar
 from .test_admin_server import CLASSES, conserved
-from .test_streamed_responses import BODY, OK, POST, encode_chunked, read_response
+from .test_streamed_responses import BODY, OK, POST, encode_chunked, read_streamed_response
 
 
 def long_request(framing: str) -> bytes:
@@ -175,7 +175,7 @@
 
     async def send_request(port: int, number: int) -> None:
         wire = long_request("length" if number % 2 else "chunked").replace(b"Id: 1", b"Id: %d" % number)
-        head, body, complete = await read_response(port, wire)
+        head, body, complete = await read_streamed_response(port, wire)
         assert head is not None and head.status == 200 and body == BODY and complete
 
     async def use(port: int) -> None:
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -146,7 +146,7 @@
     return handle
 
 
-async def read_response(port: int, wire: bytes) -> tuple[http1.Message | None, bytes, bool]:
+async def read_streamed_response(port: int, wire: bytes) -> tuple[http1.Message | None, bytes, bool]:
     """The head and the body of the response on a connection of its own, and whether the body was complete."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(wire)
@@ -179,7 +179,7 @@
 @pytest.mark.parametrize("framing", FRAMINGS)
 def test_a_long_response_is_forwarded_unchanged(framing: str, minor: int) -> None:
     async def use(port: int) -> None:
-        head, body, complete = await read_response(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
+        head, body, complete = await read_streamed_response(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
         assert head is not None and head.status == 200 and complete
         assert hashlib.sha256(body).digest() == hashlib.sha256(BODY).digest()
         assert minor or b"transfer-encoding" not in head.fields
@@ -222,7 +222,7 @@
     admin = free_port()
 
     async def use(port: int) -> None:
-        head, body, complete = await read_response(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
+        head, body, complete = await read_streamed_response(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
         # A reset may reach the client before it has read the head; then it has received no response at all.
         assert not complete and len(body) < len(BODY)
         metrics = await conserved(admin)
@@ -323,7 +323,7 @@
     async def use(port: int) -> None:
         nonlocal answered
         wires = [LOOK.replace(b"Id: 1", b"Id: %d" % number) for number in range(8)]
-        reading = [asyncio.create_task(read_response(port, wire)) for wire in wires]
+        reading = [asyncio.create_task(read_streamed_response(port, wire)) for wire in wires]
         while not all(task.done() for task in reading):
             await conserved(admin)
             assert (await ask(admin, GET_HEALTH)).status == 200
