--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -12,10 +12,10 @@
 from multiprocessing import get_context
 from pathlib import Path
 
-from tests.helpers.soak import Plan, Run, Seen, faults
+from tests.helpers.soak import Observations, Plan, Run, violations
 
 
-def play(seed: int) -> tuple[int, Plan, Seen]:
+def play(seed: int) -> tuple[int, Plan, Observations]:
     with tempfile.TemporaryDirectory() as folder:
         run = Run(seed, Path(folder))
         return seed, run.plan, asyncio.run(run.play())
@@ -30,9 +30,11 @@
     broken = played = 0
     with get_context("spawn").Pool(arguments.beside) as pool:  # each worker draws its own ports
         for seed, plan, seen in pool.imap_unordered(play, range(int(first), int(last or first) + 1)):
-            found, played = faults(seen), played + 1
+            found, played = violations(seen), played + 1
             broken += bool(found)
-            print(f"seed {seed}: {seen.sent} sent, {seen.answered} answered, {seen.cut} crossed, {len(found)} faults")
+            print(
+                f"seed {seed}: {seen.sent} sent, {seen.answered} answered, {seen.crossed} crossed, {len(found)} faults"
+            )
             for fault in found[:5]:
                 print(f"  {fault}")
             if found:
--- a/tests/fleet/test_affinity_processes.py
+++ b/tests/fleet/test_affinity_processes.py
@@ -18,7 +18,7 @@
 from limenotch.lab.fleet.processes import NotReachedError, Processes
 from limenotch.lab.fleet.stage import Outcome, together
 from limenotch.net import http1
-from tests.helpers.http_peers import LOOK, answer_from
+from tests.helpers.http_peers import LOOK, read_response
 
 from .returning_clients import Bench, Comers
 from .test_fleet_off import Sidecar, serving
@@ -220,7 +220,7 @@
             parser = http1.ResponseParser()
             for _ in range(3):
                 writer.write(LOOK)
-                assert (await answer_from(reader, parser)).status == 200
+                assert (await read_response(reader, parser)).status == 200
             await until(sidecar, consumers=1, providers=1, window_ms=9000.0)
             writer.close()
             await until(sidecar, consumers=0)
--- a/tests/fleet/test_lab_fleet.py
+++ b/tests/fleet/test_lab_fleet.py
@@ -16,7 +16,7 @@
 from limenotch.lab.fleet import drawing, drills
 from limenotch.lab.fleet.processes import Seen
 
-from ..helpers.processes import LIMIT_S, ROOT
+from ..helpers.processes import ROOT, TIME_LIMIT_S
 from .test_processes import children
 
 DRAWINGS = Path(__file__).parent / "drawings" / "membership"
@@ -93,12 +93,12 @@
         sidecars = [path.parent for path in tmp_path.rglob("c.json")]
         assert len(sidecars) == 1
         process.send_signal(signal.SIGINT)
-        _, errors = process.communicate(timeout=LIMIT_S)
+        _, errors = process.communicate(timeout=TIME_LIMIT_S)
         assert process.returncode == 4 and "all processes are ended" in errors
         assert not list(tmp_path.glob("limenotch-lab-*")) and not named(str(tmp_path))
     finally:
         process.kill()
-        process.communicate(timeout=LIMIT_S)
+        process.communicate(timeout=TIME_LIMIT_S)
 
 
 def named(text: str) -> list[str]:
--- a/tests/fleet/test_store_thread.py
+++ b/tests/fleet/test_store_thread.py
@@ -16,7 +16,7 @@
 from limenotch.store.records import StoredLog, TermVote
 from limenotch.store.thread import StoreThread, estimated_size
 
-from ..helpers.processes import printed_by
+from ..helpers.processes import output_of
 from .fake_disk import Disk, entries
 
 WAIT_S = 10.0  # time limit of waits that end much earlier unless the program is broken
@@ -217,4 +217,4 @@
         "import sys, limenotch.store.thread; "
         "print([name for name in sys.modules if name.startswith(('limenotch.fleet', 'tornado', 'asyncio'))])"
     )
-    assert printed_by(code).strip() == "[]"
+    assert output_of(code).strip() == "[]"
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -18,12 +18,12 @@
 from limenotch.net import http1
 from limenotch.net.request import FinalResponse, Verdict
 from limenotch.settings_file import parse
-from tests.helpers.http_peers import DELIVER, LOOK, SETTINGS, Handler, answering, ask, renamed, whole
+from tests.helpers.http_peers import DELIVER, LOOK, SETTINGS, Handler, reply, replying, send, with_new_id
 from tests.helpers.processes import free_port, run, with_sidecar
 
 from .test_fleet_off import serving
 
-REJECTED = whole(503, (b"X-Rejected", b"1"))
+REJECTED = reply(503, (b"X-Rejected", b"1"))
 LOOK_OF_OTHER_TENANT = LOOK.replace(b"acme", b"zeta")  # of a tenant without a wallet
 TIER: dict[str, Any] = dict(SETTINGS)
 TIER |= {
@@ -61,11 +61,11 @@
         self.port, self.admin = port, admin
 
     async def request(self, wire: bytes) -> http1.Message:
-        return await ask(self.port, wire)
+        return await send(self.port, wire)
 
     async def operator(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         content = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
-        answer = await ask(self.admin, http1.write_request(method.encode(), path.encode(), [(b"Host", b"o")], content))
+        answer = await send(self.admin, http1.write_request(method.encode(), path.encode(), [(b"Host", b"o")], content))
         content_type = answer.fields.get(b"content-type", b"")
         return answer.status, json.loads(answer.body) if content_type == b"application/json" else answer.body
 
@@ -110,7 +110,7 @@
     async def use(port: int) -> None:
         await scenario(Program(port, admin))
 
-    run(with_sidecar(handler, use, tuning=parse(text, "t"), more={**config, "admin_addr": f"127.0.0.1:{admin}"}))
+    run(with_sidecar(handler, use, settings=parse(text, "t"), extra={**config, "admin_addr": f"127.0.0.1:{admin}"}))
 
 
 def test_operator_responses(tmp_path: Path) -> None:
@@ -148,13 +148,13 @@
         assert (await operator("DELETE", path))[0] == (await operator("POST", "/fleet/wallets", {}))[0] == 405
         assert (await program.wait_until_settled())["credit"] == 107
 
-    play(tmp_path, answering(whole(200))[0], scenario)
+    play(tmp_path, replying(reply(200))[0], scenario)
 
 
 def test_only_served_requests_are_charged_and_once(tmp_path: Path) -> None:
     # A repeat after a 500; a rejection; a failure; a failure that can't be repeated; and one served at once.
-    answers = [whole(200), whole(500), whole(200), REJECTED, REJECTED, whole(500), whole(500), whole(200)]
-    handler, requests_seen = answering(*answers)
+    answers = [reply(200), reply(500), reply(200), REJECTED, REJECTED, reply(500), reply(500), reply(200)]
+    handler, requests_seen = replying(*answers)
 
     async def scenario(program: Program) -> None:
         await program.wait_for_wallet()
@@ -163,7 +163,7 @@
         assert not requests_seen
         await program.add_credit("i", 1000)
         await program.serve(LOOK)
-        statuses = [(await program.request(renamed(wire))).status for wire in (LOOK, DELIVER, DELIVER, DELIVER)]
+        statuses = [(await program.request(with_new_id(wire))).status for wire in (LOOK, DELIVER, DELIVER, DELIVER)]
         assert (statuses, len(requests_seen)) == ([200, 503, 502, 200], len(answers))
         assert (await program.request(LOOK_OF_OTHER_TENANT)).status == 200
         wallet = await program.wait_until_settled()
@@ -182,7 +182,7 @@
             if (request := parser.take()) is None:
                 continue
             if request.method == b"GET":
-                writer.write(whole(200))
+                writer.write(reply(200))
             else:
                 arrived.set()
                 await reader.read()  # until the sidecar gives up
@@ -225,7 +225,7 @@
         assert (await program.operator("GET", "/fleet/wallets"))[0] == 503
         assert (await program.add_credit("i", 5))[0] == 503
 
-    play(tmp_path, answering(whole(200))[0], scenario)
+    play(tmp_path, replying(reply(200))[0], scenario)
 
 
 @pytest.mark.parametrize("stopped", ["the component", "the log", "the spender"])
@@ -253,7 +253,7 @@
         for wire, status in ((LOOK, 429), (LOOK_OF_OTHER_TENANT, 200), (DELIVER, 429)):
             assert (await program.request(wire)).status == status
 
-    play(tmp_path, answering(whole(200))[0], scenario)
+    play(tmp_path, replying(reply(200))[0], scenario)
 
 
 def test_repeat_of_a_charged_request_is_free_with_and_without_spender() -> None:
--- a/tests/helpers/connections.py
+++ b/tests/helpers/connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections without the rest of the program: calls wait for a list that never comes."""
+"""Client connections without the rest of the program: requests wait for an endpoint list that never arrives."""
 
 from __future__ import annotations
 
@@ -21,60 +21,70 @@
 from .processes import free_port
 
 UP = b"GET /up HTTP/1.1\r\nHost: s\r\n\r\n"
-STEPS = 100_000  # turns of the loop; far from what it takes
+MAX_LOOP_TURNS = 100_000  # far more than any condition needs
 
 
 class Connections:
-    """The listener with all its connections, and what a test asks of them."""
+    """A client listener with its connections, request manager, descriptor limits and buffer budget."""
 
-    def __init__(self, tuning: Tuning, limit: int) -> None:
-        self.calls = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10)
-        self.calls.watch_discovery = lambda: None
+    def __init__(self, client_settings: Tuning, limit: int) -> None:
+        self.request_manager = RequestManager(LoadBalancer(read_settings(SETTINGS), 1), 10)
+        self.request_manager.watch_discovery = lambda: None
         self.sockets, self.budget = DescriptorLimits(limit), BufferBudget(1024 * 1024)
-        self.all = ClientListener(self.calls, self.calls.load_balancer, self.sockets, lambda: True, tuning, self.budget)
+        self.listener = ClientListener(
+            self.request_manager,
+            self.request_manager.load_balancer,
+            self.sockets,
+            lambda: True,
+            client_settings,
+            self.budget,
+        )
         self.port = free_port()
-        self.all.listen(("127.0.0.1", self.port))
+        self.listener.listen(("127.0.0.1", self.port))
 
     async def client(self) -> tuple[socket.socket, ClientConnection]:
-        """A new connection, blocking at the client's end: what it sends is in the other's kernel on return."""
+        """Opens a connection and waits until it is accepted.
+
+        The client socket blocks: the data of a send is in the listener's kernel buffer when the send returns.
+        """
         sock = socket.create_connection(("127.0.0.1", self.port))
         address = sock.getsockname()
         sock.settimeout(20.0)
-        found: list[ClientConnection] = []
+        accepted: list[ClientConnection] = []
 
-        def admitted() -> bool:
-            found.extend(c for c in self.all._open if c.stream.socket.getpeername() == address)
-            return bool(found)
+        def is_accepted() -> bool:
+            accepted.extend(c for c in self.listener._open if c.stream.socket.getpeername() == address)
+            return bool(accepted)
 
-        await until(admitted)
-        await until(lambda: found[0] in self.all._idle)
-        return sock, found[0]
+        await wait_until(is_accepted)
+        await wait_until(lambda: accepted[0] in self.listener._idle)
+        return sock, accepted[0]
 
-    def taken(self) -> int:
-        return self.calls.metrics.count("taken")
+    def accepted_requests(self) -> int:
+        return self.request_manager.metrics.count("taken")
 
-    def end(self) -> None:
-        self.all._stop_listening()
-        for consumer in list(self.all._open):
-            consumer.stream.close()
+    def close(self) -> None:
+        self.listener._stop_listening()
+        for connection in list(self.listener._open):
+            connection.stream.close()
 
 
-async def until(holds: Callable[[], bool], turns: int | None = STEPS) -> None:
-    """Turns of the loop until it holds; without a fault that is soon. `turns` None: the case's own limit holds."""
-    for _ in itertools.count() if turns is None else range(turns):
-        if holds():
+async def wait_until(condition: Callable[[], bool], max_turns: int | None = MAX_LOOP_TURNS) -> None:
+    """Runs the event loop until the condition is true. Raises AssertionError after `max_turns`; None: no limit."""
+    for _ in itertools.count() if max_turns is None else range(max_turns):
+        if condition():
             return
         await asyncio.sleep(0)
-    raise AssertionError("never came")
+    raise AssertionError("condition not met")
 
 
-async def received(sock: socket.socket, up_to: bytes = b"") -> bytes:
-    """All up to the end, or as far as this. Raises ConnectionResetError where the connection was reset."""
+async def read_from(sock: socket.socket, end_marker: bytes = b"") -> bytes:
+    """Reads up to the end of the stream, or until `end_marker` was read. Raises ConnectionResetError on a reset."""
 
     def read() -> bytes:
         data = b""
-        while not (up_to and up_to in data) and (piece := sock.recv(65536)):
-            data += piece
+        while not (end_marker and end_marker in data) and (chunk := sock.recv(65536)):
+            data += chunk
         return data
 
     return await asyncio.to_thread(read)
@@ -82,11 +92,11 @@
 
 async def with_connections(
     use: Callable[[Connections], Coroutine[Any, Any, None]],
-    tuning: Tuning = Tuning(),  # noqa: B008 (frozen)
+    client_settings: Tuning = Tuning(),  # noqa: B008 (frozen)
     limit: int = 1024,
 ) -> None:
-    connections = Connections(tuning, limit)
+    connections = Connections(client_settings, limit)
     try:
         await use(connections)
     finally:
-        connections.end()
+        connections.close()
--- a/tests/helpers/discovery_peer.py
+++ b/tests/helpers/discovery_peer.py
@@ -1,4 +1,4 @@
-"""A discovery that does with its calls what the test says, and a Directory that watches it."""
+"""A discovery service whose responses the test writes, and a DiscoveryClient that watches it."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from .processes import run
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-SILENCE_S = 0.3  # far beyond what a call takes here, and short to wait for
+SILENCE_S = 0.3  # far longer than a request takes here, and short to wait for
 
 
 def chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def listing(index: int, *names: str, whole: bool = True, status: str = "in_service") -> bytes:
+def list_document(index: int, *names: str, complete: bool = True, status: str = "in_service") -> bytes:
     entries = [{"name": name, "address": "127.0.0.1:1", "status": status} for name in names]
-    return json.dumps({"index": index, "snapshot": whole, "endpoints": entries}).encode() + b"\n"
+    return json.dumps({"index": index, "snapshot": complete, "endpoints": entries}).encode() + b"\n"
 
 
-class Call:
-    """One call that has come to a discovery."""
+class DiscoveryRequest:
+    """A request that the discovery service has received."""
 
     def __init__(self, target: bytes, reader: Reader, writer: Writer) -> None:
         self.target, self.reader, self.writer = target, reader, writer
@@ -37,55 +37,60 @@
     def send(self, *pieces: bytes) -> None:
         self.writer.write(b"".join(pieces))
 
-    def send_now(self, data: bytes) -> None:
-        """In the kernel when this returns."""
+    def send_immediately(self, data: bytes) -> None:
+        """Sends without the event loop: the data is in the kernel when this returns."""
         self.writer.get_extra_info("socket")._sock.send(data)
 
-    async def ended(self) -> None:
-        with contextlib.suppress(ConnectionResetError):  # it may be closed over bytes that nobody read
+    async def wait_closed(self) -> None:
+        with contextlib.suppress(ConnectionResetError):  # a close with unread bytes resets the connection
             await self.reader.read()
 
 
-class Discovery:
-    """A peer that does with its calls what the test says."""
+class ScriptedDiscovery:
+    """A discovery service that queues its requests for the test to answer."""
 
     def __init__(self) -> None:
-        self.calls = asyncio.Queue[Call]()
+        self.requests = asyncio.Queue[DiscoveryRequest]()
 
-    async def begin(self) -> tuple[str, int]:
+    async def start(self) -> tuple[str, int]:
         self._server = await asyncio.start_server(self._handle, "127.0.0.1", 0)
-        at: tuple[str, int] = self._server.sockets[0].getsockname()
-        return at
+        address: tuple[str, int] = self._server.sockets[0].getsockname()
+        return address
 
     async def _handle(self, reader: Reader, writer: Writer) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).split(b" ")[1]
-        await self.calls.put(Call(target, reader, writer))
+        await self.requests.put(DiscoveryRequest(target, reader, writer))
 
 
-class Held:
-    """A Directory and what it told."""
+class WatchRecorder:
+    """A DiscoveryClient; records the lists and the ends of watches that it reports."""
 
-    def __init__(self, at: tuple[str, int], silence_s: float = SILENCE_S) -> None:
-        self.heard = asyncio.Queue[tuple[list[str], bool]]()
-        self.broken = asyncio.Queue[None]()
-        self.directory = DiscoveryClient(
-            at, self._hear, lambda: self.broken.put_nowait(None), settings.DiscoverySettings(silence_s=silence_s)
+    def __init__(self, address: tuple[str, int], silence_s: float = SILENCE_S) -> None:
+        self.lists = asyncio.Queue[tuple[list[str], bool]]()
+        self.broken_watches = asyncio.Queue[None]()
+        self.client = DiscoveryClient(
+            address,
+            self._record_list,
+            lambda: self.broken_watches.put_nowait(None),
+            settings.DiscoverySettings(silence_s=silence_s),
         )
 
-    def _hear(self, providers: list[DiscoveredEndpoint], whole: bool) -> None:
-        self.heard.put_nowait(([p.name for p in providers], whole))
+    def _record_list(self, endpoints: list[DiscoveredEndpoint], complete: bool) -> None:
+        self.lists.put_nowait(([p.name for p in endpoints], complete))
 
 
-def case(body: Callable[[Discovery, Held], Coroutine[Any, Any, None]], silence_s: float = SILENCE_S) -> None:
-    """One discovery and one Directory that watches it."""
+def run_case(
+    body: Callable[[ScriptedDiscovery, WatchRecorder], Coroutine[Any, Any, None]], silence_s: float = SILENCE_S
+) -> None:
+    """Runs `body` with a discovery service and a client that watches it."""
 
-    async def whole() -> None:
-        peer = Discovery()
-        held = Held(await peer.begin(), silence_s)
-        held.directory.watch()
+    async def play() -> None:
+        peer = ScriptedDiscovery()
+        recorder = WatchRecorder(await peer.start(), silence_s)
+        recorder.client.watch()
         try:
-            await body(peer, held)
+            await body(peer, recorder)
         finally:
-            held.directory.close()
+            recorder.client.close()
 
-    run(whole())
+    run(play())
--- a/tests/helpers/http_peers.py
+++ b/tests/helpers/http_peers.py
@@ -1,4 +1,4 @@
-"""Providers and consumers of tests: a tier's settings, calls on the wire, answers."""
+"""HTTP clients and endpoints for tests: settings of a tier, encoded requests and responses."""
 
 from __future__ import annotations
 
@@ -34,51 +34,54 @@
 }
 
 
-NEW = count(1)
+NEW_IDS = count(1)
 
 
-def renamed(wire: bytes) -> bytes:
-    """The same request under an id of its own, as every request of a client has one."""
-    return wire.replace(b"X-Call-Id: 1\r\n", b"X-Call-Id: new-%d\r\n" % next(NEW), 1)
+def with_new_id(wire: bytes) -> bytes:
+    """The same request with a new id: every request of a client has its own."""
+    return wire.replace(b"X-Call-Id: 1\r\n", b"X-Call-Id: new-%d\r\n" % next(NEW_IDS), 1)
 
 
-def answering(*answers: bytes) -> tuple[Handler, list[http1.Message]]:
-    """A provider that answers its requests with these in turn, the last again and again; b"" hangs up."""
-    seen: list[http1.Message] = []
+def replying(*responses: bytes) -> tuple[Handler, list[http1.Message]]:
+    """An endpoint handler that sends these responses in turn and repeats the last, and the requests it received.
+
+    A response that doesn't end in `!`, such as b"", is followed by a close.
+    """
+    requests: list[http1.Message] = []
 
     async def handle(reader: Reader, writer: Writer) -> None:
         parser = http1.RequestParser()
         while data := await reader.read(65536):
             parser.feed(data)
             if (request := parser.take()) is not None:
-                answer = answers[min(len(seen), len(answers) - 1)]
-                seen.append(request)
-                writer.write(answer)
-                if not answer.endswith(b"!"):  # our whole answers end so
+                response = responses[min(len(requests), len(responses) - 1)]
+                requests.append(request)
+                writer.write(response)
+                if not response.endswith(b"!"):  # the body of reply() ends so
                     break
         writer.close()
 
-    return handle, seen
+    return handle, requests
 
 
-def whole(status: int, *headers: tuple[bytes, bytes]) -> bytes:
+def reply(status: int, *headers: tuple[bytes, bytes]) -> bytes:
     return http1.write_response(status, list(headers), b"body!")
 
 
-async def answer_from(reader: Reader, parser: http1.ResponseParser) -> http1.Message:
-    """The next answer of a connection, which has to come whole before its end."""
+async def read_response(reader: Reader, parser: http1.ResponseParser) -> http1.Message:
+    """Reads the next response, which has to be complete before the connection ends."""
     while (message := parser.take()) is None:
         data = await reader.read(65536)
-        assert data, "closed without an answer"
+        assert data, "connection closed without a response"
         parser.feed(data)
     return message
 
 
-async def ask(port: int, wire: bytes) -> http1.Message:
-    """One request on a connection of its own, up to the connection's end or a whole answer."""
+async def send(port: int, wire: bytes) -> http1.Message:
+    """Sends one request on a connection of its own and returns the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(wire)
-    message = await answer_from(reader, http1.ResponseParser())
+    message = await read_response(reader, http1.ResponseParser())
     writer.close()
     return message
 
--- a/tests/helpers/processes.py
+++ b/tests/helpers/processes.py
@@ -1,4 +1,4 @@
-"""The one place where tests start, wait for and end sidecars, processes and coroutines."""
+"""Starts, awaits and ends sidecars, processes and coroutines for all tests."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.settings import Settings
 
-from .http_peers import GET_HEALTH, SETTINGS, Handler, ask
+from .http_peers import GET_HEALTH, SETTINGS, Handler, send
 
-__all__ = ["ROOT", "Processes", "begun", "finished", "free_port", "printed_by", "run", "with_sidecar"]
+__all__ = ["ROOT", "Processes", "free_port", "output_of", "run", "run_command", "running_module", "with_sidecar"]
 
 ROOT = Path(__file__).parent.parent.parent
-LIMIT_S = 60.0  # for what must end; far from what it takes
+TIME_LIMIT_S = 60.0  # for whatever has to end; far more than it takes
 
 
 def run(case: Coroutine[Any, Any, None]) -> None:
-    """A case that goes wrong may wait for what never comes; one that goes right is far from this limit."""
-    asyncio.run(asyncio.wait_for(case, LIMIT_S))
+    """Runs a coroutine with a time limit, since a failing test may wait for an event that never happens."""
+    asyncio.run(asyncio.wait_for(case, TIME_LIMIT_S))
 
 
 async def with_sidecar(
     handler: Handler,
     use: Callable[[int], Coroutine[Any, Any, None]],
-    ends: bool = False,
-    tuning: Settings = Settings(),  # noqa: B008 (frozen)
-    more: dict[str, Any] | None = None,
+    stops_by_itself: bool = False,
+    settings: Settings = Settings(),  # noqa: B008 (frozen)
+    extra: dict[str, Any] | None = None,
     port: int = 0,
     environ: dict[str, str] | None = None,
 ) -> None:
-    """Starts a provider and a sidecar that knows it by two names; ends them unless `use` has.
+    """Starts an endpoint and a sidecar that lists it under two names, calls `use` with the port and ends them.
 
-    `more` is laid over the configuration.
+    `extra` replaces keys of the configuration. `stops_by_itself`: `use` has the sidecar end.
     """
-    provider = await asyncio.start_server(handler, "127.0.0.1", 0)
-    address = "127.0.0.1:%d" % provider.sockets[0].getsockname()[1]  # noqa: UP031
+    endpoint_server = await asyncio.start_server(handler, "127.0.0.1", 0)
+    address = "127.0.0.1:%d" % endpoint_server.sockets[0].getsockname()[1]  # noqa: UP031
     listed = [{"name": name, "address": address, "zone": "a", "status": "in_service"} for name in "ab"]
     port = port or free_port()
     raw = {
@@ -53,46 +53,46 @@
         "seed": "1f",
         "known": {"index": 3, "snapshot": True, "endpoints": listed},
         "settings": SETTINGS,
-        **(more or {}),
+        **(extra or {}),
     }
-    serving = asyncio.create_task(app.serve(config.parse(raw, environ or {}), tuning))
+    serve_task = asyncio.create_task(app.serve(config.parse(raw, environ or {}), settings))
     while True:
         try:
-            ready = await ask(port, b"GET /up HTTP/1.1\r\n\r\n")
+            ready = await send(port, b"GET /up HTTP/1.1\r\n\r\n")
             break
         except OSError:
-            assert not serving.done()
+            assert not serve_task.done()
             await asyncio.sleep(0)
-    assert ready.status == 200  # with a list but no directory
+    assert ready.status == 200  # it has a list, but no discovery service
     try:
         await use(port)
     finally:
-        if not ends:
-            serving.cancel()
-        await asyncio.wait([serving])
-        provider.close()
-    assert serving.cancelled() or serving.exception() is None
+        if not stops_by_itself:
+            serve_task.cancel()
+        await asyncio.wait([serve_task])
+        endpoint_server.close()
+    assert serve_task.cancelled() or serve_task.exception() is None
 
 
-def finished(
+def run_command(
     command: list[str], text: str | None = None, env: Mapping[str, str] | None = None
 ) -> subprocess.CompletedProcess[str]:
-    """A process that ended by itself, and what it printed."""
+    """Runs a process to its end and captures its output."""
     return subprocess.run(
-        command, input=text, capture_output=True, text=True, cwd=ROOT, env=env, timeout=LIMIT_S, check=False
+        command, input=text, capture_output=True, text=True, cwd=ROOT, env=env, timeout=TIME_LIMIT_S, check=False
     )
 
 
-def printed_by(code: str) -> str:
-    """What a fresh interpreter prints that runs this."""
-    done = finished([sys.executable, "-c", code])
-    assert done.returncode == 0, done.stderr
-    return done.stdout
+def output_of(code: str) -> str:
+    """Runs code in a new interpreter and returns its standard output."""
+    completed = run_command([sys.executable, "-c", code])
+    assert completed.returncode == 0, completed.stderr
+    return completed.stdout
 
 
 @contextlib.contextmanager
-def begun(*arguments: str, env: Mapping[str, str] | None = None) -> Iterator[subprocess.Popen[str]]:
-    """`python -m ARGUMENTS`, with its standard output to read; killed at the end if it has not ended."""
+def running_module(*arguments: str, env: Mapping[str, str] | None = None) -> Iterator[subprocess.Popen[str]]:
+    """Starts `python -m ARGUMENTS` with its standard output piped; kills it at the end of the block."""
     process = subprocess.Popen(
         [sys.executable, "-m", *arguments],
         cwd=ROOT,
@@ -105,28 +105,33 @@
         yield process
     finally:
         process.kill()
-        process.communicate(timeout=LIMIT_S)
+        process.communicate(timeout=TIME_LIMIT_S)
 
 
 class Processes:
-    """`limenotch serve` processes that share a folder, under the loop of one case."""
+    """`limenotch serve` processes that share a folder, run in the event loop of one test."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.all: list[asyncio.subprocess.Process] = []
 
     async def serve(
-        self, raw: dict[str, Any], kept: bool = True, module: str = "limenotch", more: Mapping[str, str] | None = None
+        self,
+        raw: dict[str, Any],
+        keep_folder: bool = True,
+        module: str = "limenotch",
+        environment: Mapping[str, str] | None = None,
     ) -> tuple[asyncio.subprocess.Process, int]:
-        """One of this configuration and its second address; returns when it is ready. `kept`: it has the folder.
+        """Starts a process with this configuration; returns it with its operators' port when it is ready.
 
-        `module` is run with `serve`; `more` is laid over the environment.
+        `keep_folder`: TMPDIR is the shared folder. `module` is run with `serve`; `environment` is added to the
+        environment.
         """
         admin = free_port()
         path = self.folder / f"{admin}.json"
         path.write_text(json.dumps({**raw, "admin_addr": f"127.0.0.1:{admin}"}))
-        environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(self.folder), **(more or {})}
-        if not kept:
+        environ = {**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(self.folder), **(environment or {})}
+        if not keep_folder:
             del environ["TMPDIR"]
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", module, "serve", env=environ, stderr=asyncio.subprocess.DEVNULL
@@ -135,11 +140,11 @@
         while True:
             assert process.returncode is None
             with contextlib.suppress(OSError, AssertionError):
-                if (await ask(admin, GET_HEALTH)).status == 200:
+                if (await send(admin, GET_HEALTH)).status == 200:
                     return process, admin
             await asyncio.sleep(0.01)
 
-    async def end(self) -> None:
+    async def kill_all(self) -> None:
         for process in self.all:
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
--- a/tests/helpers/soak.py
+++ b/tests/helpers/soak.py
@@ -1,9 +1,10 @@
-"""Real processes under drawn faults of discovery and series of signals; what peers saw is checked, not what is logged.
+"""Soak test: real sidecar processes under random discovery faults and signals.
 
-A run is drawn from its seed: endpoints, processes, deadlines, moves of discovery in a row, drains, calls that hang,
-watches that fall silent or end in place of telling, load reports of idle endpoints, lists that are empty, all draining,
-of weight 0 or with names twice for a second, and at the end a process that is told to leave and killed at the
-earliest moment allowed, while clients go on sending on their open connections.
+What clients and endpoints observed is checked, not what the processes log. Each run is generated from its seed:
+endpoints, processes, deadlines, consecutive moves of discovery, drains, discovery requests that hang, watches that fall
+silent or end in place of sending a change, load reports of idle endpoints, and lists that for one second are empty, all
+draining, of weight 0 or with each name twice. At the end one process gets SIGTERM and is killed at the earliest moment
+allowed, while clients go on sending on their open connections.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 from limenotch.net import http1
 
 from .discovery_service import Address, DiscoveryService, Entries
-from .http_peers import Reader, Writer, ask
+from .http_peers import Reader, Writer, send
 from .processes import Processes, free_port
 
-GRACE_S = 0.3  # of a drain, on real sockets
-TOLD_S = 6.0  # after which a change counts as told, whether or not it arrived
-LATE_S = 0.5  # after its time in which an answer earns nothing, but is no loss
-CROSSING_S = 0.05  # in which a close may cross a request that nobody has read
-KILL_S = 0.7  # from SIGTERM to SIGKILL, beside the longest deadline
+DRAIN_GRACE_S = 0.3  # drain grace, on real sockets
+PROPAGATION_S = 6.0  # a change counts as known this long after it was made, whether or not it arrived
+LATE_RESPONSE_S = 0.5  # a response this long after its deadline earns nothing, but is not lost
+CROSSING_S = 0.05  # a close this soon after a request may have crossed the unread request
+KILL_DELAY_S = 0.7  # from SIGTERM to SIGKILL, beside the longest deadline
 RUN_S = 9.0
-CALL_GAP_S = 0.02
-CROWD = 60
-DISGUISE_S = 1.0
-# Load reports, of which each answer carries one.
-REPORTS = {
+REQUEST_INTERVAL_S = 0.02
+IDLE_CONNECTIONS = 60
+UNUSUAL_LIST_S = 1.0
+# Load reports; each response carries one of them.
+LOAD_REPORTS = {
     "none": (b"",),
     "idle": (b"TEXT util=0.00, qps=10, latency_ms=1",),
     "mixed": (
@@ -49,8 +50,8 @@
         b"TEXT util=0.40, qps=30",
     ),
 }
-# What whole lists may say of the endpoints for a while.
-DISGUISES: dict[str, Callable[[Entries], Entries]] = {
+# How complete lists may be altered for a while.
+UNUSUAL_LISTS: dict[str, Callable[[Entries], Entries]] = {
     "empty": lambda entries: [],
     "draining": lambda entries: [{**entry, "status": "terminating"} for entry in entries],
     "weight 0": lambda entries: [{**entry, "weight": 0.0} for entry in entries],
@@ -60,56 +61,58 @@
 
 @dataclass
 class Plan:
-    """What is drawn of a run before it begins."""
+    """The randomly generated parameters of a run."""
 
     processes: int
     endpoints: int
     deadline_s: float
     list_s: float
-    crowd: bool
-    moves: list[float]
+    idle_connections: bool
+    discovery_moves: list[float]
     drains: list[float]
-    silent: list[float]
-    hang: list[float]
-    ends: bool  # a watch ends in place of telling
-    reports: str  # load reports that answers carry, by name
+    silent_watches: list[float]
+    hanging_requests: list[float]
+    ends_watches: bool  # a watch ends in place of sending a change
+    reports: str  # key of LOAD_REPORTS
     cross_zone_cost: float
-    disguises: list[tuple[float, str]]  # times from which whole lists are unusual for DISGUISE_S, and how
+    unusual_lists: list[tuple[float, str]]  # start in s and kind; each lasts UNUSUAL_LIST_S
 
 
-def drawn(seed: int) -> Plan:
+def random_plan(seed: int) -> Plan:
     random = Random(seed)
-    moves, at = list[float](), random.uniform(0.5, 1.5)
+    move_times, at_s = list[float](), random.uniform(0.5, 1.5)
     for _ in range(random.randint(0, 5)):
-        moves.append(at)
-        at += random.uniform(0.1, 1.2)
+        move_times.append(at_s)
+        at_s += random.uniform(0.1, 1.2)
     return Plan(
         processes=random.randint(1, 3),
         endpoints=random.choice((6, 40, 400)),
         deadline_s=random.uniform(0.5, 3.0),
         list_s=random.choice((0.0, 0.05, 0.3)),
-        crowd=random.random() < 0.3,
-        moves=moves,
+        idle_connections=random.random() < 0.3,
+        discovery_moves=move_times,
         drains=sorted(random.uniform(0.5, 3.0) for _ in range(random.randint(1, 3))),
-        silent=[random.uniform(0.5, 2.0)] if random.random() < 0.4 else [],
-        hang=[random.uniform(0.5, 2.0)] if random.random() < 0.4 else [],
-        ends=random.random() < 0.4,
-        reports=random.choice(tuple(REPORTS)),
+        silent_watches=[random.uniform(0.5, 2.0)] if random.random() < 0.4 else [],
+        hanging_requests=[random.uniform(0.5, 2.0)] if random.random() < 0.4 else [],
+        ends_watches=random.random() < 0.4,
+        reports=random.choice(tuple(LOAD_REPORTS)),
         cross_zone_cost=random.choice((0.0, 0.05)),
-        disguises=[(at, random.choice(tuple(DISGUISES))) for at in (2.0, 4.0, 6.0) if random.random() < 0.5],
+        unusual_lists=[
+            (at_s, random.choice(tuple(UNUSUAL_LISTS))) for at_s in (2.0, 4.0, 6.0) if random.random() < 0.5
+        ],
     )
 
 
 @dataclass
-class Seen:
-    """What the peers saw."""
+class Observations:
+    """What clients and endpoints observed."""
 
-    arrivals: Counter[str] = field(default_factory=Counter)  # by request id, of the class that runs once
-    late: list[str] = field(default_factory=list)  # sends to endpoints that drain, after the change counts as told
-    lost: list[str] = field(default_factory=list)
+    arrivals: Counter[str] = field(default_factory=Counter)  # by request id, at-most-once class only
+    late_sends: list[str] = field(default_factory=list)  # sends to draining endpoints after the change counts as known
+    lost_requests: list[str] = field(default_factory=list)
     answered: int = 0
     sent: int = 0
-    cut: int = 0  # connections whose end crossed a request
+    crossed: int = 0  # connections whose close crossed a request
 
 
 def settings(plan: Plan) -> dict[str, Any]:
@@ -128,16 +131,16 @@
 
 
 class Endpoints:
-    """Servers behind the names of the list; each knows since when its names drain."""
+    """Servers behind the names of the endpoint list; records since when each server drains."""
 
-    def __init__(self, seen: Seen, random: Random, reports: tuple[bytes, ...]) -> None:
+    def __init__(self, observed: Observations, random: Random, reports: tuple[bytes, ...]) -> None:
         self._reports = reports
         self.entries: list[dict[str, Any]] = []
-        self._seen, self._random = seen, random
+        self._observed, self._random = observed, random
         self._servers: list[asyncio.Server] = []
-        self._drained = dict[int, float]()
+        self._drained_at = dict[int, float]()
 
-    async def begin(self, count: int, names: int) -> None:
+    async def start(self, count: int, names: int) -> None:
         for number in range(count):
 
             async def handle(reader: Reader, writer: Writer, number: int = number) -> None:
@@ -157,8 +160,8 @@
             )
 
     def drain(self, number: int) -> list[str]:
-        """The names that begin to drain now."""
-        self._drained[number] = monotonic()
+        """Marks a server as draining and returns its names in the list."""
+        self._drained_at[number] = monotonic()
         return [entry["name"] for entry in self.entries[number :: len(self._servers)]]
 
     async def _serve(self, number: int, reader: Reader, writer: Writer) -> None:
@@ -167,11 +170,11 @@
             parser.feed(data)
             while (request := parser.take()) is not None:
                 name = request.fields[b"x-call-id"].decode()
-                drained = self._drained.get(number)
-                if drained is not None and monotonic() > drained + TOLD_S + GRACE_S:
-                    self._seen.late.append(f"{name} {monotonic() - drained:.2f} s after the drain")
+                drained_at = self._drained_at.get(number)
+                if drained_at is not None and monotonic() > drained_at + PROPAGATION_S + DRAIN_GRACE_S:
+                    self._observed.late_sends.append(f"{name} {monotonic() - drained_at:.2f} s after the drain")
                 if request.fields[b"x-call-class"] == b"once":
-                    self._seen.arrivals[name] += 1
+                    self._observed.arrivals[name] += 1
                 await asyncio.sleep(self._random.choice((0.002, 0.01, 0.05)))
                 report = self._random.choice(self._reports)
                 headers = [(b"X-Load-Report", report)] if report else []
@@ -184,164 +187,167 @@
 
 
 class Client:
-    """One connection at a time to one process, a request at a time; opens another one when it is closed."""
+    """Sends requests to one process, one at a time on one connection, and reconnects when it is closed."""
 
-    def __init__(self, name: str, port: int, deadline_s: float, seen: Seen) -> None:
-        self.opens = True  # once its process is told to leave it sends on what is open only
-        self._name, self._port, self._deadline_s, self._seen = name, port, deadline_s, seen
+    def __init__(self, name: str, port: int, deadline_s: float, observed: Observations) -> None:
+        self.may_connect = True  # False once its process is shutting down: only the open connection is used
+        self._name, self._port, self._deadline_s, self._observed = name, port, deadline_s, observed
 
-    async def run(self, until: asyncio.Event) -> None:
+    async def run(self, stop: asyncio.Event) -> None:
         count, streams = 0, None
-        while not until.is_set():
+        while not stop.is_set():
             if streams is None:
-                if not self.opens:
+                if not self.may_connect:
                     return
                 with contextlib.suppress(OSError):
                     streams = await asyncio.open_connection("127.0.0.1", self._port)
             if streams is not None:
                 count += 1
-                streams = await self._call(f"{self._name}-{count}", *streams)
-            await asyncio.sleep(CALL_GAP_S)
+                streams = await self._send_request(f"{self._name}-{count}", *streams)
+            await asyncio.sleep(REQUEST_INTERVAL_S)
 
-    async def _call(self, name: str, reader: Reader, writer: Writer) -> tuple[Reader, Writer] | None:
-        kind = b"once" if int(name.rpartition("-")[2]) % 3 == 0 else b"look"
-        method = b"POST" if kind == b"once" else b"GET"
+    async def _send_request(self, name: str, reader: Reader, writer: Writer) -> tuple[Reader, Writer] | None:
+        traffic_class = b"once" if int(name.rpartition("-")[2]) % 3 == 0 else b"look"
+        method = b"POST" if traffic_class == b"once" else b"GET"
         headers = [
             (b"Host", b"s"),
             (b"X-Call-Id", name.encode()),
-            (b"X-Call-Class", kind),
+            (b"X-Call-Class", traffic_class),
             (b"X-Caller", b"acme"),
             (b"X-Budget", b"%dm" % int(1000 * self._deadline_s)),
         ]
-        self._seen.sent += 1
-        began, parser = monotonic(), http1.ResponseParser()
+        self._observed.sent += 1
+        started_at, parser = monotonic(), http1.ResponseParser()
         try:
             writer.write(http1.write_request(method, b"/api", headers))
-            async with asyncio.timeout(self._deadline_s + LATE_S):
-                while (answer := parser.take()) is None:
+            async with asyncio.timeout(self._deadline_s + LATE_RESPONSE_S):
+                while (response := parser.take()) is None:
                     data = await reader.read(65536)
                     if not data:
                         raise ConnectionResetError
                     parser.feed(data)
         except TimeoutError:
-            self._seen.lost.append(f"{name}: no answer in time")
+            self._observed.lost_requests.append(f"{name}: no answer in time")
             return None
         except OSError:
-            if monotonic() - began > CROSSING_S:
-                self._seen.lost.append(f"{name}: closed after {monotonic() - began:.2f} s")
-            self._seen.cut += 1
+            if monotonic() - started_at > CROSSING_S:
+                self._observed.lost_requests.append(f"{name}: closed after {monotonic() - started_at:.2f} s")
+            self._observed.crossed += 1
             return None
-        if answer.status == 200 and answer.body != name.encode():
-            self._seen.lost.append(f"{name}: served with what was made for {answer.body!r}")
-        if answer.body == b"internal fault\n":
-            self._seen.lost.append(f"{name}: an internal error")
-        self._seen.answered += 1
-        if not answer.keep_alive:
+        if response.status == 200 and response.body != name.encode():
+            self._observed.lost_requests.append(f"{name}: got the response to {response.body!r}")
+        if response.body == b"internal fault\n":
+            self._observed.lost_requests.append(f"{name}: an internal error")
+        self._observed.answered += 1
+        if not response.keep_alive:
             writer.close()
             return None
         return reader, writer
 
 
 class Run:
-    """One seed."""
+    """The run of one seed."""
 
     def __init__(self, seed: int, folder: Path) -> None:
-        self.plan, self.seen = drawn(seed), Seen()
+        self.plan, self.observed = random_plan(seed), Observations()
         self._random = Random(seed + 1)
         self._folder, self._processes = folder, Processes(folder)
-        self._endpoints = Endpoints(self.seen, self._random, REPORTS[self.plan.reports])
+        self._endpoints = Endpoints(self.observed, self._random, LOAD_REPORTS[self.plan.reports])
         self._started: list[tuple[asyncio.subprocess.Process, Path, dict[str, Any]]] = []
-        self._at: Address
+        self._discovery_address: Address
         self._service: DiscoveryService
         self._tasks: list[asyncio.Task[Any]] = []
 
-    async def play(self) -> Seen:
-        plan, done = self.plan, asyncio.Event()
-        await self._endpoints.begin(6, plan.endpoints)
-        self._service = DiscoveryService(self._endpoints.entries, plan.list_s, ends=plan.ends)
-        self._at = await self._service.listen()
+    async def play(self) -> Observations:
+        plan, stop = self.plan, asyncio.Event()
+        await self._endpoints.start(6, plan.endpoints)
+        self._service = DiscoveryService(self._endpoints.entries, plan.list_s, ends_watches=plan.ends_watches)
+        self._discovery_address = await self._service.listen()
         try:
-            clients = await self._begin(done)
-            jobs: list[tuple[float, Callable[[], None]]] = [
-                *((at, self._move) for at in plan.moves),
-                *((at, self._drain) for at in plan.drains),
-                *((at, self._service.silence) for at in plan.silent),
-                *((at, self._service.hang_next) for at in plan.hang),
-                *((at, partial(self._service.disguise, DISGUISES[name])) for at, name in plan.disguises),
-                *((at + DISGUISE_S, self._service.disguise) for at, _ in plan.disguises),
+            clients = await self._start(stop)
+            scheduled_faults: list[tuple[float, Callable[[], None]]] = [
+                *((at_s, self._begin_discovery_move) for at_s in plan.discovery_moves),
+                *((at_s, self._drain) for at_s in plan.drains),
+                *((at_s, self._service.silence_watches) for at_s in plan.silent_watches),
+                *((at_s, self._service.hang_next_request) for at_s in plan.hanging_requests),
+                *(
+                    (at_s, partial(self._service.set_list_filter, UNUSUAL_LISTS[name]))
+                    for at_s, name in plan.unusual_lists
+                ),
+                *((at_s + UNUSUAL_LIST_S, self._service.set_list_filter) for at_s, _ in plan.unusual_lists),
             ]
-            began = monotonic()
-            for at, job in sorted(jobs, key=lambda one: one[0]):
-                await asyncio.sleep(max(began + at - monotonic(), 0.0))
-                job()
-            await asyncio.sleep(max(began + RUN_S - monotonic(), 0.0))
+            started_at = monotonic()
+            for at_s, fault in sorted(scheduled_faults, key=lambda each: each[0]):
+                await asyncio.sleep(max(started_at + at_s - monotonic(), 0.0))
+                fault()
+            await asyncio.sleep(max(started_at + RUN_S - monotonic(), 0.0))
             await self._check_internal_errors()
-            await self._leave(clients)
-            done.set()
+            await self._shut_down_first(clients)
+            stop.set()
             await asyncio.gather(*self._tasks)
         finally:
             for task in self._tasks:
                 task.cancel()
-            await self._processes.end()
+            await self._processes.kill_all()
             self._service.close()
             self._endpoints.close()
-        return self.seen
+        return self.observed
 
-    async def _begin(self, done: asyncio.Event) -> list[Client]:
+    async def _start(self, stop: asyncio.Event) -> list[Client]:
         clients = list[Client]()
         for number in range(self.plan.processes):
             port = free_port()
             raw = {
                 "name": f"n{number}",
                 "listen": f"127.0.0.1:{port}",
-                "discovery": self._at.name,
+                "discovery": self._discovery_address.name,
                 "seed": f"{number + 1:x}",
                 "settings": settings(self.plan),
                 "limits": {"sockets": 256},
                 "known": {"index": 1, "snapshot": True, "endpoints": self._endpoints.entries},
             }
-            process, admin = await self._processes.serve(raw, kept=False)
+            process, admin = await self._processes.serve(raw, keep_folder=False)
             self._started.append((process, self._folder / f"{admin}.json", raw))
-            for one in range(4):
-                clients.append(Client(f"n{number}-c{one}", port, self.plan.deadline_s, self.seen))
-                self._tasks.append(asyncio.create_task(clients[-1].run(done)))
-            if self.plan.crowd:
-                for _ in range(CROWD):
+            for each in range(4):
+                clients.append(Client(f"n{number}-c{each}", port, self.plan.deadline_s, self.observed))
+                self._tasks.append(asyncio.create_task(clients[-1].run(stop)))
+            if self.plan.idle_connections:
+                for _ in range(IDLE_CONNECTIONS):
                     await asyncio.open_connection("127.0.0.1", port)
         return clients
 
     async def _check_internal_errors(self) -> None:
         for process, path, _ in self._started:
             if process.returncode is None:
-                stats = await ask(int(path.stem), b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
+                stats = await send(int(path.stem), b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
                 if b"lb.internal_errors:0|c" not in stats.body:
-                    self.seen.lost.append("a process had internal errors")
+                    self.observed.lost_requests.append("a process had internal errors")
 
-    def _move(self) -> None:
-        self._tasks.append(asyncio.create_task(self._moved()))
+    def _begin_discovery_move(self) -> None:
+        self._tasks.append(asyncio.create_task(self._move_discovery()))
 
-    async def _moved(self) -> None:
-        old, self._at = self._at, await self._service.listen()
+    async def _move_discovery(self) -> None:
+        old, self._discovery_address = self._discovery_address, await self._service.listen()
         for process, path, raw in self._started:
             if process.returncode is not None:
                 continue
             admin = f"127.0.0.1:{path.stem}"
-            path.write_text(json.dumps({**raw, "discovery": self._at.name, "admin_addr": admin}))
+            path.write_text(json.dumps({**raw, "discovery": self._discovery_address.name, "admin_addr": admin}))
             process.send_signal(signal.SIGHUP)
         await self._service.retire(old)
 
     def _drain(self) -> None:
-        number = self._random.randrange(3)  # the other three stay
-        self._service.change(*self._endpoints.drain(number))
+        server_index = self._random.randrange(3)  # the other three servers stay
+        self._service.set_status(*self._endpoints.drain(server_index))
 
-    async def _leave(self, clients: list[Client]) -> None:
-        """The first process is told to leave, twice or once, and killed at the earliest moment."""
+    async def _shut_down_first(self, clients: list[Client]) -> None:
+        """Sends the first process SIGTERM, once or twice, and kills it at the earliest moment allowed."""
         process = self._started[0][0]
         for client in clients[:4]:
-            client.opens = False
-        for number, (one, _, _) in enumerate(self._started):
-            if one.returncode is not None:
-                self.seen.lost.append(f"process {number} ended with {one.returncode} before it was told to")
+            client.may_connect = False
+        for number, (each, _, _) in enumerate(self._started):
+            if each.returncode is not None:
+                self.observed.lost_requests.append(f"process {number} exited with {each.returncode} before SIGTERM")
         if process.returncode is not None:
             return
         process.send_signal(signal.SIGTERM)
@@ -349,16 +355,20 @@
             await asyncio.sleep(0.05)
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGTERM)
-        kill_at = monotonic() + min(self.plan.deadline_s, 3.0) + KILL_S
+        kill_at = monotonic() + min(self.plan.deadline_s, 3.0) + KILL_DELAY_S
         while monotonic() < kill_at and process.returncode is None:
             await asyncio.sleep(0.01)
         if process.returncode is None:
             process.kill()
         elif process.returncode:
-            self.seen.lost.append(f"the process ended with {process.returncode}")
+            self.observed.lost_requests.append(f"the process exited with {process.returncode}")
 
 
-def faults(seen: Seen) -> list[str]:
-    """What broke a rule; nothing, if all is well."""
-    twice = [f"{name}: ran {count} times" for name, count in seen.arrivals.items() if count > 1]
-    return [*(f"late: {one}" for one in seen.late), *(f"lost: {one}" for one in seen.lost), *twice]
+def violations(observed: Observations) -> list[str]:
+    """Descriptions of all broken rules; empty if none was broken."""
+    twice = [f"{name}: ran {count} times" for name, count in observed.arrivals.items() if count > 1]
+    return [
+        *(f"late: {each}" for each in observed.late_sends),
+        *(f"lost: {each}" for each in observed.lost_requests),
+        *twice,
+    ]
--- a/tests/lab/test_emulate_days.py
+++ b/tests/lab/test_emulate_days.py
@@ -18,7 +18,7 @@
 from limenotch.lab.emulate.host import Rehearsal, TooLargeError, rehearse
 from limenotch.lab.emulate.sidecars import SidecarError, SidecarProcess
 
-from ..helpers.processes import begun, finished
+from ..helpers.processes import run_command, running_module
 from .test_emulate import ONE, plan
 
 
@@ -75,14 +75,16 @@
 def test_ctrl_c_ends_everything(tmp_path: Path) -> None:
     path = tmp_path / "one.toml"
     path.write_text(ONE.replace("length_s = 2", "length_s = 600"))
-    with begun("limenotch", "lab", "emulate", str(path), env={**os.environ, "TMPDIR": str(tmp_path)}) as process:
+    with running_module(
+        "limenotch", "lab", "emulate", str(path), env={**os.environ, "TMPDIR": str(tmp_path)}
+    ) as process:
         assert process.stdout is not None
         lines = []
         while (line := process.stdout.readline().strip()) != "ready":
             lines.append(line)
         port = int(lines[0].rpartition(":")[2])
         assert len(lines) == 4
-        done = finished(
+        done = run_command(
             [
                 sys.executable,
                 "-m",
--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -9,8 +9,8 @@
 
 from limenotch.net.client_listener import ClientListener
 
-from .helpers.connections import UP, Connections, received, until, with_connections
-from .helpers.http_peers import LOOK, SETTINGS, answering, ask, whole
+from .helpers.connections import UP, Connections, read_from, wait_until, with_connections
+from .helpers.http_peers import LOOK, SETTINGS, reply, replying, send
 from .helpers.processes import run, with_sidecar
 from .test_client_endings import PATIENT
 
@@ -21,9 +21,9 @@
             sock = socket.create_connection(("127.0.0.1", port))
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             sock.close()
-        assert (await ask(port, LOOK)).status == 200
+        assert (await send(port, LOOK)).status == 200
 
-    run(with_sidecar(answering(whole(200))[0], use))
+    run(with_sidecar(replying(reply(200))[0], use))
 
 
 def test_one_aborted_in_the_queue_costs_those_behind_it_nothing() -> None:
@@ -38,7 +38,7 @@
             return super().accept()
 
     async def use(connections: Connections) -> None:
-        all_: ClientListener = connections.all
+        all_: ClientListener = connections.listener
         all_._stop_listening()
         queue = Aborting()
         queue.bind(("127.0.0.1", 0))
@@ -52,7 +52,7 @@
         all_._accept_all()
         all_._stop_listening()
         for sock in clients:
-            assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 503 ")  # no listener: not ready
+            assert (await read_from(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 503 ")  # no listener: not ready
             sock.close()
 
     run(with_connections(use, PATIENT))
@@ -70,21 +70,21 @@
             return super().accept()
 
     async def use(connections: Connections) -> None:
-        connections.all._stop_listening()
+        connections.listener._stop_listening()
         queue = Full()
         queue.bind(("127.0.0.1", 0))
         queue.listen(8)
         queue.setblocking(False)
-        connections.all.listen(("127.0.0.1", 0), queue)
+        connections.listener.listen(("127.0.0.1", 0), queue)
         sock = socket.create_connection(queue.getsockname())
         sock.settimeout(20.0)
         sock.sendall(UP)
-        await until(lambda: queue.tries > 0)
+        await wait_until(lambda: queue.tries > 0)
         for _ in range(20):
             await asyncio.sleep(0)
         assert queue.tries < 10  # in so many turns, each of which used to try
         queue.full = False
-        assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
+        assert (await read_from(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
     run(with_connections(use, PATIENT))
@@ -96,10 +96,10 @@
     classes = [{**SETTINGS["classes"][0], "name": "lekérdezés"}]  # type: ignore[index]
     named = {**SETTINGS, "classes": classes, "tenants": [{"name": "Órarend", "quota_per_s": 100.0}]}
     request = LOOK.replace(b"look", "lekérdezés".encode(encoding)).replace(b"acme", "Órarend".encode(encoding))
-    handler, seen = answering(whole(200))
+    handler, seen = replying(reply(200))
 
     async def use(port: int) -> None:
-        assert (await ask(port, request)).status == 200
+        assert (await send(port, request)).status == 200
 
-    run(with_sidecar(handler, use, more={"settings": named}))
+    run(with_sidecar(handler, use, extra={"settings": named}))
     assert len(seen) == 1
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -32,7 +32,7 @@
 from limenotch.net.sockets import MAX_OPERATOR_CONNECTIONS as MOST
 from limenotch.operator_ejections import FILE_SUFFIX, LOCK_SUFFIX, OperatorEjections, decode, encode
 
-from .helpers.http_peers import DELIVER, GET_HEALTH, LOOK, answering, ask, renamed, whole
+from .helpers.http_peers import DELIVER, GET_HEALTH, LOOK, reply, replying, send, with_new_id
 from .helpers.processes import free_port, run, with_sidecar
 
 GET_STATS = b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n"
@@ -55,7 +55,7 @@
 
 async def conserved(admin: int) -> dict[str, tuple[float, str]]:
     """The figures, which must add up at every step."""
-    figures = figures_of(await ask(admin, GET_STATS))
+    figures = figures_of(await send(admin, GET_STATS))
     ends = sum(v for n, (v, _) in figures.items() if n.endswith((".answered", ".deferred", ".errored", ".departed")))
     assert figures["lb.taken"][0] == ends + figures["lb.current"][0]
     return figures
@@ -65,7 +65,7 @@
 
 
 def play(answers: list[bytes], use: Use, folder: Path | None = None, port: int = 0) -> list[http1.Message]:
-    handler, seen = answering(*answers)
+    handler, seen = replying(*answers)
     admin = free_port()
     environ = {"TMPDIR": str(folder)} if folder is not None else {}
     port = port or free_port()
@@ -73,7 +73,7 @@
     async def both(port: int) -> None:
         await use(port, admin)
 
-    run(with_sidecar(handler, both, more={"admin_addr": f"127.0.0.1:{admin}"}, port=port, environ=environ))
+    run(with_sidecar(handler, both, extra={"admin_addr": f"127.0.0.1:{admin}"}, port=port, environ=environ))
     return seen
 
 
@@ -90,17 +90,17 @@
             (post("", "maint"), 404),
             (GET_HEALTH.replace(b"GET", b"HTTP"), 405),
         ]:
-            answer = await ask(admin, wire)
+            answer = await send(admin, wire)
             assert (answer.status, answer.keep_alive) == (status, False), wire
         for wire, allow in [
             (GET_STATS.replace(b"GET", b"POST"), b"GET"),
             (post("a", "maint").replace(b"POST", b"GET"), b"POST"),
         ]:
-            answer = await ask(admin, wire)
+            answer = await send(admin, wire)
             assert (answer.status, answer.fields[b"allow"]) == (405, allow)
-        assert (await ask(port, GET_STATS)).status == 400  # consumers get none of this
+        assert (await send(port, GET_STATS)).status == 400  # consumers get none of this
 
-    play([whole(200)], use)
+    play([reply(200)], use)
 
 
 def test_silent_callers_keep_nobody_out() -> None:
@@ -110,28 +110,28 @@
         for _, writer in silent:
             writer.write(b"GET /hea")
         for _ in range(3):
-            assert (await ask(admin, GET_HEALTH)).status == 200
+            assert (await send(admin, GET_HEALTH)).status == 200
         assert [await reader.read() for reader, _ in silent[:MOST]] == [b""] * MOST
         for _, writer in silent:
             writer.close()
 
-    play([whole(200)], use)
+    play([reply(200)], use)
 
 
 def test_a_slow_caller_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("limenotch.net.admin.server.REQUEST_TIMEOUT_S", 0.1)
 
     async def use(port: int, admin: int) -> None:
-        assert (await ask(admin, b"GET /healthch")).status == 408
+        assert (await send(admin, b"GET /healthch")).status == 408
 
-    play([whole(200)], use)
+    play([reply(200)], use)
 
 
 def test_figures_say_what_peers_saw() -> None:
     async def use(port: int, admin: int) -> None:
-        assert (await ask(port, LOOK)).status == 200
-        assert (await ask(port, renamed(DELIVER))).status == 502  # tried twice
-        assert (await ask(port, renamed(LOOK))).status == 503  # likewise, and harmless to repeat
+        assert (await send(port, LOOK)).status == 200
+        assert (await send(port, with_new_id(DELIVER))).status == 502  # tried twice
+        assert (await send(port, with_new_id(LOOK))).status == 503  # likewise, and harmless to repeat
         figures = await conserved(admin)
         for name, value in {
             "look.answered": 1,
@@ -146,7 +146,7 @@
             assert figures["lb." + name] == (value, "g"), name
         assert figures["lb.sends"] == (5, "c")
 
-    play([whole(200), whole(500)], use)
+    play([reply(200), reply(500)], use)
 
 
 def test_a_call_under_way_is_current_and_one_whose_consumer_goes_departs() -> None:
@@ -171,7 +171,7 @@
             while (await conserved(admin))["lb.transactions.look.departed"][0] < 1:
                 pass
 
-        await with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"})
+        await with_sidecar(handler, use, extra={"admin_addr": f"127.0.0.1:{admin}"})
 
     run(case())
 
@@ -186,17 +186,17 @@
 def test_banned_providers_get_nothing_and_serve_again(tmp_path: Path) -> None:
     async def use(port: int, admin: int) -> None:
         for _ in range(2):  # repeated calls change nothing
-            assert (await ask(admin, post("a", "maint"))).status == 200
-        assert (await ask(admin, post("b", "maint"))).status == 200  # all of them
+            assert (await send(admin, post("a", "maint"))).status == 200
+        assert (await send(admin, post("b", "maint"))).status == 200  # all of them
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (2, "g")
         budget = LOOK.replace(b"20000m", b"100m")
-        assert (await ask(port, budget)).status in (502, 503, 504)
+        assert (await send(port, budget)).status in (502, 503, 504)
         assert decode(file_of(tmp_path, port).read_bytes())[0] == {"a", "b"}
-        assert (await ask(admin, post("a", "ready"))).status == 200
+        assert (await send(admin, post("a", "ready"))).status == 200
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (1, "g")
-        assert (await ask(port, LOOK)).status == 200
+        assert (await send(port, LOOK)).status == 200
 
-    assert len(play([whole(200)], use, tmp_path)) == 1
+    assert len(play([reply(200)], use, tmp_path)) == 1
 
 
 def test_bans_outlive_the_process_and_a_full_folder_refuses_none(tmp_path: Path) -> None:
@@ -207,12 +207,12 @@
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (2, "g")
         file_of(tmp_path, port).unlink()
         tmp_path.rename(tmp_path.with_name("elsewhere"))  # nothing can be written from now on
-        answer = await ask(admin, post("gone", "ready"))  # not listed, but out
+        answer = await send(admin, post("gone", "ready"))  # not listed, but out
         assert answer.status == 200 and b"not kept" in answer.body
-        assert (await ask(admin, post("a", "ready"))).status == 200
+        assert (await send(admin, post("a", "ready"))).status == 200
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (1, "g")
 
-    play([whole(200)], use, tmp_path, own)
+    play([reply(200)], use, tmp_path, own)
 
 
 Told = tuple[str, bool, float]
--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -24,11 +24,11 @@
 from limenotch.request_policy import RequestPolicy
 from limenotch.settings import EndpointSettings
 
-from .helpers.http_peers import SETTINGS, Reader, Writer, whole
+from .helpers.http_peers import SETTINGS, Reader, Writer, reply
 from .helpers.processes import run
 from .test_sidecar import Heard, unlimited
 
-REJECTED = whole(503, (b"X-Rejected", b"1"))
+REJECTED = reply(503, (b"X-Rejected", b"1"))
 AT_MOST_ONCE = TrafficClass("c", Effect.AT_MOST_ONCE, 9000.0, 20_000.0)
 DEDUPLICATED = TrafficClass(
     "c", Effect.DEDUPLICATED, 9000.0, 20_000.0, dedup_scope=DedupScope.ALL, dedup_window_ms=9000.0
@@ -69,7 +69,7 @@
     async def start(self) -> None:
         async def handler(reader: Reader, writer: Writer) -> None:
             self.received.put_nowait(await reader.read(1))
-            writer.write(whole(200))
+            writer.write(reply(200))
             await reader.read()  # the connection stays open until the other side closes it
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
@@ -253,7 +253,7 @@
             [DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True
         )
         pool.pool.start(make_attempt(make_request(AT_MOST_ONCE)))
-        (first := await requests.get()).write(whole(200))
+        (first := await requests.get()).write(reply(200))
         assert await pool.request_manager.endings.get() is AttemptEnding.SERVED
         pool.pool.start(make_attempt(make_request(AT_MOST_ONCE)))
         second = await requests.get()
@@ -261,7 +261,7 @@
         if second is not first:
             first.write(REJECTED)
             await first.wait_closed()  # an unexpected response closes the connection
-        second.write(whole(200))
+        second.write(reply(200))
         assert await pool.request_manager.endings.get() is AttemptEnding.SERVED and pool.request_manager.endings.empty()
 
     run(case())
--- a/tests/test_attempt_endings.py
+++ b/tests/test_attempt_endings.py
@@ -9,7 +9,7 @@
 
 from limenotch.net import http1
 
-from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, answer_from, whole
+from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, read_response, reply
 from .helpers.processes import run, with_sidecar
 from .test_attempt_crossings import UNSAFE, Act, reset_connection, settings_with
 
@@ -90,10 +90,10 @@
     async def use(port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(request)
-        assert (await answer_from(reader, http1.ResponseParser())).status == status
+        assert (await read_response(reader, http1.ResponseParser())).status == status
         writer.close()
 
-    run(with_sidecar(handler, use, more=settings))
+    run(with_sidecar(handler, use, extra=settings))
     assert seen == runs
 
 
@@ -106,15 +106,15 @@
         nonlocal seen
         await whole_request(reader)
         seen += 1
-        writer.write(whole(200))
+        writer.write(reply(200))
         writer.close()
 
     async def use(port: int) -> None:
         for expected in (200, status):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(GROUPS[group][1])
-            assert (await answer_from(reader, http1.ResponseParser())).status == expected
+            assert (await read_response(reader, http1.ResponseParser())).status == expected
             writer.close()
 
-    run(with_sidecar(handler, use, more=GROUPS[group][0]))
+    run(with_sidecar(handler, use, extra=GROUPS[group][0]))
     assert seen == (1 if group == "once" else 2)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -14,8 +14,8 @@
 from limenotch.net.pipe import MAX_BUFFERED_BODY_BYTES
 from limenotch.net.read_ahead import MAX_READ_AHEAD_BYTES
 
-from .helpers.connections import Connections, until, with_connections
-from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, answer_from, answering, ask, whole
+from .helpers.connections import Connections, wait_until, with_connections
+from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, read_response, reply, replying, send
 from .helpers.processes import free_port, run, with_sidecar
 from .test_admin_server import conserved
 
@@ -118,7 +118,7 @@
 @MORE
 def test_gone_while_its_call_waits_for_the_first_attempt(more: bytes) -> None:
     async def case() -> None:
-        handler, seen = answering(whole(200))
+        handler, seen = replying(reply(200))
         endpoint = await asyncio.start_server(handler, "127.0.0.1", 0)
         releasing, admin = Releasing(), free_port()
         releasing.address = "127.0.0.1:%d" % endpoint.sockets[0].getsockname()[1]  # noqa: UP031
@@ -135,13 +135,13 @@
             writer.write(LOOK + more)
             await soon(sent(writer))
             writer.close()
-            staying = asyncio.create_task(ask(port, LOOK.replace(b"Id: 1", b"Id: 7")))
+            staying = asyncio.create_task(send(port, LOOK.replace(b"Id: 1", b"Id: 7")))
             await soon(departed(admin))
             releasing.release.set()
             assert (await staying).status == 200
             assert [request.fields[b"x-call-id"] for request in seen] == [b"7"]
 
-        await with_sidecar(handler, use, more=config)
+        await with_sidecar(handler, use, extra=config)
         discovery.close()
         endpoint.close()
 
@@ -160,9 +160,9 @@
             ids.put_nowait(request)
             if b"Id: 1\r\n" in request:
                 await fail.wait()
-                writer.write(whole(500))
+                writer.write(reply(500))
             else:
-                writer.write(whole(200))
+                writer.write(reply(200))
             await reader.read()
             writer.close()
 
@@ -174,7 +174,7 @@
             await soon(sent(writer))
             writer.transport.get_extra_info("socket").shutdown(1)  # its end lies in the sidecar's kernel from here on
             fail.set()
-            assert (await ask(port, LOOK.replace(b"Id: 1", b"Id: 7"))).status == 200
+            assert (await send(port, LOOK.replace(b"Id: 1", b"Id: 7"))).status == 200
             assert b"Id: 7\r\n" in await ids.get() and ids.empty()
             writer.close()
 
@@ -188,8 +188,8 @@
         sock, _ = await connections.client()
         sock.sendall(LOOK)
         sock.close()
-        await until(lambda: not connections.all._open)
-        assert connections.taken() == 0
+        await wait_until(lambda: not connections.listener._open)
+        assert connections.accepted_requests() == 0
 
     run(with_connections(use))
 
@@ -200,8 +200,8 @@
         sock, _ = await connections.client()
         await asyncio.to_thread(sock.sendall, part)
         sock.close()
-        await until(lambda: not connections.all._open)
-        assert not connections.calls.open and connections.budget.used == 0
+        await wait_until(lambda: not connections.listener._open)
+        assert not connections.request_manager.open and connections.budget.used == 0
 
     run(with_connections(use))
 
@@ -211,8 +211,8 @@
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(LOOK)
-        await until(lambda: bool(connections.calls.open))
-        (call,) = connections.calls.open.values()
+        await wait_until(lambda: bool(connections.request_manager.open))
+        (call,) = connections.request_manager.open.values()
         seen: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         await asyncio.sleep(0)
         sock.close()
@@ -227,17 +227,17 @@
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         await asyncio.to_thread(sock.sendall, LONG)
-        await until(lambda: connections.budget.used > 0)
+        await wait_until(lambda: connections.budget.used > 0)
         sock.close()
-        await until(lambda: not connections.all._open)
-        await until(lambda: connections.budget.used == 0)
-        assert not connections.calls.open
+        await wait_until(lambda: not connections.listener._open)
+        await wait_until(lambda: connections.budget.used == 0)
+        assert not connections.request_manager.open
 
     run(with_connections(use))
 
 
 def test_requests_sent_ahead_are_served_in_order() -> None:
-    handler, _ = answering(whole(200))
+    handler, _ = replying(reply(200))
 
     async def use(port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -245,7 +245,7 @@
         writer.write(b"".join(wires))
         parser = http1.ResponseParser()
         for _ in wires:
-            answer = await answer_from(reader, parser)
+            answer = await read_response(reader, parser)
             assert (answer.status, answer.keep_alive) == (200, True)
         writer.close()
 
@@ -260,7 +260,7 @@
             await reader.readuntil(b"\r\n\r\n")
             arrived.set()
             await release.wait()
-            writer.write(whole(200))
+            writer.write(reply(200))
 
         async def use(port: int) -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -283,12 +283,12 @@
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         sock.sendall(LOOK)
-        await until(lambda: connections.taken() == 1)
-        (call,) = connections.calls.open.values()
+        await wait_until(lambda: connections.accepted_requests() == 1)
+        (call,) = connections.request_manager.open.values()
         assert call.client_connected()
         sock.close()  # in the kernel at once; this loop has not turned since
         assert not call.client_connected() and not call.client_has_disconnected
-        await until(lambda: call.client_has_disconnected)
+        await wait_until(lambda: call.client_has_disconnected)
         assert not call.client_connected()
 
     run(with_connections(use))
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -14,8 +14,8 @@
 from limenotch.net.pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe
 from limenotch.settings import ClientSettings as Tuning
 
-from .helpers.connections import UP, Connections, received, until, with_connections
-from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, ask
+from .helpers.connections import UP, Connections, read_from, wait_until, with_connections
+from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, send
 from .helpers.processes import run, with_sidecar
 
 PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only the test ends anything
@@ -29,7 +29,7 @@
 
 
 def eviction(connections: Connections, consumer: ClientConnection) -> None:
-    connections.all._drop_idle()
+    connections.listener._drop_idle()
 
 
 def leaving(connections: Connections, consumer: ClientConnection) -> None:
@@ -58,12 +58,12 @@
         sock, consumer = await connections.client()
         if used:
             sock.sendall(UP)
-            await received(sock, b"\r\n\r\n")
-            await until(lambda: consumer in connections.all._idle)
+            await read_from(sock, b"\r\n\r\n")
+            await wait_until(lambda: consumer in connections.listener._idle)
         sock.sendall(UP)
         where(consumer)
         end(connections, consumer)
-        assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
+        assert (await read_from(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
     run(with_connections(use, PATIENT))
@@ -77,10 +77,10 @@
         sock, consumer = await connections.client()
         end(connections, consumer)
         sock.sendall(LOOK * 100)
-        assert await received(sock) == b""  # neither an answer nor a reset
+        assert await read_from(sock) == b""  # neither an answer nor a reset
         sock.close()
-        await until(lambda: not connections.all._open)
-        assert connections.taken() == 0 and connections.sockets.clients.used == 0
+        await wait_until(lambda: not connections.listener._open)
+        assert connections.accepted_requests() == 0 and connections.sockets.clients.used == 0
 
     run(with_connections(use, PATIENT))
 
@@ -103,11 +103,11 @@
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(part)
-        await until(lambda: not consumer._parser.idle and consumer._timer is not None)
+        await wait_until(lambda: not consumer._parser.idle and consumer._timer is not None)
         sock.sendall(crossing)
         consumer._handle_timeout()
         sock.sendall(behind)
-        answer = await received(sock)
+        answer = await read_from(sock)
         sock.close()
         assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
 
@@ -121,10 +121,10 @@
         wire = with_body if late == b"c" else UP
         sock, consumer = await connections.client()
         sock.sendall(wire[: -len(late)])
-        await until(lambda: not consumer._parser.idle and consumer.reader.empty)
+        await wait_until(lambda: not consumer._parser.idle and consumer.reader.empty)
         sock.sendall(late)
         consumer._handle_timeout()
-        assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
+        assert (await read_from(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
     run(with_connections(use, PATIENT))
@@ -151,10 +151,10 @@
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(wire + UP * 3000)  # more than one read
-        answer = await received(sock)  # a reset would raise
+        answer = await read_from(sock)  # a reset would raise
         assert answer.startswith(b"HTTP/1.1 %d " % status) and answer.count(b"HTTP/1.") == 1
         sock.close()
-        await until(lambda: not connections.all._open)
+        await wait_until(lambda: not connections.listener._open)
 
     run(with_connections(use, PATIENT))
 
@@ -167,7 +167,7 @@
     async def use(connections: Connections) -> None:
         silent, _ = await connections.client()
         silent.sendall(UP.replace(b"\r\n\r\n", CLOSING))
-        await received(silent)
+        await read_from(silent)
         while connections.sockets.clients.used:
             await asyncio.sleep(0.01)
         silent.close()
@@ -179,18 +179,18 @@
     async def use(connections: Connections) -> None:
         working, work = await connections.client()
         working.sendall(UP)
-        await received(working, b"\r\n\r\n")
+        await read_from(working, b"\r\n\r\n")
         silent, never = await connections.client()
         lingering, gone = await connections.client()
         lingering.sendall(UP.replace(b"\r\n\r\n", CLOSING))
-        await received(lingering)
-        await until(lambda: work in connections.all._idle)
+        await read_from(lingering)
+        await wait_until(lambda: work in connections.listener._idle)
         order: list[ClientConnection] = []
         for _ in range(3):
-            before = set(connections.all._open)
-            assert connections.all._drop_idle()
-            order += before - set(connections.all._open)
-        assert order == [gone, never, work] and not connections.all._drop_idle()
+            before = set(connections.listener._open)
+            assert connections.listener._drop_idle()
+            order += before - set(connections.listener._open)
+        assert order == [gone, never, work] and not connections.listener._drop_idle()
         assert connections.sockets.clients.used == 0
         for sock in (working, silent, lingering):
             sock.close()
@@ -204,15 +204,15 @@
         limit = connections.sockets.clients.limit
         working, work = await connections.client()
         working.sendall(UP)
-        await received(working, b"\r\n\r\n")
-        await until(lambda: work in connections.all._idle)
+        await read_from(working, b"\r\n\r\n")
+        await wait_until(lambda: work in connections.listener._idle)
         idle = []
         for _ in range(3 * limit):
             idle.append((await connections.client())[0])
         assert connections.sockets.clients.used <= limit
         working.sendall(UP)
-        assert (await received(working, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-        assert (await ask(connections.port, UP)).status == 200
+        assert (await read_from(working, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
+        assert (await send(connections.port, UP)).status == 200
         for sock in (working, *idle):
             sock.close()
 
@@ -226,9 +226,9 @@
         sock, consumer = await connections.client()
         head = DELIVER[:-3].replace(b"HTTP/1.1", version).replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n")
         sock.sendall(head)
-        await until(lambda: not consumer._parser.idle and consumer._timer is not None)
+        await wait_until(lambda: not consumer._parser.idle and consumer._timer is not None)
         consumer._handle_timeout()
-        answer = await received(sock)
+        answer = await read_from(sock)
         sock.close()
         assert answer.startswith(http1.CONTINUE + b"HTTP/1.1 408 " if told else b"HTTP/1.1 408 ")
 
@@ -240,11 +240,11 @@
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(LOOK)
-        await until(lambda: bool(connections.calls.open))
+        await wait_until(lambda: bool(connections.request_manager.open))
         assert consumer._final is not None
         consumer._final.set_exception(RuntimeError("a fault"))
-        answer = await received(sock)
-        assert answer.startswith(b"HTTP/1.1 502 ") and not connections.calls.open
+        answer = await read_from(sock)
+        assert answer.startswith(b"HTTP/1.1 502 ") and not connections.request_manager.open
         sock.close()
 
     run(with_connections(use, PATIENT))
@@ -290,9 +290,9 @@
         monkeypatch.setattr(BodyPipe, "put", faulty)
         sock, _ = await connections.client()
         await asyncio.to_thread(sock.sendall, BIG)
-        answer = await received(sock)
+        answer = await read_from(sock)
         assert answer.startswith(b"HTTP/1.1 502 ") and answer.count(b"HTTP/1.") == 1
-        assert not connections.calls.open and connections.budget.used == 0
+        assert not connections.request_manager.open and connections.budget.used == 0
         sock.close()
 
     run(with_connections(use, PATIENT))
@@ -304,8 +304,8 @@
         size = 32 * 1024 * 1024
         consumer.stream.write(bytes(size))
         assert consumer.stream.writing() and not consumer.end_if_idle()
-        got = asyncio.create_task(received(sock))
-        await until(lambda: not consumer.stream.writing(), turns=None)
+        got = asyncio.create_task(read_from(sock))
+        await wait_until(lambda: not consumer.stream.writing(), max_turns=None)
         assert consumer.end_if_idle()
         assert len(await got) == size
         sock.close()
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -16,7 +16,7 @@
 from limenotch.net.discovery.client import DiscoveryClient
 from limenotch.net.endpoint_pool import EndpointPool
 
-from .helpers.discovery_peer import CHUNKED, SILENCE_S, Discovery, Held, case, chunk, listing
+from .helpers.discovery_peer import CHUNKED, SILENCE_S, ScriptedDiscovery, WatchRecorder, chunk, list_document, run_case
 from .helpers.http_peers import Reader, Writer
 from .helpers.processes import run
 from .test_sidecar import Heard, invoker_call, unlimited
@@ -34,9 +34,9 @@
 @pytest.mark.parametrize("listed", [True, False])
 def test_bytes_that_trickle_and_make_no_list_are_silence(rest: bytes | None, listed: bool) -> None:
     # Guards against a watch that every single byte keeps alive while it tells nothing.
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        call.send(CHUNKED, chunk(listing(7, "a")) if listed else b"")
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        call.send(CHUNKED, chunk(list_document(7, "a")) if listed else b"")
         call.send(chunk(rest) if rest is not None else b"1;")
 
         async def trickle() -> None:
@@ -45,33 +45,33 @@
                 await asyncio.sleep(0.01)
 
         trickling = asyncio.create_task(trickle())
-        await held.broken.get()
-        again = await peer.calls.get()
+        await held.broken_watches.get()
+        again = await peer.requests.get()
         assert again.target == b"/discovery/hosts?follow=1" + (b"&since=7" if listed else b"")
         trickling.cancel()
 
-    case(body)
+    run_case(body)
 
 
 @pytest.mark.parametrize("listed", [True, False])
 def test_a_list_that_is_not_understood_is_asked_for_again(listed: bool) -> None:
     # Guards against skipping it: what it told would be missing for as long as the watch lives.
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        call.send(CHUNKED, chunk(listing(7, "a")))
-        assert await held.heard.get() == (["a"], True)
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        call.send(CHUNKED, chunk(list_document(7, "a")))
+        assert await held.lists.get() == (["a"], True)
         if not listed:
             call.writer.close()
-            call = await peer.calls.get()
+            call = await peer.requests.get()
             call.send(CHUNKED)
         call.send(chunk(b'{"index":8,"endpoints":oops}\n'))
-        again = await peer.calls.get()
+        again = await peer.requests.get()
         # By version where that has worked; what fails as a call's first word would fail as the next one's, too.
         assert again.target == b"/discovery/hosts?follow=1" + (b"&since=7" if listed else b"")
-        again.send(CHUNKED, chunk(listing(5, "b")))  # whole and of an older index: it counts
-        assert await held.heard.get() == (["b"], True)
+        again.send(CHUNKED, chunk(list_document(5, "b")))  # whole and of an older index: it counts
+        assert await held.lists.get() == (["b"], True)
 
-    case(body, silence_s=30.0)
+    run_case(body, silence_s=30.0)
 
 
 MANY = [f"endpoint-{number:05}" for number in range(16_000)]  # over 1 MiB as a list
@@ -91,40 +91,40 @@
     ids=["close", "http10", "length", "interim", "bytes", "big chunk", "big length"],
 )
 def test_an_answer_of_any_form_is_a_list(names: list[str], head: bytes, framed: Callable[[bytes], bytes]) -> None:
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        listed = listing(7, *names)
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        listed = list_document(7, *names)
         call.send(head % len(listed) if b"%d" in head else head, framed(listed))
-        assert await held.heard.get() == (names, True)
+        assert await held.lists.get() == (names, True)
         call.writer.close()
-        await held.broken.get()  # its end is told, and the list goes on from there
-        assert (await peer.calls.get()).target.endswith(b"since=7")
+        await held.broken_watches.get()  # its end is told, and the list goes on from there
+        assert (await peer.requests.get()).target.endswith(b"since=7")
 
-    case(body, silence_s=3.0)
+    run_case(body, silence_s=3.0)
 
 
 @pytest.mark.parametrize(
     "answer",
     [
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-        b"HTTP/1.1 500 Oops\r\nContent-Length: 80\r\n\r\n" + listing(9, "x"),  # a list, even, under an error
-        b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(listing(9, "x")),
+        b"HTTP/1.1 500 Oops\r\nContent-Length: 80\r\n\r\n" + list_document(9, "x"),  # a list, even, under an error
+        b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list_document(9, "x")),
         b"nonsense\r\n\r\n",
         b"",
     ],
     ids=["empty", "list", "chunked", "nonsense", "nothing"],
 )
 def test_an_error_with_a_body_tells_nothing_and_is_followed_by_another_call(answer: bytes) -> None:
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
         call.send(answer)
         if not answer:
             call.writer.close()
-        again = await peer.calls.get()
-        assert again.target == b"/discovery/hosts?follow=1" and held.heard.empty()
-        assert held.broken.qsize() == 1
+        again = await peer.requests.get()
+        assert again.target == b"/discovery/hosts?follow=1" and held.lists.empty()
+        assert held.broken_watches.qsize() == 1
 
-    case(body, silence_s=3.0)
+    run_case(body, silence_s=3.0)
 
 
 def test_a_connection_that_never_comes_up_is_given_up_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -160,14 +160,14 @@
     """Discovery was down when it came, say, and has no memory of it."""
     monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
-    async def body(peer: Discovery, held: Held) -> None:
-        first = await peer.calls.get()
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        first = await peer.requests.get()
         first.send(CHUNKED, chunk(b"\n"))  # an empty line is no list
-        (await peer.calls.get()).send(CHUNKED, chunk(listing(1, "a")))
-        assert await held.heard.get() == (["a"], True) and held.broken.qsize() == 1
-        await first.ended()
+        (await peer.requests.get()).send(CHUNKED, chunk(list_document(1, "a")))
+        assert await held.lists.get() == (["a"], True) and held.broken_watches.qsize() == 1
+        await first.wait_closed()
 
-    case(body, silence_s=30.0)
+    run_case(body, silence_s=30.0)
 
 
 def test_a_call_that_was_left_behind_is_followed_if_its_list_comes_before_the_next_call(
@@ -176,63 +176,63 @@
     # Guards a jammed discovery against a call more from each caller that it has just answered.
     monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        await held.broken.get()
-        call.send(CHUNKED, chunk(listing(1, "a")))
-        assert await held.heard.get() == (["a"], True)
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        await held.broken_watches.get()
+        call.send(CHUNKED, chunk(list_document(1, "a")))
+        assert await held.lists.get() == (["a"], True)
         await asyncio.sleep(schedule.MAX_BACKOFFS_S[0] + 0.1)
-        assert peer.calls.empty() and held.directory.position()[1:3] == (1, True)
-        call.send(chunk(listing(2, "b", whole=False)))
-        assert await held.heard.get() == (["b"], False)
+        assert peer.requests.empty() and held.client.position()[1:3] == (1, True)
+        call.send(chunk(list_document(2, "b", complete=False)))
+        assert await held.lists.get() == (["b"], False)
         call.writer.close()  # its end is an end as any other's
-        await held.broken.get()
-        assert (await peer.calls.get()).target == b"/discovery/hosts?follow=1&since=2"
+        await held.broken_watches.get()
+        assert (await peer.requests.get()).target == b"/discovery/hosts?follow=1&since=2"
 
-    case(body, silence_s=3.0)
+    run_case(body, silence_s=3.0)
 
 
 def test_bytes_that_have_come_count_before_a_time_that_is_over() -> None:
     """The process stood still for longer than the silence that ends a watch, and the line was there in time."""
 
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        call.send(CHUNKED, chunk(listing(7, "a")))
-        assert await held.heard.get() == (["a"], True)
-        call.send_now(chunk(listing(8, "b", whole=False)))
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        call.send(CHUNKED, chunk(list_document(7, "a")))
+        assert await held.lists.get() == (["a"], True)
+        call.send_immediately(chunk(list_document(8, "b", complete=False)))
         time.sleep(1.5 * SILENCE_S)
-        assert await held.heard.get() == (["b"], False)
-        assert held.broken.empty()
+        assert await held.lists.get() == (["b"], False)
+        assert held.broken_watches.empty()
 
-    case(body)
+    run_case(body)
 
 
 def test_a_watch_that_ends_at_once_is_no_second_call() -> None:
-    async def body(peer: Discovery, held: Held) -> None:
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
         for index in range(1, 4):
-            call = await peer.calls.get()
-            held.directory.watch()  # the module asks in its own time, too
-            call.send(CHUNKED, chunk(listing(index, "a")), b"0\r\n\r\n")
-            await call.ended()
-            held.directory.watch()
-            assert await held.heard.get() == (["a"], True)
-            assert peer.calls.empty() and held.broken.qsize() == index
+            call = await peer.requests.get()
+            held.client.watch()  # the module asks in its own time, too
+            call.send(CHUNKED, chunk(list_document(index, "a")), b"0\r\n\r\n")
+            await call.wait_closed()
+            held.client.watch()
+            assert await held.lists.get() == (["a"], True)
+            assert peer.requests.empty() and held.broken_watches.qsize() == index
 
-    case(body, silence_s=3.0)
+    run_case(body, silence_s=3.0)
 
 
 def test_who_hears_of_a_failure_and_fails_does_not_end_the_asking() -> None:
     # Guards against a fault in the module's wait: it ended the task that watches, and nobody asked again.
     async def whole() -> None:
-        peer = Discovery()
+        peer = ScriptedDiscovery()
 
         def broken() -> None:
             raise OverflowError
 
-        directory = DiscoveryClient(await peer.begin(), lambda *_: None, broken)
+        directory = DiscoveryClient(await peer.start(), lambda *_: None, broken)
         directory.watch()
-        (await peer.calls.get()).writer.close()
-        await peer.calls.get()
+        (await peer.requests.get()).writer.close()
+        await peer.requests.get()
         directory.close()
 
     run(whole())
--- a/tests/test_drain_at_size.py
+++ b/tests/test_drain_at_size.py
@@ -29,7 +29,7 @@
 from limenotch.config import host_port
 
 from .helpers.discovery_service import Address, DiscoveryService
-from .helpers.http_peers import LOOK, SETTINGS, answering, ask, renamed, whole
+from .helpers.http_peers import LOOK, SETTINGS, reply, replying, send, with_new_id
 from .helpers.processes import Processes, free_port, run
 
 GRACE_S = 0.3  # of a drain, with the slack of real sockets
@@ -37,18 +37,18 @@
 GAPS_S = (0.3, 0.4, 0.9)  # between the configurations of the run that was replayed
 
 
-class Servers:
+class EndpointServers:
     """Endpoint processes, each behind many names of the list; which of them was reached can be told."""
 
-    async def begin(self, count: int, names: int) -> None:
-        self.seen = []
+    async def start(self, count: int, names: int) -> None:
+        self.requests = []
         self.entries: list[dict[str, Any]] = []
         self._servers = []
         for _ in range(count):
-            handler, seen = answering(whole(200))
+            handler, seen = replying(reply(200))
             server = await asyncio.start_server(handler, "127.0.0.1", 0)
             self._servers.append(server)
-            self.seen.append(seen)
+            self.requests.append(seen)
         for number in range(names):
             address = host_port(self._servers[number % count].sockets[0].getsockname())
             self.entries.append({"name": f"s-{number:04x}", "address": address, "zone": "a", "status": "in_service"})
@@ -61,55 +61,57 @@
             server.close()
 
 
-def configuration(port: int, at: Address, entries: list[dict[str, Any]]) -> dict[str, Any]:
+def configuration(port: int, address: Address, entries: list[dict[str, Any]]) -> dict[str, Any]:
     return {
         "name": "n",
         "listen": f"127.0.0.1:{port}",
-        "discovery": at.name,
+        "discovery": address.name,
         "seed": "1f",
         "settings": SETTINGS,
         "known": {"index": 1, "snapshot": True, "endpoints": entries},
     }
 
 
-async def reload(process: asyncio.subprocess.Process, path: Path, raw: dict[str, Any], at: Address) -> None:
+async def reload_configuration(
+    process: asyncio.subprocess.Process, path: Path, raw: dict[str, Any], address: Address
+) -> None:
     """A new configuration, which moves discovery; returns once the new address has been asked."""
-    path.write_text(json.dumps({**raw, "discovery": at.name, "admin_addr": f"127.0.0.1:{path.stem}"}))
+    path.write_text(json.dumps({**raw, "discovery": address.name, "admin_addr": f"127.0.0.1:{path.stem}"}))
     process.send_signal(signal.SIGHUP)
-    while not at.calls:
+    while not address.request_count:
         await asyncio.sleep(0.01)
 
 
-async def until(said: Any) -> None:
+async def wait_until(said: Any) -> None:
     while not said():
         await asyncio.sleep(0.01)
 
 
 def test_a_drain_told_by_the_old_address_counts_while_the_new_one_refuses(tmp_path: Path) -> None:
     async def case() -> None:
-        servers, processes = Servers(), Processes(tmp_path)
-        await servers.begin(2, names=2)
+        servers, processes = EndpointServers(), Processes(tmp_path)
+        await servers.start(2, names=2)
         discovery = DiscoveryService(servers.entries)
-        old, new = await discovery.listen(), await discovery.listen(refuses=True)
+        old, new = await discovery.listen(), await discovery.listen(rejects_all=True)
         port = free_port()
         raw = configuration(port, old, servers.entries)
         try:
             process, admin = await processes.serve(raw)
-            await until(lambda: old.watches)
+            await wait_until(lambda: old.watches)
             retiring = asyncio.create_task(discovery.retire(old))
-            await reload(process, tmp_path / f"{admin}.json", raw, new)
-            discovery.change(*servers.names_of(0))
+            await reload_configuration(process, tmp_path / f"{admin}.json", raw, new)
+            discovery.set_status(*servers.names_of(0))
             await asyncio.sleep(GRACE_S)
-            before = len(servers.seen[0])
+            before = len(servers.requests[0])
             for _ in range(20):
-                assert (await ask(port, renamed(LOOK))).status == 200
-            assert len(servers.seen[0]) == before and len(servers.seen[1]) >= 20
+                assert (await send(port, with_new_id(LOOK))).status == 200
+            assert len(servers.requests[0]) == before and len(servers.requests[1]) >= 20
             await retiring
             for _ in range(20):
-                assert (await ask(port, renamed(LOOK))).status == 200
-            assert len(servers.seen[0]) == before
+                assert (await send(port, with_new_id(LOOK))).status == 200
+            assert len(servers.requests[0]) == before
         finally:
-            await processes.end()
+            await processes.kill_all()
             discovery.close()
             servers.close()
 
@@ -120,8 +122,8 @@
     """Each of six processes is moved four times, as in the run; a list takes discovery 0.3 s."""
 
     async def case() -> None:
-        servers, processes = Servers(), Processes(tmp_path)
-        await servers.begin(2, names=2)
+        servers, processes = EndpointServers(), Processes(tmp_path)
+        await servers.start(2, names=2)
         discovery = DiscoveryService(servers.entries, list_s=0.3)
         addresses = [await discovery.listen() for _ in range(len(GAPS_S) + 2)]
         ports = [free_port() for _ in range(6)]
@@ -131,7 +133,7 @@
                 raw = configuration(port, addresses[0], servers.entries)
                 process, admin = await processes.serve(raw)
                 begun.append((process, tmp_path / f"{admin}.json", raw))
-            await until(lambda: len(addresses[0].watches) == len(ports))
+            await wait_until(lambda: len(addresses[0].watches) == len(ports))
             retired = []
             for gap, (old, new) in zip((*GAPS_S, 0.0), zip(addresses, addresses[1:], strict=False), strict=True):
                 retired.append(asyncio.create_task(discovery.retire(old)))
@@ -139,15 +141,15 @@
                     path.write_text(json.dumps({**raw, "discovery": new.name, "admin_addr": f"127.0.0.1:{path.stem}"}))
                     process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(gap)
-            discovery.change(*servers.names_of(0))
+            discovery.set_status(*servers.names_of(0))
             # What discovery has to tell counts 4 s after a new configuration.
             await asyncio.sleep(4.0 + GRACE_S)
-            before = len(servers.seen[0])
+            before = len(servers.requests[0])
             for port in ports * 10:
-                assert (await ask(port, renamed(LOOK))).status == 200
-            assert len(servers.seen[0]) == before and len(addresses[-1].watches) == len(ports)
+                assert (await send(port, with_new_id(LOOK))).status == 200
+            assert len(servers.requests[0]) == before and len(addresses[-1].watches) == len(ports)
         finally:
-            await processes.end()
+            await processes.kill_all()
             discovery.close()
             servers.close()
 
@@ -158,39 +160,39 @@
     """3,200 endpoints behind eight processes, of which four drain one after another, a line for each endpoint."""
 
     async def case() -> None:
-        servers, processes = Servers(), Processes(tmp_path)
-        await servers.begin(8, names=3200)
+        servers, processes = EndpointServers(), Processes(tmp_path)
+        await servers.start(8, names=3200)
         discovery = DiscoveryService(servers.entries)
-        at, port = await discovery.listen(), free_port()
+        address, port = await discovery.listen(), free_port()
         calls, after_grace = set[asyncio.Task[float]](), list[int]()
 
         async def taking() -> float:
             began = monotonic()
-            assert (await ask(port, renamed(LOOK))).status == 200
+            assert (await send(port, with_new_id(LOOK))).status == 200
             return monotonic() - began
 
         def call() -> None:
             calls.add(asyncio.create_task(taking()))
 
         try:
-            await processes.serve(configuration(port, at, servers.entries))
-            await until(lambda: at.watches)
+            await processes.serve(configuration(port, address, servers.entries))
+            await wait_until(lambda: address.watches)
             for drained in range(4):
                 for count, name in enumerate(servers.names_of(drained)):
-                    discovery.change(name)
+                    discovery.set_status(name)
                     await asyncio.sleep(0.0025)
                     if not count % 10:
                         call()
                 await asyncio.sleep(GRACE_S)
-                after_grace.append(len(servers.seen[drained]))
+                after_grace.append(len(servers.requests[drained]))
                 for _ in range(10):
                     call()
                     await asyncio.sleep(0.02)
             taken = await asyncio.gather(*calls)
-            assert [len(seen) for seen in servers.seen[:4]] == after_grace
+            assert [len(seen) for seen in servers.requests[:4]] == after_grace
             assert max(taken) <= LATE_S  # a process that is busy with its list answers nobody
         finally:
-            await processes.end()
+            await processes.kill_all()
             discovery.close()
             servers.close()
             for task in calls:
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -26,7 +26,7 @@
 from limenotch.internal_errors import MIN_LOG_INTERVAL_S, InternalErrors
 from limenotch.net.request import FinalResponse, Request, Verdict
 
-from .helpers.http_peers import LOOK, answering, ask, renamed, whole
+from .helpers.http_peers import LOOK, reply, replying, send, with_new_id
 from .helpers.processes import free_port, run, with_sidecar
 from .helpers.scripted import ScriptedLoadBalancer, make_request_manager
 
@@ -230,14 +230,14 @@
 
 
 def test_clients_get_responses_and_operators_see_the_count(monkeypatch: pytest.MonkeyPatch) -> None:
-    handler, _ = answering(whole(200))
+    handler, _ = replying(reply(200))
     admin = free_port()
     monkeypatch.setattr(balancer, "choose_endpoints", failing(endpoint_selection.choose_endpoints))
 
     async def use(port: int) -> None:
-        statuses = [(await ask(port, renamed(LOOK))).status for _ in range(3 * FAILURE_INTERVAL)]
+        statuses = [(await send(port, with_new_id(LOOK))).status for _ in range(3 * FAILURE_INTERVAL)]
         assert statuses == [200, 200, 503] * 3
-        stats = await ask(admin, b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
+        stats = await send(admin, b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
         assert b"lb.internal_errors:3|c\n" in stats.body
 
-    run(with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"}))
+    run(with_sidecar(handler, use, extra={"admin_addr": f"127.0.0.1:{admin}"}))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 from limenotch.settings import Settings
 from limenotch.settings_file import effective, load_settings, parse
 
-from .helpers.processes import printed_by
+from .helpers.processes import output_of
 
 SHIPPED = Path(__file__).parent.parent / "deploy" / "limenotch.toml"
 
@@ -98,4 +98,4 @@
         "'jinja2') or m.startswith('limenotch.lab')])"
     )
     # structlog looks for rich by itself where it is installed; the platform's own installation has none.
-    assert [m for m in eval(printed_by(code)) if not m.startswith(("rich", "pygments"))] == []
+    assert [m for m in eval(output_of(code)) if not m.startswith(("rich", "pygments"))] == []
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -22,8 +22,8 @@
 from limenotch.settings import ClientSettings as Tuning
 from limenotch.settings import Settings
 
-from .helpers.connections import UP, Connections, received, until, with_connections
-from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
+from .helpers.connections import UP, Connections, read_from, wait_until, with_connections
+from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, read_response, reply, replying, send
 from .helpers.processes import run, with_sidecar
 
 PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only leaving ends anything
@@ -82,7 +82,7 @@
                     hanging.set()
                     await reader.read()
                     break
-                writer.write(whole(200))
+                writer.write(reply(200))
             writer.close()
 
         async def sends_on(port: int) -> int:
@@ -97,7 +97,7 @@
                     assert not any(b"Id: s%d\r\n" % number in request for request in seen)
                     break
                 parser.feed(data)
-                keep = (await answer_from(reader, parser)).keep_alive  # fails where it does not come whole
+                keep = (await read_response(reader, parser)).keep_alive  # fails where it does not come whole
             assert await reader.read() == b""
             writer.close()
             return number
@@ -107,7 +107,7 @@
             staying = await asyncio.open_connection("127.0.0.1", port)
             half = await asyncio.open_connection("127.0.0.1", port)
             half[1].write(LOOK.replace(b"Id: 1", b"Id: half")[:-2])
-            waiting = asyncio.create_task(ask(port, LOOK.replace(b"Id: 1", b"Id: hangs")))
+            waiting = asyncio.create_task(send(port, LOOK.replace(b"Id: 1", b"Id: hangs")))
             await hanging.wait()
             began = monotonic()
             os.kill(os.getpid(), signal.SIGTERM)
@@ -130,7 +130,7 @@
 
         ended: list[float] = []
         tuning, more = Settings(clients=PATIENT), {"settings": deadlines(0.3)}
-        await with_sidecar(handle, use, ends=True, tuning=tuning, more=more)
+        await with_sidecar(handle, use, stops_by_itself=True, settings=tuning, extra=more)
         assert monotonic() - ended[0] < OF_OLD_S
         assert not any(b"Id: half" in request for request in seen)
 
@@ -171,7 +171,7 @@
             assert await reader.read() == b"!"
             writer.close()
 
-        await with_sidecar(handle, use, ends=True, more={"settings": deadlines(1.0)})
+        await with_sidecar(handle, use, stops_by_itself=True, extra={"settings": deadlines(1.0)})
         assert left
 
     run(case())
@@ -184,10 +184,10 @@
         async def use(port: int) -> None:
             began.append(monotonic())
             os.kill(os.getpid(), signal.SIGTERM)
-            assert (await ask(port, LOOK)).status == 200  # one that comes late
+            assert (await send(port, LOOK)).status == 200  # one that comes late
             os.kill(os.getpid(), signal.SIGTERM)
 
-        await with_sidecar(answering(whole(200))[0], use, ends=True)
+        await with_sidecar(replying(reply(200))[0], use, stops_by_itself=True)
         assert monotonic() - began[0] < OF_OLD_S
 
     run(case())
@@ -198,9 +198,9 @@
     # Guards the end: who only asks whether we are ready kept its connection up to the kill.
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
-        connections.all.draining = True
+        connections.listener.draining = True
         sock.sendall(sent)
-        said = await received(sock)
+        said = await read_from(sock)
         assert said.count(b"HTTP/1.1 200 ") == answers and said.count(b"Connection: close") == 1
         sock.close()
 
@@ -214,11 +214,11 @@
 
         async def write(response: bytes) -> None:
             await written(response)
-            connections.all.draining = True
+            connections.listener.draining = True
 
         consumer._write = write  # type: ignore[method-assign]
         sock.sendall(UP)
-        said = await received(sock)
+        said = await read_from(sock)
         assert said.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in said
         sock.close()
 
@@ -231,13 +231,13 @@
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         await asyncio.to_thread(sock.sendall, part)
-        await until(lambda: not consumer._parser.idle)
+        await wait_until(lambda: not consumer._parser.idle)
         if part == BIG[:-1]:
-            await until(lambda: bool(connections.calls.open))
+            await wait_until(lambda: bool(connections.request_manager.open))
         times = schedule(20.0, 0.5, 1.8)
-        leaving = asyncio.create_task(connections.all.shut_down(requested_at=monotonic() - times.answer_s))
-        assert (await received(sock)).startswith(b"HTTP/1.1 503 ")
-        assert not connections.calls.open
+        leaving = asyncio.create_task(connections.listener.shut_down(requested_at=monotonic() - times.answer_s))
+        assert (await read_from(sock)).startswith(b"HTTP/1.1 503 ")
+        assert not connections.request_manager.open
         sock.close()
         await leaving
         assert connections.budget.used == 0
@@ -249,9 +249,9 @@
     async def use(connections: Connections) -> None:
         sock, _ = await connections.client()
         times = schedule(20.0, 0.5, 1.8)
-        await connections.all.shut_down(requested_at=monotonic() - times.end_s)
-        assert not connections.all._open
-        assert await received(sock) == b""
+        await connections.listener.shut_down(requested_at=monotonic() - times.end_s)
+        assert not connections.listener._open
+        assert await read_from(sock) == b""
         sock.close()
 
     run(with_connections(use, PATIENT))
@@ -260,13 +260,15 @@
 def test_deadlines_that_change_while_leaving_change_no_time() -> None:
     # SIGKILL counts from what was in force at SIGTERM.
     async def use(connections: Connections) -> None:
-        leaving = asyncio.create_task(connections.all.shut_down())
+        leaving = asyncio.create_task(connections.listener.shut_down())
         await asyncio.sleep(0)
-        last = connections.calls.last_deadline
+        last = connections.request_manager.last_deadline
         for seconds in (0.1, 100.0):
-            connections.calls.execute(connections.calls.load_balancer.apply_settings(read_settings(deadlines(seconds))))
+            connections.request_manager.execute(
+                connections.request_manager.load_balancer.apply_settings(read_settings(deadlines(seconds)))
+            )
             await asyncio.sleep(0)
-            assert connections.calls.last_deadline == last
+            assert connections.request_manager.last_deadline == last
         leaving.cancel()
 
     run(with_connections(use, PATIENT))
@@ -292,7 +294,7 @@
                 await told.wait()
                 writer.transport.abort()
             else:
-                writer.write(whole(200))
+                writer.write(reply(200))
                 await reader.read()
                 writer.close()
 
@@ -303,11 +305,11 @@
             os.kill(os.getpid(), signal.SIGTERM)
             told.set()
             parser = http1.ResponseParser()
-            assert (await answer_from(reader, parser)).status == status
+            assert (await read_response(reader, parser)).status == status
             assert await reader.read() == b""  # the one answer, and the end in order
             writer.close()
 
-        await with_sidecar(handle, use, ends=True, more={"settings": {**SETTINGS, "classes": classes}})
+        await with_sidecar(handle, use, stops_by_itself=True, extra={"settings": {**SETTINGS, "classes": classes}})
         assert seen == runs
 
     run(case())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -23,20 +23,20 @@
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import DescriptorSettings, Settings
 
-from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, answer_from, answering, ask, whole
+from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, read_response, reply, replying, send
 from .helpers.processes import free_port, run, with_sidecar
 
-REJECTED = whole(503, (b"X-Rejected", b"1"))
+REJECTED = reply(503, (b"X-Rejected", b"1"))
 
 
 @pytest.mark.parametrize(
     ("request_", "answers", "status", "runs"),
     [
-        (LOOK, [whole(200, (b"X-Load-Report", b"TEXT util=?"))], 200, 1),
-        (LOOK, [whole(500), whole(200)], 200, 2),
-        (LOOK, [whole(500)], 503, 2),  # a repeat is harmless: a rejection, worded by us
-        (DELIVER, [whole(500)], 502, 2),  # never a rejection after it may have run
-        (DELIVER, [whole(503)], 502, 2),  # a bare 503 may have run
+        (LOOK, [reply(200, (b"X-Load-Report", b"TEXT util=?"))], 200, 1),
+        (LOOK, [reply(500), reply(200)], 200, 2),
+        (LOOK, [reply(500)], 503, 2),  # a repeat is harmless: a rejection, worded by us
+        (DELIVER, [reply(500)], 502, 2),  # never a rejection after it may have run
+        (DELIVER, [reply(503)], 502, 2),  # a bare 503 may have run
         (DELIVER, [REJECTED], 503, 2),
         (DELIVER, [b""], 502, 2),  # hung up after the last byte: reset
         (DELIVER, [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbo"], 502, 2),  # cut off: no 200
@@ -45,10 +45,10 @@
     ids=["200", "500 then 200", "500", "keyed 500", "keyed 503", "turned away", "reset", "cut off", "garbage"],
 )
 def test_final_answers(request_: bytes, answers: list[bytes], status: int, runs: int) -> None:
-    handler, seen = answering(*answers)
+    handler, seen = replying(*answers)
 
     async def use(port: int) -> None:
-        answer = await ask(port, request_)
+        answer = await send(port, request_)
         assert answer.status == status
         assert answer.body == (b"body!" if status == 200 else b"")
         assert b"x-load-report" not in answer.fields
@@ -91,10 +91,10 @@
     ],
 )
 def test_bad_input_is_answered_and_reaches_no_provider(wire: bytes, status: int) -> None:
-    handler, seen = answering(whole(200))
+    handler, seen = replying(reply(200))
 
     async def use(port: int) -> None:
-        answer = await ask(port, wire)
+        answer = await send(port, wire)
         assert (answer.status, answer.keep_alive) == (status, False)
 
     run(with_sidecar(handler, use))
@@ -109,21 +109,21 @@
             await reader.readuntil(b"\r\n\r\n")
             arrived.set()
             await release.wait()
-            writer.write(whole(200))
+            writer.write(reply(200))
 
         async def use(port: int) -> None:
-            asked = asyncio.create_task(ask(port, LOOK))
+            asked = asyncio.create_task(send(port, LOOK))
             await arrived.wait()
             os.kill(os.getpid(), signal.SIGTERM)
             # The front does not know yet: a new connection must not be closed as an idle one before its
             # first request has arrived.
-            late = await ask(port, LOOK.replace(b"look", b"odd").replace(b"Id: 1", b"Id: 2"))
+            late = await send(port, LOOK.replace(b"look", b"odd").replace(b"Id: 1", b"Id: 2"))
             assert late.status == 400
             release.set()
             answer = await asked
             assert answer.status == 200
 
-        await with_sidecar(handler, use, ends=True, tuning=Settings(clients=ConsumerTuning(keep_s=0.6)))
+        await with_sidecar(handler, use, stops_by_itself=True, settings=Settings(clients=ConsumerTuning(keep_s=0.6)))
 
     run(case())
 
@@ -136,14 +136,14 @@
         parser = http1.ResponseParser()
         for number in range(3):
             writer.write(LOOK.replace(b"Id: 1", b"Id: %d" % number))
-            answer = await answer_from(reader, parser)
+            answer = await read_response(reader, parser)
             assert (answer.status, answer.keep_alive) == (200, True)
             if not number:
                 os.kill(os.getpid(), signal.SIGTERM)
         assert await reader.read() == b"" and await idle.read() == b""
 
     tuning = Settings(clients=ConsumerTuning(keep_s=0.6))
-    run(with_sidecar(answering(whole(200))[0], use, ends=True, tuning=tuning))
+    run(with_sidecar(replying(reply(200))[0], use, stops_by_itself=True, settings=tuning))
 
 
 def test_an_id_that_is_open_goes_to_no_provider_again() -> None:
@@ -155,12 +155,12 @@
             runs.append(await reader.readuntil(b"doc"))
             arrived.set()
             await release.wait()
-            writer.write(whole(200))
+            writer.write(reply(200))
 
         async def use(port: int) -> None:
-            asked = asyncio.create_task(ask(port, DELIVER))
+            asked = asyncio.create_task(send(port, DELIVER))
             await arrived.wait()
-            assert (await ask(port, DELIVER)).status == 409
+            assert (await send(port, DELIVER)).status == 409
             release.set()
             assert (await asked).status == 200 and len(runs) == 1
 
@@ -189,7 +189,7 @@
         assert (await reader.read()).startswith(answer)
         writer.close()
 
-    run(with_sidecar(answering(whole(200))[0], use, tuning=tuning))
+    run(with_sidecar(replying(reply(200))[0], use, settings=tuning))
 
 
 def test_idle_consumers_give_way_once_each() -> None:
@@ -202,7 +202,7 @@
         many = range(sockets.clients.limit + 3)
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in many]
         assert [await reader.read() for reader, _ in silent[:3]] == [b""] * 3
-        assert (await ask(port, LOOK.replace(b"look", b"odd"))).status == 400
+        assert (await send(port, LOOK.replace(b"look", b"odd"))).status == 400
         assert sockets.clients.used <= sockets.clients.limit + 1
         for _, writer in silent:
             writer.close()
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 
 from limenotch.balancing.settings import read_settings
 
-from .helpers.processes import ROOT, finished
+from .helpers.processes import ROOT, run_command
 
 INSTANCE_SETTINGS = {
     "balancers": 3,
@@ -39,7 +39,7 @@
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
     if not (ROOT / ".venv" / "bin" / "python").exists():
         command = command.replace(".venv/bin/python", sys.executable)
-    return finished(["/bin/sh", "-c", command], wire_input)
+    return run_command(["/bin/sh", "-c", command], wire_input)
 
 
 def batch(now: float, *lines: str) -> str:
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -18,9 +18,9 @@
 from limenotch.lab.fleet.node import FAULTS
 
 from .helpers.discovery_service import DiscoveryService
-from .helpers.http_peers import LOOK, SETTINGS, ask, renamed
+from .helpers.http_peers import LOOK, SETTINGS, send, with_new_id
 from .helpers.processes import Processes, free_port, run
-from .test_drain_at_size import Servers
+from .test_drain_at_size import EndpointServers
 
 HOUR_S = 3600.0
 CLIENTS, REQUESTS_PER_CLIENT = 3, 100
@@ -46,8 +46,8 @@
     All requests must be served. The offsets from the clock of this test are those of the sidecar's clock at its start
     and later, and that of the listed start.
     """
-    servers, processes = Servers(), Processes(folder)
-    await servers.begin(4, names=4)
+    servers, processes = EndpointServers(), Processes(folder)
+    await servers.start(4, names=4)
     *warm, started = servers.entries
     discovery = DiscoveryService(warm)
     address = await discovery.listen()
@@ -57,20 +57,20 @@
 
     async def client() -> None:
         for _ in range(REQUESTS_PER_CLIENT):
-            assert (await ask(port, renamed(LOOK))).status == 200
+            assert (await send(port, with_new_id(LOOK))).status == 200
             await asyncio.sleep(0.01)
 
     ask_for(faults_path, Wish(clock_s=offset_at_start_s))
     try:
-        await processes.serve(config, module="limenotch.lab.fleet.node", more={FAULTS: str(faults_path)})
+        await processes.serve(config, module="limenotch.lab.fleet.node", environment={FAULTS: str(faults_path)})
         await client()
         ask_for(faults_path, Wish(clock_s=later_offset_s))
-        discovery.tell({**started, "since_ms": round((time.time() + list_offset_s) * 1000.0)})
+        discovery.update_endpoint({**started, "since_ms": round((time.time() + list_offset_s) * 1000.0)})
         await asyncio.sleep(0.1)
         await asyncio.gather(*(client() for _ in range(CLIENTS)))
-        return len(servers.seen[3])
+        return len(servers.requests[3])
     finally:
-        await processes.end()
+        await processes.kill_all()
         discovery.close()
         servers.close()
 
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -23,7 +23,7 @@
 from limenotch.settings import EndpointSettings as ProviderTuning
 from limenotch.settings import Settings
 
-from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, answer_from, ask, renamed, whole
+from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, read_response, reply, send, with_new_id
 from .helpers.processes import free_port, run, with_sidecar
 from .test_admin_server import CLASSES, conserved
 from .test_streamed_responses import BODY, OK, POST, in_chunks, read_all
@@ -63,12 +63,12 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         parser = http1.ResponseParser()
         for _ in range(2):
-            writer.write(renamed(long_request(framing)))
-            answer = await answer_from(reader, parser)
+            writer.write(with_new_id(long_request(framing)))
+            answer = await read_response(reader, parser)
             assert (answer.status, answer.keep_alive) == (200, True)
         writer.close()
 
-    run(with_sidecar(reading(whole(200), got), use))
+    run(with_sidecar(reading(reply(200), got), use))
     assert got == [BODY, BODY]
 
 
@@ -79,17 +79,17 @@
     async def use(port: int) -> None:
         for number in range(4):
             wire = long_request("length").replace(b"Id: 1", b"Id: %d" % number)
-            assert (await ask(port, wire)).status == 200
+            assert (await send(port, wire)).status == 200
 
     async def case() -> None:
-        server = await asyncio.start_server(reading(whole(200), got), "127.0.0.1", 0)
+        server = await asyncio.start_server(reading(reply(200), got), "127.0.0.1", 0)
         at = server.sockets[0].getsockname()[1]
         listed = [
             {"name": name, "address": f"127.0.0.1:{port}", "zone": "a", "status": "in_service"}
             for name, port in (("a", free_port()), ("b", at))
         ]
         known = {"index": 3, "snapshot": True, "endpoints": listed}
-        await with_sidecar(reading(whole(200), got), use, more={"known": known})
+        await with_sidecar(reading(reply(200), got), use, extra={"known": known})
 
     run(case())
     assert got == [BODY] * 4
@@ -101,14 +101,14 @@
     wire = long_request("chunked")
     writer.write(wire[: len(wire) // 2])
     then(writer)
-    answer = await answer_from(reader, http1.ResponseParser())
+    answer = await read_response(reader, http1.ResponseParser())
     writer.close()
     return answer
 
 
 @pytest.mark.parametrize(
     ("answer", "status"),
-    [(whole(503, (b"X-Rejected", b"1")), 503), (whole(500), 502), (b"", 503), (whole(200), 200)],
+    [(reply(503, (b"X-Rejected", b"1")), 503), (reply(500), 502), (b"", 503), (reply(200), 200)],
     ids=["rejected", "500", "hangs up", "200"],
 )
 def test_an_answer_may_come_before_the_request_is_whole(answer: bytes, status: int) -> None:
@@ -145,7 +145,7 @@
             pass
 
     tuning = Settings(clients=ConsumerTuning(body_s=0.2))
-    run(with_sidecar(reading(whole(200), got), use, tuning=tuning, more={"admin_addr": f"127.0.0.1:{admin}"}))
+    run(with_sidecar(reading(reply(200), got), use, settings=tuning, extra={"admin_addr": f"127.0.0.1:{admin}"}))
     assert not got
 
 
@@ -161,7 +161,7 @@
         assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 503 ")
         writer.close()
 
-    run(with_sidecar(stuck, use, tuning=Settings(endpoints=ProviderTuning(stall_s=0.2))))
+    run(with_sidecar(stuck, use, settings=Settings(endpoints=ProviderTuning(stall_s=0.2))))
 
 
 def test_many_long_bodies_at_once_in_a_budget_of_next_to_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -22,7 +22,7 @@
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import Settings
 
-from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, answering, ask, whole
+from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, reply, replying, send
 from .helpers.processes import free_port, run, with_sidecar
 from .test_admin_server import conserved
 
@@ -230,7 +230,7 @@
         assert figures["lb.sends"][0] == 1  # the winner was fixed: nobody else was asked
 
     handler = says(FRAMINGS[framing][: len(BODY) // 2])
-    run(with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"}))
+    run(with_sidecar(handler, use, extra={"admin_addr": f"127.0.0.1:{admin}"}))
 
 
 @pytest.mark.parametrize(
@@ -243,10 +243,10 @@
     ids=["ends early", "3 GB", "no chunk"],
 )
 def test_what_is_spoilt_within_what_is_held_is_had_elsewhere(sent: bytes) -> None:
-    handler, seen = answering(sent, whole(200))
+    handler, seen = replying(sent, reply(200))
 
     async def use(port: int) -> None:
-        answer = await ask(port, LOOK)
+        answer = await send(port, LOOK)
         assert (answer.status, answer.body) == (200, b"body!")
 
     run(with_sidecar(handler, use))
@@ -279,7 +279,7 @@
             while (await conserved(admin))["lb.current"][0]:
                 pass
 
-        await with_sidecar(endless, use, more={"admin_addr": f"127.0.0.1:{admin}"})
+        await with_sidecar(endless, use, extra={"admin_addr": f"127.0.0.1:{admin}"})
 
     run(case())
 
@@ -302,7 +302,7 @@
             await gone.wait()
             writer.close()
 
-        await with_sidecar(long, use, tuning=Settings(clients=ConsumerTuning(write_s=0.2)))
+        await with_sidecar(long, use, settings=Settings(clients=ConsumerTuning(write_s=0.2)))
 
     run(case())
 
@@ -326,9 +326,9 @@
         reading = [asyncio.create_task(read_all(port, wire)) for wire in wires]
         while not all(task.done() for task in reading):
             await conserved(admin)
-            assert (await ask(admin, GET_HEALTH)).status == 200
+            assert (await send(admin, GET_HEALTH)).status == 200
             answered += 1
         assert all(task.result()[2] and len(task.result()[1]) == long for task in reading)
 
-    run(with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"}))
+    run(with_sidecar(handler, use, extra={"admin_addr": f"127.0.0.1:{admin}"}))
     assert answered > 3
--- a/tests/test_unusual_reports.py
+++ b/tests/test_unusual_reports.py
@@ -12,7 +12,7 @@
 from limenotch.balancing.learned_state import export_state, import_state
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 
-from .helpers.http_peers import LOOK, SETTINGS, answering, ask, renamed, whole
+from .helpers.http_peers import LOOK, SETTINGS, reply, replying, send, with_new_id
 from .helpers.processes import run, with_sidecar
 
 CLASSES = (TrafficClass("look", Effect.IDEMPOTENT, 400.0, 900.0),)
@@ -76,14 +76,14 @@
 
 def test_all_requests_get_responses_while_idle_endpoints_report() -> None:
     classes = [{"name": "look", "effect": "idempotent", "target_ms": 50.0, "hard_limit_ms": 2000.0}]
-    handler, _ = answering(whole(200, (b"X-Load-Report", b"TEXT util=0.00, qps=10, latency_ms=1")))
+    handler, _ = replying(reply(200, (b"X-Load-Report", b"TEXT util=0.00, qps=10, latency_ms=1")))
 
     async def use(port: int) -> None:
         for _ in range(60):
-            assert (await ask(port, renamed(LOOK))).status == 200
+            assert (await send(port, with_new_id(LOOK))).status == 200
             await asyncio.sleep(0.005)
 
-    run(with_sidecar(handler, use, more={"settings": {**SETTINGS, "classes": classes}}))
+    run(with_sidecar(handler, use, extra={"settings": {**SETTINGS, "classes": classes}}))
 
 
 def test_a_process_whose_clock_is_behind_its_predecessors_imports_its_learnt_state() -> None:
