--- a/tests/fleet/test_endpoint_lists_processes.py
+++ b/tests/fleet/test_endpoint_lists_processes.py
@@ -21,7 +21,7 @@
 
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.net import http1
-from tests.helpers.http_peers import LOOK, SETTINGS, reply, send, with_new_id
+from tests.helpers.http_peers import LOOK, SETTINGS, fetch, reply, with_new_id
 
 ROOT = Path(__file__).parent.parent.parent
 FLEET_TABLES = """
@@ -159,7 +159,7 @@
 
 async def is_healthy(admin: int) -> bool:
     with contextlib.suppress(OSError):
-        return (await send(admin, b"GET /healthcheck HTTP/1.1\r\n\r\n")).status == 200
+        return (await fetch(admin, b"GET /healthcheck HTTP/1.1\r\n\r\n")).status == 200
     return False
 
 
@@ -171,7 +171,7 @@
 
 
 async def list_status(admin: int) -> dict[str, Any]:
-    answer = await send(admin, b"GET /fleet HTTP/1.1\r\n\r\n")
+    answer = await fetch(admin, b"GET /fleet HTTP/1.1\r\n\r\n")
     status: dict[str, Any] = json.loads(answer.body)["parts"]["lists"]
     return status
 
@@ -204,7 +204,7 @@
 
         async def send_requests() -> None:
             while True:
-                statuses.append((await send(sidecars["c"][0], with_new_id(LOOK))).status)
+                statuses.append((await fetch(sidecars["c"][0], with_new_id(LOOK))).status)
                 await asyncio.sleep(0.01)
 
         clients = [asyncio.get_running_loop().create_task(send_requests()) for _ in range(CLIENTS)]
--- a/tests/fleet/test_fleet_node.py
+++ b/tests/fleet/test_fleet_node.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from limenotch.lab.emulate.sidecars import free_port
-from tests.helpers.http_peers import LOOK, send
+from tests.helpers.http_peers import LOOK, fetch
 
 from .test_fleet_off import Sidecar, fleet_modules, serving
 
@@ -52,7 +52,7 @@
         await wait_for_states([a, c], a="alive", b="left", c="alive")
         c.process.kill()
         await wait_for_states([a], a="alive", b="left", c="dead")
-        assert (await send(a.port, LOOK)).status == 200
+        assert (await fetch(a.port, LOOK)).status == 200
 
     run(case)
 
--- a/tests/fleet/test_fleet_off.py
+++ b/tests/fleet/test_fleet_off.py
@@ -19,7 +19,7 @@
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.net.sockets import MAX_OPERATOR_CONNECTIONS, DescriptorLimits
 from limenotch.settings import DescriptorSettings
-from tests.helpers.http_peers import LOOK, SETTINGS, reply, replying, send
+from tests.helpers.http_peers import LOOK, SETTINGS, fetch, reply, replying
 
 ROOT = Path(__file__).parent.parent.parent
 KEY = "sixteen bytes ok"
@@ -74,7 +74,7 @@
         return found
 
     async def status(self) -> dict[str, Any]:
-        answer = await send(self.admin, b"GET /fleet HTTP/1.1\r\n\r\n")
+        answer = await fetch(self.admin, b"GET /fleet HTTP/1.1\r\n\r\n")
         assert answer.status == 200
         status: dict[str, Any] = json.loads(answer.body)
         return status
@@ -136,11 +136,11 @@
         async with asyncio.timeout(20):
             while True:
                 with contextlib.suppress(OSError):
-                    if (await send(ports[1], b"GET /healthcheck HTTP/1.1\r\n\r\n")).status == 200:
+                    if (await fetch(ports[1], b"GET /healthcheck HTTP/1.1\r\n\r\n")).status == 200:
                         break
                 assert process.returncode is None
                 await asyncio.sleep(0.02)
-        assert (await send(ports[0], LOOK)).status == 200
+        assert (await fetch(ports[0], LOOK)).status == 200
         yield Sidecar(process, *ports)
     finally:
         if process.returncode is None:
@@ -156,8 +156,8 @@
                 while not (await on.status())["listening"]:
                     await asyncio.sleep(0.02)
             assert off.sockets() == {"tcp": 2} and on.sockets() == {"tcp": 3, "udp": 1}
-            assert (await send(off.admin, b"GET /fleet HTTP/1.1\r\n\r\n")).status == 404
-            assert (await send(on.admin, b"POST /fleet HTTP/1.1\r\nContent-Length: 0\r\n\r\n")).status == 405
+            assert (await fetch(off.admin, b"GET /fleet HTTP/1.1\r\n\r\n")).status == 404
+            assert (await fetch(on.admin, b"POST /fleet HTTP/1.1\r\nContent-Length: 0\r\n\r\n")).status == 405
             status = await on.status()
             assert (status["name"], status["group"], status["at"]) == ("on", "g", f"127.0.0.1:{on.fleet}")
             assert status["dropped"]["digest"] == 0 and status["streams"]["accepted"] == 0 and status["life"] > 0
--- a/tests/fleet/test_log_storage.py
+++ b/tests/fleet/test_log_storage.py
@@ -12,7 +12,7 @@
 from limenotch.net.log_storage import MemoryStorage
 from limenotch.store.files import RealFiles
 from limenotch.store.records import Append, LogEntry, Snapshot, TermVote
-from tests.helpers.http_peers import LOOK, send
+from tests.helpers.http_peers import LOOK, fetch
 
 from .test_fleet_off import Sidecar, serving
 
@@ -25,7 +25,7 @@
 
 async def operator_request(sidecar: Sidecar, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
     head = f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-    answer = await send(sidecar.admin, head + body)
+    answer = await fetch(sidecar.admin, head + body)
     return answer.status, answer.body
 
 
@@ -81,7 +81,7 @@
             state = await wait_for_status(third, role="none")
             assert "damaged" in state["why"] and segment.name in state["why"]
             assert (await operator_request(third, "POST", "/fleet/promises/z", b""))[0] == 503
-            assert (await send(third.port, LOOK)).status == 200
+            assert (await fetch(third.port, LOOK)).status == 200
 
     asyncio.run(case())
 
--- a/tests/fleet/test_wallet_program.py
+++ b/tests/fleet/test_wallet_program.py
@@ -18,7 +18,7 @@
 from limenotch.net import http1
 from limenotch.net.request import FinalResponse, Verdict
 from limenotch.settings_file import parse
-from tests.helpers.http_peers import DELIVER, LOOK, SETTINGS, Handler, reply, replying, send, with_new_id
+from tests.helpers.http_peers import DELIVER, LOOK, SETTINGS, Handler, fetch, reply, replying, with_new_id
 from tests.helpers.processes import free_port, run, with_sidecar
 
 from .test_fleet_off import serving
@@ -61,11 +61,11 @@
         self.port, self.admin = port, admin
 
     async def request(self, wire: bytes) -> http1.Message:
-        return await send(self.port, wire)
+        return await fetch(self.port, wire)
 
     async def operator(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        content = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
-        answer = await send(self.admin, http1.write_request(method.encode(), path.encode(), [(b"Host", b"o")], content))
+        data = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
+        answer = await fetch(self.admin, http1.write_request(method.encode(), path.encode(), [(b"Host", b"o")], data))
         content_type = answer.fields.get(b"content-type", b"")
         return answer.status, json.loads(answer.body) if content_type == b"application/json" else answer.body
 
--- a/tests/frozen/answers.py
+++ b/tests/frozen/answers.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tests.fleet.test_fleet_off import serving
-from tests.helpers.http_peers import LOOK, send
+from tests.helpers.http_peers import LOOK, fetch
 
 TABLE = """
 folder = "{folder}/data"
@@ -52,11 +52,11 @@
     """By request, the status and the keys of the answer."""
     found: dict[str, Any] = {}
     async with serving(folder, "n", TABLE.format(folder=folder)) as sidecar:
-        await send(sidecar.port, LOOK)
+        await fetch(sidecar.port, LOOK)
         for name, (method, path, body) in REQUESTS.items():
             request = b"%b %b HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (method, path, len(body), body)
             for _ in range(TRIES):
-                answer = await send(sidecar.admin, request)
+                answer = await fetch(sidecar.admin, request)
                 if answer.status not in (500, 503, 504):  # the log is being read, or no leader is elected yet
                     break
                 await asyncio.sleep(0.1)
--- a/tests/helpers/http_peers.py
+++ b/tests/helpers/http_peers.py
@@ -77,7 +77,7 @@
     return message
 
 
-async def send(port: int, wire: bytes) -> http1.Message:
+async def fetch(port: int, wire: bytes) -> http1.Message:
     """Sends one request on a connection of its own and returns the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(wire)
--- a/tests/helpers/processes.py
+++ b/tests/helpers/processes.py
@@ -16,7 +16,7 @@
 from limenotch.lab.emulate.sidecars import free_port
 from limenotch.settings import Settings
 
-from .http_peers import GET_HEALTH, SETTINGS, Handler, send
+from .http_peers import GET_HEALTH, SETTINGS, Handler, fetch
 
 __all__ = ["ROOT", "Processes", "free_port", "output_of", "run", "run_command", "running_module", "with_sidecar"]
 
@@ -58,7 +58,7 @@
     serve_task = asyncio.create_task(app.serve(config.parse(raw, environ or {}), settings))
     while True:
         try:
-            ready = await send(port, b"GET /up HTTP/1.1\r\n\r\n")
+            ready = await fetch(port, b"GET /up HTTP/1.1\r\n\r\n")
             break
         except OSError:
             assert not serve_task.done()
@@ -140,7 +140,7 @@
         while True:
             assert process.returncode is None
             with contextlib.suppress(OSError, AssertionError):
-                if (await send(admin, GET_HEALTH)).status == 200:
+                if (await fetch(admin, GET_HEALTH)).status == 200:
                     return process, admin
             await asyncio.sleep(0.01)
 
--- a/tests/helpers/soak.py
+++ b/tests/helpers/soak.py
@@ -25,7 +25,7 @@
 from limenotch.net import http1
 
 from .discovery_service import Address, DiscoveryService, Entries
-from .http_peers import Reader, Writer, send
+from .http_peers import Reader, Writer, fetch
 from .processes import Processes, free_port
 
 DRAIN_GRACE_S = 0.3  # drain grace, on real sockets
@@ -319,7 +319,7 @@
     async def _check_internal_errors(self) -> None:
         for process, path, _ in self._started:
             if process.returncode is None:
-                stats = await send(int(path.stem), b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
+                stats = await fetch(int(path.stem), b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
                 if b"lb.internal_errors:0|c" not in stats.body:
                     self.observed.lost_requests.append("a process had internal errors")
 
--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -10,7 +10,7 @@
 from limenotch.net.client_listener import ClientListener
 
 from .helpers.connections import UP, Connections, read_from, wait_until, with_connections
-from .helpers.http_peers import LOOK, SETTINGS, reply, replying, send
+from .helpers.http_peers import LOOK, SETTINGS, fetch, reply, replying
 from .helpers.processes import run, with_sidecar
 from .test_client_endings import PATIENT
 
@@ -21,7 +21,7 @@
             sock = socket.create_connection(("127.0.0.1", port))
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             sock.close()
-        assert (await send(port, LOOK)).status == 200
+        assert (await fetch(port, LOOK)).status == 200
 
     run(with_sidecar(replying(reply(200))[0], use))
 
@@ -99,7 +99,7 @@
     handler, seen = replying(reply(200))
 
     async def use(port: int) -> None:
-        assert (await send(port, request)).status == 200
+        assert (await fetch(port, request)).status == 200
 
     run(with_sidecar(handler, use, extra={"settings": named}))
     assert len(seen) == 1
--- a/tests/test_admin_server.py
+++ b/tests/test_admin_server.py
@@ -32,7 +32,7 @@
 from limenotch.net.sockets import MAX_OPERATOR_CONNECTIONS as MOST
 from limenotch.operator_ejections import FILE_SUFFIX, LOCK_SUFFIX, OperatorEjections, decode, encode
 
-from .helpers.http_peers import DELIVER, GET_HEALTH, LOOK, reply, replying, send, with_new_id
+from .helpers.http_peers import DELIVER, GET_HEALTH, LOOK, fetch, reply, replying, with_new_id
 from .helpers.processes import free_port, run, with_sidecar
 
 GET_STATS = b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n"
@@ -55,7 +55,7 @@
 
 async def conserved(admin: int) -> dict[str, tuple[float, str]]:
     """The figures, which must add up at every step."""
-    figures = figures_of(await send(admin, GET_STATS))
+    figures = figures_of(await fetch(admin, GET_STATS))
     ends = sum(v for n, (v, _) in figures.items() if n.endswith((".answered", ".deferred", ".errored", ".departed")))
     assert figures["lb.taken"][0] == ends + figures["lb.current"][0]
     return figures
@@ -90,15 +90,15 @@
             (post("", "maint"), 404),
             (GET_HEALTH.replace(b"GET", b"HTTP"), 405),
         ]:
-            answer = await send(admin, wire)
+            answer = await fetch(admin, wire)
             assert (answer.status, answer.keep_alive) == (status, False), wire
         for wire, allow in [
             (GET_STATS.replace(b"GET", b"POST"), b"GET"),
             (post("a", "maint").replace(b"POST", b"GET"), b"POST"),
         ]:
-            answer = await send(admin, wire)
+            answer = await fetch(admin, wire)
             assert (answer.status, answer.fields[b"allow"]) == (405, allow)
-        assert (await send(port, GET_STATS)).status == 400  # consumers get none of this
+        assert (await fetch(port, GET_STATS)).status == 400  # consumers get none of this
 
     play([reply(200)], use)
 
@@ -110,7 +110,7 @@
         for _, writer in silent:
             writer.write(b"GET /hea")
         for _ in range(3):
-            assert (await send(admin, GET_HEALTH)).status == 200
+            assert (await fetch(admin, GET_HEALTH)).status == 200
         assert [await reader.read() for reader, _ in silent[:MOST]] == [b""] * MOST
         for _, writer in silent:
             writer.close()
@@ -122,16 +122,16 @@
     monkeypatch.setattr("limenotch.net.admin.server.REQUEST_TIMEOUT_S", 0.1)
 
     async def use(port: int, admin: int) -> None:
-        assert (await send(admin, b"GET /healthch")).status == 408
+        assert (await fetch(admin, b"GET /healthch")).status == 408
 
     play([reply(200)], use)
 
 
 def test_figures_say_what_peers_saw() -> None:
     async def use(port: int, admin: int) -> None:
-        assert (await send(port, LOOK)).status == 200
-        assert (await send(port, with_new_id(DELIVER))).status == 502  # tried twice
-        assert (await send(port, with_new_id(LOOK))).status == 503  # likewise, and harmless to repeat
+        assert (await fetch(port, LOOK)).status == 200
+        assert (await fetch(port, with_new_id(DELIVER))).status == 502  # tried twice
+        assert (await fetch(port, with_new_id(LOOK))).status == 503  # likewise, and harmless to repeat
         figures = await conserved(admin)
         for name, value in {
             "look.answered": 1,
@@ -186,15 +186,15 @@
 def test_banned_providers_get_nothing_and_serve_again(tmp_path: Path) -> None:
     async def use(port: int, admin: int) -> None:
         for _ in range(2):  # repeated calls change nothing
-            assert (await send(admin, post("a", "maint"))).status == 200
-        assert (await send(admin, post("b", "maint"))).status == 200  # all of them
+            assert (await fetch(admin, post("a", "maint"))).status == 200
+        assert (await fetch(admin, post("b", "maint"))).status == 200  # all of them
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (2, "g")
         budget = LOOK.replace(b"20000m", b"100m")
-        assert (await send(port, budget)).status in (502, 503, 504)
+        assert (await fetch(port, budget)).status in (502, 503, 504)
         assert decode(file_of(tmp_path, port).read_bytes())[0] == {"a", "b"}
-        assert (await send(admin, post("a", "ready"))).status == 200
+        assert (await fetch(admin, post("a", "ready"))).status == 200
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (1, "g")
-        assert (await send(port, LOOK)).status == 200
+        assert (await fetch(port, LOOK)).status == 200
 
     assert len(play([reply(200)], use, tmp_path)) == 1
 
@@ -207,9 +207,9 @@
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (2, "g")
         file_of(tmp_path, port).unlink()
         tmp_path.rename(tmp_path.with_name("elsewhere"))  # nothing can be written from now on
-        answer = await send(admin, post("gone", "ready"))  # not listed, but out
+        answer = await fetch(admin, post("gone", "ready"))  # not listed, but out
         assert answer.status == 200 and b"not kept" in answer.body
-        assert (await send(admin, post("a", "ready"))).status == 200
+        assert (await fetch(admin, post("a", "ready"))).status == 200
         assert (await conserved(admin))["lb.cluster_unhealthy"] == (1, "g")
 
     play([reply(200)], use, tmp_path, own)
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -15,7 +15,7 @@
 from limenotch.net.read_ahead import MAX_READ_AHEAD_BYTES
 
 from .helpers.connections import Connections, wait_until, with_connections
-from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, read_response, reply, replying, send
+from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, fetch, read_response, reply, replying
 from .helpers.processes import free_port, run, with_sidecar
 from .test_admin_server import conserved
 
@@ -135,7 +135,7 @@
             writer.write(LOOK + more)
             await soon(sent(writer))
             writer.close()
-            staying = asyncio.create_task(send(port, LOOK.replace(b"Id: 1", b"Id: 7")))
+            staying = asyncio.create_task(fetch(port, LOOK.replace(b"Id: 1", b"Id: 7")))
             await soon(departed(admin))
             releasing.release.set()
             assert (await staying).status == 200
@@ -174,7 +174,7 @@
             await soon(sent(writer))
             writer.transport.get_extra_info("socket").shutdown(1)  # its end lies in the sidecar's kernel from here on
             fail.set()
-            assert (await send(port, LOOK.replace(b"Id: 1", b"Id: 7"))).status == 200
+            assert (await fetch(port, LOOK.replace(b"Id: 1", b"Id: 7"))).status == 200
             assert b"Id: 7\r\n" in await ids.get() and ids.empty()
             writer.close()
 
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -15,7 +15,7 @@
 from limenotch.settings import ClientSettings as Tuning
 
 from .helpers.connections import UP, Connections, read_from, wait_until, with_connections
-from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, send
+from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, fetch
 from .helpers.processes import run, with_sidecar
 
 PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only the test ends anything
@@ -212,7 +212,7 @@
         assert connections.sockets.clients.used <= limit
         working.sendall(UP)
         assert (await read_from(working, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-        assert (await send(connections.port, UP)).status == 200
+        assert (await fetch(connections.port, UP)).status == 200
         for sock in (working, *idle):
             sock.close()
 
--- a/tests/test_discovery_jam.py
+++ b/tests/test_discovery_jam.py
@@ -10,7 +10,7 @@
 
 from .helpers.discovery_queue import list_waits_after_closed_watches
 from .helpers.discovery_service import DiscoveryService
-from .helpers.http_peers import LOOK, send, with_new_id
+from .helpers.http_peers import LOOK, fetch, with_new_id
 from .helpers.processes import Processes, free_port, run
 from .test_drain_at_size import GRACE_S, EndpointServers, configuration, wait_until
 
@@ -47,7 +47,7 @@
 
         async def call(port: int) -> None:
             while not done.is_set():
-                assert (await send(port, with_new_id(LOOK))).status == 200
+                assert (await fetch(port, with_new_id(LOOK))).status == 200
                 await asyncio.sleep(0.01)
 
         calls = []
--- a/tests/test_drain_at_size.py
+++ b/tests/test_drain_at_size.py
@@ -29,7 +29,7 @@
 from limenotch.config import host_port
 
 from .helpers.discovery_service import Address, DiscoveryService
-from .helpers.http_peers import LOOK, SETTINGS, reply, replying, send, with_new_id
+from .helpers.http_peers import LOOK, SETTINGS, fetch, reply, replying, with_new_id
 from .helpers.processes import Processes, free_port, run
 
 GRACE_S = 0.3  # of a drain, with the slack of real sockets
@@ -104,11 +104,11 @@
             await asyncio.sleep(GRACE_S)
             before = len(servers.requests[0])
             for _ in range(20):
-                assert (await send(port, with_new_id(LOOK))).status == 200
+                assert (await fetch(port, with_new_id(LOOK))).status == 200
             assert len(servers.requests[0]) == before and len(servers.requests[1]) >= 20
             await retiring
             for _ in range(20):
-                assert (await send(port, with_new_id(LOOK))).status == 200
+                assert (await fetch(port, with_new_id(LOOK))).status == 200
             assert len(servers.requests[0]) == before
         finally:
             await processes.kill_all()
@@ -146,7 +146,7 @@
             await asyncio.sleep(4.0 + GRACE_S)
             before = len(servers.requests[0])
             for port in ports * 10:
-                assert (await send(port, with_new_id(LOOK))).status == 200
+                assert (await fetch(port, with_new_id(LOOK))).status == 200
             assert len(servers.requests[0]) == before and len(addresses[-1].watches) == len(ports)
         finally:
             await processes.kill_all()
@@ -168,7 +168,7 @@
 
         async def taking() -> float:
             began = monotonic()
-            assert (await send(port, with_new_id(LOOK))).status == 200
+            assert (await fetch(port, with_new_id(LOOK))).status == 200
             return monotonic() - began
 
         def call() -> None:
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -26,7 +26,7 @@
 from limenotch.internal_errors import MIN_LOG_INTERVAL_S, InternalErrors
 from limenotch.net.request import FinalResponse, Request, Verdict
 
-from .helpers.http_peers import LOOK, reply, replying, send, with_new_id
+from .helpers.http_peers import LOOK, fetch, reply, replying, with_new_id
 from .helpers.processes import free_port, run, with_sidecar
 from .helpers.scripted import ScriptedLoadBalancer, make_request_manager
 
@@ -235,9 +235,9 @@
     monkeypatch.setattr(balancer, "choose_endpoints", failing(endpoint_selection.choose_endpoints))
 
     async def use(port: int) -> None:
-        statuses = [(await send(port, with_new_id(LOOK))).status for _ in range(3 * FAILURE_INTERVAL)]
+        statuses = [(await fetch(port, with_new_id(LOOK))).status for _ in range(3 * FAILURE_INTERVAL)]
         assert statuses == [200, 200, 503] * 3
-        stats = await send(admin, b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
+        stats = await fetch(admin, b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
         assert b"lb.internal_errors:3|c\n" in stats.body
 
     run(with_sidecar(handler, use, extra={"admin_addr": f"127.0.0.1:{admin}"}))
--- a/tests/test_operator_changes.py
+++ b/tests/test_operator_changes.py
@@ -35,7 +35,7 @@
 )
 from limenotch.net.admin.server import AdminServer
 
-from .helpers.http_peers import GET_HEALTH, LOOK, SETTINGS, reply, send, with_new_id
+from .helpers.http_peers import GET_HEALTH, LOOK, SETTINGS, fetch, reply, with_new_id
 from .helpers.processes import free_port, run
 from .test_admin_server import CLASSES, COLD, GET_STATS, balancer_of, conserved, play, sent
 
@@ -222,7 +222,7 @@
             return metrics
 
         async def status(class_name: bytes) -> int:
-            return (await send(port, with_new_id(LOOK.replace(b"look", class_name)))).status
+            return (await fetch(port, with_new_id(LOOK.replace(b"look", class_name)))).status
 
         classes: list[dict[str, Any]] = SETTINGS["classes"]  # type: ignore[assignment]
         assert await status(b"late") == 400
@@ -243,9 +243,9 @@
 
         admin_server, port = AdminServer(lambda: False, lambda: b"", eject), free_port()
         admin_server.listen(("127.0.0.1", port))
-        assert (await send(port, GET_HEALTH)).status == 503
+        assert (await fetch(port, GET_HEALTH)).status == 503
         reader, _ = await asyncio.open_connection("127.0.0.1", port)
-        await send(port, GET_STATS)
+        await fetch(port, GET_STATS)
         admin_server.close()
         assert await reader.read() == b""
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -21,7 +21,7 @@
 from limenotch.net.discovery.client import DiscoveryClient
 from limenotch.net.discovery.schedule import MAX_QUERY_INTERVAL_S
 
-from .helpers.http_peers import LOOK, SETTINGS, Handler, Reader, Writer, reply, replying, send
+from .helpers.http_peers import LOOK, SETTINGS, Handler, Reader, Writer, fetch, reply, replying
 from .helpers.processes import free_port, run
 
 UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: o\r\n\r\n"
@@ -71,7 +71,7 @@
     """Wait until a process listens on the port; return the status of `/up`."""
     while True:
         with contextlib.suppress(OSError):
-            return (await send(port, UP_REQUEST)).status
+            return (await fetch(port, UP_REQUEST)).status
         await asyncio.sleep(0.01)
 
 
@@ -102,8 +102,8 @@
         handler, _ = replying(reply(200))
         (server,) = await start_endpoints(handler)
         async with sidecar(await discovery.start(), [make_entry("a", server)], SETTINGS) as port:
-            assert (await send(port, UP_REQUEST)).status == 200
-            assert (await send(port, LOOK)).status == 200
+            assert (await fetch(port, UP_REQUEST)).status == 200
+            assert (await fetch(port, LOOK)).status == 200
             target, _ = await discovery.queries.get()  # never answered
             assert target == b"/discovery/hosts?follow=1&since=3"
 
@@ -124,14 +124,14 @@
         draining, other = (make_entry(name, server) for name, server in zip("ab", servers, strict=True))
         async with sidecar(await discovery.start(), [draining, other], PUSH_SETTINGS) as port:
             target, writer = await discovery.queries.get()
-            assert target == b"/discovery/hosts?follow=1&since=3" and (await send(port, UP_REQUEST)).status == 503
+            assert target == b"/discovery/hosts?follow=1&since=3" and (await fetch(port, UP_REQUEST)).status == 503
             changed = [{**draining, "status": "terminating"}]
             # A complete list may omit a draining endpoint. Changes leave the other endpoints as known before.
             writer.write(list_message(4, [other] if complete_list else changed, complete_list))
-            while (await send(port, UP_REQUEST)).status != 200:
+            while (await fetch(port, UP_REQUEST)).status != 200:
                 await asyncio.sleep(0)
             for _ in range(20):
-                assert (await send(port, LOOK)).status == 200
+                assert (await fetch(port, LOOK)).status == 200
             assert [len(received_requests) for _, received_requests in handlers] == [0, 20]
 
     run(case())
@@ -148,9 +148,9 @@
         handler, _ = replying(reply(200))
         (server,) = await start_endpoints(handler)
         async with sidecar(await discovery.start(), [make_entry("a", server)], PUSH_SETTINGS) as port:
-            while (await send(port, UP_REQUEST)).status != 200:
+            while (await fetch(port, UP_REQUEST)).status != 200:
                 await asyncio.sleep(0.01)
-            assert (await send(port, LOOK)).status == 200
+            assert (await fetch(port, LOOK)).status == 200
 
     run(case())
 
@@ -199,7 +199,7 @@
         task = asyncio.create_task(app.serve(config.load(os.environ)))
         await first.queries.get()
         await wait_until_listening(port)
-        response = asyncio.create_task(send(port, LOOK))
+        response = asyncio.create_task(fetch(port, LOOK))
         await received.wait()
         path.write_text(json.dumps({**raw_config, "discovery": second_address, "settings": PUSH_SETTINGS}))
         os.kill(os.getpid(), signal.SIGHUP)
@@ -252,13 +252,13 @@
             try:
                 assert await wait_until_listening(port) == 200
                 idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(clients)]
-                assert (await send(port, LOOK)).status == 200  # an active client is served
+                assert (await fetch(port, LOOK)).status == 200  # an active client is served
                 discovery, started_at = FakeDiscovery(), time.monotonic()
                 await discovery.start(unavailable)
                 _, writer = await discovery.queries.get()
                 assert time.monotonic() - started_at < MAX_QUERY_INTERVAL_S
                 writer.write(list_message(4, [make_entry("a", server)], True))
-                assert (await send(port, UP_REQUEST)).status == 200
+                assert (await fetch(port, UP_REQUEST)).status == 200
                 for _, client in idle:
                     client.close()
             finally:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -23,7 +23,7 @@
 from limenotch.settings import Settings
 
 from .helpers.connections import UP, Connections, read_from, wait_until, with_connections
-from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, read_response, reply, replying, send
+from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, fetch, read_response, reply, replying
 from .helpers.processes import run, with_sidecar
 
 PATIENT = Tuning(request_s=60.0, idle_s=60.0)  # only leaving ends anything
@@ -107,7 +107,7 @@
             staying = await asyncio.open_connection("127.0.0.1", port)
             half = await asyncio.open_connection("127.0.0.1", port)
             half[1].write(LOOK.replace(b"Id: 1", b"Id: half")[:-2])
-            waiting = asyncio.create_task(send(port, LOOK.replace(b"Id: 1", b"Id: hangs")))
+            waiting = asyncio.create_task(fetch(port, LOOK.replace(b"Id: 1", b"Id: hangs")))
             await hanging.wait()
             began = monotonic()
             os.kill(os.getpid(), signal.SIGTERM)
@@ -184,7 +184,7 @@
         async def use(port: int) -> None:
             began.append(monotonic())
             os.kill(os.getpid(), signal.SIGTERM)
-            assert (await send(port, LOOK)).status == 200  # one that comes late
+            assert (await fetch(port, LOOK)).status == 200  # one that comes late
             os.kill(os.getpid(), signal.SIGTERM)
 
         await with_sidecar(replying(reply(200))[0], use, stops_by_itself=True)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -23,7 +23,7 @@
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import DescriptorSettings, Settings
 
-from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, read_response, reply, replying, send
+from .helpers.http_peers import DELIVER, LOOK, SETTINGS, Reader, Writer, fetch, read_response, reply, replying
 from .helpers.processes import free_port, run, with_sidecar
 
 REJECTED = reply(503, (b"X-Rejected", b"1"))
@@ -48,7 +48,7 @@
     handler, seen = replying(*answers)
 
     async def use(port: int) -> None:
-        answer = await send(port, request_)
+        answer = await fetch(port, request_)
         assert answer.status == status
         assert answer.body == (b"body!" if status == 200 else b"")
         assert b"x-load-report" not in answer.fields
@@ -94,7 +94,7 @@
     handler, seen = replying(reply(200))
 
     async def use(port: int) -> None:
-        answer = await send(port, wire)
+        answer = await fetch(port, wire)
         assert (answer.status, answer.keep_alive) == (status, False)
 
     run(with_sidecar(handler, use))
@@ -112,12 +112,12 @@
             writer.write(reply(200))
 
         async def use(port: int) -> None:
-            asked = asyncio.create_task(send(port, LOOK))
+            asked = asyncio.create_task(fetch(port, LOOK))
             await arrived.wait()
             os.kill(os.getpid(), signal.SIGTERM)
             # The front does not know yet: a new connection must not be closed as an idle one before its
             # first request has arrived.
-            late = await send(port, LOOK.replace(b"look", b"odd").replace(b"Id: 1", b"Id: 2"))
+            late = await fetch(port, LOOK.replace(b"look", b"odd").replace(b"Id: 1", b"Id: 2"))
             assert late.status == 400
             release.set()
             answer = await asked
@@ -158,9 +158,9 @@
             writer.write(reply(200))
 
         async def use(port: int) -> None:
-            asked = asyncio.create_task(send(port, DELIVER))
+            asked = asyncio.create_task(fetch(port, DELIVER))
             await arrived.wait()
-            assert (await send(port, DELIVER)).status == 409
+            assert (await fetch(port, DELIVER)).status == 409
             release.set()
             assert (await asked).status == 200 and len(runs) == 1
 
@@ -202,7 +202,7 @@
         many = range(sockets.clients.limit + 3)
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in many]
         assert [await reader.read() for reader, _ in silent[:3]] == [b""] * 3
-        assert (await send(port, LOOK.replace(b"look", b"odd"))).status == 400
+        assert (await fetch(port, LOOK.replace(b"look", b"odd"))).status == 400
         assert sockets.clients.used <= sockets.clients.limit + 1
         for _, writer in silent:
             writer.close()
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -18,7 +18,7 @@
 from limenotch.lab.fleet.node import FAULTS
 
 from .helpers.discovery_service import DiscoveryService
-from .helpers.http_peers import LOOK, SETTINGS, send, with_new_id
+from .helpers.http_peers import LOOK, SETTINGS, fetch, with_new_id
 from .helpers.processes import Processes, free_port, run
 from .test_drain_at_size import EndpointServers
 
@@ -57,7 +57,7 @@
 
     async def client() -> None:
         for _ in range(REQUESTS_PER_CLIENT):
-            assert (await send(port, with_new_id(LOOK))).status == 200
+            assert (await fetch(port, with_new_id(LOOK))).status == 200
             await asyncio.sleep(0.01)
 
     ask_for(faults_path, Wish(clock_s=offset_at_start_s))
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -23,7 +23,7 @@
 from limenotch.settings import EndpointSettings as ProviderTuning
 from limenotch.settings import Settings
 
-from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, read_response, reply, send, with_new_id
+from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, fetch, read_response, reply, with_new_id
 from .helpers.processes import free_port, run, with_sidecar
 from .test_admin_server import CLASSES, conserved
 from .test_streamed_responses import BODY, OK, POST, in_chunks, read_all
@@ -79,7 +79,7 @@
     async def use(port: int) -> None:
         for number in range(4):
             wire = long_request("length").replace(b"Id: 1", b"Id: %d" % number)
-            assert (await send(port, wire)).status == 200
+            assert (await fetch(port, wire)).status == 200
 
     async def case() -> None:
         server = await asyncio.start_server(reading(reply(200), got), "127.0.0.1", 0)
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -22,7 +22,7 @@
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import Settings
 
-from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, reply, replying, send
+from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, fetch, reply, replying
 from .helpers.processes import free_port, run, with_sidecar
 from .test_admin_server import conserved
 
@@ -246,7 +246,7 @@
     handler, seen = replying(sent, reply(200))
 
     async def use(port: int) -> None:
-        answer = await send(port, LOOK)
+        answer = await fetch(port, LOOK)
         assert (answer.status, answer.body) == (200, b"body!")
 
     run(with_sidecar(handler, use))
@@ -326,7 +326,7 @@
         reading = [asyncio.create_task(read_all(port, wire)) for wire in wires]
         while not all(task.done() for task in reading):
             await conserved(admin)
-            assert (await send(admin, GET_HEALTH)).status == 200
+            assert (await fetch(admin, GET_HEALTH)).status == 200
             answered += 1
         assert all(task.result()[2] and len(task.result()[1]) == long for task in reading)
 
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -32,7 +32,7 @@
 from limenotch.net.client_listener import BACKLOG
 from limenotch.net.successor import Successor
 
-from .helpers.http_peers import LOOK, SETTINGS, Reader, Writer, read_response, reply, send
+from .helpers.http_peers import LOOK, SETTINGS, Reader, Writer, fetch, read_response, reply
 from .helpers.processes import Processes, free_port, run
 from .test_admin_server import GET_STATS, figures_of, post
 
@@ -184,7 +184,7 @@
     async def new_connections(self, stop: asyncio.Event) -> None:
         """One call to a connection, one after another."""
         while not stop.is_set():
-            self.statuses.append((await send(self.port, self.call())).status)
+            self.statuses.append((await fetch(self.port, self.call())).status)
 
     async def kept_connection(self, stop: asyncio.Event) -> None:
         """Calls on one connection; another one is opened only when the sidecar says that it closes."""
@@ -220,16 +220,16 @@
 def test_no_call_is_lost_while_one_process_takes_over_from_another(tmp_path: Path, twice: bool) -> None:
     async def case(sidecars: Sidecars) -> None:
         old, admin = await sidecars.start(known=True)
-        assert (await send(admin, post("b", "maint"))).status == 200
+        assert (await fetch(admin, post("b", "maint"))).status == 200
         stop = asyncio.Event()
         load = [asyncio.create_task(sidecars.new_connections(stop)) for _ in range(4)]
         load += [asyncio.create_task(sidecars.kept_connection(stop))]
         new, new_admin = await sidecars.start()  # its list and its ban come from the old one: no directory answers
-        figures = figures_of(await send(new_admin, GET_STATS))
+        figures = figures_of(await fetch(new_admin, GET_STATS))
         assert figures["lb.cluster_size"][0] == 2 and figures["lb.cluster_unhealthy"][0] == 1
         # While both live either sees the other's bans.
-        assert (await send(new_admin, post("b", "ready"))).status == 200
-        while figures_of(await send(admin, GET_STATS))["lb.cluster_unhealthy"][0]:
+        assert (await fetch(new_admin, post("b", "ready"))).status == 200
+        while figures_of(await fetch(admin, GET_STATS))["lb.cluster_unhealthy"][0]:
             await asyncio.sleep(0.01)
         last = new
         if twice:
@@ -265,13 +265,13 @@
         dead.kill()
         await dead.wait()
         for _ in range(10):
-            assert (await send(sidecars.port, LOOK)).status == 200
+            assert (await fetch(sidecars.port, LOOK)).status == 200
         assert alive.returncode is None
         # The next one is at home at either.
         await sidecars.start(known=True, kept=kept)
         alive.send_signal(signal.SIGTERM)
         assert await alive.wait() == 0
-        assert (await send(sidecars.port, LOOK)).status == 200
+        assert (await fetch(sidecars.port, LOOK)).status == 200
 
     play(tmp_path, case)
 
@@ -365,7 +365,7 @@
             path.write_text(json.dumps(raw))
             for count in (1, 2):
                 process.send_signal(signal.SIGHUP)
-                while figures_of(await send(admin, GET_STATS))["lb.conf_loaded"][0] < count:
+                while figures_of(await fetch(admin, GET_STATS))["lb.conf_loaded"][0] < count:
                     await asyncio.sleep(0.01)
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
@@ -383,7 +383,7 @@
         while True:
             await asyncio.sleep(0.01)
             with contextlib.suppress(OSError):
-                if (await send(sidecars.port, b"GET /up HTTP/1.1\r\nHost: s\r\n\r\n")).status == 503:
+                if (await fetch(sidecars.port, b"GET /up HTTP/1.1\r\nHost: s\r\n\r\n")).status == 503:
                     break
         (process,) = sidecars._processes.all
         process.send_signal(signal.SIGTERM)
--- a/tests/test_unusual_reports.py
+++ b/tests/test_unusual_reports.py
@@ -12,7 +12,7 @@
 from limenotch.balancing.learned_state import export_state, import_state
 from limenotch.balancing.types import BalancerSettings, Effect, Endpoint, Outcome, TrafficClass
 
-from .helpers.http_peers import LOOK, SETTINGS, reply, replying, send, with_new_id
+from .helpers.http_peers import LOOK, SETTINGS, fetch, reply, replying, with_new_id
 from .helpers.processes import run, with_sidecar
 
 CLASSES = (TrafficClass("look", Effect.IDEMPOTENT, 400.0, 900.0),)
@@ -80,7 +80,7 @@
 
     async def use(port: int) -> None:
         for _ in range(60):
-            assert (await send(port, with_new_id(LOOK))).status == 200
+            assert (await fetch(port, with_new_id(LOOK))).status == 200
             await asyncio.sleep(0.005)
 
     run(with_sidecar(handler, use, extra={"settings": {**SETTINGS, "classes": classes}}))
