--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -1,4 +1,4 @@
-"""The queue of connections not accepted yet, and names in requests."""
+"""The accept queue of the client listener, and non-ASCII names in requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .test_client_endings import PATIENT
 
 
-def test_a_connection_accepted_and_gone_at_once_costs_nobody_anything() -> None:
+def test_a_connection_reset_right_after_connecting_disturbs_no_other() -> None:
     async def use(port: int) -> None:
         for _ in range(50):
             sock = socket.create_connection(("127.0.0.1", port))
@@ -26,8 +26,8 @@
     run(with_sidecar(replying(reply(200))[0], use))
 
 
-def test_one_aborted_in_the_queue_costs_those_behind_it_nothing() -> None:
-    # Guards what waits when a process leaves: the accept that failed ended the turn, and the queue was reset.
+def test_an_aborted_connection_does_not_stop_the_accept_loop() -> None:
+    # Guards connections that wait in the queue at shutdown: a failed accept ended the loop, and the rest was reset.
     class Aborting(socket.socket):
         aborted = 0
 
@@ -38,40 +38,42 @@
             return super().accept()
 
     async def use(connections: Connections) -> None:
-        all_: ClientListener = connections.listener
-        all_._stop_listening()
+        listener: ClientListener = connections.listener
+        listener._stop_listening()
         queue = Aborting()
         queue.bind(("127.0.0.1", 0))
         queue.listen(8)
         queue.setblocking(False)
-        all_.listen(("127.0.0.1", 0), queue)
+        listener.listen(("127.0.0.1", 0), queue)
         clients = [socket.create_connection(queue.getsockname()) for _ in range(3)]
         for sock in clients:
             sock.settimeout(20.0)
             sock.sendall(UP)
-        all_._accept_all()
-        all_._stop_listening()
+        listener._accept_all()
+        listener._stop_listening()
         for sock in clients:
-            assert (await read_from(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 503 ")  # no listener: not ready
+            assert (await read_from(sock, b"\r\n\r\n")).startswith(
+                b"HTTP/1.1 503 "
+            )  # the listener is closed: not ready
             sock.close()
 
     run(with_connections(use, PATIENT))
 
 
-def test_without_a_descriptor_the_queue_waits_and_the_loop_does_not_spin() -> None:
-    # Guards everybody else: a queue that can't be emptied called the listener in every turn of the loop.
-    class Full(socket.socket):
-        tries, full = 0, True
+def test_without_descriptors_connections_wait_and_the_loop_does_not_spin() -> None:
+    # Guards against a busy loop: a queue that can't be emptied called the listener in every turn of the event loop.
+    class DescriptorsExhausted(socket.socket):
+        accept_calls, exhausted = 0, True
 
         def accept(self) -> tuple[socket.socket, object]:
-            self.tries += 1
-            if self.full:
+            self.accept_calls += 1
+            if self.exhausted:
                 raise OSError(24, "Too many open files")
             return super().accept()
 
     async def use(connections: Connections) -> None:
         connections.listener._stop_listening()
-        queue = Full()
+        queue = DescriptorsExhausted()
         queue.bind(("127.0.0.1", 0))
         queue.listen(8)
         queue.setblocking(False)
@@ -79,11 +81,11 @@
         sock = socket.create_connection(queue.getsockname())
         sock.settimeout(20.0)
         sock.sendall(UP)
-        await wait_until(lambda: queue.tries > 0)
+        await wait_until(lambda: queue.accept_calls > 0)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert queue.tries < 10  # in so many turns, each of which used to try
-        queue.full = False
+        assert queue.accept_calls < 10  # in 20 turns, each of which used to call accept
+        queue.exhausted = False
         assert (await read_from(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
@@ -91,15 +93,15 @@
 
 
 @pytest.mark.parametrize("encoding", ["utf-8", "latin-1"])
-def test_names_of_classes_and_tenants_may_have_any_letter(encoding: str) -> None:
-    # Guards customers whose language is not English: their names came out as others and every request was a 400.
+def test_names_of_classes_and_tenants_may_be_non_ascii(encoding: str) -> None:
+    # Guards non-ASCII names: they were decoded to other names, and every request was answered with 400.
     classes = [{**SETTINGS["classes"][0], "name": "lekérdezés"}]  # type: ignore[index]
-    named = {**SETTINGS, "classes": classes, "tenants": [{"name": "Órarend", "quota_per_s": 100.0}]}
+    settings = {**SETTINGS, "classes": classes, "tenants": [{"name": "Órarend", "quota_per_s": 100.0}]}
     request = LOOK.replace(b"look", "lekérdezés".encode(encoding)).replace(b"acme", "Órarend".encode(encoding))
-    handler, seen = replying(reply(200))
+    handler, requests = replying(reply(200))
 
     async def use(port: int) -> None:
         assert (await fetch(port, request)).status == 200
 
-    run(with_sidecar(handler, use, extra={"settings": named}))
-    assert len(seen) == 1
+    run(with_sidecar(handler, use, extra={"settings": settings}))
+    assert len(requests) == 1
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -17,7 +17,7 @@
 from .helpers.connections import Connections, wait_until, with_connections
 from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, fetch, read_response, reply, replying
 from .helpers.processes import free_port, run, with_sidecar
-from .test_admin_server import conserved
+from .test_admin_server import consistent_metrics
 
 NEXT = LOOK.replace(b"Id: 1", b"Id: 2")
 LONG = DELIVER.replace(
@@ -111,7 +111,7 @@
 
 
 async def departed(admin: int) -> None:
-    while (await conserved(admin))["lb.transactions.look.departed"][0] == 0:
+    while (await consistent_metrics(admin))["lb.transactions.look.departed"][0] == 0:
         await asyncio.sleep(0)
 
 
--- a/tests/test_operator_changes.py
+++ b/tests/test_operator_changes.py
@@ -37,7 +37,15 @@
 
 from .helpers.http_peers import GET_HEALTH, LOOK, SETTINGS, fetch, reply, with_new_id
 from .helpers.processes import free_port, run
-from .test_admin_server import CLASSES, COLD, GET_STATS, balancer_of, conserved, play, sent
+from .test_admin_server import (
+    CLASSES,
+    GET_STATS,
+    SLOW_START,
+    attempted_endpoints,
+    balancer_with,
+    consistent_metrics,
+    play,
+)
 
 
 def statistics_of(balancer: Balancer, name: str) -> EndpointStatistics:
@@ -45,7 +53,7 @@
 
 
 def test_an_ejection_applies_whatever_the_list_says() -> None:
-    balancer = balancer_of("a", "b")
+    balancer = balancer_with("a", "b")
     balancer.handle(1.0, OperatorEjection("a", True))
     updates = [
         MembershipUpdate(MembershipKind.COMPLETE, (Endpoint("a"), Endpoint("b"))),
@@ -55,18 +63,18 @@
     for number, update in enumerate(updates):
         balancer.handle(2.0, update)
         for repeat in range(5):
-            assert set(sent(balancer, 2.0, f"{number}.{repeat}")) <= {"b"}
+            assert set(attempted_endpoints(balancer, 2.0, f"{number}.{repeat}")) <= {"b"}
     assert balancer.excluded_count() == 1
 
 
 def test_a_readmitted_endpoint_is_in_slow_start_from_that_moment() -> None:
-    balancer = balancer_of("a", "b")
+    balancer = balancer_with("a", "b")
     balancer.handle(1.0, OperatorEjection("a", True))
     balancer.handle(1000.0, OperatorEjection("a", False, 1000.0))
-    assert statistics_of(balancer, "a").warm_fraction(1000.0, COLD) == pytest.approx(0.1)
+    assert statistics_of(balancer, "a").warm_fraction(1000.0, SLOW_START) == pytest.approx(0.1)
     # The list still has the old start: that does not end the slow start.
     balancer.handle(1000.0, MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("a"),)))
-    assert statistics_of(balancer, "a").warm_fraction(11_000.0, COLD) == pytest.approx(0.55)
+    assert statistics_of(balancer, "a").warm_fraction(11_000.0, SLOW_START) == pytest.approx(0.55)
     balancer.handle(2000.0, MembershipUpdate(MembershipKind.INCREMENTAL, (Endpoint("a", started_ms=1500.0),)))
     assert statistics_of(balancer, "a").started_at == 1500.0
     # An endpoint that is readmitted while draining is not used.
@@ -75,8 +83,8 @@
 
 
 def test_an_ejection_does_not_end_requests_in_flight() -> None:
-    balancer = balancer_of("a")
-    assert sent(balancer, 0.0, "1") == ["a"]
+    balancer = balancer_with("a")
+    assert attempted_endpoints(balancer, 0.0, "1") == ["a"]
     balancer.handle(1.0, OperatorEjection("a", True))
     assert balancer.handle(50.0, AttemptFinished("1", "a", 0, 50.0, Outcome.OK, True)) == []
 
@@ -92,7 +100,7 @@
     names = ("a", "b", "c")
     balancer = Balancer(BalancerSettings(classes=CLASSES, max_attempts=3, must_subscribe=True), seed=3)
     balancer.handle(0.0, MembershipUpdate(MembershipKind.COMPLETE, tuple(Endpoint(n) for n in names)))
-    (first,) = sent(balancer, 0.0, "old")
+    (first,) = attempted_endpoints(balancer, 0.0, "old")
     at_most_once = TrafficClass("look", Effect.AT_MOST_ONCE, 300, 500)
     balancer.handle(
         1.0,
@@ -193,14 +201,18 @@
 
 
 def test_learned_latencies_stay_with_their_class_and_go_with_it() -> None:
-    balancer = balancer_of("a")
-    sent(balancer, 0.0, "1")
+    balancer = balancer_with("a")
+    attempted_endpoints(balancer, 0.0, "1")
     balancer.handle(50.0, AttemptFinished("1", "a", 0, 50.0, Outcome.OK, True))
     unchanged = TrafficClass("look", Effect.IDEMPOTENT, 500, 900)
-    balancer.handle(51.0, SettingsChanged(BalancerSettings(classes=(DELIVER_DEDUPLICATED, unchanged), slow_start=COLD)))
+    balancer.handle(
+        51.0, SettingsChanged(BalancerSettings(classes=(DELIVER_DEDUPLICATED, unchanged), slow_start=SLOW_START))
+    )
     assert balancer.class_latencies["look"].mean_ms == 50.0 and balancer.class_latencies["deliver"].mean_ms == 0.0
-    balancer.handle(52.0, SettingsChanged(BalancerSettings(classes=(DELIVER_DEDUPLICATED,), slow_start=COLD)))
-    balancer.handle(53.0, SettingsChanged(BalancerSettings(classes=(DELIVER_DEDUPLICATED, unchanged), slow_start=COLD)))
+    balancer.handle(52.0, SettingsChanged(BalancerSettings(classes=(DELIVER_DEDUPLICATED,), slow_start=SLOW_START)))
+    balancer.handle(
+        53.0, SettingsChanged(BalancerSettings(classes=(DELIVER_DEDUPLICATED, unchanged), slow_start=SLOW_START))
+    )
     assert balancer.class_latencies["look"].mean_ms == 0.0  # a class that was removed and added again is another one
     assert statistics_of(balancer, "a").latency_samples > 0
 
@@ -217,7 +229,7 @@
         async def reload(classes: list[dict[str, Any]], name: str, count: int) -> dict[str, tuple[float, str]]:
             path.write_text(json.dumps({**raw, "settings": {**SETTINGS, "classes": classes}}))
             os.kill(os.getpid(), signal.SIGHUP)
-            while (metrics := await conserved(admin))[name][0] < count:
+            while (metrics := await consistent_metrics(admin))[name][0] < count:
                 pass
             return metrics
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The one accept loop that consumers, operators and the successor's door share."""
+"""The accept loop that the listeners for clients, operators and the successor process share."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from limenotch.net.sockets import Listener
 
 
-def listening() -> socket.socket:
+def listening_socket() -> socket.socket:
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     sock.listen(8)
@@ -16,28 +16,30 @@
     return sock
 
 
-def waiting(at: socket.socket, count: int) -> list[socket.socket]:
-    return [socket.create_connection(at.getsockname()) for _ in range(count)]
+def connect_clients(listener_socket: socket.socket, count: int) -> list[socket.socket]:
+    return [socket.create_connection(listener_socket.getsockname()) for _ in range(count)]
 
 
-def test_takes_at_most_so_many_then_stops_when_none_waits() -> None:
+def test_accepts_up_to_the_limit_and_stops_at_an_empty_queue() -> None:
     async def play() -> tuple[int, int]:
-        sock = listening()
+        sock = listening_socket()
         listener = Listener(sock, lambda: None)
-        clients = waiting(sock, 3)
-        taken: list[socket.socket] = []
-        listener.accept_connections(2, taken.append, lambda error: None)
-        first = len(taken)
-        listener.accept_connections(5, taken.append, lambda error: None)  # one is left; then accept would block
-        for s in (*taken, *clients):
+        clients = connect_clients(sock, 3)
+        accepted: list[socket.socket] = []
+        listener.accept_connections(2, accepted.append, lambda error: None)
+        accepted_at_first = len(accepted)
+        listener.accept_connections(
+            5, accepted.append, lambda error: None
+        )  # one connection is left; then accept would block
+        for s in (*accepted, *clients):
             s.close()
         listener.close()
-        return first, len(taken)
+        return accepted_at_first, len(accepted)
 
     assert asyncio.run(play()) == (2, 3)
 
 
-def test_a_failed_accept_ends_the_turn_and_is_told() -> None:
+def test_a_failed_accept_ends_the_loop_and_is_reported() -> None:
     class Failing(socket.socket):
         def accept(self) -> tuple[socket.socket, object]:
             raise OSError(24, "Too many open files")
@@ -49,30 +51,30 @@
         sock.setblocking(False)
         listener = Listener(sock, lambda: None)
         errors: list[OSError] = []
-        taken: list[socket.socket] = []
-        listener.accept_connections(4, taken.append, errors.append)
+        accepted: list[socket.socket] = []
+        listener.accept_connections(4, accepted.append, errors.append)
         listener.close()
-        return errors, taken
+        return errors, accepted
 
-    errors, taken = asyncio.run(play())
-    assert [e.errno for e in errors] == [24] and not taken
+    errors, accepted = asyncio.run(play())
+    assert [e.errno for e in errors] == [24] and not accepted
 
 
-def test_nothing_is_taken_once_closed() -> None:
+def test_nothing_is_accepted_after_close() -> None:
     async def play() -> tuple[int, list[OSError]]:
-        sock = listening()
+        sock = listening_socket()
         listener = Listener(sock, lambda: None)
-        clients = waiting(sock, 2)
-        taken: list[socket.socket] = []
+        clients = connect_clients(sock, 2)
+        accepted: list[socket.socket] = []
 
-        def admit(one: socket.socket) -> None:  # the owner closes its listener while others wait
-            taken.append(one)
+        def admit(connection: socket.socket) -> None:  # closes the listener while connections wait
+            accepted.append(connection)
             listener.close()
 
         errors: list[OSError] = []
         listener.accept_connections(4, admit, errors.append)
-        for s in (*taken, *clients):
+        for s in (*accepted, *clients):
             s.close()
-        return len(taken), errors
+        return len(accepted), errors
 
-    assert asyncio.run(play()) == (1, [])  # no accept on the closed socket, so no error told
+    assert asyncio.run(play()) == (1, [])  # no accept on the closed socket, so no error is reported
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -25,7 +25,7 @@
 
 from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, fetch, read_response, reply, with_new_id
 from .helpers.processes import free_port, run, with_sidecar
-from .test_admin_server import CLASSES, conserved
+from .test_admin_server import CLASSES, consistent_metrics
 from .test_streamed_responses import BODY, OK, POST, in_chunks, read_all
 
 
@@ -141,7 +141,7 @@
             word = b"\r\nzz\r\n" if broken == "chunk" else b""
             answer = await after_a_part(port, lambda writer: writer.write(word + b"q" * 40_000 * bool(word)))
             assert answer.status == (400 if broken == "chunk" else 408)
-        while (await conserved(admin))["lb.current"][0]:
+        while (await consistent_metrics(admin))["lb.current"][0]:
             pass
 
     tuning = Settings(clients=ConsumerTuning(body_s=0.2))
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -24,7 +24,7 @@
 
 from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, fetch, reply, replying
 from .helpers.processes import free_port, run, with_sidecar
-from .test_admin_server import conserved
+from .test_admin_server import consistent_metrics
 
 BODY = bytes(range(256)) * 2048  # 512 KiB
 POST = LOOK.replace(b"GET", b"POST").replace(b"look", b"deliver").replace(b"\r\n\r\n", b"\r\nIdempotency-Key: k\r\n")
@@ -225,7 +225,7 @@
         head, body, complete = await read_all(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
         # A reset may reach the consumer before it has read the head; it then has nothing that passes for an answer.
         assert not complete and len(body) < len(BODY)
-        figures = await conserved(admin)
+        figures = await consistent_metrics(admin)
         assert figures["lb.transactions.look.errored"][0] == 1 and figures["lb.current"][0] == 0
         assert figures["lb.sends"][0] == 1  # the winner was fixed: nobody else was asked
 
@@ -273,10 +273,10 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(LOOK)
             await reader.readexactly(100_000)
-            assert (await conserved(admin))["lb.current"][0] == 1
+            assert (await consistent_metrics(admin))["lb.current"][0] == 1
             writer.close()
             await gone.wait()
-            while (await conserved(admin))["lb.current"][0]:
+            while (await consistent_metrics(admin))["lb.current"][0]:
                 pass
 
         await with_sidecar(endless, use, extra={"admin_addr": f"127.0.0.1:{admin}"})
@@ -325,7 +325,7 @@
         wires = [LOOK.replace(b"Id: 1", b"Id: %d" % number) for number in range(8)]
         reading = [asyncio.create_task(read_all(port, wire)) for wire in wires]
         while not all(task.done() for task in reading):
-            await conserved(admin)
+            await consistent_metrics(admin)
             assert (await fetch(admin, GET_HEALTH)).status == 200
             answered += 1
         assert all(task.result()[2] and len(task.result()[1]) == long for task in reading)
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -34,7 +34,7 @@
 
 from .helpers.http_peers import LOOK, SETTINGS, Reader, Writer, fetch, read_response, reply
 from .helpers.processes import Processes, free_port, run
-from .test_admin_server import GET_STATS, figures_of, post
+from .test_admin_server import GET_STATS, metrics_of, post
 
 AT = ("127.0.0.1", 1)
 
@@ -225,11 +225,11 @@
         load = [asyncio.create_task(sidecars.new_connections(stop)) for _ in range(4)]
         load += [asyncio.create_task(sidecars.kept_connection(stop))]
         new, new_admin = await sidecars.start()  # its list and its ban come from the old one: no directory answers
-        figures = figures_of(await fetch(new_admin, GET_STATS))
+        figures = metrics_of(await fetch(new_admin, GET_STATS))
         assert figures["lb.cluster_size"][0] == 2 and figures["lb.cluster_unhealthy"][0] == 1
         # While both live either sees the other's bans.
         assert (await fetch(new_admin, post("b", "ready"))).status == 200
-        while figures_of(await fetch(admin, GET_STATS))["lb.cluster_unhealthy"][0]:
+        while metrics_of(await fetch(admin, GET_STATS))["lb.cluster_unhealthy"][0]:
             await asyncio.sleep(0.01)
         last = new
         if twice:
@@ -365,7 +365,7 @@
             path.write_text(json.dumps(raw))
             for count in (1, 2):
                 process.send_signal(signal.SIGHUP)
-                while figures_of(await fetch(admin, GET_STATS))["lb.conf_loaded"][0] < count:
+                while metrics_of(await fetch(admin, GET_STATS))["lb.conf_loaded"][0] < count:
                     await asyncio.sleep(0.01)
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
