--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -25,7 +25,7 @@
 }
 
 
-def test_what_the_file_says_and_what_it_leaves_out() -> None:
+def test_values_of_the_file_and_defaults() -> None:
     config = parse(RAW, {"LB_LISTEN": "127.0.0.9:1"})
     assert config.listen == ("127.0.0.9", 1) and config.discovery == ("127.0.0.2", 8500)
     assert config.seed == 0x8C1F30D27A5BE964  # the seed is hexadecimal also where it looks decimal
@@ -58,13 +58,13 @@
         ("settings.classes", {"look": CLASS}, "settings.classes"),
     ],
 )
-def test_a_fault_names_its_key(path: str, value: object, key: str) -> None:
+def test_an_error_names_its_key(path: str, value: object, key: str) -> None:
     raw = copy.deepcopy(RAW)
-    *outer, last = path.split(".")
-    at = raw
-    for name in outer:
-        at = at[name]
-    at[last] = value
+    *outer_keys, last_key = path.split(".")
+    section = raw
+    for name in outer_keys:
+        section = section[name]
+    section[last_key] = value
     with pytest.raises(ConfigError, match=f"^{key}: "):
         parse(raw, {})
 
@@ -99,33 +99,33 @@
         "settings.classes.0.hard_limit_ms",
     ],
 )
-def test_a_file_read_again_may_lack_no_key(tmp_path: Path, path: str) -> None:
-    # Guards against the half of a file that is still JSON: its defaults would be taken for the operators' wish.
-    held = parse(RAW, {})
+def test_a_reloaded_file_has_to_have_every_key_of_the_current_one(tmp_path: Path, path: str) -> None:
+    # Guards against a truncated file that is still valid JSON: defaults would replace the operators' values.
+    current = parse(RAW, {})
     raw = copy.deepcopy(RAW)
-    at: Any = raw
-    *outer, last = path.split(".")
-    for name in outer:
-        at = at[int(name) if name.isdigit() else name]
-    del at[last]
+    section: Any = raw
+    *outer_keys, last_key = path.split(".")
+    for name in outer_keys:
+        section = section[int(name) if name.isdigit() else name]
+    del section[last_key]
     file = tmp_path / "config.json"
     file.write_text(json.dumps(raw))
-    with pytest.raises(ConfigError, match=last):
-        load({"LB_CONFIG": str(file)}, held)
+    with pytest.raises(ConfigError, match=last_key):
+        load({"LB_CONFIG": str(file)}, current)
 
 
-def test_a_file_read_again_may_lack_what_is_of_the_start(tmp_path: Path) -> None:
-    held = parse(RAW, {})
+def test_a_reloaded_file_may_lack_keys_used_only_at_start(tmp_path: Path) -> None:
+    current = parse(RAW, {})
     file = tmp_path / "config.json"
-    more = {"name": "tidy", "effect": "at_most_once", "target_ms": 50, "hard_limit_ms": 90, "worth": 2}
-    settings = {**RAW["settings"], "classes": [more]}
+    traffic_class = {"name": "tidy", "effect": "at_most_once", "target_ms": 50, "hard_limit_ms": 90, "worth": 2}
+    settings = {**RAW["settings"], "classes": [traffic_class]}
     raw = {**{k: v for k, v in RAW.items() if k not in ("known", "seed")}, "settings": settings}
     file.write_text(json.dumps(raw))
-    assert [cls.name for cls in load({"LB_CONFIG": str(file)}, held).settings.classes] == ["tidy"]
+    assert [cls.name for cls in load({"LB_CONFIG": str(file)}, current).settings.classes] == ["tidy"]
 
 
 @pytest.mark.parametrize("text", ["{", "[]", None])
-def test_a_file_that_is_none(tmp_path: Path, text: str | None) -> None:
+def test_an_invalid_or_missing_file(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
--- a/tests/test_discovery_jam.py
+++ b/tests/test_discovery_jam.py
@@ -12,7 +12,7 @@
 from .helpers.discovery_service import DiscoveryService
 from .helpers.http_peers import LOOK, fetch, with_new_id
 from .helpers.processes import Processes, free_port, run
-from .test_drain_at_size import GRACE_S, EndpointServers, configuration, wait_until
+from .test_drain_at_size import GRACE_WITH_SLACK_S, EndpointServers, configuration, wait_until
 
 CHANGE_DEADLINE_S = 2.0  # after a watch was closed, a change counts as known, whether or not it was received
 DRAIN_GRACE_S = 0.5  # as in the scenario in which sidecars join
@@ -62,7 +62,7 @@
             closed_at = monotonic()
             await asyncio.sleep(CONGESTION_S)
             at.rejects_all = False
-            await asyncio.sleep(closed_at + CHANGE_DEADLINE_S + GRACE_S - monotonic())
+            await asyncio.sleep(closed_at + CHANGE_DEADLINE_S + GRACE_WITH_SLACK_S - monotonic())
             before = len(servers.requests[0])
             await asyncio.sleep(2.0)
             done.set()
--- a/tests/test_endpoint_connection.py
+++ b/tests/test_endpoint_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint: what comes on it, and when it may carry another request."""
+"""Connections to endpoints: parsing of what arrives, and when a connection may carry another request."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from limenotch.net.endpoint_pool import EndpointPool
 from limenotch.net.header_fields import budget_ms
 from limenotch.net.response_outcome import attempt_ending, load_report
-from limenotch.settings import EndpointSettings as ProviderTuning
+from limenotch.settings import EndpointSettings
 
 from .helpers.http_peers import Reader, Writer
 from .helpers.processes import run
 from .test_sidecar import Heard, invoker_call, unlimited
 
 
-def test_words_of_the_protocol() -> None:
+def test_parsing_of_budgets_load_reports_and_rejections() -> None:
     assert (budget_ms(b"480m"), budget_ms(b"480000u")) == (480.0, 480.0)
     for text in (b"", b"m", b"480", b"-1m", b"0m", b"infm", b"1e400m"):
         with pytest.raises(http1.MalformedError):
@@ -30,10 +30,10 @@
     assert load_report(b"TEXT util=0.5") == (0.5, None)
     for text in (b"", b"util", b"TEXT util=x", b"util=nan", b"util=9e9", b"util=-1", b"\xff=,="):
         assert load_report(text) == (None, None)
-    marked = http1.Message([], {b"x-rejected": b"1"}, status=503)
-    assert attempt_ending(marked) is AttemptEnding.REJECTED
-    marked.status = 500
-    assert attempt_ending(marked) is AttemptEnding.ERROR
+    response = http1.Message([], {b"x-rejected": b"1"}, status=503)
+    assert attempt_ending(response) is AttemptEnding.REJECTED
+    response.status = 500
+    assert attempt_ending(response) is AttemptEnding.ERROR
 
 
 @pytest.mark.parametrize(
@@ -45,37 +45,37 @@
     ],
     ids=["endless head", "short body", "no length"],
 )
-def test_an_answer_that_does_not_end_is_a_reset(sent: bytes) -> None:
-    # Guards calls with time left to try elsewhere, and consumers: what there is of a body without a length
-    # once passed for the whole when we closed the connection ourselves.
+def test_a_response_that_does_not_end_is_a_reset(sent: bytes) -> None:
+    # Guards requests with time left for a retry, and clients: when the sidecar closed the connection itself, a
+    # partial body without a length once counted as complete.
 
     async def case() -> None:
-        calls, sockets = Heard(), unlimited()
+        request_manager, sockets = Heard(), unlimited()
 
         async def handler(reader: Reader, writer: Writer) -> None:
             writer.write(sent)
             await reader.read()
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool = EndpointPool(calls, sockets, 9000.0, 9000.0, ProviderTuning(answer_s=0.0))
+        pool = EndpointPool(request_manager, sockets, 9000.0, 9000.0, EndpointSettings(answer_s=0.0))
         pool.apply_list([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
         pool.start(invoker_call(monotonic() + 20))
-        assert await calls.endings.get() is AttemptEnding.RESET
+        assert await request_manager.endings.get() is AttemptEnding.RESET
 
     run(case())
 
 
 def test_a_connection_with_unread_bytes_is_not_clean() -> None:
-    # Guards against a second copy of an answer, still in the kernel, that would be the next call's answer.
+    # Guards against a duplicate response in the kernel buffer that would be taken for the next request's response.
     async def case() -> None:
         from tornado.iostream import IOStream
 
-        ours, theirs = socket.socketpair()
-        connection = EndpointConnection(IOStream(ours), "a", ("127.0.0.1", 1))
+        local, remote = socket.socketpair()
+        connection = EndpointConnection(IOStream(local), "a", ("127.0.0.1", 1))
         reading = asyncio.create_task(connection.read())
         await asyncio.sleep(0)
         assert connection.is_clean()
-        theirs.send(b"H")
+        remote.send(b"H")
         assert not connection.is_clean()
         await reading
         assert not connection.is_clean()
@@ -84,13 +84,13 @@
 
 
 def test_a_connection_that_ended_idle_is_not_reusable() -> None:
-    # Guards against a request that is written to a connection its provider has closed: it would be a reset.
+    # Guards against writing a request to a connection that its endpoint has closed: it would end as a reset.
     async def case() -> None:
         from tornado.iostream import IOStream
 
-        ours, theirs = socket.socketpair()
-        connection = EndpointConnection(IOStream(ours), "a", ("127.0.0.1", 1))
-        theirs.close()
+        local, remote = socket.socketpair()
+        connection = EndpointConnection(IOStream(local), "a", ("127.0.0.1", 1))
+        remote.close()
         await connection.read()
         assert not connection.is_reusable(http1.Message([], {}, status=200))
 
