--- a/tests/test_attempt_crossings.py
+++ b/tests/test_attempt_crossings.py
@@ -26,7 +26,7 @@
 
 from .helpers.http_peers import SETTINGS, Reader, Writer, reply
 from .helpers.processes import run
-from .test_sidecar import Heard, unlimited
+from .test_sidecar import RecordingRequestManager, unlimited_descriptors
 
 REJECTED = reply(503, (b"X-Rejected", b"1"))
 AT_MOST_ONCE = TrafficClass("c", Effect.AT_MOST_ONCE, 9000.0, 20_000.0)
@@ -61,7 +61,7 @@
     """A pool with one endpoint, `a`, which records the first byte received on each connection."""
 
     def __init__(self) -> None:
-        self.request_manager, self.sockets = Heard(), unlimited()
+        self.request_manager, self.sockets = RecordingRequestManager(), unlimited_descriptors()
         self.pool = EndpointPool(self.request_manager, self.sockets, 9000.0, 9e6)
         self.received: asyncio.Queue[bytes] = asyncio.Queue()
         self.endpoint: DiscoveredEndpoint
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -19,7 +19,7 @@
 from .helpers.discovery_peer import CHUNKED, SILENCE_S, ScriptedDiscovery, WatchRecorder, chunk, list_document, run_case
 from .helpers.http_peers import Reader, Writer
 from .helpers.processes import run
-from .test_sidecar import Heard, invoker_call, unlimited
+from .test_sidecar import RecordingRequestManager, make_attempt, unlimited_descriptors
 
 
 @pytest.mark.parametrize(
@@ -242,15 +242,15 @@
     """As if it were listed as terminated: nothing is written to it, though it still answers."""
 
     async def whole() -> None:
-        calls, seen = Heard(), asyncio.Queue[bytes]()
+        calls, seen = RecordingRequestManager(), asyncio.Queue[bytes]()
 
         async def handler(reader: Reader, writer: Writer) -> None:
             seen.put_nowait(await reader.read())
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool = EndpointPool(calls, unlimited(), 9000.0, 9000.0)
+        pool = EndpointPool(calls, unlimited_descriptors(), 9000.0, 9000.0)
         pool.apply_list([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
-        pool.start(invoker_call(time.monotonic() + 20))
+        pool.start(make_attempt(time.monotonic() + 20))
         await asyncio.sleep(0)  # the task runs up to its wait for the connection
         pool.apply_list([DiscoveredEndpoint("b", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE)], True)
         assert await calls.endings.get() is AttemptEnding.NOT_SENT and await seen.get() == b""
--- a/tests/test_endpoint_connection.py
+++ b/tests/test_endpoint_connection.py
@@ -18,7 +18,7 @@
 
 from .helpers.http_peers import Reader, Writer
 from .helpers.processes import run
-from .test_sidecar import Heard, invoker_call, unlimited
+from .test_sidecar import RecordingRequestManager, make_attempt, unlimited_descriptors
 
 
 def test_parsing_of_budgets_load_reports_and_rejections() -> None:
@@ -50,7 +50,7 @@
     # partial body without a length once counted as complete.
 
     async def case() -> None:
-        request_manager, sockets = Heard(), unlimited()
+        request_manager, sockets = RecordingRequestManager(), unlimited_descriptors()
 
         async def handler(reader: Reader, writer: Writer) -> None:
             writer.write(sent)
@@ -59,7 +59,7 @@
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         pool = EndpointPool(request_manager, sockets, 9000.0, 9000.0, EndpointSettings(answer_s=0.0))
         pool.apply_list([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
-        pool.start(invoker_call(monotonic() + 20))
+        pool.start(make_attempt(monotonic() + 20))
         assert await request_manager.endings.get() is AttemptEnding.RESET
 
     run(case())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The program's own settings: the shipped file, faults by file, line and key, and what is in force."""
+"""The program's settings: the shipped file, errors by file, line and key, and the effective settings."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 SHIPPED = Path(__file__).parent.parent / "deploy" / "limenotch.toml"
 
 
-def test_the_shipped_file_is_the_defaults_and_names_every_key() -> None:
+def test_the_shipped_file_has_every_key_at_its_default() -> None:
     assert parse(SHIPPED.read_text(), "limenotch.toml") == Settings()
     keys = re.findall(r"^(\w+) =", SHIPPED.read_text(), re.MULTILINE)
     assert keys == re.findall(r"^(\w+) =", effective(Settings()), re.MULTILINE)
 
 
-def test_what_is_in_force_can_be_read_again() -> None:
+def test_effective_settings_can_be_parsed_again() -> None:
     settings = parse('[log]\nform = "json"\n[providers]\nanswer_s = 1.5\n', "x")
     assert parse(effective(settings), "x") == settings and settings.endpoints.answer_s == 1.5
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ('[log]\n\nform = "xml"', "f.toml:3: log.form: "),
         ("[consumers]\nidle_s = 0", "f.toml:2: consumers.idle_s: expected"),
@@ -41,12 +41,12 @@
         ("[log", "f.toml: not TOML: "),
     ],
 )
-def test_a_fault_names_file_line_and_key(text: str, says: str) -> None:
-    with pytest.raises(toml.FaultError, match="^" + re.escape(says)):
+def test_an_error_names_file_line_and_key(text: str, message: str) -> None:
+    with pytest.raises(toml.FaultError, match="^" + re.escape(message)):
         parse(text, "f.toml")
 
 
-def test_where_the_file_comes_from(tmp_path: Path) -> None:
+def test_the_path_of_the_settings_file(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text("[providers]\nanswer_s = 2")
     assert load_settings(None, {}) == Settings()
@@ -58,7 +58,7 @@
         load_settings(str(path), {})
 
 
-def test_a_line_of_a_table_in_a_list() -> None:
+def test_the_line_of_a_table_in_a_list() -> None:
     text = "[[tier]]\n[[tier.kind]]\na = 1\n[[tier]]\n[[tier.kind]]\n[[tier.kind]]\nb = 2\n"
     assert [
         toml.line_of(text, path) for path in ("tier[1].kind[1].b", "tier[1].kind[0].z", "tier[0].kind[0].a", "q")
@@ -90,12 +90,12 @@
         assert "provider" in lines[0] and "p1" in lines[0] and "plain 7" in lines[1]
 
 
-def test_serve_imports_nothing_of_the_laboratory() -> None:
-    """Guards the memory and the start of every sidecar."""
+def test_serve_does_not_import_the_laboratory() -> None:
+    """Guards the memory use and the start-up time of every sidecar."""
     code = (
         "import sys, limenotch.cli.serve, limenotch.app; "
         "print([m for m in sys.modules if m.split('.')[0] in ('numpy', 'scipy', 'rich', 'hdrh', 'matplotlib', "
         "'jinja2') or m.startswith('limenotch.lab')])"
     )
-    # structlog looks for rich by itself where it is installed; the platform's own installation has none.
+    # structlog imports rich where it is installed; the installation on the platform has none.
     assert [m for m in eval(output_of(code)) if not m.startswith(("rich", "pygments"))] == []
