--- a/tests/frozen/answers.py
+++ b/tests/frozen/answers.py
@@ -1,4 +1,4 @@
-"""The JSON keys of what operators are answered, asked of a running sidecar that has all parts of a fleet."""
+"""The JSON keys of responses to operators, from a running sidecar that has all components of a fleet."""
 
 from __future__ import annotations
 
@@ -35,31 +35,31 @@
     "list of notes": (b"GET", b"/fleet/promises/", b""),
     "fleet": (b"GET", b"/fleet", b""),
 }
-TRIES = 100
+MAX_TRIES = 100
 
 
 def keys_of(value: Any, path: str = "") -> set[str]:
     """The paths of all keys of a JSON value; a list's elements share the path of the list."""
     if isinstance(value, dict):
-        below = (keys_of(each, f"{path}.{key}") for key, each in value.items())
-        return {f"{path}.{key}" for key in value}.union(*below)
+        nested = (keys_of(element, f"{path}.{key}") for key, element in value.items())
+        return {f"{path}.{key}" for key in value}.union(*nested)
     if isinstance(value, list):
-        return set().union(*(keys_of(each, f"{path}[]") for each in value))
+        return set().union(*(keys_of(element, f"{path}[]") for element in value))
     return set()
 
 
-async def answered(folder: Path) -> dict[str, Any]:
-    """By request, the status and the keys of the answer."""
-    found: dict[str, Any] = {}
+async def operator_responses(folder: Path) -> dict[str, Any]:
+    """Returns, by request, the status and the keys of the response."""
+    responses: dict[str, Any] = {}
     async with serving(folder, "n", TABLE.format(folder=folder)) as sidecar:
         await fetch(sidecar.port, LOOK)
         for name, (method, path, body) in REQUESTS.items():
             request = b"%b %b HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (method, path, len(body), body)
-            for _ in range(TRIES):
-                answer = await fetch(sidecar.admin, request)
-                if answer.status not in (500, 503, 504):  # the log is being read, or no leader is elected yet
+            for _ in range(MAX_TRIES):
+                response = await fetch(sidecar.admin, request)
+                if response.status not in (500, 503, 504):  # the log is being read, or no leader is elected yet
                     break
                 await asyncio.sleep(0.1)
-            keys = sorted(keys_of(json.loads(answer.body)))
-            found[name] = {"status": answer.status, "keys": keys}
-    return found
+            keys = sorted(keys_of(json.loads(response.body)))
+            responses[name] = {"status": response.status, "keys": keys}
+    return responses
--- a/tests/frozen/samples.py
+++ b/tests/frozen/samples.py
@@ -11,41 +11,41 @@
 from msgspec import Struct
 
 
-def sample_of(kind: Any) -> Any:
-    """A value of this type. Two fields of one type never hold the same value, so that a changed order shows.
+def sample_of(value_type: Any) -> Any:
+    """Returns a value of this type. No two fields of one type have the same value, so that a changed order shows.
 
     Raises TypeError on a type for which no sample is known.
     """
-    return _value(kind, itertools.count(1))
+    return _value(value_type, itertools.count(1))
 
 
-def _value(kind: Any, numbers: Iterator[int]) -> Any:
-    if isinstance(kind, type) and issubclass(kind, Struct):
-        hints = get_type_hints(kind, include_extras=True)
-        return kind(**{name: _value(hints[name], numbers) for name in kind.__struct_fields__})
-    origin = get_origin(kind)
+def _value(value_type: Any, numbers: Iterator[int]) -> Any:
+    if isinstance(value_type, type) and issubclass(value_type, Struct):
+        hints = get_type_hints(value_type, include_extras=True)
+        return value_type(**{name: _value(hints[name], numbers) for name in value_type.__struct_fields__})
+    origin = get_origin(value_type)
     if origin in (Union, types.UnionType):
-        return _value(next(part for part in get_args(kind) if part is not type(None)), numbers)
+        return _value(next(argument for argument in get_args(value_type) if argument is not type(None)), numbers)
     if origin is typing.Annotated:
-        return _value(get_args(kind)[0], numbers)
+        return _value(get_args(value_type)[0], numbers)
     if origin in (tuple, list):
-        parts = [part for part in get_args(kind) if part is not Ellipsis]
-        return origin(_value(part, numbers) for part in parts)
+        arguments = [argument for argument in get_args(value_type) if argument is not Ellipsis]
+        return origin(_value(argument, numbers) for argument in arguments)
     if origin is dict:
-        key, value = get_args(kind)
+        key, value = get_args(value_type)
         return {_value(key, numbers): _value(value, numbers)}
-    return _leaf(kind, next(numbers))
+    return _leaf(value_type, next(numbers))
 
 
-def _leaf(kind: Any, number: int) -> Any:
-    if kind is bool:
+def _leaf(value_type: Any, number: int) -> Any:
+    if value_type is bool:
         return bool(number % 2)
-    if kind is int:
+    if value_type is int:
         return number
-    if kind is float:
+    if value_type is float:
         return number + 0.5
-    if kind is str:
+    if value_type is str:
         return f"s{number}"
-    if kind is bytes:
+    if value_type is bytes:
         return b"b%d" % number
-    raise TypeError(f"no sample of {kind!r}")
+    raise TypeError(f"no sample of {value_type!r}")
--- a/tests/frozen/subjects.py
+++ b/tests/frozen/subjects.py
@@ -1,4 +1,4 @@
-"""What is frozen, under the names that it has in the code today: the one file here that follows a rename."""
+"""The code under test by its current names: the only file of this folder that follows renames in the program."""
 
 from __future__ import annotations
 
@@ -180,7 +180,7 @@
 
 
 class Clock:
-    """Unix time in ms that stands still until it is moved."""
+    """A clock of Unix time in ms that changes only when `ms` is set."""
 
     def __init__(self) -> None:
         self.ms = 1796256000000.0
@@ -190,40 +190,40 @@
 
 
 def wire() -> FrameCodec:
-    """Of a key and a group that are in the frozen frames."""
+    """Returns a codec with the key and the group of the frozen frames."""
     return FrameCodec(KEY, "group", MESSAGES)
 
 
 def facade(clock: Clock) -> LoadBalancer:
-    """A balancer on a clock that stands still."""
+    """Returns a load balancer that uses the manual clock."""
     return LoadBalancer(read_settings(SETTINGS), 7, SETTINGS["zones"], ["small", "large"], clock=clock)
 
 
 def listed() -> list[DiscoveredEndpoint]:
-    """The entries of LIST."""
+    """Returns the entries of LIST."""
     listing = parse_list(LIST)
     assert listing is not None
     return listing.entries
 
 
 def opened(folder: Path) -> tuple[records.StoredLog, str | None]:
-    """What a store in this folder holds, and what was cut off its end."""
+    """Returns the content of the store in this folder, and what was cut off its torn end."""
     files = RealFiles(folder)
     store = Store(files)
-    held = store.open()
-    torn = store.torn_end
+    stored = store.open()
+    torn_end = store.torn_end
     store.close()
     files.release()
-    return held, torn
+    return stored, torn_end
 
 
 def parse(text: str, name: str) -> Any:
-    """A settings file with a `[fleet]` table. Raises toml.FaultError."""
+    """Parses a settings file with a `[fleet]` table. Raises toml.FaultError."""
     return parse_with(text, name)
 
 
 def figures() -> bytes:
-    """The metrics of a process that has done each thing once."""
+    """Returns the metrics of a process that has counted each event once."""
     metrics = Metrics()
     metrics.register_classes(["look"])
     metrics.count_taken()
@@ -236,7 +236,7 @@
 
 
 def paths() -> list[str]:
-    """What operators may ask for."""
+    """Returns the paths of the operators' address."""
     return sorted([server.HEALTH, server.STATS, server.ENDPOINTS, PATH, wallet.WALLETS, log.PROMISES,
                    log.VOTERS, rules.RULES_PATH])  # fmt: skip
 
@@ -245,7 +245,7 @@
 
 
 def key_file() -> str:
-    """A file that holds KEY."""
+    """Returns the path of a file that contains KEY."""
     global _key_file
     if _key_file is None:
         _key_file = Path(tempfile.mkdtemp()) / "key"
@@ -253,13 +253,13 @@
     return str(_key_file)
 
 
-def played(link: type, lines: str) -> str:
-    """What the simulator's adapter writes when it reads these lines."""
+def played(adapter: type, lines: str) -> str:
+    """Returns what the simulator adapter writes when it reads these lines."""
     sink = io.StringIO()
-    link(io.StringIO(lines), sink).run()
+    adapter(io.StringIO(lines), sink).run()
     return sink.getvalue()
 
 
 def environment(sources: list[str]) -> list[str]:
-    """The environment variables that these source texts read."""
+    """Returns the environment variables that these source texts read."""
     return sorted({name for text in sources for name in re.findall(r"\b(?:LB|LIMENOTCH)_[A-Z_]+\b", text)})
