--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -13,10 +13,10 @@
 from multiprocessing import get_context
 from pathlib import Path
 
-from tests.helpers.soak import Plan, Run, Seen, faults
+from tests.helpers.soak import Observations, Plan, Run, violations
 
 
-def run_seed(seed: int) -> tuple[int, Plan, Seen]:
+def run_seed(seed: int) -> tuple[int, Plan, Observations]:
     with tempfile.TemporaryDirectory() as folder:
         run = Run(seed, Path(folder))
         return seed, run.plan, asyncio.run(run.play())
@@ -31,15 +31,15 @@
     failed_seeds = completed_seeds = 0
     with get_context("spawn").Pool(arguments.beside) as pool:  # each worker chooses its own ports
         for seed, plan, observed in pool.imap_unordered(run_seed, range(int(first), int(last or first) + 1)):
-            violations, completed_seeds = faults(observed), completed_seeds + 1
-            failed_seeds += bool(violations)
+            found, completed_seeds = violations(observed), completed_seeds + 1
+            failed_seeds += bool(found)
             print(
-                f"seed {seed}: {observed.sent} sent, {observed.answered} answered, {observed.cut} crossed, "
-                f"{len(violations)} faults"
+                f"seed {seed}: {observed.sent} sent, {observed.answered} answered, {observed.crossed} crossed, "
+                f"{len(found)} faults"
             )
-            for fault in violations[:5]:
+            for fault in found[:5]:
                 print(f"  {fault}")
-            if violations:
+            if found:
                 print(f"  {plan}")
     print(f"{completed_seeds} seeds, {failed_seeds} with a violated rule")
     return 1 if failed_seeds else 0
--- a/tests/test_client_endings.py
+++ b/tests/test_client_endings.py
@@ -14,8 +14,8 @@
 from limenotch.net.pipe import MAX_BUFFERED_BODY_BYTES, BodyPipe
 from limenotch.settings import ClientSettings as Tuning
 
-from .helpers.connections import UP, Connections, received, until, with_connections
-from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, ask
+from .helpers.connections import UP, Connections, read_from, wait_until, with_connections
+from .helpers.http_peers import DELIVER, LOOK, Reader, Writer, fetch
 from .helpers.processes import run, with_sidecar
 
 LONG_TIMEOUTS = Tuning(request_s=60.0, idle_s=60.0)  # so that only the test ends connections
@@ -29,7 +29,7 @@
 
 
 def eviction(connections: Connections, consumer: ClientConnection) -> None:
-    connections.all._drop_idle()
+    connections.listener._drop_idle()
 
 
 def shutdown(connections: Connections, consumer: ClientConnection) -> None:
@@ -58,12 +58,12 @@
         sock, consumer = await connections.client()
         if used:
             sock.sendall(UP)
-            await received(sock, b"\r\n\r\n")
-            await until(lambda: consumer in connections.all._idle)
+            await read_from(sock, b"\r\n\r\n")
+            await wait_until(lambda: consumer in connections.listener._idle)
         sock.sendall(UP)
         where(consumer)
         end(connections, consumer)
-        assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
+        assert (await read_from(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
     run(with_connections(use, LONG_TIMEOUTS))
@@ -77,10 +77,10 @@
         sock, consumer = await connections.client()
         end(connections, consumer)
         sock.sendall(LOOK * 100)
-        assert await received(sock) == b""  # neither a response nor a reset
+        assert await read_from(sock) == b""  # neither a response nor a reset
         sock.close()
-        await until(lambda: not connections.all._open)
-        assert connections.taken() == 0 and connections.sockets.clients.used == 0
+        await wait_until(lambda: not connections.listener._open)
+        assert connections.accepted_requests() == 0 and connections.sockets.clients.used == 0
 
     run(with_connections(use, LONG_TIMEOUTS))
 
@@ -103,11 +103,11 @@
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(part)
-        await until(lambda: not consumer._parser.idle and consumer._timer is not None)
+        await wait_until(lambda: not consumer._parser.idle and consumer._timer is not None)
         sock.sendall(crossing)
         consumer._handle_timeout()
         sock.sendall(behind)
-        answer = await received(sock)
+        answer = await read_from(sock)
         sock.close()
         assert answer.startswith(b"HTTP/1.1 408 ") and b"Connection: close" in answer
 
@@ -121,10 +121,10 @@
         wire = with_body if late == b"c" else UP
         sock, consumer = await connections.client()
         sock.sendall(wire[: -len(late)])
-        await until(lambda: not consumer._parser.idle and consumer.reader.empty)
+        await wait_until(lambda: not consumer._parser.idle and consumer.reader.empty)
         sock.sendall(late)
         consumer._handle_timeout()
-        assert (await received(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
+        assert (await read_from(sock, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
         sock.close()
 
     run(with_connections(use, LONG_TIMEOUTS))
@@ -151,10 +151,10 @@
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(wire + UP * 3000)  # more than one read
-        answer = await received(sock)  # a reset would raise
+        answer = await read_from(sock)  # a reset would raise
         assert answer.startswith(b"HTTP/1.1 %d " % status) and answer.count(b"HTTP/1.") == 1
         sock.close()
-        await until(lambda: not connections.all._open)
+        await wait_until(lambda: not connections.listener._open)
 
     run(with_connections(use, LONG_TIMEOUTS))
 
@@ -167,7 +167,7 @@
     async def use(connections: Connections) -> None:
         silent, _ = await connections.client()
         silent.sendall(UP.replace(b"\r\n\r\n", CLOSING))
-        await received(silent)
+        await read_from(silent)
         while connections.sockets.clients.used:
             await asyncio.sleep(0.01)
         silent.close()
@@ -179,18 +179,18 @@
     async def use(connections: Connections) -> None:
         working, work = await connections.client()
         working.sendall(UP)
-        await received(working, b"\r\n\r\n")
+        await read_from(working, b"\r\n\r\n")
         silent, never = await connections.client()
         lingering, gone = await connections.client()
         lingering.sendall(UP.replace(b"\r\n\r\n", CLOSING))
-        await received(lingering)
-        await until(lambda: work in connections.all._idle)
+        await read_from(lingering)
+        await wait_until(lambda: work in connections.listener._idle)
         order: list[ClientConnection] = []
         for _ in range(3):
-            before = set(connections.all._open)
-            assert connections.all._drop_idle()
-            order += before - set(connections.all._open)
-        assert order == [gone, never, work] and not connections.all._drop_idle()
+            before = set(connections.listener._open)
+            assert connections.listener._drop_idle()
+            order += before - set(connections.listener._open)
+        assert order == [gone, never, work] and not connections.listener._drop_idle()
         assert connections.sockets.clients.used == 0
         for sock in (working, silent, lingering):
             sock.close()
@@ -204,15 +204,15 @@
         limit = connections.sockets.clients.limit
         working, work = await connections.client()
         working.sendall(UP)
-        await received(working, b"\r\n\r\n")
-        await until(lambda: work in connections.all._idle)
+        await read_from(working, b"\r\n\r\n")
+        await wait_until(lambda: work in connections.listener._idle)
         idle = []
         for _ in range(3 * limit):
             idle.append((await connections.client())[0])
         assert connections.sockets.clients.used <= limit
         working.sendall(UP)
-        assert (await received(working, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-        assert (await ask(connections.port, UP)).status == 200
+        assert (await read_from(working, b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
+        assert (await fetch(connections.port, UP)).status == 200
         for sock in (working, *idle):
             sock.close()
 
@@ -226,9 +226,9 @@
         sock, consumer = await connections.client()
         head = DELIVER[:-3].replace(b"HTTP/1.1", version).replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n")
         sock.sendall(head)
-        await until(lambda: not consumer._parser.idle and consumer._timer is not None)
+        await wait_until(lambda: not consumer._parser.idle and consumer._timer is not None)
         consumer._handle_timeout()
-        answer = await received(sock)
+        answer = await read_from(sock)
         sock.close()
         assert answer.startswith(http1.CONTINUE + b"HTTP/1.1 408 " if continued else b"HTTP/1.1 408 ")
 
@@ -240,11 +240,11 @@
     async def use(connections: Connections) -> None:
         sock, consumer = await connections.client()
         sock.sendall(LOOK)
-        await until(lambda: bool(connections.calls.open))
+        await wait_until(lambda: bool(connections.request_manager.open))
         assert consumer._final is not None
         consumer._final.set_exception(RuntimeError("a fault"))
-        answer = await received(sock)
-        assert answer.startswith(b"HTTP/1.1 502 ") and not connections.calls.open
+        answer = await read_from(sock)
+        assert answer.startswith(b"HTTP/1.1 502 ") and not connections.request_manager.open
         sock.close()
 
     run(with_connections(use, LONG_TIMEOUTS))
@@ -290,9 +290,9 @@
         monkeypatch.setattr(BodyPipe, "put", faulty)
         sock, _ = await connections.client()
         await asyncio.to_thread(sock.sendall, BIG)
-        answer = await received(sock)
+        answer = await read_from(sock)
         assert answer.startswith(b"HTTP/1.1 502 ") and answer.count(b"HTTP/1.") == 1
-        assert not connections.calls.open and connections.budget.used == 0
+        assert not connections.request_manager.open and connections.budget.used == 0
         sock.close()
 
     run(with_connections(use, LONG_TIMEOUTS))
@@ -304,8 +304,8 @@
         size = 32 * 1024 * 1024
         consumer.stream.write(bytes(size))
         assert consumer.stream.writing() and not consumer.end_if_idle()
-        reading = asyncio.create_task(received(sock))
-        await until(lambda: not consumer.stream.writing(), turns=None)
+        reading = asyncio.create_task(read_from(sock))
+        await wait_until(lambda: not consumer.stream.writing(), max_turns=None)
         assert consumer.end_if_idle()
         assert len(await reading) == size
         sock.close()
--- a/tests/test_discovery_terms.py
+++ b/tests/test_discovery_terms.py
@@ -16,10 +16,10 @@
 from limenotch.net.discovery.client import DiscoveryClient
 from limenotch.net.endpoint_pool import EndpointPool
 
-from .helpers.discovery_peer import CHUNKED, SILENCE_S, Discovery, Held, case, chunk, listing
+from .helpers.discovery_peer import CHUNKED, SILENCE_S, ScriptedDiscovery, WatchRecorder, chunk, list_document, run_case
 from .helpers.http_peers import Reader, Writer
 from .helpers.processes import run
-from .test_sidecar import Heard, invoker_call, unlimited
+from .test_sidecar import RecordingRequestManager, make_attempt, unlimited_descriptors
 
 
 @pytest.mark.parametrize(
@@ -34,9 +34,9 @@
 @pytest.mark.parametrize("listed", [True, False])
 def test_trickling_bytes_that_complete_no_list_count_as_silence(rest: bytes | None, listed: bool) -> None:
     # Single bytes must not keep a watch alive that sends no list.
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        call.send(CHUNKED, chunk(listing(7, "a")) if listed else b"")
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        call.send(CHUNKED, chunk(list_document(7, "a")) if listed else b"")
         call.send(chunk(rest) if rest is not None else b"1;")
 
         async def trickle() -> None:
@@ -45,34 +45,34 @@
                 await asyncio.sleep(0.01)
 
         trickling = asyncio.create_task(trickle())
-        await held.broken.get()
-        again = await peer.calls.get()
+        await held.broken_watches.get()
+        again = await peer.requests.get()
         assert again.target == b"/discovery/hosts?follow=1" + (b"&since=7" if listed else b"")
         trickling.cancel()
 
-    case(body)
+    run_case(body)
 
 
 @pytest.mark.parametrize("listed", [True, False])
 def test_a_list_that_is_not_json_is_requested_again(listed: bool) -> None:
     # If it were skipped, its changes would be missing until the end of the watch.
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        call.send(CHUNKED, chunk(listing(7, "a")))
-        assert await held.heard.get() == (["a"], True)
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        call.send(CHUNKED, chunk(list_document(7, "a")))
+        assert await held.lists.get() == (["a"], True)
         if not listed:
             call.writer.close()
-            call = await peer.calls.get()
+            call = await peer.requests.get()
             call.send(CHUNKED)
         call.send(chunk(b'{"index":8,"endpoints":oops}\n'))
-        again = await peer.calls.get()
+        again = await peer.requests.get()
         # The changes since the last version if the watch has received a list; otherwise the same document might be
         # invalid again, so a complete list is requested.
         assert again.target == b"/discovery/hosts?follow=1" + (b"&since=7" if listed else b"")
-        again.send(CHUNKED, chunk(listing(5, "b")))  # a complete list is used although its index is older
-        assert await held.heard.get() == (["b"], True)
+        again.send(CHUNKED, chunk(list_document(5, "b")))  # a complete list is used although its index is older
+        assert await held.lists.get() == (["b"], True)
 
-    case(body, silence_s=30.0)
+    run_case(body, silence_s=30.0)
 
 
 MANY = [f"endpoint-{number:05}" for number in range(16_000)]  # over 1 MiB as a list
@@ -92,40 +92,40 @@
     ids=["close", "http10", "length", "interim", "bytes", "big chunk", "big length"],
 )
 def test_a_list_is_received_with_any_framing(names: list[str], head: bytes, framed: Callable[[bytes], bytes]) -> None:
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        listed = listing(7, *names)
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        listed = list_document(7, *names)
         call.send(head % len(listed) if b"%d" in head else head, framed(listed))
-        assert await held.heard.get() == (names, True)
+        assert await held.lists.get() == (names, True)
         call.writer.close()
-        await held.broken.get()  # its end is reported, and the next query continues from its version
-        assert (await peer.calls.get()).target.endswith(b"since=7")
+        await held.broken_watches.get()  # its end is reported, and the next query continues from its version
+        assert (await peer.requests.get()).target.endswith(b"since=7")
 
-    case(body, silence_s=3.0)
+    run_case(body, silence_s=3.0)
 
 
 @pytest.mark.parametrize(
     "answer",
     [
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-        b"HTTP/1.1 500 Oops\r\nContent-Length: 80\r\n\r\n" + listing(9, "x"),  # an error with a list as its body
-        b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(listing(9, "x")),
+        b"HTTP/1.1 500 Oops\r\nContent-Length: 80\r\n\r\n" + list_document(9, "x"),  # an error with a list as its body
+        b"HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list_document(9, "x")),
         b"nonsense\r\n\r\n",
         b"",
     ],
     ids=["empty", "list", "chunked", "nonsense", "nothing"],
 )
 def test_an_error_response_is_not_used_and_is_followed_by_another_query(answer: bytes) -> None:
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
         call.send(answer)
         if not answer:
             call.writer.close()
-        again = await peer.calls.get()
-        assert again.target == b"/discovery/hosts?follow=1" and held.heard.empty()
-        assert held.broken.qsize() == 1
+        again = await peer.requests.get()
+        assert again.target == b"/discovery/hosts?follow=1" and held.lists.empty()
+        assert held.broken_watches.qsize() == 1
 
-    case(body, silence_s=3.0)
+    run_case(body, silence_s=3.0)
 
 
 def test_a_connection_that_is_not_established_is_replaced_by_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -161,14 +161,14 @@
     """For instance, discovery was restarted after it had received the query."""
     monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
-    async def body(peer: Discovery, held: Held) -> None:
-        first = await peer.calls.get()
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        first = await peer.requests.get()
         first.send(CHUNKED, chunk(b"\n"))  # an empty line is not a list
-        (await peer.calls.get()).send(CHUNKED, chunk(listing(1, "a")))
-        assert await held.heard.get() == (["a"], True) and held.broken.qsize() == 1
-        await first.ended()
+        (await peer.requests.get()).send(CHUNKED, chunk(list_document(1, "a")))
+        assert await held.lists.get() == (["a"], True) and held.broken_watches.qsize() == 1
+        await first.wait_closed()
 
-    case(body, silence_s=30.0)
+    run_case(body, silence_s=30.0)
 
 
 def test_a_retired_query_becomes_current_again_if_its_list_is_received_before_the_next_query(
@@ -177,63 +177,63 @@
     # Otherwise each sidecar would send a congested discovery one more query right after it has got its list.
     monkeypatch.setattr(schedule, "LIST_TIMEOUT_S", 0.1)
 
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        await held.broken.get()
-        call.send(CHUNKED, chunk(listing(1, "a")))
-        assert await held.heard.get() == (["a"], True)
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        await held.broken_watches.get()
+        call.send(CHUNKED, chunk(list_document(1, "a")))
+        assert await held.lists.get() == (["a"], True)
         await asyncio.sleep(schedule.MAX_BACKOFFS_S[0] + 0.1)
-        assert peer.calls.empty() and held.directory.position()[1:3] == (1, True)
-        call.send(chunk(listing(2, "b", whole=False)))
-        assert await held.heard.get() == (["b"], False)
+        assert peer.requests.empty() and held.client.position()[1:3] == (1, True)
+        call.send(chunk(list_document(2, "b", complete=False)))
+        assert await held.lists.get() == (["b"], False)
         call.writer.close()  # its end is handled as that of any watch
-        await held.broken.get()
-        assert (await peer.calls.get()).target == b"/discovery/hosts?follow=1&since=2"
+        await held.broken_watches.get()
+        assert (await peer.requests.get()).target == b"/discovery/hosts?follow=1&since=2"
 
-    case(body, silence_s=3.0)
+    run_case(body, silence_s=3.0)
 
 
 def test_bytes_received_in_time_are_processed_before_a_timer_that_has_expired() -> None:
     """The process was paused for longer than the silence that ends a watch, but the list had arrived in time."""
 
-    async def body(peer: Discovery, held: Held) -> None:
-        call = await peer.calls.get()
-        call.send(CHUNKED, chunk(listing(7, "a")))
-        assert await held.heard.get() == (["a"], True)
-        call.send_now(chunk(listing(8, "b", whole=False)))
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
+        call = await peer.requests.get()
+        call.send(CHUNKED, chunk(list_document(7, "a")))
+        assert await held.lists.get() == (["a"], True)
+        call.send_immediately(chunk(list_document(8, "b", complete=False)))
         time.sleep(1.5 * SILENCE_S)
-        assert await held.heard.get() == (["b"], False)
-        assert held.broken.empty()
+        assert await held.lists.get() == (["b"], False)
+        assert held.broken_watches.empty()
 
-    case(body)
+    run_case(body)
 
 
 def test_a_watch_that_ends_at_once_causes_no_additional_query() -> None:
-    async def body(peer: Discovery, held: Held) -> None:
+    async def body(peer: ScriptedDiscovery, held: WatchRecorder) -> None:
         for index in range(1, 4):
-            call = await peer.calls.get()
-            held.directory.watch()  # the load balancer may request the watch at any time
-            call.send(CHUNKED, chunk(listing(index, "a")), b"0\r\n\r\n")
-            await call.ended()
-            held.directory.watch()
-            assert await held.heard.get() == (["a"], True)
-            assert peer.calls.empty() and held.broken.qsize() == index
+            call = await peer.requests.get()
+            held.client.watch()  # the load balancer may request the watch at any time
+            call.send(CHUNKED, chunk(list_document(index, "a")), b"0\r\n\r\n")
+            await call.wait_closed()
+            held.client.watch()
+            assert await held.lists.get() == (["a"], True)
+            assert peer.requests.empty() and held.broken_watches.qsize() == index
 
-    case(body, silence_s=3.0)
+    run_case(body, silence_s=3.0)
 
 
 def test_an_exception_in_the_callback_for_failures_does_not_end_the_queries() -> None:
     # An exception in the load balancer's backoff once ended the task of the watch, and no query followed.
     async def whole() -> None:
-        peer = Discovery()
+        peer = ScriptedDiscovery()
 
         def broken() -> None:
             raise OverflowError
 
-        directory = DiscoveryClient(await peer.begin(), lambda *_: None, broken)
+        directory = DiscoveryClient(await peer.start(), lambda *_: None, broken)
         directory.watch()
-        (await peer.calls.get()).writer.close()
-        await peer.calls.get()
+        (await peer.requests.get()).writer.close()
+        await peer.requests.get()
         directory.close()
 
     run(whole())
@@ -243,15 +243,15 @@
     """As if it were listed as terminated, although it still accepts connections."""
 
     async def whole() -> None:
-        calls, seen = Heard(), asyncio.Queue[bytes]()
+        calls, seen = RecordingRequestManager(), asyncio.Queue[bytes]()
 
         async def handler(reader: Reader, writer: Writer) -> None:
             seen.put_nowait(await reader.read())
 
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
-        pool = EndpointPool(calls, unlimited(), 9000.0, 9000.0)
+        pool = EndpointPool(calls, unlimited_descriptors(), 9000.0, 9000.0)
         pool.apply_list([DiscoveredEndpoint("a", server.sockets[0].getsockname(), DiscoveryStatus.IN_SERVICE)], True)
-        pool.start(invoker_call(time.monotonic() + 20))
+        pool.start(make_attempt(time.monotonic() + 20))
         await asyncio.sleep(0)  # the attempt's task runs until it waits for the connection
         pool.apply_list([DiscoveredEndpoint("b", ("127.0.0.1", 1), DiscoveryStatus.IN_SERVICE)], True)
         assert await calls.endings.get() is AttemptEnding.NOT_SENT and await seen.get() == b""
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -23,9 +23,9 @@
 from limenotch.settings import EndpointSettings as ProviderTuning
 from limenotch.settings import Settings
 
-from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, answer_from, ask, renamed, whole
+from .helpers.http_peers import SETTINGS, Handler, Reader, Writer, fetch, read_response, reply, with_new_id
 from .helpers.processes import free_port, run, with_sidecar
-from .test_admin_server import CLASSES, conserved
+from .test_admin_server import CLASSES, consistent_metrics
 from .test_streamed_responses import BODY, OK, POST, encode_chunked, read_streamed_response
 
 
@@ -63,12 +63,12 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         parser = http1.ResponseParser()
         for _ in range(2):
-            writer.write(renamed(long_request(framing)))
-            answer = await answer_from(reader, parser)
+            writer.write(with_new_id(long_request(framing)))
+            answer = await read_response(reader, parser)
             assert (answer.status, answer.keep_alive) == (200, True)
         writer.close()
 
-    run(with_sidecar(responds_to_complete(whole(200), received), use))
+    run(with_sidecar(responds_to_complete(reply(200), received), use))
     assert received == [BODY, BODY]
 
 
@@ -79,17 +79,17 @@
     async def use(port: int) -> None:
         for number in range(4):
             wire = long_request("length").replace(b"Id: 1", b"Id: %d" % number)
-            assert (await ask(port, wire)).status == 200
+            assert (await fetch(port, wire)).status == 200
 
     async def case() -> None:
-        server = await asyncio.start_server(responds_to_complete(whole(200), received), "127.0.0.1", 0)
+        server = await asyncio.start_server(responds_to_complete(reply(200), received), "127.0.0.1", 0)
         at = server.sockets[0].getsockname()[1]
         listed = [
             {"name": name, "address": f"127.0.0.1:{port}", "zone": "a", "status": "in_service"}
             for name, port in (("a", free_port()), ("b", at))
         ]
         known = {"index": 3, "snapshot": True, "endpoints": listed}
-        await with_sidecar(responds_to_complete(whole(200), received), use, more={"known": known})
+        await with_sidecar(responds_to_complete(reply(200), received), use, extra={"known": known})
 
     run(case())
     assert received == [BODY] * 4
@@ -101,14 +101,14 @@
     wire = long_request("chunked")
     writer.write(wire[: len(wire) // 2])
     then(writer)
-    answer = await answer_from(reader, http1.ResponseParser())
+    answer = await read_response(reader, http1.ResponseParser())
     writer.close()
     return answer
 
 
 @pytest.mark.parametrize(
     ("answer", "status"),
-    [(whole(503, (b"X-Rejected", b"1")), 503), (whole(500), 502), (b"", 503), (whole(200), 200)],
+    [(reply(503, (b"X-Rejected", b"1")), 503), (reply(500), 502), (b"", 503), (reply(200), 200)],
     ids=["rejected", "500", "hangs up", "200"],
 )
 def test_a_response_may_arrive_before_the_request_is_complete(answer: bytes, status: int) -> None:
@@ -141,13 +141,13 @@
             chunk_size = b"\r\nzz\r\n" if broken == "chunk" else b""
             answer = await send_half(port, lambda writer: writer.write(chunk_size + b"q" * 40_000 * bool(chunk_size)))
             assert answer.status == (400 if broken == "chunk" else 408)
-        while (await conserved(admin))["lb.current"][0]:
+        while (await consistent_metrics(admin))["lb.current"][0]:
             pass
 
     tuning = Settings(clients=ConsumerTuning(body_s=0.2))
     run(
         with_sidecar(
-            responds_to_complete(whole(200), received), use, tuning=tuning, more={"admin_addr": f"127.0.0.1:{admin}"}
+            responds_to_complete(reply(200), received), use, settings=tuning, extra={"admin_addr": f"127.0.0.1:{admin}"}
         )
     )
     assert not received
@@ -165,7 +165,7 @@
         assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 503 ")
         writer.close()
 
-    run(with_sidecar(stuck, use, tuning=Settings(endpoints=ProviderTuning(stall_s=0.2))))
+    run(with_sidecar(stuck, use, settings=Settings(endpoints=ProviderTuning(stall_s=0.2))))
 
 
 def test_many_long_bodies_are_streamed_at_once_with_a_tiny_memory_budget(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_streamed_responses.py
+++ b/tests/test_streamed_responses.py
@@ -22,9 +22,9 @@
 from limenotch.settings import ClientSettings as ConsumerTuning
 from limenotch.settings import Settings
 
-from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, answering, ask, whole
+from .helpers.http_peers import GET_HEALTH, LOOK, Handler, Reader, Writer, fetch, reply, replying
 from .helpers.processes import free_port, run, with_sidecar
-from .test_admin_server import conserved
+from .test_admin_server import consistent_metrics
 
 BODY = bytes(range(256)) * 2048  # 512 KiB
 POST = LOOK.replace(b"GET", b"POST").replace(b"look", b"deliver").replace(b"\r\n\r\n", b"\r\nIdempotency-Key: k\r\n")
@@ -225,12 +225,12 @@
         head, body, complete = await read_streamed_response(port, LOOK.replace(b"HTTP/1.1", b"HTTP/1.%d" % minor))
         # A reset may reach the client before it has read the head; then it has received no response at all.
         assert not complete and len(body) < len(BODY)
-        metrics = await conserved(admin)
+        metrics = await consistent_metrics(admin)
         assert metrics["lb.transactions.look.errored"][0] == 1 and metrics["lb.current"][0] == 0
         assert metrics["lb.sends"][0] == 1  # no other attempt can follow once a response is being forwarded
 
     handler = responds(FRAMINGS[framing][: len(BODY) // 2])
-    run(with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"}))
+    run(with_sidecar(handler, use, extra={"admin_addr": f"127.0.0.1:{admin}"}))
 
 
 @pytest.mark.parametrize(
@@ -243,10 +243,10 @@
     ids=["ends early", "3 GB", "no chunk"],
 )
 def test_a_response_that_is_invalid_within_its_buffered_part_is_requested_from_another_endpoint(sent: bytes) -> None:
-    handler, seen = answering(sent, whole(200))
+    handler, seen = replying(sent, reply(200))
 
     async def use(port: int) -> None:
-        answer = await ask(port, LOOK)
+        answer = await fetch(port, LOOK)
         assert (answer.status, answer.body) == (200, b"body!")
 
     run(with_sidecar(handler, use))
@@ -273,13 +273,13 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(LOOK)
             await reader.readexactly(100_000)
-            assert (await conserved(admin))["lb.current"][0] == 1
+            assert (await consistent_metrics(admin))["lb.current"][0] == 1
             writer.close()
             await ended.wait()
-            while (await conserved(admin))["lb.current"][0]:
+            while (await consistent_metrics(admin))["lb.current"][0]:
                 pass
 
-        await with_sidecar(endless, use, more={"admin_addr": f"127.0.0.1:{admin}"})
+        await with_sidecar(endless, use, extra={"admin_addr": f"127.0.0.1:{admin}"})
 
     run(case())
 
@@ -302,7 +302,7 @@
             await ended.wait()
             writer.close()
 
-        await with_sidecar(long, use, tuning=Settings(clients=ConsumerTuning(write_s=0.2)))
+        await with_sidecar(long, use, settings=Settings(clients=ConsumerTuning(write_s=0.2)))
 
     run(case())
 
@@ -325,10 +325,10 @@
         wires = [LOOK.replace(b"Id: 1", b"Id: %d" % number) for number in range(8)]
         reading = [asyncio.create_task(read_streamed_response(port, wire)) for wire in wires]
         while not all(task.done() for task in reading):
-            await conserved(admin)
-            assert (await ask(admin, GET_HEALTH)).status == 200
+            await consistent_metrics(admin)
+            assert (await fetch(admin, GET_HEALTH)).status == 200
             answered += 1
         assert all(task.result()[2] and len(task.result()[1]) == body_bytes for task in reading)
 
-    run(with_sidecar(handler, use, more={"admin_addr": f"127.0.0.1:{admin}"}))
+    run(with_sidecar(handler, use, extra={"admin_addr": f"127.0.0.1:{admin}"}))
     assert answered > 3
--- a/tests/test_successor.py
+++ b/tests/test_successor.py
@@ -32,9 +32,9 @@
 from limenotch.net.client_listener import BACKLOG
 from limenotch.net.successor import Successor
 
-from .helpers.http_peers import LOOK, SETTINGS, Reader, Writer, answer_from, ask, whole
+from .helpers.http_peers import LOOK, SETTINGS, Reader, Writer, fetch, read_response, reply
 from .helpers.processes import Processes, free_port, run
-from .test_admin_server import GET_STATS, figures_of, post
+from .test_admin_server import GET_STATS, metrics_of, post
 
 AT = ("127.0.0.1", 1)
 
@@ -163,7 +163,7 @@
         async def handler(reader: Reader, writer: Writer) -> None:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
                 while await reader.readuntil(b"\r\n\r\n"):
-                    writer.write(whole(200))
+                    writer.write(reply(200))
 
         self.server = await asyncio.start_server(handler, "127.0.0.1", 0)
         self.provider = self.server.sockets[0].getsockname()[1]
@@ -187,7 +187,7 @@
     async def new_connections(self, stop: asyncio.Event) -> None:
         """Sends one request on each connection, one after another."""
         while not stop.is_set():
-            self.statuses.append((await ask(self.port, self.next_request())).status)
+            self.statuses.append((await fetch(self.port, self.next_request())).status)
 
     async def kept_connection(self, stop: asyncio.Event) -> None:
         """Sends requests on one connection; opens another one only if the sidecar announces its end."""
@@ -197,14 +197,14 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 parser = http1.ResponseParser()
             writer.write(self.next_request())
-            answer = await answer_from(reader, parser)
+            answer = await read_response(reader, parser)
             self.statuses.append(answer.status)
             if not answer.keep_alive:
                 self.announced_ends += 1
                 writer = None
 
     async def end(self) -> None:
-        await self._processes.end()
+        await self._processes.kill_all()
 
 
 def run_case(folder: Path, case: Callable[[Sidecars], Awaitable[None]]) -> None:
@@ -223,16 +223,16 @@
 def test_no_request_is_lost_while_one_process_takes_over_from_another(tmp_path: Path, twice: bool) -> None:
     async def case(sidecars: Sidecars) -> None:
         old, admin = await sidecars.start(known=True)
-        assert (await ask(admin, post("b", "maint"))).status == 200
+        assert (await fetch(admin, post("b", "maint"))).status == 200
         stop = asyncio.Event()
         load = [asyncio.create_task(sidecars.new_connections(stop)) for _ in range(4)]
         load += [asyncio.create_task(sidecars.kept_connection(stop))]
         new, new_admin = await sidecars.start()  # list and ejection come from the old process, as discovery is down
-        metrics = figures_of(await ask(new_admin, GET_STATS))
+        metrics = metrics_of(await fetch(new_admin, GET_STATS))
         assert metrics["lb.cluster_size"][0] == 2 and metrics["lb.cluster_unhealthy"][0] == 1
         # While both processes run, each applies the ejections of the other one.
-        assert (await ask(new_admin, post("b", "ready"))).status == 200
-        while figures_of(await ask(admin, GET_STATS))["lb.cluster_unhealthy"][0]:
+        assert (await fetch(new_admin, post("b", "ready"))).status == 200
+        while metrics_of(await fetch(admin, GET_STATS))["lb.cluster_unhealthy"][0]:
             await asyncio.sleep(0.01)
         last = new
         if twice:
@@ -268,13 +268,13 @@
         dead.kill()
         await dead.wait()
         for _ in range(10):
-            assert (await ask(sidecars.port, LOOK)).status == 200
+            assert (await fetch(sidecars.port, LOOK)).status == 200
         assert alive.returncode is None
         # A further process can take over from either.
         await sidecars.start(known=True, kept=kept)
         alive.send_signal(signal.SIGTERM)
         assert await alive.wait() == 0
-        assert (await ask(sidecars.port, LOOK)).status == 200
+        assert (await fetch(sidecars.port, LOOK)).status == 200
 
     run_case(tmp_path, case)
 
@@ -372,7 +372,7 @@
             path.write_text(json.dumps(raw))
             for count in (1, 2):
                 process.send_signal(signal.SIGHUP)
-                while figures_of(await ask(admin, GET_STATS))["lb.conf_loaded"][0] < count:
+                while metrics_of(await fetch(admin, GET_STATS))["lb.conf_loaded"][0] < count:
                     await asyncio.sleep(0.01)
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
@@ -390,7 +390,7 @@
         while True:
             await asyncio.sleep(0.01)
             with contextlib.suppress(OSError):
-                if (await ask(sidecars.port, b"GET /up HTTP/1.1\r\nHost: s\r\n\r\n")).status == 503:
+                if (await fetch(sidecars.port, b"GET /up HTTP/1.1\r\nHost: s\r\n\r\n")).status == 503:
                     break
         (process,) = sidecars._processes.all
         process.send_signal(signal.SIGTERM)
