--- a/limenotch/balancing/balancer_state.py
+++ b/limenotch/balancing/balancer_state.py
@@ -1,7 +1,8 @@
 """State of one balancer: settings, endpoint list, requests, timers, and sums of what was observed.
 
 This module records events in counters, decaying sums and stored objects. The modules listed under `policy` in
-deploy/balancer.toml read the state and decide. Times and durations are in ms, rates in requests per second.
+deploy/balancer.toml read the state and decide. Times and durations are in ms, rates in requests per second unless
+their comment says otherwise (slow-start credit accrues per ms).
 """
 
 from __future__ import annotations
@@ -93,7 +94,7 @@
         self.window_end = -inf
         self.window_arrivals = 0
         self.total_successes = 0.0  # decaying number of attempts that met the latency objective
-        self.total_failures = 0.0  # decaying number of the others
+        self.total_failures = 0.0  # decaying number of the other attempts, except INCONCLUSIVE ones
         self.arrivals = 0.0  # decaying number of requests
         self.hedgeable = 0.0  # decaying number of requests that could be hedged
         self.hedged = 0.0  # decaying number of hedged requests
@@ -263,7 +264,10 @@
         return request
 
     def request_weight(self, now: float, request: Request, event: RequestArrived) -> float:
-        """Priority weight of a request, by its class and its tenant's use of its quota."""
+        """Priority weight of a request, by its class and its tenant's use of its quota.
+
+        Takes the request from the quota bucket of its tenant, if the tenant is in the settings.
+        """
         weight = request.traffic_class.priority_weight
         if event.tenant >= len(self.settings.tenants):
             return weight
--- a/limenotch/fleet/consensus/lease.py
+++ b/limenotch/fleet/consensus/lease.py
@@ -5,10 +5,10 @@
   clock.
 - With the answers of a quorum, the lease therefore runs from the beginning of the latest round that all of the quorum
   have answered, for election_least_ms * (1 - drift) / (1 + drift): it ends, by the leader's clock, before the first
-  voter's wait does.
-- The lease is checked with the current time: after a pause the first check sees the truth. It is revoked when
-  leadership is transferred (the successor starts its election without waiting). A member counts itself as always
-  answering.
+  voter's wait does. This time is `lease_ms`; `drift` bounds how much faster or slower a clock may run.
+- Each check compares the lease with the current time, so the first check after a pause of the process notices if the
+  lease has expired. The lease is revoked when leadership is transferred (the successor starts its election without
+  waiting). A member counts itself as always answering.
 - A voter that has just started waits election_least_ms before it votes: it may have answered before it crashed.
 
 Source: thesis, section 6.4.1.
@@ -52,7 +52,10 @@
         return rounds[voters.quorum - 1]
 
     def quorum_contact_ms(self, voters: Voters) -> float:
-        """The beginning of the latest round that a quorum has answered: a quorum had contact at or after it."""
+        """The beginning of the latest round that a quorum has answered: a quorum had contact at or after it.
+
+        If the beginning of that round is no longer recorded, it is the oldest recorded beginning.
+        """
         round_number = self.quorum_round(voters)
         return self._round_began_ms.get(round_number, self._round_began_ms[min(self._round_began_ms)])
 
--- a/limenotch/fleet/consensus/reconfiguration.py
+++ b/limenotch/fleet/consensus/reconfiguration.py
@@ -4,8 +4,9 @@
   one until the leader has committed an entry of its own term (Ongaro's correction of 2015).
 - A voter is added only after it has caught up as a learner. A leader that is removed leads until its removal is
   committed, then transfers its leadership.
-- A voter that is back on another disk is removed at once if the leader had recent contact with a quorum of the other
-  voters, and added when it has caught up; the entry itself marks it as returning, so the next leader continues.
+- A voter that is back on another disk has lost its promises, so it must not count as a voter. The leader
+  removes it at once if the leader had recent contact with a quorum of the other voters, and adds it again when it has
+  caught up. The entry that removes the voter marks it as returning, so that a later leader can add it again.
 
 Source: thesis, chapter 4.
 """
@@ -66,6 +67,8 @@
         if not node.is_leader or not leader_state.knows_committed or node.log.voters_index > node.commit_index:
             return
         if not node.is_voter:
+            # The committed voters are without this leader. A requested change that adds no voter (""), or one that is a
+            # voter by now, is done: respond, then give up leadership.
             if self._requested is not None and self._requested[1] in ("", *voters.disk_ids):
                 self._requests.respond(self._requested[0], "promised", node.log.voters_index)
                 self._requested = None
--- a/limenotch/fleet/leases.py
+++ b/limenotch/fleet/leases.py
@@ -1,4 +1,4 @@
-"""The two sides of every lease in the fleet, whatever it is on.
+"""The two sides of every lease in the fleet: the holder's and the granter's.
 
 A holder counts `lease_ms` from its request, a granter `lease_ms` x (1 + drift) from its response, which is later. So a
 lease expires at its holder before it expires at its granter, whatever is delayed, lost, duplicated or paused. A new
@@ -27,7 +27,7 @@
         return now < self.expires_at_ms
 
     def request(self, now: float) -> int:
-        """The serial of a new request; requests whose lease would have expired are forgotten."""
+        """Records a new request and returns its serial; drops requests whose lease would have expired."""
         self.serial += 1
         self._requests = {serial: at_ms for serial, at_ms in self._requests.items() if now - at_ms < self.lease_ms}
         self._requests[self.serial] = now
@@ -52,7 +52,10 @@
 
 
 class LeaseGranter:
-    """The granter's side: since when it leads, and whether leases of earlier leaders may still be valid."""
+    """The granter's side: since when it leads, and whether leases of earlier leaders may still be valid.
+
+    `max_lease_ms` is by the granter's clock and includes the factor (1 + drift).
+    """
 
     def __init__(self, max_lease_ms: float) -> None:
         self.max_lease_ms = max_lease_ms
--- a/limenotch/fleet/membership/messages.py
+++ b/limenotch/fleet/membership/messages.py
@@ -26,7 +26,7 @@
     address: Address  # where it wants to be reached
     process_epoch: int
     incarnation: int
-    active: bool = True  # False: joining or displaced; not to be treated as a member
+    active: bool = True  # False: joining, or displaced by another process of its name; not to be treated as a member
 
 
 class Claim(Struct, frozen=True, array_like=True):
@@ -37,7 +37,7 @@
     address: Address
     process_epoch: int
     incarnation: int
-    reported_by: str = ""  # independent reporters of one suspicion shorten it
+    reported_by: str = ""  # each further reporter of a suspicion shortens the wait before the member is declared dead
     age_ms: int = 0  # in tables, of dead and left members: age of the state, so that all forget them together
 
     @property
--- a/limenotch/fleet/membership/probing.py
+++ b/limenotch/fleet/membership/probing.py
@@ -6,8 +6,11 @@
     sent         | answered   | its ack arrived                          | health - 1
     sent         | indirect   | `timeout_ms`, scaled by health           | ping-req to k relays, ping over a stream
     indirect     | answered   | an ack arrived, from it or a relay       | health - 1
-    indirect     | failed     | three times `timeout_ms`, scaled         | suspect it; health by the relays' nacks
+    indirect     | failed     | 3 x `timeout_ms`, scaled, since `sent`   | suspect it; raise health (see below)
     sent, indirect | dropped  | this process paused, the member left or has another process epoch | nothing
+
+Health is a score of this process; a higher score is worse, and makes the timeouts longer. A failed probe raises
+it unless most of the relays sent a nack.
 """
 
 from __future__ import annotations
@@ -110,7 +113,7 @@
         context.send(relayed.address, Ack(relayed.seq, relayed.target, context.sender, context.next_claims()))
 
     def handle_nack(self, sender: str, message: Nack) -> None:
-        """A relay did not reach the target, but reached this process."""
+        """Record that a relay has no answer from the target yet; the nack shows that the path to the relay works."""
         probe = self.probes.get(message.seq)
         if probe is not None and probe.name == message.about and sender in probe.relays:
             probe.nacks.add(sender)
--- a/limenotch/metrics.py
+++ b/limenotch/metrics.py
@@ -9,7 +9,8 @@
 
 # Prefix of all metric names.
 PREFIX = "lb"
-# How a request can end. "departed": its client disconnected.
+# How a request can end. "answered": an endpoint's response was returned (to its end if streamed). "deferred": rejected.
+# "errored": failed, or its streamed response broke off. "departed": its client disconnected.
 REQUEST_ENDINGS = ("answered", "deferred", "errored", "departed")
 # Characters of class names that are replaced, since some would end the metric's name within its line.
 RESERVED_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")
@@ -36,7 +37,7 @@
         return counters
 
     def count_taken(self) -> None:
-        """Count a request that was accepted."""
+        """Count a request that was received, even if it is rejected at once for lack of capacity."""
         self._process["taken"] += 1
 
     def count_ended(self, class_name: str, ending: str) -> None:
--- a/limenotch/net/discovery/json_stream.py
+++ b/limenotch/net/discovery/json_stream.py
@@ -1,4 +1,4 @@
-"""Parser of a response whose body is a sequence of JSON documents, each returned as it arrives: discovery's watch."""
+"""Parser of discovery's watch: a response whose body is a sequence of JSON documents, each returned once complete."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
         """Starts at the beginning of a body."""
         self.lines_received = 0  # empty ones included
         self._incomplete_line = bytearray()
-        self._lines: list[bytes] = []  # of the incomplete document
+        self._lines: list[bytes] = []  # lines of the incomplete document
         self._lines_bytes = 0
-        self._depth = 0  # of nesting, after these lines
+        self._depth = 0  # objects and arrays that are open after these lines
 
     @property
     def pending_bytes(self) -> int:
@@ -56,7 +56,7 @@
         documents = list[bytes]()
         for line in lines:
             self._add(bytes(line), documents)
-        # A document is complete without the end of its last line, which may be sent only with the next document.
+        # The last line of a document counts without its line end: the server may send that only with the next document.
         if incomplete_line.endswith(b"}"):
             change = nesting_change(bytes(incomplete_line))
             if change is not None and self._depth + change <= 0:
--- a/limenotch/reload.py
+++ b/limenotch/reload.py
@@ -53,15 +53,15 @@
         components.discovery.move(config.discovery)
 
     def set_ejected(self, name: str, ejected: bool, at_ms: float) -> None:
-        """Ejects an endpoint by agreed rules, or ends its ejection; `at_ms` (Unix time) is when it ended."""
+        """Ejects an endpoint by agreed rules, or readmits it at `at_ms` (Unix time), which an ejection ignores."""
         self._components.set_ejected(name, ejected, at_ms)
 
     def set_lease(self, until_ms: float, slow_start_divisor: float, reject_without_lease: bool) -> None:
         """Sets until when the agreed rules are valid, on the lease clock; see LoadBalancer.set_lease."""
         now_ms = self._lease_clock_ms()
         if self._unannounced is not None and until_ms > now_ms:
-            # Not earlier: without a lease, request classes are more restricted than the agreed rules, and than what
-            # endpoints do.
+            # The configuration is announced only once the lease is valid: without a lease, request classes are more
+            # restricted than the agreed rules, so the announced configuration would not be the one that applies.
             announced = self._unannounced
             self._unannounced = None
             self.announce(announced)
--- a/limenotch/store/segments.py
+++ b/limenotch/store/segments.py
@@ -6,13 +6,15 @@
     frame  crc32c 4 of all after | length 4 | sequence 8 | position 4 | msgpack of one Record, `length` bytes
 
 `position` counts the earlier frames of the same batch. A batch is written only when the one before is synced, so an
-invalid frame that precedes a valid frame of a *later batch* was synced once, and is damage. Any other invalid frame may
-be the torn end of a batch that was never acknowledged. The distinction is that of R. Alagappan et al., "Protocol-Aware
-Recovery for Consensus-Based Storage", FAST 2018; damage in the last batch alone looks like a torn end. A frame of
-length 0 marks a store closed in order; it is a batch of its own, so all before it was synced.
+invalid frame that precedes a valid frame of a *later batch* was synced once, and is damage. So is every invalid frame
+in a segment that a later segment follows. Any other invalid frame may be the torn end of a batch that was never
+acknowledged. The distinction is that of R. Alagappan et al., "Protocol-Aware Recovery for Consensus-Based Storage",
+FAST 2018; damage in the last batch alone looks like a torn end. A frame of length 0 marks a store closed in order; it
+is a batch of its own, so all before it was synced.
 
-A file `snapshot-S` has the complete content after sequence S: magic 8 | format 4 | S 8 | crc32c 4 of all but itself |
-msgpack of `SnapshotContent`. Numbers are big-endian. The term is in each entry, covered by the frame's checksum.
+A file `snapshot-S` has the complete content that results from everything up to and including sequence S: magic 8 |
+format 4 | S 8 | crc32c 4 of all but itself | msgpack of `SnapshotContent`. Numbers are big-endian. The term is in each
+entry, covered by the frame's checksum.
 
 CRC-32C (Castagnoli; RFC 3720, section 12.1) detects every burst of up to 32 bits and every 3 flipped bits in a frame of
 the sizes here.
@@ -179,7 +181,9 @@
 def _find_later_batch(view: memoryview, offset: int, sequence: int) -> int | None:
     """The offset after `offset` of a valid frame of a batch that began after `sequence`; None if there is none.
 
-    The length in an invalid frame cannot be trusted, so every offset is tried.
+    The length in an invalid frame cannot be trusted, so every offset is tried. `number_found - position` is the
+    sequence number of the first frame in the candidate's batch. `highest` is more than any frame here can have: each
+    takes at least FRAME_SIZE bytes. Numbers above it are skipped without computing a checksum.
     """
     highest = sequence + (len(view) - offset) // FRAME_SIZE + 1
     for candidate in range(offset + 1, len(view) - FRAME_SIZE + 1):
