--- a/limenotch/fleet/rules/changes.py
+++ b/limenotch/fleet/rules/changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes from the request at any sidecar to the log, with the voters' check at the leader.
+"""Operators' changes from the request at any sidecar to the log, checked by the leader and the voters.
 
 1. The sidecar that gets the request sends it to the leader (`ChangeProposal`), or is the leader. It responds to its
    operator itself, once it applies the entry from the log: so the response does not depend on the leader's survival.
@@ -71,7 +71,7 @@
     def submit(
         self, now: float, request: OperatorRequest, ident: str, proposal: ChangeProposal | None, leader: str | None
     ) -> None:
-        """Register an operator's request; without `proposal` its entry is sent to the log elsewhere (an ejection)."""
+        """Register an operator's request; without `proposal` (an ejection) the caller sends the entry."""
         if len(self.requests) >= self.tuning.most_asks or ident in self.requests:
             reason = "asked already" if ident in self.requests else "too many changes are under way"
             self.actions.append(OperatorResponse(request.ticket, False, reason, self.rules.newest))
@@ -142,7 +142,7 @@
         return doc.merge(self.rules.document(proposal.base), doc.decode(proposal.change))
 
     def document_error(self, document: Document) -> str | None:
-        """What is wrong with a complete document, naming its key, by this program's own readers."""
+        """Returns what is wrong with a complete document, naming its key, by this process's own checks; or None."""
         try:
             doc.flatten(document)
         except ValueError as error:
--- a/limenotch/fleet/rules/endpoint_lists.py
+++ b/limenotch/fleet/rules/endpoint_lists.py
@@ -1,15 +1,15 @@
 """The endpoint list as a component: peers' notices restrict at once, new endpoints are added by agreement.
 
-| own directory | new endpoints from | drains from |
+| own directory | where new endpoints come from | where drains come from |
 | --- | --- | --- |
-| answers | it alone | it, and every peer (drain_notices.py) |
-| silent | what was agreed on of that directory (endpoint_additions.py) | its last list, and every peer |
+| answers | the own directory alone | the own directory, and every peer's notices (drain_notices.py) |
+| silent | the agreed list of that directory (endpoint_additions.py) | its last list, and every peer's notices |
 
 A sidecar reports each endpoint that its own directory lists as draining or gone, by datagram to all members, at once
-and NOTICE_REPEATS times more; and again when the directory lists one that it reported as ready. A sidecar that joins,
-or comes back after a network partition, requests complete notices from a few members; while its directory is silent, it
-requests them from one member after another. If two directories disagree, a drain of either applies, and an addition
-applies to the directory that listed it.
+and NOTICE_REPEATS times more. It does the same when the directory lists a reported endpoint as ready again.
+A sidecar that joins, or comes back after a network partition, requests complete notices from a few members; while its
+directory is silent, it requests them from one member after another. If two directories disagree, a drain of either
+applies, and an addition applies to the directory that listed it.
 
 Source: docs/fleet/rules-design.md, "Lists".
 """
@@ -65,14 +65,14 @@
         """`state`: of the log's snapshot found at the start. Raises msgspec.DecodeError if it can't be read."""
         self.name, self.process_epoch, self.directory, self._limit = name, process_epoch, directory, max_endpoints
         self.index, self.live = -1, False
-        self.silent = False  # the watch is known to have ended; at the start neither is known
-        self.stages: dict[str, str] = {}  # by name, as listed last, with the latest that are gone
+        self.silent = False  # the directory's watch has ended; at the start both `live` and `silent` are False
+        self.stages: dict[str, str] = {}  # by name: the stage listed last; at most MAX_GONE of them are gone
         self.ready: dict[str, ListedEndpoint] = {}
         self.drains, self.additions = PeerDrains(max_endpoints), EndpointAdditions(name, voters, max_endpoints, state)
         self.runs = 0  # new runs of the directory observed
         self._serial = 0
         self._unsent: dict[str, int] = {}  # by name: how many more times to send its stage
-        self._reported_restricted: set[str] = set()  # to peers, and not taken back
+        self._reported_restricted: set[str] = set()  # reported to peers as draining or gone, not as ready since
         self._send_at_ms = NEVER
         self._live_repeats = 0  # how many more times to send `live`
         self._recent_pulls = (0.0, 0)  # start of the window, count
@@ -160,8 +160,11 @@
         for name, stage in reported.items():
             if stage != READY:
                 self.ready.pop(name, None)
-            # Only an endpoint that was in the list is gone when it is missing: a missing endpoint says nothing against
-            # another directory.
+            # An endpoint counts as gone only if this directory listed it before: one that it never listed may be in
+            # the list of another directory.
+            # Worse: the stage is more restrictive than the one listed before. Better: it is ready again, after this
+            # sidecar reported it to peers as restricted. A worse stage is not sent if enough peers have reported the
+            # same stage, or a more restrictive one, from the same directory.
             is_worse = STAGES.index(stage) > STAGES.index(previous.get(name, READY))
             is_better = stage == READY and name in self._reported_restricted
             if is_better or is_worse and not self.drains.is_widely_reported(name, self.directory, stage):
@@ -284,6 +287,9 @@
             if len(message.stages) > MAX_NOTICE_ENTRIES or any(_is_too_long(name) for name, _ in message.stages):
                 self._count("bad word")
             elif sender != self.name:
+                # `_own_stage` is passed on only if the own directory answers, is the one of the notice, and has
+                # reported at least the notice's index. Otherwise the own list proves nothing about the notice: the
+                # callback returns READY, and each drain of the notice is kept.
                 is_up_to_date = self.live and message.directory == self.directory and message.index <= self.index
                 self.drains.notice_received(
                     self._now, sender, message, self._own_stage if is_up_to_date else lambda name: READY
--- a/limenotch/fleet/wallet/core.py
+++ b/limenotch/fleet/wallet/core.py
@@ -1,9 +1,9 @@
 """The wallet component: applies the log's entries to the ledger, spends this sidecar's allocations, serves as a witness
 for other holders, and grants allocations while it leads.
 
-| state of a holder | requests of a tenant with a wallet | until |
+| state of a holder | requests of a tenant with a wallet | what ends the state |
 | --- | --- | --- |
-| no lease | rejected, or a bounded advance, by the settings | a lease, and all entries its granter had applied |
+| no lease | rejected, or served up to `advance` units, by the settings | a lease, and its granter's entries applied |
 | leased, units available | reserved at once | the lease expires, a fence, an allocation ends |
 | leased, no units, credit unallocated | rejected briefly: an allocation is requested | allocation and spend limit |
 | leased, no credit | rejected: the tenant is paused | new credit, or units that other holders return |
@@ -15,8 +15,8 @@
 - An allocation ends when its holder settles it, or when its holder can no longer spend and its witnesses were queried.
 - What reduces an allocation (a recall, a fence, a shutdown) takes effect in the event that brings it, permanently; it
   is settled afterwards.
-- `process_epoch` is the process's: limits and allocations end with it. After a fence, members are known under other
-  incarnations, so the leader takes a voter's process epoch from its lease requests.
+- `process_epoch` identifies the process: limits and allocations end with it. After a fence, membership knows a member
+  under another incarnation, so the leader takes a voter's process epoch from that voter's lease requests.
 
 Source: docs/fleet/wallet-design.md. Messages: messages.py. Entries: entries.py.
 """
--- a/limenotch/fleet_adapters/endpoint_lists.py
+++ b/limenotch/fleet_adapters/endpoint_lists.py
@@ -75,7 +75,7 @@
         return self._lists
 
     def started(self) -> None:
-        """What the directory reported before the log was read is passed on once the component gets events."""
+        """Pass on, in the next turn of the event loop, what the directory reported before the component gets events."""
         asyncio.get_running_loop().call_soon(self._report_missed)
 
     def _report_missed(self) -> None:
@@ -95,7 +95,7 @@
 
     def _report(self, endpoints: Iterable[DiscoveredEndpoint], complete: bool) -> None:
         (at, index, live, elapsed_ms), reported = self._directory_state(), list(endpoints)
-        if live:  # else it is an earlier list, not a report of the directory
+        if live:  # without a live watch the endpoints are from an earlier list, not a report
             self._silent = False
             ready = tuple(_listed_endpoint(endpoint) for endpoint in reported if endpoint.accepts_requests)
             stages = {endpoint.name: STAGES[endpoint.status] for endpoint in reported}
@@ -111,7 +111,7 @@
             self._context.dispatch(ComponentEvent(PREFIX, DirectorySilent(host_port(self._directory_state()[0]))))
 
     def override(self, entries: list[DiscoveredEndpoint], complete: bool) -> list[DiscoveredEndpoint]:
-        """What the program is to use instead of the own directory's list."""
+        """Returns the entries that the program uses instead of `entries`, which the own directory listed."""
         self._own_entries = {} if complete else self._own_entries
         for endpoint in entries:
             if endpoint.status is DiscoveryStatus.TERMINATED:
@@ -122,6 +122,7 @@
         if complete:
             self._reported = {}
         elif self._agreed_endpoints:
+            # An endpoint that ended in the own list stays in use while it is among the agreed ones.
             changed = [
                 entry
                 for entry in changed
--- a/limenotch/lab/fleet/bindings_run.py
+++ b/limenotch/lab/fleet/bindings_run.py
@@ -48,7 +48,7 @@
 
 
 def death_detection_ms(members: membership.Tuning, member_count: int) -> float:
-    """From a process's death until all members hold it dead: probe interval, its answer's time-out, suspicion."""
+    """Time from a process's death until all members consider it dead: three periods and the longest suspicion."""
     return 3 * members.period_ms + members.suspicion_longest * members.shortest_ms(member_count)
 
 
@@ -60,14 +60,15 @@
     def idle_ms(kind: int, state: int) -> float:
         ages = (tuning.key, tuning.sessions, tuning.conn, tuning.flow)[kind]
         state_ms = (ages.opening, ages.open, ages.closing, ages.lingering)[state]
-        if kind == Kind.KEY:  # a request that was sent may have run, answered or not
+        if kind == Kind.KEY:  # a request that was sent may have run, whether or not it was answered
             return max(window_ms, state_ms if state != State.OPEN else 0.0)
         return state_ms
 
     def max_lifetime_ms(kind: int) -> float:
         return (tuning.key, tuning.sessions, tuning.conn, tuning.flow)[kind].longest
 
-    scale = max(1.0, member_count / 32)  # of batches and watermarks, which go to all members
+    # Batches and watermarks go to all members: above 32 members, their intervals grow with the number of members.
+    scale = max(1.0, member_count / 32)
     batch_ms, watermark_ms = tuning.batch_ms * scale, tuning.cover_ms * scale
     return Guarantees(
         idle_ms,
@@ -151,7 +152,7 @@
         components = self.world.component(name)
         key = self._keys_by_hash.get(key_hash)
         if key == self._key_in_use and reason == "over":
-            return  # expired, and used again before it was removed: no lookup misses it
+            return  # the binding expired, and is used again before its removal: no lookup misses it
         if key is not None and components is not None and components.bindings is bindings:
             self.checker.row_ended(self.world.now, name, key, reason)
 
@@ -238,7 +239,7 @@
         self.fault(f"kill {name}")
 
     def run(self, until_ms: float, sweep_ms: float = SWEEP_MS) -> None:
-        """Runs until `until`, and looks up all keys at all nodes each `sweep_ms`."""
+        """Runs until `until_ms`, and looks up all keys at all nodes each `sweep_ms`."""
         while self.world.now < until_ms:
             self.world.run(min(until_ms, self.world.now + sweep_ms))
             self.sweep()
--- a/limenotch/lab/fleet/bindings_storms.py
+++ b/limenotch/lab/fleet/bindings_storms.py
@@ -43,6 +43,7 @@
         idle = run.checker.guarantees.idle_ms(self.key[0], self.state)
         share = self.idle_share if random.random() < 0.8 else random.choice((0.9, 0.98, 1.0, 1.02, 1.1, 1.3, 3.0))
         self.due_at_ms = run.world.now + idle * share
+        # `and` binds first: a flow advances with probability 0.25, and any binding that is opening always advances.
         if self.key[0] == Kind.FLOW and random.random() < 0.25 or self.state == State.OPENING:
             self.state += 1
         if self.state > State.LINGERING:  # the same five-tuple is reused, sometimes too soon
@@ -51,7 +52,12 @@
 
 
 def fault_run(seed: int, span_ms: float = 6000.0, tuning: Tuning = FAST, client_count: int = 12) -> Run:
-    """Clocks drift apart by up to the configured bound: each is off by a little less than half of it."""
+    """Returns a checked run of random requests and faults, all drawn from the seed.
+
+    The run has three phases: requests and faults for `span_ms`; requests without faults, until the tables must be
+    equal; no requests, until all bindings must be removed. Clocks drift apart by up to the configured bound: each is
+    off by a little less than half of it.
+    """
     random = Random(f"{seed} bindings")
     names = list("abcdef"[: random.choice((3, 3, 4, 5))])
     delay = random.choice((1, 1, 5, 20))
@@ -184,7 +190,7 @@
     kinds = (Kind.KEY, Kind.SESSION, Kind.CONN, Kind.FLOW, Kind.FLOW, Kind.FLOW)
     for number in range(rounds):
         kind = random.choice(kinds)
-        if kind == Kind.KEY and random.random() < 0.5:
+        if kind == Kind.KEY and random.random() < 0.5:  # half of the KEY draws become FLOW: KEY is the rarest
             kind = Kind.FLOW
         key = (int(kind), b"%s%d" % (kind.name.lower().encode(), random.randrange(number + 10)))
         state = random.choice((State.OPENING, State.OPEN, State.OPEN, State.CLOSING, State.LINGERING))
--- a/limenotch/lab/fleet/checks_wallet.py
+++ b/limenotch/lab/fleet/checks_wallet.py
@@ -1,8 +1,9 @@
 """Checks a history of spending, independently of the wallet's own code: it knows requests, operators and replicated
 states.
 
-It is notified, in the order of simulated time, of operators' requests and their responses, of each reservation and its
-end at every sidecar, and of each member's replicated state after each entry. Raises AssertionError at the first of:
+The checker is notified, in the order of simulated time, of operators' requests and their responses, of each
+reservation and its end at every sidecar, and of each member's replicated state after each entry. It raises
+AssertionError at the first of:
 
 1. More is charged and reserved at all sidecars, crashed ones included, than the highest credit in any replicated state.
 2. A replicated state in which credit is not spent + unallocated + allocated, an amount is negative, or credit or spent
@@ -66,8 +67,8 @@
     taken: int = 0  # reserved and charged
     peak_taken: int = 0  # highest `taken` so far: units released since may count as spent
     closed: bool = False
-    overcounted: int = 0  # at its closing: units that count as spent and were not taken
-    max_overcounted: int = 0  # of `overcounted`: 0 if its holder settled it
+    overcounted: int = 0  # at its closing: `spent` minus `taken`, the units that count as spent and were not taken
+    max_overcounted: int = 0  # highest allowed `overcounted`: 0 if its holder settled the allocation
     witnesses: tuple[tuple[str, int], ...] = ()
 
 
@@ -79,18 +80,18 @@
     confirmed_ids: set[str] = field(default_factory=set)  # answered done or counted
     charged: int = 0
     reserved: int = 0
-    advanced: int = 0  # of both, on the advance
+    advanced: int = 0  # units of `charged` and `reserved` that come from the advance, not from an allocation
     max_credit: int = 0  # the highest in any replicated state
     served: list[tuple[float, str]] = field(default_factory=list)
-    rejections: list[tuple[float, str, int]] = field(default_factory=list)  # with what was taken in total by then
-    pending_rejections: int = 0  # rejections with a pending allocation
+    rejections: list[tuple[float, str, int]] = field(default_factory=list)  # time, name, units taken by then
+    pending_rejections: int = 0  # rejections after which the client may retry at once
 
 
 class Checker:
     """Owns the history; see the module. Times are in ms."""
 
     def __init__(self, step: float, advance: int = 0, min_step: int = 1) -> None:
-        """`step`: the share of an allocation that a crash may count wrongly, at least `min_step` units."""
+        """`step`: the share of an allocation that may wrongly count as spent after a crash, at least `min_step`."""
         self.step, self.advance, self.min_step = step, advance, min_step
         self.totals: dict[str, TenantTotals] = defaultdict(TenantTotals)
         self.allocations: dict[AllocationKey, TrackedAllocation] = {}
@@ -197,7 +198,7 @@
                 self.totals[tenant].advanced -= units
 
     def rejected(self, at_ms: float, name: str, tenant: str, pending: bool = False) -> None:
-        """`pending`: the client may retry at once, as there is credit that is not allocated here yet."""
+        """A request was rejected. `pending`: the client may retry at once, as some credit is not allocated here yet."""
         totals = self.totals[tenant]
         if pending:
             totals.pending_rejections += 1
@@ -335,6 +336,7 @@
         )
 
     def _max_overcounted(self, tracked: TrackedAllocation) -> int:
+        """The whole amount, unless most witnesses are present; then one step and the units released since the peak."""
         present = sum(not self._is_gone(name, process_epoch) for name, process_epoch in tracked.witnesses)
         step = max(self.min_step, ceil(self.step * tracked.amount))
         return (
--- a/limenotch/lab/fleet/drills.py
+++ b/limenotch/lab/fleet/drills.py
@@ -1,13 +1,13 @@
 """Runs expected timelines of membership on processes: the files of simulated time that have `window` in the header.
 
-The processes have a shorter period than the 1000 ms of the files, and a timeline is run in that share of its time
-(`pace: 0.4` in the header, default TIME_SCALE). It begins LEAD_MS before its first fault. The lines expected before
-that fault have to be logged at least once, in any order, before time 0; the run waits until all members consider all
-alive.
+The processes have a shorter membership period than the 1000 ms of the files. The ratio of the two periods is the time
+scale (`pace: 0.4` in the header, default TIME_SCALE): a timeline runs in that share of its time, and begins LEAD_MS
+before its first fault. The lines expected before that fault have to be logged at least once, in any order, before
+time 0; the run waits until all members consider all alive.
 
 A busy machine causes false suspicions: the comparison ignores a suspicion that is not expected and is refuted
-(`without_refuted_suspicions`). An unexpected death, fence or twin is always a difference, up to the end: such timelines
-end with a quiet time.
+(`without_refuted_suspicions`). An unexpected death, fence or twin (a node that runs under another node's name) is
+always a difference, up to the end: such timelines end with a quiet time.
 """
 
 from __future__ import annotations
@@ -132,7 +132,12 @@
 def _refuted_suspicions(
     timeline: ExpectedTimeline, about: str, lines: list[ObservedLine], expected: list[str]
 ) -> list[ObservedLine]:
-    """Returns the lines to ignore among those of one node about one member, in order."""
+    """Returns the lines to ignore among those of one node about one member, in order.
+
+    The observed lines are compared with the expected ones in order. A suspicion that is not the next expected line is
+    ignored, with the next observed line, if that line refutes it. It is also ignored if it is the last observed line
+    and within the window before the end. Any other compared line counts as the next expected one.
+    """
     suspicion, refutation = f"suspects {about}", f"{about} alive"
     ignored: list[ObservedLine] = []
     index = expected_index = 0
@@ -141,7 +146,8 @@
         next_expected = expected[expected_index] if expected_index < len(expected) else ""
         is_open = not after and lines[index][0] > timeline.end_ms - timeline.window_ms
         if text == suspicion != next_expected and (after == [refutation] or is_open):
-            # If the line that ends the suspicion is expected, as for a new process, only the suspicion is ignored.
+            # The next observed line, "<member> alive", ends the suspicion. If that line is expected too, as for a new
+            # process, only the suspicion is ignored.
             count = 1 if next_expected == refutation else 2
             ignored += lines[index : index + count]
             index += count
@@ -158,7 +164,7 @@
 def comparison_of(
     timeline: ExpectedTimeline, rescaled: ExpectedTimeline
 ) -> Callable[[list[ObservedLine], list[float]], str | None]:
-    """Returns the comparison of a run. `timeline` is of the file, `rescaled` of the processes."""
+    """Returns the comparison of a run. `timeline` has the file's times, `rescaled` those of the processes."""
 
     def compare(observed: list[ObservedLine], fault_times_ms: list[float]) -> str | None:
         after = [line for line in without_refuted_suspicions(rescaled, [line for line in observed if line[0] >= 0.0])]
--- a/limenotch/lab/fleet/relay.py
+++ b/limenotch/lab/fleet/relay.py
@@ -1,19 +1,20 @@
 """A relay between each ordered pair of members, UDP and TCP on loopback: the network of a test, with its faults.
 
-Addresses: members are numbered from 1 in order of their names. Each ordered pair (b -> a) has a *door* at
-`127.64.<b>.<a>:port`, a datagram socket and a listener, where only b reaches a. The relay forwards what arrives at that
-door to a's own address, *from* the door of the reverse direction, `127.64.<a>.<b>`: a sees as source the address at
-which it reaches b, so its answers pass through the relay of (a -> b). A stream's source has that host and a port of its
-own. No process learns the own address of another as long as its list of addresses is `Relay.addresses(name)`
-(`[fleet.addresses]`, which takes precedence over advertised addresses). All of 127.0.0.0/8 is loopback on Linux; on
-other systems the relay cannot bind.
-
-Faults: the plan decides about each message, in the order of its ordered pair. A plan whose decisions follow from a seed
-and a count per pair, as those of `weather.NetworkConditions` do, loses the same datagrams at any wall time. Datagrams
-are lost, delayed, duplicated and reordered. A stream preserves its order: "lost" bytes arrive RETRANSMIT_TIMEOUT_MS
-later, as after a retransmission by a kernel. During a partition no bytes, end or reset of a stream pass, and neither
-side receives an error. Two things differ from a network: a connection attempt during a partition is accepted and then
-stays silent, and the plan decides about a stream per piece as read from the kernel, so its delays depend on wall time.
+Addresses: members are numbered from 1 in order of their names. In an ordered pair (b -> a), b sends and a receives. The
+pair has a *door* at `127.64.<b>.<a>:port`, a datagram socket and a listener, where only b reaches a: member 2 reaches
+member 1 at `127.64.2.1`. The relay forwards what arrives at that door to a's own address, *from* the door of the
+reverse direction, `127.64.<a>.<b>`: a sees as source the address at which it reaches b, so its answers pass through the
+relay of (a -> b). A stream's source has that host and a port of its own. No process learns the own address of another
+as long as its list of addresses is `Relay.addresses(name)` (`[fleet.addresses]`, which takes precedence over advertised
+addresses). All of 127.0.0.0/8 is loopback on Linux; on other systems the relay cannot bind.
+
+Faults: a `FaultPlan` (the plan) decides about each message, in the order of the messages of each ordered pair. A plan
+whose decisions follow from a seed and a count per pair, as those of `weather.NetworkConditions` do, loses the same
+datagrams at any wall time. Datagrams are lost, delayed, duplicated and reordered. A stream preserves its order: "lost"
+bytes arrive RETRANSMIT_TIMEOUT_MS later, as after a retransmission by a kernel. During a partition no bytes, end or
+reset of a stream pass, and neither side receives an error. Two things differ from a network: a connection attempt
+during a partition is accepted and then stays silent, and the plan decides about a stream per piece as read from the
+kernel, so its delays depend on wall time.
 
 Times are ms. All queues are bounded: datagrams by count (the relay drops and counts further ones), streams by bytes
 (the relay stops reading, as with a full TCP window).
--- a/limenotch/lab/fleet/wallet_drawings.py
+++ b/limenotch/lab/fleet/wallet_drawings.py
@@ -1,11 +1,13 @@
-"""Members, operators and clients for expected timelines of the wallet. The first three nodes vote on the log.
+"""Runs expected timelines of the wallet on simulated members, operators and clients.
+
+The first three nodes vote on the log.
 
 | `ask a ...` | what | log lines |
 | --- | --- | --- |
 | `credit t1 100 x` | an operator adds credit with the id `x` | `done`, `counted`, `refused`, `unknown` |
-| `show t1` | an operator | `t1: credit 100; spent 40; left 60` |
-| `calls t1 50` | so many requests per s from now on, evenly; 0: none | `serves t1`, `turns away t1` on a change |
-| `at_once t1 30 400` | thirty requests, each ends after 400 ms | `takes 20 of 30` |
+| `show t1` | an operator requests the wallet's totals | `t1: credit 100; spent 40; left 60` |
+| `calls t1 50` | clients send 50 per s, evenly, from now on; 0: none | `serves t1`, `turns away t1` on a change |
+| `at_once t1 30 400` | clients send 30 requests at once, each ends after 400 ms | `takes 20 of 30` |
 
 A request that was admitted is charged after 20 ms by default. In the head, `advance` lets sidecars without a lease
 spend that much in advance; `least` is `least_slice`, `span` is `slice_ms`. Each run is checked by checks_wallet.
