--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -2,8 +2,9 @@
 
     python -m benchmarks.fleet_processes [KILLS [MEMBERS]]
 
-The same tuning for both, `drills.membership(drills.PACE)`; one run a kill, with clients sending requests. In simulated
-time the time of the kill is moved through a period, as it is random on processes. Both are given in periods.
+The same tuning for both, `drills.membership_settings(drills.TIME_SCALE)`; one run a kill, with clients sending
+requests. In simulated time the time of the kill is moved through a period, as it is random on processes. Both are given
+in periods.
 
 Interval: the medians differ by no more than MAX_MEDIAN_DIFFERENCE periods, and no kill on processes is known to all
 earlier than the earliest in simulated time less MAX_EARLIER, nor later than the latest plus MAX_LATER: probes of
--- a/limenotch/fleet_node.py
+++ b/limenotch/fleet_node.py
@@ -269,7 +269,7 @@
                 adapter.voters_changed(voters)
 
     def leave(self) -> None:
-        """Notify the peers that this process leaves, and close the sockets LEAVE_S later.
+        """Notify the peers that this process leaves, and close the sockets CLOSE_DELAY_S later.
 
         The address is free only then: the next process of this sidecar may wait for it.
         """
--- a/limenotch/lab/fleet/bindings_history.py
+++ b/limenotch/lab/fleet/bindings_history.py
@@ -9,7 +9,7 @@
 Key = tuple[int, bytes]  # kind, key
 KEY, OPENING, OPEN = 0, 0, 1  # KEY is a number of api.Kind; OPENING and OPEN are numbers of api.State
 DEAD = ("dead", "left")
-LOSSY_MS = 12_700.0  # delay of a segment lost six times (weather.TRY_AGAIN_MS, doubled each time)
+LOSSY_MS = 12_700.0  # delay of a segment lost six times (weather.RETRANSMIT_TIMEOUT_MS, doubled each time)
 LOST_MS = 1500.0  # all datagrams of one link may be lost for this long
 EDGE_MS = 2.0  # tolerance for float error and for clock drift between two messages
 
--- a/limenotch/lab/fleet/trial.py
+++ b/limenotch/lab/fleet/trial.py
@@ -5,7 +5,7 @@
   disconnected), but the class of the request has to allow a second one.
 - A paused sidecar is considered notified of a drain when it resumes.
 - A request is known for ENDED_REQUEST_RETENTION_MS after its end, plus the delay of the host's event loop.
-- Requests at a killed sidecar need no response; the client, whose connection breaks, calls `Rules.lost`.
+- Requests at a killed sidecar need no response; the client, whose connection breaks, calls `RuleChecker.request_lost`.
 """
 
 from __future__ import annotations
