--- a/limenotch/reload.py
+++ b/limenotch/reload.py
@@ -60,8 +60,8 @@
         """Sets until when the agreed rules are valid, on the lease clock; see LoadBalancer.set_lease."""
         now_ms = self._lease_clock_ms()
         if self._unannounced is not None and until_ms > now_ms:
-            # The configuration is announced only once the lease is valid: without a lease, request classes are more
-            # restricted than the agreed rules, so the announced configuration would not be the one that applies.
+            # A configuration is announced only while a lease is valid: without one, the classes in force are the
+            # restricted ones, which allow less than the agreed rules, and less than the endpoints support.
             announced = self._unannounced
             self._unannounced = None
             self.announce(announced)
--- a/tests/fleet/members.py
+++ b/tests/fleet/members.py
@@ -32,9 +32,9 @@
 
 def all_alive(world: World, names: Iterable[str]) -> bool:
     """Whether each of the names is active and considers all of them alive."""
-    expected_events = dict.fromkeys(names, State.ALIVE)
+    expected_states = dict.fromkeys(names, State.ALIVE)
     return all(
         membership_of(world, name).is_active
-        and {n: s for n, s in states_of(world, name).items() if n in expected_events} == expected_events
-        for name in expected_events
+        and {n: s for n, s in states_of(world, name).items() if n in expected_states} == expected_states
+        for name in expected_states
     )
